--- /dev/null
+++ b/tests/test_stored_fixtures.py
@@ -0,0 +1,247 @@
+"""Stored data written by the code of commit 11fdf15 is read back by the code of today.
+
+The folders under tests/fixtures/stored/ were written once by tests/fixtures/stored/make_fixtures.py; each
+test reads a copy in tmp_path, so the committed files are never written to, and asserts exactly what was
+stored.
+"""
+
+import hashlib
+import shutil
+from pathlib import Path
+from typing import Any
+
+from thistleline.council.messages import Ballot, Base, Entry, Member
+from thistleline.council.store import CouncilStore
+from thistleline.council.voter import Spans, Voter
+from thistleline.feed.archive import Archive
+from thistleline.feed.table import Table
+from thistleline.ledger.book import Book, Found
+from thistleline.ledger.store import Reading, Store
+from thistleline.store.disk import Disk
+
+STORED = Path(__file__).parent / "fixtures" / "stored"
+SECOND = 1_000_000_000
+
+FILES = {
+    "ledger/000000000001.ledger": (463, "1c6262892e676a071cae19231874e6e6c99edc1176abbdf605a6798578bb87e8"),
+    "ledger/000000000002.ledger": (199, "604cec9bd2f6c7819d0e9d6b8861d122b147f65f3f949b0e43a5d327584a7ec8"),
+    "replica_log/000000000002.council": (
+        1274,
+        "cd27f344326cd0192cab28d455b20ec46ad331933ac8a706156f03b5aeaf1884",
+    ),
+    "feed_archive/000000000001.feed": (
+        701,
+        "61c89eb43888c3b448920d142565b32515ee4d6050fa3b64f80ce41ae6cc062b",
+    ),
+}
+
+
+def copied(tmp_path: Path, name: str) -> Path:
+    """A copy of one fixture folder, to be read and written as a server would."""
+    folder = tmp_path / name
+    shutil.copytree(STORED / name, folder)
+    return folder
+
+
+def test_the_committed_fixtures_are_the_files_that_were_written() -> None:
+    """No file was added, lost or changed since the old code wrote them."""
+    there = sorted(
+        str(path.relative_to(STORED)) for path in STORED.rglob("*") if path.is_file() and path.suffix != ".py"
+    )
+    assert there == sorted(FILES)
+    for name, (size, digest) in FILES.items():
+        data = (STORED / name).read_bytes()
+        assert (len(data), hashlib.sha256(data).hexdigest()) == (size, digest), name
+
+
+# ---- the ledger
+
+STAGES = ("lookup", "booking")
+BOOT = bytes.fromhex("7f3a9c1e5b2d4f60a1b2c3d4e5f60718")  # the boot id in the fixture's heads
+NOW = 5060 * SECOND  # boot time of the life that reads it: 60 s after the first life began
+
+
+def recovered_ledger(folder: Path, boot: bytes, stages: tuple[str, ...] = STAGES) -> tuple[list[Found], Any]:
+    disk = Disk(folder)
+    disk.hold()
+    store = Store(disk, stages)
+    store.boot = boot
+    readings: list[Reading] = []
+    book = Book(8192, 8192, NOW, lambda _: None)
+    found = store.recover(book, readings.append)
+    disk.release()
+    return found, readings
+
+
+def test_a_ledger_is_recovered_in_the_same_life_of_the_machine(tmp_path: Path) -> None:
+    """Times stand as written; the doubt told by the second life counts."""
+    found, readings = recovered_ledger(copied(tmp_path, "ledger"), BOOT)
+    assert readings == [
+        Reading(1, 463, 5, 4, False, 0, 463),
+        Reading(2, 199, 1, 2, False, 0, 199),
+    ]
+    left = (5000 + 3600) * SECOND - NOW
+    assert found == [
+        Found(1, 1, b"digest-000000001", b"order-0001", left, "finished", b"receipt-0001", None),
+        Found(2, 1, b"digest-000000002", b"order-0002", left, "failed", b"card declined", None),
+        Found(4, 1, b"digest-000000004", b"order-0004", left, None, None, 5040 * SECOND),
+        Found(5, 0, b"digest-000000005", b"order-0005", left, "finished", b"found: 42", None),
+        Found(6, 1, b"digest-000000006", b"order-0006", left + 10 * SECOND, "stopped", None, None),
+    ]  # 3 was told moot: it is gone
+
+
+def test_a_ledger_is_recovered_after_the_machine_started_anew(tmp_path: Path) -> None:
+    """Of another boot each effect is known for its whole span from now on, and no doubt of it counts."""
+    found, _ = recovered_ledger(copied(tmp_path, "ledger"), bytes.fromhex("00112233445566778899aabbccddeeff"))
+    span = 3600 * SECOND
+    assert found == [
+        Found(1, 1, b"digest-000000001", b"order-0001", span, "finished", b"receipt-0001", None),
+        Found(2, 1, b"digest-000000002", b"order-0002", span, "failed", b"card declined", None),
+        Found(4, 1, b"digest-000000004", b"order-0004", span, None, None, None),
+        Found(5, 0, b"digest-000000005", b"order-0005", span, "finished", b"found: 42", None),
+        Found(6, 1, b"digest-000000006", b"order-0006", span, "stopped", None, None),
+    ]
+
+
+def test_a_ledgers_stages_are_found_by_their_names(tmp_path: Path) -> None:
+    """The heads name the stages: a server that orders them otherwise finds each in its place, and nothing
+    of a stage it no longer has."""
+    found, _ = recovered_ledger(copied(tmp_path, "ledger"), BOOT, ("booking", "lookup"))
+    assert [(one.number, one.stage) for one in found] == [(1, 0), (2, 0), (4, 0), (5, 1), (6, 0)]
+    found, _ = recovered_ledger(copied(tmp_path / "again", "ledger"), BOOT, ("booking",))
+    assert [one.number for one in found] == [1, 2, 4, 6]
+
+
+def test_a_ledger_goes_on_in_a_new_segment(tmp_path: Path) -> None:
+    """What is recovered takes the next numbers: effect 7 in segment 3."""
+    folder = copied(tmp_path, "ledger")
+    disk = Disk(folder)
+    disk.hold()
+    store = Store(disk, STAGES)
+    store.boot = BOOT
+    book = Book(8192, 8192, NOW, lambda _: None)
+    store.recover(book)
+    assert book.intend(NOW, 1, b"digest-000000007", 3600 * SECOND, b"order-0007") == 7
+    work = book.work(NOW)
+    assert work is not None
+    assert (work.segment, work.fresh, work.drops) == (3, True, ())
+    store.write(work)
+    assert book.done(NOW) == [7]
+    disk.release()
+    found, _ = recovered_ledger(folder, BOOT)
+    assert [one.number for one in found] == [1, 2, 4, 5, 6, 7]
+    assert [number for number, _ in Disk(folder).segments()] == [1, 2, 3]
+
+
+# ---- the council
+
+MEMBERS = (
+    Member("v1.fixture", "127.0.0.1:7101"),
+    Member("v2.fixture", "127.0.0.1:7102"),
+    Member("v3.fixture", "127.0.0.1:7103"),
+)
+
+
+def test_a_replicated_log_is_recovered(tmp_path: Path) -> None:
+    """The newest segment's base with its snapshot, the last ballot, and the log with the former leader's
+    entries 6 and on cut away, its change of members with them."""
+    found = CouncilStore(Disk(copied(tmp_path, "replica_log"), "council")).recover()
+    assert found is not None
+    assert found.base == Base("v1.fixture", "council-fixture", 2, "v2.fixture", 3, 2, MEMBERS, b"state: a=1")
+    assert found.ballot == Ballot(3, "v3.fixture")
+    log = found.log
+    assert (log.base, log.base_term, log.base_members, log.last) == (3, 2, MEMBERS, 7)
+    assert log.entries == [
+        Entry(2, "decision", b"set b=2"),
+        Entry(2, "decision", b"set c=3"),
+        Entry(3, "nothing", b""),
+        Entry(3, "decision", b"set d=4"),
+    ]
+    assert [log.term_at(index) for index in range(2, 9)] == [-1, 2, 2, 2, 3, 3, -1]
+    assert log.members() == MEMBERS
+    assert log.member_places == []
+
+
+class Kept:
+    """A machine that keeps what it was told: all the voter needs of one."""
+
+    def __init__(self) -> None:
+        self.state = b""
+        self.applied: list[tuple[int, bytes]] = []
+
+    def apply(self, index: int, data: bytes) -> None:
+        self.applied.append((index, data))
+
+    def snapshot(self) -> bytes:
+        return self.state
+
+    def restore(self, state: bytes) -> None:
+        self.state = state
+
+    def copy(self) -> "Kept":
+        made = Kept()
+        made.state, made.applied = self.state, list(self.applied)
+        return made
+
+    def frozen(self) -> tuple[bytes, tuple[tuple[int, bytes], ...]]:
+        return self.state, tuple(self.applied)
+
+
+def test_a_voter_takes_up_the_recovered_log(tmp_path: Path) -> None:
+    """It follows in term 3 with its vote, its machine restored from the snapshot, durable to the end."""
+    found = CouncilStore(Disk(copied(tmp_path, "replica_log"), "council")).recover()
+    assert found is not None
+    machine = Kept()
+    spans = Spans(100 * 1_000_000, SECOND, SECOND)
+    voter = Voter("v1.fixture", machine, 7000 * SECOND, spans, lambda _: 0, found)
+    assert (voter.council, voter.phase, voter.term, voter.vote) == (
+        "council-fixture",
+        "following",
+        3,
+        "v3.fixture",
+    )
+    assert (voter.committed, voter.applied, voter.durable) == (3, 3, 7)
+    assert voter.members == MEMBERS
+    assert (machine.state, machine.applied) == (b"state: a=1", [])
+
+
+# ---- the feed archive
+
+FEED_ENTRIES = [
+    ("route/checkout", b"pool-c", 4),
+    ("route/cart", b"pool-a", 7),
+    ("tenant/acme", b"platinum", 6),
+    ("made/3", b"req-3", 3),
+    ("tenant/globex", b"silver", 5),
+]
+
+
+def test_a_feed_archive_is_recovered(tmp_path: Path) -> None:
+    """The snapshot of state 3 and the steps to 7: keys set, changed and taken away, with their versions."""
+    disk = Disk(copied(tmp_path, "feed_archive"), "feed")
+    disk.hold()
+    archive = Archive(disk, "all")
+    table = archive.recover()
+    disk.release()
+    assert table is not None
+    assert (table.number, archive.durable, archive.why, archive.segment, archive.old) == (7, 7, "", 1, [1])
+    assert sorted(table.entries("all")) == sorted(FEED_ENTRIES)
+    assert dict(table.wide) == {"route/checkout": (b"pool-c", 4), "route/cart": (b"pool-a", 7)}
+    assert dict(table.tenants) == {
+        "tenant/acme": (b"platinum", 6),
+        "made/3": (b"req-3", 3),
+        "tenant/globex": (b"silver", 5),
+    }
+    assert table.digest("all").hex() == "cebdacb4b790a91e0098d1393cc982f3"
+    assert table.digest("wide").hex() == "9c1124fd745519f9b9b80f276c13e5af"
+    assert archive.digest == table.digest("all")
+    assert table == Table().moved(7, FEED_ENTRIES)
+    for gone in ("common/limit", "route/search"):
+        assert table.get(gone) is None
+
+
+def test_a_feed_archive_is_of_its_kind(tmp_path: Path) -> None:
+    """An instance's side (wide) takes no keeper's archive (all) for its own."""
+    archive = Archive(Disk(copied(tmp_path, "feed_archive"), "feed"), "wide")
+    assert archive.recover() is None
+    assert archive.why == "000000000001.feed is no archive of form 1 and kind wide"
