--- a/tests/test_council.py
+++ b/tests/test_consensus.py
@@ -14,20 +14,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from thistleline.conf.schema import Faulty, check
-from thistleline.council.messages import Ballot, Base, Entry, Member, Record, Tail
-from thistleline.council.store import CouncilStore
-from thistleline.council.voter import Spans, Voter, Work
+from thistleline.config.schema import Faulty, check
+from thistleline.consensus.messages import Ballot, Base, Entry, Member, Record, Tail
+from thistleline.consensus.store import CouncilStore
+from thistleline.consensus.replica import Spans, Voter, Work
 from thistleline.lab.explore import explore
 from thistleline.lab.leasecost import one_way
 from thistleline.lab.leaseworld import begin, following
 from thistleline.lab.mutants import MUTANTS, SCENARIOS, without
 from thistleline.lab.virtual import MS, VirtualCouncil
-from thistleline.lease.office import Office
+from thistleline.lease.server import Office
 from thistleline.lease.table import Table
-from thistleline.lease.terms import Change, Denied, Done, Elsewhere, Granted, Release, Take
-from thistleline.links.codec import Hello, Unpacker, Unreadable, common_form, sealed
-from thistleline.links.link import QUEUE_BOUND, Queue
+from thistleline.lease.protocol import Change, Denied, Done, Elsewhere, Granted, Release, Take
+from thistleline.transport.codec import Hello, Unpacker, Unreadable, common_form, sealed
+from thistleline.transport.connection import QUEUE_BOUND, Queue
 from thistleline.store.disk import Disk
 from thistleline.store.frames import Damaged
 
@@ -107,7 +107,7 @@
 
 
 def test_one_far_behind_gets_the_whole_state(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("thistleline.council.voter.COMPACT_SIZE", 2000)
+    monkeypatch.setattr("thistleline.consensus.replica.COMPACT_SIZE", 2000)
     made = council(3)
     leader = made.leader()
     late = next(id for id in made.offices if id != leader)
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -14,9 +14,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from thistleline.feed import history as histories
-from thistleline.feed import source as sources
-from thistleline.feed.bounds import (
+from thistleline.config_feed import history as histories
+from thistleline.config_feed import source as sources
+from thistleline.config_feed.limits import (
     ASKED_BOUND,
     BEAT,
     DELTA_BOUND,
@@ -31,10 +31,10 @@
     STALL,
     VALUE_BOUND,
 )
-from thistleline.feed.follower import Follower
-from thistleline.feed.history import History, Items
-from thistleline.feed.lookups import ABSENT, UNKNOWN, Found, Lookups
-from thistleline.feed.messages import (
+from thistleline.config_feed.follower import Follower
+from thistleline.config_feed.history import History, Items
+from thistleline.config_feed.lookups import ABSENT, UNKNOWN, Found, Lookups
+from thistleline.config_feed.messages import (
     AskTenants,
     Beat,
     Change,
@@ -55,9 +55,9 @@
     decode_source,
     encode,
 )
-from thistleline.feed.source import SNAPSHOT_KEPT, Snapshot, Source
-from thistleline.feed.table import Table
-from thistleline.links.ends import ENDS
+from thistleline.config_feed.source import SNAPSHOT_KEPT, Snapshot, Source
+from thistleline.config_feed.table import Table
+from thistleline.transport.disconnects import ENDS
 
 Entries = tuple[tuple[str, bytes | None], ...]
 
--- a/tests/test_feed_service.py
+++ b/tests/test_feed_service.py
@@ -20,13 +20,13 @@
 import anyio
 import pytest
 
-from thistleline.conf.schema import Faulty, Feed, check
-from thistleline.feed import link, service
-from thistleline.feed.bounds import MESSAGE_BOUND, MS, RING, SECOND
-from thistleline.feed.client import look, propose, snapshot
-from thistleline.feed.history import Items
-from thistleline.feed.link import OUT_BOUND, Encoder, Outgoing, Rounds
-from thistleline.feed.messages import (
+from thistleline.config.schema import Faulty, Feed, check
+from thistleline.config_feed import connections as link, service
+from thistleline.config_feed.limits import MESSAGE_BOUND, MS, RING, SECOND
+from thistleline.config_feed.client import look, propose, snapshot
+from thistleline.config_feed.history import Items
+from thistleline.config_feed.connections import OUT_BOUND, Encoder, Outgoing, Rounds
+from thistleline.config_feed.messages import (
     AskTenants,
     Delta,
     Follow,
@@ -38,14 +38,14 @@
     decode_source,
     encode,
 )
-from thistleline.feed.persist import Persist
-from thistleline.feed.service import LOOK_BOUND, FeedService
-from thistleline.feed.table import Table
+from thistleline.config_feed.archive_writer import Persist
+from thistleline.config_feed.service import LOOK_BOUND, FeedService
+from thistleline.config_feed.table import Table
 from thistleline.lab.feedfleet import FeedFleet
 from thistleline.lab.harness import Hung, Process, free_port
 from thistleline.lab.net import Way
-from thistleline.links.codec import Hello, Unpacker, sealed
-from thistleline.links.ends import ENDS
+from thistleline.transport.codec import Hello, Unpacker, sealed
+from thistleline.transport.disconnects import ENDS
 
 Story = Callable[[FeedFleet], Awaitable[None]]
 
--- a/tests/test_feed_sockets.py
+++ b/tests/test_feed_sockets.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from thistleline.feed.archive import Archive
-from thistleline.feed.messages import decode_group
-from thistleline.feed.table import entry_hash
+from thistleline.config_feed.archive import Archive
+from thistleline.config_feed.messages import decode_group
+from thistleline.config_feed.table import entry_hash
 from thistleline.lab.scale import feedsockets, slopes
 from thistleline.lab.scale.feed import made_table
 from thistleline.lab.scale.feedsockets import (
--- a/tests/test_feed_worlds.py
+++ b/tests/test_feed_worlds.py
@@ -6,10 +6,10 @@
 import msgspec
 import pytest
 
-from thistleline.conf.schema import Feed
-from thistleline.feed.bounds import MS, SECOND
-from thistleline.feed.messages import Propose, Proposed
-from thistleline.feed.table import Table
+from thistleline.config.schema import Feed
+from thistleline.config_feed.limits import MS, SECOND
+from thistleline.config_feed.messages import Propose, Proposed
+from thistleline.config_feed.table import Table
 from thistleline.lab import feedmutants
 from thistleline.lab.feedmutants import MUTANTS, SCENARIOS, explored
 from thistleline.lab.feedrun import LENGTH, Oracle, Shared, VirtualFeed, quantile
--- a/tests/test_feed_writer.py
+++ b/tests/test_feed_writer.py
@@ -14,10 +14,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from thistleline.feed import client
-from thistleline.feed import writer as writers
-from thistleline.feed.archive import Archive
-from thistleline.feed.bounds import (
+from thistleline.config_feed import client
+from thistleline.config_feed import writer as writers
+from thistleline.config_feed.archive import Archive
+from thistleline.config_feed.limits import (
     CHANGE_BOUND,
     GROUP_BOUND,
     ITEMS_BOUND,
@@ -28,16 +28,16 @@
     STALL,
     VALUE_BOUND,
 )
-from thistleline.feed.check import fault
-from thistleline.feed.history import History
-from thistleline.feed.messages import Change, Follow, Group, Propose, Proposed, decode_group, encode
-from thistleline.feed.station import Station
-from thistleline.feed.table import Table
-from thistleline.feed.writer import ASK_AGAIN, CATCH_UP_SPAN, LINE_SIZE, Writer, key_of
+from thistleline.config_feed.validation import fault
+from thistleline.config_feed.history import History
+from thistleline.config_feed.messages import Change, Follow, Group, Propose, Proposed, decode_group, encode
+from thistleline.config_feed.relay import Station
+from thistleline.config_feed.table import Table
+from thistleline.config_feed.writer import ASK_AGAIN, CATCH_UP_SPAN, LINE_SIZE, Writer, key_of
 from thistleline.lab.feedworld import changed, fleet, settle
 from thistleline.lease.table import Table as Council
 from thistleline.lease.table import data_of
-from thistleline.lease.terms import Break, Denied, Done, Granted, Put, Take
+from thistleline.lease.protocol import Break, Denied, Done, Granted, Put, Take
 from thistleline.store.disk import Disk
 
 KEEPERS = ("a", "b", "c")
@@ -1046,7 +1046,7 @@
 
 
 def test_a_table_that_is_full_takes_no_new_entry_but_other_values(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("thistleline.feed.check.ENTRIES_BOUND", 2)
+    monkeypatch.setattr("thistleline.config_feed.validation.ENTRIES_BOUND", 2)
     table = Table().moved(1, [("tenant/a", b"{}", 1), ("tenant/b", b"{}", 1)])
     assert "more than 2 entries" in why("tenant/c", {"share": 0}, table)
     assert why("tenant/a", {"share": 0}, table) == ""
@@ -1339,7 +1339,7 @@
 
 
 def test_the_size_on_disk_is_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("thistleline.feed.archive.LOG_LEAST", 4096)
+    monkeypatch.setattr("thistleline.config_feed.archive.LOG_LEAST", 4096)
     disk = Troubled(tmp_path)
     disk.hold()
     archive = Archive(disk, "all")
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -19,12 +19,12 @@
 from thistleline.lab.harness import Fleet
 from thistleline.lab.leases import Storm, Wrote, judge
 from thistleline.lease.client import Council
-from thistleline.lease.guard import Guard
+from thistleline.lease.fencing import Guard
 from thistleline.lease.holder import Hold
 from thistleline.lease.session import Held, Lost, NoTime, lease
-from thistleline.lease.terms import Denied, Done, Elsewhere, Granted, Kept, Show, Take, right
+from thistleline.lease.protocol import Denied, Done, Elsewhere, Granted, Kept, Show, Take, right
 from thistleline.lease.wire import encode
-from thistleline.links.codec import Hello, sealed
+from thistleline.transport.codec import Hello, sealed
 from thistleline.store.clock import boot_now
 
 SECOND = 1_000_000_000
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -26,14 +26,14 @@
 )
 from thistleline.cli.ledger import look, rewrite
 from thistleline.cli.main import entry
-from thistleline.conf.schema import Faulty, check
-from thistleline.keeping.reducer import KeepingReducer
+from thistleline.config.schema import Faulty, check
+from thistleline.durable.reducer import KeepingReducer
 from thistleline.lab.caller import Caller, Told
 from thistleline.lab.farm import FarmStandIn, Ran
 from thistleline.lab.ledger import judge, storm
-from thistleline.ledger import form
-from thistleline.ledger.book import Book
-from thistleline.ledger.form import Group, Intent, Outcome
+from thistleline.ledger import format as form
+from thistleline.ledger.state import Book
+from thistleline.ledger.format import Group, Intent, Outcome
 from thistleline.ledger.store import Store
 from thistleline.memory.phases import Phases
 from thistleline.policy import MS, SECOND
--- a/tests/test_members.py
+++ b/tests/test_membership.py
@@ -14,8 +14,8 @@
 
 from thistleline.lab.harness import free_port
 from thistleline.lab.members import SPANS, VirtualFleet, death, split
-from thistleline.members.gossip import SECOND, Gossip
-from thistleline.members.messages import (
+from thistleline.membership.gossip import SECOND, Gossip
+from thistleline.membership.messages import (
     ALIVE,
     DEAD,
     LEFT,
@@ -27,7 +27,7 @@
     Word,
     encode,
 )
-from thistleline.members.view import View, merged
+from thistleline.membership.view import View, merged
 
 FACTS = Facts("1", 1, "z")
 WORDS = st.builds(
--- a/tests/test_polled.py
+++ b/tests/test_polled.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from thistleline.feed.bounds import SECOND
-from thistleline.feed.messages import Propose
+from thistleline.config_feed.limits import SECOND
+from thistleline.config_feed.messages import Propose
 from thistleline.lab.polledrun import PolledFleet, Settings
 from thistleline.lab.scale import feed
-from thistleline.lease.terms import VALUE_BOUND
-from thistleline.steward.service import POLL
+from thistleline.lease.protocol import VALUE_BOUND
+from thistleline.supervisor.service import POLL
 
 
 def fleet(instances: int = 30, reads_s: float = 0) -> PolledFleet:
--- a/tests/test_rolls.py
+++ b/tests/test_rollout.py
@@ -13,11 +13,11 @@
 import msgspec
 import pytest
 
-from thistleline.conductor.bounds import Bounds
-from thistleline.conductor.conducting import Conducting, Spans
-from thistleline.conductor.judge import Judge, Slot
-from thistleline.conductor.roll import STAGES, Order, Roll, Seen, controls, targets, wrong
-from thistleline.conf.schema import check
+from thistleline.rollout.confidence import Bounds
+from thistleline.rollout.controller import Conducting, Spans
+from thistleline.rollout.canary import Judge, Slot
+from thistleline.rollout.record import STAGES, Order, Roll, Seen, controls, targets, wrong
+from thistleline.config.schema import check
 from thistleline.lab.explore import explore
 from thistleline.lab.harness import free_port
 from thistleline.lab.ledger import SETTINGS
@@ -26,11 +26,11 @@
 from thistleline.lab.roll import HARMS, Harm, roll
 from thistleline.lab.stewardworld import BesideWorld, StewardWorld, following, following_beside, wander
 from thistleline.lease.table import fault
-from thistleline.lease.terms import VALUE_BOUND, Put
-from thistleline.steward.keeping import SECOND, Keeping, State, Version, Want
-from thistleline.steward.releases import Releases, Unfit, digest_of, forms_of
-from thistleline.steward.service import StewardService
-from thistleline.steward.settings import unfit_settings
+from thistleline.lease.protocol import VALUE_BOUND, Put
+from thistleline.supervisor.decisions import SECOND, Keeping, State, Version, Want
+from thistleline.supervisor.releases import Releases, Unfit, digest_of, forms_of
+from thistleline.supervisor.service import StewardService
+from thistleline.supervisor.settings import unfit_settings
 from thistleline.store.latest import Latest
 
 OLD, NEW = Version("1", "a"), Version("2", "b")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -25,7 +25,7 @@
 from thistleline.lab.scale.slopes import Part, Row, judge, memory_of, no_worse, row, steps_of
 from thistleline.lab.scale.tenants import bench_of, born, policy_of, steps_of_task, tick, weighings
 from thistleline.policy import SECOND, TICK, WINDOW, Policy
-from thistleline.steward.settings import unfit_settings
+from thistleline.supervisor.settings import unfit_settings
 from thistleline.wire.bench import read_bench
 
 SIZES = (10, 30, 100, 300)
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -4,19 +4,19 @@
 
 import pytest
 
-from thistleline.conductor import conducting
-from thistleline.conductor.conducting import Conducting
-from thistleline.conductor.judge import Judge
-from thistleline.conductor.roll import ORDER_KEY
-from thistleline.conductor.service import Records
+from thistleline.rollout import controller as conducting
+from thistleline.rollout.controller import Conducting
+from thistleline.rollout.canary import Judge
+from thistleline.rollout.record import ORDER_KEY
+from thistleline.rollout.service import Records
 from thistleline.lab.scale import control
 from thistleline.lab.scale.members import word_bytes
 from thistleline.lab.scale.slopes import Row, judge, steps_of
-from thistleline.steward.keeping import Keeping, Want
-from thistleline.steward.releases import Releases
-from thistleline.steward.service import POLL
+from thistleline.supervisor.decisions import Keeping, Want
+from thistleline.supervisor.releases import Releases
+from thistleline.supervisor.service import POLL
 from thistleline.zones.decision import Deciding
-from thistleline.zones.picture import Pictures
+from thistleline.zones.status import Pictures
 
 SIZES = [30, 60, 120, 300]
 
--- a/tests/test_scale_parts.py
+++ b/tests/test_scale_parts.py
@@ -8,14 +8,14 @@
 import anyio
 import pytest
 
-from thistleline.council.voter import Voter
+from thistleline.consensus.replica import Voter
 from thistleline.lab.scale import added, connections, council, members
 from thistleline.lab.scale.instance import instance
 from thistleline.lab.scale.slopes import judge, row
-from thistleline.members import gossip, view
-from thistleline.members.gossip import Gossip
-from thistleline.members.messages import Word, encode
-from thistleline.members.view import View
+from thistleline.membership import gossip, view
+from thistleline.membership.gossip import Gossip
+from thistleline.membership.messages import Word, encode
+from thistleline.membership.view import View
 
 SIZES = [100, 200, 400, 1000]  # from where a tenth of them fills a datagram
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -8,7 +8,7 @@
 
 from thistleline.lab.zones import Fault, play
 from thistleline.zones.decision import BACK_STEP, RESERVE, STEP, Deciding, Rules, Share, Table
-from thistleline.zones.picture import FRESH_SPAN, KEEP_SPAN, SECOND, Look, Picture, Pictures, Report, Zone
+from thistleline.zones.status import FRESH_SPAN, KEEP_SPAN, SECOND, Look, Picture, Pictures, Report, Zone
 
 NAMES = ("a", "b", "c", "d")
 PRICE = {(one, other): 1.0 + abs(ord(one) - ord(other)) for one in NAMES for other in NAMES if one != other}
--- a/thistleline/__main__.py
+++ b/thistleline/__main__.py
@@ -30,7 +30,7 @@
         return 2
     conf = None
     if os.environ.get("THISTLELINE_CONF"):
-        from thistleline.conf.schema import Faulty, read_conf
+        from thistleline.config.schema import Faulty, read_conf
 
         try:
             conf = read_conf(os.environ["THISTLELINE_CONF"])
@@ -40,7 +40,7 @@
             return 2
     serves = Service
     if conf is not None and conf.handover is not None:
-        from thistleline.attended.service import AttendedService
+        from thistleline.handover.service import AttendedService
 
         serves = AttendedService
     try:
--- a/thistleline/wirehost/__main__.py
+++ b/thistleline/bench_adapter/__main__.py
@@ -1,5 +1,5 @@
 import sys
 
-from thistleline.wirehost.host import main
+from thistleline.bench_adapter.adapter import main
 
 sys.exit(main(sys.stdin, sys.stdout))
--- a/thistleline/cli/council.py
+++ b/thistleline/cli/council.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from thistleline.cli.fleet import Unusable, ask, ask_each, conf_of, logger, tell, voters_of, where
-from thistleline.lease.terms import Change, Done, Elsewhere, Form, Stands
-from thistleline.links.address import read_address
+from thistleline.lease.protocol import Change, Done, Elsewhere, Form, Stands
+from thistleline.transport.address import read_address
 
 
 @click.group(invoke_without_command=True)
--- a/thistleline/cli/feed.py
+++ b/thistleline/cli/feed.py
@@ -13,12 +13,12 @@
 import orjson
 
 from thistleline.cli.fleet import Unusable, conf_of, logger, named, tell
-from thistleline.feed.bounds import CHANGE_BOUND, ITEMS_BOUND
-from thistleline.feed.client import FeedClient, look_each, propose, snapshot
-from thistleline.feed.lookups import written
-from thistleline.feed.messages import Item, Looked, Propose
-from thistleline.feed.table import MADE
-from thistleline.links.address import Address
+from thistleline.config_feed.limits import CHANGE_BOUND, ITEMS_BOUND
+from thistleline.config_feed.client import FeedClient, look_each, propose, snapshot
+from thistleline.config_feed.lookups import written
+from thistleline.config_feed.messages import Item, Looked, Propose
+from thistleline.config_feed.table import MADE
+from thistleline.transport.address import Address
 
 SPAN = click.FloatRange(0.1, 3600.0)
 LOOK_BOUND = 100  # keys asked for at once
@@ -47,7 +47,7 @@
     told = conf_of(conf)
     if told.feed is None or told.feed.role is None or told.feed.name is None:
         raise Unusable(f"{conf}: a keeper or a relay wants 'feed role', and what goes with it")
-    from thistleline.feed.service import run
+    from thistleline.config_feed.service import run
     from thistleline.store.disk import Held
 
     try:
--- a/thistleline/cli/fleet.py
+++ b/thistleline/cli/fleet.py
@@ -10,10 +10,10 @@
 import msgspec
 import structlog
 
-from thistleline.conf.schema import Conf, Faulty, read_conf
+from thistleline.config.schema import Conf, Faulty, read_conf
 from thistleline.lease.client import Council
-from thistleline.lease.terms import Answer, Denied, Elsewhere, Op, Status
-from thistleline.links.address import Address, read_address
+from thistleline.lease.protocol import Answer, Denied, Elsewhere, Op, Status
+from thistleline.transport.address import Address, read_address
 
 T = TypeVar("T")
 SPAN = 10.0  # s for a command's question
--- a/thistleline/cli/ledger.py
+++ b/thistleline/cli/ledger.py
@@ -6,8 +6,8 @@
 
 import click
 
-from thistleline.ledger import form
-from thistleline.ledger.book import Book, Found, Work
+from thistleline.ledger import format as ledger_format
+from thistleline.ledger.state import Book, Found, Work
 from thistleline.ledger.store import Reading, Store
 from thistleline.store.clock import boot_now
 from thistleline.store.disk import Disk, Held
@@ -36,7 +36,7 @@
     names: dict[str, None] = {}
     for number, _ in disk.segments():
         try:
-            names |= dict.fromkeys(form.read_head(disk.read(number))[0])
+            names |= dict.fromkeys(ledger_format.read_head(disk.read(number))[0])
         except Damaged:
             continue
     return tuple(names)
@@ -48,15 +48,15 @@
     intents = [effect.intent for effect in book.effects.values()]
     kept = {one.number: one.result or b"" for one in found}
     outcomes = [
-        form.Outcome(number, form.HOW.index(effect.how), kept.get(number, b""))
+        ledger_format.Outcome(number, ledger_format.HOW.index(effect.how), kept.get(number, b""))
         for number, effect in book.effects.items()
         if effect.how is not None
     ] + [
-        form.Outcome(number, form.HOW.index("doubtful"), form.DOUBT.pack(effect.doubt))
+        ledger_format.Outcome(number, ledger_format.HOW.index("doubtful"), ledger_format.DOUBT.pack(effect.doubt))
         for number, effect in book.effects.items()
         if effect.how is None and effect.doubt is not None
     ]
-    group = form.Group(intents, outcomes)
+    group = ledger_format.Group(intents, outcomes)
     Store(disk, stages(disk)).write(Work(book.segment_numbers + 1, True, group, tuple(book.segments), True))
     disk.release()
     return sum(size for _, size in disk.segments())
--- a/thistleline/cli/main.py
+++ b/thistleline/cli/main.py
@@ -9,7 +9,7 @@
 
 import click
 
-from thistleline.conf.schema import Faulty, read_conf
+from thistleline.config.schema import Faulty, read_conf
 
 LABS = ("ledger", "leases", "members", "roll", "handover", "zones", "scale", "feeds")
 
--- a/thistleline/cli/members.py
+++ b/thistleline/cli/members.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from thistleline.cli.fleet import Unusable, conf_of, logger, tell
-from thistleline.links.address import read_address
-from thistleline.members.messages import STATUS, Facts
+from thistleline.transport.address import read_address
+from thistleline.membership.messages import STATUS, Facts
 
 
 @click.group(invoke_without_command=True)
@@ -22,7 +22,7 @@
     told = conf_of(conf).members
     if told is None:
         raise Unusable(f"{conf}: a member wants 'members name' and 'members listen'")
-    from thistleline.members.service import run
+    from thistleline.membership.service import run
     from thistleline.store.clock import wall_ms
 
     try:
@@ -37,7 +37,7 @@
 @click.option("--span", default=0.3, show_default=True, help="Seconds to listen for its answers.")
 def list_all(at: str, as_json: bool, span: float) -> None:
     """All members as the one at an address knows them; exit code 1 if nothing came."""
-    from thistleline.members.service import ask
+    from thistleline.membership.service import ask
 
     try:
         words = anyio.run(ask, read_address(at), span)
--- a/thistleline/cli/roll.py
+++ b/thistleline/cli/roll.py
@@ -12,12 +12,12 @@
 import msgspec
 
 from thistleline.cli.fleet import Unusable, ask, conf_of, logger, tell, voters_of, where
-from thistleline.conductor.roll import KEY, ORDER_KEY, STAGES, Order, Roll, wrong
-from thistleline.lease.terms import Get, Got, Put
-from thistleline.steward.keeping import Version
-from thistleline.steward.releases import Unfit, digest_of, forms_of
-from thistleline.steward.service import digest_of_settings, settings_key
-from thistleline.steward.settings import lines_of, unfit_settings
+from thistleline.rollout.record import KEY, ORDER_KEY, STAGES, Order, Roll, wrong
+from thistleline.lease.protocol import Get, Got, Put
+from thistleline.supervisor.decisions import Version
+from thistleline.supervisor.releases import Unfit, digest_of, forms_of
+from thistleline.supervisor.service import digest_of_settings, settings_key
+from thistleline.supervisor.settings import lines_of, unfit_settings
 
 FOLLOW = 0.5  # s between two looks
 GAP = 16  # numbers without settings, after which there are no more
@@ -33,7 +33,7 @@
     told = conf_of(conf)
     if told.members is None or told.council is None or not told.council.voter:
         raise Unusable(f"{conf}: a conductor wants the parts 'members' and 'council voter'")
-    from thistleline.conductor.service import ConductorService
+    from thistleline.rollout.service import ConductorService
 
     service = ConductorService(told, logger(told.members.name))
 
--- a/thistleline/cli/steward.py
+++ b/thistleline/cli/steward.py
@@ -5,7 +5,7 @@
 import click
 
 from thistleline.cli.fleet import Unusable, conf_of, logger
-from thistleline.steward.releases import Releases, Unfit, digest_of
+from thistleline.supervisor.releases import Releases, Unfit, digest_of
 from thistleline.store.disk import Held
 
 
@@ -16,7 +16,7 @@
     told = conf_of(conf)
     if told.steward is None or told.members is None or told.council is None or not told.council.voter:
         raise Unusable(f"{conf}: a steward wants the parts 'steward', 'members' and 'council voter'")
-    from thistleline.steward.service import run
+    from thistleline.supervisor.service import run
 
     try:
         run(told, logger(told.members.name))
@@ -47,9 +47,9 @@
 def forms() -> None:
     """What the file 'forms' of a release of this program says: the forms of the ledger that it reads and
     writes, so that a change with no way back is refused before the first server."""
-    from thistleline.ledger import form
+    from thistleline.ledger import format as ledger_format
 
-    click.echo(f"{' '.join(map(str, form.READS))} writes {form.FORM}")
+    click.echo(f"{' '.join(map(str, ledger_format.READS))} writes {ledger_format.FORM}")
 
 
 @release.command("list")
--- a/thistleline/conf/schema.py
+++ b/thistleline/config/schema.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from thistleline.conf.lines import Fault, Line, read_lines
-from thistleline.links.address import Address, read_address
+from thistleline.config.parser import Fault, Line, read_lines
+from thistleline.transport.address import Address, read_address
 
 SPANS = {"s": 1_000_000_000, "ms": 1_000_000, "us": 1000}
 UNITS = {"": 1, "K": 1 << 10, "M": 1 << 20, "G": 1 << 30}
--- a/thistleline/feed/archive.py
+++ b/thistleline/config_feed/archive.py
@@ -22,10 +22,10 @@
 
 import msgspec
 
-from thistleline.feed.bounds import PART_SIZE
-from thistleline.feed.history import Items, size_of
-from thistleline.feed.messages import Kind
-from thistleline.feed.table import APART, Table
+from thistleline.config_feed.limits import PART_SIZE
+from thistleline.config_feed.history import Items, size_of
+from thistleline.config_feed.messages import Kind
+from thistleline.config_feed.table import APART, Table
 from thistleline.store.disk import Disk
 from thistleline.store.frames import Damaged, frames, seal
 
--- a/thistleline/feed/persist.py
+++ b/thistleline/config_feed/archive_writer.py
@@ -7,10 +7,10 @@
 import anyio
 import anyio.to_thread
 
-from thistleline.feed.archive import Archive, Step
-from thistleline.feed.history import Items
-from thistleline.feed.messages import Kind
-from thistleline.feed.table import Table
+from thistleline.config_feed.archive import Archive, Step
+from thistleline.config_feed.history import Items
+from thistleline.config_feed.messages import Kind
+from thistleline.config_feed.table import Table
 from thistleline.store.disk import Disk
 
 WAITING_BOUND = 1024  # steps; past it the whole table is written instead
--- a/thistleline/feed/client.py
+++ b/thistleline/config_feed/client.py
@@ -17,13 +17,13 @@
 import anyio
 import anyio.abc
 
-from thistleline.feed.follower import Follower
-from thistleline.feed.link import Rounds, Up, ask
-from thistleline.feed.lookups import Found, Lookups
-from thistleline.feed.messages import Delta, Kind, Look, Looked, Propose, Proposed
-from thistleline.feed.persist import Persist
-from thistleline.feed.table import Table
-from thistleline.links.address import Address
+from thistleline.config_feed.follower import Follower
+from thistleline.config_feed.connections import Rounds, Up, ask
+from thistleline.config_feed.lookups import Found, Lookups
+from thistleline.config_feed.messages import Delta, Kind, Look, Looked, Propose, Proposed
+from thistleline.config_feed.archive_writer import Persist
+from thistleline.config_feed.table import Table
+from thistleline.transport.address import Address
 from thistleline.store.clock import boot_now
 
 BELOW = 64  # the level of one that holds all and serves nobody
--- a/thistleline/feed/link.py
+++ b/thistleline/config_feed/connections.py
@@ -14,12 +14,12 @@
 import anyio
 from anyio.abc import ByteStream, SocketStream, TaskGroup
 
-from thistleline.feed.bounds import BEAT, MESSAGE_BOUND, MS, SECOND, STALL
-from thistleline.feed.messages import Delta, Part, decode_source, encode
-from thistleline.links.address import Address
-from thistleline.links.codec import Hello, Unpacker, common_form, sealed
-from thistleline.links.ends import ENDS, ends
-from thistleline.links.greeting import receive_hello
+from thistleline.config_feed.limits import BEAT, MESSAGE_BOUND, MS, SECOND, STALL
+from thistleline.config_feed.messages import Delta, Part, decode_source, encode
+from thistleline.transport.address import Address
+from thistleline.transport.codec import Hello, Unpacker, common_form, sealed
+from thistleline.transport.disconnects import ENDS, ends
+from thistleline.transport.handshake import receive_hello
 from thistleline.store.clock import boot_now
 
 PIECE = 1 << 18  # bytes read or handed over at once
--- a/thistleline/feed/follower.py
+++ b/thistleline/config_feed/follower.py
@@ -14,8 +14,8 @@
 from collections.abc import Callable
 from typing import Any, Literal
 
-from thistleline.feed.bounds import ENTRIES_BOUND, SILENT, SPREAD
-from thistleline.feed.messages import (
+from thistleline.config_feed.limits import ENTRIES_BOUND, SILENT, SPREAD
+from thistleline.config_feed.messages import (
     Beat,
     Delta,
     Follow,
@@ -28,7 +28,7 @@
     Want,
     Welcome,
 )
-from thistleline.feed.table import Table
+from thistleline.config_feed.table import Table
 
 Phase = Literal["quiet", "waiting", "connecting", "greeting", "loading", "following"]
 WINDOW = 4  # parts asked for ahead, so that a far source's snapshot is not a round trip a part
--- a/thistleline/feed/history.py
+++ b/thistleline/config_feed/history.py
@@ -2,9 +2,9 @@
 
 from collections import deque
 
-from thistleline.feed.bounds import DELTA_BOUND, HISTORY_BOUND, HISTORY_SIZE
-from thistleline.feed.messages import Delta, Kind
-from thistleline.feed.table import MADE, TENANT, Table
+from thistleline.config_feed.limits import DELTA_BOUND, HISTORY_BOUND, HISTORY_SIZE
+from thistleline.config_feed.messages import Delta, Kind
+from thistleline.config_feed.table import MADE, TENANT, Table
 
 COST = 64  # bytes of an item beside key and value
 CACHED_BOUND = 64  # deltas kept for others who stand where one began
--- a/thistleline/feed/messages.py
+++ b/thistleline/config_feed/messages.py
@@ -1,7 +1,7 @@
 """What goes over a link of the feed, both ways, as msgspec messages in the frames of links/codec.py.
 
 A number counts the changes of the whole feed, 1 the first; 0 is the empty table. A digest tells one state of
-a table (feed/table.py). Of what comes from strangers every length is bounded by `feed/bounds.py`.
+a table (feed/table.py). Of what comes from strangers every length is bounded by `config_feed/bounds.py`.
 """
 
 from typing import Annotated, Literal
--- a/thistleline/feed/station.py
+++ b/thistleline/config_feed/relay.py
@@ -14,13 +14,13 @@
 
 import msgspec
 
-from thistleline.feed.bounds import FOLLOWERS_BOUND
-from thistleline.feed.follower import Follower
-from thistleline.feed.history import History, Items
-from thistleline.feed.messages import Follow, Propose, Proposed
-from thistleline.feed.source import Source
-from thistleline.feed.table import Table
-from thistleline.feed.writer import Writer
+from thistleline.config_feed.limits import FOLLOWERS_BOUND
+from thistleline.config_feed.follower import Follower
+from thistleline.config_feed.history import History, Items
+from thistleline.config_feed.messages import Follow, Propose, Proposed
+from thistleline.config_feed.source import Source
+from thistleline.config_feed.table import Table
+from thistleline.config_feed.writer import Writer
 
 NEVER = 1 << 62
 Effects = list[tuple[Any, ...]]
--- a/thistleline/feed/source.py
+++ b/thistleline/config_feed/source.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field, fields
 from typing import Any, Literal
 
-from thistleline.feed.bounds import (
+from thistleline.config_feed.limits import (
     ASKED_BOUND,
     BEAT,
     FOLLOWERS_BOUND,
@@ -25,8 +25,8 @@
     SECOND,
     STALL,
 )
-from thistleline.feed.history import History, cost_of
-from thistleline.feed.messages import (
+from thistleline.config_feed.history import History, cost_of
+from thistleline.config_feed.messages import (
     AskTenants,
     Beat,
     Follow,
@@ -40,7 +40,7 @@
     Want,
     Welcome,
 )
-from thistleline.feed.table import TENANT, Table
+from thistleline.config_feed.table import TENANT, Table
 
 LEVEL_BOUND = 64
 KEEPERS_SPARE = 8  # places for keepers alone: guards against no change any more where all others are taken
--- a/thistleline/feed/table.py
+++ b/thistleline/config_feed/table.py
@@ -16,7 +16,7 @@
 
 from immutables import Map
 
-from thistleline.feed.messages import Change, Kind
+from thistleline.config_feed.messages import Change, Kind
 
 TENANT, MADE = "tenant/", "made/"
 APART = (TENANT, MADE)  # sections that not every follower holds
--- a/thistleline/feed/check.py
+++ b/thistleline/config_feed/validation.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import Meta
 
-from thistleline.feed.bounds import (
+from thistleline.config_feed.limits import (
     CHANGE_BOUND,
     ENTRIES_BOUND,
     ITEMS_BOUND,
@@ -23,8 +23,8 @@
     REQUEST_BOUND,
     VALUE_BOUND,
 )
-from thistleline.feed.messages import Propose
-from thistleline.feed.table import Table
+from thistleline.config_feed.messages import Propose
+from thistleline.config_feed.table import Table
 
 NUMBER_BOUND = 1e15  # of any number in a free form
 DEPTH_BOUND = 16
--- a/thistleline/feed/writer.py
+++ b/thistleline/config_feed/writer.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from thistleline.feed.bounds import (
+from thistleline.config_feed.limits import (
     GROUP_BOUND,
     MADE_SLOTS,
     MS,
@@ -30,11 +30,11 @@
     SECOND,
     STALL,
 )
-from thistleline.feed.check import fault
-from thistleline.feed.history import History, Items
-from thistleline.feed.messages import Change, Group, Propose, Proposed, decode_group, encode
-from thistleline.feed.table import MADE, Table
-from thistleline.lease.terms import Put
+from thistleline.config_feed.validation import fault
+from thistleline.config_feed.history import History, Items
+from thistleline.config_feed.messages import Change, Group, Propose, Proposed, decode_group, encode
+from thistleline.config_feed.table import MADE, Table
+from thistleline.lease.protocol import Put
 
 LEASE = "feed"
 Phase = Literal["standby", "reading", "catching_up", "settling", "writing"]
--- a/thistleline/council/log.py
+++ b/thistleline/consensus/log.py
@@ -1,6 +1,6 @@
 """The log in memory: what follows a base, which stands for all before it."""
 
-from thistleline.council.messages import Entry, Members, members_of
+from thistleline.consensus.messages import Entry, Members, members_of
 
 
 class Log:
--- a/thistleline/council/replay.py
+++ b/thistleline/consensus/replay.py
@@ -3,9 +3,9 @@
 from collections.abc import Mapping
 from types import MappingProxyType
 
-from thistleline.council.log import Log
-from thistleline.council.messages import Ballot, Base, Record, Tail
-from thistleline.council.voter import Found
+from thistleline.consensus.log import Log
+from thistleline.consensus.messages import Ballot, Base, Record, Tail
+from thistleline.consensus.replica import Found
 from thistleline.store.frames import Damaged
 
 
--- a/thistleline/council/voter.py
+++ b/thistleline/consensus/replica.py
@@ -23,8 +23,8 @@
 from types import MappingProxyType
 from typing import Any, Literal, NamedTuple, Protocol
 
-from thistleline.council.log import Log
-from thistleline.council.messages import (
+from thistleline.consensus.log import Log
+from thistleline.consensus.messages import (
     Append,
     Appended,
     Ask,
--- a/thistleline/council/store.py
+++ b/thistleline/consensus/store.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from thistleline.council.messages import Record
-from thistleline.council.replay import Replay
-from thistleline.council.voter import Found, Work
+from thistleline.consensus.messages import Record
+from thistleline.consensus.replay import Replay
+from thistleline.consensus.replica import Found, Work
 from thistleline.store.disk import Disk
 from thistleline.store.frames import Damaged, frames, seal
 
--- a/thistleline/keeping/reducer.py
+++ b/thistleline/durable/reducer.py
@@ -8,13 +8,13 @@
 
     (write work)
 
-The ledger's choices are its book's (ledger/book.py); here they meet the tables and the module.
+The ledger's choices are its book's (ledger/state.py); here they meet the tables and the module.
 """
 
 from collections.abc import Iterable
 from typing import Any
 
-from thistleline.ledger.book import Book, Found
+from thistleline.ledger.state import Book, Found
 from thistleline.memory.reducer import DOUBT_PART, END_EARLY, SECOND, Effect, Reducer
 from thistleline.memory.tables import Run, Try
 
--- a/thistleline/keeping/keeper.py
+++ b/thistleline/durable/writer.py
@@ -7,10 +7,10 @@
 import anyio.to_thread
 from anyio.abc import TaskGroup
 
-from thistleline.conf.schema import Ledger
-from thistleline.keeping.reducer import KeepingReducer
-from thistleline.keeping.worth import Worth
-from thistleline.ledger.book import Book, Found, Work
+from thistleline.config.schema import Ledger
+from thistleline.durable.reducer import KeepingReducer
+from thistleline.durable.served_value import Worth
+from thistleline.ledger.state import Book, Found, Work
 from thistleline.ledger.store import Reading, Store
 from thistleline.life.configuration import Unusable
 from thistleline.store.clock import boot_now
--- a/thistleline/attended/line.py
+++ b/thistleline/handover/channel.py
@@ -10,8 +10,8 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from thistleline.attended.messages import BOUND, Message, decode, encode
-from thistleline.links.codec import Unpacker, sealed
+from thistleline.handover.messages import BOUND, Message, decode, encode
+from thistleline.transport.codec import Unpacker, sealed
 
 WRITE_BOUND = 16 << 20  # bytes that wait; who lets so much wait is gone
 PIECE = 1 << 16
--- a/thistleline/attended/service.py
+++ b/thistleline/handover/service.py
@@ -17,9 +17,9 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from thistleline.attended import line as lines
-from thistleline.attended.line import Line
-from thistleline.attended.messages import (
+from thistleline.handover import channel as lines
+from thistleline.handover.channel import Line
+from thistleline.handover.messages import (
     FORMS,
     Agent,
     Answer,
@@ -36,16 +36,16 @@
     Welcome,
     Yours,
 )
-from thistleline.attended.owner import tell_owner
-from thistleline.attended.succession import ELDER, Succeeding
-from thistleline.conf.schema import Conf
+from thistleline.handover.serving import tell_owner
+from thistleline.handover.state_machine import ELDER, Succeeding
+from thistleline.config.schema import Conf
 from thistleline.interface import Task
-from thistleline.keeping import keeper
-from thistleline.keeping.keeper import hold, store_of
-from thistleline.ledger import form
+from thistleline.durable import writer as ledger_writer
+from thistleline.durable.writer import hold, store_of
+from thistleline.ledger import format as ledger_format
 from thistleline.life.configuration import Unusable
 from thistleline.life.service import Service
-from thistleline.links.codec import Unreadable
+from thistleline.transport.codec import Unreadable
 from thistleline.memory.reducer import Reducer
 from thistleline.store.clock import boot_now
 from thistleline.store.frames import Damaged
@@ -71,7 +71,7 @@
         self.folder = conf.handover.folder
         self.store = store_of(conf.ledger, told)
         self.read: dict[int, int] = {}  # how far each segment of the ledger was read
-        self.keeper = lambda group: keeper.Keeper(self.store, self.take, group).effects()
+        self.keeper = lambda group: ledger_writer.Keeper(self.store, self.take, group).effects()
         self.elder: Line | None = None
         self.heir: Line | None = None
         self.inherited: Yours | None = None
@@ -112,7 +112,7 @@
     async def _follow(self, line: Line) -> socket.socket | None:
         """Reads what it will have, and asks for it; with nothing inherited where the elder died before."""
         try:
-            line.send(Hello(reads=form.READS))
+            line.send(Hello(reads=ledger_format.READS))
             told = await line.receive()
             if isinstance(told, Refused):
                 raise Unusable(f"the server that runs here does not hand over: {told.why}")
@@ -156,7 +156,7 @@
                 path.unlink(missing_ok=True)
                 continue
             line = Line(sock, group)
-            line.send(Hello(reads=form.READS))
+            line.send(Hello(reads=ledger_format.READS))
             told: Message | None = None
             with suppress(Unreadable, msgspec.MsgspecError), anyio.move_on_after(1.0):
                 told = await line.receive()
@@ -317,8 +317,8 @@
             why = ""
             if min(told.most, FORMS[1]) < max(told.least, FORMS[0]):
                 why = f"no common form: {told.least} to {told.most} and {FORMS[0]} to {FORMS[1]}"
-            elif form.FORM not in told.reads:
-                why = f"the ledger has form {form.FORM}, the follower reads {list(told.reads)}"
+            elif ledger_format.FORM not in told.reads:
+                why = f"the ledger has form {ledger_format.FORM}, the follower reads {list(told.reads)}"
             if why or self.heir is not None:
                 line.send(Refused(why or "another one follows already"))
                 return
--- a/thistleline/attended/succession.py
+++ b/thistleline/handover/state_machine.py
@@ -38,9 +38,9 @@
 from typing import Any, Literal
 
 from thistleline.interface import Task
-from thistleline.keeping.reducer import KeepingReducer
-from thistleline.keeping.worth import Worth
-from thistleline.ledger.book import Book
+from thistleline.durable.reducer import KeepingReducer
+from thistleline.durable.served_value import Worth
+from thistleline.ledger.state import Book
 from thistleline.memory.reducer import SECOND, Effect, Reducer
 from thistleline.memory.tables import Connection, Run, Try
 
--- a/thistleline/lab/conductorworld.py
+++ b/thistleline/lab/conductorworld.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable, Iterator
 from typing import Any, Literal
 
-from thistleline.conductor.conducting import SECOND, Conducting, Spans
-from thistleline.conductor.judge import Finding, Judge, Verdict
-from thistleline.conductor.roll import Order, Roll, Seen
-from thistleline.steward.keeping import Version
+from thistleline.rollout.controller import SECOND, Conducting, Spans
+from thistleline.rollout.canary import Finding, Judge, Verdict
+from thistleline.rollout.record import Order, Roll, Seen
+from thistleline.supervisor.decisions import Version
 
 OLD, NEW = Version("1", "a"), Version("2", "b")
 ORDER = Order(1, "start", "", NEW, OLD, ("one", "all"), down=2, down_zone=1)
--- a/thistleline/lab/contender.py
+++ b/thistleline/lab/contender.py
@@ -12,7 +12,7 @@
 
 from thistleline.lease.client import Council
 from thistleline.lease.session import Held, Lost, NoTime, Refused, lease
-from thistleline.links.ends import ENDS
+from thistleline.transport.disconnects import ENDS
 
 
 class Fenced(Exception):
--- a/thistleline/lab/feedfleet.py
+++ b/thistleline/lab/feedfleet.py
@@ -13,12 +13,12 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from thistleline.feed.bounds import MADE_SLOTS
-from thistleline.feed.client import Following, look, propose, snapshot
-from thistleline.feed.messages import Item, Looked, Propose, Proposed
-from thistleline.feed.table import Table
+from thistleline.config_feed.limits import MADE_SLOTS
+from thistleline.config_feed.client import Following, look, propose, snapshot
+from thistleline.config_feed.messages import Item, Looked, Propose, Proposed
+from thistleline.config_feed.table import Table
 from thistleline.lab.harness import Fleet, Hung, Process, free_port
-from thistleline.links.address import Address
+from thistleline.transport.address import Address
 
 PAIRS = 4
 PATIENCE = 25.0  # s for what is awaited
--- a/thistleline/lab/feedmutants.py
+++ b/thistleline/lab/feedmutants.py
@@ -6,15 +6,15 @@
 
 import msgspec
 
-from thistleline.feed import source as serving
-from thistleline.feed import writer as writing
-from thistleline.feed.follower import Follower
-from thistleline.feed.history import History
-from thistleline.feed.lookups import Lookups
-from thistleline.feed.messages import Have, Kind, Part, Welcome
-from thistleline.feed.source import Source
-from thistleline.feed.table import Table
-from thistleline.feed.writer import Writer
+from thistleline.config_feed import source as serving
+from thistleline.config_feed import writer as writing
+from thistleline.config_feed.follower import Follower
+from thistleline.config_feed.history import History
+from thistleline.config_feed.lookups import Lookups
+from thistleline.config_feed.messages import Have, Kind, Part, Welcome
+from thistleline.config_feed.source import Source
+from thistleline.config_feed.table import Table
+from thistleline.config_feed.writer import Writer
 from thistleline.lab.explore import Explored, explore
 from thistleline.lab.feedworld import FeedWorld, Scenario, begin, changed, fleet, following, settle
 from thistleline.lab.mutants import account, mutant, without
--- a/thistleline/lab/feedrun.py
+++ b/thistleline/lab/feedrun.py
@@ -17,22 +17,22 @@
 from time import perf_counter_ns
 from typing import Any, ClassVar, Protocol
 
-from thistleline.feed import follower as following
-from thistleline.feed.bounds import MADE_SLOTS, MS, SECOND
-from thistleline.feed.client import PAUSE, PROPOSE_SPAN, Asking
-from thistleline.feed.follower import Follower
-from thistleline.feed.lookups import Lookups
-from thistleline.feed.messages import Change, Delta, Group, Kind, Part, Propose, Proposed, encode
-from thistleline.feed.station import Station
-from thistleline.feed.table import APART, Entries, Table
-from thistleline.feed.writer import LEASE, key_of
+from thistleline.config_feed import follower as following
+from thistleline.config_feed.limits import MADE_SLOTS, MS, SECOND
+from thistleline.config_feed.client import PAUSE, PROPOSE_SPAN, Asking
+from thistleline.config_feed.follower import Follower
+from thistleline.config_feed.lookups import Lookups
+from thistleline.config_feed.messages import Change, Delta, Group, Kind, Part, Propose, Proposed, encode
+from thistleline.config_feed.relay import Station
+from thistleline.config_feed.table import APART, Entries, Table
+from thistleline.config_feed.writer import LEASE, key_of
 from thistleline.lab.mutants import without
 from thistleline.lease.holder import Hold
 from thistleline.lease.table import Table as Leases
 from thistleline.lease.table import data_of
-from thistleline.lease.terms import Answer, Denied, Keep, Kept, Op, Put
-from thistleline.lease.watch import Watch
-from thistleline.links.codec import sealed
+from thistleline.lease.protocol import Answer, Denied, Keep, Kept, Op, Put
+from thistleline.lease.liveness import Watch
+from thistleline.transport.codec import sealed
 
 HEAD = len(sealed(b""))
 HELLO = 60  # bytes of the first message each way (links/codec.Hello)
--- a/thistleline/lab/handover.py
+++ b/thistleline/lab/handover.py
@@ -21,7 +21,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from thistleline.attended.owner import read_owner
+from thistleline.handover.serving import read_owner
 from thistleline.lab.caller import Caller
 from thistleline.lab.farm import FarmStandIn
 from thistleline.lab.harness import folder_of, free_port
--- a/thistleline/lab/handoverworld.py
+++ b/thistleline/lab/handoverworld.py
@@ -11,10 +11,10 @@
 from random import Random
 from typing import Any
 
-from thistleline.attended.succession import ELDER, Succeeding
+from thistleline.handover.state_machine import ELDER, Succeeding
 from thistleline.interface import Task
 from thistleline.lab.ledger import SETTINGS
-from thistleline.ledger.book import Work
+from thistleline.ledger.state import Work
 from thistleline.memory.phases import Phases
 from thistleline.wire.bench import read_bench
 
--- a/thistleline/lab/harness.py
+++ b/thistleline/lab/harness.py
@@ -25,8 +25,8 @@
 
 from thistleline.lab.net import Relay
 from thistleline.lease.client import Council
-from thistleline.lease.terms import Answer, Change, Done, Form, Op, Stands, Status
-from thistleline.links.address import Address
+from thistleline.lease.protocol import Answer, Change, Done, Form, Op, Stands, Status
+from thistleline.transport.address import Address
 
 HEARTBEAT, ELECTION = "40ms", "250ms"
 
--- a/thistleline/lab/leases.py
+++ b/thistleline/lab/leases.py
@@ -20,8 +20,8 @@
 
 from thistleline.lab.harness import Fleet, Hung, Process, folder_of
 from thistleline.lab.net import Way
-from thistleline.lease.guard import Guard
-from thistleline.links.ends import ENDS
+from thistleline.lease.fencing import Guard
+from thistleline.transport.disconnects import ENDS
 
 LENGTH, LONGEST, NAME = 1.0, 0.12, "kiln"
 CLOCKS = {"b": {"rate": 1.2}, "c": {"wall_ahead_s": 3600}, "d": {"rate": 0.85}}  # voters
--- a/thistleline/lab/leaseworld.py
+++ b/thistleline/lab/leaseworld.py
@@ -10,12 +10,12 @@
 from functools import partial
 from typing import Any, NamedTuple
 
-from thistleline.council.messages import Ask, Entry, Member
-from thistleline.council.replay import Replay
-from thistleline.council.voter import Spans, Voter, Work
-from thistleline.lease.guard import Marks
+from thistleline.consensus.messages import Ask, Entry, Member
+from thistleline.consensus.replay import Replay
+from thistleline.consensus.replica import Spans, Voter, Work
+from thistleline.lease.fencing import Marks
 from thistleline.lease.holder import Hold
-from thistleline.lease.office import Office
+from thistleline.lease.server import Office
 from thistleline.lease.table import Table
 
 TICK = 40_000_000
--- a/thistleline/lab/ledger.py
+++ b/thistleline/lab/ledger.py
@@ -24,9 +24,9 @@
 from thistleline.lab.caller import Caller, Told
 from thistleline.lab.farm import FarmStandIn, Ran
 from thistleline.lab.harness import free_port
-from thistleline.ledger import form
-from thistleline.ledger.book import Book
-from thistleline.ledger.form import Intent, Outcome
+from thistleline.ledger import format as ledger_format
+from thistleline.ledger.state import Book
+from thistleline.ledger.format import Intent, Outcome
 from thistleline.ledger.store import Store
 from thistleline.store.clock import boot_now
 from thistleline.store.disk import Disk
@@ -290,11 +290,11 @@
     store = Store(disk, ("booking",))
     now, span = boot_now(), 3600 * 1_000_000_000
     disk.begin(1)
-    disk.append(form.head(store.stages, store.boot))
+    disk.append(ledger_format.head(store.stages, store.boot))
     for first in range(0, entries, 1000):
         numbers = range(first + 1, min(first + 1000, entries) + 1)
         intents = [Intent(n, 0, n.to_bytes(16, "big"), now + span, span, b"%016x" % n) for n in numbers]
-        disk.append(form.frame(intents, [Outcome(n, 0, b"r" * 64) for n in numbers]))
+        disk.append(ledger_format.frame(intents, [Outcome(n, 0, b"r" * 64) for n in numbers]))
     size = disk.segments()[0][1]
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     book = Book(1 << 40, 1 << 40, now, lambda number: None)
--- a/thistleline/lab/machines.py
+++ b/thistleline/lab/machines.py
@@ -18,14 +18,14 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from thistleline.conductor.roll import KEY, ORDER_KEY, Order, Roll
+from thistleline.rollout.record import KEY, ORDER_KEY, Order, Roll
 from thistleline.lab.caller import Caller
 from thistleline.lab.farm import FarmStandIn
 from thistleline.lab.harness import Fleet, Hung, Process, free_port
 from thistleline.lab.ledger import SETTINGS, judge
-from thistleline.lease.terms import Get, Got, Put
-from thistleline.steward.keeping import Version
-from thistleline.steward.releases import Releases
+from thistleline.lease.protocol import Get, Got, Put
+from thistleline.supervisor.decisions import Version
+from thistleline.supervisor.releases import Releases
 
 ROOT = Path(__file__).parent.parent.parent
 FIGURES = 0.5  # s between two figures of a server
--- a/thistleline/lab/member.py
+++ b/thistleline/lab/member.py
@@ -53,7 +53,7 @@
 def leave_out() -> None:
     left_out = os.environ.get("LAB_WITHOUT", "")
     if left_out == "pre-vote":
-        from thistleline.council.voter import Voter
+        from thistleline.consensus.replica import Voter
 
         def stand(self: Voter) -> None:
             self.leader = ""
@@ -69,7 +69,7 @@
 
         setattr(holder, "right", lambda length: 10 * length)  # noqa: B010
     elif left_out == "majority":
-        from thistleline.feed.writer import Writer
+        from thistleline.config_feed.writer import Writer
 
         setattr(Writer, "_free", lambda self: True)  # noqa: B010
     elif left_out == "newer":
@@ -77,10 +77,10 @@
 
 
 def leave_out_newer() -> None:
-    from thistleline.feed.follower import Follower
-    from thistleline.feed.messages import Follow, Welcome
-    from thistleline.feed.source import Served, Source
-    from thistleline.feed.table import Table
+    from thistleline.config_feed.follower import Follower
+    from thistleline.config_feed.messages import Follow, Welcome
+    from thistleline.config_feed.source import Served, Source
+    from thistleline.config_feed.table import Table
 
     follow, welcomed = Source._follow, Follower._welcomed
 
--- a/thistleline/lab/members.py
+++ b/thistleline/lab/members.py
@@ -8,8 +8,8 @@
 from random import Random
 from typing import Any
 
-from thistleline.members.gossip import MS, SECOND, Gossip, Spans
-from thistleline.members.messages import DEAD, Facts, Word
+from thistleline.membership.gossip import MS, SECOND, Gossip, Spans
+from thistleline.membership.messages import DEAD, Facts, Word
 
 SPANS = Spans(period=500 * MS, answer=150 * MS)
 
--- a/thistleline/lab/mutants.py
+++ b/thistleline/lab/mutants.py
@@ -6,9 +6,9 @@
 from contextlib import contextmanager
 from typing import Any, NamedTuple
 
-from thistleline.council import voter as voting
-from thistleline.council.messages import Ask, Ballot
-from thistleline.council.voter import Voter
+from thistleline.consensus import replica as voting
+from thistleline.consensus.messages import Ask, Ballot
+from thistleline.consensus.replica import Voter
 from thistleline.lab.explore import Explored, explore
 from thistleline.lab.leaseworld import (
     LeaseWorld,
@@ -22,11 +22,11 @@
 )
 from thistleline.lease import holder as holding
 from thistleline.lease import table as tables
-from thistleline.lease import terms
-from thistleline.lease.guard import Marks
+from thistleline.lease import protocol as terms
+from thistleline.lease.fencing import Marks
 from thistleline.lease.holder import Hold
 from thistleline.lease.table import Table
-from thistleline.lease.watch import Watch
+from thistleline.lease.liveness import Watch
 
 DEPTH = 40
 FAST_LEADER = (5, 4, 4, 3, 3)  # the leader's clock a quarter fast, the holders' a quarter slow
--- a/thistleline/lab/net.py
+++ b/thistleline/lab/net.py
@@ -12,8 +12,8 @@
 import anyio
 from anyio.abc import SocketStream, TaskGroup
 
-from thistleline.links.address import Address
-from thistleline.links.ends import ENDS
+from thistleline.transport.address import Address
+from thistleline.transport.disconnects import ENDS
 
 PIECE = 65536
 HELD_BOUND = 8 << 20  # bytes that a slow way holds; past it it takes no more
--- a/thistleline/lab/polledrun.py
+++ b/thistleline/lab/polledrun.py
@@ -14,14 +14,14 @@
 
 import msgspec
 
-from thistleline.feed.bounds import MS, SECOND
-from thistleline.feed.messages import Propose
+from thistleline.config_feed.limits import MS, SECOND
+from thistleline.config_feed.messages import Propose
 from thistleline.lab.feedrun import HEAD, LINE, PLENTY, SYNC, Clock, delays
 from thistleline.lease.table import Table, data_of
-from thistleline.lease.terms import VALUE_BOUND, Done, Get, Got, Put
+from thistleline.lease.protocol import VALUE_BOUND, Done, Get, Got, Put
 from thistleline.lease.wire import Reply, Request, encode
-from thistleline.steward.keeping import Version, Want
-from thistleline.steward.service import POLL, digest_of_settings, settings_key, want_key
+from thistleline.supervisor.decisions import Version, Want
+from thistleline.supervisor.service import POLL, digest_of_settings, settings_key, want_key
 
 SETTINGS = settings_key(0)  # one for all versions: the council's records together are bounded to some ten
 ENTRY_HEAD = 4  # bytes of an entry in a record beside its key and value, at most
--- a/thistleline/lab/scale/control.py
+++ b/thistleline/lab/scale/control.py
@@ -20,10 +20,10 @@
 import anyio
 import msgspec
 
-from thistleline.conductor.conducting import SECOND, Conducting, Spans
-from thistleline.conductor.roll import KEY, ORDER_KEY, STAGES, Roll, Seen
-from thistleline.conductor.service import ConductorService, encode
-from thistleline.conf.schema import Conductor, check
+from thistleline.rollout.controller import SECOND, Conducting, Spans
+from thistleline.rollout.record import KEY, ORDER_KEY, STAGES, Roll, Seen
+from thistleline.rollout.service import ConductorService, encode
+from thistleline.config.schema import Conductor, check
 from thistleline.lab.harness import Fleet, Process, folder_of
 from thistleline.lab.machines import ROOT, Machines
 from thistleline.lab.scale import slopes
@@ -44,15 +44,15 @@
     steps_of,
 )
 from thistleline.lease.client import Council
-from thistleline.lease.terms import Answer, Get, Got, Op
+from thistleline.lease.protocol import Answer, Get, Got, Op
 from thistleline.lease.wire import Reply, Request
 from thistleline.lease.wire import encode as encode_client
-from thistleline.links.codec import sealed
-from thistleline.steward.keeping import GOOD_SPAN, Keeping, State, Version, Want
-from thistleline.steward.releases import RUN, Releases
-from thistleline.steward.service import POLL, StewardService, want_key
+from thistleline.transport.codec import sealed
+from thistleline.supervisor.decisions import GOOD_SPAN, Keeping, State, Version, Want
+from thistleline.supervisor.releases import RUN, Releases
+from thistleline.supervisor.service import POLL, StewardService, want_key
 from thistleline.zones.decision import Deciding, Rules, Table
-from thistleline.zones.picture import FRESH_SPAN, Pictures, Report
+from thistleline.zones.status import FRESH_SPAN, Pictures, Report
 
 NAME = "control"
 DIGESTS = ["5f" * 32, "a0" * 32]
@@ -661,7 +661,7 @@
                 found.setdefault(what, []).extend(each)
         for what, words in (
             ("python with anyio", "import anyio"),
-            ("python with a steward's imports", "import thistleline.steward.service"),
+            ("python with a steward's imports", "import thistleline.supervisor.service"),
         ):
             found.setdefault(what, []).append((0.0, bare(words)))
         tell(f"control: real processes, {turn + 1} of {RUNS}")
--- a/thistleline/lab/scale/feed.py
+++ b/thistleline/lab/scale/feed.py
@@ -17,16 +17,16 @@
 from time import process_time
 from typing import Any, NamedTuple
 
-from thistleline.feed.bounds import MS, SECOND
-from thistleline.feed.messages import Propose
-from thistleline.feed.table import Table
+from thistleline.config_feed.limits import MS, SECOND
+from thistleline.config_feed.messages import Propose
+from thistleline.config_feed.table import Table
 from thistleline.lab.feedmutants import prove
 from thistleline.lab.feedrun import VirtualFeed, quantile
 from thistleline.lab.polledrun import PolledFleet
 from thistleline.lab.scale.council import FULL
 from thistleline.lab.scale.size import FOLDER, size
 from thistleline.lab.scale.slopes import Part, Row, Shape, judge, loop_cpu, memory_of, row, steps_of
-from thistleline.steward.service import POLL
+from thistleline.supervisor.service import POLL
 
 NAME = "feed"
 DAY = 86_400
--- a/thistleline/lab/scale/feedsockets.py
+++ b/thistleline/lab/scale/feedsockets.py
@@ -27,10 +27,10 @@
 from anyio.abc import Process
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-from thistleline.feed.archive import Archive
-from thistleline.feed.messages import Change, Group, Propose, encode
-from thistleline.feed.table import APART, entry_hash
-from thistleline.feed.writer import key_of
+from thistleline.config_feed.archive import Archive
+from thistleline.config_feed.messages import Change, Group, Propose, encode
+from thistleline.config_feed.table import APART, entry_hash
+from thistleline.config_feed.writer import key_of
 from thistleline.lab.feedfleet import FeedFleet
 from thistleline.lab.harness import Hung, folder_of, free_port
 from thistleline.lab.scale import slopes
@@ -39,8 +39,8 @@
 from thistleline.lab.scale.instance import cpu_seconds, machine, resident
 from thistleline.lab.scale.size import size
 from thistleline.lab.scale.slopes import Part, Row
-from thistleline.lease.terms import Done, Put
-from thistleline.links.address import Address
+from thistleline.lease.protocol import Done, Put
+from thistleline.transport.address import Address
 from thistleline.store.disk import Disk
 
 NAME = "feed on sockets"
--- a/thistleline/lab/scale/followers.py
+++ b/thistleline/lab/scale/followers.py
@@ -19,17 +19,17 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from thistleline.feed import client as clients
-from thistleline.feed import follower as following
-from thistleline.feed import link
-from thistleline.feed.client import FeedClient
-from thistleline.feed.follower import Follower
-from thistleline.feed.lookups import Lookups
-from thistleline.feed.messages import Kind, Part
-from thistleline.feed.table import APART, Table
+from thistleline.config_feed import client as clients
+from thistleline.config_feed import follower as following
+from thistleline.config_feed import connections as link
+from thistleline.config_feed.client import FeedClient
+from thistleline.config_feed.follower import Follower
+from thistleline.config_feed.lookups import Lookups
+from thistleline.config_feed.messages import Kind, Part
+from thistleline.config_feed.table import APART, Table
 from thistleline.lab.feedrun import Shared
 from thistleline.lab.scale.feed import HOT, LOOKS, tenant_key
-from thistleline.links.codec import Unpacker, sealed
+from thistleline.transport.codec import Unpacker, sealed
 
 PARTS_KEPT, TABLES_KEPT = 4_000, 8
 Items = tuple[tuple[str, bytes, int], ...]
--- a/thistleline/lab/scale/members.py
+++ b/thistleline/lab/scale/members.py
@@ -15,16 +15,16 @@
 
 import msgspec
 
-from thistleline.conf.schema import Members
+from thistleline.config.schema import Members
 from thistleline.lab.members import SPANS as FLEET_SPANS
 from thistleline.lab.members import VirtualFleet
 from thistleline.lab.scale import slopes
 from thistleline.lab.scale.size import size
 from thistleline.lab.scale.slopes import Kind, Part, Row, Shape, cpu_of, judge, loop_cpu, memory_of
 from thistleline.life.service import FIGURES_EVERY
-from thistleline.members import view as view_module
-from thistleline.members.gossip import FORGET_AFTER, HEAD, JOIN_PAUSE, MS, SECOND, SPREAD_TIMES, Gossip, Spans
-from thistleline.members.messages import (
+from thistleline.membership import view as view_module
+from thistleline.membership.gossip import FORGET_AFTER, HEAD, JOIN_PAUSE, MS, SECOND, SPREAD_TIMES, Gossip, Spans
+from thistleline.membership.messages import (
     ALIVE,
     SIZE_BOUND,
     Ack,
@@ -36,7 +36,7 @@
     Word,
     encode,
 )
-from thistleline.members.view import BUCKETS, MEMBERS_BOUND, View
+from thistleline.membership.view import BUCKETS, MEMBERS_BOUND, View
 
 NAME = "members"
 
--- a/thistleline/lab/scale/settings_costs.py
+++ b/thistleline/lab/scale/settings_costs.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from thistleline.conductor.conducting import SECOND, Conducting, Spans
-from thistleline.conductor.roll import STAGES, Order, Roll, Seen
-from thistleline.conductor.service import POLL as LOOK
+from thistleline.rollout.controller import SECOND, Conducting, Spans
+from thistleline.rollout.record import STAGES, Order, Roll, Seen
+from thistleline.rollout.service import POLL as LOOK
 from thistleline.lab.scale.settings_text import text_of
 from thistleline.lab.scale.size import size
 from thistleline.lab.scale.slopes import (
@@ -24,8 +24,8 @@
     steps_of,
 )
 from thistleline.lease.table import RECORDS_BOUND, RECORDS_SIZE
-from thistleline.steward.keeping import Version, Want
-from thistleline.steward.settings import SIZE_BOUND, unfit_settings
+from thistleline.supervisor.decisions import Version, Want
+from thistleline.supervisor.settings import SIZE_BOUND, unfit_settings
 from thistleline.wire.bench import read_bench
 
 NAME = "settings"
--- a/thistleline/lab/server.py
+++ b/thistleline/lab/server.py
@@ -28,9 +28,9 @@
 
 import anyio
 
-from thistleline.attended.service import AttendedService
-from thistleline.conf.schema import read_conf
-from thistleline.keeping import keeper
+from thistleline.handover.service import AttendedService
+from thistleline.config.schema import read_conf
+from thistleline.durable import writer as ledger_writer
 from thistleline.ledger import store
 from thistleline.life import service
 from thistleline.life.configuration import Unusable, read_configuration
@@ -127,8 +127,8 @@
 
 def keep_right() -> None:
     """Leaves a protection out: one that has handed over takes and starts tasks as before."""
-    from thistleline.attended.succession import Succeeding
-    from thistleline.keeping.worth import Worth
+    from thistleline.handover.state_machine import Succeeding
+    from thistleline.durable.served_value import Worth
     from thistleline.memory.reducer import Reducer
 
     def launch(self: Succeeding, task: str, run: Any) -> None:
@@ -148,7 +148,7 @@
     if configuration.name not in fault.get("only", [configuration.name]):
         fault = {"figures": fault.get("figures")}
     LabDisk.fault = Faults.fault = fault
-    setattr(keeper, "Disk", LabDisk)  # noqa: B010
+    setattr(ledger_writer, "Disk", LabDisk)  # noqa: B010
     if fault.get("sync") is False:
         made = store.Store.__init__
         setattr(store.Store, "__init__", lambda self, disk, names: made(self, disk, names, False))  # noqa: B010
@@ -157,7 +157,7 @@
     if fault.get("figures"):
         setattr(service, "FIGURES_EVERY", float(fault["figures"]))  # noqa: B010
     if fault.get("each"):
-        from thistleline.ledger import book
+        from thistleline.ledger import state as book
 
         book.GROUP_BOUND = 1
     named = os.environ.get("THISTLELINE_CONF")
--- a/thistleline/lab/stewardworld.py
+++ b/thistleline/lab/stewardworld.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterator
 from typing import Any, Self, TypeVar
 
-from thistleline.steward.keeping import SECOND, Keeping, State, Version, Want
+from thistleline.supervisor.decisions import SECOND, Keeping, State, Version, Want
 
 OLD, NEW, BAD = Version("1", "a"), Version("2", "b"), Version("3", "c")
 WANTS = (Want(1, 1, OLD), Want(2, 2, NEW), Want(2, 3, BAD), Want(3, 4, OLD), Want(1, 9, NEW))
--- a/thistleline/lab/subscriber.py
+++ b/thistleline/lab/subscriber.py
@@ -10,7 +10,7 @@
 import anyio
 import orjson
 
-from thistleline.feed.client import FeedClient
+from thistleline.config_feed.client import FeedClient
 
 EVERY = 0.02  # s between two looks beside those at each state
 
--- a/thistleline/lab/virtual.py
+++ b/thistleline/lab/virtual.py
@@ -5,9 +5,9 @@
 from random import Random
 from typing import Any
 
-from thistleline.council.messages import Member
-from thistleline.council.voter import Spans, Voter
-from thistleline.lease.office import Office
+from thistleline.consensus.messages import Member
+from thistleline.consensus.replica import Spans, Voter
+from thistleline.lease.server import Office
 from thistleline.lease.table import Table
 
 MS = 1_000_000
--- a/thistleline/lab/zones.py
+++ b/thistleline/lab/zones.py
@@ -13,7 +13,7 @@
 from typing import Any, NamedTuple
 
 from thistleline.zones.decision import Deciding, Rules, Table
-from thistleline.zones.picture import SECOND, Look, Pictures, Report
+from thistleline.zones.status import SECOND, Look, Pictures, Report
 
 WORTH = {0: 1.0, 1: 3.0}  # stages: lookups, bookings
 EVERY = 2  # steps between two decisions
--- a/thistleline/lease/client.py
+++ b/thistleline/lease/client.py
@@ -8,11 +8,11 @@
 import msgspec
 from anyio.abc import SocketStream
 
-from thistleline.lease.terms import Answer, Elsewhere, Op
+from thistleline.lease.protocol import Answer, Elsewhere, Op
 from thistleline.lease.wire import Hint, Request, decode_reply, encode
-from thistleline.links.address import Address
-from thistleline.links.codec import CLIENT_BOUND, Hello, Unpacker, common_form, sealed
-from thistleline.links.ends import ENDS
+from thistleline.transport.address import Address
+from thistleline.transport.codec import CLIENT_BOUND, Hello, Unpacker, common_form, sealed
+from thistleline.transport.disconnects import ENDS
 
 PATIENCE = 1.0  # s for a connection with its greeting
 ANSWER_SPAN = 1.5  # s; a voter that is silent for so long is not asked again at once
--- a/thistleline/lease/holder.py
+++ b/thistleline/lease/holder.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any, Literal
 
-from thistleline.lease.terms import (
+from thistleline.lease.protocol import (
     Answer,
     Denied,
     Done,
--- a/thistleline/lease/office.py
+++ b/thistleline/lease/server.py
@@ -1,6 +1,6 @@
 """One voter with the leases on top: what clients ask goes in, answers come out. No I/O, no clock.
 
-Inputs beside the voter's (council/voter.py):  asked ticket Op
+Inputs beside the voter's (consensus/replica.py):  asked ticket Op
 Effects beside its send, write, log, led, leading:  (answer ticket Answer)  (hint name asker): it holds now
 """
 
@@ -8,10 +8,10 @@
 from types import MappingProxyType
 from typing import Any
 
-from thistleline.council.messages import Member
-from thistleline.council.voter import Effect, Voter
+from thistleline.consensus.messages import Member
+from thistleline.consensus.replica import Effect, Voter
 from thistleline.lease.table import Table, data_of, fault
-from thistleline.lease.terms import (
+from thistleline.lease.protocol import (
     DECISIONS,
     Change,
     Denied,
@@ -28,7 +28,7 @@
     Stands,
     Status,
 )
-from thistleline.lease.watch import Watch
+from thistleline.lease.liveness import Watch
 
 LIST_BOUND = 1000
 OWN = None  # the ticket of what the office itself proposes
--- a/thistleline/lease/service.py
+++ b/thistleline/lease/service.py
@@ -1,4 +1,4 @@
-"""A voter as a program: its listener, its links, its disk and its clock around lease/office.py."""
+"""A voter as a program: its listener, its links, its disk and its clock around lease/server.py."""
 
 import os
 import signal
@@ -13,15 +13,15 @@
 import anyio.to_thread
 from anyio.abc import ByteStream, SocketStream, TaskGroup
 
-from thistleline.conf.schema import Council
-from thistleline.council.messages import Append, Base
-from thistleline.council.store import CouncilStore
-from thistleline.council.voter import Spans, Voter, Work
-from thistleline.lease.office import Office
+from thistleline.config.schema import Council
+from thistleline.consensus.messages import Append, Base
+from thistleline.consensus.store import CouncilStore
+from thistleline.consensus.replica import Spans, Voter, Work
+from thistleline.lease.server import Office
 from thistleline.lease.table import Table
 from thistleline.lease.wire import Hint, Reply, decode_request, decode_voter, encode
-from thistleline.links.address import Address, read_address
-from thistleline.links.codec import (
+from thistleline.transport.address import Address, read_address
+from thistleline.transport.codec import (
     CLIENT_BOUND,
     VOTER_BOUND,
     Hello,
@@ -30,9 +30,9 @@
     common_form,
     sealed,
 )
-from thistleline.links.ends import ends
-from thistleline.links.greeting import receive_hello
-from thistleline.links.link import STALL, Link
+from thistleline.transport.disconnects import ends
+from thistleline.transport.handshake import receive_hello
+from thistleline.transport.connection import STALL, Link
 from thistleline.store.clock import boot_now, wall_ms
 from thistleline.store.disk import Disk
 
--- a/thistleline/lease/session.py
+++ b/thistleline/lease/session.py
@@ -7,7 +7,7 @@
 Promised: by the holder's clock, taken to run within a quarter of true time as the leader's is, no act begins
 that could last past the right, and the scope is cancelled before its end. Not promised: that a process which
 is stopped inside an act does nothing when it goes on, for it can't know. Only the resource can keep that off,
-with the epoch (lease/guard.py).
+with the epoch (lease/fencing.py).
 """
 
 import os
@@ -21,7 +21,7 @@
 
 from thistleline.lease.client import Council
 from thistleline.lease.holder import Hold
-from thistleline.lease.terms import Elsewhere, Op
+from thistleline.lease.protocol import Elsewhere, Op
 from thistleline.store.clock import boot_now
 
 SECOND = 1_000_000_000
--- a/thistleline/lease/table.py
+++ b/thistleline/lease/table.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from thistleline.lease.terms import (
+from thistleline.lease.protocol import (
     ASKER_BOUND,
     DECISIONS,
     LENGTH_LEAST,
--- a/thistleline/lease/wire.py
+++ b/thistleline/lease/wire.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
-from thistleline.council.messages import Append, Appended, Ask, Install, Vote
-from thistleline.lease.terms import Answer, Op
+from thistleline.consensus.messages import Append, Appended, Ask, Install, Vote
+from thistleline.lease.protocol import Answer, Op
 
 
 class Request(msgspec.Struct, frozen=True, tag="request"):
--- a/thistleline/ledger/book.py
+++ b/thistleline/ledger/state.py
@@ -1,7 +1,7 @@
 """What the ledger decides: what is written when, what a found record means, what ages out, what is refused.
 
 No I/O and no clock. The book hands out one `Work` at a time; whoever writes it says `done` or `failed`.
-Times are boot times in nanoseconds (ledger/form.py).
+Times are boot times in nanoseconds (ledger/format.py).
 
 The promises that hold here:
 
@@ -18,7 +18,7 @@
 from collections.abc import Callable, Iterable
 from typing import Literal, NamedTuple
 
-from thistleline.ledger.form import (
+from thistleline.ledger.format import (
     DOUBT,
     FRAME_COST,
     HOW,
--- a/thistleline/ledger/store.py
+++ b/thistleline/ledger/store.py
@@ -10,8 +10,8 @@
 from itertools import islice
 from typing import NamedTuple
 
-from thistleline.ledger import form
-from thistleline.ledger.book import Book, Found, Work
+from thistleline.ledger import format as ledger_format
+from thistleline.ledger.state import Book, Found, Work
 from thistleline.store.disk import Disk, boot_id
 from thistleline.store.frames import Damaged
 
@@ -43,7 +43,7 @@
         try:
             if work.fresh:
                 disk.begin(work.segment)
-                disk.append(form.head(self.stages, self.boot))
+                disk.append(ledger_format.head(self.stages, self.boot))
             for frame in _cut(work):
                 disk.append(frame)
             if self.sync:
@@ -103,10 +103,10 @@
             book.forget_expired()
 
     def _read(self, book: Book, number: int, data: memoryview, since: int = 0) -> Reading:
-        if len(data) < form.HEAD_LEAST:
+        if len(data) < ledger_format.HEAD_LEAST:
             return Reading(number, len(data), 0, 0, True, 0, 0)  # a kill as it was made
         try:
-            names, boot, place = form.read_head(data)
+            names, boot, place = ledger_format.read_head(data)
         except Damaged as error:
             raise Damaged(f"{self.disk.path(number)}: {error}") from error
         here = {name: place for place, name in enumerate(self.stages)}
@@ -114,13 +114,13 @@
         same = boot == self.boot and any(boot)
         intents = outcomes = damaged = 0
         torn, whole = False, max(place, since)
-        for start, payload, end in form.frames(data, whole):
+        for start, payload, end in ledger_format.frames(data, whole):
             if payload is None:
                 torn = end == len(data)
                 damaged += 0 if torn else end - start
                 continue
             whole = end
-            group = form.group(payload)
+            group = ledger_format.group(payload)
             book.found(number, stages, same, group)
             intents, outcomes = intents + len(group.intents), outcomes + len(group.outcomes)
         return Reading(number, len(data), intents, outcomes, torn, damaged, whole)
@@ -130,14 +130,14 @@
     """Frames within their bounds, intents before the outcomes that may belong to them."""
     intents, outcomes = iter(work.group.intents), iter(work.group.outcomes)
     while part := list(islice(intents, RECORDS_A_FRAME)):
-        yield form.frame(part, [])
-    held: list[form.Outcome] = []
+        yield ledger_format.frame(part, [])
+    held: list[ledger_format.Outcome] = []
     size = 0
     for outcome in outcomes:
         held.append(outcome)
         size += len(outcome.result)
         if len(held) >= RECORDS_A_FRAME or size >= BYTES_A_FRAME:
-            yield form.frame([], held)
+            yield ledger_format.frame([], held)
             held, size = [], 0
     if held:
-        yield form.frame([], held)
+        yield ledger_format.frame([], held)
--- a/thistleline/life/service.py
+++ b/thistleline/life/service.py
@@ -28,7 +28,7 @@
 from thistleline.wire.thrift import Stubs
 
 if TYPE_CHECKING:
-    from thistleline.conf.schema import Conf
+    from thistleline.config.schema import Conf
 
 MS, SECOND = 1_000_000, 1_000_000_000
 RESERVE = 24  # descriptors that are no client stub's: listener, links, log, the loop's own
@@ -75,7 +75,7 @@
         """Its reducer, of what any is told. Raises Unusable."""
         if conf is None or conf.ledger is None:
             return Reducer(*told)
-        from thistleline.keeping.keeper import furnish
+        from thistleline.durable.writer import furnish
 
         reducer, self.recover, self.keeper = furnish(conf.ledger, told, self.take, self.note)
         return reducer
--- a/thistleline/members/gossip.py
+++ b/thistleline/membership/gossip.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from thistleline.members.messages import (
+from thistleline.membership.messages import (
     ALIVE,
     DEAD,
     LEFT,
@@ -31,7 +31,7 @@
     Word,
     encode,
 )
-from thistleline.members.view import BUCKETS, MEMBERS_BOUND, View, merged, sane
+from thistleline.membership.view import BUCKETS, MEMBERS_BOUND, View, merged, sane
 
 MS, SECOND = 1_000_000, 1_000_000_000
 HELPERS = 3  # asked to ping one that does not answer
--- a/thistleline/members/service.py
+++ b/thistleline/membership/service.py
@@ -11,10 +11,10 @@
 import msgspec
 from anyio.abc import UDPSocket
 
-from thistleline.conf.schema import Members
-from thistleline.links.address import read_address
-from thistleline.members.gossip import Gossip, Spans
-from thistleline.members.messages import Facts, Message, Word, decode, encode
+from thistleline.config.schema import Members
+from thistleline.transport.address import read_address
+from thistleline.membership.gossip import Gossip, Spans
+from thistleline.membership.messages import Facts, Message, Word, decode, encode
 from thistleline.store.clock import boot_now, wall_ms
 
 STANDSTILL = 200_000_000  # ns; after one as long all that lies unread is read first
@@ -109,7 +109,7 @@
 
 async def ask(address: tuple[str, int], span: float) -> list[Word]:
     """All that the member at this address knows; what came within the span."""
-    from thistleline.members.messages import Join, Share
+    from thistleline.membership.messages import Join, Share
 
     found: dict[str, Word] = {}
     async with await anyio.create_connected_udp_socket(*address) as socket:
--- a/thistleline/members/view.py
+++ b/thistleline/membership/view.py
@@ -2,7 +2,7 @@
 
 from hashlib import blake2b
 
-from thistleline.members.messages import DEAD, ID_BOUND, LEFT, TEXT_BOUND, Word, encode
+from thistleline.membership.messages import DEAD, ID_BOUND, LEFT, TEXT_BOUND, Word, encode
 
 MEMBERS_BOUND = 10_000
 BUCKETS = 64
--- a/thistleline/conductor/judge.py
+++ b/thistleline/rollout/canary.py
@@ -16,7 +16,7 @@
 from statistics import fmean, median
 from typing import Literal, NamedTuple
 
-from thistleline.conductor.bounds import Bounds
+from thistleline.rollout.confidence import Bounds
 
 Verdict = Literal["worse", "not worse", "can't tell"]
 CLIP = 0.10  # of a difference: narrow, as the bounds are as wide as what they allow for
--- a/thistleline/conductor/conducting.py
+++ b/thistleline/rollout/controller.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from thistleline.conductor.judge import Judge, Slot
-from thistleline.conductor.roll import PAST_BOUND, Order, Past, Phase, Roll, Seen, controls, targets, wrong
-from thistleline.steward.keeping import Version
+from thistleline.rollout.canary import Judge, Slot
+from thistleline.rollout.record import PAST_BOUND, Order, Past, Phase, Roll, Seen, controls, targets, wrong
+from thistleline.supervisor.decisions import Version
 
 SECOND = 1_000_000_000
 
--- a/thistleline/conductor/roll.py
+++ b/thistleline/rollout/record.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from thistleline.steward.keeping import Version
+from thistleline.supervisor.decisions import Version
 
 Phase = Literal["going", "paused", "asking", "backing", "done", "back"]
 STAGES = ("one", "one a zone", "tenth", "half", "all")
--- a/thistleline/conductor/service.py
+++ b/thistleline/rollout/service.py
@@ -6,16 +6,16 @@
 import anyio
 import msgspec
 
-from thistleline.conductor.conducting import Conducting, Spans
-from thistleline.conductor.roll import KEY, LEASE, ORDER_KEY, Order, Roll, Seen
-from thistleline.conf.schema import Conductor, Conf
+from thistleline.rollout.controller import Conducting, Spans
+from thistleline.rollout.record import KEY, LEASE, ORDER_KEY, Order, Roll, Seen
+from thistleline.config.schema import Conductor, Conf
 from thistleline.lease.client import Council
 from thistleline.lease.session import Held, Lost, Refused, lease
-from thistleline.lease.terms import Denied, Done, Elsewhere, Get, Got, Put
-from thistleline.members.messages import ALIVE, DEAD, Facts
-from thistleline.members.service import MemberService
-from thistleline.steward.keeping import Version, Want
-from thistleline.steward.service import want_key
+from thistleline.lease.protocol import Denied, Done, Elsewhere, Get, Got, Put
+from thistleline.membership.messages import ALIVE, DEAD, Facts
+from thistleline.membership.service import MemberService
+from thistleline.supervisor.decisions import Version, Want
+from thistleline.supervisor.service import want_key
 from thistleline.store.clock import boot_now, wall_ms
 
 POLL = 0.2  # s
--- a/thistleline/steward/service.py
+++ b/thistleline/supervisor/service.py
@@ -14,15 +14,15 @@
 import msgspec
 import orjson
 
-from thistleline.attended.owner import read_owner
-from thistleline.conf.schema import Conf
+from thistleline.handover.serving import read_owner
+from thistleline.config.schema import Conf
 from thistleline.lease.client import Council
-from thistleline.lease.terms import Get, Got
-from thistleline.members.messages import Facts
-from thistleline.members.service import MemberService
-from thistleline.steward.keeping import Keeping, State, Version, Want
-from thistleline.steward.releases import RUN, Releases, Unfit
-from thistleline.steward.settings import unfit_settings
+from thistleline.lease.protocol import Get, Got
+from thistleline.membership.messages import Facts
+from thistleline.membership.service import MemberService
+from thistleline.supervisor.decisions import Keeping, State, Version, Want
+from thistleline.supervisor.releases import RUN, Releases, Unfit
+from thistleline.supervisor.settings import unfit_settings
 from thistleline.store.clock import boot_now, wall_ms
 from thistleline.store.latest import Latest
 
--- a/thistleline/steward/settings.py
+++ b/thistleline/supervisor/settings.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from thistleline.lease.terms import VALUE_BOUND
+from thistleline.lease.protocol import VALUE_BOUND
 from thistleline.life.service import CONNECTION_COST, RESERVE
 from thistleline.wire.bench import Malformed, read_bench, read_gauges, read_granularity
 
--- a/thistleline/links/link.py
+++ b/thistleline/transport/connection.py
@@ -8,9 +8,9 @@
 import anyio
 from anyio.abc import ByteStream, SocketStream
 
-from thistleline.links.address import Address
-from thistleline.links.codec import sealed
-from thistleline.links.ends import ends
+from thistleline.transport.address import Address
+from thistleline.transport.codec import sealed
+from thistleline.transport.disconnects import ends
 
 QUEUE_BOUND, BYTES_BOUND = 4096, 128 << 20
 PIECE = 1 << 18  # bytes handed over at once
--- a/thistleline/links/ends.py
+++ b/thistleline/transport/disconnects.py
@@ -6,7 +6,7 @@
 import anyio
 import msgspec
 
-from thistleline.links.codec import Unreadable
+from thistleline.transport.codec import Unreadable
 
 # RecursionError: of a message that nests deeper than a decoder goes, also in a field nobody knows.
 ENDS = (OSError, TimeoutError, Unreadable, msgspec.MsgspecError, RecursionError, anyio.EndOfStream,
--- a/thistleline/links/greeting.py
+++ b/thistleline/transport/handshake.py
@@ -3,7 +3,7 @@
 import msgspec
 from anyio.abc import ByteStream
 
-from thistleline.links.codec import Hello, Unreadable
+from thistleline.transport.codec import Hello, Unreadable
 
 HELLO_BOUND = 4096  # bytes
 _hello = msgspec.msgpack.Decoder(Hello).decode
--- a/thistleline/zones/decision.py
+++ b/thistleline/zones/decision.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from thistleline.zones.picture import Picture, Zone
+from thistleline.zones.status import Picture, Zone
 
 LEAVE = 0.95  # of its room: beyond that a zone spills
 BACK = 0.80  # of its room, with what would come back: under that it takes back
