--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -10,12 +10,12 @@
 from pathlib import Path
 from typing import Any
 
-from thistleline.council.messages import Ballot, Base, Entry, Member
-from thistleline.council.store import CouncilStore
-from thistleline.council.voter import Spans, Voter
-from thistleline.feed.archive import Archive
-from thistleline.feed.table import Table
-from thistleline.ledger.book import Book, Found
+from thistleline.consensus.messages import Ballot, Base, Entry, Member
+from thistleline.consensus.store import CouncilStore
+from thistleline.consensus.replica import Spans, Voter
+from thistleline.config_feed.archive import Archive
+from thistleline.config_feed.table import Table
+from thistleline.ledger.state import Book, Found
 from thistleline.ledger.store import Reading, Store
 from thistleline.store.disk import Disk
 
