--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -254,7 +254,7 @@
 def test_the_instance_imports_nothing_of_it() -> None:
     """All that `run` imports is named in the deploy file, so that what is judged is what runs."""
     plan = tomllib.loads(Path("deploy/balancer.toml").read_text())
-    script = "import sys, thistleline.__main__, thistleline.life.service; print(*sys.modules)"
+    script = "import sys, thistleline.__main__, thistleline.server.service; print(*sys.modules)"
     told = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, check=True).stdout
     named = {str(file) for place in (*plan["policy"], *plan["node"])
              for file in ([Path(place)] if place.endswith(".py") else Path(place).rglob("*.py"))}  # fmt: skip
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -41,7 +41,7 @@
 
 ROOT = Path(__file__).parent.parent
 POINTS = [
-    "import thistleline.life.service",
+    "import thistleline.server.service",
     "open config.json",
     "import asyncio",
     "bind",
@@ -150,7 +150,7 @@
 
 
 def test_an_agent_whose_connections_always_take_long_is_reached(halls: Any) -> None:
-    slow = {"module": "thistleline.life.streams", "what": "connect", "delay": 1.3}
+    slow = {"module": "thistleline.server.streams", "what": "connect", "delay": 1.3}
     hall = halls(environ=faults(slow))
     hall.up()
     with hall.instance.connect() as link:
@@ -180,7 +180,7 @@
 
 def test_reports_count_though_each_answer_comes_after_the_next_report(halls: Any) -> None:
     announce = LateAnnounce()
-    slow = {"module": "thistleline.life.streams", "what": "connect", "delay": 1.2}
+    slow = {"module": "thistleline.server.streams", "what": "connect", "delay": 1.2}
     hall = halls(announce=announce, environ=faults(slow))
     assert [announce.hear() for _ in range(3)] == [("/announce/n1", {"accepting": "true"})] * 3
     told = [event for event in iter_events(hall.instance, "figures") if event["event"] == "announce"]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -22,8 +22,8 @@
 from thistleline.lab.handoverworld import play
 from thistleline.lab.mutants import without
 from thistleline.ledger import format as ledger_format
-from thistleline.memory.reducer import Reducer
-from thistleline.memory.tables import Run, Try
+from thistleline.state.state_machine import Reducer
+from thistleline.state.tables import Run, Try
 
 BROKEN = ("run_twice", "rejected_after_run", "acknowledged_and_lost", "another_result")
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -35,7 +35,7 @@
 from thistleline.ledger.state import Book
 from thistleline.ledger.format import Group, Intent, Outcome
 from thistleline.ledger.store import Store
-from thistleline.memory.phases import Phases
+from thistleline.state.phases import Phases
 from thistleline.policy import MS, SECOND
 from thistleline.store.clock import boot_now
 from thistleline.store.disk import Disk, Held
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -26,7 +26,7 @@
 from thistleline.lab.scale.tenants import bench_of, born, policy_of, steps_of_task, tick, weighings
 from thistleline.policy import SECOND, TICK, WINDOW, Policy
 from thistleline.supervisor.settings import unfit_settings
-from thistleline.wire.bench import read_bench
+from thistleline.wire.settings import read_bench
 
 SIZES = (10, 30, 100, 300)
 SQUARE_BY_STAGE = [("tenant", "tenants", "linear"), ("stage", "routes", "square")]
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -33,10 +33,10 @@
     start,
     words,
 )
-from thistleline.life import agentlink
-from thistleline.life.configuration import read_configuration
-from thistleline.life.service import Service
-from thistleline.life.streams import Stream
+from thistleline.server import agent_link as agentlink
+from thistleline.server.configuration import read_configuration
+from thistleline.server.service import Service
+from thistleline.server.streams import Stream
 
 
 def test_a_task_is_run_and_served_unchanged(hall: Hall) -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -23,9 +23,9 @@
     words,
 )
 from thistleline.interface import Bench
-from thistleline.life.configuration import Configuration, read_configuration
+from thistleline.server.configuration import Configuration, read_configuration
 from thistleline.policy import SECOND
-from thistleline.wire.bench import Malformed
+from thistleline.wire.settings import Malformed
 
 # Keys without which nothing can be decided; all others may be left out.
 DEMANDED = {
--- a/tests/test_reducer.py
+++ b/tests/test_state_machine.py
@@ -5,8 +5,8 @@
 import pytest
 
 from tests.host import BOOKING, LOOKUP, Desk, task
-from thistleline.memory import reducer as memory
-from thistleline.memory.reducer import OPEN_BOUND
+from thistleline.state import state_machine as memory
+from thistleline.state.state_machine import OPEN_BOUND
 from thistleline.policy import MS, SECOND
 
 # ---- a task gets its one answer
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -9,7 +9,7 @@
 
 from tests.host import BOOKING, LOOKUP, ORDER, FakeHost, owners, stage
 from thistleline.policy import BUCKETS, MS, SECOND
-from thistleline.wire.bench import nanos
+from thistleline.wire.settings import nanos
 from thistleline.bench_adapter.adapter import main, seconds
 
 FINAL = {"reject", "abandon"}
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -12,12 +12,12 @@
 from thrift.Thrift import TMessageType, TType
 
 from tests.host import SETTINGS, TOLD, answered, asked, booking, probe, process, words
-from thistleline.life.clock import Clock
-from thistleline.life.configuration import read_configuration
-from thistleline.life.log import LINES_BOUND, Log
+from thistleline.server.clock import Clock
+from thistleline.server.configuration import read_configuration
+from thistleline.server.log import LINES_BOUND, Log
 from thistleline.policy import MS, SECOND
 from thistleline.wire import agent, announce, thrift
-from thistleline.wire.bench import Malformed, read_bench
+from thistleline.wire.settings import Malformed, read_bench
 from thistleline.wire.buffer import Buffer
 
 STUBS = thrift.Stubs(read_bench(SETTINGS))
--- a/thistleline/__main__.py
+++ b/thistleline/__main__.py
@@ -18,10 +18,10 @@
 
     import anyio
 
-    from thistleline.life.configuration import Unusable, read_configuration
-    from thistleline.life.log import complain
-    from thistleline.life.service import Service
-    from thistleline.wire.bench import Malformed
+    from thistleline.server.configuration import Unusable, read_configuration
+    from thistleline.server.log import complain
+    from thistleline.server.service import Service
+    from thistleline.wire.settings import Malformed
 
     try:
         configuration = read_configuration(os.environ)
--- a/thistleline/bench_adapter/adapter.py
+++ b/thistleline/bench_adapter/adapter.py
@@ -7,7 +7,7 @@
 
 from thistleline.interface import CameIn, Task
 from thistleline.policy import Policy
-from thistleline.wire.bench import Malformed, nanos, read_bench, read_gauges
+from thistleline.wire.settings import Malformed, nanos, read_bench, read_gauges
 
 RUN_ENDS = {"OK": "finished", "INTERNAL": "failed", "CANCELLED": "stopped", "TOO_LATE": "moot"}
 CALL_ENDS = {
--- a/thistleline/durable/reducer.py
+++ b/thistleline/durable/reducer.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 from thistleline.ledger.state import Book, Found
-from thistleline.memory.reducer import DOUBT_PART, END_EARLY, SECOND, Effect, Reducer
-from thistleline.memory.tables import Run, Try
+from thistleline.state.state_machine import DOUBT_PART, END_EARLY, SECOND, Effect, Reducer
+from thistleline.state.tables import Run, Try
 
 NOT_YET = 1 << 62  # measures of a run that was not started: no break of the link can have lost its start
 STAY_AWAY = SECOND  # for whom the ledger takes nothing just now
--- a/thistleline/durable/served_value.py
+++ b/thistleline/durable/served_value.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from thistleline.interface import Task
-from thistleline.memory.reducer import Reducer
+from thistleline.state.state_machine import Reducer
 
 WHOLE = 1000  # one of utility
 
--- a/thistleline/durable/writer.py
+++ b/thistleline/durable/writer.py
@@ -12,7 +12,7 @@
 from thistleline.durable.served_value import Worth
 from thistleline.ledger.state import Book, Found, Work
 from thistleline.ledger.store import Reading, Store
-from thistleline.life.configuration import Unusable
+from thistleline.server.configuration import Unusable
 from thistleline.store.clock import boot_now
 from thistleline.store.disk import Disk, Held
 from thistleline.store.frames import Damaged
--- a/thistleline/handover/service.py
+++ b/thistleline/handover/service.py
@@ -43,10 +43,10 @@
 from thistleline.durable import writer as ledger_writer
 from thistleline.durable.writer import hold, store_of
 from thistleline.ledger import format as ledger_format
-from thistleline.life.configuration import Unusable
-from thistleline.life.service import Service
+from thistleline.server.configuration import Unusable
+from thistleline.server.service import Service
 from thistleline.transport.codec import Unreadable
-from thistleline.memory.reducer import Reducer
+from thistleline.state.state_machine import Reducer
 from thistleline.store.clock import boot_now
 from thistleline.store.frames import Damaged
 
--- a/thistleline/handover/state_machine.py
+++ b/thistleline/handover/state_machine.py
@@ -41,8 +41,8 @@
 from thistleline.durable.reducer import KeepingReducer
 from thistleline.durable.served_value import Worth
 from thistleline.ledger.state import Book
-from thistleline.memory.reducer import SECOND, Effect, Reducer
-from thistleline.memory.tables import Connection, Run, Try
+from thistleline.state.state_machine import SECOND, Effect, Reducer
+from thistleline.state.tables import Connection, Run, Try
 
 FREEZE_SPAN = 2 * SECOND  # in which nothing starts before the change; past it the elder serves on
 HANDED_BOUND = 4096  # runs, and ids, that go over in one message
--- a/thistleline/lab/handoverworld.py
+++ b/thistleline/lab/handoverworld.py
@@ -15,8 +15,8 @@
 from thistleline.interface import Task
 from thistleline.lab.ledger import SETTINGS
 from thistleline.ledger.state import Work
-from thistleline.memory.phases import Phases
-from thistleline.wire.bench import read_bench
+from thistleline.state.phases import Phases
+from thistleline.wire.settings import read_bench
 
 MS, SECOND = 1_000_000, 1_000_000_000
 BENCH = read_bench(SETTINGS)
--- a/thistleline/lab/scale/connections.py
+++ b/thistleline/lab/scale/connections.py
@@ -16,9 +16,9 @@
 from thistleline.lab.scale.instance import HOST, Instance, instance, machine
 from thistleline.lab.scale.size import size
 from thistleline.lab.scale.slopes import Part, Row, judge
-from thistleline.life.announcer import ANSWER_BOUND, EVERY
-from thistleline.life.configuration import DESCRIPTORS, MEMORY_MB
-from thistleline.life.service import CONNECTION_COST, RESERVE
+from thistleline.server.announcer import ANSWER_BOUND, EVERY
+from thistleline.server.configuration import DESCRIPTORS, MEMORY_MB
+from thistleline.server.service import CONNECTION_COST, RESERVE
 from thistleline.wire import thrift
 from thistleline.wire.announce import Reports
 
--- a/thistleline/lab/scale/forwarder.py
+++ b/thistleline/lab/scale/forwarder.py
@@ -9,7 +9,7 @@
 import os
 from typing import Any
 
-from thistleline.life.configuration import Configuration, read_configuration
+from thistleline.server.configuration import Configuration, read_configuration
 from thistleline.wire import agent, thrift
 from thistleline.wire.buffer import Buffer
 
--- a/thistleline/lab/scale/settings_costs.py
+++ b/thistleline/lab/scale/settings_costs.py
@@ -26,7 +26,7 @@
 from thistleline.lease.table import RECORDS_BOUND, RECORDS_SIZE
 from thistleline.supervisor.decisions import Version, Want
 from thistleline.supervisor.settings import SIZE_BOUND, unfit_settings
-from thistleline.wire.bench import read_bench
+from thistleline.wire.settings import read_bench
 
 NAME = "settings"
 
--- a/thistleline/lab/scale/tenants.py
+++ b/thistleline/lab/scale/tenants.py
@@ -19,7 +19,7 @@
     steps_of,
 )
 from thistleline.policy import MS, SECOND, TICK, WINDOW, Policy
-from thistleline.wire.bench import read_bench
+from thistleline.wire.settings import read_bench
 
 NAME = "policy"
 
--- a/thistleline/lab/server.py
+++ b/thistleline/lab/server.py
@@ -32,10 +32,10 @@
 from thistleline.config.schema import read_conf
 from thistleline.durable import writer as ledger_writer
 from thistleline.ledger import store
-from thistleline.life import service
-from thistleline.life.configuration import Unusable, read_configuration
-from thistleline.life.log import complain
-from thistleline.life.service import Service
+from thistleline.server import service
+from thistleline.server.configuration import Unusable, read_configuration
+from thistleline.server.log import complain
+from thistleline.server.service import Service
 from thistleline.store.disk import Disk
 
 LEFT_OUT_BOUND = 64 * 1024  # without a sync the machine writes on some day: once so much lies there
@@ -129,7 +129,7 @@
     """Leaves a protection out: one that has handed over takes and starts tasks as before."""
     from thistleline.handover.state_machine import Succeeding
     from thistleline.durable.served_value import Worth
-    from thistleline.memory.reducer import Reducer
+    from thistleline.state.state_machine import Reducer
 
     def launch(self: Succeeding, task: str, run: Any) -> None:
         if self.stands == "handed":
--- a/thistleline/life/agentlink.py
+++ b/thistleline/server/agent_link.py
@@ -5,10 +5,10 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from thistleline.life.configuration import Address
-from thistleline.life.streams import Dials, Stream
+from thistleline.server.configuration import Address
+from thistleline.server.streams import Dials, Stream
 from thistleline.wire import agent
-from thistleline.wire.bench import Malformed
+from thistleline.wire.settings import Malformed
 
 WRITE_BOUND = 4 * 1024 * 1024
 DIAL_FIRST, DIAL_MOST = 1.0, 16.0  # s, for a connection
--- a/thistleline/life/announcer.py
+++ b/thistleline/server/announcer.py
@@ -5,8 +5,8 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from thistleline.life.configuration import Address
-from thistleline.life.streams import Dials, Stream
+from thistleline.server.configuration import Address
+from thistleline.server.streams import Dials, Stream
 from thistleline.wire.announce import Reports
 
 EVERY = 1.0  # an entry lapses three seconds after the last report
--- a/thistleline/life/backend.py
+++ b/thistleline/server/backend.py
@@ -6,8 +6,8 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from thistleline.life.configuration import Address
-from thistleline.life.streams import Dials, Stream
+from thistleline.server.configuration import Address
+from thistleline.server.streams import Dials, Stream
 from thistleline.wire import backend
 
 WRITE_BOUND = 4 * 1024 * 1024
--- a/thistleline/life/configuration.py
+++ b/thistleline/server/configuration.py
@@ -8,7 +8,7 @@
 import orjson
 
 from thistleline.interface import Bench
-from thistleline.wire.bench import Malformed, read_bench, read_gauges, read_granularity
+from thistleline.wire.settings import Malformed, read_bench, read_gauges, read_granularity
 
 Address = tuple[str, int]
 MS = 1_000_000
--- a/thistleline/life/front.py
+++ b/thistleline/server/listener.py
@@ -12,8 +12,8 @@
 import anyio.lowlevel
 from anyio.abc import TaskGroup
 
-from thistleline.life.configuration import Address
-from thistleline.life.streams import Stream
+from thistleline.server.configuration import Address
+from thistleline.server.streams import Stream
 from thistleline.wire import thrift
 
 WRITE_BOUND = 256 * 1024  # a full connection's answers take under 140 KiB
--- a/thistleline/life/service.py
+++ b/thistleline/server/service.py
@@ -16,15 +16,15 @@
 import anyio.to_thread
 from anyio.abc import TaskGroup
 
-from thistleline.life.agentlink import AgentLink
-from thistleline.life.announcer import Announcer
-from thistleline.life.backend import BackendLink
-from thistleline.life.clock import Clock
-from thistleline.life.configuration import Configuration, Unusable, read_configuration
-from thistleline.life.front import Front, listen
-from thistleline.life.log import Log
-from thistleline.memory.phases import Phases
-from thistleline.memory.reducer import Effect, Reducer
+from thistleline.server.agent_link import AgentLink
+from thistleline.server.announcer import Announcer
+from thistleline.server.backend import BackendLink
+from thistleline.server.clock import Clock
+from thistleline.server.configuration import Configuration, Unusable, read_configuration
+from thistleline.server.listener import Front, listen
+from thistleline.server.log import Log
+from thistleline.state.phases import Phases
+from thistleline.state.state_machine import Effect, Reducer
 from thistleline.wire.thrift import Stubs
 
 if TYPE_CHECKING:
--- a/thistleline/memory/reducer.py
+++ b/thistleline/state/state_machine.py
@@ -35,8 +35,8 @@
 from typing import Any
 
 from thistleline.interface import Bench, CameIn, Task
-from thistleline.memory.phases import Phases
-from thistleline.memory.tables import Alarms, Connection, Entries, Key, Run, Try, key_of
+from thistleline.state.phases import Phases
+from thistleline.state.tables import Alarms, Connection, Entries, Key, Run, Try, key_of
 from thistleline.policy import Policy
 
 MS, SECOND = 1_000_000, 1_000_000_000
--- a/thistleline/supervisor/settings.py
+++ b/thistleline/supervisor/settings.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from thistleline.lease.protocol import VALUE_BOUND
-from thistleline.life.service import CONNECTION_COST, RESERVE
-from thistleline.wire.bench import Malformed, read_bench, read_gauges, read_granularity
+from thistleline.server.service import CONNECTION_COST, RESERVE
+from thistleline.wire.settings import Malformed, read_bench, read_gauges, read_granularity
 
 SIZE_BOUND = VALUE_BOUND  # bytes of a version: it has to go through the council in one record
 
--- a/thistleline/wire/agent.py
+++ b/thistleline/wire/agent.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from thistleline.wire.bench import Malformed, nanos
+from thistleline.wire.settings import Malformed, nanos
 from thistleline.wire.buffer import Buffer
 from thistleline.wire.lines import LINE_BOUND, messages
 
--- a/thistleline/wire/backend.py
+++ b/thistleline/wire/backend.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from thistleline.wire.bench import Malformed
+from thistleline.wire.settings import Malformed
 from thistleline.wire.buffer import Buffer
 from thistleline.wire.lines import LINE_BOUND, messages
 
--- a/thistleline/wire/lines.py
+++ b/thistleline/wire/lines.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Iterator
 
-from thistleline.wire.bench import Malformed
+from thistleline.wire.settings import Malformed
 from thistleline.wire.buffer import Buffer
 
 LINE_BOUND = 4096
--- a/thistleline/wire/stub.py
+++ b/thistleline/wire/stub.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from thistleline.wire import thrift
-from thistleline.wire.bench import Malformed
+from thistleline.wire.settings import Malformed
 from thistleline.wire.buffer import Buffer
 
 ANSWER_BOUND = 256 * 1024
--- a/thistleline/wire/thrift.py
+++ b/thistleline/wire/thrift.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from thistleline.interface import Bench, Task
-from thistleline.wire.bench import Malformed
+from thistleline.wire.settings import Malformed
 from thistleline.wire.buffer import Buffer
 
 VERSION = 0x80010000
