--- a/tests/host.py
+++ b/tests/host.py
@@ -21,9 +21,9 @@
 from thrift.transport.TTransport import TFramedTransport, TMemoryBuffer
 
 from thistleline.interface import Bench, Owner, Stage, Task
+from thistleline.policy import MS, SECOND, Policy
 from thistleline.state.phases import Phases
 from thistleline.state.state_machine import Reducer
-from thistleline.policy import MS, SECOND, Policy
 
 PATIENCE = 20.0  # for whatever a test waits on; on a busy machine too
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -16,20 +16,20 @@
 
 from thistleline.config.schema import Faulty, check
 from thistleline.consensus.messages import Ballot, Base, Entry, Member, Record, Tail
-from thistleline.consensus.store import CouncilStore
 from thistleline.consensus.replica import Spans, Voter, Work
+from thistleline.consensus.store import CouncilStore
 from thistleline.lab.explore import explore
 from thistleline.lab.leasecost import one_way
 from thistleline.lab.leaseworld import begin, following
 from thistleline.lab.mutants import MUTANTS, SCENARIOS, without
 from thistleline.lab.virtual import MS, VirtualCouncil
+from thistleline.lease.protocol import Change, Denied, Done, Elsewhere, Granted, Release, Take
 from thistleline.lease.server import Office
 from thistleline.lease.table import Table
-from thistleline.lease.protocol import Change, Denied, Done, Elsewhere, Granted, Release, Take
-from thistleline.transport.codec import Hello, Unpacker, Unreadable, common_form, sealed
-from thistleline.transport.connection import QUEUE_BOUND, Queue
 from thistleline.store.disk import Disk
 from thistleline.store.frames import Damaged
+from thistleline.transport.codec import Hello, Unpacker, Unreadable, common_form, sealed
+from thistleline.transport.connection import QUEUE_BOUND, Queue
 
 SECOND = 1000 * MS
 SPANS = Spans(50 * MS, 500 * MS, 1000 * MS)
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -16,6 +16,8 @@
 
 from thistleline.config_feed import history as histories
 from thistleline.config_feed import source as sources
+from thistleline.config_feed.follower import Follower
+from thistleline.config_feed.history import History, Items
 from thistleline.config_feed.limits import (
     ASKED_BOUND,
     BEAT,
@@ -31,8 +33,6 @@
     STALL,
     VALUE_BOUND,
 )
-from thistleline.config_feed.follower import Follower
-from thistleline.config_feed.history import History, Items
 from thistleline.config_feed.lookups import ABSENT, UNKNOWN, Found, Lookups
 from thistleline.config_feed.messages import (
     AskTenants,
--- a/tests/test_feed_service.py
+++ b/tests/test_feed_service.py
@@ -21,11 +21,13 @@
 import pytest
 
 from thistleline.config.schema import Faulty, Feed, check
-from thistleline.config_feed import connections as link, service
-from thistleline.config_feed.limits import MESSAGE_BOUND, MS, RING, SECOND
+from thistleline.config_feed import connections as link
+from thistleline.config_feed import service
+from thistleline.config_feed.archive_writer import Persist
 from thistleline.config_feed.client import look, propose, snapshot
-from thistleline.config_feed.history import Items
 from thistleline.config_feed.connections import OUT_BOUND, Encoder, Outgoing, Rounds
+from thistleline.config_feed.history import Items
+from thistleline.config_feed.limits import MESSAGE_BOUND, MS, RING, SECOND
 from thistleline.config_feed.messages import (
     AskTenants,
     Delta,
@@ -38,7 +40,6 @@
     decode_source,
     encode,
 )
-from thistleline.config_feed.archive_writer import Persist
 from thistleline.config_feed.service import LOOK_BOUND, FeedService
 from thistleline.config_feed.table import Table
 from thistleline.lab.feedfleet import FeedFleet
@@ -465,9 +466,10 @@
     hello = Hello("follower", "quiet")
 
     async def story(relay: FeedService) -> None:
-        async with await anyio.connect_tcp(*relay.listen) as quiet, await anyio.connect_tcp(
-            *relay.listen
-        ) as speaks:
+        async with (
+            await anyio.connect_tcp(*relay.listen) as quiet,
+            await anyio.connect_tcp(*relay.listen) as speaks,
+        ):
             for stream in (quiet, speaks):
                 await stream.send(sealed(encode(hello)))
             while (left := len(relay.peers)) < 2:
--- a/tests/test_feed_writer.py
+++ b/tests/test_feed_writer.py
@@ -17,6 +17,7 @@
 from thistleline.config_feed import client
 from thistleline.config_feed import writer as writers
 from thistleline.config_feed.archive import Archive
+from thistleline.config_feed.history import History
 from thistleline.config_feed.limits import (
     CHANGE_BOUND,
     GROUP_BOUND,
@@ -28,16 +29,15 @@
     STALL,
     VALUE_BOUND,
 )
-from thistleline.config_feed.validation import fault
-from thistleline.config_feed.history import History
 from thistleline.config_feed.messages import Change, Follow, Group, Propose, Proposed, decode_group, encode
 from thistleline.config_feed.relay import Station
 from thistleline.config_feed.table import Table
+from thistleline.config_feed.validation import fault
 from thistleline.config_feed.writer import ASK_AGAIN, CATCH_UP_SPAN, LINE_SIZE, Writer, key_of
 from thistleline.lab.feedworld import changed, fleet, settle
+from thistleline.lease.protocol import Break, Denied, Done, Granted, Put, Take
 from thistleline.lease.table import Table as Council
 from thistleline.lease.table import data_of
-from thistleline.lease.protocol import Break, Denied, Done, Granted, Put, Take
 from thistleline.store.disk import Disk
 
 KEEPERS = ("a", "b", "c")
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,10 +13,10 @@
 import anyio
 import pytest
 
+from thistleline.durable.served_value import Worth
 from thistleline.handover.channel import Line, reach
 from thistleline.handover.messages import Hello, Refused
 from thistleline.handover.state_machine import Succeeding
-from thistleline.durable.served_value import Worth
 from thistleline.lab.farm import FarmStandIn
 from thistleline.lab.handover import TOLD, Lives, Load, changes
 from thistleline.lab.handoverworld import play
@@ -150,7 +150,10 @@
 @pytest.mark.anyio
 async def test_a_follower_that_cant_read_the_ledger_or_comes_second_is_refused(tmp_path: Path) -> None:
     async with one_server(tmp_path) as (lives, _), anyio.create_task_group() as group:
-        for hello in (Hello(reads=(ledger_format.FORM + 1,)), Hello(least=9, most=9, reads=ledger_format.READS)):
+        for hello in (
+            Hello(reads=(ledger_format.FORM + 1,)),
+            Hello(least=9, most=9, reads=ledger_format.READS),
+        ):
             sock = reach(tmp_path / "handover" / "heir.sock")
             assert sock is not None
             line = Line(sock, group)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -21,11 +21,11 @@
 from thistleline.lease.client import Council
 from thistleline.lease.fencing import Guard
 from thistleline.lease.holder import Hold
-from thistleline.lease.session import Held, Lost, NoTime, lease
 from thistleline.lease.protocol import Denied, Done, Elsewhere, Granted, Kept, Show, Take, right
+from thistleline.lease.session import Held, Lost, NoTime, lease
 from thistleline.lease.wire import encode
-from thistleline.transport.codec import Hello, sealed
 from thistleline.store.clock import boot_now
+from thistleline.transport.codec import Hello, sealed
 
 SECOND = 1_000_000_000
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -32,11 +32,11 @@
 from thistleline.lab.farm import FarmStandIn, Ran
 from thistleline.lab.ledger import judge, storm
 from thistleline.ledger import format as form
-from thistleline.ledger.state import Book
 from thistleline.ledger.format import Group, Intent, Outcome
+from thistleline.ledger.state import Book
 from thistleline.ledger.store import Store
-from thistleline.state.phases import Phases
 from thistleline.policy import MS, SECOND
+from thistleline.state.phases import Phases
 from thistleline.store.clock import boot_now
 from thistleline.store.disk import Disk, Held
 from thistleline.store.frames import Damaged
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -13,10 +13,6 @@
 import msgspec
 import pytest
 
-from thistleline.rollout.confidence import Bounds
-from thistleline.rollout.controller import Conducting, Spans
-from thistleline.rollout.canary import Judge, Slot
-from thistleline.rollout.record import STAGES, Order, Roll, Seen, controls, targets, wrong
 from thistleline.config.schema import check
 from thistleline.lab.explore import explore
 from thistleline.lab.harness import free_port
@@ -25,13 +21,17 @@
 from thistleline.lab.mutants import without
 from thistleline.lab.roll import HARMS, Harm, roll
 from thistleline.lab.stewardworld import BesideWorld, StewardWorld, following, following_beside, wander
-from thistleline.lease.table import fault
 from thistleline.lease.protocol import VALUE_BOUND, Put
+from thistleline.lease.table import fault
+from thistleline.rollout.canary import Judge, Slot
+from thistleline.rollout.confidence import Bounds
+from thistleline.rollout.controller import Conducting, Spans
+from thistleline.rollout.record import STAGES, Order, Roll, Seen, controls, targets, wrong
+from thistleline.store.latest import Latest
 from thistleline.supervisor.decisions import SECOND, Keeping, State, Version, Want
 from thistleline.supervisor.releases import Releases, Unfit, digest_of, forms_of
 from thistleline.supervisor.service import StewardService
 from thistleline.supervisor.settings import unfit_settings
-from thistleline.store.latest import Latest
 
 OLD, NEW = Version("1", "a"), Version("2", "b")
 
@@ -94,9 +94,7 @@
             new = k < 6
             tasks, served = (40, chance.gauss(0.75, 0.03)) if new else (54, chance.gauss(0.86, 0.02))
             rejected = 0.22 if new else 0.09
-            told.append(
-                Slot(f"s{k}", f"z{k % 3}", new, False, tasks, served, rejected, 0.02, 0.1, 0.3, 0, 0)
-            )
+            told.append(Slot(f"s{k}", f"z{k % 3}", new, False, tasks, served, rejected, 0.02, 0.1, 0.3, 0, 0))
         judge.take(told, [f"s{k}" for k in range(6)])
         verdict = judge.verdict({f"s{k}": f"z{k % 3}" for k in range(6)})[0]
         if verdict != "can't tell":
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -4,14 +4,14 @@
 
 import pytest
 
+from thistleline.lab.scale import control
+from thistleline.lab.scale.members import word_bytes
+from thistleline.lab.scale.slopes import Row, judge, steps_of
 from thistleline.rollout import controller as conducting
-from thistleline.rollout.controller import Conducting
 from thistleline.rollout.canary import Judge
+from thistleline.rollout.controller import Conducting
 from thistleline.rollout.record import ORDER_KEY
 from thistleline.rollout.service import Records
-from thistleline.lab.scale import control
-from thistleline.lab.scale.members import word_bytes
-from thistleline.lab.scale.slopes import Row, judge, steps_of
 from thistleline.supervisor.decisions import Keeping, Want
 from thistleline.supervisor.releases import Releases
 from thistleline.supervisor.service import POLL
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -23,8 +23,8 @@
     words,
 )
 from thistleline.interface import Bench
-from thistleline.server.configuration import Configuration, read_configuration
 from thistleline.policy import SECOND
+from thistleline.server.configuration import Configuration, read_configuration
 from thistleline.wire.settings import Malformed
 
 # Keys without which nothing can be decided; all others may be left out.
--- a/tests/test_state_machine.py
+++ b/tests/test_state_machine.py
@@ -5,9 +5,9 @@
 import pytest
 
 from tests.host import BOOKING, LOOKUP, Desk, task
+from thistleline.policy import MS, SECOND
 from thistleline.state import state_machine as memory
 from thistleline.state.state_machine import OPEN_BOUND
-from thistleline.policy import MS, SECOND
 
 # ---- a task gets its one answer
 
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -10,11 +10,11 @@
 from pathlib import Path
 from typing import Any
 
-from thistleline.consensus.messages import Ballot, Base, Entry, Member
-from thistleline.consensus.store import CouncilStore
-from thistleline.consensus.replica import Spans, Voter
 from thistleline.config_feed.archive import Archive
 from thistleline.config_feed.table import Table
+from thistleline.consensus.messages import Ballot, Base, Entry, Member
+from thistleline.consensus.replica import Spans, Voter
+from thistleline.consensus.store import CouncilStore
 from thistleline.ledger.state import Book, Found
 from thistleline.ledger.store import Reading, Store
 from thistleline.store.disk import Disk
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 
 from tests.host import BOOKING, LOOKUP, ORDER, FakeHost, owners, stage
+from thistleline.bench_adapter.adapter import main, seconds
 from thistleline.policy import BUCKETS, MS, SECOND
 from thistleline.wire.settings import nanos
-from thistleline.bench_adapter.adapter import main, seconds
 
 FINAL = {"reject", "abandon"}
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -12,13 +12,13 @@
 from thrift.Thrift import TMessageType, TType
 
 from tests.host import SETTINGS, TOLD, answered, asked, booking, probe, process, words
+from thistleline.policy import MS, SECOND
 from thistleline.server.clock import Clock
 from thistleline.server.configuration import read_configuration
 from thistleline.server.log import LINES_BOUND, Log
-from thistleline.policy import MS, SECOND
 from thistleline.wire import agent, announce, thrift
-from thistleline.wire.settings import Malformed, read_bench
 from thistleline.wire.buffer import Buffer
+from thistleline.wire.settings import Malformed, read_bench
 
 STUBS = thrift.Stubs(read_bench(SETTINGS))
 
--- a/thistleline/cli/feed.py
+++ b/thistleline/cli/feed.py
@@ -13,8 +13,8 @@
 import orjson
 
 from thistleline.cli.fleet import Unusable, conf_of, logger, named, tell
-from thistleline.config_feed.limits import CHANGE_BOUND, ITEMS_BOUND
 from thistleline.config_feed.client import FeedClient, look_each, propose, snapshot
+from thistleline.config_feed.limits import CHANGE_BOUND, ITEMS_BOUND
 from thistleline.config_feed.lookups import written
 from thistleline.config_feed.messages import Item, Looked, Propose
 from thistleline.config_feed.table import MADE
--- a/thistleline/cli/lease.py
+++ b/thistleline/cli/lease.py
@@ -11,8 +11,8 @@
 
 from thistleline.cli.fleet import ask, tell, voters_of, where, with_council
 from thistleline.lease.client import Council
-from thistleline.lease.session import Held, Lost, Refused, lease
 from thistleline.lease.protocol import LENGTH_LEAST, LENGTH_MOST, Break, Done, Listed, Release, Show, Shown
+from thistleline.lease.session import Held, Lost, Refused, lease
 
 LOST, REFUSED = 75, 69  # exit codes of `take`, as sysexits.h has them: try again; not to be had
 LENGTHS = click.FloatRange(LENGTH_LEAST / 1e9, LENGTH_MOST / 1e9)
--- a/thistleline/cli/ledger.py
+++ b/thistleline/cli/ledger.py
@@ -52,7 +52,9 @@
         for number, effect in book.effects.items()
         if effect.how is not None
     ] + [
-        ledger_format.Outcome(number, ledger_format.HOW.index("doubtful"), ledger_format.DOUBT.pack(effect.doubt))
+        ledger_format.Outcome(
+            number, ledger_format.HOW.index("doubtful"), ledger_format.DOUBT.pack(effect.doubt)
+        )
         for number, effect in book.effects.items()
         if effect.how is None and effect.doubt is not None
     ]
--- a/thistleline/cli/members.py
+++ b/thistleline/cli/members.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from thistleline.cli.fleet import Unusable, conf_of, logger, tell
-from thistleline.transport.address import read_address
 from thistleline.membership.messages import STATUS, Facts
+from thistleline.transport.address import read_address
 
 
 @click.group(invoke_without_command=True)
--- a/thistleline/cli/roll.py
+++ b/thistleline/cli/roll.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from thistleline.cli.fleet import Unusable, ask, conf_of, logger, tell, voters_of, where
-from thistleline.rollout.record import KEY, ORDER_KEY, STAGES, Order, Roll, wrong
 from thistleline.lease.protocol import Get, Got, Put
+from thistleline.rollout.record import KEY, ORDER_KEY, STAGES, Order, Roll, wrong
 from thistleline.supervisor.decisions import Version
 from thistleline.supervisor.releases import Unfit, digest_of, forms_of
 from thistleline.supervisor.service import digest_of_settings, settings_key
--- a/thistleline/cli/steward.py
+++ b/thistleline/cli/steward.py
@@ -5,8 +5,8 @@
 import click
 
 from thistleline.cli.fleet import Unusable, conf_of, logger
-from thistleline.supervisor.releases import Releases, Unfit, digest_of
 from thistleline.store.disk import Held
+from thistleline.supervisor.releases import Releases, Unfit, digest_of
 
 
 @click.command()
--- a/thistleline/config_feed/archive.py
+++ b/thistleline/config_feed/archive.py
@@ -22,8 +22,8 @@
 
 import msgspec
 
-from thistleline.config_feed.limits import PART_SIZE
 from thistleline.config_feed.history import Items, size_of
+from thistleline.config_feed.limits import PART_SIZE
 from thistleline.config_feed.messages import Kind
 from thistleline.config_feed.table import APART, Table
 from thistleline.store.disk import Disk
@@ -173,9 +173,7 @@
         return data if self.log_size + len(data) <= max(LOG_LEAST, self.snapshot_size) else b""
 
     def _of_kind(self, items: Items) -> Items:
-        return (
-            items if self.kind == "all" else tuple(item for item in items if not item[0].startswith(APART))
-        )
+        return items if self.kind == "all" else tuple(item for item in items if not item[0].startswith(APART))
 
     def _rewrite(self, table: Table) -> None:
         disk = self.disk
--- a/thistleline/config_feed/client.py
+++ b/thistleline/config_feed/client.py
@@ -17,14 +17,14 @@
 import anyio
 import anyio.abc
 
-from thistleline.config_feed.follower import Follower
+from thistleline.config_feed.archive_writer import Persist
 from thistleline.config_feed.connections import Rounds, Up, ask
+from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.lookups import Found, Lookups
 from thistleline.config_feed.messages import Delta, Kind, Look, Looked, Propose, Proposed
-from thistleline.config_feed.archive_writer import Persist
 from thistleline.config_feed.table import Table
-from thistleline.transport.address import Address
 from thistleline.store.clock import boot_now
+from thistleline.transport.address import Address
 
 BELOW = 64  # the level of one that holds all and serves nobody
 ASK_SPAN, PROPOSE_SPAN = 2.0, 4.0  # s for one question, for one try of a proposal
--- a/thistleline/config_feed/connections.py
+++ b/thistleline/config_feed/connections.py
@@ -16,11 +16,11 @@
 
 from thistleline.config_feed.limits import BEAT, MESSAGE_BOUND, MS, SECOND, STALL
 from thistleline.config_feed.messages import Delta, Part, decode_source, encode
+from thistleline.store.clock import boot_now
 from thistleline.transport.address import Address
 from thistleline.transport.codec import Hello, Unpacker, common_form, sealed
 from thistleline.transport.disconnects import ENDS, ends
 from thistleline.transport.handshake import receive_hello
-from thistleline.store.clock import boot_now
 
 PIECE = 1 << 18  # bytes read or handed over at once
 PATIENCE = 1.5  # s for a connection and its greeting
@@ -139,7 +139,6 @@
             self.more = anyio.Event()
             await self.more.wait()
 
-
     def stalls(self, now: int) -> bool:
         """Whether the peer has taken nothing for too long."""
         return 0 < self.since < now - STALL
--- a/thistleline/config_feed/lookups.py
+++ b/thistleline/config_feed/lookups.py
@@ -12,8 +12,8 @@
 from itertools import islice
 from typing import Any, NamedTuple
 
-from thistleline.config_feed.limits import ASKED_BOUND, KEY_BOUND, STALL, TENANTS_CACHE
 from thistleline.config_feed.follower import Follower
+from thistleline.config_feed.limits import ASKED_BOUND, KEY_BOUND, STALL, TENANTS_CACHE
 from thistleline.config_feed.messages import AskTenants, Delta, Tenants
 from thistleline.config_feed.table import TENANT
 
--- a/thistleline/config_feed/relay.py
+++ b/thistleline/config_feed/relay.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from thistleline.config_feed.limits import FOLLOWERS_BOUND
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.history import History, Items
+from thistleline.config_feed.limits import FOLLOWERS_BOUND
 from thistleline.config_feed.messages import Follow, Propose, Proposed
 from thistleline.config_feed.source import Source
 from thistleline.config_feed.table import Table
--- a/thistleline/config_feed/service.py
+++ b/thistleline/config_feed/service.py
@@ -18,21 +18,21 @@
 
 from thistleline.config.schema import Council as CouncilConf
 from thistleline.config.schema import Feed
-from thistleline.config_feed.limits import ID_BOUND, MADE_SLOTS, MESSAGE_BOUND, SECOND
+from thistleline.config_feed.archive_writer import Persist
 from thistleline.config_feed.connections import PIECE, Encoder, Peer, Rounds, Up, each_look
+from thistleline.config_feed.limits import ID_BOUND, MADE_SLOTS, MESSAGE_BOUND, SECOND
 from thistleline.config_feed.messages import Look, Looked, Propose, Proposed, decode_follower
-from thistleline.config_feed.archive_writer import Persist
 from thistleline.config_feed.relay import Station
 from thistleline.config_feed.table import Table
 from thistleline.lease.client import Council
 from thistleline.lease.holder import Hold
-from thistleline.lease.session import Keeper as Holding
 from thistleline.lease.protocol import Denied, Done, Get, Got
+from thistleline.lease.session import Keeper as Holding
+from thistleline.store.clock import boot_now
 from thistleline.transport.address import Address
 from thistleline.transport.codec import Hello, Unpacker, Unreadable, common_form, sealed
 from thistleline.transport.disconnects import ends
 from thistleline.transport.handshake import receive_hello
-from thistleline.store.clock import boot_now
 
 LEASE = "feed"
 HELLO_SPAN = 2.0  # s
--- a/thistleline/config_feed/source.py
+++ b/thistleline/config_feed/source.py
@@ -15,6 +15,7 @@
 from dataclasses import dataclass, field, fields
 from typing import Any, Literal
 
+from thistleline.config_feed.history import History, cost_of
 from thistleline.config_feed.limits import (
     ASKED_BOUND,
     BEAT,
@@ -25,7 +26,6 @@
     SECOND,
     STALL,
 )
-from thistleline.config_feed.history import History, cost_of
 from thistleline.config_feed.messages import (
     AskTenants,
     Beat,
--- a/thistleline/config_feed/writer.py
+++ b/thistleline/config_feed/writer.py
@@ -20,6 +20,7 @@
 
 import msgspec
 
+from thistleline.config_feed.history import History, Items
 from thistleline.config_feed.limits import (
     GROUP_BOUND,
     MADE_SLOTS,
@@ -30,10 +31,9 @@
     SECOND,
     STALL,
 )
-from thistleline.config_feed.validation import fault
-from thistleline.config_feed.history import History, Items
 from thistleline.config_feed.messages import Change, Group, Propose, Proposed, decode_group, encode
 from thistleline.config_feed.table import MADE, Table
+from thistleline.config_feed.validation import fault
 from thistleline.lease.protocol import Put
 
 LEASE = "feed"
--- a/thistleline/handover/service.py
+++ b/thistleline/handover/service.py
@@ -17,6 +17,9 @@
 import msgspec
 from anyio.abc import TaskGroup
 
+from thistleline.config.schema import Conf
+from thistleline.durable import writer as ledger_writer
+from thistleline.durable.writer import hold, store_of
 from thistleline.handover import channel as lines
 from thistleline.handover.channel import Line
 from thistleline.handover.messages import (
@@ -38,17 +41,14 @@
 )
 from thistleline.handover.serving import tell_owner
 from thistleline.handover.state_machine import ELDER, Succeeding
-from thistleline.config.schema import Conf
 from thistleline.interface import Task
-from thistleline.durable import writer as ledger_writer
-from thistleline.durable.writer import hold, store_of
 from thistleline.ledger import format as ledger_format
 from thistleline.server.configuration import Unusable
 from thistleline.server.service import Service
-from thistleline.transport.codec import Unreadable
 from thistleline.state.state_machine import Reducer
 from thistleline.store.clock import boot_now
 from thistleline.store.frames import Damaged
+from thistleline.transport.codec import Unreadable
 
 AGAIN = 0.2  # s after 'later', before the heir asks again
 HOLD_SPAN = 3.0  # s in which the ledger of one that has just died comes free
--- a/thistleline/handover/state_machine.py
+++ b/thistleline/handover/state_machine.py
@@ -37,9 +37,9 @@
 from dataclasses import replace
 from typing import Any, Literal
 
-from thistleline.interface import Task
 from thistleline.durable.reducer import KeepingReducer
 from thistleline.durable.served_value import Worth
+from thistleline.interface import Task
 from thistleline.ledger.state import Book
 from thistleline.state.state_machine import SECOND, Effect, Reducer
 from thistleline.state.tables import Connection, Run, Try
--- a/thistleline/lab/conductorworld.py
+++ b/thistleline/lab/conductorworld.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable, Iterator
 from typing import Any, Literal
 
-from thistleline.rollout.controller import SECOND, Conducting, Spans
 from thistleline.rollout.canary import Finding, Judge, Verdict
+from thistleline.rollout.controller import SECOND, Conducting, Spans
 from thistleline.rollout.record import Order, Roll, Seen
 from thistleline.supervisor.decisions import Version
 
--- a/thistleline/lab/feedfleet.py
+++ b/thistleline/lab/feedfleet.py
@@ -13,8 +13,8 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from thistleline.config_feed.limits import MADE_SLOTS
 from thistleline.config_feed.client import Following, look, propose, snapshot
+from thistleline.config_feed.limits import MADE_SLOTS
 from thistleline.config_feed.messages import Item, Looked, Propose, Proposed
 from thistleline.config_feed.table import Table
 from thistleline.lab.harness import Fleet, Hung, Process, free_port
--- a/thistleline/lab/feedrun.py
+++ b/thistleline/lab/feedrun.py
@@ -18,9 +18,9 @@
 from typing import Any, ClassVar, Protocol
 
 from thistleline.config_feed import follower as following
-from thistleline.config_feed.limits import MADE_SLOTS, MS, SECOND
 from thistleline.config_feed.client import PAUSE, PROPOSE_SPAN, Asking
 from thistleline.config_feed.follower import Follower
+from thistleline.config_feed.limits import MADE_SLOTS, MS, SECOND
 from thistleline.config_feed.lookups import Lookups
 from thistleline.config_feed.messages import Change, Delta, Group, Kind, Part, Propose, Proposed, encode
 from thistleline.config_feed.relay import Station
@@ -28,10 +28,10 @@
 from thistleline.config_feed.writer import LEASE, key_of
 from thistleline.lab.mutants import without
 from thistleline.lease.holder import Hold
+from thistleline.lease.liveness import Watch
+from thistleline.lease.protocol import Answer, Denied, Keep, Kept, Op, Put
 from thistleline.lease.table import Table as Leases
 from thistleline.lease.table import data_of
-from thistleline.lease.protocol import Answer, Denied, Keep, Kept, Op, Put
-from thistleline.lease.liveness import Watch
 from thistleline.transport.codec import sealed
 
 HEAD = len(sealed(b""))
--- a/thistleline/lab/feedworld.py
+++ b/thistleline/lab/feedworld.py
@@ -12,14 +12,23 @@
 from typing import Any, NamedTuple
 
 from thistleline.config_feed.limits import SECOND
-from thistleline.config_feed.messages import Change, Delta, Group, Part, Propose, Proposed, decode_group, encode
+from thistleline.config_feed.messages import (
+    Change,
+    Delta,
+    Group,
+    Part,
+    Propose,
+    Proposed,
+    decode_group,
+    encode,
+)
 from thistleline.config_feed.relay import Station
 from thistleline.config_feed.table import APART, Table
 from thistleline.config_feed.writer import LEASE, key_of
 from thistleline.lab.feedrun import Instance
+from thistleline.lease.protocol import Break, Denied, Granted, Put, Take
 from thistleline.lease.table import Table as Council
 from thistleline.lease.table import data_of
-from thistleline.lease.protocol import Break, Denied, Granted, Put, Take
 
 TICK = 600_000_000  # ns: a beat is due
 SPENT = ("changes", "again", "ends", "restarts", "losses", "moves", "ticks", "damages", "looks")
--- a/thistleline/lab/leasecost.py
+++ b/thistleline/lab/leasecost.py
@@ -9,12 +9,12 @@
 from typing import Any
 
 from thistleline.consensus.messages import Base, Entry, Member, Tail
-from thistleline.consensus.store import CouncilStore
 from thistleline.consensus.replica import Spans, Voter, Work
+from thistleline.consensus.store import CouncilStore
 from thistleline.lab.virtual import MS, VirtualCouncil
+from thistleline.lease.protocol import Granted, Keep, Kept, Op, Release, Take
 from thistleline.lease.server import Office
 from thistleline.lease.table import Table, data_of
-from thistleline.lease.protocol import Granted, Keep, Kept, Op, Release, Take
 from thistleline.lease.wire import Reply, Request, encode
 from thistleline.store.disk import Disk
 
--- a/thistleline/lab/ledger.py
+++ b/thistleline/lab/ledger.py
@@ -25,8 +25,8 @@
 from thistleline.lab.farm import FarmStandIn, Ran
 from thistleline.lab.harness import free_port
 from thistleline.ledger import format as ledger_format
-from thistleline.ledger.state import Book
 from thistleline.ledger.format import Intent, Outcome
+from thistleline.ledger.state import Book
 from thistleline.ledger.store import Store
 from thistleline.store.clock import boot_now
 from thistleline.store.disk import Disk
--- a/thistleline/lab/machines.py
+++ b/thistleline/lab/machines.py
@@ -18,12 +18,12 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from thistleline.rollout.record import KEY, ORDER_KEY, Order, Roll
 from thistleline.lab.caller import Caller
 from thistleline.lab.farm import FarmStandIn
 from thistleline.lab.harness import Fleet, Hung, Process, free_port
 from thistleline.lab.ledger import SETTINGS, judge
 from thistleline.lease.protocol import Get, Got, Put
+from thistleline.rollout.record import KEY, ORDER_KEY, Order, Roll
 from thistleline.supervisor.decisions import Version
 from thistleline.supervisor.releases import Releases
 
--- a/thistleline/lab/mutants.py
+++ b/thistleline/lab/mutants.py
@@ -21,12 +21,12 @@
     settle,
 )
 from thistleline.lease import holder as holding
-from thistleline.lease import table as tables
 from thistleline.lease import protocol as terms
+from thistleline.lease import table as tables
 from thistleline.lease.fencing import Marks
 from thistleline.lease.holder import Hold
-from thistleline.lease.table import Table
 from thistleline.lease.liveness import Watch
+from thistleline.lease.table import Table
 
 DEPTH = 40
 FAST_LEADER = (5, 4, 4, 3, 3)  # the leader's clock a quarter fast, the holders' a quarter slow
--- a/thistleline/lab/polledrun.py
+++ b/thistleline/lab/polledrun.py
@@ -17,8 +17,8 @@
 from thistleline.config_feed.limits import MS, SECOND
 from thistleline.config_feed.messages import Propose
 from thistleline.lab.feedrun import HEAD, LINE, PLENTY, SYNC, Clock, delays
-from thistleline.lease.table import Table, data_of
 from thistleline.lease.protocol import VALUE_BOUND, Done, Get, Got, Put
+from thistleline.lease.table import Table, data_of
 from thistleline.lease.wire import Reply, Request, encode
 from thistleline.supervisor.decisions import Version, Want
 from thistleline.supervisor.service import POLL, digest_of_settings, settings_key, want_key
@@ -233,4 +233,3 @@
     def totals(self) -> tuple[int, int, int]:
         """At the leader reads and bytes, of all instances together bytes."""
         return self.reads, self.bytes, sum(steward.bytes for steward in self.stewards)
-
--- a/thistleline/lab/scale/__init__.py
+++ b/thistleline/lab/scale/__init__.py
@@ -66,9 +66,7 @@
             yield _part(module).measure(quick, seed, tell)
 
 
-def run(
-    quick: bool, seed: int, tell: Callable[[str], None], parts: tuple[str, ...] = ()
-) -> dict[str, Any]:
+def run(quick: bool, seed: int, tell: Callable[[str], None], parts: tuple[str, ...] = ()) -> dict[str, Any]:
     """All figures of these parts, or of all; bars, whether they held, and the rows for the page."""
     rows: dict[str, list[Row]] = {}
     figures: dict[str, Any] = {}
--- a/thistleline/lab/scale/control.py
+++ b/thistleline/lab/scale/control.py
@@ -20,9 +20,6 @@
 import anyio
 import msgspec
 
-from thistleline.rollout.controller import SECOND, Conducting, Spans
-from thistleline.rollout.record import KEY, ORDER_KEY, STAGES, Roll, Seen
-from thistleline.rollout.service import ConductorService, encode
 from thistleline.config.schema import Conductor, check
 from thistleline.lab.harness import Fleet, Process, folder_of
 from thistleline.lab.machines import ROOT, Machines
@@ -47,10 +44,13 @@
 from thistleline.lease.protocol import Answer, Get, Got, Op
 from thistleline.lease.wire import Reply, Request
 from thistleline.lease.wire import encode as encode_client
-from thistleline.transport.codec import sealed
+from thistleline.rollout.controller import SECOND, Conducting, Spans
+from thistleline.rollout.record import KEY, ORDER_KEY, STAGES, Roll, Seen
+from thistleline.rollout.service import ConductorService, encode
 from thistleline.supervisor.decisions import GOOD_SPAN, Keeping, State, Version, Want
 from thistleline.supervisor.releases import RUN, Releases
 from thistleline.supervisor.service import POLL, StewardService, want_key
+from thistleline.transport.codec import sealed
 from thistleline.zones.decision import Deciding, Rules, Table
 from thistleline.zones.status import FRESH_SPAN, Pictures, Report
 
--- a/thistleline/lab/scale/council.py
+++ b/thistleline/lab/scale/council.py
@@ -1,8 +1,8 @@
 """The council by voters, by reads and writes in a round, by records and leases: messages, bytes, time.
 
-The reducers that run (consensus/replica.py under lease/server.py), in virtual time with no heartbeat in between,
-so that a round is counted alone. The long run adds a council of three real processes under reads and writes
-at fixed rates, with the leader's processor time from /proc.
+The reducers that run (consensus/replica.py under lease/server.py), in virtual time with no heartbeat in
+between, so that a round is counted alone. The long run adds a council of three real processes under reads
+and writes at fixed rates, with the leader's processor time from /proc.
 """
 
 import time
@@ -24,15 +24,15 @@
 from thistleline.lab.scale.slopes import Part, Row, Shape, cpu_of, judge, loop_cpu, memory_of
 from thistleline.lab.virtual import MS, VirtualCouncil
 from thistleline.lease.client import Council
+from thistleline.lease.protocol import VALUE_BOUND, Done, Get, Got, Granted, Keep, Kept, Op, Put, Take
 from thistleline.lease.server import Office
 from thistleline.lease.service import CONNECTIONS_BOUND
 from thistleline.lease.table import NAMES_BOUND, RECORDS_BOUND, RECORDS_SIZE, Table, data_of, fault
-from thistleline.lease.protocol import VALUE_BOUND, Done, Get, Got, Granted, Keep, Kept, Op, Put, Take
 from thistleline.lease.wire import Reply, Request, decode_request, decode_voter, encode
-from thistleline.transport.codec import sealed
 from thistleline.supervisor.decisions import Version, Want
 from thistleline.supervisor.service import POLL, want_key
 from thistleline.supervisor.settings import SIZE_BOUND
+from thistleline.transport.codec import sealed
 
 NAME = "council"
 FULL = "stewards that fill the leader's core"
--- a/thistleline/lab/scale/feed.py
+++ b/thistleline/lab/scale/feed.py
@@ -460,9 +460,7 @@
         fleet.at(at, fleet.propose, propose)
     fleet.run(began + int(seconds * SECOND))
     spent = (fleet.now - began) / SECOND
-    reads, leader, instances = (
-        (new - old) / spent for old, new in zip(before, fleet.totals(), strict=True)
-    )
+    reads, leader, instances = ((new - old) / spent for old, new in zip(before, fleet.totals(), strict=True))
     settled = fleet.settle()
     return {
         "changes": fleet.changes,
--- a/thistleline/lab/scale/feedsockets.py
+++ b/thistleline/lab/scale/feedsockets.py
@@ -40,8 +40,8 @@
 from thistleline.lab.scale.size import size
 from thistleline.lab.scale.slopes import Part, Row
 from thistleline.lease.protocol import Done, Put
-from thistleline.transport.address import Address
 from thistleline.store.disk import Disk
+from thistleline.transport.address import Address
 
 NAME = "feed on sockets"
 SIZES = [35, 75, 150, 350, 735]  # followers of the region
--- a/thistleline/lab/scale/followers.py
+++ b/thistleline/lab/scale/followers.py
@@ -20,8 +20,8 @@
 from anyio.abc import TaskGroup
 
 from thistleline.config_feed import client as clients
-from thistleline.config_feed import follower as following
 from thistleline.config_feed import connections as link
+from thistleline.config_feed import follower as following
 from thistleline.config_feed.client import FeedClient
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.lookups import Lookups
--- a/thistleline/lab/scale/members.py
+++ b/thistleline/lab/scale/members.py
@@ -21,9 +21,17 @@
 from thistleline.lab.scale import slopes
 from thistleline.lab.scale.size import size
 from thistleline.lab.scale.slopes import Kind, Part, Row, Shape, cpu_of, judge, loop_cpu, memory_of
-from thistleline.server.service import FIGURES_EVERY
 from thistleline.membership import view as view_module
-from thistleline.membership.gossip import FORGET_AFTER, HEAD, JOIN_PAUSE, MS, SECOND, SPREAD_TIMES, Gossip, Spans
+from thistleline.membership.gossip import (
+    FORGET_AFTER,
+    HEAD,
+    JOIN_PAUSE,
+    MS,
+    SECOND,
+    SPREAD_TIMES,
+    Gossip,
+    Spans,
+)
 from thistleline.membership.messages import (
     ALIVE,
     SIZE_BOUND,
@@ -37,6 +45,7 @@
     encode,
 )
 from thistleline.membership.view import BUCKETS, MEMBERS_BOUND, View
+from thistleline.server.service import FIGURES_EVERY
 
 NAME = "members"
 
--- a/thistleline/lab/scale/page.py
+++ b/thistleline/lab/scale/page.py
@@ -121,9 +121,7 @@
 def tables(runs: Runs, plan: dict[str, Any]) -> dict[str, str]:
     """By name."""
     measured = Measured(plan["size"], runs.rows, runs.figures)
-    found = {
-        part: part_table(rows, runs.figures[part].get("loop_s")) for part, rows in runs.rows.items()
-    }
+    found = {part: part_table(rows, runs.figures[part].get("loop_s")) for part, rows in runs.rows.items()}
 
     def amount(value: float | None) -> str:
         return "not measured" if value is None else number(value)
--- a/thistleline/lab/scale/settings_costs.py
+++ b/thistleline/lab/scale/settings_costs.py
@@ -6,9 +6,6 @@
 
 import msgspec
 
-from thistleline.rollout.controller import SECOND, Conducting, Spans
-from thistleline.rollout.record import STAGES, Order, Roll, Seen
-from thistleline.rollout.service import POLL as LOOK
 from thistleline.lab.scale.settings_text import text_of
 from thistleline.lab.scale.size import size
 from thistleline.lab.scale.slopes import (
@@ -24,6 +21,9 @@
     steps_of,
 )
 from thistleline.lease.table import RECORDS_BOUND, RECORDS_SIZE
+from thistleline.rollout.controller import SECOND, Conducting, Spans
+from thistleline.rollout.record import STAGES, Order, Roll, Seen
+from thistleline.rollout.service import POLL as LOOK
 from thistleline.supervisor.decisions import Version, Want
 from thistleline.supervisor.settings import SIZE_BOUND, unfit_settings
 from thistleline.wire.settings import read_bench
@@ -155,11 +155,26 @@
         name = f"a change: {name} by instance"
         return row(name, "count", unit, "instance", fleets, values, instances, note=note)
 
-    found.append(change("the conductor's looks", "looks", [one.looks for one in carried],
-                        "one server down at once, each up again by the next look, nothing to judge"))
-    found.append(row("a change, all down at once: the conductor's looks by instance", "count", "looks",
-                     "instance", fleets, [Carried(n, n).carry().looks for n in fleets], instances,
-                     note="a look waits for the council's answer to every want, which is not in it"))
+    found.append(
+        change(
+            "the conductor's looks",
+            "looks",
+            [one.looks for one in carried],
+            "one server down at once, each up again by the next look, nothing to judge",
+        )
+    )
+    found.append(
+        row(
+            "a change, all down at once: the conductor's looks by instance",
+            "count",
+            "looks",
+            "instance",
+            fleets,
+            [Carried(n, n).carry().looks for n in fleets],
+            instances,
+            note="a look waits for the council's answer to every want, which is not in it",
+        )
+    )
     found.append(change("wants written", "records", [one.wants for one in carried], "each by the council"))
     found.append(change("bytes of the wants", "bytes", [one.want_bytes for one in carried], ""))
     found.append(change("bytes of the roll's records", "bytes", [one.roll_bytes for one in carried],
--- a/thistleline/lab/server.py
+++ b/thistleline/lab/server.py
@@ -28,9 +28,9 @@
 
 import anyio
 
-from thistleline.handover.service import AttendedService
 from thistleline.config.schema import read_conf
 from thistleline.durable import writer as ledger_writer
+from thistleline.handover.service import AttendedService
 from thistleline.ledger import store
 from thistleline.server import service
 from thistleline.server.configuration import Unusable, read_configuration
@@ -127,8 +127,8 @@
 
 def keep_right() -> None:
     """Leaves a protection out: one that has handed over takes and starts tasks as before."""
-    from thistleline.handover.state_machine import Succeeding
     from thistleline.durable.served_value import Worth
+    from thistleline.handover.state_machine import Succeeding
     from thistleline.state.state_machine import Reducer
 
     def launch(self: Succeeding, task: str, run: Any) -> None:
--- a/thistleline/lease/liveness.py
+++ b/thistleline/lease/liveness.py
@@ -6,8 +6,8 @@
 
 from heapq import heappop, heappush
 
-from thistleline.lease.table import Table
 from thistleline.lease.protocol import WAITER_SPAN, Expire, Release
+from thistleline.lease.table import Table
 
 AGAIN = 1_000_000_000  # ns until what was proposed and is not decided is proposed again
 
--- a/thistleline/lease/server.py
+++ b/thistleline/lease/server.py
@@ -10,7 +10,7 @@
 
 from thistleline.consensus.messages import Member
 from thistleline.consensus.replica import Effect, Voter
-from thistleline.lease.table import Table, data_of, fault
+from thistleline.lease.liveness import Watch
 from thistleline.lease.protocol import (
     DECISIONS,
     Change,
@@ -28,7 +28,7 @@
     Stands,
     Status,
 )
-from thistleline.lease.liveness import Watch
+from thistleline.lease.table import Table, data_of, fault
 
 LIST_BOUND = 1000
 OWN = None  # the ticket of what the office itself proposes
--- a/thistleline/lease/service.py
+++ b/thistleline/lease/service.py
@@ -15,11 +15,13 @@
 
 from thistleline.config.schema import Council
 from thistleline.consensus.messages import Append, Base
-from thistleline.consensus.store import CouncilStore
 from thistleline.consensus.replica import Spans, Voter, Work
+from thistleline.consensus.store import CouncilStore
 from thistleline.lease.server import Office
 from thistleline.lease.table import Table
 from thistleline.lease.wire import Hint, Reply, decode_request, decode_voter, encode
+from thistleline.store.clock import boot_now, wall_ms
+from thistleline.store.disk import Disk
 from thistleline.transport.address import Address, read_address
 from thistleline.transport.codec import (
     CLIENT_BOUND,
@@ -30,11 +32,9 @@
     common_form,
     sealed,
 )
+from thistleline.transport.connection import STALL, Link
 from thistleline.transport.disconnects import ends
 from thistleline.transport.handshake import receive_hello
-from thistleline.transport.connection import STALL, Link
-from thistleline.store.clock import boot_now, wall_ms
-from thistleline.store.disk import Disk
 
 MS = 1_000_000
 STANDSTILL = 100 * MS  # after one as long all that lies unread is read first, then the clock is heeded
--- a/thistleline/lease/session.py
+++ b/thistleline/lease/session.py
@@ -111,9 +111,7 @@
     else after it last heard of this holder; the right is three fifths of that. Raises Refused before the
     block; Lost after it, where it was cancelled as the lease had ended. What the block raises goes on."""
 
-    def __init__(
-        self, council: Council, name: str, length: float, wait: bool = True, who: str = ""
-    ) -> None:
+    def __init__(self, council: Council, name: str, length: float, wait: bool = True, who: str = "") -> None:
         self.council, self.name, self.length, self.wait = council, name, int(length * SECOND), wait
         self.who = (who or socket.gethostname())[:60]
         self.chance = Random(os.urandom(8))
--- a/thistleline/membership/service.py
+++ b/thistleline/membership/service.py
@@ -12,10 +12,10 @@
 from anyio.abc import UDPSocket
 
 from thistleline.config.schema import Members
-from thistleline.transport.address import read_address
 from thistleline.membership.gossip import Gossip, Spans
 from thistleline.membership.messages import Facts, Message, Word, decode, encode
 from thistleline.store.clock import boot_now, wall_ms
+from thistleline.transport.address import read_address
 
 STANDSTILL = 200_000_000  # ns; after one as long all that lies unread is read first
 READ_FIRST = 8  # turns of the loop
--- a/thistleline/rollout/service.py
+++ b/thistleline/rollout/service.py
@@ -6,17 +6,17 @@
 import anyio
 import msgspec
 
-from thistleline.rollout.controller import Conducting, Spans
-from thistleline.rollout.record import KEY, LEASE, ORDER_KEY, Order, Roll, Seen
 from thistleline.config.schema import Conductor, Conf
 from thistleline.lease.client import Council
-from thistleline.lease.session import Held, Lost, Refused, lease
 from thistleline.lease.protocol import Denied, Done, Elsewhere, Get, Got, Put
+from thistleline.lease.session import Held, Lost, Refused, lease
 from thistleline.membership.messages import ALIVE, DEAD, Facts
 from thistleline.membership.service import MemberService
+from thistleline.rollout.controller import Conducting, Spans
+from thistleline.rollout.record import KEY, LEASE, ORDER_KEY, Order, Roll, Seen
+from thistleline.store.clock import boot_now, wall_ms
 from thistleline.supervisor.decisions import Version, Want
 from thistleline.supervisor.service import want_key
-from thistleline.store.clock import boot_now, wall_ms
 
 POLL = 0.2  # s
 SPAN = 8.0  # s in which the council has to decide a write, else the lease is given back
--- a/thistleline/state/state_machine.py
+++ b/thistleline/state/state_machine.py
@@ -35,9 +35,9 @@
 from typing import Any
 
 from thistleline.interface import Bench, CameIn, Task
+from thistleline.policy import Policy
 from thistleline.state.phases import Phases
 from thistleline.state.tables import Alarms, Connection, Entries, Key, Run, Try, key_of
-from thistleline.policy import Policy
 
 MS, SECOND = 1_000_000, 1_000_000_000
 OPEN_BOUND = 32  # tasks in hand on a connection; past it the connection is not read
--- a/thistleline/supervisor/service.py
+++ b/thistleline/supervisor/service.py
@@ -14,17 +14,17 @@
 import msgspec
 import orjson
 
-from thistleline.handover.serving import read_owner
 from thistleline.config.schema import Conf
+from thistleline.handover.serving import read_owner
 from thistleline.lease.client import Council
 from thistleline.lease.protocol import Get, Got
 from thistleline.membership.messages import Facts
 from thistleline.membership.service import MemberService
+from thistleline.store.clock import boot_now, wall_ms
+from thistleline.store.latest import Latest
 from thistleline.supervisor.decisions import Keeping, State, Version, Want
 from thistleline.supervisor.releases import RUN, Releases, Unfit
 from thistleline.supervisor.settings import unfit_settings
-from thistleline.store.clock import boot_now, wall_ms
-from thistleline.store.latest import Latest
 
 TAIL = 0.1  # s between two looks at what the server says
 POLL = 0.25  # s between two questions to the council
--- a/thistleline/wire/agent.py
+++ b/thistleline/wire/agent.py
@@ -15,9 +15,9 @@
 from collections.abc import Iterator
 from typing import Any
 
-from thistleline.wire.settings import Malformed, nanos
 from thistleline.wire.buffer import Buffer
 from thistleline.wire.lines import LINE_BOUND, messages
+from thistleline.wire.settings import Malformed, nanos
 
 RESULT_BOUND = 64 * 1024
 BUFFER_BOUND = 2 * (LINE_BOUND + RESULT_BOUND)
--- a/thistleline/wire/backend.py
+++ b/thistleline/wire/backend.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterator
 from typing import Any
 
-from thistleline.wire.settings import Malformed
 from thistleline.wire.buffer import Buffer
 from thistleline.wire.lines import LINE_BOUND, messages
+from thistleline.wire.settings import Malformed
 
 RESULT_BOUND = 64 * 1024
 BUFFER_BOUND = 2 * (LINE_BOUND + RESULT_BOUND)
--- a/thistleline/wire/lines.py
+++ b/thistleline/wire/lines.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable, Iterator
 
-from thistleline.wire.settings import Malformed
 from thistleline.wire.buffer import Buffer
+from thistleline.wire.settings import Malformed
 
 LINE_BOUND = 4096
 
--- a/thistleline/wire/stub.py
+++ b/thistleline/wire/stub.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from thistleline.wire import thrift
-from thistleline.wire.settings import Malformed
 from thistleline.wire.buffer import Buffer
+from thistleline.wire.settings import Malformed
 
 ANSWER_BOUND = 256 * 1024
 
--- a/thistleline/wire/thrift.py
+++ b/thistleline/wire/thrift.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from thistleline.interface import Bench, Task
-from thistleline.wire.settings import Malformed
 from thistleline.wire.buffer import Buffer
+from thistleline.wire.settings import Malformed
 
 VERSION = 0x80010000
 CALL, REPLY, EXCEPTION, ONEWAY = 1, 2, 3, 4
