--- a/tests/host.py
+++ b/tests/host.py
@@ -20,7 +20,7 @@
 from thrift.Thrift import TMessageType, TType
 from thrift.transport.TTransport import TFramedTransport, TMemoryBuffer
 
-from thistleline.interface import Bench, Owner, Stage, Task
+from thistleline.interface import PolicyEvent, ServerSettings, Stage, Task, TaskArrived, Tenant, TimerFired
 from thistleline.policy import MS, SECOND, Policy
 from thistleline.state.phases import Phases
 from thistleline.state.state_machine import Reducer
@@ -31,66 +31,68 @@
 def stage(**changes: Any) -> Stage:
     facts: dict[str, Any] = dict(
         name="lookup",
-        due_span=1500 * MS,
-        due_stretch=0.0,
-        limit_span=4 * SECOND,
-        window=0,
-        effect="restartable",
+        latency_objective=1500 * MS,
+        objective_per_work=0.0,
+        timeout=4 * SECOND,
+        idempotency_window=0,
+        effect="idempotent",
         utility=1.0,
-        late_share=0.0,
+        late_utility_share=0.0,
         calls=False,
-        skip_share=0.0,
+        utility_share_without_call=0.0,
     )
     return Stage(**facts | changes)
 
 
 LOOKUP = stage()
-BOOKING = stage(name="booking", effect="fingerprinted", utility=4.0, window=10 * SECOND, due_span=2 * SECOND)
-ORDER = stage(name="order", effect="side-effecting", calls=True)
+BOOKING = stage(
+    name="booking", effect="keyed", utility=4.0, idempotency_window=10 * SECOND, latency_objective=2 * SECOND
+)
+ORDER = stage(name="order", effect="non_idempotent", calls=True)
 
 
-def bench(stages: tuple[Stage, ...] = (LOOKUP, BOOKING), **changes: Any) -> Bench:
+def server_settings(stages: tuple[Stage, ...] = (LOOKUP, BOOKING), **changes: Any) -> ServerSettings:
     facts: dict[str, Any] = dict(
         stages=stages,
-        owners=(),
+        tenants=(),
         cores=2,
         memory_kb=100_000.0,
-        run_factor=16.0,
-        key_kb=1.0,
-        servers=4,
-        callers=2,
-        fresh=False,
-        cold_from=0.25,
-        cold_span=10 * SECOND,
-        crowd_bound=6.0,
-        crowd_span=2 * SECOND,
+        running_memory_factor=16.0,
+        idempotency_key_kb=1.0,
+        fleet_size=4,
+        client_count=2,
+        cold_start=False,
+        cold_speed_share=0.25,
+        warmup_duration=10 * SECOND,
+        max_concurrency_per_core=6.0,
+        max_concurrency_window=2 * SECOND,
         answer_slack=80 * MS,
         drain_grace=2 * SECOND,
-        stopping="loses",
-        tells_limit=False,
-        tells_gone=True,
-        marks_repeats=True,
-        says="threshold",
-        list_follows_health=False,
-        longest_stay_away=SECOND,
-        over_share_utility=0.1,
-        answer_fresh_for=0,
-        below="none",
-        calls_out=0.0,
-        calls_span=5 * SECOND,
-        call_linger=200 * MS,
+        cancellation="abort",
+        propagates_deadline=False,
+        reports_cancellation=True,
+        marks_retries=True,
+        load_hint="threshold",
+        endpoint_list_follows_health=False,
+        max_retry_after=SECOND,
+        over_quota_utility=0.1,
+        cached_result_ttl=0,
+        downstream="none",
+        downstream_quota=0.0,
+        downstream_quota_window=5 * SECOND,
+        downstream_linger=200 * MS,
     )
-    return Bench(**facts | changes)
+    return ServerSettings(**facts | changes)
 
 
 class FakeHost:
     """Writer and clock in one; `said` lists the decisions in order."""
 
     def __init__(self, stages: tuple[Stage, ...] = (LOOKUP, BOOKING), **changes: Any) -> None:
-        self.bench = bench(stages, **changes)
+        self.settings = server_settings(stages, **changes)
         self.now = 1000 * SECOND
         self.said: list[tuple[Any, ...]] = []
-        self.policy = Policy(self.bench, 7, self.now)
+        self.policy = Policy(self.settings, 7, self.now)
         self.count = 0
         self.gauges = {"on_cores": 2.0}
         self.round()
@@ -98,25 +100,25 @@
     def __getattr__(self, decision: str) -> Any:
         return lambda *told: self.said.append((decision, *told))
 
-    def round(self, *came_in: tuple[Any, ...]) -> list[tuple[Any, ...]]:
+    def round(self, *events: PolicyEvent) -> list[tuple[Any, ...]]:
         """One round; what was decided in it, less the alarms."""
         before = len(self.said)
-        self.policy.round(self.now, list(came_in), self)
-        return [said for said in self.said[before:] if said[0] != "alarm"]
+        self.policy.round(self.now, list(events), self)
+        return [said for said in self.said[before:] if said[0] != "set_timer"]
 
     def task(self, stage: int = 0, **changes: Any) -> Task:
         self.count += 1
         return task(f"t{self.count}", changes.pop("reached", self.now), stage=stage, **changes)
 
     def read(self, *tasks: Task) -> list[tuple[Any, ...]]:
-        return self.round(*(("task", task) for task in tasks))
+        return self.round(*(TaskArrived(task) for task in tasks))
 
     def wait(self, span: int) -> None:
         """Lets time pass, with the module's own timer."""
         end = self.now + span
         while self.now < end:
             self.now += 25 * MS
-            self.round(("bell", "tick", dict(self.gauges)))
+            self.round(TimerFired("tick", dict(self.gauges)))
 
     def fates(self, task: Task) -> list[str]:
         return [said[0] for said in self.said if len(said) > 1 and said[1] == task.id]
@@ -140,8 +142,8 @@
     return Task(**facts | changes)
 
 
-def owners(*allowances: float) -> tuple[Owner, ...]:
-    return tuple(Owner(f"o{place}", 1 / len(allowances), rate) for place, rate in enumerate(allowances))
+def tenants(*allowances: float) -> tuple[Tenant, ...]:
+    return tuple(Tenant(f"o{place}", 1 / len(allowances), rate) for place, rate in enumerate(allowances))
 
 
 class Desk:
@@ -153,7 +155,7 @@
         self.now = 1000 * SECOND
         self.phases = Phases()
         self.reducer = Reducer(
-            bench(**changes),
+            server_settings(**changes),
             ("core_use", "on_cores"),
             5 * MS,
             connections,
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -16,8 +16,8 @@
 
 EXAMPLES = int(os.environ.get("THISTLELINE_EXAMPLES", "200"))
 LOST_SPAN = 50 * MS  # commands of so long before a break may be lost
-ORDER = stage(name="order", effect="side-effecting", limit_span=4 * SECOND)
-SHORT = stage(name="booking", effect="fingerprinted", window=6 * SECOND, due_span=2 * SECOND)
+ORDER = stage(name="order", effect="non_idempotent", timeout=4 * SECOND)
+SHORT = stage(name="booking", effect="keyed", idempotency_window=6 * SECOND, latency_objective=2 * SECOND)
 PLACES, BOOKINGS = st.integers(0, 3), st.integers(0, 1)
 PAUSES = st.sampled_from([10, 0, 30])  # ms
 KINDS = st.sampled_from([1, 1, 1, 0, 2])  # places of the stages
@@ -107,7 +107,7 @@
         if kind == "finished" and wanted is not None:
             assert self.results[bytes(effect[3])] == wanted, "served with another's result"
         if kind == "rejected" and wanted is not None and self.agent.known.get(id, ("",))[0] == "booking":
-            ran = [since for since in self.runs_of(wanted) if since + SHORT.window > when]
+            ran = [since for since in self.runs_of(wanted) if since + SHORT.idempotency_window > when]
             assert not ran, "turned away after it has run"
 
     def runs_of(self, wanted: Any) -> list[int]:
@@ -137,7 +137,9 @@
         if wanted[0] == "order":
             assert not earlier, "a side-effecting task ran twice"
         elif wanted[0] == "booking":
-            assert all(since >= before + SHORT.window for before in earlier), "an effect ran twice"
+            assert all(since >= before + SHORT.idempotency_window for before in earlier), (
+                "an effect ran twice"
+            )
 
     def over(self, id: str, how: str, tell: bool = True) -> None:
         del self.agent.running[id]
@@ -161,7 +163,7 @@
         self.seq += 1
         now = self.desk.now
         self.sent[connection, self.seq] = (id, wanted, now)
-        self.owed[connection, self.seq] = now + BOOKING.limit_span + 100 * MS
+        self.owed[connection, self.seq] = now + BOOKING.timeout + 100 * MS
         sent = task(id, now, stage=place)
         self.put("task", connection, self.seq, sent, mark, memoryview(body))
         self.put("drained", connection)
@@ -180,7 +182,7 @@
         self.ids.append(id)
         body, name = (
             b"body %s" % str(booking if stages == 1 else id).encode(),
-            self.desk.reducer.bench.stages[stages].name,
+            self.desk.reducer.settings.stages[stages].name,
         )
         # A side-effecting task has no further tries: each is an effect of its own.
         wanted = (name, booking if stages == 1 else id)
@@ -193,7 +195,7 @@
     ) -> None:
         """A known id, or none that is known, with its own or anybody's mark and body."""
         id = self.ids[-which % len(self.ids)] if self.ids and which else f"x{self.seq}"
-        if self.desk.now - self.last.get(id, self.desk.now) > SHORT.window:
+        if self.desk.now - self.last.get(id, self.desk.now) > SHORT.idempotency_window:
             id = f"x{self.seq}"  # ids are remembered for a while, not for ever
         its = self.agent.known.get(id, ("", b"", (0, 0)))[2][1]
         booking = its if body == "its" else body
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -19,10 +19,10 @@
     FakeAnnounce,
     Instance,
     answered,
-    bench,
     booking,
     frames,
     process,
+    server_settings,
 )
 from thistleline.cli.ledger import look, rewrite
 from thistleline.cli.main import entry
@@ -98,7 +98,16 @@
         **changes: Any,
     ) -> None:
         self.now, self.phases = now, Phases()
-        told = bench(**changes), ("core_use", "on_cores"), 5 * MS, 8, 1 << 20, 7, self.now, self.phases
+        told = (
+            server_settings(**changes),
+            ("core_use", "on_cores"),
+            5 * MS,
+            8,
+            1 << 20,
+            7,
+            self.now,
+            self.phases,
+        )
         made = KeepingReducer(*told, disk_bound=disk, boot_ahead=boot - now)
         self.reducer = self.kept = made
         self.effects, self.answers_samples, self.number, self.count = [], True, 0, 0
@@ -358,7 +367,7 @@
     desk.send(1, "mark")
     desk.wait()
     desk.die()
-    lives, span = 0, BOOKING.due_span // 2
+    lives, span = 0, BOOKING.latency_objective // 2
     for life in range(2, 60):
         boot = START + life * 200 * MS
         later = KeptDesk(tmp_path, boot=boot)
@@ -385,7 +394,7 @@
     desk.end(desk.send(1, "mark"))
     desk.wait()
     desk.die()
-    later = KeptDesk(tmp_path, boot=START + BOOKING.window + 20 * SECOND, now=900 * SECOND)
+    later = KeptDesk(tmp_path, boot=START + BOOKING.idempotency_window + 20 * SECOND, now=900 * SECOND)
     later.send(1, "mark", again=True)
     later.wait()
     assert len(later.launched()) == 1
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from thistleline.cli.main import entry
-from thistleline.interface import Bench
+from thistleline.interface import ServerSettings
 from thistleline.lab.scale import PARTS, settled, slopes
 from thistleline.lab.scale.budget import Measured, Unknown, candidates, lines
 from thistleline.lab.scale.page import PAGE, Runs, Unusable, drift, figure_tables, filled, read_runs, tables
@@ -23,10 +23,10 @@
 from thistleline.lab.scale.settings_text import text_of
 from thistleline.lab.scale.size import FOLDER, read_plan, size
 from thistleline.lab.scale.slopes import Part, Row, judge, memory_of, no_worse, row, steps_of
-from thistleline.lab.scale.tenants import bench_of, born, policy_of, steps_of_task, tick, weighings
+from thistleline.lab.scale.tenants import born, policy_of, settings_for, steps_of_task, tick, weighings
 from thistleline.policy import SECOND, TICK, WINDOW, Policy
 from thistleline.supervisor.settings import unfit_settings
-from thistleline.wire.settings import read_bench
+from thistleline.wire.settings import read_server_settings
 
 SIZES = (10, 30, 100, 300)
 SQUARE_BY_STAGE = [("tenant", "tenants", "linear"), ("stage", "routes", "square")]
@@ -185,7 +185,7 @@
 
 @pytest.mark.parametrize(("per", "at", "promised"), SQUARE_BY_STAGE)
 def test_a_start_grows_no_faster_than_it_does(per: str, at: str, promised: str) -> None:
-    benches = [bench_of(3, n, 1) if per == "tenant" else bench_of(n, 3, 1) for n in SIZES]
+    benches = [settings_for(3, n, 1) if per == "tenant" else settings_for(n, 3, 1) for n in SIZES]
     values = [steps_of(lambda bench=bench: Policy(bench, 1, SECOND)) for bench in benches]  # type: ignore[misc]
     held_to("a start", promised, SIZES, values, at)
 
@@ -202,8 +202,8 @@
 @pytest.mark.parametrize(("per", "at"), [("tenant", "tenants"), ("stage", "routes")])
 def test_reading_settings_grows_no_faster_than_they_do(per: str, at: str) -> None:
     told = [json.loads(text_of(3, n, 1) if per == "tenant" else text_of(n, 3, 1)) for n in SIZES]
-    values = [steps_of(lambda one=one: read_bench(one)) for one in told]  # type: ignore[misc]
-    held_to("read_bench", "linear", SIZES, values, at)
+    values = [steps_of(lambda one=one: read_server_settings(one)) for one in told]  # type: ignore[misc]
+    held_to("read_server_settings", "linear", SIZES, values, at)
 
 
 def test_a_change_takes_a_look_and_a_want_for_each_instance_and_no_more() -> None:
@@ -226,11 +226,11 @@
     """Looks through all owners for each task."""
 
     def _bucket(self, task: Any) -> int:
-        return super()._bucket(task) + 0 * sum(1 for owner in self.bench.owners if owner.share < 0)
+        return super()._bucket(task) + 0 * sum(1 for owner in self.settings.tenants if owner.share < 0)
 
 
 def test_a_task_that_looks_through_all_tenants_is_called_linear() -> None:
-    values = [steps_of_task(Doctored(bench_of(3, n, 1), 1, SECOND)) for n in SIZES]
+    values = [steps_of_task(Doctored(settings_for(3, n, 1), 1, SECOND)) for n in SIZES]
     found = row("a task", "count", "steps", "tenant", SIZES, values, size("tenants"))
     assert found["shape"] == "linear"
     assert not no_worse(found, "flat")
@@ -246,10 +246,10 @@
 
 
 def test_a_read_that_compares_each_with_each_is_called_square() -> None:
-    def read(bench: Bench) -> int:
+    def read(bench: ServerSettings) -> int:
         return sum(one.name == other.name for one in bench.stages for other in bench.stages)
 
-    benches = [bench_of(n, 3, 1) for n in SIZES]
+    benches = [settings_for(n, 3, 1) for n in SIZES]
     values = [steps_of(lambda bench=bench: read(bench)) for bench in benches]  # type: ignore[misc]
     found = row("read", "count", "steps", "stage", SIZES, values, size("routes"))
     assert found["shape"] == "square"
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -22,7 +22,7 @@
     start,
     words,
 )
-from thistleline.interface import Bench
+from thistleline.interface import ServerSettings
 from thistleline.policy import SECOND
 from thistleline.server.configuration import Configuration, read_configuration
 from thistleline.wire.settings import Malformed
@@ -113,12 +113,12 @@
         return read_configuration({"ROUTER_CONFIG": str(path)})
 
 
-def served(bench: Bench) -> None:
+def served(bench: ServerSettings) -> None:
     """The module decides under this bench without a fault; a task of each stage gets one answer in time."""
-    told = {name: getattr(bench, name) for name in Bench.__dataclass_fields__ if name != "stages"}
+    told = {name: getattr(bench, name) for name in ServerSettings.__dataclass_fields__ if name != "stages"}
     desk = Desk(stages=bench.stages, **told)
     for place, row in enumerate(bench.stages):
-        word = "7" if row.effect == "fingerprinted" else None
+        word = "7" if row.effect == "keyed" else None
         desk.send(place, word, stage_place=place)
     for _ in range(40):
         desk.wait(SECOND // 4)
@@ -157,7 +157,7 @@
         put(told, path, None)
     for path, name in new:
         put(told, (*path[:-1], f"new {name}"), {"and": ["more"]})
-    served(read(told).bench)
+    served(read(told).settings)
 
 
 JSON = st.recursive(
@@ -177,7 +177,7 @@
         put(told, path, value)
     bench, line = None, ""
     try:
-        bench = read(told).bench
+        bench = read(told).settings
     except Malformed as error:
         line = str(error)
     if bench is None:
--- a/tests/test_state_machine.py
+++ b/tests/test_state_machine.py
@@ -5,6 +5,7 @@
 import pytest
 
 from tests.host import BOOKING, LOOKUP, Desk, task
+from thistleline.interface import TaskArrived
 from thistleline.policy import MS, SECOND
 from thistleline.state import state_machine as memory
 from thistleline.state.state_machine import OPEN_BOUND
@@ -33,15 +34,17 @@
 
 def test_all_that_lies_read_goes_to_the_module_in_one_round(monkeypatch: pytest.MonkeyPatch) -> None:
     desk = Desk()
-    rounds: list[list[str]] = []
+    rounds: list[list[type]] = []
     monkeypatch.setattr(
-        desk.reducer.module, "round", lambda now, came_in, out: rounds.append([item[0] for item in came_in])
+        desk.reducer.module,
+        "round",
+        lambda now, came_in, out: rounds.append([type(event) for event in came_in]),
     )
     for connection in range(5):
         desk.send(connection)
     desk.wait(5 * MS)
     desk.send(1)
-    assert [came_in.count("task") for came_in in rounds] == [5]
+    assert [came_in.count(TaskArrived) for came_in in rounds] == [5]
 
 
 @pytest.mark.parametrize("late", ["the agent is not up", "the samples are not answered", "the link is lost"])
@@ -55,7 +58,7 @@
         desk.wait()
         desk.put("agent_lost", "gone")
     while len(desk.answers()) < 2:
-        assert desk.now < sent + BOOKING.limit_span
+        assert desk.now < sent + BOOKING.timeout
         desk.wait(25 * MS)
     assert "finished" not in desk.answers()
 
@@ -63,7 +66,7 @@
 def test_a_run_stopped_at_its_due_time_is_answered_once() -> None:
     desk = Desk()
     name = desk.send(1)
-    desk.wait(LOOKUP.due_span + 100 * MS)
+    desk.wait(LOOKUP.latency_objective + 100 * MS)
     assert desk.kinds("stop") == [("stop", name)]
     desk.end(name, "stopped")
     assert desk.answers() == ["abandoned"]
@@ -82,7 +85,7 @@
 def test_a_time_from_the_future_counts_as_now() -> None:
     desk = Desk()
     desk.send(1, reached=desk.now + 5 * SECOND)
-    desk.wait(LOOKUP.limit_span)
+    desk.wait(LOOKUP.timeout)
     assert len(desk.answers()) == 1
 
 
@@ -100,7 +103,7 @@
 def test_answers_carry_the_level_from_when_it_was_said() -> None:
     desk = Desk()
     assert desk.put("check", 1, 9, False) == [("health", 1, 9, True, None)]
-    desk.reducer.say(0.25)
+    desk.reducer.publish_load_hint(0.25)
     assert desk.put("check", 1, 9, False) == [("health", 1, 9, True, 0.25)]
 
 
@@ -141,7 +144,7 @@
     name = desk.send(1, "mark")
     desk.wait()
     desk.end(name)
-    desk.wait(BOOKING.window + 2 * SECOND)
+    desk.wait(BOOKING.idempotency_window + 2 * SECOND)
     desk.send(2, "mark", again=True, reached=desk.now - min(lain, 3 * SECOND))
     desk.wait()
     assert len(desk.launched()) == runs
@@ -262,7 +265,7 @@
 
 
 def test_reads_of_one_subject_share_a_run_while_it_is_fresh() -> None:
-    desk = Desk(answer_fresh_for=2 * SECOND)
+    desk = Desk(cached_result_ttl=2 * SECOND)
 
     def read(connection: int) -> str:
         name = f"r{len(desk.reducer.figures)}-{connection}"
@@ -320,7 +323,7 @@
     if told:
         desk.wait(100 * MS)
         desk.end(name)
-    desk.wait(BOOKING.due_span // 2 + 300 * MS)
+    desk.wait(BOOKING.latency_objective // 2 + 300 * MS)
     desk.send(2, "mark", again=True)
     desk.wait()
     assert desk.launched() == [name]
@@ -331,7 +334,7 @@
 def test_a_stop_lost_with_the_link_is_told_again() -> None:
     desk = Desk()
     name = desk.send(1)
-    desk.wait(LOOKUP.due_span + 100 * MS)
+    desk.wait(LOOKUP.latency_objective + 100 * MS)
     desk.put("agent_lost", "reset")
     desk.effects.clear()
     desk.put("agent_up", False, 61 * SECOND)
@@ -360,7 +363,7 @@
     desk = Desk()
     desk.put("agent_lost", "reset")
     desk.send(1)
-    desk.wait(LOOKUP.limit_span)
+    desk.wait(LOOKUP.timeout)
     desk.put("agent_up", False, 99 * SECOND)
     desk.wait(100 * MS)
     assert desk.launched() == []
@@ -395,7 +398,7 @@
     desk.put("opened", 1)
     assert desk.put("check", 1, 1, True) == [("health", 1, 1, False, None)]
     desk.put("agent_up", False, 0)
-    desk.reducer.health(True, False)
+    desk.reducer.set_health(True, False)
     assert desk.put("check", 1, 2, True) == [("deep_check", "check-1-2")]
     assert desk.put("deep_checked", "check-1-2", True) == [("health", 1, 2, True, None)]
     desk.put("check", 1, 3, True)
@@ -530,7 +533,7 @@
     desk.put("opened", 1)
     busy = desk.send(2)
     desk.wait()
-    desk.reducer.close_idle(SECOND)
+    desk.reducer.set_idle_timeout(SECOND)
     told = desk.wait(2 * SECOND)
     assert told[:2] == [("dismiss", 1), ("close", 1)]
     assert ("close", 2) not in told
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -7,8 +7,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.host import BOOKING, LOOKUP, ORDER, FakeHost, owners, stage
+from tests.host import BOOKING, LOOKUP, ORDER, FakeHost, stage, tenants
 from thistleline.bench_adapter.adapter import main, seconds
+from thistleline.interface import (
+    CallEnded,
+    CallOutcome,
+    CallRequested,
+    ClientGone,
+    DrainRequested,
+    PolicyEvent,
+    RunEnded,
+    TimerFired,
+)
 from thistleline.policy import BUCKETS, MS, SECOND
 from thistleline.wire.settings import nanos
 
@@ -27,10 +37,10 @@
 
 @pytest.mark.parametrize("limit", [None, 3 * SECOND])
 def test_running_past_its_limit_is_answered_and_stopped(limit: int | None) -> None:
-    host = FakeHost((replace(LOOKUP, late_share=0.2),))
+    host = FakeHost((replace(LOOKUP, late_utility_share=0.2),))
     task = host.task(limit=host.now + limit if limit else None)
     host.read(task)
-    host.wait((limit or LOOKUP.limit_span) - 100 * MS)
+    host.wait((limit or LOOKUP.timeout) - 100 * MS)
     assert host.fates(task) == ["start"]
     host.wait(100 * MS)
     assert host.fates(task) == ["start", "abandon", "stop"]
@@ -40,10 +50,10 @@
     host = FakeHost()
     lookup, booking = host.task(0), host.task(1)
     host.read(lookup, booking)
-    host.wait(LOOKUP.due_span + 50 * MS)
+    host.wait(LOOKUP.latency_objective + 50 * MS)
     assert host.fates(lookup) == ["start", "abandon", "stop"]
     host.wait(SECOND)
-    assert host.fates(booking) == ["remember", "start"]
+    assert host.fates(booking) == ["remember_key", "start"]
 
 
 def test_runs_overtaken_by_their_due_time_teach_that_runs_are_long() -> None:
@@ -51,25 +61,25 @@
     for _ in range(12):
         short = host.task(work=None)
         host.read(short)
-        host.round(("over", short.id, "finished", 50 * MS))
+        host.round(RunEnded(short.id, "finished", 50 * MS))
     for _ in range(16):
-        task = host.task(work=None, reached=host.now - LOOKUP.due_span + 100 * MS)
+        task = host.task(work=None, reached=host.now - LOOKUP.latency_objective + 100 * MS)
         host.read(task)
         host.wait(100 * MS)
-        host.round(("over", task.id, "stopped", 100 * MS))
+        host.round(RunEnded(task.id, "stopped", 100 * MS))
     host.read(host.task(work=None))
-    late = host.task(work=None, reached=host.now - LOOKUP.due_span + 100 * MS)
+    late = host.task(work=None, reached=host.now - LOOKUP.latency_objective + 100 * MS)
     host.read(late)
     assert host.fates(late) == ["reject"]
 
 
 @pytest.mark.parametrize("marked", [False, True])
 def test_a_last_try_tells_its_age_by_its_unusual_patience(marked: bool) -> None:
-    host = FakeHost(tells_limit=True)
+    host = FakeHost(propagates_deadline=True)
     for _ in range(40):
         usual = host.task(limit=host.now + 3 * SECOND)
         host.read(usual)
-        host.round(("over", usual.id, "finished", 100 * MS))
+        host.round(RunEnded(usual.id, "finished", 100 * MS))
     host.policy.cap = None if marked else 1.0
     young, old = (host.task(again=marked, limit=host.now + span) for span in (3 * SECOND, 2 * SECOND))
     host.read(young, old)
@@ -92,7 +102,7 @@
     busy(host)
     task = host.task()
     host.read(task)
-    host.wait(LOOKUP.due_span + 50 * MS)
+    host.wait(LOOKUP.latency_objective + 50 * MS)
     assert host.fates(task) == ["reject"]
 
 
@@ -107,7 +117,7 @@
     busy(host)
     task = host.task()
     host.read(task)
-    host.round(("gone", task.id))
+    host.round(ClientGone(task.id))
     host.wait(5 * SECOND)
     assert host.fates(task) == []
 
@@ -116,7 +126,7 @@
     host = FakeHost()
     task = host.task()
     host.read(task)
-    host.round(("gone", task.id))
+    host.round(ClientGone(task.id))
     assert host.fates(task) == ["start", "stop"]
 
 
@@ -128,20 +138,20 @@
     first = host.task(1)
     again = host.task(1, repeats=first.id)
     host.read(first, again)
-    assert host.fates(first) == ["remember", "start"]
-    assert host.fates(again) == ["answer_from_repeat"]
+    assert host.fates(first) == ["remember_key", "start"]
+    assert host.fates(again) == ["replay_result"]
 
 
 def test_a_repeat_of_what_failed_is_never_run_nor_rejected() -> None:
     host = FakeHost()
     first = host.task(1)
     host.read(first)
-    host.round(("over", first.id, "failed", 100 * MS))
+    host.round(RunEnded(first.id, "failed", 100 * MS))
     again = host.task(1, repeats=first.id)
     host.policy.cut = 10 * BUCKETS
     host.read(again)
     host.wait(8 * SECOND)
-    assert host.fates(again)[0] == "answer_from_repeat"
+    assert host.fates(again)[0] == "replay_result"
     assert not {"start", "reject"} & set(host.fates(again))
 
 
@@ -152,11 +162,11 @@
     second = host.task(1, repeats=first.id)
     third = host.task(1, repeats=first.id)
     host.read(first, second, third)
-    host.round(("gone", first.id))
-    assert host.fates(second) == ["remember"]
-    host.round(("over", crowd[0], "finished", 100 * MS))
-    assert host.fates(second) == ["remember", "start"]
-    assert host.fates(third) == ["answer_from_repeat"]
+    host.round(ClientGone(first.id))
+    assert host.fates(second) == ["remember_key"]
+    host.round(RunEnded(crowd[0], "finished", 100 * MS))
+    assert host.fates(second) == ["remember_key", "start"]
+    assert host.fates(third) == ["replay_result"]
 
 
 def test_a_repeat_of_what_was_rejected_unrun_may_run() -> None:
@@ -166,51 +176,58 @@
     assert host.fates(first) == ["reject"]
     again = host.task(1, repeats=first.id)
     host.read(again)
-    assert host.fates(again) == ["remember", "start"]
+    assert host.fates(again) == ["remember_key", "start"]
 
 
 def test_an_entry_outlives_the_window_from_arrival() -> None:
     host = FakeHost()
     task = host.task(1, reached=host.now - SECOND)
     host.read(task)
-    span = next(said[2] for said in host.said if said[0] == "remember")
-    assert span >= BOOKING.window - SECOND
+    span = next(said[2] for said in host.said if said[0] == "remember_key")
+    assert span >= BOOKING.idempotency_window - SECOND
 
 
 def test_a_running_booking_is_not_stopped_when_its_caller_goes() -> None:
     host = FakeHost()
     task = host.task(1)
     host.read(task)
-    host.round(("gone", task.id))
+    host.round(ClientGone(task.id))
     assert "stop" not in host.fates(task)
 
 
 @pytest.mark.parametrize(
     ("how", "fate"),
-    [("turned_away", "call"), ("unreachable", "call"), ("timed_out", "abandon"), ("failed", "abandon")],
+    [
+        ("rejected", "start_call"),
+        ("unreachable", "start_call"),
+        ("timed_out", "abandon"),
+        ("failed", "abandon"),
+    ],
 )
-def test_a_call_with_an_effect_is_repeated_only_if_it_never_ran(how: str, fate: str) -> None:
-    host = FakeHost((ORDER,), below="tier")
+def test_a_call_with_an_effect_is_repeated_only_if_it_never_ran(how: CallOutcome, fate: str) -> None:
+    host = FakeHost((ORDER,), downstream="tier")
     task = host.task()
     host.read(task)
-    host.round(("wants_call", task.id))
-    host.round(("call_over", task.id, how, 10 * MS))
-    assert host.fates(task) == ["start", "call", fate]
+    host.round(CallRequested(task.id))
+    host.round(CallEnded(task.id, how, 10 * MS))
+    assert host.fates(task) == ["start", "start_call", fate]
 
 
 def test_calls_that_end_soon_leave_room_for_the_next() -> None:
     """A fifth of a second of each five is spent below, of three and a half that are this server's part."""
-    notice = stage(calls=True, skip_share=0.3, due_span=12 * SECOND, limit_span=20 * SECOND)
-    host = FakeHost((notice,), below="shared", calls_out=0.7)
+    notice = stage(
+        calls=True, utility_share_without_call=0.3, latency_objective=12 * SECOND, timeout=20 * SECOND
+    )
+    host = FakeHost((notice,), downstream="shared", downstream_quota=0.7)
     tasks = [host.task() for _ in range(5)]
     for task in tasks:
         host.read(task)
-        host.round(("wants_call", task.id))
+        host.round(CallRequested(task.id))
         host.wait(200 * MS)
-        host.round(("call_over", task.id, "finished", 200 * MS))
-        host.round(("over", task.id, "finished", 300 * MS))
+        host.round(CallEnded(task.id, "finished", 200 * MS))
+        host.round(RunEnded(task.id, "finished", 300 * MS))
         host.wait(SECOND)
-    assert [host.fates(task)[:2] for task in tasks] == [["start", "call"]] * 5
+    assert [host.fates(task)[:2] for task in tasks] == [["start", "start_call"]] * 5
 
 
 class Below:
@@ -219,20 +236,20 @@
     def __init__(self, host: FakeHost) -> None:
         self.host = host
         self.held: list[tuple[int, int]] = []
-        self.out: list[tuple[int, str, str, int]] = []  # when it ends, whose, how, how long it took
+        self.out: list[tuple[int, str, CallOutcome, int]] = []  # when it ends, whose, how, how long it took
 
     def take(self, said: list[tuple[object, ...]], took: int) -> None:
         now = self.host.now
         for decision, name, *told in said:
-            if decision == "call" and isinstance(told[0], int):
+            if decision == "start_call" and isinstance(told[0], int):
                 lasts = min(took, told[0])
                 late = took > told[0]
-                self.held.append((now, now + lasts + self.host.bench.call_linger * late))
+                self.held.append((now, now + lasts + self.host.settings.downstream_linger * late))
                 self.out.append((now + lasts, str(name), "timed_out" if late else "finished", lasts))
 
     def most(self) -> float:
         """The highest mean of calls in hand over a span."""
-        span, most = self.host.bench.calls_span, 0.0
+        span, most = self.host.settings.downstream_quota_window, 0.0
         for _, end in self.held:
             within = (max(0, min(until, end) - max(begun, end - span)) for begun, until in self.held)
             most = max(most, sum(within) / span)
@@ -248,34 +265,41 @@
 )
 def test_no_span_holds_more_calls_below_than_the_share(steps: list[tuple[int, int]], share: float) -> None:
     """However many want one, however long they take and however suddenly that changes."""
-    wide = stage(calls=True, due_span=12 * SECOND, limit_span=20 * SECOND)
-    host = FakeHost((wide,), below="shared", calls_out=share, cores=64, memory_kb=1e9)
+    wide = stage(calls=True, latency_objective=12 * SECOND, timeout=20 * SECOND)
+    host = FakeHost((wide,), downstream="shared", downstream_quota=share, cores=64, memory_kb=1e9)
     below = Below(host)
     for wanted, took in steps:
         fresh = [host.task() for _ in range(wanted)]
-        came = [("wants_call", task.id) for task in fresh]
+        came = [CallRequested(task.id) for task in fresh]
         host.read(*fresh)
         below.take(host.round(*came), took * MS)
         for _ in range(8):
             host.now += 25 * MS
             ended = sorted(one for one in below.out if one[0] <= host.now)
             below.out = [one for one in below.out if one[0] > host.now]
-            over = [("call_over", name, how, lasts) for _, name, how, lasts in ended]
-            over += [("over", name, "finished", lasts) for _, name, how, lasts in ended if how == "finished"]
-            below.take(host.round(*over, ("bell", "tick", {"on_cores": 1.0})), took * MS)
+            over: list[PolicyEvent] = [CallEnded(name, how, lasts) for _, name, how, lasts in ended]
+            over += [RunEnded(name, "finished", lasts) for _, name, how, lasts in ended if how == "finished"]
+            below.take(host.round(*over, TimerFired("tick", {"on_cores": 1.0})), took * MS)
     assert below.most() <= share * 1.001 + 25 / 5000  # an end is heard of at the next tick
 
 
 def test_a_call_below_that_stands_still_is_given_up_by_what_calls_took_and_a_slow_time_is_learned() -> None:
-    notice = stage(calls=True, skip_share=0.3, due_span=12 * SECOND, limit_span=20 * SECOND)
-    host = FakeHost((notice,), below="shared", calls_out=4.0)
+    notice = stage(
+        calls=True, utility_share_without_call=0.3, latency_objective=12 * SECOND, timeout=20 * SECOND
+    )
+    host = FakeHost((notice,), downstream="shared", downstream_quota=4.0)
     patience = []
-    for took, how in [(200, "finished")] * 6 + [(800, "timed_out")] * 4 + [(1000, "finished")] * 14:
+    times: list[tuple[int, CallOutcome, int]] = [
+        (200, "finished", 6),
+        (800, "timed_out", 4),
+        (1000, "finished", 14),
+    ]
+    for took, how in [(took, how) for took, how, count in times for _ in range(count)]:
         task = host.task()
         host.read(task)
-        patience += [said[2] for said in host.round(("wants_call", task.id)) if said[0] == "call"]
+        patience += [said[2] for said in host.round(CallRequested(task.id)) if said[0] == "start_call"]
         host.wait(took * MS)
-        host.round(("call_over", task.id, how, took * MS), ("over", task.id, "finished", took * MS))
+        host.round(CallEnded(task.id, how, took * MS), RunEnded(task.id, "finished", took * MS))
     assert patience[0] == 6 * SECOND  # nothing is known yet: half of the time to the due time
     assert set(patience[1:6]) == {800 * MS}  # four times what they take
     assert patience[-1] >= 4 * SECOND  # what was given up and what came late taught that they take longer
@@ -289,7 +313,7 @@
     running = busy(host)
     held = host.task(1)
     host.read(held)
-    host.round(("leave", host.now + 3 * SECOND))
+    host.round(DrainRequested(host.now + 3 * SECOND))
     host.wait(2100 * MS)
     late = host.task()
     assert host.read(late)[0][:2] == ("reject", late.id)
@@ -302,10 +326,10 @@
 def test_a_leaving_server_serves_on_and_of_many_sends_its_callers_away_at_once(
     servers: int, away: int
 ) -> None:
-    host = FakeHost(servers=servers)
-    assert host.round(("leave", host.now + 3 * SECOND)) == []
-    assert ("alarm", "shut", away) in host.said
-    assert host.round(("bell", "shut", {})) == [("health", False, True), ("say", 1.0)]
+    host = FakeHost(fleet_size=servers)
+    assert host.round(DrainRequested(host.now + 3 * SECOND)) == []
+    assert ("set_timer", "shut", away) in host.said
+    assert host.round(TimerFired("shut", {})) == [("set_health", False, True), ("publish_load_hint", 1.0)]
     host.now += 1700 * MS
     task = host.task()
     assert host.read(task)[0] == ("start", task.id)
@@ -318,7 +342,7 @@
 
 
 def test_the_crowd_on_cold_cores_stays_under_the_bound() -> None:
-    host = FakeHost(fresh=True, cold_from=0.2, crowd_bound=3.0)
+    host = FakeHost(cold_start=True, cold_speed_share=0.2, max_concurrency_per_core=3.0)
     host.read(*(host.task() for _ in range(50)))
     host.wait(200 * MS)
     started = sum(1 for said in host.said if said[0] == "start")
@@ -327,12 +351,16 @@
 
 @pytest.mark.parametrize("window", [10, 60])
 def test_memory_never_passes_its_bound(window: int) -> None:
-    host = FakeHost((LOOKUP, replace(BOOKING, window=window * SECOND)), memory_kb=1000.0, key_kb=20.0)
+    host = FakeHost(
+        (LOOKUP, replace(BOOKING, idempotency_window=window * SECOND)),
+        memory_kb=1000.0,
+        idempotency_key_kb=20.0,
+    )
     for _ in range(40):
         host.read(*(host.task(1) for _ in range(5)))
         starts = [said[1] for said in host.said if said[0] == "start"]
-        held = {said[1] for said in host.said if said[0] == "remember"} - {
-            said[1] for said in host.said if said[0] in ("reject", "forget")
+        held = {said[1] for said in host.said if said[0] == "remember_key"} - {
+            said[1] for said in host.said if said[0] in ("reject", "forget_key")
         }
         assert len(starts) * 160 + (len(held) - len(starts)) * 10 + len(held) * 20 <= 1000
 
@@ -357,7 +385,7 @@
         task = host.task(host.count % 2)
         host.read(task)
         host.wait(100 * MS)
-        host.round(("over", task.id, "finished", 100 * MS))
+        host.round(RunEnded(task.id, "finished", 100 * MS))
 
 
 def test_overload_sheds_the_lowest_at_read_and_says_so() -> None:
@@ -367,7 +395,7 @@
     jam(host, 4 * SECOND)
     assert host.policy.cap is not None
     assert host.policy.cut > 0
-    assert any(said[0] == "say" and said[1] > 0 for said in host.said)
+    assert any(said[0] == "publish_load_hint" and said[1] > 0 for said in host.said)
     low = host.task(0, user=1)
     assert host.read(low)[0][:2] == ("reject", low.id)
 
@@ -377,7 +405,7 @@
     served(host, 5 * SECOND)
     jam(host, 4 * SECOND)
     for name in [said[1] for said in host.said if said[0] == "start"]:
-        host.round(("over", name, "finished", 100 * MS))
+        host.round(RunEnded(name, "finished", 100 * MS))
     host.gauges["on_cores"] = 0.0
     host.wait(8 * SECOND)
     assert host.policy.cap is None
@@ -406,20 +434,20 @@
 def test_a_cold_server_jammed_with_unread_tasks_is_off_the_list_until_they_are_read(
     fresh: bool, good: list[bool]
 ) -> None:
-    host = FakeHost(fresh=fresh)
+    host = FakeHost(cold_start=fresh)
     jam(host, SECOND, unread=600 * MS)
     host.wait(SECOND)
-    told = [said[1] for said in host.said if said[0] == "health"]
+    told = [said[1] for said in host.said if said[0] == "set_health"]
     assert [now for now, before in zip(told, [None, *told], strict=False) if now != before] == good
 
 
 def test_where_no_level_can_be_sent_rejections_ask_to_stay_away_briefly() -> None:
-    host = FakeHost(says="none")
+    host = FakeHost(load_hint="none")
     served(host, 5 * SECOND)
     jam(host, 4 * SECOND)
     last = [said for said in host.said if said[0] == "reject"][-1]
     assert 0 < last[3] < SECOND
-    assert not any(said[0] == "say" for said in host.said)
+    assert not any(said[0] == "publish_load_hint" for said in host.said)
 
 
 @pytest.mark.parametrize("again", [False, True])
@@ -439,7 +467,7 @@
     for place in range(60):
         host.read(host.task(caller=place % callers, again=place < again))
     host.wait(300 * MS)
-    assert [said[1] for said in host.said if said[0] == "close_idle"] == ([span] if span else [])
+    assert [said[1] for said in host.said if said[0] == "set_idle_timeout"] == ([span] if span else [])
 
 
 def test_quiet_hours_do_not_give_up_big_tasks() -> None:
@@ -447,7 +475,7 @@
     for work in (50, 50, 200) * 8:
         some = host.task(work=work * MS)
         host.read(some)
-        host.round(("over", some.id, "finished", (200 + work) * MS))  # waits off the cores do not grow
+        host.round(RunEnded(some.id, "finished", (200 + work) * MS))  # waits off the cores do not grow
     big = host.task(work=600 * MS)
     host.read(host.task(), big)
     assert host.fates(big) == ["start"]
@@ -459,7 +487,7 @@
     for took in (2000, 2000, 2000, 2000, 2000, 2000, 2000, 2000, 100, 100, 100):
         probe = host.task()
         host.read(probe)
-        host.round(("over", probe.id, "finished", took * MS))
+        host.round(RunEnded(probe.id, "finished", took * MS))
     after = host.task(), host.task()
     host.read(*after)
     assert [host.fates(task) for task in after] == [["start"], ["start"]]
@@ -476,7 +504,7 @@
 
 
 def test_users_beyond_their_owners_share_go_first() -> None:
-    host = FakeHost(owners=owners(1.0, 100.0))
+    host = FakeHost(tenants=tenants(1.0, 100.0))
     for _ in range(40):
         host.read(host.task(owner=0), host.task(owner=1))
         host.wait(100 * MS)
@@ -490,7 +518,7 @@
     crowd = busy(host)
     late, soon = host.task(), host.task(reached=host.now - 300 * MS)
     host.read(late, soon)
-    host.round(("over", crowd[0], "finished", 100 * MS))
+    host.round(RunEnded(crowd[0], "finished", 100 * MS))
     assert host.fates(soon) == ["start"]
     assert host.fates(late) == []
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -18,9 +18,9 @@
 from thistleline.server.log import LINES_BOUND, Log
 from thistleline.wire import agent, announce, thrift
 from thistleline.wire.buffer import Buffer
-from thistleline.wire.settings import Malformed, read_bench
+from thistleline.wire.settings import Malformed, read_server_settings
 
-STUBS = thrift.Stubs(read_bench(SETTINGS))
+STUBS = thrift.Stubs(read_server_settings(SETTINGS))
 
 
 def fed(pieces: list[bytes], size: int = thrift.BUFFER_BOUND) -> list[tuple[Any, ...]]:
--- a/thistleline/bench_adapter/adapter.py
+++ b/thistleline/bench_adapter/adapter.py
@@ -5,18 +5,35 @@
 from collections.abc import Callable
 from typing import TextIO
 
-from thistleline.interface import CameIn, Task
+from thistleline.interface import (
+    CallEnded,
+    CallOutcome,
+    CallRequested,
+    ClientGone,
+    DrainRequested,
+    PolicyEvent,
+    RunEnded,
+    RunOutcome,
+    Task,
+    TaskArrived,
+    TimerFired,
+)
 from thistleline.policy import Policy
-from thistleline.wire.settings import Malformed, nanos, read_bench, read_gauges
+from thistleline.wire.settings import Malformed, nanos, read_gauges, read_server_settings
 
-RUN_ENDS = {"OK": "finished", "INTERNAL": "failed", "CANCELLED": "stopped", "TOO_LATE": "moot"}
-CALL_ENDS = {
+RUN_ENDS: dict[str, RunOutcome] = {
     "OK": "finished",
     "INTERNAL": "failed",
-    "RESOURCE_EXHAUSTED": "turned_away",
+    "CANCELLED": "stopped",
+    "TOO_LATE": "moot",
+}
+CALL_ENDS: dict[str, CallOutcome] = {
+    "OK": "finished",
+    "INTERNAL": "failed",
+    "RESOURCE_EXHAUSTED": "rejected",
     "DEADLINE_EXCEEDED": "timed_out",
     "UNAVAILABLE": "unreachable",
-    "ABORTED": "broken_off",
+    "ABORTED": "aborted",
 }
 AGAIN = 2
 HINTED = 1
@@ -50,36 +67,33 @@
     def abandon(self, task: str) -> None:
         self.put(f"REPORT_FAILURE\t{self.instance}\t{task}\n")
 
-    def answer_from_repeat(self, task: str) -> None:
+    def replay_result(self, task: str) -> None:
         self.put(f"REPLAY\t{self.instance}\t{task}\n")
 
-    def remember(self, task: str, span: int) -> None:
+    def remember_key(self, task: str, span: int) -> None:
         self.put(f"RETAIN\t{self.instance}\t{task}\t{seconds(span)}\n")
 
-    def forget(self, task: str) -> None:
+    def forget_key(self, task: str) -> None:
         self.put(f"UNPIN\t{self.instance}\t{task}\n")
 
-    def call(self, task: str, patience: int) -> None:
+    def start_call(self, task: str, patience: int) -> None:
         self.put(f"GO_CALL\t{self.instance}\t{task}\t{seconds(patience)}\n")
 
     def skip_call(self, task: str) -> None:
         self.put(f"SKIP\t{self.instance}\t{task}\n")
 
-    def health(self, good: bool, from_store: bool) -> None:
+    def set_health(self, good: bool, from_store: bool) -> None:
         self.put(f"STATUS\t{self.instance}\t{int(good)}\t{int(from_store)}\n")
 
-    def say(self, value: float) -> None:
+    def publish_load_hint(self, value: float) -> None:
         self.put(f"STAMP\t{self.instance}\t{value:.6f}\n")
 
-    def close_idle(self, span: int) -> None:
+    def set_idle_timeout(self, span: int) -> None:
         self.put(f"IDLE_LIMIT\t{self.instance}\t{seconds(span)}\n")
 
-    def alarm(self, name: str, span: int) -> None:
+    def set_timer(self, name: str, span: int) -> None:
         self.put(f"SET_ALARM\t{self.instance}\t{name}\t{seconds(span)}\n")
 
-    def note(self, text: str) -> None:
-        self.put(f"PRINT\t{self.instance}\t{' '.join(text.split())}\n")
-
 
 class Host:
     def __init__(self) -> None:
@@ -88,7 +102,7 @@
 
     def round(self, now: int, lines: list[list[str]], put: Callable[[str], None]) -> None:
         """Gathers a round's lines by instance, in order, and calls each instance's module once."""
-        came_in: dict[str, list[CameIn]] = {}
+        came_in: dict[str, list[PolicyEvent]] = {}
         for parts in lines:
             word, instance = parts[0], parts[1]
             if word == "KILL":
@@ -97,7 +111,7 @@
             elif word == "BORN":
                 env = json.loads("\t".join(parts[3:]))
                 self.gauges[instance] = read_gauges(env)
-                self.modules[instance] = Policy(read_bench(env), int(parts[2]), now)
+                self.modules[instance] = Policy(read_server_settings(env), int(parts[2]), now)
                 came_in[instance] = []
             elif instance not in self.modules:
                 raise Malformed(f"{word} for {instance}, which was never born")
@@ -111,13 +125,12 @@
             except Exception as error:
                 put(f"BROKEN\t{instance}\t{type(error).__name__}: {' '.join(str(error).split())}\n")
 
-    def item(self, now: int, word: str, parts: list[str]) -> CameIn | None:
+    def item(self, now: int, word: str, parts: list[str]) -> PolicyEvent | None:
         if word == "QUERY":
             _, _, name, hint, owner, stage, bits, author, kb, limit, user, waited, repeats, rank = parts[:14]
             flags = 0 if absent(bits) else int(bits)
             hinted = flags & HINTED and not absent(hint)
-            return (
-                "task",
+            return TaskArrived(
                 Task(
                     id=name,
                     stage=int(stage),
@@ -136,17 +149,17 @@
         if word == "BELL":
             row = parts[3].split(",") if len(parts) > 3 and parts[3] not in ("-", "") else []
             values = (0.0 if absent(text) else float(text) for text in row)
-            return ("bell", parts[2], dict(zip(self.gauges[parts[1]], values, strict=False)))
+            return TimerFired(parts[2], dict(zip(self.gauges[parts[1]], values, strict=False)))
         if word == "DONE":
-            return ("over", parts[2], RUN_ENDS[parts[3]], 0 if absent(parts[4]) else nanos(parts[4]))
+            return RunEnded(parts[2], RUN_ENDS[parts[3]], 0 if absent(parts[4]) else nanos(parts[4]))
         if word == "EXPIRED":
-            return ("gone", parts[2])
+            return ClientGone(parts[2])
         if word == "NEEDS":
-            return ("wants_call", parts[2])
+            return CallRequested(parts[2])
         if word == "DEP_REPLY":
-            return ("call_over", parts[2], CALL_ENDS[parts[3]], 0 if absent(parts[4]) else nanos(parts[4]))
+            return CallEnded(parts[2], CALL_ENDS[parts[3]], 0 if absent(parts[4]) else nanos(parts[4]))
         if word == "TERMINATE_SOON":
-            return ("leave", nanos(parts[2]))
+            return DrainRequested(nanos(parts[2]))
         return None
 
 
--- a/thistleline/durable/reducer.py
+++ b/thistleline/durable/reducer.py
@@ -14,6 +14,7 @@
 from collections.abc import Iterable
 from typing import Any
 
+from thistleline.interface import EffectRemembered, RunOutcome
 from thistleline.ledger.state import Book, Found
 from thistleline.state.state_machine import DOUBT_PART, END_EARLY, SECOND, Effect, Reducer
 from thistleline.state.tables import Run, Try
@@ -95,7 +96,7 @@
         self._tell_remembered()
 
     def _tell_remembered(self) -> None:
-        self.came_in += [("remembered", name, until) for name, until in self.remembered.items()]
+        self.came_in += [EffectRemembered(name, until) for name, until in self.remembered.items()]
 
     def _untouched(self) -> bool:
         return not self.tries and len(self.runs) == len(self.open)
@@ -116,7 +117,7 @@
         repeats stayed without an answer."""
         super()._restart(mark)
         for name in self.open:
-            until = self.now + self.bench.stages[self.runs[name].stage].due_span // DOUBT_PART
+            until = self.now + self.settings.stages[self.runs[name].stage].latency_objective // DOUBT_PART
             if name in self.awaited:
                 until = min(until, self.awaited[name])
             else:
@@ -129,7 +130,7 @@
 
     def _launch(self, task: str, run: Run) -> None:
         entry = self.entries.by_key.get(run.key) if run.key is not None else None
-        if entry is None or self.bench.stages[run.stage].effect != "fingerprinted":
+        if entry is None or self.settings.stages[run.stage].effect != "keyed":
             super()._launch(task, run)
             return
         assert run.key is not None
@@ -147,7 +148,7 @@
     def _refuse(self, task: str) -> None:
         """What can't be recorded is not started: its client is told so at once, and when to come back."""
         self._count("unrecorded")
-        self.reject(task, False, min(STAY_AWAY, self.bench.longest_stay_away))
+        self.reject(task, False, min(STAY_AWAY, self.settings.max_retry_after))
         self._ended_run(task, "moot", 0, b"")
 
     def _recorded(self) -> None:
@@ -170,7 +171,7 @@
                 self._unname(task)
                 self._refuse(task)
 
-    def _ended_run(self, task: str, how: str, took: int, result: bytes | memoryview) -> None:
+    def _ended_run(self, task: str, how: RunOutcome, took: int, result: bytes | memoryview) -> None:
         self.open.pop(task, None)
         self.awaited.pop(task, None)
         number = self.numbers.get(task)
--- a/thistleline/durable/served_value.py
+++ b/thistleline/durable/served_value.py
@@ -19,15 +19,15 @@
         before = self.names
         super()._task(name, seq, task, word, body)
         if self.names != before:
-            self._add("worth_came", self.bench.stages[task.stage].utility)
+            self._add("worth_came", self.settings.stages[task.stage].utility)
 
     def _finish(self, task: str, result: Any) -> bool:
         held = self.tries.get(task)
         done = super()._finish(task, result)
         if done and held is not None:
-            stage = self.bench.stages[held.stage]
-            late = self.now - held.since > stage.due_span
-            self._add("worth_done", stage.utility * (stage.late_share if late else 1.0))
+            stage = self.settings.stages[held.stage]
+            late = self.now - held.since > stage.latency_objective
+            self._add("worth_done", stage.utility * (stage.late_utility_share if late else 1.0))
             if late:
                 self._count("slow")
         return done
--- a/thistleline/handover/service.py
+++ b/thistleline/handover/service.py
@@ -64,7 +64,7 @@
     def furnish(self, conf: Conf | None, told: tuple[Any, ...]) -> Reducer:
         assert conf is not None
         assert conf.handover is not None
-        if told[0].below != "none":
+        if told[0].downstream != "none":
             raise Unusable("the part 'handover' hands over no calls to what lies below")
         if conf.ledger is None:
             raise Unusable("the part 'handover' wants the part 'ledger' beside it")
@@ -265,9 +265,9 @@
         self.take("elder_gone")
 
     def _forwarded(self, told: Forward) -> None:
-        bench, skew = self.configuration.bench, self.clock.skew()
-        stages = [place for place, stage in enumerate(bench.stages) if stage.name == told.stage]
-        owners = [place for place, owner in enumerate(bench.owners) if owner.name == told.owner]
+        settings, skew = self.configuration.settings, self.clock.skew()
+        stages = [place for place, stage in enumerate(settings.stages) if stage.name == told.stage]
+        owners = [place for place, owner in enumerate(settings.tenants) if owner.name == told.owner]
         if not stages or not owners:
             text = f"there is no stage {told.stage!r} or no owner {told.owner!r} any more"
             self._tell_elder(Answer(told.name, "misunderstood", [None, text]))
--- a/thistleline/handover/state_machine.py
+++ b/thistleline/handover/state_machine.py
@@ -39,7 +39,7 @@
 
 from thistleline.durable.reducer import KeepingReducer
 from thistleline.durable.served_value import Worth
-from thistleline.interface import Task
+from thistleline.interface import DrainRequested, RunEnded, RunOutcome, Task
 from thistleline.ledger.state import Book
 from thistleline.state.state_machine import SECOND, Effect, Reducer
 from thistleline.state.tables import Connection, Run, Try
@@ -161,7 +161,7 @@
             self.phases.move("leaving")
             self._log("phase", phase=self.phases.name, held=len(self.tries), runs=len(self.runs))
             self.stop_by = self.leave_by
-            self.came_in.append(("leave", self.leave_by))
+            self.came_in.append(DrainRequested(self.leave_by))
         self._shut()
         held_back, self.held_back = self.held_back, []
         unsent = [task for task, run in self.runs.items() if not run.sent and task not in held_back]
@@ -187,7 +187,7 @@
             self._agent_lost("handed over")
 
     def _is_fingerprinted(self, stage: int) -> bool:
-        return self.bench.stages[stage].effect == "fingerprinted"
+        return self.settings.stages[stage].effect == "keyed"
 
     def _launch(self, task: str, run: Run) -> None:
         if self.stands == "freezing":
@@ -213,7 +213,7 @@
         for repeat in waiting:
             other = self.tries.get(repeat)
             if other is not None:
-                self.came_in.append(("over", repeat, "failed", 0))
+                self.came_in.append(RunEnded(repeat, "failed", 0))
                 self._send_away(repeat, other)
 
     def _send_away(self, task: str, held: Try) -> None:
@@ -223,7 +223,7 @@
             return
         told, word = self.came[task]
         self.away[task] = None
-        stage, owner = self.bench.stages[held.stage].name, self.bench.owners[told.owner].name
+        stage, owner = self.settings.stages[held.stage].name, self.settings.tenants[told.owner].name
         whole = replace(told, id=held.id, repeats=None, reached=held.since)
         self.effects.append(("forward", task, whole, stage, owner, word, held.body))
 
@@ -234,7 +234,7 @@
             self._count(kind)
             self.effects.append((kind, held.connection, held.seq, *told))
 
-    def _ended_run(self, task: str, how: str, took: int, result: bytes | memoryview) -> None:
+    def _ended_run(self, task: str, how: RunOutcome, took: int, result: bytes | memoryview) -> None:
         number = self.handed_numbers.pop(task, None)
         if number is not None:
             self.effects.append(("heir_ended", number, how, bytes(result)))
@@ -287,7 +287,7 @@
         if self.linked:
             self.effects.append(("measure", ELDERS_TAG + tag))
 
-    def _elder_ended(self, number: int, how: str, result: bytes) -> None:
+    def _elder_ended(self, number: int, how: RunOutcome, result: bytes) -> None:
         """The agent may have said so here already."""
         task = self.named.get(number)
         if task is not None and task in self.open:
@@ -324,7 +324,7 @@
         if self.has_elder:
             self.effects.append(("elder_told", "agent_lost", [why]))
 
-    def _run_over(self, number: int, id: str, how: str, took: int, result: memoryview) -> None:
+    def _run_over(self, number: int, id: str, how: RunOutcome, took: int, result: memoryview) -> None:
         if number > self.notice and id in self.lodgers:
             del self.lodgers[id]
             self.effects.append(("elder_told", "run_over", [number, id, how, took, bytes(result)]))
--- a/thistleline/interface.py
+++ b/thistleline/interface.py
@@ -1,118 +1,214 @@
-"""What the decision module is told, and the writer that takes its decisions. No decision lives here.
-
-Times are whole nanoseconds on one clock that only goes forward; ids are words and come back unchanged.
-What came in during a round is a list of plain tuples, in order of arrival:
-
-    ("task", Task)                          a task was read and is now held
-    ("over", id, how, took)                 a start or an answer from a repeat ended; how: HOW_RUNS_END
-    ("gone", id)                            nobody waits for the task any more
-    ("wants_call", id)                      a running task stands at a call to what lies below
-    ("call_over", id, how, took)            a call ended; how: HOW_CALLS_END
-    ("remembered", id, until)               an effect of an earlier life has run or may have; known until then
-    ("leave", by)                           notice to leave; the process is stopped at the clock time `by`
-    ("bell", name, gauges)                  an alarm is due; gauges by name, such as "on_cores"
+"""The types that the admission policy and its host exchange.
+
+The host (the real server or the bench adapter) gives a `Policy` the `ServerSettings` once, then a list of
+`PolicyEvent`s each round, in order of arrival. The policy answers through a `DecisionSink`, one call per
+decision. No decision is made here. Times are integer nanoseconds on one clock that never goes backwards;
+task ids are opaque strings that come back unchanged.
 """
 
 from dataclasses import dataclass
-from typing import Any, Literal, Protocol
+from typing import Literal, Protocol
 
-Effect = Literal["restartable", "fingerprinted", "side-effecting"]
-CameIn = tuple[Any, ...]
-HOW_RUNS_END = ("finished", "failed", "stopped", "moot")
-HOW_CALLS_END = ("finished", "failed", "turned_away", "timed_out", "unreachable", "broken_off")
+EffectKind = Literal["idempotent", "keyed", "non_idempotent"]  # keyed: idempotent by an idempotency key
+RunOutcome = Literal["finished", "failed", "stopped", "moot"]  # moot: it was never run
+CallOutcome = Literal["finished", "failed", "rejected", "timed_out", "unreachable", "aborted"]
 
 
 @dataclass(frozen=True, slots=True)
 class Stage:
-    """One kind of work, as told at start."""
+    """The settings of one request class."""
 
     name: str
-    due_span: int  # from reaching the fleet to the wanted answer
-    due_stretch: float  # the due time grows by this many times the task's own work
-    limit_span: int  # from reaching the fleet to the client giving up
-    window: int  # how long a fingerprinted task may come again
-    effect: Effect
-    utility: float
-    late_share: float
-    calls: bool
-    skip_share: float  # share of the utility where a call was left out
+    latency_objective: int  # ns from arrival at the fleet to the wanted answer
+    objective_per_work: float  # the objective grows by this many times the task's own work
+    timeout: int  # ns from arrival at the fleet to the client giving up
+    idempotency_window: int  # ns in which a keyed task may come again
+    effect: EffectKind
+    utility: float  # priority weight of a task answered within its objective
+    late_utility_share: float  # share of the utility that a late answer still has
+    calls: bool  # whether tasks call a downstream dependency
+    utility_share_without_call: float  # share of the utility of an answer made without the call
 
 
 @dataclass(frozen=True, slots=True)
-class Owner:
-    """Whom a task belongs to: its part of the fleet's service."""
+class Tenant:
+    """The settings of one tenant: its quota of the fleet's service."""
 
     name: str
     share: float
-    allowance: float  # tasks a second over the whole fleet that are inside the share
+    allowance: float  # tasks per second over the whole fleet that are within the quota
 
 
 @dataclass(frozen=True, slots=True)
-class Bench:
-    """What a server is told about itself, its fleet and its callers when it starts."""
+class ServerSettings:
+    """What a server knows about itself, its fleet and its clients when it starts."""
 
     stages: tuple[Stage, ...]
-    owners: tuple[Owner, ...]
-    cores: float  # may be a part of one
+    tenants: tuple[Tenant, ...]
+    cores: float  # may be a fraction
     memory_kb: float
-    run_factor: float  # memory of a running task over that of a held one
-    key_kb: float  # memory of one remembered fingerprint
-    servers: int
-    callers: int
-    fresh: bool  # started just now, so cold
-    cold_from: float  # least share of full speed when cold
-    cold_span: int
-    crowd_bound: float  # tasks on the cores, for each core, that a warm server survives
-    crowd_span: int
-    answer_slack: int
-    drain_grace: int
-    stopping: Literal["none", "loses", "pauses"]
-    tells_limit: bool
-    tells_gone: bool
-    marks_repeats: bool
-    says: Literal["none", "threshold", "window", "share"]
-    list_follows_health: bool
-    longest_stay_away: int  # 0 where the advice is not passed on
-    over_share_utility: float
-    answer_fresh_for: int
-    below: Literal["none", "shared", "tier"]
-    calls_out: float  # this server's share of the calls that what lies below survives
-    calls_span: int
-    call_linger: int
+    running_memory_factor: float  # memory of a running task over that of a queued one
+    idempotency_key_kb: float  # memory of one remembered idempotency key
+    fleet_size: int
+    client_count: int
+    cold_start: bool  # started just now, so its caches are cold
+    cold_speed_share: float  # least share of full speed while warming up
+    warmup_duration: int  # ns
+    max_concurrency_per_core: float  # tasks on the cores, per core, that a warm server survives
+    max_concurrency_window: int  # ns
+    answer_slack: int  # ns
+    drain_grace: int  # ns
+    cancellation: Literal["none", "abort", "suspend"]  # what stopping a run does
+    propagates_deadline: bool
+    reports_cancellation: bool
+    marks_retries: bool
+    load_hint: Literal["none", "threshold", "window", "share"]  # the form of the load hint to clients
+    endpoint_list_follows_health: bool
+    max_retry_after: int  # ns; 0 where clients are not given a Retry-After
+    over_quota_utility: float  # share of the utility of a task beyond its tenant's quota
+    cached_result_ttl: int  # ns
+    downstream: Literal["none", "shared", "tier"]  # the kind of dependency that tasks call
+    downstream_quota: float  # this server's quota of concurrent calls to a shared dependency
+    downstream_quota_window: int  # ns over which the quota is averaged
+    downstream_linger: int  # ns that a call given up may stay in flight downstream
 
 
 @dataclass(frozen=True, slots=True)
 class Task:
-    """A task as it was read."""
+    """A task as it was read from a client."""
 
     id: str
-    stage: int
-    owner: int
+    stage: int  # index into the settings' stages
+    owner: int  # index into the settings' tenants
     caller: int
     rank: float
     user: int | None
-    work: int | None  # hinted work on a standard core
-    held_kb: float
+    work: int | None  # hinted work in ns on a standard core
+    held_kb: float  # memory while queued
     reached: int  # when it reached the machine, before it was read
-    limit: int | None  # when its caller stops waiting, where that is told
-    again: bool  # marked as a further try or a second copy
+    limit: int | None  # when its client stops waiting, where known
+    again: bool  # marked as a retry or a hedged request
     repeats: str | None  # id of the remembered task that this one repeats
 
 
-class Writer(Protocol):
+@dataclass(frozen=True, slots=True)
+class TaskArrived:
+    """A task was read and is now queued."""
+
+    task: Task
+
+
+@dataclass(frozen=True, slots=True)
+class RunEnded:
+    """A run, or an answer replayed from a duplicate's run, ended."""
+
+    task_id: str
+    outcome: RunOutcome
+    duration: int  # ns
+
+
+@dataclass(frozen=True, slots=True)
+class ClientGone:
+    """Nobody waits for the task any more."""
+
+    task_id: str
+
+
+@dataclass(frozen=True, slots=True)
+class CallRequested:
+    """A running task waits for a call to the downstream dependency."""
+
+    task_id: str
+
+
+@dataclass(frozen=True, slots=True)
+class CallEnded:
+    """A call to the downstream dependency ended."""
+
+    task_id: str
+    outcome: CallOutcome
+    duration: int  # ns
+
+
+@dataclass(frozen=True, slots=True)
+class EffectRemembered:
+    """An effect of an earlier incarnation has run or may have run; it is remembered until `expires_at`."""
+
+    task_id: str
+    expires_at: int
+
+
+@dataclass(frozen=True, slots=True)
+class DrainRequested:
+    """The server is to drain; the process is stopped at `stop_at`."""
+
+    stop_at: int
+
+
+@dataclass(frozen=True, slots=True)
+class TimerFired:
+    """A timer set by the policy is due."""
+
+    name: str
+    gauges: dict[str, float]  # by name, such as "on_cores"; empty where none could be read
+
+
+PolicyEvent = (
+    TaskArrived
+    | RunEnded
+    | ClientGone
+    | CallRequested
+    | CallEnded
+    | EffectRemembered
+    | DrainRequested
+    | TimerFired
+)
+
+
+class DecisionSink(Protocol):
     """Takes each decision at once; the order of calls is the order in which they act."""
 
-    def start(self, task: str) -> None: ...
-    def stop(self, task: str) -> None: ...
-    def reject(self, task: str, nowhere_else: bool, stay_away: int) -> None: ...
-    def abandon(self, task: str) -> None: ...
-    def answer_from_repeat(self, task: str) -> None: ...
-    def remember(self, task: str, span: int) -> None: ...
-    def forget(self, task: str) -> None: ...
-    def call(self, task: str, patience: int) -> None: ...
-    def skip_call(self, task: str) -> None: ...
-    def health(self, good: bool, from_store: bool) -> None: ...
-    def say(self, value: float) -> None: ...
-    def close_idle(self, span: int) -> None: ...
-    def alarm(self, name: str, span: int) -> None: ...
-    def note(self, text: str) -> None: ...
+    def start(self, task: str) -> None:
+        """Start running the task."""
+
+    def stop(self, task: str) -> None:
+        """Stop the task's run."""
+
+    def reject(self, task: str, nowhere_else: bool, stay_away: int) -> None:
+        """Shed the task: it did not run.
+
+        Args:
+            task: Its id.
+            nowhere_else: Whether a retry at another server would fare no better.
+            stay_away: Nanoseconds the client should wait before a retry (Retry-After); 0 for none.
+        """
+
+    def abandon(self, task: str) -> None:
+        """Answer the task with a failure that says nothing about whether it ran."""
+
+    def replay_result(self, task: str) -> None:
+        """Answer the task from the run of the one that it repeats."""
+
+    def remember_key(self, task: str, span: int) -> None:
+        """Remember the task's idempotency key for `span` nanoseconds."""
+
+    def forget_key(self, task: str) -> None:
+        """Forget the task's idempotency key: it did not run."""
+
+    def start_call(self, task: str, patience: int) -> None:
+        """Make the task's downstream call, with a timeout of `patience` nanoseconds."""
+
+    def skip_call(self, task: str) -> None:
+        """Let the task go on without its downstream call."""
+
+    def set_health(self, good: bool, from_store: bool) -> None:
+        """Set what health checks report; `from_store`: a deep check need not ask the agent."""
+
+    def publish_load_hint(self, value: float) -> None:
+        """Attach this load hint to answers from now on."""
+
+    def set_idle_timeout(self, span: int) -> None:
+        """Close connections that are idle for `span` nanoseconds; 0 for never."""
+
+    def set_timer(self, name: str, span: int) -> None:
+        """Send `TimerFired` with this name after `span` nanoseconds."""
--- a/thistleline/lab/handoverworld.py
+++ b/thistleline/lab/handoverworld.py
@@ -16,11 +16,11 @@
 from thistleline.lab.ledger import SETTINGS
 from thistleline.ledger.state import Work
 from thistleline.state.phases import Phases
-from thistleline.wire.settings import read_bench
+from thistleline.wire.settings import read_server_settings
 
 MS, SECOND = 1_000_000, 1_000_000_000
-BENCH = read_bench(SETTINGS)
-WINDOW, LIMIT = BENCH.stages[0].window, BENCH.stages[0].limit_span
+BENCH = read_server_settings(SETTINGS)
+WINDOW, LIMIT = BENCH.stages[0].idempotency_window, BENCH.stages[0].timeout
 STOP = 2 * SECOND
 BY_HEIR = {"start": "lodge", "stop": "lodger_stop", "measure": "lodger_measure"}
 
--- a/thistleline/lab/scale/forwarder.py
+++ b/thistleline/lab/scale/forwarder.py
@@ -42,7 +42,7 @@
             if message[0] == "task":
                 _, seq, task, _, body = message
                 self.hall.open[task.id] = self, seq
-                stage = self.hall.configuration.bench.stages[task.stage].name
+                stage = self.hall.configuration.settings.stages[task.stage].name
                 self.hall.agent.transport.write(agent.start(task.id, stage, bytes(body)))
             elif message[0] == "check":
                 self.transport.write(thrift.health(message[1], True, None))
@@ -61,7 +61,7 @@
 
     def __init__(self, configuration: Configuration) -> None:
         self.configuration = configuration
-        self.stubs = thrift.Stubs(configuration.bench)
+        self.stubs = thrift.Stubs(configuration.settings)
         self.open: dict[str, tuple[Ends, int]] = {}
         self.agent: Ends
 
--- a/thistleline/lab/scale/tenants.py
+++ b/thistleline/lab/scale/tenants.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from thistleline.interface import Bench, Task
+from thistleline.interface import RunEnded, ServerSettings, Task, TaskArrived, TimerFired
 from thistleline.lab.scale.settings_text import settings_of
 from thistleline.lab.scale.size import size
 from thistleline.lab.scale.slopes import (
@@ -19,7 +19,7 @@
     steps_of,
 )
 from thistleline.policy import MS, SECOND, TICK, WINDOW, Policy
-from thistleline.wire.settings import read_bench
+from thistleline.wire.settings import read_server_settings
 
 NAME = "policy"
 
@@ -46,16 +46,16 @@
         pass
 
 
-def bench_of(stages: int, tenants: int, seed: int) -> Bench:
-    return read_bench(settings_of(stages, tenants, seed))
+def settings_for(stages: int, tenants: int, seed: int) -> ServerSettings:
+    return read_server_settings(settings_of(stages, tenants, seed))
 
 
 def policy_of(stages: int, tenants: int, seed: int) -> Policy:
-    return Policy(bench_of(stages, tenants, seed), seed, BORN)
+    return Policy(settings_for(stages, tenants, seed), seed, BORN)
 
 
 def tick(policy: Policy, out: Any) -> None:
-    policy.round(policy.now + TICK, [("bell", "tick", {"on_cores": 1.0})], out)
+    policy.round(policy.now + TICK, [TimerFired("tick", {"on_cores": 1.0})], out)
 
 
 def born(policy: Policy) -> Any:
@@ -76,12 +76,12 @@
 def steps_of_task(policy: Policy) -> int:
     """Read, held, started, ended; the first, with what its owner's state takes to be there."""
     out = born(policy)
-    last, stages = max(0, len(policy.bench.owners) - 1), len(policy.bench.stages)
+    last, stages = max(0, len(policy.settings.tenants) - 1), len(policy.settings.stages)
     task = Task("a", stages - 1, last, 0, 0.5, 7, None, 1.0, BORN, None, False, None)
 
     def one() -> None:
-        policy.round(BORN + MS, [("task", task)], out)
-        policy.round(BORN + 2 * MS, [("over", "a", "finished", MS)], out)
+        policy.round(BORN + MS, [TaskArrived(task)], out)
+        policy.round(BORN + 2 * MS, [RunEnded("a", "finished", MS)], out)
 
     return steps_of(one)
 
@@ -116,7 +116,7 @@
         return row(name, "count", "steps", per, told, list(values), at, note=note)
 
     def start(n_stages: int, n_tenants: int) -> int:
-        bench = bench_of(n_stages, n_tenants, seed)
+        bench = settings_for(n_stages, n_tenants, seed)
         return steps_of(lambda: Policy(bench, seed, BORN))
 
     return [
@@ -140,18 +140,18 @@
         values = []
         for n in sizes:
             if what == "Policy":
-                bench = bench_of(3, n, seed)
+                bench = settings_for(3, n, seed)
                 values.append(memory_of(lambda bench=bench: Policy(bench, seed, BORN))[0])  # type: ignore[misc]
             else:
                 told = settings_of(3, n, seed)
-                values.append(memory_of(lambda told=told: read_bench(told))[0])  # type: ignore[misc]
+                values.append(memory_of(lambda told=told: read_server_settings(told))[0])  # type: ignore[misc]
         tell(f"{what}: memory of {sizes[-1]} tenants")
         name = f"{what} by tenant: bytes"
         found.append(row(name, "memory", "bytes", "tenant", sizes, values, size("tenants"), note=note))
     sizes = (30, 100, 300, 1000) if quick else (100, 300, 1000, 3000)
     values = []
     for n in sizes:
-        bench = bench_of(n, 3, seed)
+        bench = settings_for(n, 3, seed)
         values.append(memory_of(lambda bench=bench: Policy(bench, seed, BORN))[0])  # type: ignore[misc]
     found.append(row("Policy by stage: bytes", "memory", "bytes", "stage", sizes, values, size("routes"),
                      note="before any run; a full pace adds its floats"))  # fmt: skip
@@ -168,10 +168,10 @@
          few if quick else many,
          lambda n: policy_of(3, n, seed)._weigh_owners),
         ("a start by stage: time", "stage", (100, 300, 600, 1000) if quick else (300, 1000, 2000, 4000),
-         lambda n: (lambda bench: lambda: Policy(bench, seed, BORN))(bench_of(n, 3, seed))),
+         lambda n: (lambda bench: lambda: Policy(bench, seed, BORN))(settings_for(n, 3, seed))),
         ("a start by tenant: time", "tenant",
          few if quick else many,
-         lambda n: (lambda bench: lambda: Policy(bench, seed, BORN))(bench_of(3, n, seed))),
+         lambda n: (lambda bench: lambda: Policy(bench, seed, BORN))(settings_for(3, n, seed))),
     ]  # fmt: skip
     for name, per, sizes, make in cases:
         loops, took = zip(*(loops_of(make(n), repeats) for n in sizes), strict=True)
--- a/thistleline/policy.py
+++ b/thistleline/policy.py
@@ -1,8 +1,8 @@
 """Every decision, table and tuned value of thistleline.
 
-One `Policy` lives in each server, from `Policy(bench, seed, now)` to the end of the process. The host calls
-`round(now, came_in, out)` once at birth with nothing and then once a round with all that came in since, in
-order; decisions go straight into the writer `out`. Types and the writer: thistleline/interface.py.
+One `Policy` lives in each server, from `Policy(settings, seed, now)` to the end of the process. The host
+calls `round(now, events, out)` once at the start with no events and then once a round with all that came in
+since, in order; decisions go straight into the writer `out`. Types and the writer: thistleline/interface.py.
 The ordinary path of a task is `_pass`; the overload mechanism is `_sense`, `_steer` and `_cut_for`.
 """
 
@@ -11,7 +11,20 @@
 from random import Random
 from statistics import fmean, median_high
 
-from thistleline.interface import Bench, CameIn, Task, Writer
+from thistleline.interface import (
+    CallEnded,
+    CallRequested,
+    ClientGone,
+    DecisionSink,
+    DrainRequested,
+    EffectRemembered,
+    PolicyEvent,
+    RunEnded,
+    ServerSettings,
+    Task,
+    TaskArrived,
+    TimerFired,
+)
 
 MS = 1_000_000
 SECOND = 1_000 * MS
@@ -79,21 +92,21 @@
 
     __slots__ = ("level", "pace", "stage", "usual")
 
-    def __init__(self, bench: Bench, place: int) -> None:
-        self.stage = bench.stages[place]
-        self.level = sorted({stage.utility for stage in bench.stages}).index(self.stage.utility)
+    def __init__(self, settings: ServerSettings, place: int) -> None:
+        self.stage = settings.stages[place]
+        self.level = sorted({stage.utility for stage in settings.stages}).index(self.stage.utility)
         self.pace: deque[float] = deque(maxlen=PACE_SAMPLES)  # run time for each ns of hinted work
         self.usual = 0.0  # the trusted percentile of the pace
 
 
 class Policy:
-    def __init__(self, bench: Bench, seed: int, now: int) -> None:
-        self.bench = bench
+    def __init__(self, settings: ServerSettings, seed: int, now: int) -> None:
+        self.settings = settings
         self.chance = Random(seed).random
-        self.rows = [Row(bench, place) for place in range(len(bench.stages))]
+        self.rows = [Row(settings, place) for place in range(len(settings.stages))]
         self.levels = max((row.level for row in self.rows), default=0) + 1
-        self.short_hold = bench.cores + SHORT_HOLD * bench.cores**0.5
-        self.due_span = min(stage.due_span for stage in bench.stages)
+        self.short_hold = settings.cores + SHORT_HOLD * settings.cores**0.5
+        self.latency_objective = min(stage.latency_objective for stage in settings.stages)
         self.begun = False
         self.born = self.now = now
         self.tasks: dict[str, Exec] = {}
@@ -112,12 +125,14 @@
         self.slowness: deque[float] = deque(maxlen=SLOWNESS_SAMPLES)  # recent runs over their usual pace
         self.waiting = 0  # held at the end of the last round, and taken since
         # cap and cut
-        self.limit = float(bench.cores)
+        self.limit = float(settings.cores)
         self.finishes: deque[int] = deque(maxlen=SAMPLES)
         self.rejections: deque[tuple[int, int]] = deque(maxlen=SAMPLES)  # when, how old its next try will be
         self.arrivals = deque[tuple[int, int, bool]]()  # of the last span, looked through each window
-        self.asked: list[deque[int]] = [deque(maxlen=SAMPLES) for _ in bench.owners]  # first tries by owner
-        self.over = [0.0 for _ in bench.owners]  # part of an owner's traffic that is beyond its share
+        self.asked: list[deque[int]] = [
+            deque(maxlen=SAMPLES) for _ in settings.tenants
+        ]  # first tries by owner
+        self.over = [0.0 for _ in settings.tenants]  # part of an owner's traffic that is beyond its share
         self.cap: float | None = None
         self.before_probe: float | None = None
         self.probe_wait = PROBE_FIRST
@@ -134,75 +149,76 @@
 
     # ---- a round
 
-    def round(self, now: int, came_in: list[CameIn], out: Writer) -> None:
+    def round(self, now: int, events: list[PolicyEvent], out: DecisionSink) -> None:
         self.now = now
         if not self.begun:
             self.begun = True
-            out.health(True, True)
-            out.alarm("tick", TICK)
+            out.set_health(True, True)
+            out.set_timer("tick", TICK)
         fresh: list[Task] = []
-        for item in came_in:
-            kind = item[0]
-            if kind == "task":
-                fresh.append(item[1])
-            elif kind == "over":
-                self._over(item[1], item[2], item[3], out)
-            elif kind == "gone":
-                self._gone(item[1], out)
-            elif kind == "wants_call":
-                held = self.tasks.get(item[1])
-                if held is not None and held.state == "running":
-                    held.state = "at_call"
-                    self.at_call.append(held)
-            elif kind == "call_over":
-                self._call_over(item[1], item[2], out)
-            elif kind == "remembered":
-                # Guards against an effect twice over a restart: it has run, whoever was told of it.
-                effect = self.effects[item[1]] = Effect(item[2])
-                effect.ran = True
-                self.entries[item[1]] = item[2]
-            elif kind == "leave":
-                # Callers learn late who leaves and who is new, and few others can't take one's part at once.
-                # Guards against cores idle through the grace while these and cold successors are jammed.
-                self.leave_by = item[1]
-                self.shut = now + int(min(GRACE_USED * self.bench.drain_grace, STAY_USED * (item[1] - now)))
-                out.alarm("shut", self.shut - now if self.bench.servers < MANY else MS)
-            elif kind == "bell" and item[1] == "shut":
-                out.health(False, True)
-                if self.bench.says == "threshold":
-                    out.say(1.0)
-            elif kind == "bell":
-                out.alarm("tick", TICK)
-                self._sense(item[2])
-                self._steer(out)
-                self._answer_due(out)
+        for event in events:
+            match event:
+                case TaskArrived(task):
+                    fresh.append(task)
+                case RunEnded(task_id, outcome, duration):
+                    self._over(task_id, outcome, duration, out)
+                case ClientGone(task_id):
+                    self._gone(task_id, out)
+                case CallRequested(task_id):
+                    held = self.tasks.get(task_id)
+                    if held is not None and held.state == "running":
+                        held.state = "at_call"
+                        self.at_call.append(held)
+                case CallEnded(task_id, outcome, _):
+                    self._call_over(task_id, outcome, out)
+                case EffectRemembered(task_id, expires_at):
+                    # Prevents an effect from running twice over a restart: it has run, whoever knows of it.
+                    effect = self.effects[task_id] = Effect(expires_at)
+                    effect.ran = True
+                    self.entries[task_id] = expires_at
+                case DrainRequested(stop_at):
+                    # Callers learn late who leaves and who is new, and few others can't take one's part at
+                    # once. Prevents cores idle through the grace while these and cold successors are jammed.
+                    self.leave_by = stop_at
+                    stay = min(GRACE_USED * self.settings.drain_grace, STAY_USED * (stop_at - now))
+                    self.shut = now + int(stay)
+                    out.set_timer("shut", self.shut - now if self.settings.fleet_size < MANY else MS)
+                case TimerFired("shut"):
+                    out.set_health(False, True)
+                    if self.settings.load_hint == "threshold":
+                        out.publish_load_hint(1.0)
+                case TimerFired(_, gauges):
+                    out.set_timer("tick", TICK)
+                    self._sense(gauges)
+                    self._steer(out)
+                    self._answer_due(out)
         self._pass(fresh, out)
         self._make_calls(out)
 
-    def _pass(self, fresh: list[Task], out: Writer) -> None:
+    def _pass(self, fresh: list[Task], out: DecisionSink) -> None:
         """The ordinary path: read, cut or hold, then start the held by due time while there is room."""
-        now, bench = self.now, self.bench
+        now, settings = self.now, self.settings
         for task in fresh:
             row = self.rows[task.stage]
             stage = row.stage
-            limit = task.limit if task.limit is not None else task.reached + stage.limit_span
-            due = task.reached + stage.due_span + int(stage.due_stretch * (task.work or 0))
+            limit = task.limit if task.limit is not None else task.reached + stage.timeout
+            due = task.reached + stage.latency_objective + int(stage.objective_per_work * (task.work or 0))
             # Callers give their tries a usual part of the time limit and the last one what is left, so an
             # unusual part tells a try's age, under a cap even unmarked. Guards against running what can only
             # be late; could harm a caller of rare habits until enough of its tries were seen.
             again = task.again
             if task.limit is not None:
-                part = (limit - task.reached) / stage.limit_span
+                part = (limit - task.reached) / stage.timeout
                 alike = sum(1 for seen in self.patience if abs(seen - part) < SAME_PATIENCE)
                 told = (again or self.cap is not None) and len(self.patience) >= HABIT
                 if told and alike * HABIT < len(self.patience):
-                    again, due = True, due - int(stage.limit_span * (1 - part))
+                    again, due = True, due - int(stage.timeout * (1 - part))
                 if not task.again:
                     self.patience.append(part)
             # A marked try of untold age was most likely rejected where things are as they are here.
             if task.again and due > task.reached and self.rejections:
                 ages = [age for _, age in islice(reversed(self.rejections), HABIT)]
-                due = min(due, task.reached + stage.due_span - median_high(ages))
+                due = min(due, task.reached + stage.latency_objective - median_high(ages))
             bucket = self._bucket(task)
             within = int(bucket >= self.over[task.owner] * BUCKETS) if self.over else 1
             place = (2 * row.level + within) * BUCKETS + bucket
@@ -215,10 +231,10 @@
             if not again and task.owner < len(self.over):
                 self.asked[task.owner].append(now)
             self.unread.append((now, now - task.reached))
-            if stage.effect == "fingerprinted" and self._joins(held, out):
+            if stage.effect == "keyed" and self._joins(held, out):
                 self.waiting += 1
                 continue
-            if stage.effect == "restartable" and task.repeats is not None:
+            if stage.effect == "idempotent" and task.repeats is not None:
                 other = self.tasks.get(task.repeats)
                 if other is None or other.state == "running":
                     self._answer_from(held, out)
@@ -228,7 +244,7 @@
             idle = max(self.waiting + self.running, self.on_cores) < self.short_hold
             if limit - ANSWER_EARLY <= now or self._too_late_to_run(task) or (place < self.cut and not idle):
                 self._reject(held, out)
-            elif self._memory_short(bench.key_kb if held.effect else 0.0):
+            elif self._memory_short(settings.idempotency_key_kb if held.effect else 0.0):
                 self._reject(held, out)  # memory: what was read last gives way, never the table of what ran
             else:
                 self.waiting += 1
@@ -247,7 +263,9 @@
             if hopeless or self._too_late_to_run(held.task):
                 self._reject(held, out)  # cannot be answered in time to be worth anything
                 continue
-            if self.running < room and not self._memory_short(held.task.held_kb * (bench.run_factor - 1)):
+            if self.running < room and not self._memory_short(
+                held.task.held_kb * (settings.running_memory_factor - 1)
+            ):
                 self._start(held, out)
         self.waiting = sum(1 for held in held_now if held.state == "held")
 
@@ -269,17 +287,17 @@
 
     def _room(self) -> int:
         """How many may run: the grown limit, under the crowd survived before and the guard for the cores."""
-        bench = self.bench
+        settings = self.settings
         warmth = 1.0
-        if bench.fresh:
-            age = (self.now - self.born) / max(1, bench.cold_span)
-            warmth = min(1.0, bench.cold_from + (1 - bench.cold_from) * age)
-        guard = bench.cores * (1 + (bench.crowd_bound - 1) * warmth) * CROWD_GUARD
+        if settings.cold_start:
+            age = (self.now - self.born) / max(1, settings.warmup_duration)
+            warmth = min(1.0, settings.cold_speed_share + (1 - settings.cold_speed_share) * age)
+        guard = settings.cores * (1 + (settings.max_concurrency_per_core - 1) * warmth) * CROWD_GUARD
         return max(1, int(min(self.limit, guard)))
 
     def _memory_short(self, more: float) -> bool:
-        entries = len(self.entries) * self.bench.key_kb
-        return self.memory + entries + more > self.bench.memory_kb * MEMORY_GUARD
+        entries = len(self.entries) * self.settings.idempotency_key_kb
+        return self.memory + entries + more > self.settings.memory_kb * MEMORY_GUARD
 
     def _too_late_to_run(self, task: Task) -> bool:
         """Guards the drain: nothing that came later than the grace is started, nor what can't end in time."""
@@ -288,34 +306,38 @@
         end = self.now + self._estimate(task, self._times())
         return task.reached > self.shut or end > self.leave_by - LEAVE_EARLY
 
-    def _start(self, held: Exec, out: Writer) -> None:
+    def _start(self, held: Exec, out: DecisionSink) -> None:
         held.state, held.started = "running", self.now
         # Work that may run again and is worth nothing once late ends at its due time where it can be
         # stopped. Guards the cores against runs that a slowdown has overtaken.
         stage = self.rows[held.task.stage].stage
-        if self.bench.stopping != "none" and stage.effect == "restartable" and not stage.late_share:
+        if (
+            self.settings.cancellation != "none"
+            and stage.effect == "idempotent"
+            and not stage.late_utility_share
+        ):
             held.until = min(held.until, held.due)
         self.running += 1
-        self.memory += held.task.held_kb * (self.bench.run_factor - 1)
+        self.memory += held.task.held_kb * (self.settings.running_memory_factor - 1)
         out.start(held.task.id)
         if held.effect is not None:
             held.effect.ran = True
             for follower in held.effect.followers:
                 self._answer_from(follower, out)
             held.effect.followers.clear()
-        elif self.bench.answer_fresh_for and held.task.user is not None and not self._memory_short(0):
-            self._keep(held.task.id, held.limit + self.bench.answer_fresh_for, out)
+        elif self.settings.cached_result_ttl and held.task.user is not None and not self._memory_short(0):
+            self._keep(held.task.id, held.limit + self.settings.cached_result_ttl, out)
 
     # ---- detectors, cap and cut
 
     def _sense(self, gauges: dict[str, float]) -> None:
         """Run queue per core and hold wait, a window at a time; latency confirms."""
-        now, bench = self.now, self.bench
+        now, settings = self.now, self.settings
         self.on_cores = gauges.get("on_cores", float(self.running))
-        self.queue_samples.append(self.on_cores / bench.cores)
+        self.queue_samples.append(self.on_cores / settings.cores)
         # Rejected tasks never enter the hold, so the wait of the unread is told by those just read. Guards
         # against a jam of reading, which the run limit can't relieve and the hold doesn't show.
-        worst = self._unread_wait() / self.due_span
+        worst = self._unread_wait() / self.latency_objective
         times = self._times()
         for held in self.tasks.values() if self.waiting else ():
             if held.state == "held":
@@ -330,12 +352,12 @@
                 self.violations[place] = self.violations[place] + 1 if high > bound else 0
             if self.violations == [0, 0]:
                 self.peaks.append(max(self.queue_samples))
-        if self.waiting and self.on_cores < bench.cores:
-            self.limit = max(self.limit, self.running + bench.cores - self.on_cores)
+        if self.waiting and self.on_cores < settings.cores:
+            self.limit = max(self.limit, self.running + settings.cores - self.on_cores)
         survived = max(self.peaks) if len(self.peaks) >= WINDOW else START_CROWD
-        crowd = bench.cores * min(max(1.0, survived), START_CROWD)
+        crowd = settings.cores * min(max(1.0, survived), START_CROWD)
         if self.on_cores > crowd:
-            self.limit = max(float(bench.cores), min(self.limit, self.running) - 1)
+            self.limit = max(float(settings.cores), min(self.limit, self.running) - 1)
 
     def _unread_wait(self) -> int:
         since = self.now - WINDOW * TICK
@@ -351,7 +373,7 @@
         ages = [now - held.task.reached for held in self.tasks.values() if held.state in ("held", "running")]
         fast += [age for age in ages if age > slow]
         if not slow:
-            slow = fmean([row.stage.due_span for row in self.rows]) / 3
+            slow = fmean([row.stage.latency_objective for row in self.rows]) / 3
         return bool(fast) and fmean(fast) > slow * CROSSING
 
     def _arriving(self) -> float:
@@ -359,7 +381,7 @@
             self.marked -= self.arrivals.popleft()[2]
         return len(self.arrivals) * SECOND / ARRIVALS_SPAN
 
-    def _steer(self, out: Writer) -> None:
+    def _steer(self, out: DecisionSink) -> None:
         """A confirmed firing seeds the cap; firings bring it down, calm probes it up and lifts it."""
         if self.ticks % WINDOW:
             return
@@ -399,18 +421,20 @@
         idle_span = IDLE_SHORT if len(set(self.callers)) > SELDOM * CALLERS_SEEN and not storm else 0
         if idle_span != self.idle_span:
             self.idle_span = idle_span
-            out.close_idle(idle_span)
+            out.set_idle_timeout(idle_span)
         # A cold server jammed with unread tasks is off the list until it has read them. Guards against cold
         # successors that take a warm one's traffic; could harm where all of a fleet starts at once.
-        age, cold = now - self.born, self.bench.cold_span
-        if self.bench.fresh and age < cold + SECOND and self.shut is None:
-            out.health(age > cold or self._unread_wait() <= UNREAD_BEARABLE * self.due_span, True)
+        age, cold = now - self.born, self.settings.warmup_duration
+        if self.settings.cold_start and age < cold + SECOND and self.shut is None:
+            out.set_health(
+                age > cold or self._unread_wait() <= UNREAD_BEARABLE * self.latency_objective, True
+            )
         self.cut = max(self._cut_for(self.cap), self.cut - max(1, BUCKETS * WINDOW * TICK // CUT_FALL))
-        if self.bench.says == "threshold" and self.shut is None:
+        if self.settings.load_hint == "threshold" and self.shut is None:
             value = self._rank_at(self.cut) * SAY_PART
             if value != self.said:
                 self.said = value
-                out.say(value)
+                out.publish_load_hint(value)
 
     def _rank_at(self, cut: int) -> float:
         """The rank under which the cut lies: stages take equal parts of the ranks in order of utility."""
@@ -422,10 +446,10 @@
     def _weigh_owners(self) -> None:
         """The part of each owner's traffic beyond its share, taking this server for one of equals."""
         since = self.now - SHARE_SPAN
-        for place, (owner, asked) in enumerate(zip(self.bench.owners, self.asked, strict=True)):
+        for place, (owner, asked) in enumerate(zip(self.settings.tenants, self.asked, strict=True)):
             while asked and asked[0] <= since:
                 asked.popleft()
-            within = owner.allowance * SHARE_SPAN / SECOND / self.bench.servers
+            within = owner.allowance * SHARE_SPAN / SECOND / self.settings.fleet_size
             self.over[place] = max(0.0, 1.0 - (within * SHARE_SLACK + within**0.5) / max(len(asked), 1))
 
     def _cut_for(self, cap: float | None) -> int:
@@ -442,13 +466,13 @@
 
     # ---- effects
 
-    def _joins(self, held: Exec, out: Writer) -> bool:
+    def _joins(self, held: Exec, out: DecisionSink) -> bool:
         """Guards against an effect twice: a repeat waits for what is held and is answered by what ran."""
         task = held.task
         effect = self.effects.get(task.repeats) if task.repeats is not None else None
         if effect is None:
             effect = Effect(0)
-        window = self.rows[task.stage].stage.window
+        window = self.rows[task.stage].stage.idempotency_window
         effect.until = max(effect.until, max(task.reached + window, held.limit) + window)
         held.effect = self.effects[task.id] = effect
         if effect.ran:
@@ -460,19 +484,19 @@
         effect.holder = held
         return False
 
-    def _remember(self, held: Exec, out: Writer) -> None:
-        window = self.rows[held.task.stage].stage.window
+    def _remember(self, held: Exec, out: DecisionSink) -> None:
+        window = self.rows[held.task.stage].stage.idempotency_window
         self._keep(held.task.id, max(held.task.reached + window, held.limit) + SECOND, out)
 
-    def _keep(self, name: str, until: int, out: Writer) -> None:
+    def _keep(self, name: str, until: int, out: DecisionSink) -> None:
         self.entries[name] = until
-        out.remember(name, until - self.now)
+        out.remember_key(name, until - self.now)
 
-    def _answer_from(self, held: Exec, out: Writer) -> None:
+    def _answer_from(self, held: Exec, out: DecisionSink) -> None:
         held.state = "repeat"
-        out.answer_from_repeat(held.task.id)
+        out.replay_result(held.task.id)
 
-    def _unrun(self, held: Exec, out: Writer) -> None:
+    def _unrun(self, held: Exec, out: DecisionSink) -> None:
         """A held effect went without running: its entry goes, and the next try in line takes its place."""
         effect = held.effect
         if effect is None or effect.ran:
@@ -482,22 +506,22 @@
         if effect.holder is held:
             effect.holder = None
             if self.entries.pop(held.task.id, None) is not None:
-                out.forget(held.task.id)
+                out.forget_key(held.task.id)
             if effect.followers:
                 effect.holder = effect.followers.pop(0)
                 self._remember(effect.holder, out)
 
     # ---- answers and ends
 
-    def _reject(self, held: Exec, out: Writer) -> None:
+    def _reject(self, held: Exec, out: DecisionSink) -> None:
         # What is turned away comes back when what lies unread has been read: a rejection costs a reading too,
         # so a jam of reading ends only if less is sent. Guards against storms of further tries.
         stay_away = self._unread_wait()
         if self.shut is not None:
-            stay_away = self.bench.longest_stay_away
-        if stay_away < UNREAD_BEARABLE * self.due_span:
-            stay_away = STAY_SHORT if self.cap is not None and self.bench.says == "none" else 0
-        stay_away = min(int(stay_away * (0.5 + self.chance())), self.bench.longest_stay_away)
+            stay_away = self.settings.max_retry_after
+        if stay_away < UNREAD_BEARABLE * self.latency_objective:
+            stay_away = STAY_SHORT if self.cap is not None and self.settings.load_hint == "none" else 0
+        stay_away = min(int(stay_away * (0.5 + self.chance())), self.settings.max_retry_after)
         self.rejections.append((self.now, self.now - held.task.reached + stay_away))
         out.reject(held.task.id, self._widespread(), stay_away)
         self._drop(held)
@@ -516,7 +540,7 @@
         self.tasks.pop(held.task.id, None)
         self.memory -= held.task.held_kb
 
-    def _answer_due(self, out: Writer) -> None:
+    def _answer_due(self, out: DecisionSink) -> None:
         """Guards against a task lost: whatever its state, it is answered before its time limit or our end."""
         leaving = self.shut is not None and self.now >= self.leave_by - LEAVE_EARLY
         for held in [held for held in self.tasks.values() if leaving or held.until <= self.now]:
@@ -529,7 +553,7 @@
             self.entries = {name: until for name, until in self.entries.items() if until > self.now}
             self.effects = {name: effect for name, effect in self.effects.items() if effect.until > self.now}
 
-    def _gone(self, name: str, out: Writer) -> None:
+    def _gone(self, name: str, out: DecisionSink) -> None:
         """Nobody waits for it: what may run again is stopped; an effect goes on, for its repeats' sake."""
         held = self.tasks.get(name)
         if held is None or held.state == "over":
@@ -539,12 +563,12 @@
             self._unrun(held, out)
             return
         self.at_call = [other for other in self.at_call if other is not held]
-        may_run_again = self.rows[held.task.stage].stage.effect == "restartable"
-        if held.state == "running" and self.bench.stopping != "none" and may_run_again:
+        may_run_again = self.rows[held.task.stage].stage.effect == "idempotent"
+        if held.state == "running" and self.settings.cancellation != "none" and may_run_again:
             out.stop(name)
         held.state = "over"
 
-    def _over(self, name: str, how: str, took: int, out: Writer) -> None:
+    def _over(self, name: str, how: str, took: int, out: DecisionSink) -> None:
         held = self.tasks.pop(name, None)
         if held is None:
             return
@@ -552,7 +576,7 @@
         self._call_ended(name, True)
         if held.started:
             self.running -= 1
-            self.memory -= held.task.held_kb * (self.bench.run_factor - 1)
+            self.memory -= held.task.held_kb * (self.settings.running_memory_factor - 1)
         self.memory -= held.task.held_kb
         if how == "moot" and held.effect is not None:
             held.effect.ran = False  # nothing ran; guards the table against what the agent does not know
@@ -576,15 +600,15 @@
 
     # ---- calls below
 
-    def _make_calls(self, out: Writer) -> None:
+    def _make_calls(self, out: DecisionSink) -> None:
         """Calls have their own bound: this server's share of what lies below, as a mean over its span. What
         is out is booked to the end of its patience, so the share holds when all below stands still; a
         patience follows what calls took lately, so that those which end soon leave room for the next."""
-        bench, now = self.bench, self.now
-        share, likely = int(bench.calls_out * bench.calls_span), 0
+        settings, now = self.settings, self.now
+        share, likely = int(settings.downstream_quota * settings.downstream_quota_window), 0
         left = share
-        if self.at_call and bench.below == "shared":
-            since = now - bench.calls_span
+        if self.at_call and settings.downstream == "shared":
+            since = now - settings.downstream_quota_window
             while self.calls and self.calls[0][1] <= since:
                 self.calls.popleft()
             spans = [*self.calls, *((begun, max(until, now)) for begun, until in self.calling.values())]
@@ -593,22 +617,25 @@
         for held in sorted(self.at_call, key=_by_due):
             stage = self.rows[held.task.stage].stage
             patience = max(MS, (held.due - now) // 2)
-            if bench.below == "shared":
+            if settings.downstream == "shared":
                 patience = min(patience, CALL_MOST * likely or patience)
-                room, least = left - bench.call_linger, min(patience, CALL_LEAST * likely or patience)
+                room, least = (
+                    left - settings.downstream_linger,
+                    min(patience, CALL_LEAST * likely or patience),
+                )
                 # Guards against a share that is counted too low, should there be more than are remembered.
                 if (left < share and room < least) or len(self.calls) >= SAMPLES:
-                    if stage.skip_share > 0:
+                    if stage.utility_share_without_call > 0:
                         out.skip_call(held.task.id)
                         held.state = "running"
                         self.at_call.remove(held)
                     continue
                 patience = max(least, min(patience, room))
-                left -= patience + bench.call_linger
+                left -= patience + settings.downstream_linger
             self.at_call.remove(held)
             held.state = "calling"
-            self.calling[held.task.id] = now, now + patience + bench.call_linger
-            out.call(held.task.id, patience)
+            self.calling[held.task.id] = now, now + patience + settings.downstream_linger
+            out.start_call(held.task.id, patience)
 
     def _likely_call(self) -> int:
         """How long a call takes, slow ones counted and those out already longer; 0: nothing is known."""
@@ -625,13 +652,13 @@
         if name not in self.calling:
             return 0
         begun, _ = self.calling.pop(name)
-        if self.bench.below == "shared":
-            self.calls.append((begun, self.now + self.bench.call_linger * given_up))
+        if self.settings.downstream == "shared":
+            self.calls.append((begun, self.now + self.settings.downstream_linger * given_up))
         return self.now - begun
 
-    def _call_over(self, name: str, how: str, out: Writer) -> None:
+    def _call_over(self, name: str, how: str, out: DecisionSink) -> None:
         held = self.tasks.get(name)
-        took = self._call_ended(name, how in ("timed_out", "broken_off"))
+        took = self._call_ended(name, how in ("timed_out", "aborted"))
         if how in ("finished", "failed", "timed_out"):
             self.call_times.append(took)
         if held is None or held.state == "over":
@@ -641,8 +668,8 @@
             return
         stage = self.rows[held.task.stage].stage
         held.tries += 1
-        may_repeat = stage.effect == "restartable" or how in ("turned_away", "unreachable")
-        if stage.skip_share > 0:
+        may_repeat = stage.effect == "idempotent" or how in ("rejected", "unreachable")
+        if stage.utility_share_without_call > 0:
             out.skip_call(name)
         elif held.tries <= CALL_TRIES and self.now < held.due and may_repeat:
             held.state = "at_call"  # repeated only where it may be: restartable, or known not to have run
--- a/thistleline/server/backend.py
+++ b/thistleline/server/backend.py
@@ -108,7 +108,7 @@
             link.stream.close()
             for name in list(link.out):
                 self._over(link, name)
-                self.take("call_over", name, "broken_off", b"")
+                self.take("call_over", name, "aborted", b"")
 
     def _over(self, link: Link, name: str) -> None:
         link.out.discard(name)
--- a/thistleline/server/configuration.py
+++ b/thistleline/server/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that a server finds at its start: its name, its addresses, its limits and its bench."""
+"""The configuration that a server reads at its start: its name, addresses, limits and settings."""
 
 import os
 from collections.abc import Mapping
@@ -7,8 +7,8 @@
 
 import orjson
 
-from thistleline.interface import Bench
-from thistleline.wire.settings import Malformed, read_bench, read_gauges, read_granularity
+from thistleline.interface import ServerSettings
+from thistleline.wire.settings import Malformed, read_gauges, read_granularity, read_server_settings
 
 Address = tuple[str, int]
 MS = 1_000_000
@@ -31,7 +31,7 @@
     stop_span: int  # from the notice to leave to the stop
     descriptors: int
     memory: int  # bytes that the program may take
-    bench: Bench
+    settings: ServerSettings
     gauges: tuple[str, ...]
     granularity: int
 
@@ -39,11 +39,15 @@
         """What helps to read the log."""
         return {
             "stages": {
-                stage.name: [stage.due_span // MS, stage.limit_span // MS, stage.window // MS]
-                for stage in self.bench.stages
+                stage.name: [
+                    stage.latency_objective // MS,
+                    stage.timeout // MS,
+                    stage.idempotency_window // MS,
+                ]
+                for stage in self.settings.stages
             },
-            "cores": self.bench.cores,
-            "memory_kb": self.bench.memory_kb,
+            "cores": self.settings.cores,
+            "memory_kb": self.settings.memory_kb,
             "stop_ms": self.stop_span // MS,
             "granularity_us": self.granularity // 1000,
         }
@@ -70,7 +74,7 @@
             stop_span=_positive("stop_ms", told["stop_ms"], MS),
             descriptors=_descriptors(None if sockets is None else _positive("sockets", sockets)),
             memory=_positive("memory_mb", MEMORY_MB if memory_mb is None else memory_mb, 1024 * 1024),
-            bench=read_bench(settings),
+            settings=read_server_settings(settings),
             gauges=read_gauges(settings),
             granularity=read_granularity(settings),
         )
--- a/thistleline/server/service.py
+++ b/thistleline/server/service.py
@@ -53,7 +53,7 @@
             1, min(configuration.descriptors - RESERVE, configuration.memory // 4 // CONNECTION_COST)
         )
         told = (
-            configuration.bench,
+            configuration.settings,
             configuration.gauges,
             configuration.granularity,
             self.connections_bound,
@@ -141,7 +141,7 @@
     def _serve(self, group: TaskGroup, found: Any, listener: socket.socket) -> None:
         self.serves = True
         front = self.front = Front(
-            listener, Stubs(self.configuration.bench), self.take_task, group, self.connections_bound
+            listener, Stubs(self.configuration.settings), self.take_task, group, self.connections_bound
         )
         agent = self.agent = AgentLink(self.configuration.agent, self.take, group)
         backend = self.backend = BackendLink(self.configuration.backend, self.take, group)
--- a/thistleline/state/state_machine.py
+++ b/thistleline/state/state_machine.py
@@ -34,7 +34,20 @@
 from dataclasses import replace
 from typing import Any
 
-from thistleline.interface import Bench, CameIn, Task
+from thistleline.interface import (
+    CallEnded,
+    CallOutcome,
+    CallRequested,
+    ClientGone,
+    DrainRequested,
+    PolicyEvent,
+    RunEnded,
+    RunOutcome,
+    ServerSettings,
+    Task,
+    TaskArrived,
+    TimerFired,
+)
 from thistleline.policy import Policy
 from thistleline.state.phases import Phases
 from thistleline.state.tables import Alarms, Connection, Entries, Key, Run, Try, key_of
@@ -71,7 +84,7 @@
 class Reducer:
     def __init__(
         self,
-        bench: Bench,
+        settings: ServerSettings,
         gauges: tuple[str, ...],
         granularity: int,
         connections: int,
@@ -80,14 +93,14 @@
         now: int,
         phases: Phases,
     ) -> None:
-        self.bench, self.gauges, self.granularity = bench, gauges, granularity
+        self.settings, self.gauges, self.granularity = settings, gauges, granularity
         self.connections_bound, self.seed, self.now, self.phases = connections, seed, now, phases
         self.effects: list[Effect] = []
-        self.came_in: list[CameIn] = []
+        self.came_in: list[PolicyEvent] = []
         self.last_round = 0
         self.next_sweep = now
         self.faulty_until = 0  # after the module has failed
-        self.entry_slack = max(stage.limit_span for stage in bench.stages)
+        self.entry_slack = max(stage.timeout for stage in settings.stages)
         self.connections: OrderedDict[int, Connection] = OrderedDict()  # the longest idle first
         self.silent: OrderedDict[int, None] = (
             OrderedDict()
@@ -126,7 +139,7 @@
         self.figures: dict[str, int] = {}
         self.complained: dict[str, int] = {}  # when last, by event
         self.does: dict[str, Callable[..., None]] = {kind: getattr(self, f"_{kind}") for kind in INPUTS}
-        self.module = Policy(bench, seed, now)
+        self.module = Policy(settings, seed, now)
         self._call_module()
 
     # ---- from outside
@@ -180,9 +193,9 @@
 
     def _call_module(self) -> None:
         came_in, self.came_in = self.came_in, []
-        for item in came_in:
-            if item[0] == "task":
-                self.tries[item[1].id].told = True
+        for event in came_in:
+            if isinstance(event, TaskArrived):
+                self.tries[event.task.id].told = True
         self.this_round.clear()
         self.last_round = self.now
         try:
@@ -190,32 +203,33 @@
         except Exception:
             self._mend_round(came_in)
 
-    def _mend_round(self, came_in: list[CameIn]) -> None:
+    def _mend_round(self, came_in: list[PolicyEvent]) -> None:
         """The module has failed. Guards against tasks without an answer: what it did not come to is told once
         more, one by one; what it can't take is abandoned; its timer rings again."""
         self.faulty_until = self.now + self.entry_slack + SECOND
         self._fault("round")
-        waiting = {name for _, name in self.alarms.heap}
-        for item in came_in:
-            kind = item[0]
-            if kind == "bell":
-                if item[1] not in waiting:
-                    self.alarms.put(self.now + max(self.granularity, MS), item[1])
-                continue
-            if kind == "task":
-                if item[1].id not in self.tries or item[1].id in self.module.tasks:
-                    continue
-            elif kind == "leave":
-                if self.module.shut is not None:
+        pending_timers = {name for _, name in self.alarms.heap}
+        for event in came_in:
+            match event:
+                case TimerFired(name):
+                    if name not in pending_timers:
+                        self.alarms.put(self.now + max(self.granularity, MS), name)
                     continue
-            elif item[1] not in self.module.tasks:
-                continue
+                case TaskArrived(task):
+                    if task.id not in self.tries or task.id in self.module.tasks:
+                        continue
+                case DrainRequested():
+                    if self.module.shut is not None:
+                        continue
+                case _:
+                    if event.task_id not in self.module.tasks:
+                        continue
             try:
-                self.module.round(self.now, [item], self)
+                self.module.round(self.now, [event], self)
             except Exception:
-                self._fault(kind)
-                if kind == "task" and item[1].id not in self.module.tasks:
-                    self.abandon(item[1].id)
+                self._fault(type(event).__name__)
+                if isinstance(event, TaskArrived) and event.task.id not in self.module.tasks:
+                    self.abandon(event.task.id)
 
     def _fault(self, where: str) -> None:
         self._count("faults")
@@ -228,10 +242,10 @@
         for task, held in list(self.tries.items()):
             if held.until <= self.next_sweep:
                 self.abandon(task)
-                self.came_in.append(("gone", task))
+                self.came_in.append(ClientGone(task))
 
     def _ring(self, gauges: dict[str, float]) -> None:
-        self.came_in += [("bell", name, gauges) for name in self.ringing]
+        self.came_in += [TimerFired(name, gauges) for name in self.ringing]
         self.ringing = []
 
     def _measure(self) -> None:
@@ -273,7 +287,7 @@
         self.phases.move("leaving")
         self._log("phase", phase=self.phases.name, held=len(self.tries), runs=len(self.runs))
         self.stop_by, self.end_early = by, max(0, min(END_EARLY, (by - self.now) // END_PART))
-        self.came_in.append(("leave", by))
+        self.came_in.append(DrainRequested(by))
         self.effects.append(("report", False))
 
     def _shut(self) -> None:
@@ -372,17 +386,21 @@
             held = self.tries.pop(task)
             del self.by_id[held.id]
             if held.told:
-                self.came_in.append(("gone", task))
+                self.came_in.append(ClientGone(task))
             else:
                 unseen.add(task)
         if unseen:
             # The module takes all that is gone before it reads; guards against starting what nobody awaits.
-            self.came_in = [item for item in self.came_in if item[0] != "task" or item[1].id not in unseen]
+            self.came_in = [
+                event
+                for event in self.came_in
+                if not isinstance(event, TaskArrived) or event.task.id not in unseen
+            ]
             # Another try of the same effect may stand among the rest; guards against running both.
             self.this_round = {key: task for key, task in self.this_round.items() if task not in unseen}
-            for item in self.came_in:
-                if item[0] == "task":
-                    self._note_mark(item[1].id)
+            for event in self.came_in:
+                if isinstance(event, TaskArrived):
+                    self._note_mark(event.task.id)
 
     def _close(self, name: int) -> None:
         self.effects.append(("close", name))
@@ -440,7 +458,7 @@
         self._count("tasks")
         key = None if word is None else key_of(task.stage, word, body)
         since = min(task.reached, self.now)
-        until = since + self.bench.stages[task.stage].limit_span if task.limit is None else task.limit
+        until = since + self.settings.stages[task.stage].timeout if task.limit is None else task.limit
         held = Try(name, seq, task.id, task.stage, since, until, key, bytes(body))
         repeats = None if key is None else self._repeated(key, held.since)
         self.names += 1
@@ -448,16 +466,16 @@
         named = str(self.names)
         self.by_id[task.id] = named
         self.tries[named] = held
-        if key is not None and self.bench.stages[task.stage].effect == "fingerprinted":
+        if key is not None and self.settings.stages[task.stage].effect == "keyed":
             self._own(task.id, key, task.stage)
         self._note_mark(named)
         connection.open[named] = None
-        self.came_in.append(("task", replace(task, id=named, repeats=repeats, reached=held.since)))
+        self.came_in.append(TaskArrived(replace(task, id=named, repeats=repeats, reached=held.since)))
 
     def _own(self, id: str, key: Key | None, stage: int, anew: bool = False) -> None:
         """Lets an id stand for this effect, unless it stands for one; `anew`: whatever it stood for."""
         if anew or id not in self.owned:
-            span = max(self.bench.stages[stage].window, self.entry_slack) + self.entry_slack
+            span = max(self.settings.stages[stage].idempotency_window, self.entry_slack) + self.entry_slack
             self.owned[id] = key, self.now + span
             self.owned.move_to_end(id)
             if len(self.owned) > self.owned_bound:
@@ -475,13 +493,13 @@
     def _note_mark(self, task: str) -> None:
         """Lets the other tries of one effect that come in before the next round know of this one."""
         key = self.tries[task].key
-        if key is not None and self.bench.stages[key[0]].effect == "fingerprinted":
+        if key is not None and self.settings.stages[key[0]].effect == "keyed":
             self.this_round[key] = task
 
     def _repeated(self, key: Key, since: int) -> str | None:
         """The task that one with this key repeats. What reached us in time counts, however late read."""
         entry = self.entries.by_key.get(key)
-        if self.bench.stages[key[0]].effect == "fingerprinted":
+        if self.settings.stages[key[0]].effect == "keyed":
             # What came in with it goes first. Guards against two tries that name a run which outlived its
             # window, and so its effect in the module: each would be a new one.
             if key in self.this_round:
@@ -491,7 +509,7 @@
             return None
         if entry is None or entry.until <= since or entry.how not in (None, "finished"):
             return None
-        if entry.how and (entry.result is None or entry.ended + self.bench.answer_fresh_for <= since):
+        if entry.how and (entry.result is None or entry.ended + self.settings.cached_result_ttl <= since):
             return None
         return entry.task
 
@@ -550,9 +568,9 @@
             self._log("phase", phase=self.phases.name)
         if self._untouched() and not self.phases.leaving:
             # Only the agent knows how long the machine has been up and whether it began cold.
-            self.bench = replace(self.bench, fresh=fresh)
+            self.settings = replace(self.settings, cold_start=fresh)
             self.alarms, self.ringing, self.came_in = Alarms(), [], []
-            self.module = Policy(self.bench, self.seed, self.now - age)
+            self.module = Policy(self.settings, self.seed, self.now - age)
             self._call_module()
 
     def _untouched(self) -> bool:
@@ -573,11 +591,11 @@
         self.notice = number
         return False
 
-    def _run_over(self, number: int, id: str, how: str, took: int, result: memoryview) -> None:
+    def _run_over(self, number: int, id: str, how: RunOutcome, took: int, result: memoryview) -> None:
         if not self._seen(number) and id in self.at_agent:
             self._ended_run(self.at_agent[id], how, took, result)
 
-    def _ended_run(self, task: str, how: str, took: int, result: bytes | memoryview) -> None:
+    def _ended_run(self, task: str, how: RunOutcome, took: int, result: bytes | memoryview) -> None:
         run = self.runs.pop(task)
         del self.at_agent[run.id]
         if self.calls.pop(run.id, None) is not None:
@@ -586,12 +604,12 @@
             self._finish(task, result)
         else:
             self.abandon(task)
-        if self.bench.stages[run.stage].effect != "restartable":  # what may run again owns no id
+        if self.settings.stages[run.stage].effect != "idempotent":  # what may run again owns no id
             if how == "moot":
                 self.owned.pop(run.id, None)  # it names nothing that ran
             else:
                 self._own(run.id, run.key, run.stage, anew=True)
-        self.came_in.append(("over", task, how, took))
+        self.came_in.append(RunEnded(task, how, took))
         if run.key is not None:
             entry = self.entries.by_key.get(run.key)
             if entry is not None and entry.ran == task:
@@ -602,10 +620,10 @@
     def _repeat_over(self, task: str, result: bytes | memoryview | None) -> None:
         if result is not None:
             if self._finish(task, result):
-                self.came_in.append(("over", task, "finished", 0))
+                self.came_in.append(RunEnded(task, "finished", 0))
         elif task in self.tries:
             self.abandon(task)
-            self.came_in.append(("over", task, "failed", 0))
+            self.came_in.append(RunEnded(task, "failed", 0))
 
     def _measured(self, tag: str, values: list[float]) -> None:
         number = int(tag) if tag.isdecimal() else 0
@@ -626,11 +644,11 @@
         because its stop was lost with the link."""
         for task, run in self.runs.items():
             if self.answered <= run.measures < mark:
-                stage = self.bench.stages[run.stage]
-                if stage.effect == "restartable" or not run.sent:
+                stage = self.settings.stages[run.stage]
+                if stage.effect == "idempotent" or not run.sent:
                     self._send(run)
                 else:
-                    self.in_doubt.setdefault(task, self.now + stage.due_span // DOUBT_PART)
+                    self.in_doubt.setdefault(task, self.now + stage.latency_objective // DOUBT_PART)
             if run.frozen:
                 self.effects.append(("stop", run.id))
             if run.given is not None and run.given[0] >= self.lost_at - LOST_SPAN:
@@ -652,7 +670,7 @@
 
     def _send(self, run: Run) -> None:
         run.sent, run.measures = True, self.measures
-        self.effects.append(("start", run.id, self.bench.stages[run.stage].name, run.body))
+        self.effects.append(("start", run.id, self.settings.stages[run.stage].name, run.body))
 
     def _deep_checked(self, tag: str, good: bool) -> None:
         asked = self.deep_checks.pop(tag, None)
@@ -666,16 +684,16 @@
         run = self.runs[task]
         run.call, run.given = (number, body), None
         run.measures = -1  # it is known to have been started
-        self.came_in.append(("wants_call", task))
+        self.came_in.append(CallRequested(task))
 
-    def _call_over(self, id: str, how: str, result: bytes) -> None:
+    def _call_over(self, id: str, how: CallOutcome, result: bytes) -> None:
         out = self.calls.pop(id, None)
         if out is None or id not in self.at_agent:
             return  # it was given up, or its run is over
         task = self.at_agent[id]
         if how == "finished":
             self._let_go_on(self.runs[task], result)
-        self.came_in.append(("call_over", task, how, self.now - out[0]))
+        self.came_in.append(CallEnded(task, how, self.now - out[0]))
 
     def _let_go_on(self, run: Run, result: bytes | None) -> None:
         """A run goes on from its call, with a result or without one. Without a link it is told once there is
@@ -717,20 +735,20 @@
     def start(self, task: str) -> None:
         held = self.tries.get(task)
         if held is None:
-            self.came_in.append(("over", task, "moot", 0))
+            self.came_in.append(RunEnded(task, "moot", 0))
             return
-        effect = self.bench.stages[held.stage].effect
-        if effect != "restartable":
+        effect = self.settings.stages[held.stage].effect
+        if effect != "idempotent":
             if self._is_anothers(held.id, held.key):
                 self._offended(held.connection, "another's id", id=held.id)
                 self.abandon(task)
-                self.came_in.append(("over", task, "moot", 0))
+                self.came_in.append(RunEnded(task, "moot", 0))
                 return
             self._own(held.id, held.key, held.stage, anew=True)
         run = self.runs[task] = Run(held, self.measures)
         self.at_agent[run.id] = task
-        if held.key is not None and effect == "fingerprinted":
-            window = held.since + self.bench.stages[held.stage].window
+        if held.key is not None and effect == "keyed":
+            window = held.since + self.settings.stages[held.stage].idempotency_window
             entry = self.entries.by_key.get(held.key) or self.entries.put(held.key, task, window)
             entry.ran, entry.how = task, None
         self._launch(task, run)
@@ -757,7 +775,7 @@
             self._count("abandoned")
             self.effects.append(("abandoned", held.connection, held.seq, self.level))
 
-    def answer_from_repeat(self, task: str) -> None:
+    def replay_result(self, task: str) -> None:
         held = self.tries.get(task)
         if held is None or held.key is None:
             return
@@ -769,17 +787,17 @@
             self._count("repeats")
             self._repeat_over(task, entry.result if entry is not None else None)
 
-    def remember(self, task: str, span: int) -> None:
+    def remember_key(self, task: str, span: int) -> None:
         held = self.tries.get(task)
         if held is not None and held.key is not None:
             entry = self.entries.put(held.key, task, self.now + span)
             if task in self.runs:
                 entry.ran, entry.how = task, None
 
-    def forget(self, task: str) -> None:
+    def forget_key(self, task: str) -> None:
         self.entries.forget(task)
 
-    def call(self, task: str, patience: int) -> None:
+    def start_call(self, task: str, patience: int) -> None:
         run = self.runs.get(task)
         stands = None if run is None else run.call
         if run is not None and stands is not None and run.id not in self.calls:
@@ -791,19 +809,16 @@
         if run is not None and run.call is not None:
             self._let_go_on(run, None)
 
-    def health(self, good: bool, from_store: bool) -> None:
+    def set_health(self, good: bool, from_store: bool) -> None:
         self.good, self.from_store = good, from_store
         if self.phases.leaving and not good:
             self._shut()
 
-    def say(self, value: float) -> None:
+    def publish_load_hint(self, value: float) -> None:
         self.level = value
 
-    def close_idle(self, span: int) -> None:
+    def set_idle_timeout(self, span: int) -> None:
         self.idle_span = span
 
-    def alarm(self, name: str, span: int) -> None:
+    def set_timer(self, name: str, span: int) -> None:
         self.alarms.put(self.now + span, name)
-
-    def note(self, text: str) -> None:
-        self._log("note", text=text)
--- a/thistleline/supervisor/settings.py
+++ b/thistleline/supervisor/settings.py
@@ -8,7 +8,7 @@
 
 from thistleline.lease.protocol import VALUE_BOUND
 from thistleline.server.service import CONNECTION_COST, RESERVE
-from thistleline.wire.settings import Malformed, read_bench, read_gauges, read_granularity
+from thistleline.wire.settings import Malformed, read_gauges, read_granularity, read_server_settings
 
 SIZE_BOUND = VALUE_BOUND  # bytes of a version: it has to go through the council in one record
 
@@ -20,14 +20,14 @@
         return f"{len(content)} bytes, {SIZE_BOUND} at most"
     try:
         told = msgspec.json.decode(content)
-        bench = read_bench(told)
+        site = read_server_settings(told)
         read_gauges(told)
         read_granularity(told)
     except KeyError as error:
         return f"{error.args[0]!r} is missing or unknown"
     except (msgspec.MsgspecError, Malformed, TypeError, LookupError, ValueError, ArithmeticError) as error:
         return f"{type(error).__name__}: {' '.join(str(error).split())}"
-    twice = [name for name, count in Counter(one.name for one in bench.stages).items() if count > 1]
+    twice = [name for name, count in Counter(one.name for one in site.stages).items() if count > 1]
     if twice:
         return f"there are two stages {twice[0]!r}"
     if limits is None:
@@ -36,11 +36,11 @@
         sockets, memory = int(limits["sockets"]), float(limits["memory_mb"]) * 1024 * 1024
     except (KeyError, TypeError, ValueError):
         return "the limits have no 'sockets' or no 'memory_mb'"
-    if bench.callers + RESERVE > sockets:
-        return f"{bench.callers} callers and {RESERVE} of its own need more than {sockets} descriptors"
-    if bench.callers * CONNECTION_COST > memory / 4:
-        taken = bench.callers * CONNECTION_COST >> 20
-        return f"{bench.callers} callers take {taken} MB, more than a quarter of {int(memory) >> 20} MB"
+    if site.client_count + RESERVE > sockets:
+        return f"{site.client_count} callers and {RESERVE} of its own need more than {sockets} descriptors"
+    if site.client_count * CONNECTION_COST > memory / 4:
+        taken = site.client_count * CONNECTION_COST >> 20
+        return f"{site.client_count} callers take {taken} MB, more than a quarter of {int(memory) >> 20} MB"
     return ""
 
 
--- a/thistleline/wire/backend.py
+++ b/thistleline/wire/backend.py
@@ -17,7 +17,7 @@
 BUFFER_BOUND = 2 * (LINE_BOUND + RESULT_BOUND)
 CALL_ENDS = {
     "ok": "finished",
-    "overload": "turned_away",
+    "overload": "rejected",
     "internal": "failed",
     "deadline": "timed_out",
     "stale": "failed",
--- a/thistleline/wire/settings.py
+++ b/thistleline/wire/settings.py
@@ -3,13 +3,13 @@
 from decimal import Decimal, InvalidOperation
 from typing import Any
 
-from thistleline.interface import Bench, Owner, Stage
+from thistleline.interface import ServerSettings, Stage, Tenant
 
-EFFECTS = {"read_like": "restartable", "idempotency_key": "fingerprinted", "non_idempotent": "side-effecting"}
-STOPPING = {"none": "none", "abort": "loses", "suspend": "pauses"}
-SAYS = {"none": "none", "threshold": "threshold", "window": "window", "share_of": "share"}
+EFFECT_KINDS = {"read_like": "idempotent", "idempotency_key": "keyed", "non_idempotent": "non_idempotent"}
+CANCELLATION = {"none": "none", "abort": "abort", "suspend": "suspend"}
+LOAD_HINTS = {"none": "none", "threshold": "threshold", "window": "window", "share_of": "share"}
 GAUGES = {"core_use": "core_use", "on_cores": "on_cores", "heap_share": "memory_use", "links": "connections"}
-BELOW = {"none": "none", "shared": "shared", "tier": "tier"}
+DOWNSTREAM = {"none": "none", "shared": "shared", "tier": "tier"}
 NUMBER_BOUND = 1e21
 
 TIME_BOUND = 1 << 40  # seconds; guards against exponents whose digits would fill the memory
@@ -33,7 +33,7 @@
         raise Malformed(f"{text!r} is not a time") from error
 
 
-def read_bench(env: dict[str, Any]) -> Bench:
+def read_server_settings(env: dict[str, Any]) -> ServerSettings:
     """The settings of BORN in our words. Keys that are not known are passed over. What may be left out has
     the meaning of a site without it; a word that is not known is the one that asks the least of others, but
     for an effect, on which a rule hangs. Raises Malformed, KeyError, TypeError, ValueError."""
@@ -44,30 +44,32 @@
     for place, row in enumerate(env["classes"]):
         name = str(row["name"])
         limit = _above_zero(f"deadline of {name}", _span(row["deadline"]))
-        effect = EFFECTS.get(row["effect"])
+        effect = EFFECT_KINDS.get(row["effect"])
         if effect is None:
             raise Malformed(
-                f"the effect of {name} is {row['effect']!r}, one of {', '.join(EFFECTS)} is wanted"
+                f"the effect of {name} is {row['effect']!r}, one of {', '.join(EFFECT_KINDS)} is wanted"
             )
         stages.append(
             Stage(
                 name=name,
-                due_span=_above_zero(f"promise of {name}", _span(row.get("promise") or row["deadline"])),
-                due_stretch=_number(row, "aimStretch", 0.0),
-                limit_span=limit,
-                window=_span(row.get("window") or 0),
+                latency_objective=_above_zero(
+                    f"promise of {name}", _span(row.get("promise") or row["deadline"])
+                ),
+                objective_per_work=_number(row, "aimStretch", 0.0),
+                timeout=limit,
+                idempotency_window=_span(row.get("window") or 0),
                 effect=effect,  # type: ignore[arg-type]
                 utility=_number(row, "credit", 1.0),
-                late_share=_number(row, "lateShare", 0.0),
+                late_utility_share=_number(row, "lateShare", 0.0),
                 calls=bool(calls[place]) if place < len(calls) else False,
-                skip_share=float(skips[place] or 0.0) if place < len(skips) else 0.0,
+                utility_share_without_call=float(skips[place] or 0.0) if place < len(skips) else 0.0,
             )
         )
     if not stages:
         raise Malformed("there are no stages")
     projects = env.get("projects") or []
-    owners = [
-        Owner(
+    tenants = [
+        Tenant(
             str(row["name"]),
             _number(row, "portion", 1 / len(projects)),
             _number(row, "allowancePerS", float("inf")),
@@ -75,35 +77,35 @@
         for row in projects
     ]
     cores = _above_zero("a server without cores: 'cpus'", float(info["cpus"]))
-    return Bench(
+    return ServerSettings(
         stages=tuple(stages),
-        owners=tuple(owners),
+        tenants=tuple(tenants),
         cores=int(cores) if cores == int(cores) else cores,
         memory_kb=_above_zero("a server without memory: 'memoryKb'", float(info["memoryKb"])),
-        run_factor=_number(info, "blowup", 1.0),
-        key_kb=_number(info, "keyKb", 0.0),
-        servers=max(1, int(_number(env, "groupSize", 1.0))),
-        callers=max(1, int(_number(info, "upstreams", 1.0))),
-        fresh=bool(info.get("freshStart")),
-        cold_from=_number(rules, "coldFrom", 1.0),
-        cold_span=_span(rules.get("cold") or 0),
-        crowd_bound=max(1.0, float(rules["fallMultiple"])),
-        crowd_span=_span(rules.get("fall") or 0),
+        running_memory_factor=_number(info, "blowup", 1.0),
+        idempotency_key_kb=_number(info, "keyKb", 0.0),
+        fleet_size=max(1, int(_number(env, "groupSize", 1.0))),
+        client_count=max(1, int(_number(info, "upstreams", 1.0))),
+        cold_start=bool(info.get("freshStart")),
+        cold_speed_share=_number(rules, "coldFrom", 1.0),
+        warmup_duration=_span(rules.get("cold") or 0),
+        max_concurrency_per_core=max(1.0, float(rules["fallMultiple"])),
+        max_concurrency_window=_span(rules.get("fall") or 0),
         answer_slack=_span(rules.get("graceToAnswer") or 0),
         drain_grace=_span(rules.get("drainGrace") or 0),
-        stopping=STOPPING.get(info.get("halt"), "none"),  # type: ignore[arg-type]
-        tells_limit=bool(info.get("passesDeadline")),
-        tells_gone=bool(info.get("tellsGone")),
-        marks_repeats=bool(habits.get("marksRetry")),
-        says=SAYS.get(info.get("say"), "none"),  # type: ignore[arg-type]
-        list_follows_health=bool(info.get("listFollows")),
-        longest_stay_away=_span(allowed.get("maxRetryAfter") or 0) if allowed.get("retryAfter") else 0,
-        over_share_utility=_number(env, "overShareWorth", 1.0),
-        answer_fresh_for=_span(info.get("freshFor") or 0),
-        below=BELOW.get(info.get("dependsOn") or "none", "tier"),  # type: ignore[arg-type]
-        calls_out=_number(info, "callsOut", 0.0),
-        calls_span=_span(info.get("shareSpan") or 0),
-        call_linger=_span(info.get("staysFor") or 0),
+        cancellation=CANCELLATION.get(info.get("halt"), "none"),  # type: ignore[arg-type]
+        propagates_deadline=bool(info.get("passesDeadline")),
+        reports_cancellation=bool(info.get("tellsGone")),
+        marks_retries=bool(habits.get("marksRetry")),
+        load_hint=LOAD_HINTS.get(info.get("say"), "none"),  # type: ignore[arg-type]
+        endpoint_list_follows_health=bool(info.get("listFollows")),
+        max_retry_after=_span(allowed.get("maxRetryAfter") or 0) if allowed.get("retryAfter") else 0,
+        over_quota_utility=_number(env, "overShareWorth", 1.0),
+        cached_result_ttl=_span(info.get("freshFor") or 0),
+        downstream=DOWNSTREAM.get(info.get("dependsOn") or "none", "tier"),  # type: ignore[arg-type]
+        downstream_quota=_number(info, "callsOut", 0.0),
+        downstream_quota_window=_span(info.get("shareSpan") or 0),
+        downstream_linger=_span(info.get("staysFor") or 0),
     )
 
 
--- a/thistleline/wire/thrift.py
+++ b/thistleline/wire/thrift.py
@@ -11,7 +11,7 @@
 from struct import Struct
 from typing import Any
 
-from thistleline.interface import Bench, Task
+from thistleline.interface import ServerSettings, Task
 from thistleline.wire.buffer import Buffer
 from thistleline.wire.settings import Malformed
 
@@ -107,10 +107,10 @@
 class Stubs:
     """Reads and writes for one server, whose stages and owners the messages name."""
 
-    def __init__(self, bench: Bench) -> None:
-        self.stages = {stage.name: place for place, stage in enumerate(bench.stages)}
-        self.marked = [stage.effect == "fingerprinted" for stage in bench.stages]
-        self.owners = {owner.name: place for place, owner in enumerate(bench.owners)}
+    def __init__(self, settings: ServerSettings) -> None:
+        self.stages = {stage.name: place for place, stage in enumerate(settings.stages)}
+        self.marked = [stage.effect == "keyed" for stage in settings.stages]
+        self.owners = {owner.name: place for place, owner in enumerate(settings.tenants)}
 
     def messages(self, buffer: Buffer) -> Iterator[tuple[Any, ...]]:
         """Takes every whole frame out of the buffer."""
