--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -27,7 +27,7 @@
 from thistleline.lease.server import Office
 from thistleline.lease.table import Table
 from thistleline.store.disk import Disk
-from thistleline.store.frames import Damaged
+from thistleline.store.frames import CorruptFrameError
 from thistleline.transport.codec import Hello, Unpacker, Unreadable, common_form, sealed
 from thistleline.transport.connection import QUEUE_BOUND, Queue
 
@@ -325,7 +325,7 @@
     data = bytearray(path.read_bytes())
     data[sizes[0] : sizes[1]] = bytes(sizes[1] - sizes[0])
     path.write_bytes(data)
-    with pytest.raises(Damaged, match="write 2 can't be read"):
+    with pytest.raises(CorruptFrameError, match="write 2 can't be read"):
         last_of(tmp_path / "d")
 
 
--- a/tests/test_feed_writer.py
+++ b/tests/test_feed_writer.py
@@ -1127,7 +1127,7 @@
 
 def filled(folder: Path, many: list[Table]) -> Archive:
     archive = Archive(Troubled(folder), "all")
-    archive.disk.hold()
+    archive.disk.acquire()
     assert archive.recover() is None
     archive.write(many[0])
     for before, after in pairwise(many):
@@ -1151,7 +1151,7 @@
 def test_several_steps_go_in_one_write_and_a_step_that_leads_elsewhere_is_a_snapshot(tmp_path: Path) -> None:
     many = tables(6)
     disk = Troubled(tmp_path)
-    disk.hold()
+    disk.acquire()
     archive = Archive(disk, "all")
     archive.write(many[0])
     calls = disk.calls
@@ -1170,7 +1170,7 @@
 def test_an_instances_side_holds_no_tenants(tmp_path: Path) -> None:
     many = tables(3)
     disk = Disk(tmp_path, "feed")
-    disk.hold()
+    disk.acquire()
     archive = Archive(disk, "wide")
     wide = [Table().moved(one.number, one.entries("wide"), "wide") for one in many]
     archive.write(wide[1])
@@ -1231,7 +1231,7 @@
     assert table is None
     assert "can't be read, and later ones can" in told
     disk = Disk(tmp_path / "2", "feed")
-    disk.hold()
+    disk.acquire()
     archive = Archive(disk, "all")
     archive.recover()
     archive.write(many[3])  # loaded anew
@@ -1244,7 +1244,7 @@
     for fails in range(1, 3):  # the append, the sync
         folder = tmp_path / str(fails)
         disk = Troubled(folder)
-        disk.hold()
+        disk.acquire()
         archive = Archive(disk, "all")
         archive.write(many[1])
         archive.write(many[2], [step(many[1], many[2])])
@@ -1268,7 +1268,7 @@
 def test_a_disk_that_is_full_is_not_filled_by_trying(tmp_path: Path) -> None:
     many = tables(300)
     disk = Troubled(tmp_path)
-    disk.hold()
+    disk.acquire()
     archive = Archive(disk, "all")
     archive.write(many[100])
     size = sum(size for _, size in disk.segments())
@@ -1287,14 +1287,14 @@
         for fails in range(1, 12):
             folder = tmp_path / f"{removes}-{fails}"
             disk = Troubled(folder)
-            disk.hold()
+            disk.acquire()
             archive = Archive(disk, "all")
             archive.write(many[1])
             archive.write(many[2], [step(many[1], many[2])])
             disk.release()
             # A new start, so that the next write is a rewrite; all ends at the given call.
             disk = Troubled(folder)
-            disk.hold()
+            disk.acquire()
             archive = Archive(disk, "all")
             assert same(archive.recover(), many[2])
             assert archive.durable == 2
@@ -1313,7 +1313,7 @@
 def test_older_segments_go_once_the_new_one_and_its_name_are_durable(tmp_path: Path) -> None:
     many = tables(3)
     disk = Troubled(tmp_path)
-    disk.hold()
+    disk.acquire()
     archive = Archive(disk, "all")
     archive.write(many[1])
     assert disk.order == ["begin", "append", "append", "append", "sync", "sync_folder"]
@@ -1341,7 +1341,7 @@
 def test_the_size_on_disk_is_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("thistleline.config_feed.archive.LOG_LEAST", 4096)
     disk = Troubled(tmp_path)
-    disk.hold()
+    disk.acquire()
     archive = Archive(disk, "all")
     table = Table()
     archive.write(table)
@@ -1363,7 +1363,7 @@
         7, ((f"{'route' if one % 20 else 'tenant'}/{one}", share(one), 7) for one in range(60_000))
     )
     disk = Troubled(tmp_path)
-    disk.hold()
+    disk.acquire()
     archive = Archive(disk, "all")
     archive.write(table)
     assert disk.calls > 40  # by parts
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -38,8 +38,8 @@
 from thistleline.policy import MS, SECOND
 from thistleline.state.phases import Phases
 from thistleline.store.clock import boot_now
-from thistleline.store.disk import Disk, Held
-from thistleline.store.frames import Damaged
+from thistleline.store.disk import Disk, DiskLockedError
+from thistleline.store.frames import CorruptFrameError
 
 STAGES = ("lookup", "booking")
 START = 5000 * SECOND
@@ -103,7 +103,7 @@
         self.reducer = self.kept = made
         self.effects, self.answers_samples, self.number, self.count = [], True, 0, 0
         self.disk = Troubled(folder)
-        self.disk.hold()
+        self.disk.acquire()
         self.store = Store(self.disk, STAGES)
         self.store.boot = left or self.store.boot
         self.slow = False
@@ -182,7 +182,7 @@
 @settings(derandomize=True, database=None)
 def test_any_bytes_are_damaged_or_nothing(data: bytes) -> None:
     assert _read(data) == []
-    with pytest.raises(Damaged):
+    with pytest.raises(CorruptFrameError):
         form.read_head(data)
 
 
@@ -195,17 +195,17 @@
     head: bytes, reason: str, tmp_path: Path
 ) -> None:
     (tmp_path / "000000000001.ledger").write_bytes(head)
-    with pytest.raises(Damaged, match=reason):
+    with pytest.raises(CorruptFrameError, match=reason):
         Store(Disk(tmp_path), STAGES).recover(Book(1 << 20, 1 << 20, START, lambda _: None))
 
 
 def test_a_second_program_on_a_folder_is_told_so(tmp_path: Path) -> None:
     first = Disk(tmp_path)
-    first.hold()
-    with pytest.raises(Held, match="another program"):
-        Disk(tmp_path).hold()
+    first.acquire()
+    with pytest.raises(DiskLockedError, match="another program"):
+        Disk(tmp_path).acquire()
     first.release()
-    Disk(tmp_path).hold()
+    Disk(tmp_path).acquire()
 
 
 # ---- nothing starts before its intent is durable
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -27,7 +27,7 @@
 from thistleline.rollout.confidence import Bounds
 from thistleline.rollout.controller import Conducting, Spans
 from thistleline.rollout.record import STAGES, Order, Roll, Seen, controls, targets, wrong
-from thistleline.store.latest import Latest
+from thistleline.store.latest import LatestValueStore
 from thistleline.supervisor.decisions import SECOND, Keeping, State, Version, Want
 from thistleline.supervisor.releases import Releases, Unfit, digest_of, forms_of
 from thistleline.supervisor.service import StewardService
@@ -530,17 +530,17 @@
 
 
 def test_the_latest_value_outlives_a_torn_write(tmp_path: Path) -> None:
-    kept = Latest(tmp_path, "x")
+    kept = LatestValueStore(tmp_path, "x")
     for value in (b"one", b"two", b"three"):
         kept.put(value)
     kept.close()
     (path,) = tmp_path.glob("*.x")
     path.write_bytes(path.read_bytes()[:-10])
-    again = Latest(tmp_path, "x")
+    again = LatestValueStore(tmp_path, "x")
     assert again.value == b"three"  # its first copy
     again.close()
     path.write_bytes(path.read_bytes()[:-10])
-    assert Latest(tmp_path, "x").value == b"two"
+    assert LatestValueStore(tmp_path, "x").value == b"two"
 
 
 # ---- programs
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -63,7 +63,7 @@
 
 def recovered_ledger(folder: Path, boot: bytes, stages: tuple[str, ...] = STAGES) -> tuple[list[Found], Any]:
     disk = Disk(folder)
-    disk.hold()
+    disk.acquire()
     store = Store(disk, stages)
     store.boot = boot
     readings: list[Reading] = []
@@ -116,7 +116,7 @@
     """What is recovered takes the next numbers: effect 7 in segment 3."""
     folder = copied(tmp_path, "ledger")
     disk = Disk(folder)
-    disk.hold()
+    disk.acquire()
     store = Store(disk, STAGES)
     store.boot = BOOT
     book = Book(8192, 8192, NOW, lambda _: None)
@@ -219,7 +219,7 @@
 def test_a_feed_archive_is_recovered(tmp_path: Path) -> None:
     """The snapshot of state 3 and the steps to 7: keys set, changed and taken away, with their versions."""
     disk = Disk(copied(tmp_path, "feed_archive"), "feed")
-    disk.hold()
+    disk.acquire()
     archive = Archive(disk, "all")
     table = archive.recover()
     disk.release()
--- a/thistleline/cli/council.py
+++ b/thistleline/cli/council.py
@@ -24,14 +24,14 @@
     if told is None or told.folder is None or told.listen is None or told.name is None:
         raise Unusable(f"{conf}: a voter wants 'council folder', 'council name' and 'council listen'")
     from thistleline.lease.service import run
-    from thistleline.store.disk import Held
-    from thistleline.store.frames import Damaged
+    from thistleline.store.disk import DiskLockedError
+    from thistleline.store.frames import CorruptFrameError
 
     try:
         run(told, logger(told.name))
-    except Held as error:
+    except DiskLockedError as error:
         raise Unusable(str(error)) from error
-    except Damaged as error:
+    except CorruptFrameError as error:
         raise Unusable(
             f"{error}\nwhat this voter has promised is not known. Move the folder away, start it empty, "
             "'council add' it and 'council remove' its old id"
--- a/thistleline/cli/feed.py
+++ b/thistleline/cli/feed.py
@@ -48,11 +48,11 @@
     if told.feed is None or told.feed.role is None or told.feed.name is None:
         raise Unusable(f"{conf}: a keeper or a relay wants 'feed role', and what goes with it")
     from thistleline.config_feed.service import run
-    from thistleline.store.disk import Held
+    from thistleline.store.disk import DiskLockedError
 
     try:
         run(told.feed, told.council, logger(told.feed.name))
-    except Held as error:
+    except DiskLockedError as error:
         raise Unusable(str(error)) from error
     except OSError as error:
         where = ", ".join(str(one) for one in (told.feed.folder, told.feed.listen) if one)
@@ -292,7 +292,7 @@
     conf: str | None, at: tuple[str, ...], folder: Path | None, until: int | None, as_json: bool
 ) -> None:
     """As an instance does; a line for each state: its number, its digest, what was touched."""
-    from thistleline.store.disk import Held
+    from thistleline.store.disk import DiskLockedError
 
     servers = _servers(conf, at, "up", "keeper")
 
@@ -313,7 +313,7 @@
 
     try:
         anyio.run(run)
-    except Held as error:
+    except DiskLockedError as error:
         raise Unusable(str(error)) from error
     except OSError as error:
         raise click.ClickException(f"{folder}: {error.strerror or error}") from error
--- a/thistleline/cli/ledger.py
+++ b/thistleline/cli/ledger.py
@@ -10,8 +10,8 @@
 from thistleline.ledger.state import Book, Found, Work
 from thistleline.ledger.store import Reading, Store
 from thistleline.store.clock import boot_now
-from thistleline.store.disk import Disk, Held
-from thistleline.store.frames import Damaged
+from thistleline.store.disk import Disk, DiskLockedError
+from thistleline.store.frames import CorruptFrameError
 
 ALL = 1 << 62
 
@@ -21,11 +21,11 @@
     """The folder's book, held against a server that would write meanwhile."""
     disk = Disk(folder)
     try:
-        disk.hold()
+        disk.acquire()
         book, readings = Book(ALL, ALL, boot_now(), lambda _: None), list[Reading]()
         found = Store(disk, stages(disk)).recover(book, readings.append)
         yield book, found, readings
-    except (Held, Damaged, OSError) as error:
+    except (DiskLockedError, CorruptFrameError, OSError) as error:
         raise click.ClickException(str(error)) from error
     finally:
         disk.release()
@@ -37,7 +37,7 @@
     for number, _ in disk.segments():
         try:
             names |= dict.fromkeys(ledger_format.read_head(disk.read(number))[0])
-        except Damaged:
+        except CorruptFrameError:
             continue
     return tuple(names)
 
--- a/thistleline/cli/steward.py
+++ b/thistleline/cli/steward.py
@@ -5,7 +5,7 @@
 import click
 
 from thistleline.cli.fleet import Unusable, conf_of, logger
-from thistleline.store.disk import Held
+from thistleline.store.disk import DiskLockedError
 from thistleline.supervisor.releases import Releases, Unfit, digest_of
 
 
@@ -20,7 +20,7 @@
 
     try:
         run(told, logger(told.members.name))
-    except (Held, Unfit) as error:
+    except (DiskLockedError, Unfit) as error:
         raise Unusable(str(error)) from error
     except OSError as error:
         raise click.ClickException(str(error)) from error
--- a/thistleline/config_feed/archive.py
+++ b/thistleline/config_feed/archive.py
@@ -27,7 +27,7 @@
 from thistleline.config_feed.messages import Kind
 from thistleline.config_feed.table import APART, Table
 from thistleline.store.disk import Disk
-from thistleline.store.frames import Damaged, frames, seal
+from thistleline.store.frames import CorruptFrameError, encode_checksum_frame, scan_frames
 
 MAGIC, FORM = b"TLFEEDAR", 1
 LOG_LEAST = 1 << 20  # bytes of steps before a segment is written anew
@@ -72,7 +72,7 @@
             except _Unfinished as error:
                 self.why = str(error)  # it was being written when all ended: the one before is still there
                 continue
-            except (Damaged, msgspec.DecodeError, ValueError) as error:
+            except (CorruptFrameError, msgspec.DecodeError, ValueError) as error:
                 self.why = str(error)
                 return None
             self.durable, self.digest, self.why = table.number, table.digest(self.kind), ""
@@ -84,11 +84,11 @@
         if len(data) < _HEAD.size:
             raise _Unfinished(f"{name} has no whole head")
         if data[: _HEAD.size] != self._head():
-            raise Damaged(f"{name} is no archive of form {FORM} and kind {self.kind}")
+            raise CorruptFrameError(f"{name} is no archive of form {FORM} and kind {self.kind}")
         count, parts, logs = 0, [], []
         end: tuple[int, bytes, int] | None = None
         gap = False
-        for _, payload, _ in frames(data, _HEAD.size, _FRAME.size):
+        for _, payload, _ in scan_frames(data, _HEAD.size, _FRAME.size):
             if payload is None:
                 continue  # a tear, if nothing that is missing comes after it
             frame, letter = _FRAME.unpack_from(payload)
@@ -105,15 +105,15 @@
             elif letter == b"L" and end is not None:
                 logs.append(payload[_FRAME.size :])
             else:
-                raise Damaged(f"{name}: frame {frame} is out of place")
+                raise CorruptFrameError(f"{name}: frame {frame} is out of place")
         if end is None:
             raise _Unfinished(f"{name} holds no whole snapshot")
         if gap:
-            raise Damaged(f"{name}: frame {count + 1} can't be read, and later ones can")
+            raise CorruptFrameError(f"{name}: frame {count + 1} can't be read, and later ones can")
         at, digest, entries = end
         table = Table().moved(at, (entry for part in parts for entry in _decode_part(part)), self.kind)
         if table.digest(self.kind) != digest or table.count(self.kind) != entries:
-            raise Damaged(f"{name}: the snapshot's digest differs")
+            raise CorruptFrameError(f"{name}: the snapshot's digest differs")
         if not logs:
             return table
         last = at
@@ -124,7 +124,7 @@
             last = told[-1][0]
         table = table.moved(last, (item for items in steps for item in items), self.kind)
         if table.digest(self.kind) != digest:
-            raise Damaged(f"{name}: the digest after its steps differs")
+            raise CorruptFrameError(f"{name}: the digest after its steps differs")
         return table
 
     def _head(self) -> bytes:
@@ -169,7 +169,9 @@
                 return b""
         told = tuple((last, self._of_kind(items)) for _, last, items in steps)
         self.frame += 1
-        data = 2 * seal(_FRAME.pack(self.frame, b"L") + _encode((told, table.digest(self.kind))))
+        data = 2 * encode_checksum_frame(
+            _FRAME.pack(self.frame, b"L") + _encode((told, table.digest(self.kind)))
+        )
         return data if self.log_size + len(data) <= max(LOG_LEAST, self.snapshot_size) else b""
 
     def _of_kind(self, items: Items) -> Items:
@@ -211,7 +213,7 @@
 
     def _sealed(self, letter: bytes, told: Any) -> bytes:
         self.frame += 1
-        return seal(_FRAME.pack(self.frame, letter) + _encode(told))
+        return encode_checksum_frame(_FRAME.pack(self.frame, letter) + _encode(told))
 
     def _remove(self, number: int) -> bool:
         try:
--- a/thistleline/config_feed/archive_writer.py
+++ b/thistleline/config_feed/archive_writer.py
@@ -22,10 +22,10 @@
         self, folder: Path, kind: Kind, log: Callable[..., None], durable: Callable[[int], None]
     ) -> None:
         """Takes the folder and reads it; blocks. `durable` hears the number that a restart would find.
-        Raises Held, OSError."""
+        Raises DiskLockedError, OSError."""
         self.log, self.tell = log, durable
         self.disk = Disk(folder, "feed")
-        self.disk.hold()
+        self.disk.acquire()
         try:
             self.archive = Archive(self.disk, kind)
             self.table = self.archive.recover() or Table()
--- a/thistleline/config_feed/client.py
+++ b/thistleline/config_feed/client.py
@@ -51,7 +51,7 @@
         alone: bool = False,
     ) -> None:
         """`alone`: not one of many, so that it need not spread its coming out. Takes the folder and reads
-        it; blocks. Raises Held, OSError."""
+        it; blocks. Raises DiskLockedError, OSError."""
         level = BELOW if kind == "all" else 0
         self.id, self.sources, self.log = id, sources, log
         self.chance = chance or Random(os.urandom(8))
--- a/thistleline/config_feed/service.py
+++ b/thistleline/config_feed/service.py
@@ -50,7 +50,7 @@
     def __init__(
         self, conf: Feed, council: CouncilConf | None, log: Callable[..., None], chance: Random | None = None
     ) -> None:
-        """Takes the folder and reads it; blocks. Raises Held, Damaged, OSError."""
+        """Takes the folder and reads it; blocks. Raises DiskLockedError, CorruptFrameError, OSError."""
         assert conf.name is not None
         assert conf.listen is not None
         self.conf, self.log, self.chance = conf, log, chance or Random(os.urandom(8))
--- a/thistleline/consensus/replay.py
+++ b/thistleline/consensus/replay.py
@@ -6,7 +6,7 @@
 from thistleline.consensus.log import Log
 from thistleline.consensus.messages import Ballot, Base, Record, Tail
 from thistleline.consensus.replica import Found
-from thistleline.store.frames import Damaged
+from thistleline.store.frames import CorruptFrameError
 
 
 class Replay:
@@ -27,19 +27,19 @@
         return names.get(vote, vote), self.ballot.term, base and (base.index, base.state), self.log.frozen()
 
     def take(self, record: Record) -> None:
-        """Raises Damaged where the records can't follow each other."""
+        """Raises CorruptFrameError where the records can't follow each other."""
         if isinstance(record, Base):
             self.base, self.log = record, Log()
             self.ballot = Ballot(record.term, record.vote)
             log = self.log
             log.base, log.base_term, log.base_members = record.index, record.index_term, record.members
         elif self.base is None:
-            raise Damaged("it does not begin with a base")
+            raise CorruptFrameError("it does not begin with a base")
         elif isinstance(record, Ballot):
             self.ballot = record
         elif isinstance(record, Tail):
             if not self.log.base < record.first <= self.log.last + 1:
-                raise Damaged(f"its log ends at {self.log.last} and goes on at {record.first}")
+                raise CorruptFrameError(f"its log ends at {self.log.last} and goes on at {record.first}")
             self.log.cut(record.first)
             for entry in record.entries:
                 self.log.add(entry)
--- a/thistleline/consensus/store.py
+++ b/thistleline/consensus/store.py
@@ -18,7 +18,7 @@
 from thistleline.consensus.replay import Replay
 from thistleline.consensus.replica import Found, Work
 from thistleline.store.disk import Disk
-from thistleline.store.frames import Damaged, frames, seal
+from thistleline.store.frames import CorruptFrameError, encode_checksum_frame, scan_frames
 
 MAGIC, FORM = b"TLCOUNCL", 1
 _HEAD = struct.Struct("<8sH")
@@ -50,7 +50,7 @@
         parts = max(1, -(-len(data) // PART_BOUND))
         for part in range(parts):
             share = data[part * PART_BOUND : (part + 1) * PART_BOUND]
-            disk.append(2 * seal(_PART.pack(self.number, part, parts) + share))
+            disk.append(2 * encode_checksum_frame(_PART.pack(self.number, part, parts) + share))
         disk.sync()
         if work.fresh:
             disk.sync_folder()
@@ -62,7 +62,7 @@
             self.old = []
 
     def recover(self) -> Found | None:
-        """What the newest whole segment says; none on an empty disk. Raises Damaged, OSError."""
+        """What the newest whole segment says; none on an empty disk. Raises CorruptFrameError, OSError."""
         segments = [number for number, _ in self.disk.segments()]
         self.segment = segments[-1] if segments else 0
         self.old = segments[:-1]
@@ -71,7 +71,7 @@
             if replay is not None:
                 return replay.found()
         if segments:
-            raise Damaged(f"no segment in {self.disk.folder} has a beginning that can be read")
+            raise CorruptFrameError(f"no segment in {self.disk.folder} has a beginning that can be read")
         return None
 
     def _read(self, number: int) -> Replay | None:
@@ -82,11 +82,11 @@
             return None
         magic, form = _HEAD.unpack_from(data)
         if magic != MAGIC or form != FORM:
-            raise Damaged(f"{name}: it is no council's segment of form {FORM}")
+            raise CorruptFrameError(f"{name}: it is no council's segment of form {FORM}")
         replay, written, share = Replay(), 0, bytearray()
         next_part = 0
         unread = False
-        for _, payload, end in frames(data, _HEAD.size, _PART.size):
+        for _, payload, end in scan_frames(data, _HEAD.size, _PART.size):
             if payload is None:
                 unread = end < len(data) or unread
                 continue
@@ -99,7 +99,7 @@
                         replay.take(record)
                     written, next_part, share = written + 1, 0, bytearray()
             elif write > written + 1 or (write == written + 1 and part > next_part):
-                raise Damaged(f"{name}: write {written + 1} can't be read, and later ones can")
+                raise CorruptFrameError(f"{name}: write {written + 1} can't be read, and later ones can")
         if written == 0 and unread:
-            raise Damaged(f"{name}: its first write can't be read")
+            raise CorruptFrameError(f"{name}: its first write can't be read")
         return replay if written else None
--- a/thistleline/durable/writer.py
+++ b/thistleline/durable/writer.py
@@ -14,8 +14,8 @@
 from thistleline.ledger.store import Reading, Store
 from thistleline.server.configuration import Unusable
 from thistleline.store.clock import boot_now
-from thistleline.store.disk import Disk, Held
-from thistleline.store.frames import Damaged
+from thistleline.store.disk import Disk, DiskLockedError
+from thistleline.store.frames import CorruptFrameError
 
 MS = 1_000_000
 PROGRESS_EVERY = 1000 * MS
@@ -63,7 +63,7 @@
 
     try:
         found = store.recover(book, progress)
-    except (Damaged, OSError) as error:
+    except (CorruptFrameError, OSError) as error:
         raise Unusable(f"the ledger can't be read: {error}") from error
     unsettled = sum(1 for effect in found if effect.how is None)
     facts = {"effects": len(found), "unsettled": unsettled, "segments": read, "bytes": size}
@@ -97,8 +97,8 @@
 def hold(disk: Disk) -> None:
     """Takes the folder. Raises Unusable."""
     try:
-        disk.hold()
-    except Held as error:
+        disk.acquire()
+    except DiskLockedError as error:
         raise Unusable(str(error)) from error
     except OSError as error:
         raise Unusable(f"the ledger can't be kept in {disk.folder}: {error.strerror}") from error
--- a/thistleline/handover/service.py
+++ b/thistleline/handover/service.py
@@ -47,7 +47,7 @@
 from thistleline.server.service import Service
 from thistleline.state.state_machine import Reducer
 from thistleline.store.clock import boot_now
-from thistleline.store.frames import Damaged
+from thistleline.store.frames import CorruptFrameError
 from thistleline.transport.codec import Unreadable
 
 AGAIN = 0.2  # s after 'later', before the heir asks again
@@ -132,7 +132,7 @@
         left = list(line.descriptors)
         line.descriptors.clear()
         if told.lock:
-            self.store.disk.lock = left.pop(0)
+            self.store.disk.lock_fd = left.pop(0)
         if not told.listener:
             return None
         listener = socket.socket(fileno=left.pop(0))
@@ -175,7 +175,7 @@
     def _read_last(self) -> list[Any]:
         try:
             self.store.follow(self.reducer.book, self.read, True, boot_now())
-        except (Damaged, OSError) as error:
+        except (CorruptFrameError, OSError) as error:
             raise Unusable(f"the ledger can't be read: {error}") from error
         return list(self.reducer.book.recovered())
 
@@ -369,7 +369,7 @@
             agent.flush()
             agent.stream.close()
         self._send_by_heir()
-        descriptors = [self.store.disk.lock] if not again else []
+        descriptors = [self.store.disk.lock_fd] if not again else []
         if listener is not None:
             descriptors.append(listener.fileno())
         message = Yours(notice, runs, owned, not again, listener is not None)
--- a/thistleline/lab/leasecost.py
+++ b/thistleline/lab/leasecost.py
@@ -29,7 +29,7 @@
         self.store = None
         if folder is not None:
             disk = Disk(folder, "council")
-            disk.hold()
+            disk.acquire()
             self.store = CouncilStore(disk)
         self.office = Office(Voter("a", Table(), 0, SPANS, lambda span: 0), lambda: 0)
         self.now, self.answers = 0, list[Any]()
@@ -140,7 +140,7 @@
 def recovery(folder: Path, count: int) -> dict[str, Any]:
     """A log of so many decisions, 1,000 in a write; longer than any in service, where it is compacted."""
     disk = Disk(folder, "council")
-    disk.hold()
+    disk.acquire()
     store = CouncilStore(disk)
     members = (Member("a", ""),)
     store.write(Work(True, (Base("a", "c", 1, "a", 0, 0, members, Table().snapshot()),)))
--- a/thistleline/lab/ledger.py
+++ b/thistleline/lab/ledger.py
@@ -286,7 +286,7 @@
 def recovery(folder: Path, entries: int) -> dict[str, Any]:
     """Time, memory and bytes of so many entries with results of 64 bytes."""
     disk = Disk(folder)
-    disk.hold()
+    disk.acquire()
     store = Store(disk, ("booking",))
     now, span = boot_now(), 3600 * 1_000_000_000
     disk.begin(1)
@@ -316,7 +316,7 @@
     """Bookings at one rate in virtual time, real files: the most bytes that the folder ever held. Each ends
     50 ms after its start; a group goes out every 10 ms; there is no sync, as nobody is killed here."""
     disk = Disk(folder)
-    disk.hold()
+    disk.acquire()
     store, now = Store(disk, ("booking",), sync=False), boot_now()
     book = Book(bound, 1 << 20, now, lambda number: b"r" * result)
     span, step = int(window * 1e9), 10_000_000
--- a/thistleline/lab/scale/feedsockets.py
+++ b/thistleline/lab/scale/feedsockets.py
@@ -441,7 +441,7 @@
     made = table.applied(change)
     record = encode(Group(0, (change,), table.digest("all"), made.digest("all")))
     disk = Disk(folder, "feed")
-    disk.hold()
+    disk.acquire()
     try:
         archive = Archive(disk, "all")
         archive.recover()
--- a/thistleline/lab/server.py
+++ b/thistleline/lab/server.py
@@ -79,7 +79,7 @@
         raise OSError(code, os.strerror(code))
 
     def _out(self) -> None:
-        if self.unsynced and self.file >= 0:
+        if self.unsynced and self.segment_fd >= 0:
             super().append(bytes(self.unsynced))
         self.unsynced.clear()
 
--- a/thistleline/lease/fencing.py
+++ b/thistleline/lease/fencing.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from thistleline.store.disk import Disk
-from thistleline.store.frames import COST, frames, seal
+from thistleline.store.frames import HEADER_SIZE, encode_checksum_frame, scan_frames
 
 NAMES_BOUND = 100_000
 REWRITE_SIZE = 1 << 20  # bytes of a segment before all marks go to a new one
@@ -37,17 +37,17 @@
 
 
 class Guard:
-    """`admit` blocks on a newer epoch for as long as the disk takes. Raises OSError, Held."""
+    """`admit` blocks on a newer epoch for as long as the disk takes. Raises OSError, DiskLockedError."""
 
     def __init__(self, folder: Path) -> None:
         self.disk = Disk(folder, "guard")
-        self.disk.hold()
+        self.disk.acquire()
         self.marks = Marks()
         self.segment = self.size = 0
         segments = self.disk.segments()
         for number, _ in segments:
             self.segment = number
-            for _, payload, _ in frames(memoryview(self.disk.read(number)), 0, 1):
+            for _, payload, _ in scan_frames(memoryview(self.disk.read(number)), 0, 1):
                 if payload is not None:
                     for name, epoch in _decode(payload).items():
                         self.marks.seen[name] = max(epoch, self.marks.seen.get(name, 0))
@@ -68,14 +68,14 @@
 
     def _write(self, marks: dict[str, int]) -> None:
         # Twice: guards against one flipped bit, which would let an old holder in.
-        data = 2 * seal(_encode(marks))
+        data = 2 * encode_checksum_frame(_encode(marks))
         try:
             self.disk.append(data)
             self.disk.sync()
         except OSError:
             self._rewrite([])  # what that write left is unknown; a new segment says it all, or raises
             raise
-        self.size += len(data) + COST
+        self.size += len(data) + HEADER_SIZE
 
     def _rewrite(self, old: list[int]) -> None:
         self.segment += 1
@@ -88,7 +88,7 @@
             self.disk.remove(number)
 
     def _write_all(self) -> None:
-        data = 2 * seal(_encode(self.marks.seen))
+        data = 2 * encode_checksum_frame(_encode(self.marks.seen))
         self.disk.append(data)
         self.disk.sync()
         self.size = len(data)
--- a/thistleline/lease/service.py
+++ b/thistleline/lease/service.py
@@ -67,14 +67,14 @@
 
 class VoterService:
     def __init__(self, conf: Council, log: Callable[..., None], chance: Random | None = None) -> None:
-        """Takes the folder and reads it; blocks. Raises Damaged, Held, OSError."""
+        """Takes the folder and reads it; blocks. Raises CorruptFrameError, DiskLockedError, OSError."""
         assert conf.folder is not None
         assert conf.listen is not None
         assert conf.name is not None
         self.conf, self.log, self.chance = conf, log, chance or Random(os.urandom(8))
         self.listen: Address = conf.listen
         disk = Disk(conf.folder, "council")
-        disk.hold()
+        disk.acquire()
         self.store = CouncilStore(disk)
         found = self.store.recover()
         spans = Spans(conf.heartbeat, conf.election, 2 * conf.election)
--- a/thistleline/ledger/format.py
+++ b/thistleline/ledger/format.py
@@ -17,8 +17,8 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from thistleline.store.frames import COST, Damaged, seal
-from thistleline.store.frames import frames as sealed
+from thistleline.store.frames import HEADER_SIZE, CorruptFrameError, encode_checksum_frame
+from thistleline.store.frames import scan_frames as sealed
 
 MAGIC, FORM = b"TLLEDGER", 2
 READS = (1, 2)  # 1 knew no doubtful outcomes
@@ -29,7 +29,7 @@
 HEAD_LEAST = _HEAD.size
 HOW = ("finished", "failed", "stopped", "moot", "doubtful")
 DOUBT = struct.Struct("<q")  # in place of a doubtful one's result: until when it is awaited, boot time
-INTENT_COST, OUTCOME_COST, FRAME_COST = _INTENT.size, _OUTCOME.size, COST + _COUNTS.size
+INTENT_COST, OUTCOME_COST, FRAME_COST = _INTENT.size, _OUTCOME.size, HEADER_SIZE + _COUNTS.size
 
 
 class Intent(NamedTuple):
@@ -59,22 +59,22 @@
 
 
 def read_head(data: bytes | memoryview) -> tuple[tuple[str, ...], bytes, int]:
-    """Stages, boot and where the frames start. Raises Damaged, with the reason."""
+    """Stages, boot and where the frames start. Raises CorruptFrameError, with the reason."""
     if len(data) < _HEAD.size:
-        raise Damaged("it ends within its head")
+        raise CorruptFrameError("it ends within its head")
     magic, form, count, boot, check = _HEAD.unpack_from(data)
     if magic != MAGIC:
-        raise Damaged("it is no segment of a ledger")
+        raise CorruptFrameError("it is no segment of a ledger")
     if form not in READS:
-        raise Damaged(f"it has form {form}, this program reads form {FORM}")
+        raise CorruptFrameError(f"it has form {form}, this program reads form {FORM}")
     place, names = _HEAD.size, []
     for _ in range(count):
         if place >= len(data) or place + 1 + data[place] > len(data):
-            raise Damaged("it ends within its head")
+            raise CorruptFrameError("it ends within its head")
         names.append(bytes(data[place + 1 : place + 1 + data[place]]))
         place += 1 + data[place]
     if zlib.crc32(bytes(data[_HEAD.size : place]), zlib.crc32(boot, form)) != check:
-        raise Damaged("the checksum of its head is wrong")
+        raise CorruptFrameError("the checksum of its head is wrong")
     return tuple(name.decode() for name in names), boot, place
 
 
@@ -88,7 +88,7 @@
             *(result for _, _, result in outcomes),
         ]
     )
-    return seal(payload)
+    return encode_checksum_frame(payload)
 
 
 def frames(data: memoryview, place: int) -> Iterator[tuple[int, memoryview | None, int]]:
@@ -97,17 +97,18 @@
 
 
 def group(payload: memoryview) -> Group:
-    """What a whole payload holds; its results are slices of it. Raises Damaged where its lengths disagree."""
+    """What a whole payload holds; its results are slices of it. Raises CorruptFrameError where its lengths
+    disagree."""
     intents, outcomes = _COUNTS.unpack_from(payload)
     first = _COUNTS.size + intents * _INTENT.size
     place = first + outcomes * _OUTCOME.size
     if place > len(payload):
-        raise Damaged("a group is shorter than it says")
+        raise CorruptFrameError("a group is shorter than it says")
     made = list(map(Intent._make, _INTENT.iter_unpack(payload[_COUNTS.size : first])))
     told = []
     for number, how, length in _OUTCOME.iter_unpack(payload[first:place]):
         if how >= len(HOW) or place + length > len(payload):
-            raise Damaged("a group is shorter than it says")
+            raise CorruptFrameError("a group is shorter than it says")
         told.append(Outcome(number, how, payload[place : place + length]))
         place += length
     return Group(made, told)
--- a/thistleline/ledger/store.py
+++ b/thistleline/ledger/store.py
@@ -13,7 +13,7 @@
 from thistleline.ledger import format as ledger_format
 from thistleline.ledger.state import Book, Found, Work
 from thistleline.store.disk import Disk, boot_id
-from thistleline.store.frames import Damaged
+from thistleline.store.frames import CorruptFrameError
 
 RECORDS_A_FRAME, BYTES_A_FRAME = 4096, 1024 * 1024
 
@@ -61,7 +61,8 @@
 
     def recover(self, book: Book, progress: Callable[[Reading], None] = lambda _: None) -> list[Found]:
         """Tells the book all that the folder holds, a segment at a time; returns what matters. A segment of
-        another form is an error: raises Damaged, and nothing is started on half of what is known."""
+        another form is an error: raises CorruptFrameError, and nothing is started on half of what is
+        known."""
         collects = gc.isenabled()
         gc.disable()  # all that is made here stays; guards against looking through it again and again
         try:
@@ -77,8 +78,8 @@
 
     def follow(self, book: Book, read: dict[int, int], last: bool, now: int) -> None:
         """Tells the book what was added since the places in `read`, by segment, which move on; another
-        program may write there meanwhile. `last`: none does any more. Raises Damaged as `recover` does, the
-        last time. `now`: boot time."""
+        program may write there meanwhile. `last`: none does any more. Raises CorruptFrameError as
+        `recover` does, the last time. `now`: boot time."""
         book.reading_at(now)
         there = set()
         for number, size in self.disk.segments():
@@ -93,7 +94,7 @@
             book.found_segment(number, len(data))
             try:
                 reading = self._read(book, number, data, place)
-            except Damaged:
+            except CorruptFrameError:
                 if last:
                     raise
                 continue  # its head is being written
@@ -107,8 +108,8 @@
             return Reading(number, len(data), 0, 0, True, 0, 0)  # a kill as it was made
         try:
             names, boot, place = ledger_format.read_head(data)
-        except Damaged as error:
-            raise Damaged(f"{self.disk.path(number)}: {error}") from error
+        except CorruptFrameError as error:
+            raise CorruptFrameError(f"{self.disk.path(number)}: {error}") from error
         here = {name: place for place, name in enumerate(self.stages)}
         stages = [here.get(name) for name in names]
         same = boot == self.boot and any(boot)
--- a/thistleline/store/__init__.py
+++ b/thistleline/store/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept on disk, for whatever keeps it: a folder of segments, each of frames with a checksum."""
+"""Durable storage: a folder of append-only segment files made of checksummed frames."""
--- a/thistleline/store/clock.py
+++ b/thistleline/store/clock.py
@@ -1,13 +1,16 @@
-"""The clocks that parts of the fleet go by; the laboratory tells others in their place."""
+"""The clocks that the fleet's processes read; the lab replaces them with simulated ones."""
 
 import time
 
 
 def boot_now() -> int:
-    """Nanoseconds since the machine started, its sleep included; set by nobody."""
+    """Return nanoseconds since the machine booted, suspended time included (CLOCK_BOOTTIME).
+
+    Nobody can set this clock, so it never jumps back.
+    """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
 def wall_ms() -> int:
-    """For people to read, and for nothing else."""
+    """Return wall clock time in milliseconds, for people to read and for no decision."""
     return time.time_ns() // 1_000_000
--- a/thistleline/store/disk.py
+++ b/thistleline/store/disk.py
@@ -1,84 +1,111 @@
-"""The few calls of the system by which things are kept; tests put a troubled one in its place."""
+"""The system calls by which data is stored; tests replace this with a failing disk."""
 
 import fcntl
 import os
 from pathlib import Path
 
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
+BOOT_ID_SIZE = 16  # bytes
+SEGMENT_DIGITS = 12  # of the number in a segment's file name
 
+_CLOSED = -1  # stands for a file descriptor that is not open
 
-class Held(Exception):
-    """Another program has this folder."""
+
+class DiskLockedError(Exception):
+    """Another process holds the lock of this folder."""
 
 
 class Disk:
-    def __init__(self, folder: Path, kept: str = "ledger") -> None:
-        """`kept`: what it is that is kept there, also the ending of its files."""
-        self.folder, self.kept = folder, kept
-        self.lock = -1
-        self.file = -1
-
-    def hold(self) -> None:
-        """Makes the folder if need be and takes it. Raises Held if another program has it, OSError."""
+    """A locked folder of numbered segment files, of which the newest may be appended to.
+
+    Attributes:
+        folder: Where the segments and the lock file are.
+        kind: What is stored here; also the suffix of the segment files.
+        lock_fd: File descriptor of the lock file, -1 while the folder is not locked.
+        segment_fd: File descriptor of the segment that is appended to, -1 if there is none.
+    """
+
+    def __init__(self, folder: Path, kind: str = "ledger") -> None:
+        """Describe the folder; nothing is opened before `acquire`."""
+        self.folder = folder
+        self.kind = kind
+        self.lock_fd = _CLOSED
+        self.segment_fd = _CLOSED
+
+    def acquire(self) -> None:
+        """Create the folder if need be and lock it.
+
+        Raises:
+            DiskLockedError: Another process has locked the folder.
+            OSError: The folder or its lock file can't be made or opened.
+        """
         self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-        self.lock = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        self.lock_fd = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(self.lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            os.close(self.lock)
-            self.lock = -1
-            raise Held(f"another program has the {self.kept} in {self.folder}") from None
+            os.close(self.lock_fd)
+            self.lock_fd = _CLOSED
+            raise DiskLockedError(f"another program has the {self.kind} in {self.folder}") from None
 
     def release(self) -> None:
-        for held in (self.file, self.lock):
-            if held >= 0:
-                os.close(held)
-        self.file = self.lock = -1
+        """Close the current segment and give the folder's lock back."""
+        for descriptor in (self.segment_fd, self.lock_fd):
+            if descriptor >= 0:
+                os.close(descriptor)
+        self.segment_fd = _CLOSED
+        self.lock_fd = _CLOSED
 
     def segments(self) -> list[tuple[int, int]]:
-        """Number and bytes of each, in order."""
+        """Return the number and the size in bytes of each segment, in ascending order."""
         found = []
-        for path in self.folder.glob(f"*.{self.kept}"):
-            if len(path.stem) == 12 and path.stem.isascii() and path.stem.isdecimal():
+        for path in self.folder.glob(f"*.{self.kind}"):
+            if len(path.stem) == SEGMENT_DIGITS and path.stem.isascii() and path.stem.isdecimal():
                 found.append((int(path.stem), path.stat().st_size))
         return sorted(found)
 
     def path(self, number: int) -> Path:
-        return self.folder / f"{number:012}.{self.kept}"
+        """Return the path of a segment's file."""
+        return self.folder / f"{number:0{SEGMENT_DIGITS}}.{self.kind}"
 
     def read(self, number: int) -> bytes:
+        """Return the whole content of a segment."""
         return self.path(number).read_bytes()
 
     def begin(self, number: int) -> None:
-        """A new segment takes what is appended from here on."""
-        if self.file >= 0:
-            os.close(self.file)
-            self.file = -1
+        """Create a new segment, which takes what is appended from here on."""
+        if self.segment_fd >= 0:
+            os.close(self.segment_fd)
+            self.segment_fd = _CLOSED
         flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_APPEND | os.O_CLOEXEC
-        self.file = os.open(self.path(number), flags, 0o600)
+        self.segment_fd = os.open(self.path(number), flags, 0o600)
 
     def append(self, data: bytes) -> None:
+        """Write all of `data` to the end of the current segment."""
         while data:
-            data = data[os.write(self.file, data) :]
+            data = data[os.write(self.segment_fd, data) :]
 
     def sync(self) -> None:
-        os.fdatasync(self.file)
+        """Make what was appended to the current segment durable."""
+        os.fdatasync(self.segment_fd)
 
     def sync_folder(self) -> None:
-        """Makes a new segment's name as durable as its content."""
-        folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+        """Make a new segment's name as durable as its content."""
+        descriptor = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
-            os.fsync(folder)
+            os.fsync(descriptor)
         finally:
-            os.close(folder)
+            os.close(descriptor)
 
     def remove(self, number: int) -> None:
+        """Delete a segment; one that does not exist is no error."""
         self.path(number).unlink(missing_ok=True)
 
 
 def boot_id() -> bytes:
-    """16 bytes that tell this life of the machine from all others; of zeros where it can't be known."""
+    """Return the 16 bytes that identify this boot of the machine, or zeros where it can't be known."""
     try:
-        return bytes.fromhex(BOOT_ID.read_text().strip().replace("-", ""))[:16].ljust(16, b"\0")
+        text = BOOT_ID.read_text().strip().replace("-", "")
+        return bytes.fromhex(text)[:BOOT_ID_SIZE].ljust(BOOT_ID_SIZE, b"\0")
     except (OSError, ValueError):
-        return bytes(16)
+        return bytes(BOOT_ID_SIZE)
--- a/thistleline/store/frames.py
+++ b/thistleline/store/frames.py
@@ -1,57 +1,68 @@
-"""Frames: a mark, a length, a checksum (CRC-32) and a payload, one after another to the end of a segment.
+"""Frames with a checksum: magic bytes, length, CRC-32 and payload, one after another in a segment.
 
-A frame that is cut short, or whose checksum is wrong, ends what can be read at that place; `frames` looks for
-the next whole one after it, so that a flipped bit takes with it the frame it fell in and no other.
+A frame that is truncated, or whose checksum is wrong, is skipped: `scan_frames` looks for the next valid one
+after it, so that a flipped bit costs the frame it is in and no other.
 """
 
 import struct
 import zlib
 from collections.abc import Iterator
 
-_FRAME = struct.Struct("<4sII")
-MARK = b"\xf5TLF"
-PAYLOAD_BOUND = 8 * 1024 * 1024  # bytes; longer ones are no frames
-COST = _FRAME.size
+MAGIC = b"\xf5TLF"
+MAX_PAYLOAD_SIZE = 8 * 1024 * 1024  # bytes; a longer length is taken for damage
+_HEADER = struct.Struct("<4sII")  # magic, payload length, CRC-32 of the payload
+HEADER_SIZE = _HEADER.size  # bytes
 
 
-class Damaged(Exception):
-    """What can't be read at all: no head, one of another form, or a gap in what must have none."""
+class CorruptFrameError(Exception):
+    """Stored data is unusable: no head, a head of another format, or a gap where there must be none."""
 
 
-def seal(payload: bytes) -> bytes:
-    return _FRAME.pack(MARK, len(payload), zlib.crc32(payload)) + payload
+def encode_checksum_frame(payload: bytes) -> bytes:
+    """Return the payload behind a header with its length and checksum."""
+    return _HEADER.pack(MAGIC, len(payload), zlib.crc32(payload)) + payload
 
 
-def frames(data: memoryview, place: int, least: int) -> Iterator[tuple[int, memoryview | None, int]]:
-    """Where each frame starts, its payload of at least so many bytes, and where it ends; None for a stretch
-    that can't be read."""
+def scan_frames(
+    data: memoryview, offset: int, min_payload_size: int
+) -> Iterator[tuple[int, memoryview | None, int]]:
+    """Yield (start, payload, end) of each frame, in order, as byte offsets into `data`.
+
+    The payload is None for a stretch that holds no valid frame. A payload shorter than `min_payload_size`
+    bytes counts as damage.
+    """
     end = len(data)
-    while place < end:
-        payload = _whole(data, place, least)
+    while offset < end:
+        payload = _valid_payload(data, offset, min_payload_size)
         if payload is not None:
-            after = place + COST + len(payload)
-            yield place, payload, after
+            after = offset + HEADER_SIZE + len(payload)
         else:
-            after = place + 1
-            while True:
-                after = _find(data, after)
-                if after >= end or _whole(data, after, least) is not None:
-                    break
-                after += 1
-            yield place, None, after
-        place = after
-
-
-def _find(data: memoryview, place: int) -> int:
-    found = data.obj.find(MARK, place)  # type: ignore[attr-defined]
+            after = _next_valid_frame(data, offset + 1, min_payload_size)
+        yield offset, payload, after
+        offset = after
+
+
+def _next_valid_frame(data: memoryview, offset: int, min_payload_size: int) -> int:
+    """Return where the next valid frame at or after `offset` starts, or the end of the data."""
+    end = len(data)
+    while True:
+        offset = _find_magic(data, offset)
+        if offset >= end or _valid_payload(data, offset, min_payload_size) is not None:
+            return offset
+        offset += 1
+
+
+def _find_magic(data: memoryview, offset: int) -> int:
+    found = data.obj.find(MAGIC, offset)  # type: ignore[attr-defined]
     return len(data) if found < 0 else int(found)
 
 
-def _whole(data: memoryview, place: int, least: int) -> memoryview | None:
-    if place + COST > len(data):
+def _valid_payload(data: memoryview, offset: int, min_payload_size: int) -> memoryview | None:
+    """Return the payload of the frame that starts at `offset`, or None if there is no valid one."""
+    if offset + HEADER_SIZE > len(data):
         return None
-    mark, length, check = _FRAME.unpack_from(data, place)
-    payload = data[place + COST : place + COST + length]
-    if mark != MARK or not least <= length <= PAYLOAD_BOUND or len(payload) < length:
+    magic, length, checksum = _HEADER.unpack_from(data, offset)
+    payload = data[offset + HEADER_SIZE : offset + HEADER_SIZE + length]
+    if magic != MAGIC or not min_payload_size <= length <= MAX_PAYLOAD_SIZE or len(payload) < length:
         return None
-    return payload if zlib.crc32(payload) == check else None
+    return payload if zlib.crc32(payload) == checksum else None
--- a/thistleline/store/latest.py
+++ b/thistleline/store/latest.py
@@ -1,50 +1,78 @@
-"""The newest of some small values, durable before it counts; all earlier ones may be forgotten."""
+"""A durable cell: the newest of some small values survives a crash, earlier ones may be forgotten."""
 
 from pathlib import Path
 
 from thistleline.store.disk import Disk
-from thistleline.store.frames import frames, seal
+from thistleline.store.frames import encode_checksum_frame, scan_frames
 
-REWRITE_SIZE = 1 << 20  # bytes of a segment before a new one is begun
+MAX_SEGMENT_SIZE = 1 << 20  # bytes of a segment before a new one is begun
 
 
-class Latest:
-    def __init__(self, folder: Path, kept: str) -> None:
-        """Takes the folder. Raises Held, OSError."""
-        self.disk = Disk(folder, kept)
-        self.disk.hold()
-        self.segment = self.size = 0
-        self.old: list[int] = []
+class LatestValueStore:
+    """Stores one value on disk; `put` replaces it.
+
+    Attributes:
+        value: The newest stored value, None if there never was one.
+    """
+
+    def __init__(self, folder: Path, kind: str) -> None:
+        """Lock the folder and read the newest value.
+
+        Args:
+            folder: Where the segments are; made if need be.
+            kind: What the values are; also the suffix of the segment files.
+
+        Raises:
+            DiskLockedError: Another process has locked the folder.
+            OSError: The folder can't be read.
+        """
+        self.disk = Disk(folder, kind)
+        self.disk.acquire()
+        self.segment = 0
+        self.segment_size = 0  # bytes
+        self.old_segments: list[int] = []
         self.value: bytes | None = None
         for number, _ in self.disk.segments():
             self.segment = number
-            self.old.append(number)
-            for _, payload, _ in frames(memoryview(self.disk.read(number)), 0, 1):
+            self.old_segments.append(number)
+            for _, payload, _ in scan_frames(memoryview(self.disk.read(number)), 0, 1):
                 if payload is not None:
                     self.value = bytes(payload)
-        self.fresh = True
+        self.needs_new_segment = True
 
     def put(self, value: bytes) -> None:
-        """Durable once this returns. Raises OSError where that can't be said; the next goes elsewhere."""
+        """Store `value`; it is durable once this returns.
+
+        Raises:
+            OSError: It is unknown whether the value is stored; the next one goes to a new segment.
+        """
         try:
-            if self.fresh or self.size > REWRITE_SIZE:
-                self.segment += 1
-                self.size = 0
-                self.disk.begin(self.segment)
-            # Twice: one flipped bit does not bring an earlier value back.
-            data = 2 * seal(value)
-            self.disk.append(data)
-            self.disk.sync()
-            if not self.size:
-                self.disk.sync_folder()
-                for number in self.old:
-                    self.disk.remove(number)
-                self.old = [self.segment]
-            self.size += len(data)
-            self.fresh, self.value = False, value
+            self._write(value)
         except OSError:
-            self.fresh = True
+            self.needs_new_segment = True
             raise
 
     def close(self) -> None:
+        """Give the folder back."""
         self.disk.release()
+
+    def _write(self, value: bytes) -> None:
+        if self.needs_new_segment or self.segment_size > MAX_SEGMENT_SIZE:
+            self.segment += 1
+            self.segment_size = 0
+            self.disk.begin(self.segment)
+        # Twice, so that one flipped bit does not bring an earlier value back.
+        data = 2 * encode_checksum_frame(value)
+        self.disk.append(data)
+        self.disk.sync()
+        if not self.segment_size:
+            self._remove_old_segments()
+        self.segment_size += len(data)
+        self.needs_new_segment = False
+        self.value = value
+
+    def _remove_old_segments(self) -> None:
+        self.disk.sync_folder()
+        for number in self.old_segments:
+            self.disk.remove(number)
+        self.old_segments = [self.segment]
--- a/thistleline/supervisor/service.py
+++ b/thistleline/supervisor/service.py
@@ -21,7 +21,7 @@
 from thistleline.membership.messages import Facts
 from thistleline.membership.service import MemberService
 from thistleline.store.clock import boot_now, wall_ms
-from thistleline.store.latest import Latest
+from thistleline.store.latest import LatestValueStore
 from thistleline.supervisor.decisions import Keeping, State, Version, Want
 from thistleline.supervisor.releases import RUN, Releases, Unfit
 from thistleline.supervisor.settings import unfit_settings
@@ -53,14 +53,14 @@
 
 class StewardService:
     def __init__(self, conf: Conf, log: Callable[..., None]) -> None:
-        """Takes the folder. Raises Held, OSError."""
+        """Takes the folder. Raises DiskLockedError, OSError."""
         assert conf.steward is not None
         assert conf.members is not None
         assert conf.council is not None
         self.conf, self.log = conf.steward, log
         self.voters = dict(conf.council.voter)
         self.folder: Path = conf.steward.folder
-        self.latest = Latest(self.folder / "state", "steward")
+        self.latest = LatestValueStore(self.folder / "state", "steward")
         self.releases = Releases(conf.steward.releases or self.folder / "releases")
         self.handover = None if conf.handover is None else conf.handover.folder
         self.keeping = Keeping(conf.steward.stop, boot_now(), self.handover is not None)
