--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -28,8 +28,8 @@
 from thistleline.lease.table import Table
 from thistleline.store.disk import Disk
 from thistleline.store.frames import CorruptFrameError
-from thistleline.transport.codec import Hello, Unpacker, Unreadable, common_form, sealed
-from thistleline.transport.connection import QUEUE_BOUND, Queue
+from thistleline.transport.codec import FrameDecoder, Hello, ProtocolError, encode_frame, negotiate_version
+from thistleline.transport.connection import MAX_QUEUED_MESSAGES, SendQueue
 
 SECOND = 1000 * MS
 SPANS = Spans(50 * MS, 500 * MS, 1000 * MS)
@@ -381,41 +381,50 @@
 @given(st.lists(st.binary(max_size=50), max_size=8), st.data())
 @settings(derandomize=True, database=None)
 def test_messages_come_whole_however_the_stream_is_cut(payloads: list[bytes], data: st.DataObject) -> None:
-    stream, unpacker, found = b"".join(map(sealed, payloads)), Unpacker(50), []
+    stream, unpacker, found = b"".join(map(encode_frame, payloads)), FrameDecoder(50), []
     while stream:
         count = data.draw(st.integers(1, len(stream)))
-        found += unpacker.take(stream[:count])
+        found += unpacker.feed(stream[:count])
         stream = stream[count:]
     assert found == payloads
 
 
 def test_a_message_over_the_bound_is_refused_before_it_came() -> None:
-    with pytest.raises(Unreadable):
-        Unpacker(50).take(sealed(b"x" * 51)[:4])
+    with pytest.raises(ProtocolError):
+        FrameDecoder(50).feed(encode_frame(b"x" * 51)[:4])
 
 
 def test_programs_of_other_forms_speak_the_highest_that_both_know() -> None:
-    assert common_form(Hello("voter", "a", least=1, most=3), Hello("voter", "b", least=2, most=5)) == 3
-    with pytest.raises(Unreadable, match="no common form"):
-        common_form(Hello("voter", "a", least=1, most=1), Hello("voter", "b", least=2, most=2))
+    assert (
+        negotiate_version(
+            Hello("voter", "a", min_version=1, max_version=3),
+            Hello("voter", "b", min_version=2, max_version=5),
+        )
+        == 3
+    )
+    with pytest.raises(ProtocolError, match="no common form"):
+        negotiate_version(
+            Hello("voter", "a", min_version=1, max_version=1),
+            Hello("voter", "b", min_version=2, max_version=2),
+        )
 
 
 def test_what_a_newer_program_adds_is_passed_over_and_what_an_older_lacks_has_a_default() -> None:
     newer = {"type": "hello", "kind": "voter", "id": "a", "council": "c", "least": 1, "most": 2, "colour": 3}
-    assert msgspec.convert(newer, Hello).most == 2
-    assert msgspec.convert({"type": "hello", "kind": "client", "id": ""}, Hello).least == 1
+    assert msgspec.convert(newer, Hello).max_version == 2
+    assert msgspec.convert({"type": "hello", "kind": "client", "id": ""}, Hello).min_version == 1
 
 
 def test_a_full_queue_drops_the_oldest_beats_first() -> None:
-    queue = Queue()
+    queue = SendQueue()
     queue.put(b"word", False)
-    for _ in range(QUEUE_BOUND):
+    for _ in range(MAX_QUEUED_MESSAGES):
         queue.put(b"beat", True)
     assert queue.dropped == 1
-    assert queue.take().startswith(b"word")
-    for place in range(QUEUE_BOUND + 5):
+    assert queue.take_batch().startswith(b"word")
+    for place in range(MAX_QUEUED_MESSAGES + 5):
         queue.put(b"%05d" % place, False)
-    assert queue.take().startswith(b"00005")
+    assert queue.take_batch().startswith(b"00005")
 
 
 def test_settings_of_the_council_are_checked_with_all_faults_at_once() -> None:
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -57,7 +57,7 @@
 )
 from thistleline.config_feed.source import SNAPSHOT_KEPT, Snapshot, Source
 from thistleline.config_feed.table import Table
-from thistleline.transport.disconnects import ENDS
+from thistleline.transport.disconnects import DISCONNECT_ERRORS
 
 Entries = tuple[tuple[str, bytes | None], ...]
 
@@ -1968,7 +1968,7 @@
     ids=("delta", "part", "deep"),
 )
 def test_what_no_source_says_ends_its_link_and_not_the_follower(message: bytes) -> None:
-    with pytest.raises(ENDS):
+    with pytest.raises(DISCONNECT_ERRORS):
         decode_source(message)
 
 
--- a/tests/test_feed_service.py
+++ b/tests/test_feed_service.py
@@ -45,8 +45,8 @@
 from thistleline.lab.feedfleet import FeedFleet
 from thistleline.lab.harness import Hung, Process, free_port
 from thistleline.lab.net import Way
-from thistleline.transport.codec import Hello, Unpacker, sealed
-from thistleline.transport.disconnects import ENDS
+from thistleline.transport.codec import FrameDecoder, Hello, encode_frame
+from thistleline.transport.disconnects import DISCONNECT_ERRORS
 
 Story = Callable[[FeedFleet], Awaitable[None]]
 
@@ -343,20 +343,30 @@
     conf = tmp_path / "r.conf"
     conf.write_text(f"feed role relay\nfeed name r\nfeed level 1\nfeed listen 127.0.0.1:{port}\n"
                     f"feed up k=127.0.0.1:{nowhere}\nfeed followers 2\n")  # fmt: skip
-    hello = sealed(encode(Hello("follower", "x" * 900)))
+    hello = encode_frame(encode(Hello("follower", "x" * 900)))
     deep = b"\x91" * 3000 + b"\x01"  # a list in a list in a list
-    follow = hello + sealed(encode(Follow("x", "wide", 0, bytes(16))))
+    follow = hello + encode_frame(encode(Follow("x", "wide", 0, bytes(16))))
     words = [
-        *(b"GET / HTTP/1.1\r\n\r\n", b"\xff\xff\xff\xff", sealed(b"\x00"), hello + b"\x7f\xff\xff\xff"),
-        *(sealed(encode(Hello("voter", "a"))), sealed(encode(Hello("follower", "x", least=9, most=9)))),
-        *(hello + sealed(b"{}"), hello + sealed(encode(Have(1))), hello + sealed(encode(Want(-1, 1 << 40)))),
-        hello + sealed(encode(Follow("x" * 500, "wide", -1, b"", 99))),
-        follow + sealed(encode(AskTenants(("tenant/x",) * 500))),
-        *(sealed(b"\x82\xa4type\xa5hello\xa1x" + deep), hello + sealed(b"\x82\xa4type\xa4have\xa1x" + deep)),
+        *(b"GET / HTTP/1.1\r\n\r\n", b"\xff\xff\xff\xff", encode_frame(b"\x00"), hello + b"\x7f\xff\xff\xff"),
+        *(
+            encode_frame(encode(Hello("voter", "a"))),
+            encode_frame(encode(Hello("follower", "x", min_version=9, max_version=9))),
+        ),
+        *(
+            hello + encode_frame(b"{}"),
+            hello + encode_frame(encode(Have(1))),
+            hello + encode_frame(encode(Want(-1, 1 << 40))),
+        ),
+        hello + encode_frame(encode(Follow("x" * 500, "wide", -1, b"", 99))),
+        follow + encode_frame(encode(AskTenants(("tenant/x",) * 500))),
+        *(
+            encode_frame(b"\x82\xa4type\xa5hello\xa1x" + deep),
+            hello + encode_frame(b"\x82\xa4type\xa4have\xa1x" + deep),
+        ),
     ]
 
     async def ends(text: bytes) -> None:
-        with suppress(*ENDS):
+        with suppress(*DISCONNECT_ERRORS):
             async with await anyio.connect_tcp("127.0.0.1", port) as stream:
                 await stream.send(text)
                 while True:
@@ -381,9 +391,9 @@
             for _ in range(3):
                 open_ones.append(await anyio.connect_tcp("127.0.0.1", port))
                 await open_ones[-1].send(follow)
-                unpacker, heard = Unpacker(MESSAGE_BOUND), list[bytes]()
+                unpacker, heard = FrameDecoder(MESSAGE_BOUND), list[bytes]()
                 while len(heard) < 2:
-                    heard += unpacker.take(await open_ones[-1].receive())
+                    heard += unpacker.feed(await open_ones[-1].receive())
                 told = decode_source(heard[1])
             assert told == Refused("full")
             for stream in open_ones:
@@ -428,7 +438,7 @@
 ) -> None:
     """50 MB of answers, if all were made; between two turns of the loop one of them at the most."""
     keys = tuple(f"common/{place}" for place in range(LOOK_BOUND))
-    asks = sealed(encode(Hello("follower", "x"))) + 100 * sealed(encode(Look(keys)))
+    asks = encode_frame(encode(Hello("follower", "x"))) + 100 * encode_frame(encode(Look(keys)))
     rounds: list[int] = []
     waits: list[int] = []
 
@@ -471,12 +481,12 @@
             await anyio.connect_tcp(*relay.listen) as speaks,
         ):
             for stream in (quiet, speaks):
-                await stream.send(sealed(encode(hello)))
+                await stream.send(encode_frame(encode(hello)))
             while (left := len(relay.peers)) < 2:
                 await anyio.sleep(0)
             began = time.monotonic()
             while left == 2 or time.monotonic() < began + 2:
-                await speaks.send(sealed(encode(Look(()))))
+                await speaks.send(encode_frame(encode(Look(()))))
                 await anyio.sleep(0.05)
                 left = sum(peer.id == "quiet" for peer in relay.peers.values())
             assert left == 1
@@ -580,8 +590,10 @@
     async def story(relay: FeedService) -> None:
         for place in range(100):
             async with await anyio.connect_tcp(*relay.listen) as stream:
-                await stream.send(sealed(encode(Hello("follower", f"x{place}"))) + sealed(encode(Have(1))))
-                with suppress(*ENDS):
+                await stream.send(
+                    encode_frame(encode(Hello("follower", f"x{place}"))) + encode_frame(encode(Have(1)))
+                )
+                with suppress(*DISCONNECT_ERRORS):
                     while True:
                         await stream.receive()
 
@@ -607,14 +619,14 @@
 
 def test_those_who_only_connect_keep_nobody_out() -> None:
     """Some say who they are and nothing more, some not even that; one follows, and stays."""
-    hello = sealed(encode(Hello("follower", "x")))
+    hello = encode_frame(encode(Hello("follower", "x")))
 
     async def story(relay: FeedService) -> None:
         async with AsyncExitStack() as stack:
             for place in range(relay.peers_bound + 10):
                 stream = await stack.enter_async_context(await anyio.connect_tcp(*relay.listen))
                 if not place:
-                    await stream.send(hello + sealed(encode(Follow("x", "wide", 0, bytes(16)))))
+                    await stream.send(hello + encode_frame(encode(Follow("x", "wide", 0, bytes(16)))))
                     while not relay.station.source.peers:
                         await anyio.sleep(0)
                 elif place % 2:
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -25,7 +25,7 @@
 from thistleline.lease.session import Held, Lost, NoTime, lease
 from thistleline.lease.wire import encode
 from thistleline.store.clock import boot_now
-from thistleline.transport.codec import Hello, sealed
+from thistleline.transport.codec import Hello, encode_frame
 
 SECOND = 1_000_000_000
 
@@ -236,13 +236,13 @@
 def test_a_program_of_a_later_form_and_strangers_are_met(tmp_path: Path) -> None:
     async def story(fleet: Fleet, _: Council) -> None:
         for greeting, wanted in (
-            (encode(Hello("client", "", least=1, most=9)), True),
-            (encode(Hello("client", "", least=2, most=9)), False),
+            (encode(Hello("client", "", min_version=1, max_version=9)), True),
+            (encode(Hello("client", "", min_version=2, max_version=9)), False),
             (b"GET / HTTP/1.1\r\n\r\n", False),
             (encode(Hello("voter", "z.0", "another council")), True),
         ):
             async with await anyio.connect_tcp(*fleet.address("a")) as stream:
-                await stream.send(sealed(greeting))
+                await stream.send(encode_frame(greeting))
                 try:
                     with anyio.fail_after(5):
                         assert bool(await stream.receive()) is wanted
--- a/thistleline/cli/council.py
+++ b/thistleline/cli/council.py
@@ -8,7 +8,7 @@
 
 from thistleline.cli.fleet import Unusable, ask, ask_each, conf_of, logger, tell, voters_of, where
 from thistleline.lease.protocol import Change, Done, Elsewhere, Form, Stands
-from thistleline.transport.address import read_address
+from thistleline.transport.address import parse_address
 
 
 @click.group(invoke_without_command=True)
@@ -93,7 +93,7 @@
     """Let the empty voter at ADDRESS vote, once it has caught up."""
     known = voters_of(conf, voters)
     try:
-        there = _all_stand({"it": read_address(address)})["it"]
+        there = _all_stand({"it": parse_address(address)})["it"]
     except ValueError as error:
         raise Unusable(str(error)) from error
     _changed(ask(known, Change("add", there.id, address), 40.0), there.id)
--- a/thistleline/cli/fleet.py
+++ b/thistleline/cli/fleet.py
@@ -13,7 +13,7 @@
 from thistleline.config.schema import Conf, Faulty, read_conf
 from thistleline.lease.client import Council
 from thistleline.lease.protocol import Answer, Denied, Elsewhere, Op, Status
-from thistleline.transport.address import Address, read_address
+from thistleline.transport.address import Address, parse_address
 
 T = TypeVar("T")
 SPAN = 10.0  # s for a command's question
@@ -38,7 +38,7 @@
     for one in told:
         name, _, address = one.partition("=")
         try:
-            found[name] = read_address(address)
+            found[name] = parse_address(address)
         except ValueError as error:
             raise Unusable(str(error)) from error
     return found
--- a/thistleline/cli/members.py
+++ b/thistleline/cli/members.py
@@ -6,7 +6,7 @@
 
 from thistleline.cli.fleet import Unusable, conf_of, logger, tell
 from thistleline.membership.messages import STATUS, Facts
-from thistleline.transport.address import read_address
+from thistleline.transport.address import parse_address
 
 
 @click.group(invoke_without_command=True)
@@ -40,7 +40,7 @@
     from thistleline.membership.service import ask
 
     try:
-        words = anyio.run(ask, read_address(at), span)
+        words = anyio.run(ask, parse_address(at), span)
     except ValueError as error:
         raise Unusable(str(error)) from error
     for word in words:
--- a/thistleline/config/schema.py
+++ b/thistleline/config/schema.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from thistleline.config.parser import Fault, Line, read_lines
-from thistleline.transport.address import Address, read_address
+from thistleline.transport.address import Address, parse_address
 
 SPANS = {"s": 1_000_000_000, "ms": 1_000_000, "us": 1000}
 UNITS = {"": 1, "K": 1 << 10, "M": 1 << 20, "G": 1 << 30}
@@ -210,7 +210,7 @@
         try:
             if not name or name in found:
                 raise ValueError(f"{line.value!r} has no name of its own before a '='")
-            found[name] = read_address(address)
+            found[name] = parse_address(address)
         except ValueError as error:
             faults.append(Fault(line.number, f"{line.part} {line.name}: {error}"))
     return found
@@ -227,7 +227,7 @@
 def _value(text: str, typed: Any) -> Any:
     kinds = _kinds(typed)
     if Address in kinds:
-        return read_address(text)
+        return parse_address(text)
     if Span in kinds:
         return msgspec.convert(_span(text), typed)
     if str in kinds:
--- a/thistleline/config_feed/connections.py
+++ b/thistleline/config_feed/connections.py
@@ -18,8 +18,8 @@
 from thistleline.config_feed.messages import Delta, Part, decode_source, encode
 from thistleline.store.clock import boot_now
 from thistleline.transport.address import Address
-from thistleline.transport.codec import Hello, Unpacker, common_form, sealed
-from thistleline.transport.disconnects import ENDS, ends
+from thistleline.transport.codec import FrameDecoder, Hello, encode_frame, negotiate_version
+from thistleline.transport.disconnects import DISCONNECT_ERRORS, report_disconnects
 from thistleline.transport.handshake import receive_hello
 
 PIECE = 1 << 18  # bytes read or handed over at once
@@ -83,11 +83,11 @@
 
     def frame(self, message: Any) -> bytes:
         if not isinstance(message, Delta | Part):
-            return sealed(encode(message))
+            return encode_frame(encode(message))
         known = self.made.get(id(message))
         if known is not None:
             return known[1]
-        data = sealed(encode(message))
+        data = encode_frame(encode(message))
         self.made[id(message)] = message, data
         if len(self.made) > ENCODED_BOUND:
             self.made.popitem(last=False)
@@ -190,7 +190,7 @@
 
     def send(self, name: str, message: Any) -> None:
         if self.way is not None and self.way.name == name:
-            self.way.out.put(sealed(encode(message)))
+            self.way.out.put(encode_frame(encode(message)))
 
     def drop(self, name: str) -> None:
         if self.way is not None and self.way.name == name:
@@ -203,7 +203,7 @@
             self.rounds.put(*self.wrap(told))
 
     async def _hold(self, way: Way) -> None:
-        with way.scope, ends(way.note):
+        with way.scope, report_disconnects(way.note):
             with anyio.fail_after(PATIENCE):
                 stream = await anyio.connect_tcp(*self.sources[way.name])
             async with stream:
@@ -219,9 +219,9 @@
         self._tell(way, "lost", way.name, way.why or "it takes nothing")
 
     async def _read(self, stream: SocketStream, way: Way) -> None:
-        unpacker = Unpacker(MESSAGE_BOUND)
+        unpacker = FrameDecoder(MESSAGE_BOUND)
         while True:
-            heard = [decode_source(one) for one in unpacker.take(await stream.receive(PIECE))]
+            heard = [decode_source(one) for one in unpacker.feed(await stream.receive(PIECE))]
             if heard and not way.dropped:
                 await self.rounds.bring(self.wrap(("heard", way.name, one)) for one in heard)
 
@@ -258,25 +258,25 @@
 
 
 async def greet(stream: ByteStream, own: Hello) -> Hello:
-    """From who dials. Raises Unreadable and what ends a connection."""
-    await stream.send(sealed(encode(own)))
+    """From who dials. Raises ProtocolError and what ends a connection."""
+    await stream.send(encode_frame(encode(own)))
     there = await receive_hello(stream)
-    common_form(own, there)
+    negotiate_version(own, there)
     return there
 
 
 async def ask(address: Address, message: Any, kind: type, span: float) -> Any:
     """One question to one that serves, on a connection of its own; an answer of that kind, or None."""
-    with anyio.move_on_after(span), suppress(*ENDS):
+    with anyio.move_on_after(span), suppress(*DISCONNECT_ERRORS):
         with anyio.fail_after(PATIENCE):
             stream = await anyio.connect_tcp(*address)
         async with stream:
             with anyio.fail_after(PATIENCE):
                 await greet(stream, Hello("follower", ""))
-            await stream.send(sealed(encode(message)))
-            unpacker = Unpacker(MESSAGE_BOUND)
+            await stream.send(encode_frame(encode(message)))
+            unpacker = FrameDecoder(MESSAGE_BOUND)
             while True:
-                for payload in unpacker.take(await stream.receive(PIECE)):
+                for payload in unpacker.feed(await stream.receive(PIECE)):
                     told = decode_source(payload)
                     if isinstance(told, kind):
                         return told
--- a/thistleline/config_feed/service.py
+++ b/thistleline/config_feed/service.py
@@ -30,8 +30,8 @@
 from thistleline.lease.session import Keeper as Holding
 from thistleline.store.clock import boot_now
 from thistleline.transport.address import Address
-from thistleline.transport.codec import Hello, Unpacker, Unreadable, common_form, sealed
-from thistleline.transport.disconnects import ends
+from thistleline.transport.codec import FrameDecoder, Hello, ProtocolError, encode_frame, negotiate_version
+from thistleline.transport.disconnects import report_disconnects
 from thistleline.transport.handshake import receive_hello
 
 LEASE = "feed"
@@ -356,16 +356,16 @@
         peer = Peer(self.count, stream)
         self.peers[peer.number] = self.guests[peer.number] = peer
         try:
-            with peer.scope, ends(peer.note):
+            with peer.scope, report_disconnects(peer.note):
                 async with stream:
                     with anyio.fail_after(HELLO_SPAN):
                         there = await receive_hello(stream)
                         own = Hello("follower", self.name)
-                        common_form(own, there)
+                        negotiate_version(own, there)
                         if there.kind != "follower":
-                            raise Unreadable(f"a {there.kind} has no business here")
+                            raise ProtocolError(f"a {there.kind} has no business here")
                         peer.id = there.id[:ID_BOUND]
-                        await stream.send(sealed(msgspec.msgpack.encode(own)))
+                        await stream.send(encode_frame(msgspec.msgpack.encode(own)))
                     async with anyio.create_task_group() as group:
                         group.start_soon(peer.out.send, stream)
                         await self._read(peer)
@@ -376,11 +376,11 @@
                 self.rounds.put("left", peer.number)
 
     async def _read(self, peer: Peer) -> None:
-        unpacker = Unpacker(MESSAGE_BOUND)
+        unpacker = FrameDecoder(MESSAGE_BOUND)
         while True:
             data = await peer.stream.receive(PIECE)
             peer.heard_at = boot_now()
-            for one in unpacker.take(data):
+            for one in unpacker.feed(data):
                 await self.rounds.bring([("peer", peer.number, decode_follower(one))])
                 await peer.out.flows()
 
--- a/thistleline/handover/channel.py
+++ b/thistleline/handover/channel.py
@@ -11,7 +11,7 @@
 from anyio.abc import TaskGroup
 
 from thistleline.handover.messages import BOUND, Message, decode, encode
-from thistleline.transport.codec import Unpacker, sealed
+from thistleline.transport.codec import FrameDecoder, encode_frame
 
 WRITE_BOUND = 16 << 20  # bytes that wait; who lets so much wait is gone
 PIECE = 1 << 16
@@ -57,7 +57,7 @@
     def __init__(self, sock: socket.socket, group: TaskGroup) -> None:
         sock.setblocking(False)
         self.sock, self.group = sock, group
-        self.unpacker = Unpacker(BOUND)
+        self.unpacker = FrameDecoder(BOUND)
         self.came: deque[Message] = deque()
         self.descriptors: list[int] = []
         self.out = bytearray()
@@ -69,7 +69,7 @@
         """Never waits. Guards this process against a peer that does not read: its line ends."""
         if self.closed:
             return
-        self.out += sealed(encode(message))
+        self.out += encode_frame(encode(message))
         if len(self.out) > WRITE_BOUND:
             self.close()
         elif not self.draining:
@@ -82,7 +82,7 @@
         """Whole and at once, after all that was sent. Raises OSError where that can't be."""
         if self.closed or self.out:
             raise OSError("the line is not free")
-        data = sealed(encode(message))
+        data = encode_frame(encode(message))
         if socket.send_fds(self.sock, [data], descriptors) != len(data):
             raise OSError("the line took a part of it")
 
@@ -106,7 +106,7 @@
     # ---- in
 
     async def receive(self) -> Message | None:
-        """None at its end. Raises Unreadable or MsgspecError for what is no message."""
+        """None at its end. Raises ProtocolError or MsgspecError for what is no message."""
         while not self.came:
             if self.closed:
                 return None
@@ -122,7 +122,7 @@
             self.descriptors += found
             if not data:
                 return None
-            self.came += map(decode, self.unpacker.take(data))
+            self.came += map(decode, self.unpacker.feed(data))
         return self.came.popleft()
 
     def close(self) -> None:
--- a/thistleline/handover/service.py
+++ b/thistleline/handover/service.py
@@ -48,7 +48,7 @@
 from thistleline.state.state_machine import Reducer
 from thistleline.store.clock import boot_now
 from thistleline.store.frames import CorruptFrameError
-from thistleline.transport.codec import Unreadable
+from thistleline.transport.codec import ProtocolError
 
 AGAIN = 0.2  # s after 'later', before the heir asks again
 HOLD_SPAN = 3.0  # s in which the ledger of one that has just died comes free
@@ -123,7 +123,7 @@
                 await anyio.to_thread.run_sync(self._read_some)
                 line.send(Ready())
                 told = await line.receive()
-        except (Unreadable, msgspec.MsgspecError) as error:
+        except (ProtocolError, msgspec.MsgspecError) as error:
             raise Unusable(f"the server that runs here can't be understood: {error}") from error
         if not isinstance(told, Yours):
             line.close()
@@ -158,7 +158,7 @@
             line = Line(sock, group)
             line.send(Hello(reads=ledger_format.READS))
             told: Message | None = None
-            with suppress(Unreadable, msgspec.MsgspecError), anyio.move_on_after(1.0):
+            with suppress(ProtocolError, msgspec.MsgspecError), anyio.move_on_after(1.0):
                 told = await line.receive()
                 while isinstance(told, Welcome):
                     line.send(Ready())
@@ -257,7 +257,7 @@
                         self.take("elder_ended", number, how, result)
                     case Forward():
                         self._forwarded(told)
-        except (Unreadable, msgspec.MsgspecError) as error:
+        except (ProtocolError, msgspec.MsgspecError) as error:
             self.note("succession", state="elder not understood", why=str(error))
         line.close()
         self.elder = None
@@ -333,7 +333,7 @@
                         self.take(kind, *values)
                     case Answer(name, kind, values) if kind in ANSWERS:
                         self.take("away_over", str(name), kind, values)
-        except (Unreadable, msgspec.MsgspecError) as error:
+        except (ProtocolError, msgspec.MsgspecError) as error:
             self.note("succession", state="heir not understood", why=str(error))
         finally:
             line.close()
--- a/thistleline/lab/contender.py
+++ b/thistleline/lab/contender.py
@@ -12,7 +12,7 @@
 
 from thistleline.lease.client import Council
 from thistleline.lease.session import Held, Lost, NoTime, Refused, lease
-from thistleline.transport.disconnects import ENDS
+from thistleline.transport.disconnects import DISCONNECT_ERRORS
 
 
 class Fenced(Exception):
@@ -49,10 +49,10 @@
                         await anyio.sleep(chance.uniform(0.0, told["pause"]))
             except (Lost, NoTime) as error:
                 print(json.dumps({"event": "lost", "why": str(error)}), flush=True)
-            except (Refused, Fenced, *ENDS):
+            except (Refused, Fenced, *DISCONNECT_ERRORS):
                 await anyio.sleep(0.01)
             except BaseExceptionGroup as error:
-                if error.split((Lost, Refused, Fenced, NoTime, *ENDS))[1] is not None:
+                if error.split((Lost, Refused, Fenced, NoTime, *DISCONNECT_ERRORS))[1] is not None:
                     raise
                 await anyio.sleep(0.01)
 
--- a/thistleline/lab/feedrun.py
+++ b/thistleline/lab/feedrun.py
@@ -32,9 +32,9 @@
 from thistleline.lease.protocol import Answer, Denied, Keep, Kept, Op, Put
 from thistleline.lease.table import Table as Leases
 from thistleline.lease.table import data_of
-from thistleline.transport.codec import sealed
+from thistleline.transport.codec import encode_frame
 
-HEAD = len(sealed(b""))
+HEAD = len(encode_frame(b""))
 HELLO = 60  # bytes of the first message each way (links/codec.Hello)
 NEVER = 1 << 62
 PLENTY = 10_000_000_000 / 8 / SECOND  # bytes a ns that a control machine sends at
--- a/thistleline/lab/leases.py
+++ b/thistleline/lab/leases.py
@@ -21,7 +21,7 @@
 from thistleline.lab.harness import Fleet, Hung, Process, folder_of
 from thistleline.lab.net import Way
 from thistleline.lease.fencing import Guard
-from thistleline.transport.disconnects import ENDS
+from thistleline.transport.disconnects import DISCONNECT_ERRORS
 
 LENGTH, LONGEST, NAME = 1.0, 0.12, "kiln"
 CLOCKS = {"b": {"rate": 1.2}, "c": {"wall_ahead_s": 3600}, "d": {"rate": 0.85}}  # voters
@@ -67,7 +67,7 @@
                     )
                     self.wrote.append(last)
                     await stream.send(b"ok\n" if good else b"no\n")
-        except ENDS:
+        except DISCONNECT_ERRORS:
             pass
         finally:
             if last is not None and last.what != "end":
--- a/thistleline/lab/net.py
+++ b/thistleline/lab/net.py
@@ -13,7 +13,7 @@
 from anyio.abc import SocketStream, TaskGroup
 
 from thistleline.transport.address import Address
-from thistleline.transport.disconnects import ENDS
+from thistleline.transport.disconnects import DISCONNECT_ERRORS
 
 PIECE = 65536
 HELD_BOUND = 8 << 20  # bytes that a slow way holds; past it it takes no more
@@ -108,7 +108,7 @@
                         more.set()
                     while sum(len(one) for _, one in held) > HELD_BOUND:
                         await anyio.sleep(0.01)
-            except ENDS:
+            except DISCONNECT_ERRORS:
                 over = True
                 more.set()
 
@@ -126,10 +126,10 @@
                     await self._hand_on(to, data, there)
                 group.cancel_scope.cancel()
             await to.aclose()
-        except ENDS:
+        except DISCONNECT_ERRORS:
             pass
         except BaseExceptionGroup as group_error:
-            if group_error.split(ENDS)[1] is not None:
+            if group_error.split(DISCONNECT_ERRORS)[1] is not None:
                 raise
 
     async def _hand_on(self, to: SocketStream, data: bytes, there: bool) -> None:
@@ -144,5 +144,5 @@
 
 
 async def _send_eof(stream: SocketStream) -> None:
-    with suppress(*ENDS):
+    with suppress(*DISCONNECT_ERRORS):
         await stream.send_eof()
--- a/thistleline/lab/scale/control.py
+++ b/thistleline/lab/scale/control.py
@@ -50,7 +50,7 @@
 from thistleline.supervisor.decisions import GOOD_SPAN, Keeping, State, Version, Want
 from thistleline.supervisor.releases import RUN, Releases
 from thistleline.supervisor.service import POLL, StewardService, want_key
-from thistleline.transport.codec import sealed
+from thistleline.transport.codec import encode_frame
 from thistleline.zones.decision import Deciding, Rules, Table
 from thistleline.zones.status import FRESH_SPAN, Pictures, Report
 
@@ -213,8 +213,8 @@
     """What a steward and the council say to each other where nothing changes, by POLL and the program's own
     encoding; on TCP, whose acknowledgements are not in it."""
     want = encode(Want(7, 1182, version(118), 2))
-    question = sealed(encode_client(Request(100_000, Get(want_key("i00000.zone-01")))))
-    answer = sealed(encode_client(Reply(100_000, Got(want, 5_000_000))))
+    question = encode_frame(encode_client(Request(100_000, Get(want_key("i00000.zone-01")))))
+    answer = encode_frame(encode_client(Reply(100_000, Got(want, 5_000_000))))
     questions = round(3600 / POLL)
     each = len(question) + len(answer)
     return {
@@ -322,8 +322,8 @@
         value = encode(self.roll) if op.key == KEY else encode(Want(7, 1, self.roll.base))
         answer = Got(b"", 0) if op.key == ORDER_KEY else Got(value, 7)
         self.reads += 1
-        self.bytes += len(sealed(encode_client(Request(self.reads, op))))
-        self.bytes += len(sealed(encode_client(Reply(self.reads, answer))))
+        self.bytes += len(encode_frame(encode_client(Request(self.reads, op))))
+        self.bytes += len(encode_frame(encode_client(Reply(self.reads, answer))))
         if op.key == ORDER_KEY:
             self.by_look.append((self.reads, self.bytes))
             if len(self.by_look) == self.looks:
--- a/thistleline/lab/scale/council.py
+++ b/thistleline/lab/scale/council.py
@@ -32,7 +32,7 @@
 from thistleline.supervisor.decisions import Version, Want
 from thistleline.supervisor.service import POLL, want_key
 from thistleline.supervisor.settings import SIZE_BOUND
-from thistleline.transport.codec import sealed
+from thistleline.transport.codec import encode_frame
 
 NAME = "council"
 FULL = "stewards that fill the leader's core"
@@ -58,7 +58,7 @@
 
     def _arrives(self, to: str, source: str, message: Any) -> Callable[[], None]:
         self.sent[type(message).__name__] += 1
-        self.bytes += len(sealed(encode(message)))
+        self.bytes += len(encode_frame(encode(message)))
         return super()._arrives(to, source, message)
 
     def _written(self, id: str) -> Callable[[], None]:
@@ -78,8 +78,8 @@
             raise Hung(f"{len(self.answers) - before[3]} of {len(ops)} answered")
         for _, _, answer in self.answers[before[3] :]:
             assert isinstance(answer, Got | Done | Granted | Kept), answer
-        told = sum(len(sealed(encode(Request(ticket, op)))) for ticket, op in enumerate(ops))
-        told += sum(len(sealed(encode(Reply(at, one)))) for _, at, one in self.answers[before[3] :])
+        told = sum(len(encode_frame(encode(Request(ticket, op)))) for ticket, op in enumerate(ops))
+        told += sum(len(encode_frame(encode(Reply(at, one)))) for _, at, one in self.answers[before[3] :])
         spent = sum(self.sent.values()) - before[0], self.bytes - before[1], self.writes - before[2]
         self.run(self.now + SECOND)
         return Round(*spent, told)
@@ -191,14 +191,14 @@
             heard: list[tuple[Any, ...]] = []
             for effect in self.office.take(self.now, *waiting):
                 if effect[0] == "send":
-                    sealed(encode(effect[2]))
+                    encode_frame(encode(effect[2]))
                     back = self._back(effect[2])
                     if back is not None:
                         heard.append(("heard", effect[1], decode_voter(encode(back))))
                 elif effect[0] == "write":
                     heard.append(("written",))
                 elif effect[0] == "answer":
-                    sealed(encode(Reply(effect[1], effect[2])))
+                    encode_frame(encode(Reply(effect[1], effect[2])))
                     answered += 1
             waiting = heard
         return answered
@@ -255,7 +255,7 @@
 
 def keep_bytes(names: int) -> int:
     told = Kept((Granted(1 << 20, 10 * SECOND),) * names)
-    return len(sealed(encode(Request(1, keep(names))))) + len(sealed(encode(Reply(1, told))))
+    return len(encode_frame(encode(Request(1, keep(names))))) + len(encode_frame(encode(Reply(1, told))))
 
 
 def kept(leader: Leader) -> None:
--- a/thistleline/lab/scale/followers.py
+++ b/thistleline/lab/scale/followers.py
@@ -29,7 +29,7 @@
 from thistleline.config_feed.table import APART, Table
 from thistleline.lab.feedrun import Shared
 from thistleline.lab.scale.feed import HOT, LOOKS, tenant_key
-from thistleline.transport.codec import Unpacker, sealed
+from thistleline.transport.codec import FrameDecoder, encode_frame
 
 PARTS_KEPT, TABLES_KEPT = 4_000, 8
 Items = tuple[tuple[str, bytes, int], ...]
@@ -116,19 +116,19 @@
         if isinstance(self.table, Parts):
             self.table = self.table.table(self.kind)
 
-    class Counted(Unpacker):
-        def take(self, data: bytes) -> list[bytes]:
+    class Counted(FrameDecoder):
+        def feed(self, data: bytes) -> list[bytes]:
             Traffic.got += len(data)
-            return super().take(data)
+            return super().feed(data)
 
     def counted(payload: bytes) -> bytes:
-        data = sealed(payload)
+        data = encode_frame(payload)
         Traffic.sent += len(data)
         return data
 
     for where, name, other in ((Follower, "_part", part), (following, "Table", Parts),
-                               (clients, "Table", Shared), (link, "Unpacker", Counted),
-                               (link, "sealed", counted)):  # fmt: skip
+                               (clients, "Table", Shared), (link, "FrameDecoder", Counted),
+                               (link, "encode_frame", counted)):  # fmt: skip
         setattr(where, name, other)
 
 
--- a/thistleline/lease/client.py
+++ b/thistleline/lease/client.py
@@ -11,8 +11,14 @@
 from thistleline.lease.protocol import Answer, Elsewhere, Op
 from thistleline.lease.wire import Hint, Request, decode_reply, encode
 from thistleline.transport.address import Address
-from thistleline.transport.codec import CLIENT_BOUND, Hello, Unpacker, common_form, sealed
-from thistleline.transport.disconnects import ENDS
+from thistleline.transport.codec import (
+    MAX_CLIENT_MESSAGE_SIZE,
+    FrameDecoder,
+    Hello,
+    encode_frame,
+    negotiate_version,
+)
+from thistleline.transport.disconnects import DISCONNECT_ERRORS
 
 PATIENCE = 1.0  # s for a connection with its greeting
 ANSWER_SPAN = 1.5  # s; a voter that is silent for so long is not asked again at once
@@ -54,9 +60,9 @@
                     self.number += 1
                     number = self.number
                     self.open[number] = event, found
-                    await stream.send(sealed(encode(Request(number, op))))
+                    await stream.send(encode_frame(encode(Request(number, op))))
                 await event.wait()
-        except ENDS:
+        except DISCONNECT_ERRORS:
             pass
         finally:
             self.open.pop(number, None)
@@ -103,18 +109,18 @@
         with anyio.fail_after(PATIENCE):
             stream = await anyio.connect_tcp(*self.voters[self.at])
         hello = Hello("client", "")
-        await stream.send(sealed(encode(hello)))
+        await stream.send(encode_frame(encode(hello)))
         self.stream = stream
         self.group.start_soon(self._read, stream, hello)
         return stream
 
     async def _read(self, stream: SocketStream, hello: Hello) -> None:
-        unpacker, greeted = Unpacker(CLIENT_BOUND), False
+        unpacker, greeted = FrameDecoder(MAX_CLIENT_MESSAGE_SIZE), False
         try:
             while True:
-                for payload in unpacker.take(await stream.receive(1 << 16)):
+                for payload in unpacker.feed(await stream.receive(1 << 16)):
                     if not greeted:
-                        common_form(hello, _first(payload))
+                        negotiate_version(hello, _first(payload))
                         greeted = True
                         continue
                     told = decode_reply(payload)
@@ -124,7 +130,7 @@
                         event, found = self.open.pop(told.number)
                         found.append(told.answer)
                         event.set()
-        except ENDS:
+        except DISCONNECT_ERRORS:
             self._drop(stream)
 
 
--- a/thistleline/lease/service.py
+++ b/thistleline/lease/service.py
@@ -22,18 +22,18 @@
 from thistleline.lease.wire import Hint, Reply, decode_request, decode_voter, encode
 from thistleline.store.clock import boot_now, wall_ms
 from thistleline.store.disk import Disk
-from thistleline.transport.address import Address, read_address
+from thistleline.transport.address import Address, parse_address
 from thistleline.transport.codec import (
-    CLIENT_BOUND,
-    VOTER_BOUND,
+    MAX_CLIENT_MESSAGE_SIZE,
+    MAX_REPLICA_MESSAGE_SIZE,
+    FrameDecoder,
     Hello,
-    Unpacker,
-    Unreadable,
-    common_form,
-    sealed,
+    ProtocolError,
+    encode_frame,
+    negotiate_version,
 )
-from thistleline.transport.connection import STALL, Link
-from thistleline.transport.disconnects import ends
+from thistleline.transport.connection import SEND_TIMEOUT, MessageConnection
+from thistleline.transport.disconnects import report_disconnects
 from thistleline.transport.handshake import receive_hello
 
 MS = 1_000_000
@@ -59,7 +59,7 @@
         self.scope = anyio.CancelScope()
 
     def write(self, payload: bytes) -> None:
-        self.out += sealed(payload)
+        self.out += encode_frame(payload)
         if len(self.out) > OUT_BOUND:
             self.scope.cancel()
         self.more.set()
@@ -87,7 +87,7 @@
         self.office, self.voter = Office(voter, wall_ms), voter
         self.inbox: list[tuple[Any, ...]] = []
         self.woken = anyio.Event()
-        self.links: dict[str, Link] = {}
+        self.links: dict[str, MessageConnection] = {}
         self.scopes: dict[str, anyio.CancelScope] = {}
         self.guests: OrderedDict[int, Guest] = OrderedDict()
         self.askers: OrderedDict[str, int] = OrderedDict()  # by which connection an asker was last heard
@@ -200,17 +200,19 @@
         for id in wanted.keys() - self.links.keys():
             name = id.partition(".")[0]
             try:
-                address = self.conf.via.get(name) or read_address(wanted[id])
+                address = self.conf.via.get(name) or parse_address(wanted[id])
             except ValueError as error:
                 self.log("link", to=id, why=str(error))
                 continue
-            self.links[id] = Link(address, partial(self._greet, id), self.chance, partial(self._of_link, id))
+            self.links[id] = MessageConnection(
+                address, partial(self._greet, id), self.chance, partial(self._of_link, id)
+            )
             self.scopes[id] = anyio.CancelScope()
             group.start_soon(self._hold, self.links[id], self.scopes[id])
 
-    async def _hold(self, link: Link, scope: anyio.CancelScope) -> None:
+    async def _hold(self, link: MessageConnection, scope: anyio.CancelScope) -> None:
         with scope:
-            await link.hold()
+            await link.run()
 
     def _of_link(self, id: str, why: str) -> None:
         if self.told.get(id) != why:
@@ -218,11 +220,11 @@
             self.log("link", to=id, why=why)
 
     async def _greet(self, id: str, stream: ByteStream) -> None:
-        await stream.send(sealed(encode(self._own_hello())))
+        await stream.send(encode_frame(encode(self._own_hello())))
         there = await receive_hello(stream)
-        common_form(self._own_hello(), there)
+        negotiate_version(self._own_hello(), there)
         if there.id != id:
-            raise Unreadable(f"{there.id} is there, not {id}")
+            raise ProtocolError(f"{there.id} is there, not {id}")
         self._of_link(id, "up")
 
     def _own_hello(self) -> Hello:
@@ -238,18 +240,18 @@
         if len(self.guests) > CONNECTIONS_BOUND:
             next(iter(self.guests.values())).scope.cancel()
         try:
-            with guest.scope, ends(partial(self._of_guest, name)):
+            with guest.scope, report_disconnects(partial(self._of_guest, name)):
                 async with stream:
                     with anyio.fail_after(HELLO_SPAN):
                         hello = await receive_hello(stream)
-                    common_form(self._own_hello(), hello)
-                    await stream.send(sealed(encode(self._own_hello())))
+                    negotiate_version(self._own_hello(), hello)
+                    await stream.send(encode_frame(encode(self._own_hello())))
                     if hello.kind == "voter":
                         await self._hear(stream, hello)
                     elif hello.kind == "client":
                         await self._answer(name, guest)
                     else:
-                        raise Unreadable(f"a {hello.kind} has no business here")
+                        raise ProtocolError(f"a {hello.kind} has no business here")
         finally:
             self.guests.pop(name, None)
 
@@ -265,20 +267,20 @@
             while len(self.callers) > CALLERS_BOUND:
                 del self.callers[next(iter(self.callers))]
             self.woken.set()
-        unpacker = Unpacker(VOTER_BOUND)
+        unpacker = FrameDecoder(MAX_REPLICA_MESSAGE_SIZE)
         while True:
-            for payload in unpacker.take(await stream.receive(1 << 18)):
+            for payload in unpacker.feed(await stream.receive(1 << 18)):
                 own = self.voter.council
-                if own and hello.council not in (own, ""):
-                    raise Unreadable(f"{hello.id} is of another council")
+                if own and hello.cluster not in (own, ""):
+                    raise ProtocolError(f"{hello.id} is of another council")
                 self.take("heard", hello.id, decode_voter(payload))
 
     async def _answer(self, name: int, guest: Guest) -> None:
-        unpacker = Unpacker(CLIENT_BOUND)
+        unpacker = FrameDecoder(MAX_CLIENT_MESSAGE_SIZE)
         async with anyio.create_task_group() as group:
             group.start_soon(self._write_out, guest)
             while True:
-                for payload in unpacker.take(await guest.stream.receive(1 << 16)):
+                for payload in unpacker.feed(await guest.stream.receive(1 << 16)):
                     request = decode_request(payload)
                     while guest.open >= OPEN_BOUND:
                         guest.room = anyio.Event()
@@ -300,7 +302,7 @@
         while True:
             while guest.out:
                 data, guest.out = bytes(guest.out), bytearray()
-                with anyio.fail_after(STALL):
+                with anyio.fail_after(SEND_TIMEOUT):
                     await guest.stream.send(data)
             guest.more = anyio.Event()
             await guest.more.wait()
--- a/thistleline/membership/service.py
+++ b/thistleline/membership/service.py
@@ -15,7 +15,7 @@
 from thistleline.membership.gossip import Gossip, Spans
 from thistleline.membership.messages import Facts, Message, Word, decode, encode
 from thistleline.store.clock import boot_now, wall_ms
-from thistleline.transport.address import read_address
+from thistleline.transport.address import parse_address
 
 STANDSTILL = 200_000_000  # ns; after one as long all that lies unread is read first
 READ_FIRST = 8  # turns of the loop
@@ -83,7 +83,7 @@
             if effect[0] == "send":
                 # No way there just now, or no such address: as if it was lost.
                 with suppress(OSError, ValueError):
-                    await socket.sendto(encode(effect[2]), *read_address(effect[1]))
+                    await socket.sendto(encode(effect[2]), *parse_address(effect[1]))
             elif effect[0] == "log":
                 self.log(effect[1], **effect[2])
 
--- a/thistleline/transport/__init__.py
+++ b/thistleline/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Links between processes of the program: bounded messages over TCP, kept up whatever becomes of them."""
+"""Connections between processes of the program: length-prefixed messages over TCP, reconnected when lost."""
--- a/thistleline/transport/address.py
+++ b/thistleline/transport/address.py
@@ -1,21 +1,29 @@
-"""Where a process listens: one address, told in full."""
+"""The address a process listens on: an IP address and a port."""
 
 import ipaddress
 
-Address = tuple[str, int]
+Address = tuple[str, int]  # IP address without brackets, port
 
+MAX_PORT = 65535
 
-def read_address(text: str) -> Address:
-    """`127.0.0.1:7001`, `[::1]:7001`. Raises ValueError. No names: nothing is looked up; and no wildcard:
-    who listens on every address is reached from where nobody thought of."""
-    host, _, port = text.rpartition(":")
+
+def parse_address(text: str) -> Address:
+    """Parse `127.0.0.1:7001` or `[::1]:7001`.
+
+    No host names, so that nothing is looked up; and no wildcard address: a process that listens on every
+    address can be reached over networks that nobody thought of.
+
+    Raises:
+        ValueError: The text is not one unicast IP address with a port from 1 to 65535.
+    """
+    host, _, port_text = text.rpartition(":")
     try:
-        known = ipaddress.ip_address(host.removeprefix("[").removesuffix("]"))
-        number = int(port)
+        ip = ipaddress.ip_address(host.removeprefix("[").removesuffix("]"))
+        port = int(port_text)
     except ValueError:
         raise ValueError(f"{text!r} is no address: an IP address, a colon and a port") from None
-    if known.is_unspecified or known.is_multicast:
+    if ip.is_unspecified or ip.is_multicast:
         raise ValueError(f"{text!r} is no one address to listen on or go to")
-    if not 0 < number < 65536:
+    if not 0 < port <= MAX_PORT:
         raise ValueError(f"{text!r} has no port from 1 to 65535")
-    return str(known), number
+    return str(ip), port
--- a/thistleline/transport/codec.py
+++ b/thistleline/transport/codec.py
@@ -1,61 +1,91 @@
-"""Messages on a link: a length of four bytes, most significant first, then msgpack. The first one each way is
-a Hello; two programs speak the highest form that both know. Fields are told by name, so that a newer one may
-add some: an older one passes over what it does not know, and for what it misses a default stands."""
+"""Message framing: a length of four bytes, most significant first, then msgpack.
+
+The first message in each direction is a Hello; the two programs then speak the highest protocol version that
+both support. Fields are encoded by name, so that a newer version may add some: an older program ignores what
+it does not know, and a missing field takes its default.
+"""
 
 import struct
 from typing import Literal
 
 import msgspec
 
-FORMS = (1, 1)  # the least and the most that this program speaks
-CLIENT_BOUND, VOTER_BOUND = 1 << 20, 64 << 20  # bytes of a message
+SUPPORTED_VERSIONS = (1, 1)  # the lowest and the highest that this program speaks
+MAX_CLIENT_MESSAGE_SIZE = 1 << 20  # bytes
+MAX_REPLICA_MESSAGE_SIZE = 64 << 20  # bytes
 _LENGTH = struct.Struct(">I")
 
 
 class Hello(msgspec.Struct, frozen=True, tag="hello"):
+    """The handshake message with which each side of a connection introduces itself.
+
+    Attributes:
+        kind: What the sender is.
+        id: The sender's id, empty for a client.
+        cluster: Name of the consensus cluster that a replica belongs to, empty for none.
+        address: Where a replica listens; one that knows no members yet answers there.
+        min_version: The lowest protocol version that the sender speaks.
+        max_version: The highest protocol version that the sender speaks.
+    """
+
     kind: Literal["voter", "client", "follower"]
     id: str
-    council: str = ""
-    address: str = ""  # where a voter listens: one that knows no members yet answers there
-    least: int = FORMS[0]
-    most: int = FORMS[1]
+    cluster: str = msgspec.field(default="", name="council")
+    address: str = ""
+    min_version: int = msgspec.field(default=SUPPORTED_VERSIONS[0], name="least")
+    max_version: int = msgspec.field(default=SUPPORTED_VERSIONS[1], name="most")
 
 
-class Unreadable(Exception):
-    """What came is no message; the link is not to be gone on with."""
+class ProtocolError(Exception):
+    """The peer sent something that is no valid message; the connection must be closed."""
 
 
-def common_form(one: Hello, other: Hello) -> int:
-    """The form both speak. Raises Unreadable."""
-    form = min(one.most, other.most)
-    if form < max(one.least, other.least):
-        raise Unreadable(f"no common form: {one.least} to {one.most} and {other.least} to {other.most}")
-    return form
+def negotiate_version(one: Hello, other: Hello) -> int:
+    """Return the highest protocol version that both sides speak.
 
+    Raises:
+        ProtocolError: There is none.
+    """
+    version = min(one.max_version, other.max_version)
+    if version < max(one.min_version, other.min_version):
+        raise ProtocolError(
+            f"no common form: {one.min_version} to {one.max_version}"
+            f" and {other.min_version} to {other.max_version}"
+        )
+    return version
 
-def sealed(payload: bytes) -> bytes:
+
+def encode_frame(payload: bytes) -> bytes:
+    """Return the payload behind its length."""
     return _LENGTH.pack(len(payload)) + payload
 
 
-class Unpacker:
-    """Cuts a stream of bytes into payloads."""
+class FrameDecoder:
+    """Splits a stream of bytes into payloads."""
 
-    def __init__(self, bound: int) -> None:
-        self.bound = bound
+    def __init__(self, max_size: int) -> None:
+        """Accept payloads of up to `max_size` bytes."""
+        self.max_size = max_size
         self.buffer = bytearray()
 
-    def take(self, data: bytes) -> list[bytes]:
-        """The payloads that are whole now. Raises Unreadable for one over the bound."""
+    def feed(self, data: bytes) -> list[bytes]:
+        """Add received bytes and return the payloads that are complete now.
+
+        Raises:
+            ProtocolError: A payload is larger than `max_size`.
+        """
         buffer = self.buffer
         buffer += data
-        found, place = [], 0
-        while len(buffer) - place >= _LENGTH.size:
-            (length,) = _LENGTH.unpack_from(buffer, place)
-            if length > self.bound:
-                raise Unreadable(f"a message of {length} bytes, {self.bound} at most")
-            if len(buffer) - place - _LENGTH.size < length:
+        payloads = []
+        offset = 0
+        while len(buffer) - offset >= _LENGTH.size:
+            (length,) = _LENGTH.unpack_from(buffer, offset)
+            if length > self.max_size:
+                raise ProtocolError(f"a message of {length} bytes, {self.max_size} at most")
+            start = offset + _LENGTH.size
+            if len(buffer) - start < length:
                 break
-            found.append(bytes(memoryview(buffer)[place + _LENGTH.size : place + _LENGTH.size + length]))
-            place += _LENGTH.size + length
-        del buffer[:place]
-        return found
+            payloads.append(bytes(memoryview(buffer)[start : start + length]))
+            offset = start + length
+        del buffer[:offset]
+        return payloads
--- a/thistleline/transport/connection.py
+++ b/thistleline/transport/connection.py
@@ -1,4 +1,4 @@
-"""A link to one process: made, made again with growing pauses when it ends, and a bounded queue meanwhile."""
+"""An outgoing connection to one process, reconnected with exponential backoff, and its bounded send queue."""
 
 from collections import deque
 from collections.abc import Awaitable, Callable
@@ -9,103 +9,125 @@
 from anyio.abc import ByteStream, SocketStream
 
 from thistleline.transport.address import Address
-from thistleline.transport.codec import sealed
-from thistleline.transport.disconnects import ends
+from thistleline.transport.codec import encode_frame
+from thistleline.transport.disconnects import report_disconnects
 
-QUEUE_BOUND, BYTES_BOUND = 4096, 128 << 20
-PIECE = 1 << 18  # bytes handed over at once
-PATIENCE = 2.0  # s for a connection and its greeting
-STALL = 5.0  # s in which a peer takes nothing; then the link is made anew
-PAUSE_FIRST, PAUSE_LAST = 0.05, 1.0  # s
+MAX_QUEUED_MESSAGES = 4096
+MAX_QUEUED_SIZE = 128 << 20  # bytes
+SEND_BATCH_SIZE = 1 << 18  # bytes handed to the socket at once
+CONNECT_TIMEOUT = 2.0  # s for the connection, and again for the handshake
+SEND_TIMEOUT = 5.0  # s in which a peer accepts nothing; then the connection is closed and made anew
+MIN_BACKOFF = 0.05  # s before the first reconnection
+MAX_BACKOFF = 1.0  # s
 
 
-class Queue:
-    """What waits to be sent. Past its bound the oldest heartbeats go, then the oldest of all: a newer message
-    says more, and a council asks again for what it misses."""
+class SendQueue:
+    """Frames that wait to be sent.
 
-    def __init__(self) -> None:
-        self.waiting: deque[tuple[bytes, bool]] = deque()
-        self.size = 0
-        self.dropped = 0
+    When it is full the oldest heartbeat is dropped, or the oldest frame if no heartbeat waits: a newer
+    message says more, and the receiver asks again for what it misses.
+    """
 
-    def put(self, data: bytes, beat: bool) -> None:
-        self.waiting.append((data, beat))
+    def __init__(self) -> None:
+        """Start empty."""
+        self.frames: deque[tuple[bytes, bool]] = deque()  # data, whether it is a heartbeat
+        self.size = 0  # bytes of all frames
+        self.dropped = 0  # frames, since the start
+
+    def put(self, data: bytes, heartbeat: bool) -> None:
+        """Append a frame, and drop older ones beyond the limits."""
+        self.frames.append((data, heartbeat))
         self.size += len(data)
-        while len(self.waiting) > QUEUE_BOUND or self.size > BYTES_BOUND:
-            self._drop()
+        while len(self.frames) > MAX_QUEUED_MESSAGES or self.size > MAX_QUEUED_SIZE:
+            self._drop_one()
 
-    def _drop(self) -> None:
+    def _drop_one(self) -> None:
         self.dropped += 1
-        for place, (data, beat) in enumerate(self.waiting):
-            if beat:
-                del self.waiting[place]
+        for index, (data, heartbeat) in enumerate(self.frames):
+            if heartbeat:
+                del self.frames[index]
                 self.size -= len(data)
                 return
-        self.size -= len(self.waiting.popleft()[0])
-
-    def take(self) -> bytes:
-        """Some of it, in order; nothing if nothing waits."""
-        found, size = [], 0
-        while self.waiting and size < PIECE:
-            data, _ = self.waiting.popleft()
-            found.append(data)
+        self.size -= len(self.frames.popleft()[0])
+
+    def take_batch(self) -> bytes:
+        """Remove and return some frames, in order; empty if none waits."""
+        batch = []
+        size = 0
+        while self.frames and size < SEND_BATCH_SIZE:
+            data, _ = self.frames.popleft()
+            batch.append(data)
             size += len(data)
         self.size -= size
-        return b"".join(found)
+        return b"".join(batch)
 
     def clear(self) -> None:
-        self.waiting.clear()
+        """Forget all frames."""
+        self.frames.clear()
         self.size = 0
 
 
-class Link:
+class MessageConnection:
+    """Sends messages to one address for as long as `run` runs, over one connection after another."""
+
     def __init__(
         self,
         address: Address,
-        greet: Callable[[ByteStream], Awaitable[None]],
-        chance: Random,
-        tell: Callable[[str], None],
+        handshake: Callable[[ByteStream], Awaitable[None]],
+        rng: Random,
+        on_disconnect: Callable[[str], None],
     ) -> None:
-        """`greet` says and hears the Hello, or raises; `tell` hears why a link could not be had or ended."""
-        self.address, self.greet, self.chance, self.tell = address, greet, chance, tell
-        self.queue = Queue()
-        self.more = anyio.Event()
-
-    def send(self, payload: bytes, beat: bool = False) -> None:
-        self.queue.put(sealed(payload), beat)
-        self.more.set()
-
-    async def hold(self) -> None:
-        """Until it is cancelled. No peer's error ends it."""
-        pause = PAUSE_FIRST
+        """Describe the connection; it is made by `run`.
+
+        Args:
+            address: Where the peer listens.
+            handshake: Exchanges Hellos on a new connection, or raises.
+            rng: Jitter of the backoff is drawn from here.
+            on_disconnect: Called with the reason when a connection can't be made or ends.
+        """
+        self.address = address
+        self.handshake = handshake
+        self.rng = rng
+        self.on_disconnect = on_disconnect
+        self.queue = SendQueue()
+        self.queued = anyio.Event()
+
+    def send(self, payload: bytes, heartbeat: bool = False) -> None:
+        """Queue a message; heartbeats are the first to be dropped from a full queue."""
+        self.queue.put(encode_frame(payload), heartbeat)
+        self.queued.set()
+
+    async def run(self) -> None:
+        """Connect, send and reconnect until cancelled; no error of the peer or the network ends it."""
+        backoff = MIN_BACKOFF
         while True:
-            with ends(self.tell):
-                with anyio.fail_after(PATIENCE):
+            with report_disconnects(self.on_disconnect):
+                with anyio.fail_after(CONNECT_TIMEOUT):
                     stream = await anyio.connect_tcp(*self.address)
                 async with stream:
-                    with anyio.fail_after(PATIENCE):
-                        await self.greet(stream)
-                    pause = PAUSE_FIRST
-                    await self._send(stream)
-            # What waited is old by the time there is a link again.
+                    with anyio.fail_after(CONNECT_TIMEOUT):
+                        await self.handshake(stream)
+                    backoff = MIN_BACKOFF
+                    await self._send_queue(stream)
+            # Messages that waited are out of date by the time there is a connection again.
             self.queue.clear()
-            await anyio.sleep(pause * self.chance.uniform(0.5, 1.5))
-            pause = min(PAUSE_LAST, 2 * pause)
+            await anyio.sleep(backoff * self.rng.uniform(0.5, 1.5))
+            backoff = min(MAX_BACKOFF, 2 * backoff)
 
-    async def _send(self, stream: SocketStream) -> None:
+    async def _send_queue(self, stream: SocketStream) -> None:
         async with anyio.create_task_group() as group:
-            group.start_soon(self._notice_end, stream, group.cancel_scope)
+            group.start_soon(self._cancel_at_end, stream, group.cancel_scope)
             while True:
-                data = self.queue.take()
+                data = self.queue.take_batch()
                 if data:
-                    with anyio.fail_after(STALL):
+                    with anyio.fail_after(SEND_TIMEOUT):
                         await stream.send(data)
                 else:
-                    self.more = anyio.Event()
-                    await self.more.wait()
+                    self.queued = anyio.Event()
+                    await self.queued.wait()
 
-    async def _notice_end(self, stream: SocketStream, scope: anyio.CancelScope) -> None:
-        """Nothing comes this way after the greeting but the end."""
+    async def _cancel_at_end(self, stream: SocketStream, scope: anyio.CancelScope) -> None:
+        """Cancel the sender when the peer closes: after the handshake nothing else arrives."""
         with suppress(anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
             await stream.receive(1)
         scope.cancel()
--- a/thistleline/transport/disconnects.py
+++ b/thistleline/transport/disconnects.py
@@ -1,4 +1,4 @@
-"""How a connection may end without anybody being at fault here."""
+"""The errors by which a connection may end through its peer or the network."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -6,25 +6,33 @@
 import anyio
 import msgspec
 
-from thistleline.transport.codec import Unreadable
+from thistleline.transport.codec import ProtocolError
 
-# RecursionError: of a message that nests deeper than a decoder goes, also in a field nobody knows.
-ENDS = (OSError, TimeoutError, Unreadable, msgspec.MsgspecError, RecursionError, anyio.EndOfStream,
-        anyio.IncompleteRead, anyio.BrokenResourceError, anyio.ClosedResourceError)  # fmt: skip
+DISCONNECT_ERRORS = (
+    OSError,
+    TimeoutError,
+    ProtocolError,
+    msgspec.MsgspecError,
+    RecursionError,  # a message nests deeper than the decoder goes, even in an unknown field
+    anyio.EndOfStream,
+    anyio.IncompleteRead,
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+)
 
 
 @contextmanager
-def ends(tell: Callable[[str], None]) -> Iterator[None]:
-    """Whatever a peer or a net brings ends what runs inside and nothing else; `tell` hears why."""
+def report_disconnects(on_disconnect: Callable[[str], None]) -> Iterator[None]:
+    """Suppress disconnect errors of the block and call `on_disconnect` with the reason."""
     try:
         yield
-    except ENDS as error:
-        tell(str(error) or type(error).__name__)
+    except DISCONNECT_ERRORS as error:
+        on_disconnect(str(error) or type(error).__name__)
     except BaseExceptionGroup as group:
-        expected, rest = group.split(ENDS)
+        disconnects, rest = group.split(DISCONNECT_ERRORS)
         if rest is not None:
             raise rest from group
-        first: BaseException | None = expected
+        first: BaseException | None = disconnects
         while isinstance(first, BaseExceptionGroup):
             first = first.exceptions[0]
-        tell(str(first) or type(first).__name__)
+        on_disconnect(str(first) or type(first).__name__)
--- a/thistleline/transport/handshake.py
+++ b/thistleline/transport/handshake.py
@@ -1,26 +1,31 @@
-"""The Hello with which a connection begins, read without what may follow it."""
+"""Reading the Hello with which a connection begins, and no byte of what may follow it."""
 
 import msgspec
 from anyio.abc import ByteStream
 
-from thistleline.transport.codec import Hello, Unreadable
+from thistleline.transport.codec import Hello, ProtocolError
 
-HELLO_BOUND = 4096  # bytes
-_hello = msgspec.msgpack.Decoder(Hello).decode
+MAX_HELLO_SIZE = 4096  # bytes
+_LENGTH_SIZE = 4  # bytes
+_decode_hello = msgspec.msgpack.Decoder(Hello).decode
 
 
 async def receive_hello(stream: ByteStream) -> Hello:
-    """The first message and nothing of the next: byte counts are asked for exactly."""
-    length = int.from_bytes(await _exactly(stream, 4), "big")
-    if length > HELLO_BOUND:
-        raise Unreadable("it does not begin with a Hello")
+    """Receive the first message and nothing of the next one.
+
+    Raises:
+        ProtocolError: The connection does not begin with a Hello.
+    """
+    length = int.from_bytes(await _receive_exactly(stream, _LENGTH_SIZE), "big")
+    if length > MAX_HELLO_SIZE:
+        raise ProtocolError("it does not begin with a Hello")
     try:
-        return _hello(await _exactly(stream, length))
+        return _decode_hello(await _receive_exactly(stream, length))
     except msgspec.MsgspecError as error:
-        raise Unreadable(f"it does not begin with a Hello: {error}") from error
+        raise ProtocolError(f"it does not begin with a Hello: {error}") from error
 
 
-async def _exactly(stream: ByteStream, count: int) -> bytes:
+async def _receive_exactly(stream: ByteStream, count: int) -> bytes:
     data = b""
     while len(data) < count:
         data += await stream.receive(count - len(data))
