--- a/thistleline/handover/service.py
+++ b/thistleline/handover/service.py
@@ -47,8 +47,8 @@
 from thistleline.server.service import Service
 from thistleline.state.state_machine import Reducer
 from thistleline.store.clock import boot_now
-from thistleline.store.frames import Damaged
-from thistleline.transport.codec import Unreadable
+from thistleline.store.frames import CorruptFrameError
+from thistleline.transport.codec import ProtocolError
 
 AGAIN = 0.2  # s after 'later', before the heir asks again
 HOLD_SPAN = 3.0  # s in which the ledger of one that has just died comes free
@@ -123,7 +123,7 @@
                 await anyio.to_thread.run_sync(self._read_some)
                 line.send(Ready())
                 told = await line.receive()
-        except (Unreadable, msgspec.MsgspecError) as error:
+        except (ProtocolError, msgspec.MsgspecError) as error:
             raise Unusable(f"the server that runs here can't be understood: {error}") from error
         if not isinstance(told, Yours):
             line.close()
@@ -132,7 +132,7 @@
         left = list(line.descriptors)
         line.descriptors.clear()
         if told.lock:
-            self.store.disk.lock = left.pop(0)
+            self.store.disk.lock_fd = left.pop(0)
         if not told.listener:
             return None
         listener = socket.socket(fileno=left.pop(0))
@@ -158,7 +158,7 @@
             line = Line(sock, group)
             line.send(Hello(reads=ledger_format.READS))
             told: Message | None = None
-            with suppress(Unreadable, msgspec.MsgspecError), anyio.move_on_after(1.0):
+            with suppress(ProtocolError, msgspec.MsgspecError), anyio.move_on_after(1.0):
                 told = await line.receive()
                 while isinstance(told, Welcome):
                     line.send(Ready())
@@ -175,7 +175,7 @@
     def _read_last(self) -> list[Any]:
         try:
             self.store.follow(self.reducer.book, self.read, True, boot_now())
-        except (Damaged, OSError) as error:
+        except (CorruptFrameError, OSError) as error:
             raise Unusable(f"the ledger can't be read: {error}") from error
         return list(self.reducer.book.recovered())
 
@@ -257,7 +257,7 @@
                         self.take("elder_ended", number, how, result)
                     case Forward():
                         self._forwarded(told)
-        except (Unreadable, msgspec.MsgspecError) as error:
+        except (ProtocolError, msgspec.MsgspecError) as error:
             self.note("succession", state="elder not understood", why=str(error))
         line.close()
         self.elder = None
@@ -333,7 +333,7 @@
                         self.take(kind, *values)
                     case Answer(name, kind, values) if kind in ANSWERS:
                         self.take("away_over", str(name), kind, values)
-        except (Unreadable, msgspec.MsgspecError) as error:
+        except (ProtocolError, msgspec.MsgspecError) as error:
             self.note("succession", state="heir not understood", why=str(error))
         finally:
             line.close()
@@ -369,7 +369,7 @@
             agent.flush()
             agent.stream.close()
         self._send_by_heir()
-        descriptors = [self.store.disk.lock] if not again else []
+        descriptors = [self.store.disk.lock_fd] if not again else []
         if listener is not None:
             descriptors.append(listener.fileno())
         message = Yours(notice, runs, owned, not again, listener is not None)
