--- a/tests/host.py
+++ b/tests/host.py
@@ -108,7 +108,7 @@
 
     def task(self, stage: int = 0, **changes: Any) -> Task:
         self.count += 1
-        return task(f"t{self.count}", changes.pop("reached", self.now), stage=stage, **changes)
+        return task(f"t{self.count}", changes.pop("arrived_at", self.now), stage=stage, **changes)
 
     def read(self, *tasks: Task) -> list[tuple[Any, ...]]:
         return self.round(*(TaskArrived(task) for task in tasks))
@@ -124,20 +124,20 @@
         return [said[0] for said in self.said if len(said) > 1 and said[1] == task.id]
 
 
-def task(name: str, reached: int, **changes: Any) -> Task:
+def task(name: str, arrived_at: int, **changes: Any) -> Task:
     facts: dict[str, Any] = dict(
         id=name,
         stage=0,
-        owner=0,
-        caller=0,
-        rank=0.5,
+        tenant=0,
+        client=0,
+        priority_rank=0.5,
         user=None,
-        work=100 * MS,
-        held_kb=10.0,
-        reached=reached,
-        limit=None,
-        again=False,
-        repeats=None,
+        estimated_work=100 * MS,
+        queued_memory_kb=10.0,
+        arrived_at=arrived_at,
+        deadline=None,
+        is_retry=False,
+        duplicate_of=None,
     )
     return Task(**facts | changes)
 
@@ -198,7 +198,7 @@
             self.put("opened", connection)
         name = str(changes.pop("id", f"t{self.count}"))
         stage = changes.pop("stage_place", 0 if word is None else 1)
-        sent = task(name, changes.pop("reached", self.now), stage=stage, **changes)
+        sent = task(name, changes.pop("arrived_at", self.now), stage=stage, **changes)
         self.put("task", connection, self.count, sent, word, memoryview(body))
         self.put("drained", connection)
         return name
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -255,7 +255,7 @@
     assert desk.launched() == [read]
     assert [(effect[1], effect[4] > 0) for effect in desk.kinds("rejected")] == [(2, True), (3, True)]
     desk.wait(300 * MS)
-    again = desk.send(2, "mark", again=True)
+    again = desk.send(2, "mark", is_retry=True)
     desk.wait()
     assert desk.launched() == [read, again]
     assert (failed, refused) == ("t2", "t3")
@@ -311,7 +311,7 @@
     boot = START + 9 * SECOND if not left else 7 * SECOND
     later = KeptDesk(tmp_path, cores=4, boot=boot, left=left, now=(1009 + back) * SECOND)
     for place in range(3):
-        later.send(1, f"mark{place}", again=True)
+        later.send(1, f"mark{place}", is_retry=True)
         later.wait(3 * SECOND)
     again = {int(effect[1][1:]) - 1 for effect in later.kinds("start")}
     assert not again & {int(name[-1]) for name in desk.launched()}
@@ -329,8 +329,8 @@
     desk.wait()
     desk.die()
     later = KeptDesk(tmp_path, boot=START + 5 * SECOND)
-    later.send(1, "mark", again=True)
-    later.send(2, "mark", again=True)
+    later.send(1, "mark", is_retry=True)
+    later.send(2, "mark", is_retry=True)
     later.send(3, "mark", b"a stranger's")
     later.wait()
     assert [(effect[1], bytes(effect[3])) for effect in later.kinds("finished")] == [
@@ -348,13 +348,13 @@
     later.put("agent_up", agent == "is new", 60 * SECOND)
     if agent == "tells its end":
         later.end(name)
-    later.send(1, "mark", id="later", again=True)
+    later.send(1, "mark", id="later", is_retry=True)
     later.wait(3 * SECOND)
     assert later.launched() == []
     assert later.answers() == ["finished" if agent == "tells its end" else "abandoned"]
     later.die()
     third = KeptDesk(tmp_path, boot=START + 5 * SECOND)
-    third.send(1, "mark", id="third", again=True)
+    third.send(1, "mark", id="third", is_retry=True)
     third.wait(3 * SECOND)
     assert (third.launched(), third.answers()) == ([], later.answers())
 
@@ -371,7 +371,7 @@
     for life in range(2, 60):
         boot = START + life * 200 * MS
         later = KeptDesk(tmp_path, boot=boot)
-        later.send(1, "mark", id=f"try{life}", again=True)
+        later.send(1, "mark", id=f"try{life}", is_retry=True)
         later.wait(100 * MS)  # and is killed
         lives += 1
         assert later.launched() == []
@@ -395,7 +395,7 @@
     desk.wait()
     desk.die()
     later = KeptDesk(tmp_path, boot=START + BOOKING.idempotency_window + 20 * SECOND, now=900 * SECOND)
-    later.send(1, "mark", again=True)
+    later.send(1, "mark", is_retry=True)
     later.wait()
     assert len(later.launched()) == 1
 
@@ -429,7 +429,7 @@
     assert refused
     assert desk.kept.book.phase == "full"
     assert sum(size for _, size in desk.disk.segments()) <= 1 << 14
-    desk.send(1, "mark0", again=True)
+    desk.send(1, "mark0", is_retry=True)
     desk.wait()
     assert desk.answers()[-1] in ("finished", "abandoned")
     desk.wait(40 * SECOND)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -226,7 +226,7 @@
     """Looks through all owners for each task."""
 
     def _bucket(self, task: Any) -> int:
-        return super()._bucket(task) + 0 * sum(1 for owner in self.settings.tenants if owner.share < 0)
+        return super()._bucket(task) + 0 * sum(1 for tenant in self.settings.tenants if tenant.quota < 0)
 
 
 def test_a_task_that_looks_through_all_tenants_is_called_linear() -> None:
--- a/tests/test_state_machine.py
+++ b/tests/test_state_machine.py
@@ -84,7 +84,7 @@
 
 def test_a_time_from_the_future_counts_as_now() -> None:
     desk = Desk()
-    desk.send(1, reached=desk.now + 5 * SECOND)
+    desk.send(1, arrived_at=desk.now + 5 * SECOND)
     desk.wait(LOOKUP.timeout)
     assert len(desk.answers()) == 1
 
@@ -93,7 +93,7 @@
 def test_what_came_at_no_likely_time_is_no_jam_of_reading(ahead: int) -> None:
     desk = Desk()
     for place in range(100):
-        desk.send(place % 8, reached=desk.now + ahead)
+        desk.send(place % 8, arrived_at=desk.now + ahead)
     desk.wait()
     assert len(desk.kinds("misunderstood")) == 100
     assert desk.reducer.module._unread_wait() == 0
@@ -114,12 +114,12 @@
     desk = Desk()
     name = desk.send(1, "mark")
     desk.wait()
-    desk.send(2, "mark", again=True)
+    desk.send(2, "mark", is_retry=True)
     desk.wait()
     assert desk.answers() == []
     desk.end(name)
     desk.wait()
-    desk.send(3, "mark", again=True)
+    desk.send(3, "mark", is_retry=True)
     desk.wait()
     told = desk.kinds("finished")
     assert [effect[1] for effect in told] == [1, 2, 3]
@@ -129,7 +129,7 @@
 
 def test_two_tries_read_at_once_run_once() -> None:
     desk = Desk()
-    first, _ = desk.send(1, "mark"), desk.send(2, "mark", again=True)
+    first, _ = desk.send(1, "mark"), desk.send(2, "mark", is_retry=True)
     desk.wait()
     desk.end(first)
     desk.wait()
@@ -145,7 +145,7 @@
     desk.wait()
     desk.end(name)
     desk.wait(BOOKING.idempotency_window + 2 * SECOND)
-    desk.send(2, "mark", again=True, reached=desk.now - min(lain, 3 * SECOND))
+    desk.send(2, "mark", is_retry=True, arrived_at=desk.now - min(lain, 3 * SECOND))
     desk.wait()
     assert len(desk.launched()) == runs
 
@@ -155,7 +155,7 @@
     name = desk.send(1, "mark")
     desk.wait()
     desk.end(name, "failed")
-    desk.send(2, "mark", again=True)
+    desk.send(2, "mark", is_retry=True)
     desk.wait()
     assert desk.launched() == [name]
     assert desk.answers() == ["abandoned", "abandoned"]
@@ -163,14 +163,14 @@
 
 def test_a_stranger_with_a_known_mark_gets_no_result_and_harms_no_rightful_try() -> None:
     desk = Desk(cores=8)
-    name, strange = desk.send(1, "mark"), desk.send(2, "mark", b"another body", again=True)
+    name, strange = desk.send(1, "mark"), desk.send(2, "mark", b"another body", is_retry=True)
     desk.wait()
     assert desk.launched() == [name, strange]
     desk.put("declined", "start", strange)
     desk.end(name)
     desk.wait()
-    desk.send(3, "mark", again=True)
-    desk.send(2, "mark", b"another body", again=True)
+    desk.send(3, "mark", is_retry=True)
+    desk.send(2, "mark", b"another body", is_retry=True)
     desk.wait()
     assert [effect[:2] for effect in desk.kinds("finished")] == [("finished", 1), ("finished", 3)]
     assert desk.launched().count(name) == 1
@@ -182,12 +182,12 @@
     name = desk.send(1, "mark")
     desk.wait()
     desk.end(name)
-    desk.send(2, "mark", b"another body", id=name, again=True)
+    desk.send(2, "mark", b"another body", id=name, is_retry=True)
     desk.wait()
     desk.put("declined", "start", name)
     desk.send(2, "another mark", id=name)  # id and body are known to the agent: it would run
     desk.wait()
-    desk.send(1, "mark", again=True)
+    desk.send(1, "mark", is_retry=True)
     desk.wait()
     assert desk.launched() == [name]
     assert desk.answers() == ["finished", "abandoned", "abandoned", "finished"]
@@ -197,7 +197,7 @@
     desk = Desk(cores=4)
     first = desk.send(1, "mark")
     desk.wait(30 * SECOND)
-    second, _ = desk.send(1, "mark"), desk.send(2, "mark", again=True)
+    second, _ = desk.send(1, "mark"), desk.send(2, "mark", is_retry=True)
     desk.wait()
     assert desk.launched() == [first, second]
 
@@ -214,7 +214,7 @@
         desk.end(name, "moot")
     desk.wait()
     assert (desk.reducer.entries.by_key, desk.reducer.module.entries) == ({}, {})
-    again = desk.send(1, "mark", again=True)
+    again = desk.send(1, "mark", is_retry=True)
     desk.wait()
     assert desk.launched() == [name, again]
 
@@ -227,7 +227,7 @@
         desk.end(name)
     desk.wait()
     assert desk.reducer.entries.size <= 30
-    desk.send(1, "mark0", again=True)
+    desk.send(1, "mark0", is_retry=True)
     desk.wait()
     assert len(desk.launched()) == 4
     assert desk.answers() == ["finished"] * 4 + ["abandoned"]
@@ -238,7 +238,7 @@
     name = desk.send(1, "mark")
     desk.wait()
     desk.put("ended", 1, "reset")
-    desk.send(2, "mark", again=True)
+    desk.send(2, "mark", is_retry=True)
     desk.wait()
     desk.end(name)
     assert desk.launched() == [name]
@@ -257,9 +257,9 @@
 
 def test_tries_read_at_once_run_once_though_one_of_them_is_let_go() -> None:
     desk = Desk(cores=8)
-    first, _ = desk.send(1, "mark"), desk.send(2, "mark", again=True)
+    first, _ = desk.send(1, "mark"), desk.send(2, "mark", is_retry=True)
     desk.put("ended", 2, "reset")
-    desk.send(3, "mark", again=True)
+    desk.send(3, "mark", is_retry=True)
     desk.wait()
     assert desk.launched() == [first]
 
@@ -324,7 +324,7 @@
         desk.wait(100 * MS)
         desk.end(name)
     desk.wait(BOOKING.latency_objective // 2 + 300 * MS)
-    desk.send(2, "mark", again=True)
+    desk.send(2, "mark", is_retry=True)
     desk.wait()
     assert desk.launched() == [name]
     assert desk.answers() == (["finished"] if told else ["abandoned"]) * 2
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -27,7 +27,7 @@
 
 def busy(host: FakeHost, count: int = 2) -> list[str]:
     """Fills the cores with tasks that do not end."""
-    tasks = [host.task(held_kb=1.0) for _ in range(count)]
+    tasks = [host.task(queued_memory_kb=1.0) for _ in range(count)]
     host.read(*tasks)
     return [task.id for task in tasks]
 
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize("limit", [None, 3 * SECOND])
 def test_running_past_its_limit_is_answered_and_stopped(limit: int | None) -> None:
     host = FakeHost((replace(LOOKUP, late_utility_share=0.2),))
-    task = host.task(limit=host.now + limit if limit else None)
+    task = host.task(deadline=host.now + limit if limit else None)
     host.read(task)
     host.wait((limit or LOOKUP.timeout) - 100 * MS)
     assert host.fates(task) == ["start"]
@@ -59,16 +59,16 @@
 def test_runs_overtaken_by_their_due_time_teach_that_runs_are_long() -> None:
     host = FakeHost()
     for _ in range(12):
-        short = host.task(work=None)
+        short = host.task(estimated_work=None)
         host.read(short)
         host.round(RunEnded(short.id, "finished", 50 * MS))
     for _ in range(16):
-        task = host.task(work=None, reached=host.now - LOOKUP.latency_objective + 100 * MS)
+        task = host.task(estimated_work=None, arrived_at=host.now - LOOKUP.latency_objective + 100 * MS)
         host.read(task)
         host.wait(100 * MS)
         host.round(RunEnded(task.id, "stopped", 100 * MS))
-    host.read(host.task(work=None))
-    late = host.task(work=None, reached=host.now - LOOKUP.latency_objective + 100 * MS)
+    host.read(host.task(estimated_work=None))
+    late = host.task(estimated_work=None, arrived_at=host.now - LOOKUP.latency_objective + 100 * MS)
     host.read(late)
     assert host.fates(late) == ["reject"]
 
@@ -77,11 +77,11 @@
 def test_a_last_try_tells_its_age_by_its_unusual_patience(marked: bool) -> None:
     host = FakeHost(propagates_deadline=True)
     for _ in range(40):
-        usual = host.task(limit=host.now + 3 * SECOND)
+        usual = host.task(deadline=host.now + 3 * SECOND)
         host.read(usual)
         host.round(RunEnded(usual.id, "finished", 100 * MS))
     host.policy.cap = None if marked else 1.0
-    young, old = (host.task(again=marked, limit=host.now + span) for span in (3 * SECOND, 2 * SECOND))
+    young, old = (host.task(is_retry=marked, deadline=host.now + span) for span in (3 * SECOND, 2 * SECOND))
     host.read(young, old)
     assert host.fates(young) == ["start"]
     assert host.fates(old) == ["reject"]
@@ -89,9 +89,9 @@
 
 def test_a_marked_try_counts_as_old_as_rejections_here_make_it() -> None:
     host = FakeHost()
-    host.read(*(host.task(reached=host.now - 5 * SECOND) for _ in range(3)))
+    host.read(*(host.task(arrived_at=host.now - 5 * SECOND) for _ in range(3)))
     busy(host)
-    first, again = host.task(), host.task(again=True)
+    first, again = host.task(), host.task(is_retry=True)
     host.read(first, again)
     assert host.fates(first) == []
     assert host.fates(again) == ["reject"]
@@ -108,7 +108,7 @@
 
 def test_read_past_its_limit_is_answered_in_the_same_round() -> None:
     host = FakeHost()
-    task = host.task(reached=host.now - 5 * SECOND)
+    task = host.task(arrived_at=host.now - 5 * SECOND)
     assert host.read(task)[0][:2] == ("reject", task.id)
 
 
@@ -136,7 +136,7 @@
 def test_two_tries_in_one_round_run_once() -> None:
     host = FakeHost()
     first = host.task(1)
-    again = host.task(1, repeats=first.id)
+    again = host.task(1, duplicate_of=first.id)
     host.read(first, again)
     assert host.fates(first) == ["remember_key", "start"]
     assert host.fates(again) == ["replay_result"]
@@ -147,7 +147,7 @@
     first = host.task(1)
     host.read(first)
     host.round(RunEnded(first.id, "failed", 100 * MS))
-    again = host.task(1, repeats=first.id)
+    again = host.task(1, duplicate_of=first.id)
     host.policy.cut = 10 * BUCKETS
     host.read(again)
     host.wait(8 * SECOND)
@@ -159,8 +159,8 @@
     host = FakeHost()
     crowd = busy(host)
     first = host.task(1)
-    second = host.task(1, repeats=first.id)
-    third = host.task(1, repeats=first.id)
+    second = host.task(1, duplicate_of=first.id)
+    third = host.task(1, duplicate_of=first.id)
     host.read(first, second, third)
     host.round(ClientGone(first.id))
     assert host.fates(second) == ["remember_key"]
@@ -171,17 +171,17 @@
 
 def test_a_repeat_of_what_was_rejected_unrun_may_run() -> None:
     host = FakeHost()
-    first = host.task(1, reached=host.now - 7 * SECOND)
+    first = host.task(1, arrived_at=host.now - 7 * SECOND)
     host.read(first)
     assert host.fates(first) == ["reject"]
-    again = host.task(1, repeats=first.id)
+    again = host.task(1, duplicate_of=first.id)
     host.read(again)
     assert host.fates(again) == ["remember_key", "start"]
 
 
 def test_an_entry_outlives_the_window_from_arrival() -> None:
     host = FakeHost()
-    task = host.task(1, reached=host.now - SECOND)
+    task = host.task(1, arrived_at=host.now - SECOND)
     host.read(task)
     span = next(said[2] for said in host.said if said[0] == "remember_key")
     assert span >= BOOKING.idempotency_window - SECOND
@@ -374,8 +374,8 @@
     host.gauges["on_cores"] = 2.0
     while host.now < end:
         for user in range(3):
-            host.read(host.task(0, user=user * 7 + host.count, reached=host.now - unread, **changes))
-        host.read(host.task(1, rank=0.9, reached=host.now - unread))
+            host.read(host.task(0, user=user * 7 + host.count, arrived_at=host.now - unread, **changes))
+        host.read(host.task(1, priority_rank=0.9, arrived_at=host.now - unread))
         host.wait(100 * MS)
 
 
@@ -454,8 +454,8 @@
 def test_a_storm_of_further_tries_is_asked_not_to_go_elsewhere(again: bool) -> None:
     host = FakeHost()
     for _ in range(10):
-        host.read(host.task(again=again))
-    late = host.task(again=again, reached=host.now - 5 * SECOND)
+        host.read(host.task(is_retry=again))
+    late = host.task(is_retry=again, arrived_at=host.now - 5 * SECOND)
     assert host.read(late)[0][2] == again
 
 
@@ -465,7 +465,7 @@
 ) -> None:
     host = FakeHost()
     for place in range(60):
-        host.read(host.task(caller=place % callers, again=place < again))
+        host.read(host.task(client=place % callers, is_retry=place < again))
     host.wait(300 * MS)
     assert [said[1] for said in host.said if said[0] == "set_idle_timeout"] == ([span] if span else [])
 
@@ -473,10 +473,10 @@
 def test_quiet_hours_do_not_give_up_big_tasks() -> None:
     host = FakeHost()
     for work in (50, 50, 200) * 8:
-        some = host.task(work=work * MS)
+        some = host.task(estimated_work=work * MS)
         host.read(some)
         host.round(RunEnded(some.id, "finished", (200 + work) * MS))  # waits off the cores do not grow
-    big = host.task(work=600 * MS)
+    big = host.task(estimated_work=600 * MS)
     host.read(host.task(), big)
     assert host.fates(big) == ["start"]
 
@@ -506,7 +506,7 @@
 def test_users_beyond_their_owners_share_go_first() -> None:
     host = FakeHost(tenants=tenants(1.0, 100.0))
     for _ in range(40):
-        host.read(host.task(owner=0), host.task(owner=1))
+        host.read(host.task(tenant=0), host.task(tenant=1))
         host.wait(100 * MS)
     over, within = host.policy.over
     assert over > 0.8
@@ -516,7 +516,7 @@
 def test_held_tasks_start_by_due_time() -> None:
     host = FakeHost()
     crowd = busy(host)
-    late, soon = host.task(), host.task(reached=host.now - 300 * MS)
+    late, soon = host.task(), host.task(arrived_at=host.now - 300 * MS)
     host.read(late, soon)
     host.round(RunEnded(crowd[0], "finished", 100 * MS))
     assert host.fates(soon) == ["start"]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -43,11 +43,16 @@
     told = words(9, since="1764576000123", dup="1", novel="passed over")
     [(kind, seq, task, word, read)] = fed([process(3, told, body)])
     assert (kind, seq, word, read) == ("task", 3, "7f3a9c21e0b4d655", body)
-    assert (task.id, task.stage, task.owner, task.caller) == ("0000000000000009", 0, 0, 2)
-    assert (task.work, task.held_kb, task.rank, task.again) == (12_500_000, 24.5, 0.625, True)
-    assert (task.reached, task.user) == (1764576000123 * MS, 0x7F3A9C21E0B4D655)
+    assert (task.id, task.stage, task.tenant, task.client) == ("0000000000000009", 0, 0, 2)
+    assert (task.estimated_work, task.queued_memory_kb, task.priority_rank, task.is_retry) == (
+        12_500_000,
+        24.5,
+        0.625,
+        True,
+    )
+    assert (task.arrived_at, task.user) == (1764576000123 * MS, 0x7F3A9C21E0B4D655)
     [(_, _, task, word, _)] = fed([process(4, booking(1, "5c0f", effort=None))])
-    assert (task.stage, task.work, task.user, word, task.again) == (1, None, None, "5c0f", False)
+    assert (task.stage, task.estimated_work, task.user, word, task.is_retry) == (1, None, None, "5c0f", False)
 
 
 def test_answers_are_read_by_an_independent_codec() -> None:
--- a/thistleline/handover/messages.py
+++ b/thistleline/handover/messages.py
@@ -5,10 +5,13 @@
 listening socket if the elder still has it. Stages and owners go by name: the two may have other settings.
 """
 
+from dataclasses import asdict
 from typing import Any
 
 import msgspec
 
+from thistleline.interface import Task
+
 FORMS = (1, 1)  # the least and the most that this program speaks
 BOUND = 1 << 20  # bytes of a message
 
@@ -107,5 +110,35 @@
     Hello | Welcome | Refused | Ready | Later | Yours
     | Lodge | Stop | Measure | Ended | Forward | Agent | Answer
 )  # fmt: skip
+
+# Names on the line of the fields of `Task` that have another name in this program.
+TASK_FIELD_NAMES = {
+    "tenant": "owner",
+    "client": "caller",
+    "priority_rank": "rank",
+    "estimated_work": "work",
+    "queued_memory_kb": "held_kb",
+    "arrived_at": "reached",
+    "deadline": "limit",
+    "is_retry": "again",
+    "duplicate_of": "repeats",
+}
+
+
+def task_to_fields(task: Task) -> dict[str, Any]:
+    """Return the task's fields under their names on the line."""
+    return {TASK_FIELD_NAMES.get(name, name): value for name, value in asdict(task).items()}
+
+
+def task_from_fields(fields: dict[str, Any]) -> Task:
+    """Return the task with these fields, named as on the line.
+
+    Raises:
+        msgspec.ValidationError: A field is missing or has another type.
+    """
+    names = {wire_name: name for name, wire_name in TASK_FIELD_NAMES.items()}
+    return msgspec.convert({names.get(name, name): value for name, value in fields.items()}, Task)
+
+
 encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(Message).decode
--- a/thistleline/handover/service.py
+++ b/thistleline/handover/service.py
@@ -9,7 +9,7 @@
 import time
 from collections.abc import Callable
 from contextlib import suppress
-from dataclasses import asdict, replace
+from dataclasses import replace
 from typing import Any
 
 import anyio
@@ -38,6 +38,8 @@
     Stop,
     Welcome,
     Yours,
+    task_from_fields,
+    task_to_fields,
 )
 from thistleline.handover.serving import tell_owner
 from thistleline.handover.state_machine import ELDER, Succeeding
@@ -272,9 +274,9 @@
             text = f"there is no stage {told.stage!r} or no owner {told.owner!r} any more"
             self._tell_elder(Answer(told.name, "misunderstood", [None, text]))
             return
-        task = msgspec.convert({**told.task, "stage": stages[0], "owner": owners[0]}, Task)
-        limit = None if task.limit is None else task.limit + skew
-        task = replace(task, reached=task.reached + skew, limit=limit)
+        task = task_from_fields({**told.task, "stage": stages[0], "owner": owners[0]})
+        deadline = None if task.deadline is None else task.deadline + skew
+        task = replace(task, arrived_at=task.arrived_at + skew, deadline=deadline)
         self.take("forwarded", told.name, task, told.word, told.body)
 
     def _tell_elder(self, message: Message) -> None:
@@ -404,8 +406,8 @@
 
     def _forward(self, name: str, task: Task, stage: str, owner: str, word: str | None, body: bytes) -> None:
         skew = self.clock.skew()
-        limit = None if task.limit is None else task.limit - skew
-        told = asdict(replace(task, reached=task.reached - skew, limit=limit))
+        deadline = None if task.deadline is None else task.deadline - skew
+        told = task_to_fields(replace(task, arrived_at=task.arrived_at - skew, deadline=deadline))
         self._tell_heir(Forward(int(name), stage, owner, told, word, body))
 
     async def _alone(self) -> None:
--- a/thistleline/handover/state_machine.py
+++ b/thistleline/handover/state_machine.py
@@ -223,8 +223,8 @@
             return
         told, word = self.came[task]
         self.away[task] = None
-        stage, owner = self.settings.stages[held.stage].name, self.settings.tenants[told.owner].name
-        whole = replace(told, id=held.id, repeats=None, reached=held.since)
+        stage, owner = self.settings.stages[held.stage].name, self.settings.tenants[told.tenant].name
+        whole = replace(told, id=held.id, duplicate_of=None, arrived_at=held.since)
         self.effects.append(("forward", task, whole, stage, owner, word, held.body))
 
     def _away_over(self, task: str, kind: str, told: list[Any]) -> None:
--- a/thistleline/interface.py
+++ b/thistleline/interface.py
@@ -35,7 +35,7 @@
     """The settings of one tenant: its quota of the fleet's service."""
 
     name: str
-    share: float
+    quota: float  # share of the fleet's service
     allowance: float  # tasks per second over the whole fleet that are within the quota
 
 
@@ -79,16 +79,16 @@
 
     id: str
     stage: int  # index into the settings' stages
-    owner: int  # index into the settings' tenants
-    caller: int
-    rank: float
+    tenant: int  # index into the settings' tenants
+    client: int
+    priority_rank: float
     user: int | None
-    work: int | None  # hinted work in ns on a standard core
-    held_kb: float  # memory while queued
-    reached: int  # when it reached the machine, before it was read
-    limit: int | None  # when its client stops waiting, where known
-    again: bool  # marked as a retry or a hedged request
-    repeats: str | None  # id of the remembered task that this one repeats
+    estimated_work: int | None  # hinted work in ns on a standard core
+    queued_memory_kb: float  # memory while queued
+    arrived_at: int  # when it reached the machine, before it was read
+    deadline: int | None  # when its client stops waiting, where known
+    is_retry: bool  # marked as a retry or a hedged request
+    duplicate_of: str | None  # id of the remembered task that this one repeats
 
 
 @dataclass(frozen=True, slots=True)
--- a/thistleline/policy.py
+++ b/thistleline/policy.py
@@ -201,41 +201,45 @@
         for task in fresh:
             row = self.rows[task.stage]
             stage = row.stage
-            limit = task.limit if task.limit is not None else task.reached + stage.timeout
-            due = task.reached + stage.latency_objective + int(stage.objective_per_work * (task.work or 0))
+            limit = task.deadline if task.deadline is not None else task.arrived_at + stage.timeout
+            due = (
+                task.arrived_at
+                + stage.latency_objective
+                + int(stage.objective_per_work * (task.estimated_work or 0))
+            )
             # Callers give their tries a usual part of the time limit and the last one what is left, so an
             # unusual part tells a try's age, under a cap even unmarked. Guards against running what can only
             # be late; could harm a caller of rare habits until enough of its tries were seen.
-            again = task.again
-            if task.limit is not None:
-                part = (limit - task.reached) / stage.timeout
+            again = task.is_retry
+            if task.deadline is not None:
+                part = (limit - task.arrived_at) / stage.timeout
                 alike = sum(1 for seen in self.patience if abs(seen - part) < SAME_PATIENCE)
                 told = (again or self.cap is not None) and len(self.patience) >= HABIT
                 if told and alike * HABIT < len(self.patience):
                     again, due = True, due - int(stage.timeout * (1 - part))
-                if not task.again:
+                if not task.is_retry:
                     self.patience.append(part)
             # A marked try of untold age was most likely rejected where things are as they are here.
-            if task.again and due > task.reached and self.rejections:
+            if task.is_retry and due > task.arrived_at and self.rejections:
                 ages = [age for _, age in islice(reversed(self.rejections), HABIT)]
-                due = min(due, task.reached + stage.latency_objective - median_high(ages))
+                due = min(due, task.arrived_at + stage.latency_objective - median_high(ages))
             bucket = self._bucket(task)
-            within = int(bucket >= self.over[task.owner] * BUCKETS) if self.over else 1
+            within = int(bucket >= self.over[task.tenant] * BUCKETS) if self.over else 1
             place = (2 * row.level + within) * BUCKETS + bucket
             held = Exec(task, min(due, limit), limit, place)
             self.tasks[task.id] = held
-            self.memory += task.held_kb
+            self.memory += task.queued_memory_kb
             self.arrivals.append((now, place, again))
             self.marked += again
-            self.callers.append(task.caller)
-            if not again and task.owner < len(self.over):
-                self.asked[task.owner].append(now)
-            self.unread.append((now, now - task.reached))
+            self.callers.append(task.client)
+            if not again and task.tenant < len(self.over):
+                self.asked[task.tenant].append(now)
+            self.unread.append((now, now - task.arrived_at))
             if stage.effect == "keyed" and self._joins(held, out):
                 self.waiting += 1
                 continue
-            if stage.effect == "idempotent" and task.repeats is not None:
-                other = self.tasks.get(task.repeats)
+            if stage.effect == "idempotent" and task.duplicate_of is not None:
+                other = self.tasks.get(task.duplicate_of)
                 if other is None or other.state == "running":
                     self._answer_from(held, out)
                     continue
@@ -264,7 +268,7 @@
                 self._reject(held, out)  # cannot be answered in time to be worth anything
                 continue
             if self.running < room and not self._memory_short(
-                held.task.held_kb * (settings.running_memory_factor - 1)
+                held.task.queued_memory_kb * (settings.running_memory_factor - 1)
             ):
                 self._start(held, out)
         self.waiting = sum(1 for held in held_now if held.state == "held")
@@ -273,7 +277,7 @@
         """The user's bucket, the same in every server and life: the hashed key, or the rank if keyless."""
         if task.user is not None:
             return (task.user * 0x9E3779B97F4A7C15 >> 40) % BUCKETS
-        return int(task.rank * len(self.rows) % 1 * BUCKETS)
+        return int(task.priority_rank * len(self.rows) % 1 * BUCKETS)
 
     def _times(self) -> float:
         """How many times its usual pace a run should take: hopefully while there is room for all, soberly
@@ -283,7 +287,7 @@
         return slowness[0 if self.cap is None else len(slowness) // 4]
 
     def _estimate(self, task: Task, times: float) -> int:
-        return int(self.rows[task.stage].usual * times * (task.work or 1))
+        return int(self.rows[task.stage].usual * times * (task.estimated_work or 1))
 
     def _room(self) -> int:
         """How many may run: the grown limit, under the crowd survived before and the guard for the cores."""
@@ -304,7 +308,7 @@
         if self.shut is None:
             return False
         end = self.now + self._estimate(task, self._times())
-        return task.reached > self.shut or end > self.leave_by - LEAVE_EARLY
+        return task.arrived_at > self.shut or end > self.leave_by - LEAVE_EARLY
 
     def _start(self, held: Exec, out: DecisionSink) -> None:
         held.state, held.started = "running", self.now
@@ -318,7 +322,7 @@
         ):
             held.until = min(held.until, held.due)
         self.running += 1
-        self.memory += held.task.held_kb * (self.settings.running_memory_factor - 1)
+        self.memory += held.task.queued_memory_kb * (self.settings.running_memory_factor - 1)
         out.start(held.task.id)
         if held.effect is not None:
             held.effect.ran = True
@@ -341,8 +345,8 @@
         times = self._times()
         for held in self.tasks.values() if self.waiting else ():
             if held.state == "held":
-                spare = held.due - self._estimate(held.task, times) - held.task.reached
-                worst = max(worst, (now - held.task.reached) / max(spare, TICK))
+                spare = held.due - self._estimate(held.task, times) - held.task.arrived_at
+                worst = max(worst, (now - held.task.arrived_at) / max(spare, TICK))
         self.wait_samples.append(worst)
         self.ticks += 1
         if self.ticks % WINDOW == 0:
@@ -370,7 +374,9 @@
         slow = fmean(self.calm) if len(self.calm) >= CALM_SAMPLES else 0.0
         fast = [took for when, took in self.latencies if when > now - FAST]
         fast += [waited for when, waited in self.unread if when > now - FAST and waited > slow]
-        ages = [now - held.task.reached for held in self.tasks.values() if held.state in ("held", "running")]
+        ages = [
+            now - held.task.arrived_at for held in self.tasks.values() if held.state in ("held", "running")
+        ]
         fast += [age for age in ages if age > slow]
         if not slow:
             slow = fmean([row.stage.latency_objective for row in self.rows]) / 3
@@ -469,11 +475,11 @@
     def _joins(self, held: Exec, out: DecisionSink) -> bool:
         """Guards against an effect twice: a repeat waits for what is held and is answered by what ran."""
         task = held.task
-        effect = self.effects.get(task.repeats) if task.repeats is not None else None
+        effect = self.effects.get(task.duplicate_of) if task.duplicate_of is not None else None
         if effect is None:
             effect = Effect(0)
         window = self.rows[task.stage].stage.idempotency_window
-        effect.until = max(effect.until, max(task.reached + window, held.limit) + window)
+        effect.until = max(effect.until, max(task.arrived_at + window, held.limit) + window)
         held.effect = self.effects[task.id] = effect
         if effect.ran:
             self._answer_from(held, out)
@@ -486,7 +492,7 @@
 
     def _remember(self, held: Exec, out: DecisionSink) -> None:
         window = self.rows[held.task.stage].stage.idempotency_window
-        self._keep(held.task.id, max(held.task.reached + window, held.limit) + SECOND, out)
+        self._keep(held.task.id, max(held.task.arrived_at + window, held.limit) + SECOND, out)
 
     def _keep(self, name: str, until: int, out: DecisionSink) -> None:
         self.entries[name] = until
@@ -522,7 +528,7 @@
         if stay_away < UNREAD_BEARABLE * self.latency_objective:
             stay_away = STAY_SHORT if self.cap is not None and self.settings.load_hint == "none" else 0
         stay_away = min(int(stay_away * (0.5 + self.chance())), self.settings.max_retry_after)
-        self.rejections.append((self.now, self.now - held.task.reached + stay_away))
+        self.rejections.append((self.now, self.now - held.task.arrived_at + stay_away))
         out.reject(held.task.id, self._widespread(), stay_away)
         self._drop(held)
         self._unrun(held, out)
@@ -538,7 +544,7 @@
 
     def _drop(self, held: Exec) -> None:
         self.tasks.pop(held.task.id, None)
-        self.memory -= held.task.held_kb
+        self.memory -= held.task.queued_memory_kb
 
     def _answer_due(self, out: DecisionSink) -> None:
         """Guards against a task lost: whatever its state, it is answered before its time limit or our end."""
@@ -576,22 +582,22 @@
         self._call_ended(name, True)
         if held.started:
             self.running -= 1
-            self.memory -= held.task.held_kb * (self.settings.running_memory_factor - 1)
-        self.memory -= held.task.held_kb
+            self.memory -= held.task.queued_memory_kb * (self.settings.running_memory_factor - 1)
+        self.memory -= held.task.queued_memory_kb
         if how == "moot" and held.effect is not None:
             held.effect.ran = False  # nothing ran; guards the table against what the agent does not know
             self._unrun(held, out)
         if how == "finished" and held.started:
             self.finishes.append(self.now)
-            self.latencies.append((self.now, self.now - held.task.reached))
+            self.latencies.append((self.now, self.now - held.task.arrived_at))
             if self.cap is None and not any(self.violations):
-                self.calm.append(self.now - held.task.reached)
+                self.calm.append(self.now - held.task.arrived_at)
         overtaken = how == "stopped" and self.now >= held.due
         if held.started and (how == "finished" or overtaken):
             # A run stopped at its due time counts as longer than foreseen. Guards against judging by those
             # alone that finished in time, and so starting ever more that cannot.
             took = max(took, int(OVERTAKEN * self._estimate(held.task, self._times()))) if overtaken else took
-            row, pace = self.rows[held.task.stage], took / (held.task.work or 1)
+            row, pace = self.rows[held.task.stage], took / (held.task.estimated_work or 1)
             if row.usual:
                 self.slowness.append(pace / row.usual)
             if self.cap is None or len(row.pace) < SLOWNESS_SAMPLES:
@@ -680,4 +686,4 @@
 
 
 def _by_due(held: Exec) -> tuple[int, int]:
-    return held.due, held.task.reached
+    return held.due, held.task.arrived_at
--- a/thistleline/server/service.py
+++ b/thistleline/server/service.py
@@ -228,7 +228,7 @@
             connection, seq, task, word, body = told
             skew = self.clock.skew()
             if abs(skew) > MS:
-                task = replace(task, reached=task.reached + skew)
+                task = replace(task, arrived_at=task.arrived_at + skew)
             told = connection, seq, task, word, body
         self.take(kind, *told)
 
--- a/thistleline/state/state_machine.py
+++ b/thistleline/state/state_machine.py
@@ -449,7 +449,7 @@
         nonsense = None
         if task.id in self.by_id or task.id in self.at_agent:
             nonsense = "this try is in hand already"
-        elif abs(self.now - task.reached) > PLAUSIBLE_SPAN:
+        elif abs(self.now - task.arrived_at) > PLAUSIBLE_SPAN:
             nonsense = "it came at no likely time"  # guards the module, to which it would be a jam of reading
         if nonsense is not None:
             self.effects.append(("misunderstood", name, seq, None, nonsense))
@@ -457,8 +457,8 @@
             return
         self._count("tasks")
         key = None if word is None else key_of(task.stage, word, body)
-        since = min(task.reached, self.now)
-        until = since + self.settings.stages[task.stage].timeout if task.limit is None else task.limit
+        since = min(task.arrived_at, self.now)
+        until = since + self.settings.stages[task.stage].timeout if task.deadline is None else task.deadline
         held = Try(name, seq, task.id, task.stage, since, until, key, bytes(body))
         repeats = None if key is None else self._repeated(key, held.since)
         self.names += 1
@@ -470,7 +470,7 @@
             self._own(task.id, key, task.stage)
         self._note_mark(named)
         connection.open[named] = None
-        self.came_in.append(TaskArrived(replace(task, id=named, repeats=repeats, reached=held.since)))
+        self.came_in.append(TaskArrived(replace(task, id=named, duplicate_of=repeats, arrived_at=held.since)))
 
     def _own(self, id: str, key: Key | None, stage: int, anew: bool = False) -> None:
         """Lets an id stand for this effect, unless it stands for one; `anew`: whatever it stood for."""
--- a/thistleline/wire/thrift.py
+++ b/thistleline/wire/thrift.py
@@ -181,16 +181,18 @@
             task = Task(
                 id=ref,
                 stage=stage,
-                owner=self.owners[words["project"]] if self.owners else 0,
-                caller=_whole(words["sender"]),
-                rank=_number(words["class_rank"], 1.0),
+                tenant=self.owners[words["project"]] if self.owners else 0,
+                client=_whole(words["sender"]),
+                priority_rank=_number(words["class_rank"], 1.0),
                 user=None if subject is None else _whole(subject, 16),
-                work=None if effort is None else int(_number(effort, WORK_BOUND) * 1_000_000) or None,
-                held_kb=_number(words["room"], 2000.0),
-                reached=_whole(words["since"]) * 1_000_000,
-                limit=None,
-                again="dup" in words,
-                repeats=None,
+                estimated_work=None
+                if effort is None
+                else int(_number(effort, WORK_BOUND) * 1_000_000) or None,
+                queued_memory_kb=_number(words["room"], 2000.0),
+                arrived_at=_whole(words["since"]) * 1_000_000,
+                deadline=None,
+                is_retry="dup" in words,
+                duplicate_of=None,
             )
         except KeyError as error:
             raise Malformed(f"{error.args[0]!s:.40} is missing or unknown") from error
