--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -15,16 +15,22 @@
 from hypothesis import strategies as st
 
 from thistleline.config.schema import Faulty, check
-from thistleline.consensus.messages import Ballot, Base, Entry, Member, Record, Tail
-from thistleline.consensus.replica import Spans, Voter, Work
-from thistleline.consensus.store import CouncilStore
+from thistleline.consensus.effects import SendMessage, WriteRecords
+from thistleline.consensus.elections import Elections
+from thistleline.consensus.events import WriteCompleted, WriteFailed
+from thistleline.consensus.messages import Entry, Member
+from thistleline.consensus.records import EntriesRecord, Record, SnapshotRecord, VoteRecord, WriteBatch
+from thistleline.consensus.replica import Replica
+from thistleline.consensus.state import RaftTiming
+from thistleline.consensus.store import ReplicaStore
 from thistleline.lab.explore import explore
 from thistleline.lab.leasecost import one_way
 from thistleline.lab.leaseworld import begin, following
 from thistleline.lab.mutants import MUTANTS, SCENARIOS, without
 from thistleline.lab.virtual import MS, VirtualCouncil
+from thistleline.lease.events import Event, RequestReceived
 from thistleline.lease.protocol import Change, Denied, Done, Elsewhere, Granted, Release, Take
-from thistleline.lease.server import Office
+from thistleline.lease.server import LeaseServer
 from thistleline.lease.table import Table
 from thistleline.store.disk import Disk
 from thistleline.store.frames import Damaged
@@ -32,7 +38,7 @@
 from thistleline.transport.connection import QUEUE_BOUND, Queue
 
 SECOND = 1000 * MS
-SPANS = Spans(50 * MS, 500 * MS, 1000 * MS)
+SPANS = RaftTiming(50 * MS, 500 * MS, 1000 * MS)
 
 
 def council(voters: int, seed: int = 1, delay: int = 5) -> VirtualCouncil:
@@ -44,7 +50,7 @@
 
 def ask(made: VirtualCouncil, id: str, op: Any) -> Any:
     count = len(made.answers)
-    made.put(id, "asked", count, op)
+    made.put(id, RequestReceived(count, op))
     made.run(made.now + 3 * SECOND, lambda: len(made.answers) > count)
     return made.answers[count][2] if len(made.answers) > count else None
 
@@ -62,22 +68,22 @@
     made.dead.add(first)
     assert made.run(made.now + 5 * SECOND, lambda: bool(made.leader()))
     made.run(made.now + SECOND)
-    assert made.offices[made.leader()].table.stands("n", "x") == Granted(1, SECOND)
+    assert made.servers[made.leader()].table.stands("n", "x") == Granted(1, SECOND)
 
 
 @pytest.mark.parametrize("hears", [True, False])
 def test_a_voter_cut_one_way_brings_no_endless_elections(hears: bool) -> None:
     made = council(5)
     leader = made.leader()
-    cut = next(id for id in made.offices if id != leader)
+    cut = next(id for id in made.servers if id != leader)
     made.swallows = lambda source, to: cut == (source if hears else to)
-    before = made.offices[leader].voter.term
+    before = made.servers[leader].replica.state.term
     made.run(made.now + 60 * SECOND)
     assert made.leader() == leader
-    assert made.offices[leader].voter.term == before
+    assert made.servers[leader].replica.state.term == before
     made.swallows = lambda source, to: False
     made.run(made.now + 5 * SECOND)
-    assert made.offices[leader].voter.term == before
+    assert made.servers[leader].replica.state.term == before
 
 
 @pytest.mark.parametrize("hears", [True, False])
@@ -87,13 +93,13 @@
     made.swallows = lambda source, to: first == (source if hears else to)
     made.run(made.now + 10 * SECOND)
     assert made.leader() not in ("", first)
-    assert made.offices[first].voter.phase != "leading"
+    assert made.servers[first].replica.state.phase != "leading"
 
 
 def test_a_leader_with_one_voter_decides_nothing_and_says_so() -> None:
     made = council(5)
     first = made.leader()
-    other = next(id for id in made.offices if id != first)
+    other = next(id for id in made.servers if id != first)
     inside = {first, other}
     made.swallows = lambda source, to: (source in inside) != (to in inside)
     assert isinstance(ask(made, first, Take("n", "x", SECOND)), Elsewhere)
@@ -103,21 +109,21 @@
     assert isinstance(ask(made, new, Take("n", "y", 100 * SECOND)), Granted)
     made.swallows = lambda source, to: False
     made.run(made.now + 3 * SECOND)
-    assert {office.table.state.leases["n"].holder for office in made.offices.values()} == {"y"}
+    assert {server.table.state.leases["n"].holder for server in made.servers.values()} == {"y"}
 
 
 def test_one_far_behind_gets_the_whole_state(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("thistleline.consensus.replica.COMPACT_SIZE", 2000)
+    monkeypatch.setattr("thistleline.consensus.persistence.MAX_LOG_SIZE", 2000)
     made = council(3)
     leader = made.leader()
-    late = next(id for id in made.offices if id != leader)
+    late = next(id for id in made.servers if id != leader)
     made.swallows = lambda source, to: late in (source, to)
     for place in range(100):
         assert isinstance(ask(made, leader, Take(f"n{place}", "x", 100 * SECOND)), Granted)
-    assert made.offices[leader].voter.log.base > 50
+    assert made.servers[leader].replica.state.log.snapshot_index > 50
     made.swallows = lambda source, to: False
     made.run(made.now + 5 * SECOND)
-    assert made.offices[late].table.state.leases.keys() == made.offices[leader].table.state.leases.keys()
+    assert made.servers[late].table.state.leases.keys() == made.servers[leader].table.state.leases.keys()
 
 
 # ---- members
@@ -126,7 +132,7 @@
 def test_members_change_one_at_a_time_also_across_a_partition() -> None:
     made = council(3)
     leader = made.leader()
-    rest = sorted(set(made.offices) - {leader})
+    rest = sorted(set(made.servers) - {leader})
     made.swallows = lambda source, to: leader in (source, to)
     assert isinstance(ask(made, leader, Change("remove", rest[0])), Elsewhere)  # it comes to nothing there
     made.run(made.now + 3 * SECOND)
@@ -135,29 +141,29 @@
     assert ask(made, new, Change("remove", leader)) == Done("changed")
     made.swallows = lambda source, to: False
     made.run(made.now + 5 * SECOND)
-    assert {one.id for one in made.offices[made.leader()].voter.members} == set(rest)
-    assert made.offices[leader].voter.phase != "leading"
+    assert {one.id for one in made.servers[made.leader()].replica.state.members} == set(rest)
+    assert made.servers[leader].replica.state.phase != "leading"
     assert isinstance(ask(made, made.leader(), Change("remove", leader)), Done)  # it is gone already
     made.dead.add(leader)
-    before = made.offices[made.leader()].voter.term
+    before = made.servers[made.leader()].replica.state.term
     made.run(made.now + 10 * SECOND)
-    assert made.offices[made.leader()].voter.term == before
+    assert made.servers[made.leader()].replica.state.term == before
 
 
 def test_who_lost_its_disk_rejoins_as_another_and_votes_only_then() -> None:
     made = council(3)
     leader = made.leader()
-    lost = next(id for id in made.offices if id != leader)
+    lost = next(id for id in made.servers if id != leader)
     ask(made, leader, Take("n", "x", 100 * SECOND))
-    del made.offices[lost]
+    del made.servers[lost]
     made.dead.add(lost)
-    empty = Voter("w0", Table(), made.now, SPANS, lambda span: made.chance.randrange(span))
-    made.offices["w0"] = Office(empty, lambda: 0)
+    empty = Replica("w0", Table(), made.now, SPANS, lambda span: made.chance.randrange(span))
+    made.servers["w0"] = LeaseServer(empty, lambda: 0)
     made.run(made.now + 3 * SECOND)
-    assert empty.phase == "unformed"
+    assert empty.state.phase == "unformed"
     assert ask(made, leader, Change("remove", lost)) == Done("changed")
     assert ask(made, leader, Change("add", "w0", "w0")) == Done("changed")
-    assert "n" in made.offices["w0"].table.state.leases
+    assert "n" in made.servers["w0"].table.state.leases
     made.dead.add(leader)
     made.run(made.now + 5 * SECOND)
     assert made.leader() not in ("", leader)
@@ -169,7 +175,7 @@
     made, chance = council(5, seed), Random(seed)
     granted: dict[str, int] = {}
     for place in range(40):
-        cut = set(chance.sample(sorted(made.offices), chance.randint(0, 2)))
+        cut = set(chance.sample(sorted(made.servers), chance.randint(0, 2)))
         ways = chance.choice([(True, True), (True, False), (False, True)])
         made.swallows = lambda source, to, cut=cut, ways=ways: (  # type: ignore[misc]
             (source in cut and ways[0]) or (to in cut and ways[1]) or chance.random() < 0.05
@@ -182,8 +188,8 @@
                 granted[f"n{place}"] = answer.epoch
     made.swallows = lambda source, to: False
     made.run(made.now + 10 * SECOND)
-    for office in made.offices.values():
-        found = {name: lease.epoch for name, lease in office.table.state.leases.items()}
+    for server in made.servers.values():
+        found = {name: lease.epoch for name, lease in server.table.state.leases.items()}
         assert granted.items() <= found.items()
     assert len(granted) > 10
 
@@ -218,34 +224,35 @@
 
 
 def test_without_pre_vote_one_that_hears_nobody_brings_endless_elections() -> None:
-    def stand(self: Voter) -> None:
-        self.leader = ""
-        self._stand()
+    def stand(self: Elections) -> None:
+        self.state.leader = ""
+        self.start_election()
 
     assert one_way(20)["terms"] == 0
-    with without(((Voter, "_try", stand),)):
+    with without(((Elections, "start_pre_vote", stand),)):
         made = council(5)
-        deaf = next(id for id in made.offices if id != made.leader())
+        deaf = next(id for id in made.servers if id != made.leader())
         made.swallows = lambda source, to: to == deaf
         made.run(made.now + 20 * SECOND)
-        leader, terms = made.leader(), made.offices[made.leader()].voter.term
-        assert made.offices[deaf].voter.term > terms + 10
+        leader, terms = made.leader(), made.servers[made.leader()].replica.state.term
+        assert made.servers[deaf].replica.state.term > terms + 10
         made.swallows = lambda source, to: False
         made.run(made.now + 2 * SECOND)
-        assert made.offices[leader].voter.term > terms  # healed, it throws the leader over
+        assert made.servers[leader].replica.state.term > terms  # healed, it throws the leader over
 
 
 def test_released_and_taken_in_the_same_instant_it_has_one_holder() -> None:
     made = council(3)
     leader = made.leader()
     ask(made, leader, Take("n", "x", 100 * SECOND))
-    office = made.offices[leader]
-    both = (("asked", "r", Release("n", "x")), ("asked", "t", Take("n", "y", 100 * SECOND)))
-    for effect in office.take(made.now, *both):
-        if effect[0] == "send":
-            made.at(made.now + MS, made._arrives(effect[1], leader, effect[2]))
-        elif effect[0] == "write":
-            made.at(made.now + MS, made._written(leader))
+    server = made.servers[leader]
+    both = (RequestReceived("r", Release("n", "x")), RequestReceived("t", Take("n", "y", 100 * SECOND)))
+    for effect in server.handle(made.now, *both):
+        match effect:
+            case SendMessage(to, message):
+                made.at(made.now + MS, made._arrives(to, leader, message))
+            case WriteRecords():
+                made.at(made.now + MS, made._written(leader))
     made.run(made.now + SECOND)
     told = {ticket: answer for _, ticket, answer in made.answers if ticket in ("r", "t")}
     assert told == {"r": Done("released"), "t": Granted(2, 100 * SECOND)}
@@ -269,28 +276,28 @@
 
 
 RECORDS: tuple[Record, ...] = (
-    Base("a.1", "c", 3, "a.1", 0, 0, (Member("a.1", "127.0.0.1:1"),), b"state"),
-    Ballot(4, "b.2"),
-    Tail(1, (Entry(4, "nothing", b""), Entry(4, "decision", b"x" * 30))),
-    Tail(2, (Entry(5, "decision", b"y"),)),
+    SnapshotRecord("a.1", "c", 3, "a.1", 0, 0, (Member("a.1", "127.0.0.1:1"),), b"state"),
+    VoteRecord(4, "b.2"),
+    EntriesRecord(1, (Entry(4, "nothing", b""), Entry(4, "decision", b"x" * 30))),
+    EntriesRecord(2, (Entry(5, "decision", b"y"),)),
 )
 
 
 def written(folder: Path) -> tuple[Path, list[int]]:
     """The file, and its length after each write."""
-    store = CouncilStore(Disk(folder, "council"))
+    store = ReplicaStore(Disk(folder, "council"))
     folder.mkdir(exist_ok=True)
     sizes = []
     for place, record in enumerate(RECORDS):
-        store.write(Work(place == 0, (record,)))
+        store.write(WriteBatch(place == 0, (record,)))
         sizes.append(store.disk.path(1).stat().st_size)
     return store.disk.path(1), sizes
 
 
 def last_of(folder: Path) -> tuple[int, str, int]:
-    found = CouncilStore(Disk(folder, "council")).recover()
+    found = ReplicaStore(Disk(folder, "council")).recover()
     assert found is not None
-    return found.ballot.term, found.ballot.vote, found.log.last
+    return found.vote.term, found.vote.voted_for, found.log.last_index
 
 
 def test_a_torn_write_is_as_if_it_had_not_been(tmp_path: Path) -> None:
@@ -340,26 +347,31 @@
     made = council(3)
     first = made.leader()
     ask(made, first, Take("n", "x", 100 * SECOND))
-    office, put = made.offices[first], made.put
+    server, put = made.servers[first], made.put
     failing = [True]
 
-    def troubled(id: str, *told: Any) -> None:
-        put(id, *(("unwritten", "no space") if id == first and told == ("written",) and failing[0] else told))
+    def troubled(id: str, event: Event) -> None:
+        fails = id == first and event == WriteCompleted() and failing[0]
+        put(id, WriteFailed("no space") if fails else event)
 
     made.put = troubled  # type: ignore[method-assign]
-    made.put(first, "asked", "z", Take("m", "x", 100 * SECOND))
+    made.put(first, RequestReceived("z", Take("m", "x", 100 * SECOND)))
     made.run(made.now + 5 * SECOND)
     assert made.leader() not in ("", first)
-    assert office.voter.failing
+    assert server.replica.state.writes.failing
     failing[0] = False
     made.run(made.now + 15 * SECOND)
-    assert not office.voter.failing
-    assert office.voter.durable == office.voter.log.last == made.offices[made.leader()].voter.log.last
+    assert not server.replica.state.writes.failing
+    assert (
+        server.replica.state.durable_index
+        == server.replica.state.log.last_index
+        == made.servers[made.leader()].replica.state.log.last_index
+    )
 
 
 def test_a_full_disk_keeps_what_was_there(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path, _ = written(tmp_path / "d")
-    store = CouncilStore(Disk(tmp_path / "d", "council"))
+    store = ReplicaStore(Disk(tmp_path / "d", "council"))
     found = store.recover()
     assert found is not None
 
@@ -368,11 +380,11 @@
 
     monkeypatch.setattr(store.disk, "append", full)
     with pytest.raises(OSError, match="no space"):
-        store.write(Work(True, (found.base,)))
+        store.write(WriteBatch(True, (found.snapshot,)))
     assert path.exists()
     assert last_of(tmp_path / "d") == (4, "b.2", 2)
     shutil.rmtree(tmp_path / "d")
-    assert CouncilStore(Disk(tmp_path / "d", "council")).recover() is None
+    assert ReplicaStore(Disk(tmp_path / "d", "council")).recover() is None
 
 
 # ---- links and settings
@@ -440,8 +452,8 @@
         ask(made, leader, Take("n", asker, 100 * SECOND, True))
     ask(made, leader, Release("n", "q"))
     ask(made, leader, Release("n", "x"))
-    assert made.offices[leader].table.state.leases["n"].holder == "p"
+    assert made.servers[leader].table.state.leases["n"].holder == "p"
     assert isinstance(ask(made, leader, Take("n", "x", SECOND)), Denied)  # a late copy of its wish
     ask(made, leader, Release("n", "p"))
-    assert made.offices[leader].table.state.leases["n"].holder == "r"
-    assert made.offices[leader].table.state.leases["n"].epoch == 3
+    assert made.servers[leader].table.state.leases["n"].holder == "r"
+    assert made.servers[leader].table.state.leases["n"].epoch == 3
--- a/tests/test_scale_parts.py
+++ b/tests/test_scale_parts.py
@@ -2,13 +2,13 @@
 
 import os
 import socket
-from collections.abc import Iterable
 from typing import Any
 
 import anyio
 import pytest
 
-from thistleline.consensus.replica import Voter
+from thistleline.consensus.reads import Reads
+from thistleline.consensus.replica import Replica
 from thistleline.lab.scale import added, connections, council, members
 from thistleline.lab.scale.instance import instance
 from thistleline.lab.scale.slopes import judge, row
@@ -132,19 +132,19 @@
         made = council.CountedCouncil(voters, 1)
         assert council.reads(made, 20).messages == 2 * (voters - 1)
         assert council.writes(made, 20).messages == 2 * (voters - 1)
-        assert made.sent["Append"] > 0
+        assert made.sent["AppendRequest"] > 0
 
 
 def test_a_round_for_each_read_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    had = Voter._next_round
+    had = Reads._start_round
 
-    def one_alone(self: Voter) -> None:
-        first, rest = self.reads[:1], self.reads[1:]
-        self.reads = first
+    def one_alone(self: Reads) -> None:
+        first, rest = self.waiting[:1], self.waiting[1:]
+        self.waiting = first
         had(self)
-        self.reads += rest
+        self.waiting += rest
 
-    monkeypatch.setattr(Voter, "_next_round", one_alone)
+    monkeypatch.setattr(Reads, "_start_round", one_alone)
     bars = judge(council.round_rows(1), {name: promised for name, promised in council.PROMISED.items()
                                          if name.startswith(("read", "write"))})  # fmt: skip
     assert "read: messages of a round by reads in it: flat" in missed(bars)
@@ -152,13 +152,13 @@
 
 
 def test_a_message_for_each_write_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    had = Voter._propose
+    had = Replica._propose
 
-    def one_by_one(self: Voter, proposals: Iterable[tuple[Any, bytes]]) -> None:
+    def one_by_one(self: Replica, proposals: tuple[tuple[Any, bytes], ...]) -> None:
         for one in proposals:
-            had(self, [one])
+            had(self, (one,))
 
-    monkeypatch.setattr(Voter, "_propose", one_by_one)
+    monkeypatch.setattr(Replica, "_propose", one_by_one)
     bars = judge(council.round_rows(1), {name: promised for name, promised in council.PROMISED.items()
                                          if name.startswith(("read", "write"))})  # fmt: skip
     assert "write: messages of a round by writes in it: flat" in missed(bars)
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -12,9 +12,11 @@
 
 from thistleline.config_feed.archive import Archive
 from thistleline.config_feed.table import Table
-from thistleline.consensus.messages import Ballot, Base, Entry, Member
-from thistleline.consensus.replica import Spans, Voter
-from thistleline.consensus.store import CouncilStore
+from thistleline.consensus.messages import Entry, Member
+from thistleline.consensus.records import SnapshotRecord, VoteRecord
+from thistleline.consensus.replica import Replica
+from thistleline.consensus.state import RaftTiming
+from thistleline.consensus.store import ReplicaStore
 from thistleline.ledger.state import Book, Found
 from thistleline.ledger.store import Reading, Store
 from thistleline.store.disk import Disk
@@ -145,12 +147,14 @@
 def test_a_replicated_log_is_recovered(tmp_path: Path) -> None:
     """The newest segment's base with its snapshot, the last ballot, and the log with the former leader's
     entries 6 and on cut away, its change of members with them."""
-    found = CouncilStore(Disk(copied(tmp_path, "replica_log"), "council")).recover()
+    found = ReplicaStore(Disk(copied(tmp_path, "replica_log"), "council")).recover()
     assert found is not None
-    assert found.base == Base("v1.fixture", "council-fixture", 2, "v2.fixture", 3, 2, MEMBERS, b"state: a=1")
-    assert found.ballot == Ballot(3, "v3.fixture")
+    assert found.snapshot == SnapshotRecord(
+        "v1.fixture", "council-fixture", 2, "v2.fixture", 3, 2, MEMBERS, b"state: a=1"
+    )
+    assert found.vote == VoteRecord(3, "v3.fixture")
     log = found.log
-    assert (log.base, log.base_term, log.base_members, log.last) == (3, 2, MEMBERS, 7)
+    assert (log.snapshot_index, log.snapshot_term, log.snapshot_members, log.last_index) == (3, 2, MEMBERS, 7)
     assert log.entries == [
         Entry(2, "decision", b"set b=2"),
         Entry(2, "decision", b"set c=3"),
@@ -159,7 +163,7 @@
     ]
     assert [log.term_at(index) for index in range(2, 9)] == [-1, 2, 2, 2, 3, 3, -1]
     assert log.members() == MEMBERS
-    assert log.member_places == []
+    assert log.member_changes == []
 
 
 class Kept:
@@ -183,25 +187,25 @@
         made.state, made.applied = self.state, list(self.applied)
         return made
 
-    def frozen(self) -> tuple[bytes, tuple[tuple[int, bytes], ...]]:
+    def state_key(self) -> tuple[bytes, tuple[tuple[int, bytes], ...]]:
         return self.state, tuple(self.applied)
 
 
 def test_a_voter_takes_up_the_recovered_log(tmp_path: Path) -> None:
     """It follows in term 3 with its vote, its machine restored from the snapshot, durable to the end."""
-    found = CouncilStore(Disk(copied(tmp_path, "replica_log"), "council")).recover()
+    found = ReplicaStore(Disk(copied(tmp_path, "replica_log"), "council")).recover()
     assert found is not None
     machine = Kept()
-    spans = Spans(100 * 1_000_000, SECOND, SECOND)
-    voter = Voter("v1.fixture", machine, 7000 * SECOND, spans, lambda _: 0, found)
-    assert (voter.council, voter.phase, voter.term, voter.vote) == (
+    timing = RaftTiming(100 * 1_000_000, SECOND, SECOND)
+    state = Replica("v1.fixture", machine, 7000 * SECOND, timing, lambda _: 0, found).state
+    assert (state.cluster_id, state.phase, state.term, state.voted_for) == (
         "council-fixture",
         "following",
         3,
         "v3.fixture",
     )
-    assert (voter.committed, voter.applied, voter.durable) == (3, 3, 7)
-    assert voter.members == MEMBERS
+    assert (state.commit_index, state.last_applied, state.durable_index) == (3, 3, 7)
+    assert state.members == MEMBERS
     assert (machine.state, machine.applied) == (b"state: a=1", [])
 
 
--- a/thistleline/consensus/__init__.py
+++ b/thistleline/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""The council: a few voters that keep one log of decisions, whatever of them is killed, paused or cut off."""
+"""Raft: a few replicas agree on one log, though some of them are killed, paused or cut off."""
--- a/thistleline/consensus/log.py
+++ b/thistleline/consensus/log.py
@@ -1,81 +1,111 @@
-"""The log in memory: what follows a base, which stands for all before it."""
+"""The replicated log in memory: the entries after a snapshot, which stands for all before them."""
 
-from thistleline.consensus.messages import Entry, Members, members_of
+from thistleline.consensus.messages import Entry, Members, decode_members
 
 
 class Log:
-    __slots__ = ("base", "base_members", "base_term", "entries", "member_places", "size")
+    """Log entries after `snapshot_index`, with the memberships that they set.
 
-    def __init__(self) -> None:
-        self.base = self.base_term = 0
-        self.base_members: Members = ()
+    Attributes:
+        snapshot_index: Last index covered by the snapshot.
+        snapshot_term: Term of that index.
+        snapshot_members: Cluster members at that index.
+        entries: Entries from `snapshot_index + 1` on.
+        member_changes: Index and new members of each membership entry in `entries`.
+        size: Bytes of the data of all entries.
+    """
+
+    __slots__ = ("entries", "member_changes", "size", "snapshot_index", "snapshot_members", "snapshot_term")
+
+    def __init__(self, index: int = 0, term: int = 0, members: Members = ()) -> None:
+        """Create an empty log after a snapshot at `index`."""
+        self.snapshot_index = index
+        self.snapshot_term = term
+        self.snapshot_members = members
         self.entries: list[Entry] = []
-        self.member_places: list[tuple[int, Members]] = []  # where the members change, and to what
-        self.size = 0  # bytes of data
+        self.member_changes: list[tuple[int, Members]] = []
+        self.size = 0
+
+    @property
+    def last_index(self) -> int:
+        """Index of the last entry; that of the snapshot if there is none."""
+        return self.snapshot_index + len(self.entries)
 
     @property
-    def last(self) -> int:
-        return self.base + len(self.entries)
+    def last_term(self) -> int:
+        """Term of the last entry."""
+        return self.entries[-1].term if self.entries else self.snapshot_term
 
     def term_at(self, index: int) -> int:
-        """-1 where the log says nothing of it."""
-        if index == self.base:
-            return self.base_term
-        place = index - self.base - 1
-        return self.entries[place].term if 0 <= place < len(self.entries) else -1
+        """Return the term of an index, or -1 where the log does not know it."""
+        if index == self.snapshot_index:
+            return self.snapshot_term
+        offset = index - self.snapshot_index - 1
+        return self.entries[offset].term if 0 <= offset < len(self.entries) else -1
 
-    def at(self, index: int) -> Entry:
-        return self.entries[index - self.base - 1]
+    def entry_at(self, index: int) -> Entry:
+        """Return the entry at an index after the snapshot."""
+        return self.entries[index - self.snapshot_index - 1]
 
-    def part(self, first: int, count: int, size: int) -> tuple[Entry, ...]:
-        """From `first` on, so many at most, of so many bytes, one at least."""
+    def slice(self, first_index: int, max_entries: int, max_bytes: int) -> tuple[Entry, ...]:
+        """Return entries from `first_index` on within both limits, but one at least if there is any."""
         found: list[Entry] = []
-        place = first - self.base - 1
-        while place < len(self.entries) and len(found) < count and size > 0:
-            found.append(self.entries[place])
-            size -= len(found[-1].data)
-            place += 1
+        bytes_left = max_bytes
+        offset = first_index - self.snapshot_index - 1
+        while offset < len(self.entries) and len(found) < max_entries and bytes_left > 0:
+            entry = self.entries[offset]
+            found.append(entry)
+            bytes_left -= len(entry.data)
+            offset += 1
         return tuple(found)
 
-    def add(self, entry: Entry) -> int:
+    def append(self, entry: Entry) -> int:
+        """Append an entry and return its index."""
         self.entries.append(entry)
         self.size += len(entry.data)
         if entry.kind == "members":
-            self.member_places.append((self.last, members_of(entry.data)))
-        return self.last
+            self.member_changes.append((self.last_index, decode_members(entry.data)))
+        return self.last_index
 
-    def cut(self, index: int) -> None:
-        """Nothing from `index` on is left."""
-        place = max(0, index - self.base - 1)
-        self.size -= sum(len(entry.data) for entry in self.entries[place:])
-        del self.entries[place:]
-        while self.member_places and self.member_places[-1][0] >= index:
-            self.member_places.pop()
+    def truncate(self, index: int) -> None:
+        """Drop all entries from `index` on."""
+        offset = max(0, index - self.snapshot_index - 1)
+        self.size -= sum(len(entry.data) for entry in self.entries[offset:])
+        del self.entries[offset:]
+        while self.member_changes and self.member_changes[-1][0] >= index:
+            self.member_changes.pop()
 
     def members(self) -> Members:
-        """Who votes by what stands in the log, decided or not."""
-        return self.member_places[-1][1] if self.member_places else self.base_members
+        """Return the newest members in the log, committed or not (Raft, section 6)."""
+        return self.member_changes[-1][1] if self.member_changes else self.snapshot_members
 
     def members_at(self, index: int) -> Members:
-        return next(
-            (told for place, told in reversed(self.member_places) if place <= index), self.base_members
-        )
+        """Return the members as of `index`."""
+        for changed_at, members in reversed(self.member_changes):
+            if changed_at <= index:
+                return members
+        return self.snapshot_members
 
-    def rebase(self, index: int, term: int, members: Members) -> None:
-        """What stands up to `index` goes; all goes where the log has another term there."""
+    def compact(self, index: int, term: int, members: Members) -> None:
+        """Replace all up to `index` by a snapshot; drop everything if the log has another term there."""
         if self.term_at(index) == term:
-            del self.entries[: index - self.base]
+            del self.entries[: index - self.snapshot_index]
         else:
             self.entries.clear()
-        self.base, self.base_term, self.base_members = index, term, members
-        self.member_places = [one for one in self.member_places if index < one[0] <= self.last]
+        self.snapshot_index = index
+        self.snapshot_term = term
+        self.snapshot_members = members
+        self.member_changes = [one for one in self.member_changes if index < one[0] <= self.last_index]
         self.size = sum(len(entry.data) for entry in self.entries)
 
     def copy(self) -> "Log":
-        made = Log()
-        made.base, made.base_term, made.base_members = self.base, self.base_term, self.base_members
-        made.entries, made.member_places, made.size = list(self.entries), list(self.member_places), self.size
-        return made
+        """Return an independent copy."""
+        copied = Log(self.snapshot_index, self.snapshot_term, self.snapshot_members)
+        copied.entries = self.entries.copy()
+        copied.member_changes = self.member_changes.copy()
+        copied.size = self.size
+        return copied
 
-    def frozen(self) -> tuple[object, ...]:
-        return self.base, self.base_term, self.base_members, tuple(self.entries)
+    def state_key(self) -> tuple[object, ...]:
+        """Return a hashable value that is equal for equal logs."""
+        return self.snapshot_index, self.snapshot_term, self.snapshot_members, tuple(self.entries)
--- a/thistleline/consensus/messages.py
+++ b/thistleline/consensus/messages.py
@@ -1,4 +1,12 @@
-"""What voters say to each other, and what a decision is made of. Frozen, so that they can be compared."""
+"""Messages that replicas exchange, and the entries of the replicated log.
+
+The protocol is Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014) with
+pre-votes, read index and single-server membership changes (Ongaro's dissertation, 2014). All structs are
+frozen, so that they can be compared and hashed.
+
+Tags and encoded field names are wire and storage format. Where they differ from the names used here, `tag`
+and `rename` say so.
+"""
 
 from typing import Literal
 
@@ -6,8 +14,14 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One place of the log. `kind` tells what `data` is: a decision for the machine, nothing (each leader
-    begins so), or the members as `members_data` has them."""
+    """One entry of the replicated log.
+
+    Attributes:
+        term: Term of the leader that appended the entry.
+        kind: What `data` holds. "decision": a command for the state machine; "nothing": no data, the first
+            entry of each leader's term; "members": the cluster members as written by `encode_members`.
+        data: Encoded payload.
+    """
 
     term: int
     kind: Literal["decision", "nothing", "members"]
@@ -15,7 +29,12 @@
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """A voter. Its id names one disk: who lost it comes back under another one."""
+    """A voting member of the cluster.
+
+    Attributes:
+        id: Identifies one disk. A replica that lost its disk comes back under another id.
+        address: Where the replica listens.
+    """
 
     id: str
     address: str
@@ -24,94 +43,118 @@
 Members = tuple[Member, ...]
 
 
-class Ask(msgspec.Struct, frozen=True, tag="ask"):
-    """Asks for a vote in `term`; `trial`: whether one would be given, and nothing is changed by it."""
+class VoteRequest(
+    msgspec.Struct,
+    frozen=True,
+    tag="ask",
+    rename={"last_log_index": "last_index", "last_log_term": "last_term", "pre_vote": "trial"},
+):
+    """Asks for a vote in `term`.
 
-    term: int
-    last_index: int
-    last_term: int
-    trial: bool
-
-
-class Vote(msgspec.Struct, frozen=True, tag="vote"):
-    term: int  # of the voter
-    asked: int  # the term that was asked for
-    trial: bool
-    given: bool
+    Attributes:
+        term: Term that the candidate stands in, or would stand in.
+        last_log_index: Index of the candidate's last log entry.
+        last_log_term: Term of the candidate's last log entry.
+        pre_vote: Only asks whether a vote would be granted; changes no state.
+    """
 
+    term: int
+    last_log_index: int
+    last_log_term: int
+    pre_vote: bool
+
+
+class VoteResponse(
+    msgspec.Struct,
+    frozen=True,
+    tag="vote",
+    rename={"requested_term": "asked", "pre_vote": "trial", "granted": "given"},
+):
+    """Answers a `VoteRequest`.
+
+    Attributes:
+        term: Current term of the voter.
+        requested_term: Term of the request.
+        pre_vote: Whether the request was a pre-vote.
+        granted: Whether the vote is, or for a pre-vote would be, granted.
+    """
 
-class Append(msgspec.Struct, frozen=True, tag="append"):
-    """The leader's word that it leads, with what follows `prior`. A majority confirms each `round`."""
+    term: int
+    requested_term: int
+    pre_vote: bool
+    granted: bool
+
+
+class AppendRequest(
+    msgspec.Struct,
+    frozen=True,
+    tag="append",
+    rename={"prev_log_index": "prior", "prev_log_term": "prior_term", "leader_commit": "committed"},
+):
+    """Replicates entries, and is the leader's heartbeat.
+
+    Attributes:
+        term: Leader's term.
+        prev_log_index: Index of the entry before `entries`.
+        prev_log_term: Term of that entry.
+        entries: New entries; empty for a heartbeat alone.
+        leader_commit: Leader's commit index.
+        round: Number of the heartbeat round, confirmed by the response.
+    """
 
     term: int
-    prior: int
-    prior_term: int
+    prev_log_index: int
+    prev_log_term: int
     entries: tuple[Entry, ...]
-    committed: int
+    leader_commit: int
     round: int
 
 
-class Install(msgspec.Struct, frozen=True, tag="install"):
-    """The whole state up to `index`, for one whose log ends before what the leader still has."""
+class InstallSnapshot(
+    msgspec.Struct,
+    frozen=True,
+    tag="install",
+    rename={"cluster_id": "council", "last_included_index": "index", "last_included_term": "index_term"},
+):
+    """Sends the whole state to a replica whose log ends before the leader's log begins.
+
+    Attributes:
+        term: Leader's term.
+        cluster_id: Cluster that the snapshot belongs to.
+        last_included_index: Last log index that the snapshot covers.
+        last_included_term: Term of that index.
+        members: Cluster members at that index.
+        state: Snapshot of the state machine.
+        round: Number of the heartbeat round, confirmed by the response.
+    """
 
     term: int
-    council: str
-    index: int
-    index_term: int
+    cluster_id: str
+    last_included_index: int
+    last_included_term: int
     members: Members
     state: bytes
     round: int
 
 
-class Appended(msgspec.Struct, frozen=True, tag="appended"):
-    """`good`: the log agrees up to `index`, and is durable there; else it may from `index` down, and below 0
-    the voter has nothing at all."""
-
-    term: int
-    good: bool
-    index: int
-    round: int
-
-
-Message = Ask | Vote | Append | Install | Appended
-
-_encode, _decode = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(Members).decode
+class AppendResponse(msgspec.Struct, frozen=True, tag="appended", rename={"success": "good"}):
+    """Answers an `AppendRequest` or an `InstallSnapshot`.
 
+    Attributes:
+        term: Current term of the replica.
+        success: Whether the log matches the leader's up to `index` and is durable there.
+        index: On success the matching index. Else the highest index where the logs may match; below 0 if the
+            replica is empty and needs a snapshot.
+        round: Heartbeat round of the request.
+    """
 
-def members_data(members: Members) -> bytes:
-    return _encode(members)
-
-
-def members_of(data: bytes) -> Members:
-    return _decode(data)
-
-
-# ---- what is written down, in the order of its writing
-
-
-class Base(msgspec.Struct, frozen=True, tag="base"):
-    """Begins a segment: all that came before it is in here, or gone."""
-
-    id: str
-    council: str
     term: int
-    vote: str
+    success: bool
     index: int
-    index_term: int
-    members: Members
-    state: bytes
-
-
-class Ballot(msgspec.Struct, frozen=True, tag="ballot"):
-    term: int
-    vote: str
-
-
-class Tail(msgspec.Struct, frozen=True, tag="tail"):
-    """The log from `first` on; what was there goes."""
+    round: int
 
-    first: int
-    entries: tuple[Entry, ...]
 
+Message = VoteRequest | VoteResponse | AppendRequest | InstallSnapshot | AppendResponse
 
-Record = Base | Ballot | Tail
+encode_members = msgspec.msgpack.Encoder().encode
+decode_members = msgspec.msgpack.Decoder(Members).decode
--- a/thistleline/consensus/replay.py
+++ b/thistleline/consensus/replay.py
@@ -1,48 +1,67 @@
-"""What the records of a voter say, read one after another; no I/O."""
+"""Replaying a replica's records, one after another, into the state they stand for. No I/O."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
 
 from thistleline.consensus.log import Log
-from thistleline.consensus.messages import Ballot, Base, Record, Tail
-from thistleline.consensus.replica import Found
+from thistleline.consensus.records import EntriesRecord, Record, SnapshotRecord, VoteRecord
+from thistleline.consensus.state import RecoveredState
 from thistleline.store.frames import Damaged
 
+NO_NAMES: Mapping[str, str] = MappingProxyType({})
+
 
 class Replay:
-    __slots__ = ("ballot", "base", "log")
+    """What the records of one segment say so far."""
+
+    __slots__ = ("log", "snapshot", "vote")
 
     def __init__(self) -> None:
-        self.base: Base | None = None
-        self.ballot = Ballot(0, "")
+        """Create it before the first record."""
+        self.snapshot: SnapshotRecord | None = None
+        self.vote = VoteRecord(0, "")
         self.log = Log()
 
+    def apply(self, record: Record) -> None:
+        """Apply the next record.
+
+        Raises:
+            Damaged: The records can't follow each other.
+        """
+        match record:
+            case SnapshotRecord():
+                self.snapshot = record
+                self.vote = VoteRecord(record.term, record.voted_for)
+                self.log = Log(record.last_included_index, record.last_included_term, record.members)
+            case _ if self.snapshot is None:
+                raise Damaged("it does not begin with a base")
+            case VoteRecord():
+                self.vote = record
+            case EntriesRecord():
+                self._apply_entries(record)
+
+    def _apply_entries(self, record: EntriesRecord) -> None:
+        log = self.log
+        if not log.snapshot_index < record.first_index <= log.last_index + 1:
+            raise Damaged(f"its log ends at {log.last_index} and goes on at {record.first_index}")
+        log.truncate(record.first_index)
+        for entry in record.entries:
+            log.append(entry)
+
+    def recovered_state(self) -> RecoveredState | None:
+        """Return the state that the records stand for; None before the first record."""
+        return None if self.snapshot is None else RecoveredState(self.snapshot, self.vote, self.log.copy())
+
     def copy(self) -> "Replay":
-        made = Replay()
-        made.base, made.ballot, made.log = self.base, self.ballot, self.log.copy()
-        return made
-
-    def frozen(self, names: Mapping[str, str] = MappingProxyType({})) -> tuple[object, ...]:
-        vote, base = self.ballot.vote, self.base
-        return names.get(vote, vote), self.ballot.term, base and (base.index, base.state), self.log.frozen()
-
-    def take(self, record: Record) -> None:
-        """Raises Damaged where the records can't follow each other."""
-        if isinstance(record, Base):
-            self.base, self.log = record, Log()
-            self.ballot = Ballot(record.term, record.vote)
-            log = self.log
-            log.base, log.base_term, log.base_members = record.index, record.index_term, record.members
-        elif self.base is None:
-            raise Damaged("it does not begin with a base")
-        elif isinstance(record, Ballot):
-            self.ballot = record
-        elif isinstance(record, Tail):
-            if not self.log.base < record.first <= self.log.last + 1:
-                raise Damaged(f"its log ends at {self.log.last} and goes on at {record.first}")
-            self.log.cut(record.first)
-            for entry in record.entries:
-                self.log.add(entry)
-
-    def found(self) -> Found | None:
-        return None if self.base is None else Found(self.base, self.ballot, self.log.copy())
+        """Return an independent copy."""
+        copied = Replay()
+        copied.snapshot = self.snapshot
+        copied.vote = self.vote
+        copied.log = self.log.copy()
+        return copied
+
+    def state_key(self, names: Mapping[str, str] = NO_NAMES) -> tuple[object, ...]:
+        """Return a hashable value that is equal for equal records, with replicas renamed by `names`."""
+        voted_for = self.vote.voted_for
+        snapshot = self.snapshot and (self.snapshot.last_included_index, self.snapshot.state)
+        return names.get(voted_for, voted_for), self.vote.term, snapshot, self.log.state_key()
--- a/thistleline/consensus/replica.py
+++ b/thistleline/consensus/replica.py
@@ -1,720 +1,392 @@
-"""One voter: every change of its state. No I/O, no clock; docs/design/leases.md weighs the protocol (Raft).
+"""A Raft replica as a pure state machine: events in, effects out. No I/O, no clock.
 
-Inputs are a kind and its values:
+docs/design/leases.md weighs the protocol. The parts that make it up each handle one concern:
 
-    heard sender Message | elapsed | written | unwritten why
-    form council Members | propose [(ticket data)] | read [ticket] | change ticket what Member
+    elections     pre-votes and votes
+    replication   what a leader sends its peers
+    follower      what a follower does with it
+    reads         linearizable reads
+    membership    changes of the members
+    persistence   batches of records for the disk, compaction
 
-Effects are plain tuples:
-
-    (send to Message)           may be lost, doubled, late
-    (write Work)                one at a time; `written` or `unwritten` answers it
-    (decided ticket answer)     what the machine said of it
-    (readable ticket)           all that stood in the log as it was asked is applied, and no other leader
-                                had been followed by a majority when it was asked
-    (refused ticket why leader) nothing is known of what becomes of it
-    (leading) (led by) (log event facts)
-
-What is told to others waits until all is durable that was noted before it: a vote, an entry, a term. `number`
-of a record is its place in this life's notes, `saved` the last one that is durable.
+This module dispatches events to them, and holds what concerns all: changes of phase, commit and apply.
 """
 
-from collections.abc import Callable, Iterable, Mapping
+from collections.abc import Callable, Mapping
 from types import MappingProxyType
-from typing import Any, Literal, NamedTuple, Protocol
-
-from thistleline.consensus.log import Log
+from typing import Any, assert_never
+
+from thistleline.consensus import follower, persistence
+from thistleline.consensus.effects import (
+    Effect,
+    LeaderChanged,
+    LeadershipGained,
+    ProposalApplied,
+    SendMessage,
+)
+from thistleline.consensus.elections import Elections
+from thistleline.consensus.events import (
+    ChangeMembership,
+    Event,
+    FormCluster,
+    MessageReceived,
+    Propose,
+    RequestRead,
+    TimerFired,
+    WriteCompleted,
+    WriteFailed,
+)
+from thistleline.consensus.membership import MembershipChanges
 from thistleline.consensus.messages import (
-    Append,
-    Appended,
-    Ask,
-    Ballot,
-    Base,
+    AppendRequest,
+    AppendResponse,
     Entry,
-    Install,
-    Member,
+    InstallSnapshot,
     Members,
     Message,
-    Record,
-    Tail,
-    Vote,
-    members_data,
-    members_of,
+    VoteRequest,
+    VoteResponse,
+    decode_members,
 )
+from thistleline.consensus.reads import Reads
+from thistleline.consensus.records import VoteRecord
+from thistleline.consensus.replication import Replication
+from thistleline.consensus.state import Phase, RaftTiming, RecoveredState, ReplicaState, StateMachine
 
-MS, SECOND = 1_000_000, 1_000_000_000
-ENTRIES_BOUND, BYTES_BOUND = 512, 1 << 20  # of one Append
-AHEAD_BOUND = 4096  # entries sent to a voter that has not confirmed them
-TICKETS_BOUND = 20_000  # that wait for a decision; past it who asks is refused
-COMPACT_SIZE, ENTRY_COST = 4 << 20, 48  # bytes of a log that is worth a new base
-HELD_BOUND = 4096  # messages that wait for the disk; past it the oldest go, as the network loses some too
-JOIN_SPAN = 30 * SECOND  # for one that is to be added to have caught up
-RETRY_FIRST, RETRY_LAST = 100 * MS, 5 * SECOND  # after a failed write, doubled each time
-
-INPUTS = ("heard", "elapsed", "written", "unwritten", "form", "propose", "read", "change")
-DOES = {kind: f"_{kind}" for kind in INPUTS}
-
-Effect = tuple[Any, ...]
-Phase = Literal["unformed", "following", "trying", "standing", "leading"]
-
-
-class Machine(Protocol):
-    """What the decisions are for: the same from the same decisions, at every voter."""
-
-    def apply(self, index: int, data: bytes) -> Any: ...
-
-    def snapshot(self) -> bytes: ...
-
-    def restore(self, state: bytes) -> None: ...
-
-    def copy(self) -> Any: ...
-
-    def frozen(self) -> Any: ...
+MAX_PENDING_REQUESTS = 20_000  # proposals and reads without an answer; past it new ones are refused
+NO_NAMES: Mapping[str, str] = MappingProxyType({})
 
 
-class Spans(NamedTuple):
-    """Nanoseconds."""
+class Replica:
+    """One member of the cluster.
 
-    heartbeat: int
-    election: int  # without a leader for that long, and up to as much again by chance, a voter stands
-    quorum: int  # a leader that no majority has answered for so long leads no more
+    Attributes:
+        state: Shared state; others may read it, only `handle` changes it.
+    """
 
-
-class Work(NamedTuple):
-    """One write; `fresh`: in a new segment, all older ones go once it is durable."""
-
-    fresh: bool
-    records: tuple[Record, ...]
-
-
-class Found(NamedTuple):
-    """What an earlier life left."""
-
-    base: Base
-    ballot: Ballot
-    log: Log
-
-
-class Joining(NamedTuple):
-    member: Member
-    ticket: Any
-    until: int
-
-
-COPIED = frozenset((dict, set, list, Log))
-
-
-class Voter:
-    __slots__ = (
-        *("id", "council", "machine", "spans", "spread", "now", "effects", "phase", "term", "vote", "log"),
-        *("base_state", "committed", "applied", "leader", "led_at", "election_due", "heartbeat_due"),
-        *(
-            "votes",
-            "next",
-            "match",
-            "heard_at",
-            "confirmed",
-            "installed",
-            "round",
-            "reads",
-            "reads_out",
-            "tickets",
-        ),
-        *("joining", "change_ticket", "noted", "saved", "unsaved", "work_out", "held", "durable"),
-        *("failing", "retry_at", "retry_wait", "begin_anew"),
-    )
+    __slots__ = ("_elections", "_membership", "_proposals", "_reads", "_replication", "state")
 
     def __init__(
         self,
         id: str,
-        machine: Machine,
+        machine: StateMachine,
         now: int,
-        spans: Spans,
-        spread: Callable[[int], int],
-        found: Found | None = None,
+        timing: RaftTiming,
+        jitter: Callable[[int], int],
+        recovered: RecoveredState | None = None,
     ) -> None:
-        """`spread`: a random part of a span. Without `found` it is a new voter with an empty disk."""
-        self.id, self.machine, self.spans, self.spread, self.now = id, machine, spans, spread, now
-        self.effects: list[Effect] = []
-        self.council = ""
-        self.phase: Phase = "unformed"
-        self.term, self.vote = 0, ""
-        self.log = Log()
-        self.base_state = b""
-        self.committed = self.applied = 0
-        self.leader = ""
-        self.led_at = now - spans.election  # when a leader was last heard
-        self.election_due = self.heartbeat_due = 0
-        self.votes: set[str] = set()
-        self.next: dict[str, int] = {}
-        self.match: dict[str, int] = {}
-        self.heard_at: dict[str, int] = {}
-        self.confirmed: dict[str, int] = {}  # the newest round that a voter has confirmed
-        self.installed: dict[str, int] = {}  # when the whole state was last sent
-        self.round = 0
-        self.reads: list[tuple[int, Any]] = []  # index and ticket, for the next round
-        self.reads_out: list[tuple[int, int, Any]] = []  # round, index, ticket
-        self.tickets: dict[int, Any] = {}  # by the index of what they proposed
-        self.joining: Joining | None = None
-        self.change_ticket: Any = None
-        self.noted = self.saved = 0
-        self.unsaved: list[Record] = []
-        self.work_out: tuple[Work, int] | None = None
-        self.held: list[tuple[int, Effect]] = []  # with the number of the last record they wait for
-        self.durable = 0  # the log is durable up to there
-        self.failing = False
-        self.retry_at, self.retry_wait = 0, RETRY_FIRST
-        self.begin_anew = True  # the next work goes to a new segment
-        if found is not None:
-            self._take_up(found)
-        self._await_leader()
-
-    def _take_up(self, found: Found) -> None:
-        base = found.base
-        self.council, self.log = base.council, found.log
-        self.term, self.vote = found.ballot.term, found.ballot.vote
-        self.base_state, self.committed, self.applied = base.state, base.index, base.index
-        if base.council:
-            self.machine.restore(base.state)
-            self.phase = "following"
-        self.durable = self.log.last
-
-    # ---- from outside
-
-    def take(self, now: int, kind: str, *told: Any) -> list[Effect]:
-        self.now = max(self.now, now)
-        getattr(self, DOES[kind])(*told)
-        self._write_more()
-        effects, self.effects = self.effects, []
+        """Create a replica.
+
+        Args:
+            id: Id of the replica.
+            machine: State machine that committed commands are applied to.
+            now: Current time in ns, of a clock that never goes back.
+            timing: Durations of the protocol.
+            jitter: Returns a random part of a duration in ns.
+            recovered: What an earlier incarnation left on disk; None for an empty disk.
+        """
+        state = ReplicaState(id, machine, now, timing, jitter)
+        if recovered is not None:
+            state.restore(recovered)
+        state.restart_election_timer()
+        self.state = state
+        self._elections = Elections(state)
+        self._replication = Replication(state)
+        self._reads = Reads(state, self._replication)
+        self._membership = MembershipChanges(state, self._replication)
+        self._proposals: dict[int, Any] = {}  # tickets by the log index of the proposal
+
+    # ---- interface
+
+    def handle(self, now: int, event: Event) -> list[Effect]:
+        """Handle an event at `now` ns and return what is to be done, in order."""
+        state = self.state
+        state.now = max(state.now, now)
+        match event:
+            case MessageReceived(sender, message):
+                self._handle_message(sender, message)
+            case WriteCompleted():
+                self._handle_write_completed()
+            case TimerFired():
+                self._handle_timer()
+            case Propose(proposals):
+                self._propose(proposals)
+            case RequestRead(tickets):
+                self._request_reads(tickets)
+            case ChangeMembership():
+                self._change_membership(event)
+            case WriteFailed(reason):
+                self._handle_write_failed(reason)
+            case FormCluster(cluster_id, members):
+                self._form_cluster(cluster_id, members)
+            case _:
+                assert_never(event)
+        persistence.start_write(state)
+        effects = state.effects
+        state.effects = []
         return effects
 
-    def due(self) -> int:
-        """When the next `elapsed` is wanted."""
-        due = self.heartbeat_due if self.phase == "leading" else self.election_due
-        if self.phase == "unformed":
-            due = self.now + self.spans.election
-        if self.failing and self.work_out is None:
-            due = min(due, max(self.retry_at, self.now + 1))
-        return due
-
-    @property
-    def members(self) -> Members:
-        return self.log.members()
-
-    def copy(self) -> "Voter":
-        """A voter that goes its own way from here; for exploring what may come."""
-        made = Voter.__new__(Voter)
-        for name in self.__slots__:
-            value = getattr(self, name)
-            setattr(made, name, value.copy() if type(value) in COPIED else value)
-        made.machine = self.machine.copy()
-        return made
-
-    def frozen(self, names: Mapping[str, str] = MappingProxyType({})) -> tuple[Any, ...]:
-        """All that what it does can depend on, with other names for the voters where they are given."""
-
-        def named(id: str) -> str:
-            return names.get(id, id)
-
-        tables = (self.next, self.match, self.heard_at, self.confirmed)
+    def next_deadline(self) -> int:
+        """Return when the next TimerFired is wanted, in ns."""
+        state = self.state
+        if state.phase is Phase.LEADER:
+            deadline = self._replication.heartbeat_deadline
+        elif state.phase is Phase.UNFORMED:
+            deadline = state.now + state.timing.election_timeout
+        else:
+            deadline = state.election_deadline
+        writes = state.writes
+        if writes.failing and writes.in_flight is None:
+            deadline = min(deadline, max(writes.retry_at, state.now + 1))
+        return deadline
+
+    def copy(self) -> "Replica":
+        """Return an independent copy, for exploring what may happen next."""
+        copied = Replica.__new__(Replica)
+        state = self.state.copy()
+        replication = self._replication.copy(state)
+        copied.state = state
+        copied._elections = self._elections.copy(state)
+        copied._replication = replication
+        copied._reads = self._reads.copy(state, replication)
+        copied._membership = self._membership.copy(state, replication)
+        copied._proposals = self._proposals.copy()
+        return copied
+
+    def state_key(self, names: Mapping[str, str] = NO_NAMES) -> tuple[Any, ...]:
+        """Return a hashable value of all that behaviour depends on, with replicas renamed by `names`."""
         return (
-            *(named(self.id), self.phase, self.term, named(self.vote), self.log.frozen(), self.committed),
-            *(self.applied, named(self.leader), self.led_at, self.election_due, self.heartbeat_due),
-            frozenset(map(named, self.votes)),
-            *(frozenset((named(id), told) for id, told in one.items()) for one in tables),
-            *(self.round, tuple(self.reads), tuple(self.reads_out), tuple(self.tickets.items())),
-            *(self.joining, self.change_ticket, tuple(self.unsaved)),
-            self.work_out and (self.work_out[0], self.work_out[1] - self.noted),
-            tuple((number - self.noted, effect) for number, effect in self.held),
-            *(self.durable, self.failing, self.begin_anew, self.machine.frozen()),
+            self.state.state_key(names),
+            self._elections.state_key(names),
+            self._replication.state_key(names),
+            self._reads.state_key(),
+            self._membership.change_ticket,
+            tuple(self._proposals.items()),
         )
 
-    def _send(self, to: str, message: Message) -> None:
-        self.effects.append(("send", to, message))
-
-    def _log_event(self, event: str, **facts: Any) -> None:
-        self.effects.append(("log", event, facts))
-
-    # ---- what is written down
-
-    def _note(self, record: Record) -> None:
-        self.noted += 1
-        self.unsaved.append(record)
-
-    def _once_saved(self, effect: Effect) -> None:
-        """Guards against telling what a crash could take back: a vote given twice, an entry lost."""
-        if self.saved == self.noted:
-            self.effects.append(effect)
-        else:
-            self.held.append((self.noted, effect))
-            del self.held[:-HELD_BOUND]
-
-    def _write_more(self) -> None:
-        if self.work_out is not None or not (self.unsaved or self.failing):
-            return
-        if self.failing and self.now < self.retry_at:
-            return
-        if self.applied > self.log.base and self.log.size + ENTRY_COST * len(self.log.entries) > COMPACT_SIZE:
-            self.begin_anew = True
-        if self.begin_anew:
-            if self.applied > self.log.base:
-                self.base_state = self.machine.snapshot()
-                self.log.rebase(
-                    self.applied, self.log.term_at(self.applied), self.log.members_at(self.applied)
-                )
-            log = self.log
-            told = (self.id, self.council, self.term, self.vote, log.base, log.base_term, log.base_members)
-            base = Base(*told, self.base_state)
-            records: tuple[Record, ...] = (base,)
-            if log.entries:
-                records = (base, Tail(log.base + 1, tuple(log.entries)))
-        else:
-            records = tuple(self.unsaved)
-        work = Work(self.begin_anew, records)
-        self.begin_anew = False
-        self.unsaved.clear()
-        self.work_out = work, self.noted
-        self.effects.append(("write", work))
-
-    def _written(self) -> None:
-        assert self.work_out is not None
-        work, self.saved = self.work_out
-        self.work_out = None
-        if self.failing:
-            self.failing, self.retry_wait = False, RETRY_FIRST
-            self._log_event("disk", state="well")
-            self._await_leader()
-        for record in work.records:
-            if isinstance(record, Base):
-                self.durable = max(self.durable, record.index)
-            elif isinstance(record, Tail) and record.entries:
-                last = record.first + len(record.entries) - 1
-                if self.log.term_at(last) == record.entries[-1].term:
-                    self.durable = max(self.durable, last)
-        ready = sum(1 for number, _ in self.held if number <= self.saved)
-        self.effects += [effect for _, effect in self.held[:ready]]
-        del self.held[:ready]
-        if self.phase == "leading":
-            self._commit()
-        elif self.phase == "standing" and self.saved == self.noted:
-            self._voted(self.id)
-
-    def _unwritten(self, why: str) -> None:
-        """What was to be written may be on disk or not. Nothing that waited for it is told; all that matters
-        goes to a new segment. Meanwhile it neither leads nor stands: others can."""
-        assert self.work_out is not None
-        self.work_out = None
-        self.held.clear()
-        self.failing, self.begin_anew = True, True
-        self.retry_at = self.now + self.retry_wait
-        self.retry_wait = min(RETRY_LAST, 2 * self.retry_wait)
-        self._log_event("disk", state="failing", why=why)
-        if self.phase != "unformed":
-            self._follow("")
-
-    def _ballot(self, term: int, vote: str) -> None:
-        self.term, self.vote = term, vote
-        self._note(Ballot(term, vote))
-
     # ---- phases
 
-    def _await_leader(self) -> None:
-        self.election_due = self.now + self.spans.election + self.spread(self.spans.election)
-
-    def _follow(self, leader: str) -> None:
-        if self.phase == "leading":
-            self._log_event("phase", phase="following", term=self.term, leader=leader)
-            tickets = [
-                *self.tickets.values(),
-                *(one[1] for one in self.reads),
-                *(one[2] for one in self.reads_out),
-            ]
-            if self.joining is not None:
-                tickets.append(self.joining.ticket)
-            if self.change_ticket is not None:
-                tickets.append(self.change_ticket)
-            for ticket in tickets:
-                self.effects.append(("refused", ticket, "it leads no more", leader))
-            self.tickets, self.reads, self.reads_out = {}, [], []
-            self.joining = self.change_ticket = None
-        if leader != self.leader or self.phase == "leading":
-            self.effects.append(("led", leader))
-        self.phase, self.leader = "following", leader
-        self.votes.clear()
-        self._await_leader()
-
-    def _later_term(self, term: int) -> None:
-        self._ballot(term, "")
-        if self.phase == "unformed":
-            return
-        self._follow("")
-
-    def _form(self, council: str, members: Members) -> None:
-        """Only an empty voter is formed: every first member is told the same, once, by hand."""
-        if self.phase != "unformed" or self.log.last or self.id not in {one.id for one in members}:
-            return
-        self.council = council
-        self.log.base_members = members
-        self.base_state = self.machine.snapshot()
-        self.phase = "following"
-        self.noted += 1
-        self.unsaved.append(Ballot(self.term, self.vote))
-        self.begin_anew = True
-        self._await_leader()
-        self._log_event("formed", council=council, members=[one.id for one in members])
-
-    def _elapsed(self) -> None:
-        if self.phase == "leading":
-            if self.now >= self.heartbeat_due:
-                self._beat()
-            if self.joining is not None and self.now >= self.joining.until:
-                self.effects.append(("refused", self.joining.ticket, "it did not catch up in time", self.id))
-                self.joining = None
-            recent = {one for one, at in self.heard_at.items() if self.now - at < self.spans.quorum}
-            if not self._majority(recent | {self.id}):
-                self._log_event("quorum lost", term=self.term)
-                self._follow("")
-        elif self.phase != "unformed" and self.now >= self.election_due:
-            self._await_leader()
-            if not self.failing and self._is_member(self.id):
-                self._try()
-
-    def _is_member(self, id: str) -> bool:
-        return any(one.id == id for one in self.members)
-
-    def _majority(self, ids: set[str]) -> bool:
-        members = self.members
-        return 2 * sum(1 for one in members if one.id in ids) > len(members)
-
-    def _others(self) -> list[str]:
-        ids = [one.id for one in self.members if one.id != self.id]
-        if self.joining is not None:
-            ids.append(self.joining.member.id)
-        return ids
-
-    # ---- elections
-
-    def _try(self) -> None:
-        """Asks first whether votes would be given; guards against terms that grow for nothing."""
-        self.phase, self.leader = "trying", ""
-        self.votes = {self.id}
-        if self._majority(self.votes):
-            self._stand()
+    def _become_follower(self, leader: str) -> None:
+        """Follow `leader`, or wait for one if it is empty; a leader gives up all requests."""
+        state = self.state
+        was_leader = state.phase is Phase.LEADER
+        if was_leader:
+            state.log_event("phase", phase=Phase.FOLLOWER.value, term=state.term, leader=leader)
+            self._refuse_pending_requests(leader)
+        if leader != state.leader or was_leader:
+            state.effects.append(LeaderChanged(leader))
+        state.phase = Phase.FOLLOWER
+        state.leader = leader
+        self._elections.votes.clear()
+        state.restart_election_timer()
+
+    def _refuse_pending_requests(self, leader: str) -> None:
+        tickets = [*self._proposals.values(), *self._reads.clear(), *self._membership.clear()]
+        self._proposals = {}
+        for ticket in tickets:
+            self.state.refuse(ticket, "it leads no more", leader)
+
+    def _adopt_term(self, term: int) -> None:
+        """Enter a later term that another replica has told of."""
+        self.state.record_vote(term, "")
+        if self.state.phase is not Phase.UNFORMED:
+            self._become_follower("")
+
+    def _become_leader(self) -> None:
+        state = self.state
+        state.phase = Phase.LEADER
+        state.leader = state.id
+        self._replication.reset_peers()
+        state.effects += [LeadershipGained(), LeaderChanged(state.id)]
+        state.log_event("phase", phase=Phase.LEADER.value, term=state.term)
+        self._replication.append(Entry(state.term, "nothing", b""))
+        self._replication.send_heartbeats()
+
+    def _form_cluster(self, cluster_id: str, members: Members) -> None:
+        """Become a first member. All first members are told the same, once, by an operator."""
+        state = self.state
+        named = any(member.id == state.id for member in members)
+        if state.phase is not Phase.UNFORMED or state.log.last_index or not named:
             return
-        self._ask(self.term + 1, True)
-
-    def _stand(self) -> None:
-        self.phase = "standing"
-        self.votes = set()
-        self._ballot(self.term + 1, self.id)
-        self._ask(self.term, False)
-
-    def _ask(self, term: int, trial: bool) -> None:
-        message = Ask(term, self.log.last, self.log.term_at(self.log.last), trial)
-        for to in self._others():
-            if trial:
-                self._send(to, message)
-            else:
-                self._once_saved(("send", to, message))
-
-    def _voted(self, by: str) -> None:
-        self.votes.add(by)
-        if self._majority(self.votes):
-            if self.phase == "trying":
-                self._stand()
-            else:
-                self._lead()
-
-    def _lead(self) -> None:
-        self.phase, self.leader = "leading", self.id
-        others = self._others()
-        self.next = dict.fromkeys(others, self.log.last + 1)
-        self.match = dict.fromkeys(others, 0)
-        self.confirmed = dict.fromkeys(others, 0)
-        self.heard_at = dict.fromkeys(others, self.now)
-        self.installed = {}
-        self.effects += [("leading",), ("led", self.id)]
-        self._log_event("phase", phase="leading", term=self.term)
-        self._append(Entry(self.term, "nothing", b""))
-        self._beat()
-
-    # ---- leading
-
-    def _append(self, entry: Entry) -> int:
-        index = self.log.add(entry)
-        self._note(Tail(index, (entry,)))
-        return index
-
-    def _beat(self) -> None:
-        self.heartbeat_due = self.now + self.spans.heartbeat
-        for to in self._others():
-            self._feed(to, True)
-
-    def _feed(self, to: str, beat: bool) -> None:
-        """What `to` lacks, as far as it may be ahead of its word; but the beat if it lacks nothing."""
-        following = self.next[to]
-        if following <= self.log.base:
-            log = self.log
-            if beat and self.now - self.installed.get(to, -SECOND) >= self.spans.election:  # it is large
-                self.installed[to] = self.now
-                self._send(to, Install(self.term, self.council, log.base, log.base_term, log.base_members,
-                                       self.base_state, self.round))  # fmt: skip
-            return
-        entries: tuple[Entry, ...] = ()
-        if following - self.match[to] <= AHEAD_BOUND:
-            entries = self.log.part(following, ENTRIES_BOUND, BYTES_BOUND)
-        if entries or beat:
-            prior = following - 1
-            term = self.log.term_at(prior)
-            self._send(to, Append(self.term, prior, term, entries, self.committed, self.round))
-            self.next[to] = following + len(entries)
-
-    def _propose(self, proposals: Iterable[tuple[Any, bytes]]) -> None:
+        state.cluster_id = cluster_id
+        state.log.snapshot_members = members
+        state.snapshot = state.machine.snapshot()
+        state.phase = Phase.FOLLOWER
+        state.note(VoteRecord(state.term, state.voted_for))
+        state.writes.new_segment = True
+        state.restart_election_timer()
+        state.log_event("formed", council=cluster_id, members=[member.id for member in members])
+
+    # ---- time and disk
+
+    def _handle_timer(self) -> None:
+        state = self.state
+        if state.phase is Phase.LEADER:
+            self._lead_on()
+        elif state.phase is not Phase.UNFORMED and state.now >= state.election_deadline:
+            state.restart_election_timer()
+            if not state.writes.failing and state.is_member(state.id):
+                self._elections.start_pre_vote()
+
+    def _lead_on(self) -> None:
+        """Send due heartbeats; step down without a quorum."""
+        state = self.state
+        if state.now >= self._replication.heartbeat_deadline:
+            self._replication.send_heartbeats()
+        self._membership.expire_join()
+        recent = self._replication.heard_since(state.timing.quorum_timeout)
+        if not state.has_majority(recent | {state.id}):
+            state.log_event("quorum lost", term=state.term)
+            self._become_follower("")
+
+    def _handle_write_completed(self) -> None:
+        state = self.state
+        persistence.finish_write(state)
+        if state.phase is Phase.LEADER:
+            self._advance_commit()
+        elif (
+            state.phase is Phase.CANDIDATE and state.writes.all_durable and self._elections.add_vote(state.id)
+        ):
+            self._become_leader()
+
+    def _handle_write_failed(self, reason: str) -> None:
+        """Step down: while the disk fails this replica neither leads nor stands, so that others can."""
+        persistence.fail_write(self.state, reason)
+        if self.state.phase is not Phase.UNFORMED:
+            self._become_follower("")
+
+    # ---- requests
+
+    def _propose(self, proposals: tuple[tuple[Any, bytes], ...]) -> None:
+        state = self.state
         for ticket, data in proposals:
-            if not self._refused(ticket):
-                self.tickets[self._append(Entry(self.term, "decision", data))] = ticket
-        if self.phase == "leading":
-            for to in self._others():
-                self._feed(to, False)
-
-    def _refused(self, ticket: Any) -> bool:
-        if self.phase != "leading":
-            self.effects.append(("refused", ticket, "it does not lead", self.leader))
-            return True
-        if len(self.tickets) + len(self.reads) + len(self.reads_out) >= TICKETS_BOUND:
-            self.effects.append(("refused", ticket, "too much waits", self.id))
-            return True
-        return False
-
-    def _read(self, tickets: Iterable[Any]) -> None:
-        """By what a majority confirms after it was asked. A leader's clock alone says nothing: it may have
-        stood still while another was elected."""
-        self.reads += [(self.log.last, ticket) for ticket in tickets if not self._refused(ticket)]
-        if self.reads and not self.reads_out:
-            self._next_round()
-
-    def _next_round(self) -> None:
-        self.round += 1
-        self.reads_out = [(self.round, index, ticket) for index, ticket in self.reads]
-        self.reads = []
-        self._beat()
-        self._answer_reads()  # alone, it is its own majority
-
-    def _answer_reads(self) -> None:
-        if not self.reads_out:
-            return
-        current = {one for one, round in self.confirmed.items() if round >= self.reads_out[0][0]}
-        if not self._majority(current | {self.id}):
-            return
-        rest = [one for one in self.reads_out if one[1] > self.applied]
-        self.effects += [("readable", ticket) for _, index, ticket in self.reads_out if index <= self.applied]
-        self.reads_out = rest
-        if not rest and self.reads:
-            self._next_round()
-
-    def _commit(self) -> None:
-        """What a majority has durably, once something of this term is among it; guards against counting what
-        an earlier leader left, which a later one may still replace (the paper's section 5.4.2)."""
-        members = self.members
-        known = sorted((self.durable if one.id == self.id else self.match.get(one.id, 0) for one in members),
-                       reverse=True)  # fmt: skip
-        index = known[len(members) // 2]
-        if index > self.committed and self.log.term_at(index) == self.term:
-            self.committed = index
-            self._apply()
-            for to in self._others():
-                self._feed(to, False)
-
-    def _apply(self) -> None:
-        while self.applied < self.committed:
-            index = self.applied + 1
-            entry = self.log.at(index)
-            self.applied = index
-            answer = self.machine.apply(index, entry.data) if entry.kind == "decision" else None
-            if self.phase == "leading" and index in self.tickets:
-                self.effects.append(("decided", self.tickets.pop(index), answer))
+            if self._admit(ticket):
+                index = self._replication.append(Entry(state.term, "decision", data))
+                self._proposals[index] = ticket
+        if state.phase is Phase.LEADER:
+            self._replication.send_to_all()
+
+    def _request_reads(self, tickets: tuple[Any, ...]) -> None:
+        self._reads.request([ticket for ticket in tickets if self._admit(ticket)])
+
+    def _change_membership(self, event: ChangeMembership) -> None:
+        if self._admit(event.ticket) and self._membership.change(event.ticket, event.change, event.member):
+            self._advance_commit()
+
+    def _admit(self, ticket: Any) -> bool:
+        """Return whether a request may be taken in; refuse it if not."""
+        state = self.state
+        if state.phase is not Phase.LEADER:
+            state.refuse(ticket, "it does not lead", state.leader)
+            return False
+        if len(self._proposals) + len(self._reads) >= MAX_PENDING_REQUESTS:
+            state.refuse(ticket, "too much waits", state.id)
+            return False
+        return True
+
+    # ---- commit
+
+    def _advance_commit(self) -> None:
+        """Commit what a majority has durably, once an entry of this term is among it.
+
+        Entries of an earlier leader are not counted by themselves: a later leader may still replace them
+        (Raft, section 5.4.2).
+        """
+        state = self.state
+        index = self._replication.quorum_index()
+        if index > state.commit_index and state.log.term_at(index) == state.term:
+            state.commit_index = index
+            self._apply_committed()
+            self._replication.send_to_all()
+
+    def _apply_committed(self) -> None:
+        state = self.state
+        while state.last_applied < state.commit_index:
+            index = state.last_applied + 1
+            entry = state.log.entry_at(index)
+            state.last_applied = index
+            answer = state.machine.apply(index, entry.data) if entry.kind == "decision" else None
+            if state.phase is Phase.LEADER and index in self._proposals:
+                state.effects.append(ProposalApplied(self._proposals.pop(index), answer))
             if entry.kind == "members":
-                self._members_decided(members_of(entry.data))
-        if self.phase == "leading":
-            self._answer_reads()
-
-    # ---- members
-
-    def _change(self, ticket: Any, what: Literal["add", "remove"], member: Member) -> None:
-        """One at a time, so that every two majorities share a voter; and not before this leader has decided
-        something, lest two leaders each know of another change that is undecided."""
-        if self._refused(ticket):
+                self._members_committed(decode_members(entry.data))
+        if state.phase is Phase.LEADER:
+            self._reads.answer()
+
+    def _members_committed(self, members: Members) -> None:
+        state = self.state
+        ids = [member.id for member in members]
+        state.log_event("members", members=ids)
+        if state.phase is not Phase.LEADER:
             return
-        places = self.log.member_places
-        busy = self.joining is not None or (places and places[-1][0] > self.committed)
-        if busy or self.log.term_at(self.committed) != self.term:
-            self.effects.append(("refused", ticket, "another change is under way", self.id))
-        elif (what == "add") == self._is_member(member.id):
-            self.effects.append(("decided", ticket, "unchanged"))
-        elif what == "add":
-            self.joining = Joining(member, ticket, self.now + JOIN_SPAN)
-            self.next[member.id], self.match[member.id], self.confirmed[member.id] = self.log.last + 1, 0, 0
-            self._feed(member.id, True)
-        elif len(self.members) == 1:
-            self.effects.append(("refused", ticket, "the last voter stays", self.id))
-        else:
-            self._change_members(ticket, tuple(one for one in self.members if one.id != member.id))
-
-    def _change_members(self, ticket: Any, members: Members) -> None:
-        self.change_ticket = ticket
-        self._append(Entry(self.term, "members", members_data(members)))
-        for to in self._others():
-            self.next.setdefault(to, self.log.last)
-            self.match.setdefault(to, 0)
-            self.confirmed.setdefault(to, 0)
-            self.heard_at.setdefault(to, self.now)
-        self._beat()
-        self._commit()
-
-    def _caught_up(self) -> None:
-        joining = self.joining
-        if joining is not None and self.match[joining.member.id] >= self.committed:
-            self.joining = None
-            kept = [one for one in self.members if one.address != joining.member.address]
-            if len(kept) < len(self.members):
-                why = "a voter of that address is to be removed first"
-                self.effects.append(("refused", joining.ticket, why, self.id))
-                return
-            self._change_members(joining.ticket, tuple(sorted((*kept, joining.member))))
-
-    def _members_decided(self, members: Members) -> None:
-        self._log_event("members", members=[one.id for one in members])
-        if self.phase != "leading":
-            return
-        if self.change_ticket is not None:
-            self.effects.append(("decided", self.change_ticket, "changed"))
-            self.change_ticket = None
-        for gone in self.next.keys() - set(self._others()):
-            self._feed(gone, True)  # its last word, so that it knows
-            for told in (self.next, self.match, self.confirmed, self.heard_at):
-                told.pop(gone, None)
-        if not any(one.id == self.id for one in members):
-            self._follow("")
+        self._membership.finish_change()
+        if state.id not in ids:
+            self._become_follower("")
 
     # ---- messages
 
-    def _heard(self, sender: str, message: Message) -> None:
-        if message.term > self.term and not isinstance(message, Ask):
-            self._later_term(message.term)
-        if isinstance(message, Append | Install):
-            self._led(sender, message)
-        elif isinstance(message, Ask):
-            self._asked(sender, message)
-        elif isinstance(message, Vote):
-            self._answered(sender, message)
-        else:
-            self._fed(sender, message)
-
-    def _asked(self, sender: str, message: Ask) -> None:
-        # Guards a leader that is followed against one whom it alone does not reach.
-        led = self.phase == "leading" or (self.leader and self.now - self.led_at < self.spans.election)
-        mine = (self.log.term_at(self.log.last), self.log.last)
-        agrees = (message.last_term, message.last_index) >= mine and not self.failing
-        if message.trial:
-            given = message.term > self.term and not led and agrees
-            self._send(sender, Vote(self.term, message.term, True, given))
+    def _handle_message(self, sender: str, message: Message) -> None:
+        # A vote request raises the term only where it is heeded.
+        if message.term > self.state.term and not isinstance(message, VoteRequest):
+            self._adopt_term(message.term)
+        match message:
+            case AppendRequest() | InstallSnapshot():
+                self._handle_leader_message(sender, message)
+            case AppendResponse():
+                self._handle_append_response(sender, message)
+            case VoteRequest():
+                self._handle_vote_request(sender, message)
+            case VoteResponse():
+                if self._elections.count_response(sender, message):
+                    self._become_leader()
+            case _:
+                assert_never(message)
+
+    def _handle_vote_request(self, sender: str, request: VoteRequest) -> None:
+        state = self.state
+        if request.pre_vote:
+            self._elections.answer_pre_vote(sender, request)
             return
-        if (led and message.term > self.term) or self.phase == "unformed":
+        if state.phase is Phase.UNFORMED:
             return
-        if message.term > self.term:
-            self._later_term(message.term)
-        given = message.term == self.term and self.vote in ("", sender) and agrees
-        if given and not self.vote:
-            self._ballot(self.term, sender)
-        if given:
-            self._await_leader()
-        self._once_saved(("send", sender, Vote(self.term, message.term, False, given)))
-
-    def _answered(self, sender: str, message: Vote) -> None:
-        if not message.given:
-            return
-        if message.trial:
-            if self.phase == "trying" and message.asked == self.term + 1:
-                self._voted(sender)
-        elif self.phase == "standing" and message.term == self.term:
-            self._voted(sender)
-
-    def _led(self, sender: str, message: Append | Install) -> None:
-        if message.term < self.term:
-            self._send(sender, Appended(self.term, False, 0, 0))
-            return
-        if self.phase != "unformed" and (self.phase != "following" or self.leader != sender):
-            self._follow(sender)
-        self.led_at = self.now
-        self._await_leader()
-        log = self.log
-        if isinstance(message, Install):
-            self._install(sender, message)
-            agreed = message.index
-        elif self.phase == "unformed":
-            self._once_saved(("send", sender, Appended(self.term, False, -1, 0)))
-            return
-        elif message.prior > log.last or log.term_at(message.prior) not in (message.prior_term, -1):
-            hint = min(message.prior - 1, log.last)
-            other = log.term_at(hint + 1)
-            while hint > self.committed and other != -1 and log.term_at(hint) == other:
-                hint -= 1  # a whole term that the leader does not have
-            back = Appended(self.term, False, max(hint, self.committed), message.round)
-            self._once_saved(("send", sender, back))
+        if request.term > state.term:
+            if self._elections.follows_leader():
+                return
+            self._adopt_term(request.term)
+        self._elections.answer_vote(sender, request)
+
+    def _handle_leader_message(self, sender: str, message: AppendRequest | InstallSnapshot) -> None:
+        state = self.state
+        if message.term < state.term:
+            state.send(sender, AppendResponse(state.term, False, 0, 0))
             return
+        follows_sender = state.phase is Phase.FOLLOWER and state.leader == sender
+        if state.phase is not Phase.UNFORMED and not follows_sender:
+            self._become_follower(sender)
+        state.leader_heard_at = state.now
+        state.restart_election_timer()
+        if isinstance(message, InstallSnapshot):
+            response = follower.accept_snapshot(state, sender, message)
         else:
-            agreed = self._merge(message)
-        self._once_saved(("send", sender, Appended(self.term, True, agreed, message.round)))
-        if isinstance(message, Append) and min(message.committed, agreed) > self.committed:
-            self.committed = min(message.committed, agreed)
-            self._apply()
-
-    def _merge(self, message: Append) -> int:
-        log, place = self.log, message.prior
-        for number, entry in enumerate(message.entries):
-            place = message.prior + number + 1
-            if place <= log.base or log.term_at(place) == entry.term:
-                continue
-            if place <= log.last:
-                assert place > self.committed, "a leader would replace what was decided"
-                log.cut(place)
-                self.durable = min(self.durable, place - 1)
-            rest = message.entries[number:]
-            for one in rest:
-                log.add(one)
-            self._note(Tail(place, rest))
-            break
-        return message.prior + len(message.entries)
-
-    def _install(self, sender: str, message: Install) -> None:
-        if self.phase == "unformed":
-            self.phase, self.leader, self.council = "following", sender, message.council
-        elif message.index <= self.committed:
-            return
-        self.log.rebase(message.index, message.index_term, message.members)
-        self.base_state = message.state
-        self.machine.restore(message.state)
-        self.committed = self.applied = message.index
-        self.durable = min(self.durable, self.log.last)
-        self.begin_anew = True
-        self._note(Ballot(self.term, self.vote))
-        self._log_event("installed", index=message.index)
-
-    def _fed(self, sender: str, message: Appended) -> None:
-        if self.phase != "leading" or message.term != self.term or sender not in self.next:
+            response = follower.accept_entries(state, message)
+        state.emit_once_durable(SendMessage(sender, response))
+        if response.success and isinstance(message, AppendRequest):
+            commit_index = min(message.leader_commit, response.index)
+            if commit_index > state.commit_index:
+                state.commit_index = commit_index
+                self._apply_committed()
+
+    def _handle_append_response(self, sender: str, response: AppendResponse) -> None:
+        state = self.state
+        replication = self._replication
+        if state.phase is not Phase.LEADER or response.term != state.term or sender not in replication.peers:
             return
-        self.heard_at[sender] = self.now
-        self.confirmed[sender] = max(self.confirmed[sender], message.round)
-        if message.good:
-            self.match[sender] = max(self.match[sender], message.index)
-            self.next[sender] = max(self.next[sender], message.index + 1)
-            self._commit()
-            self._caught_up()
-        elif message.index < 0:
-            self.next[sender] = 0
-        else:
-            self.next[sender] = max(self.match[sender] + 1, min(self.next[sender], message.index + 1))
-        if self.phase == "leading" and sender in self.next:
-            if self.next[sender] <= self.log.last:
-                self._feed(sender, not message.good)
-            self._answer_reads()
+        replication.record_response(sender, response)
+        if response.success:
+            self._advance_commit()
+            if self._membership.finish_join():
+                self._advance_commit()
+        # Committing a membership change may have removed the sender, or this leader.
+        if state.phase is Phase.LEADER and sender in replication.peers:
+            replication.send_rest(sender, heartbeat=not response.success)
+            self._reads.answer()
--- a/thistleline/lab/feedworld.py
+++ b/thistleline/lab/feedworld.py
@@ -411,7 +411,7 @@
             *(self.ticks, tuple(sorted(self.left.items())), len(self.sequence), self.made, self.broken),
             *(tuple(sorted(self.acked.items())), self.strange, self.refused),
         )
-        return hash((tuple(sorted(self.keys.items())), links, self.council.frozen(), rest))
+        return hash((tuple(sorted(self.keys.items())), links, self.council.state_key(), rest))
 
 
 def _told(message: Any) -> Any:
--- a/thistleline/lab/leasecost.py
+++ b/thistleline/lab/leasecost.py
@@ -8,17 +8,23 @@
 from random import Random
 from typing import Any
 
-from thistleline.consensus.messages import Base, Entry, Member, Tail
-from thistleline.consensus.replica import Spans, Voter, Work
-from thistleline.consensus.store import CouncilStore
+from thistleline.consensus.effects import WriteRecords
+from thistleline.consensus.events import FormCluster, TimerFired, WriteCompleted
+from thistleline.consensus.messages import Entry, Member
+from thistleline.consensus.records import EntriesRecord, SnapshotRecord, WriteBatch
+from thistleline.consensus.replica import Replica
+from thistleline.consensus.state import RaftTiming
+from thistleline.consensus.store import ReplicaStore
 from thistleline.lab.virtual import MS, VirtualCouncil
+from thistleline.lease.effects import SendAnswer
+from thistleline.lease.events import Event, RequestReceived
 from thistleline.lease.protocol import Granted, Keep, Kept, Op, Release, Take
-from thistleline.lease.server import Office
+from thistleline.lease.server import LeaseServer
 from thistleline.lease.table import Table, data_of
 from thistleline.lease.wire import Reply, Request, encode
 from thistleline.store.disk import Disk
 
-SPANS = Spans(50 * MS, 500 * MS, 1000 * MS)
+SPANS = RaftTiming(50 * MS, 500 * MS, 1000 * MS)
 SECOND = 1000 * MS
 
 
@@ -30,28 +36,29 @@
         if folder is not None:
             disk = Disk(folder, "council")
             disk.hold()
-            self.store = CouncilStore(disk)
-        self.office = Office(Voter("a", Table(), 0, SPANS, lambda span: 0), lambda: 0)
+            self.store = ReplicaStore(disk)
+        self.server = LeaseServer(Replica("a", Table(), 0, SPANS, lambda span: 0), lambda: 0)
         self.now, self.answers = 0, list[Any]()
-        self.put(("form", "c", (Member("a", ""),)))
+        self.put(FormCluster("c", (Member("a", ""),)))
         self.now += 600 * MS
-        self.put(("elapsed",))
+        self.put(TimerFired())
 
-    def put(self, *inputs: tuple[Any, ...]) -> None:
+    def put(self, *inputs: Event) -> None:
         waiting = list(inputs)
         while waiting:
-            more: list[tuple[Any, ...]] = []
-            for effect in self.office.take(self.now, *waiting):
-                if effect[0] == "write":
-                    if self.store is not None:
-                        self.store.write(effect[1])
-                    more.append(("written",))
-                elif effect[0] == "answer":
-                    self.answers.append(effect[2])
+            more: list[Event] = []
+            for effect in self.server.handle(self.now, *waiting):
+                match effect:
+                    case WriteRecords(batch):
+                        if self.store is not None:
+                            self.store.write(batch)
+                        more.append(WriteCompleted())
+                    case SendAnswer(_, answer):
+                        self.answers.append(answer)
             waiting = more
 
     def ask(self, *ops: Op) -> None:
-        self.put(*(("asked", number, op) for number, op in enumerate(ops)))
+        self.put(*(RequestReceived(number, op) for number, op in enumerate(ops)))
 
 
 def decisions(folder: Path, count: int, group: int) -> float:
@@ -74,15 +81,15 @@
         alone.now += SECOND
         for first in range(0, names, 100):
             alone.ask(Keep(tuple((f"n{place}", f"x{place}") for place in range(first, first + 100))))
-        alone.put(("elapsed",))
+        alone.put(TimerFired())
     renewed = (time.process_time() - begun) / rounds / names
-    assert len(alone.office.table.state.leases) == names
+    assert len(alone.server.table.state.leases) == names
     begun = time.process_time()
     for turn in range(500):
         alone.ask(Take("more", f"y{turn}", SECOND))
         alone.ask(Release("more", f"y{turn}"))
     taken = (time.process_time() - begun) / 500
-    size = len(alone.office.table.snapshot()) / names
+    size = len(alone.server.table.snapshot()) / names
     asked = len(
         encode(Request(1, Keep(tuple((f"n{place}", f"host.{place}.0123456789ab") for place in range(100)))))
     )
@@ -101,7 +108,7 @@
     took, terms = [], []
     for seed in range(seeds):
         span = max(500, 10 * delay_ms) * MS
-        spans = Spans(span // 10, span, 2 * span)
+        spans = RaftTiming(span // 10, span, 2 * span)
 
         def delay(chance: Random) -> int:
             return int(delay_ms * MS * chance.uniform(0.5, 1.5))
@@ -110,12 +117,12 @@
         council.run(20 * span, lambda council=council: bool(council.leader()))  # type: ignore[misc]
         council.run(council.now + span)
         first = council.leader()
-        before = council.offices[first].voter.term
+        before = council.servers[first].replica.state.term
         council.dead.add(first)
         died = council.now
         council.run(died + 40 * span, lambda council=council: bool(council.leader()))  # type: ignore[misc]
         took.append((council.now - died) / MS)
-        terms.append(council.offices[council.leader()].voter.term - before)
+        terms.append(council.servers[council.leader()].replica.state.term - before)
     took.sort()
     return {
         "election_span_ms": max(500, 10 * delay_ms),
@@ -130,36 +137,36 @@
     council = VirtualCouncil(5, SPANS, 1, lambda chance: 5 * MS)
     council.run(5 * SECOND)
     leader = council.leader()
-    deaf = next(id for id in council.offices if id != leader)
-    before = council.offices[leader].voter.term
+    deaf = next(id for id in council.servers if id != leader)
+    before = council.servers[leader].replica.state.term
     council.swallows = lambda source, to: to == deaf
     council.run(council.now + seconds * SECOND)
-    return {"terms": council.offices[council.leader() or leader].voter.term - before}
+    return {"terms": council.servers[council.leader() or leader].replica.state.term - before}
 
 
 def recovery(folder: Path, count: int) -> dict[str, Any]:
     """A log of so many decisions, 1,000 in a write; longer than any in service, where it is compacted."""
     disk = Disk(folder, "council")
     disk.hold()
-    store = CouncilStore(disk)
+    store = ReplicaStore(disk)
     members = (Member("a", ""),)
-    store.write(Work(True, (Base("a", "c", 1, "a", 0, 0, members, Table().snapshot()),)))
+    store.write(WriteBatch(True, (SnapshotRecord("a", "c", 1, "a", 0, 0, members, Table().snapshot()),)))
     sync, disk.sync = disk.sync, lambda: None  # type: ignore[method-assign]
     for first in range(1, count + 1, 1000):
         entries = tuple(
             Entry(1, "decision", data_of(Take(f"n{place % 5000}", f"x{place}", SECOND)))
             for place in range(first, first + 1000)
         )
-        store.write(Work(False, (Tail(first, entries),)))
+        store.write(WriteBatch(False, (EntriesRecord(first, entries),)))
     disk.sync = sync  # type: ignore[method-assign]
     size = disk.segments()[-1][1]
     disk.release()
-    again = CouncilStore(Disk(folder, "council"))
+    again = ReplicaStore(Disk(folder, "council"))
     begun = time.perf_counter()
     found = again.recover()
     took = time.perf_counter() - begun
     assert found is not None
-    assert found.log.last == count
+    assert found.log.last_index == count
     return {"decisions": count, "seconds": round(took, 2), "us_each": round(took / count * 1e6, 2),
             "disk_bytes_each": round(size / count)}  # fmt: skip
 
--- a/thistleline/lab/leaseworld.py
+++ b/thistleline/lab/leaseworld.py
@@ -10,17 +10,23 @@
 from functools import partial
 from typing import Any, NamedTuple
 
-from thistleline.consensus.messages import Ask, Entry, Member
+from thistleline.consensus.effects import LeadershipGained, SendMessage, WriteRecords
+from thistleline.consensus.events import FormCluster, MessageReceived, TimerFired, WriteCompleted
+from thistleline.consensus.messages import Entry, Member, VoteRequest
+from thistleline.consensus.records import WriteBatch
 from thistleline.consensus.replay import Replay
-from thistleline.consensus.replica import Spans, Voter, Work
+from thistleline.consensus.replica import Replica
+from thistleline.consensus.state import Phase, RaftTiming, ReplicaState
+from thistleline.lease.effects import SendAnswer
+from thistleline.lease.events import Event, RequestReceived
 from thistleline.lease.fencing import Marks
 from thistleline.lease.holder import Hold
-from thistleline.lease.server import Office
+from thistleline.lease.server import LeaseServer
 from thistleline.lease.table import Table
 
 TICK = 40_000_000
 LENGTH = 100_000_000  # ns: two ticks by a clock that is a quarter fast
-SPANS = Spans(heartbeat=10_000_000, election=50_000_000, quorum=120_000_000)
+SPANS = RaftTiming(heartbeat_interval=10_000_000, election_timeout=50_000_000, quorum_timeout=120_000_000)
 NAME = "kiln"
 SPENT = ("ticks", "crashes", "doubles", "losses", "releases", "acts")
 
@@ -54,7 +60,7 @@
 
 class LeaseWorld:
     __slots__ = (
-        *("offices", "disks", "holders", "net", "ticks", "rates", "left", "acted", "marks", "decided"),
+        *("servers", "disks", "holders", "net", "ticks", "rates", "left", "acted", "marks", "decided"),
         *("terms", "scenario", "broken", "swap", "keys"),
     )
 
@@ -62,8 +68,8 @@
         """`rates`: quarters of true time that each clock goes in one; of the voters, then of the holders."""
         self.rates, self.ticks = rates, 0
         ids = [f"v{place}" for place in range(voters)]
-        self.offices = tuple(
-            Office(Voter(id, Table(), self.clock(place), SPANS, _no_spread), _no_wall)
+        self.servers = tuple(
+            LeaseServer(Replica(id, Table(), self.clock(place), SPANS, _no_spread), _no_wall)
             for place, id in enumerate(ids)
         )
         self.disks: tuple[Replay, ...] = tuple(Replay() for _ in ids)
@@ -80,7 +86,7 @@
         self.swap: dict[str, str] = {}  # the names of the last two voters where they are alike but for these
         members = tuple(Member(id, id) for id in ids)
         for place in range(voters):
-            self.voter(place, "form", "c", members)
+            self.replica(place, FormCluster("c", members))
 
     def copy(self) -> "LeaseWorld":
         made = LeaseWorld.__new__(LeaseWorld)
@@ -92,7 +98,7 @@
         return (1000 + self.ticks) * TICK * self.rates[place] // 4
 
     def hold(self, *askers: str) -> None:
-        first = len(self.offices)
+        first = len(self.servers)
         self.holders = tuple(
             Hold(NAME, asker, LENGTH, True, self.clock(first + place), _no_spread)
             for place, asker in enumerate(askers)
@@ -100,40 +106,41 @@
 
     # ---- steps, each on a copy of its own
 
-    def voter(self, place: int, *told: Any, crash: str = "") -> None:
-        """`crash`: after what is told at once, with what was written "lost" or "kept"."""
-        office = self.offices[place].copy()
-        self.offices = (*self.offices[:place], office, *self.offices[place + 1 :])
+    def replica(self, place: int, event: Event, crash: str = "") -> None:
+        """`crash`: after what it does at once, with what was written "lost" or "kept"."""
+        server = self.servers[place].copy()
+        self.servers = (*self.servers[:place], server, *self.servers[place + 1 :])
         self.keys = {known: key for known, key in self.keys.items() if known != place}
-        inputs: list[tuple[Any, ...]] = [told]
+        inputs: list[Event] = [event]
         while inputs:
             try:
-                effects = office.take(self.clock(place), inputs.pop(0))
+                effects = server.handle(self.clock(place), inputs.pop(0))
             except AssertionError as error:  # what a voter itself holds impossible
                 self.broken = str(error)
                 return
             for effect in effects:
-                if effect[0] == "write":
-                    if crash != "lost":
-                        self._write(place, effect[1])
-                    if not crash:
-                        inputs.append(("written",))
-                elif effect[0] == "send":
-                    self._send(office.voter.id, effect[1], effect[2])
-                elif effect[0] == "answer" and effect[1] is not None:
-                    self._send(office.voter.id, effect[1][0], (effect[1][1], effect[2]))
-                elif effect[0] == "leading":
-                    self._led(office.voter)
+                match effect:
+                    case WriteRecords(batch):
+                        if crash != "lost":
+                            self._write(place, batch)
+                        if not crash:
+                            inputs.append(WriteCompleted())
+                    case SendMessage(to, message):
+                        self._send(server.replica.state.id, to, message)
+                    case SendAnswer((asker, number), answer):
+                        self._send(server.replica.state.id, asker, (number, answer))
+                    case LeadershipGained():
+                        self._led(server.replica.state)
         if crash:
             self.restart(place)
-        self._check(office.voter)
+        self._check(server.replica.state)
 
-    def _write(self, place: int, work: Work) -> None:
+    def _write(self, place: int, batch: WriteBatch) -> None:
         disk = self.disks[place].copy()
-        if work.fresh:
+        if batch.new_segment:
             disk = Replay()
-        for record in work.records:
-            disk.take(record)
+        for record in batch.records:
+            disk.apply(record)
         self.disks = (*self.disks[:place], disk, *self.disks[place + 1 :])
 
     def _send(self, source: str, to: str, message: Any) -> None:
@@ -145,22 +152,24 @@
         self.net = self.net[-bound:]
 
     def restart(self, place: int) -> None:
-        id = self.offices[place].voter.id
-        found = self.disks[place].found()
-        voter = Voter(id, Table(), self.clock(place), SPANS, _no_spread, found)
-        self.offices = (*self.offices[:place], Office(voter, _no_wall), *self.offices[place + 1 :])
+        id = self.servers[place].replica.state.id
+        recovered = self.disks[place].recovered_state()
+        replica = Replica(id, Table(), self.clock(place), SPANS, _no_spread, recovered)
+        self.servers = (*self.servers[:place], LeaseServer(replica, _no_wall), *self.servers[place + 1 :])
         self.keys = {known: key for known, key in self.keys.items() if known != place}
 
     def holder(self, place: int, *told: Any, to: str = "") -> None:
         holder = self.holders[place].copy()
         self.holders = (*self.holders[:place], holder, *self.holders[place + 1 :])
-        for effect in holder.take(self.clock(len(self.offices) + place), *told):
+        for effect in holder.take(self.clock(len(self.servers) + place), *told):
             if effect[0] == "ask":
                 self._send(holder.asker, to or self.leaders()[0], (effect[1], effect[2]))
 
     def leaders(self) -> list[str]:
         """Whom holders may ask: who takes itself for the leader, as a client finds by asking around."""
-        return [one.voter.id for one in self.offices if one.voter.phase == "leading"] or ["v0"]
+        return [one.replica.state.id for one in self.servers if one.replica.state.phase is Phase.LEADER] or [
+            "v0"
+        ]
 
     def deliver(self, place: int, keep: bool = False, crash: str = "", back: bool = False) -> None:
         """One message; `back`: what is said to its sender at once arrives too, and what that says at once."""
@@ -177,12 +186,12 @@
                 self._take(answer.source, answer.to, answer.message, "")
 
     def _take(self, source: str, to: str, message: Any, crash: str) -> None:
-        for place, office in enumerate(self.offices):
-            if office.voter.id == to:
+        for place, server in enumerate(self.servers):
+            if server.replica.state.id == to:
                 if isinstance(message, tuple):
-                    self.voter(place, "asked", (source, message[0]), message[1], crash=crash)
+                    self.replica(place, RequestReceived((source, message[0]), message[1]), crash)
                 else:
-                    self.voter(place, "heard", source, message, crash=crash)
+                    self.replica(place, MessageReceived(source, message), crash)
                 return
         if to == "resource":
             self._act(source, message)
@@ -200,7 +209,7 @@
     def act(self, place: int) -> None:
         """An act is sent off; when it arrives is the net's business."""
         holder = self.holders[place]
-        if holder.fits(self.clock(len(self.offices) + place), 0):
+        if holder.fits(self.clock(len(self.servers) + place), 0):
             self._send(holder.asker, "resource", holder.epoch)
 
     def _act(self, source: str, epoch: int) -> None:
@@ -214,18 +223,18 @@
 
     # ---- invariants
 
-    def _led(self, voter: Voter) -> None:
+    def _led(self, voter: ReplicaState) -> None:
         others = {id for term, id in self.terms if term == voter.term} - {voter.id}
         if others:
             self.broken = f"{voter.id} and {others.pop()} both lead in one term"
         self.terms = tuple(sorted({*self.terms, (voter.term, voter.id)}))
-        log = (Entry(0, "nothing", b""),) * voter.log.base + tuple(voter.log.entries)
+        log = (Entry(0, "nothing", b""),) * voter.log.snapshot_index + tuple(voter.log.entries)
         if log[: len(self.decided)] != self.decided:
             self.broken = f"{voter.id} leads without a decision that was made"
 
-    def _check(self, voter: Voter) -> None:
-        here = tuple(voter.log.entries[: voter.committed - voter.log.base])
-        if voter.log.base:
+    def _check(self, voter: ReplicaState) -> None:
+        here = tuple(voter.log.entries[: voter.commit_index - voter.log.snapshot_index])
+        if voter.log.snapshot_index:
             return
         known = self.decided
         if here[: len(known)] != known[: len(here)]:
@@ -236,15 +245,15 @@
     def wrong(self) -> str:
         if self.broken:
             return self.broken
-        first = len(self.offices)
+        first = len(self.servers)
         valid = [one for place, one in enumerate(self.holders) if one.valid(self.clock(first + place))]
         if len(valid) > 1:
             return "two holders have a right at once"
         epochs = [one.epoch for one in self.holders if one.epoch]
         if len(set(epochs)) < len(epochs):
             return "two holders were given one epoch"
-        for office in self.offices:
-            lease = office.table.state.leases.get(NAME)
+        for server in self.servers:
+            lease = server.table.state.leases.get(NAME)
             for one in self.holders:
                 given_back = one.phase == "ended" and one.why == "released"
                 if lease and given_back and lease.holder == one.asker and lease.epoch > one.epoch:
@@ -254,12 +263,12 @@
     def key(self) -> int:
         """Of all that what follows can depend on. Two voters that are alike but for their names may change
         places: of the two keys the lesser one stands for both."""
-        for place, office in enumerate(self.offices):
+        for place, server in enumerate(self.servers):
             if place not in self.keys:
                 disk, swap = self.disks[place], self.swap
-                one = hash((office.frozen(), disk.frozen()))
-                self.keys[place] = one, hash((office.frozen(swap), disk.frozen(swap))) if swap else one
-        keys = [self.keys[place] for place in range(len(self.offices))]
+                one = hash((server.state_key(), disk.state_key()))
+                self.keys[place] = one, hash((server.state_key(swap), disk.state_key(swap))) if swap else one
+        keys = [self.keys[place] for place in range(len(self.servers))]
         rest = (
             *(tuple(one.frozen() for one in self.holders), self.ticks, tuple(sorted(self.left.items()))),
             *(tuple(self.marks.items()), self.acted, len(self.decided), self.broken),
@@ -293,10 +302,10 @@
         if spent:
             made.left = {**left, spent: left[spent] - 1}
         do(made, *told)
-        if all(one.voter.term <= scenario.elections for one in made.offices):
+        if all(one.replica.state.term <= scenario.elections for one in made.servers):
             yield name, made
 
-    deliver, voter, holder = LeaseWorld.deliver, LeaseWorld.voter, LeaseWorld.holder
+    deliver, replica, holder = LeaseWorld.deliver, LeaseWorld.replica, LeaseWorld.holder
     for place, (source, to, message, *_) in enumerate(world.net):
         told = f"{to} hears {source}: {_told(message)}"
         yield from step(told, "", deliver, place)
@@ -305,15 +314,15 @@
             if left["crashes"]:
                 yield from step(f"{told}, dies, nothing kept", "crashes", deliver, place, False, "lost")
                 yield from step(f"{told}, dies, all kept", "crashes", deliver, place, False, "kept")
-        if left["doubles"] and not isinstance(message, Ask):
+        if left["doubles"] and not isinstance(message, VoteRequest):
             yield from step(f"{told}, and again later", "doubles", deliver, place, True)
-    for place, office in enumerate(world.offices):
+    for place, server in enumerate(world.servers):
         heeded = not scenario.elapse or place in scenario.elapse
-        if heeded and office.due() <= world.clock(place):
-            yield from step(f"v{place} heeds its clock", "", voter, place, "elapsed")
+        if heeded and server.next_deadline() <= world.clock(place):
+            yield from step(f"v{place} heeds its clock", "", replica, place, TimerFired())
         if left["crashes"]:
             yield from step(f"v{place} dies", "crashes", LeaseWorld.restart, place)
-    first = len(world.offices)
+    first = len(world.servers)
     for place in scenario.moves:
         one, now = world.holders[place], world.clock(first + place)
         if one.phase == "waiting" or (one.phase != "ended" and one.due() <= now):
@@ -362,9 +371,9 @@
 def led(rates: tuple[int, ...] = (4, 4, 4, 4, 4)) -> LeaseWorld:
     world = empty(rates)
     world.ticks += 3  # past every election span
-    world.voter(0, "elapsed")
+    world.replica(0, TimerFired())
     settle(world)
-    assert world.offices[0].voter.phase == "leading"
+    assert world.servers[0].replica.state.phase is Phase.LEADER
     return world
 
 
@@ -375,7 +384,7 @@
     settle(world)
     world.holder(1, "start")
     settle(world)
-    world.voter(0, "elapsed")
+    world.replica(0, TimerFired())
     settle(world)
     assert [one.phase for one in world.holders] == ["held", "waiting"]
     if rates[1] == rates[2]:
--- a/thistleline/lab/member.py
+++ b/thistleline/lab/member.py
@@ -53,13 +53,13 @@
 def leave_out() -> None:
     left_out = os.environ.get("LAB_WITHOUT", "")
     if left_out == "pre-vote":
-        from thistleline.consensus.replica import Voter
+        from thistleline.consensus.elections import Elections
 
-        def stand(self: Voter) -> None:
-            self.leader = ""
-            self._stand()
+        def stand(self: Elections) -> None:
+            self.state.leader = ""
+            self.start_election()
 
-        setattr(Voter, "_try", stand)  # noqa: B010
+        setattr(Elections, "start_pre_vote", stand)  # noqa: B010
     elif left_out == "drift":
         from thistleline.lease import holder
 
--- a/thistleline/lab/mutants.py
+++ b/thistleline/lab/mutants.py
@@ -6,9 +6,15 @@
 from contextlib import contextmanager
 from typing import Any, NamedTuple
 
-from thistleline.consensus import replica as voting
-from thistleline.consensus.messages import Ask, Ballot
-from thistleline.consensus.replica import Voter
+from thistleline.consensus import replication
+from thistleline.consensus.effects import ReadReady
+from thistleline.consensus.elections import Elections
+from thistleline.consensus.events import MessageReceived, TimerFired
+from thistleline.consensus.messages import VoteRequest
+from thistleline.consensus.reads import PendingRead, Reads
+from thistleline.consensus.records import VoteRecord
+from thistleline.consensus.replica import Replica
+from thistleline.consensus.state import Phase, ReplicaState
 from thistleline.lab.explore import Explored, explore
 from thistleline.lab.leaseworld import (
     LeaseWorld,
@@ -63,7 +69,7 @@
     """So long on, v0 having led all the while."""
     for _ in range(ticks):
         world.ticks += 1
-        world.voter(0, "elapsed")
+        world.replica(0, TimerFired())
         settle(world)
     return world
 
@@ -105,7 +111,7 @@
     world.holder(0, "elapsed")
     settle(world, lambda source, to: "v1" not in (source, to))
     world.ticks += 1
-    world.voter(1, "elapsed")
+    world.replica(1, TimerFired())
     settle(world, lambda source, to: "v0" not in (source, to))
     assert world.leaders() == ["v0", "v1"]
     return world
@@ -124,11 +130,12 @@
     """v0 stands; its word is on the way to v1, that to v2 is lost."""
     world = empty()
     world.ticks += 2
-    world.voter(0, "elapsed")
+    world.replica(0, TimerFired())
     world.net = tuple(one for one in world.net if one.to == "v1")
     world.deliver(0, back=True)
     world.net = tuple(one for one in world.net if one.to == "v1")
-    assert [one.voter.phase for one in world.offices] == ["standing", "following", "following"]
+    phases = [one.replica.state.phase for one in world.servers]
+    assert phases == [Phase.CANDIDATE, Phase.FOLLOWER, Phase.FOLLOWER]
     return world
 
 
@@ -151,17 +158,17 @@
     _beaten(world, 1)
     world.ticks += 1
     world.holder(1, "hinted")
-    world.voter(0, "elapsed")
+    world.replica(0, TimerFired())
     return world
 
 
 def _unaware_deposed() -> LeaseWorld:
     """As before, but v0 is cut off and v1 was elected a tick ago; h1's word is on the way to v0."""
     world = _passed_on((4, 5, 5, 3, 3, 3))
-    world.voter(0, "elapsed")
+    world.replica(0, TimerFired())
     settle(world)
     world.ticks += 1
-    world.voter(1, "elapsed")
+    world.replica(1, TimerFired())
     settle(world, lambda source, to: "v0" not in (source, to))
     assert world.leaders() == ["v0", "v1"]
     world.ticks += 1
@@ -220,18 +227,19 @@
     """The paper's figure 8: v0 leads again; v2 has another entry where v0 has one of an earlier term."""
     world = empty()
     for place in (0, 2, 0):
-        while world.offices[place].voter.phase != "leading":
+        while world.servers[place].replica.state.phase is not Phase.LEADER:
             if not world.net:
                 world.ticks += 3
-                world.voter(place, "elapsed")
+                world.replica(place, TimerFired())
             world.net = tuple(one for one in world.net if "v1" in (one.source, one.to))
             if world.net:
                 world.deliver(0)
         world.net = tuple(one for one in world.net if "v1" in (one.source, one.to))
-        if world.offices[0].voter.term < 3:
+        if world.servers[0].replica.state.term < 3:
             world.net = ()
             world.restart(place)
-    world.voter(2, "heard", "v0", Ask(world.offices[0].voter.term, 1, 1, False))
+    request = VoteRequest(world.servers[0].replica.state.term, 1, 1, False)
+    world.replica(2, MessageReceived("v0", request))
     world.net = tuple(one for one in world.net if one.source != "v2")
     return world
 
@@ -265,37 +273,33 @@
 # ---- what is left out
 
 
-def _vote_told_at_once(self: Voter, effect: Any) -> None:
+def _vote_told_at_once(self: ReplicaState, effect: Any) -> None:
     self.effects.append(effect)
 
 
-def _ballot_not_kept(self: Voter, term: int, vote: str) -> None:
-    self.term, self.vote = term, vote
+def _ballot_not_kept(self: ReplicaState, term: int, vote: str) -> None:
+    self.term, self.voted_for = term, vote
     if vote in ("", self.id):
-        self._note(Ballot(term, vote))
+        self.note(VoteRecord(term, vote))
 
 
-def _read_at_once(self: Voter, tickets: Any) -> None:
-    self.effects += [("readable", ticket) for ticket in tickets if not self._refused(ticket)]
+def _read_at_once(self: Reads, tickets: Any) -> None:
+    self.state.effects += [ReadReady(ticket) for ticket in tickets]
 
 
-def _commit_any_term(self: Voter) -> None:
-    members = self.members
-    known = sorted(
-        (self.durable if one.id == self.id else self.match.get(one.id, 0) for one in members), reverse=True
-    )
-    index = known[len(members) // 2]
-    if index > self.committed:
-        self.committed = index
-        self._apply()
+def _commit_any_term(self: Replica) -> None:
+    index = self._replication.quorum_index()
+    if index > self.state.commit_index:
+        self.state.commit_index = index
+        self._apply_committed()
 
 
 def _from_the_answer(self: Hold, asked: int, answer: Any, had: Callable[..., None] = Hold._granted) -> None:
     had(self, self.now, answer)
 
 
-def _any_log(self: Voter, sender: str, message: Any, had: Callable[..., None] = Voter._asked) -> None:
-    had(self, sender, type(message)(message.term, 1 << 30, 1 << 30, message.trial))
+def _any_log(self: Elections, request: VoteRequest) -> bool:
+    return True
 
 
 def _remembers(self: Watch, now: int, table: Table) -> None:
@@ -325,10 +329,10 @@
     return "known"
 
 
-def _read_decided(self: Voter, tickets: Any) -> None:
-    self.reads += [(self.committed, ticket) for ticket in tickets if not self._refused(ticket)]
-    if self.reads and not self.reads_out:
-        self._next_round()
+def _read_decided(self: Reads, tickets: Any) -> None:
+    self.waiting += [PendingRead(self.state.commit_index, ticket) for ticket in tickets]
+    if self.waiting and not self.in_round:
+        self._start_round()
 
 
 def _whole(length: int) -> int:
@@ -336,15 +340,16 @@
 
 
 MUTANTS = (
-    mutant("a vote is durable before it is told", "standing", Voter, "_once_saved", _vote_told_at_once),
-    mutant("a vote is kept at all", "standing", Voter, "_ballot", _ballot_not_kept),
-    mutant("votes go to a log that is not behind", "behind", Voter, "_asked", _any_log),
+    mutant("a vote is durable before it is told", "standing",
+            ReplicaState, "emit_once_durable", _vote_told_at_once),
+    mutant("a vote is kept at all", "standing", ReplicaState, "record_vote", _ballot_not_kept),
+    mutant("votes go to a log that is not behind", "behind", Elections, "_is_log_current", _any_log),
     mutant("only entries of its own term are counted", "undecided of an earlier term",
-            Voter, "_commit", _commit_any_term, voting, "ENTRIES_BOUND", 1),
+            Replica, "_advance_commit", _commit_any_term, replication, "MAX_APPEND_ENTRIES", 1),
     mutant("a round confirms the leader before it answers", "unaware, and the leader deposed",
-            Voter, "_read", _read_at_once),
+            Reads, "request", _read_at_once),
     mutant("answers wait for all that stands in the log", "unaware of its grant",
-            Voter, "_read", _read_decided, quick=False),
+            Reads, "request", _read_decided, quick=False),
     mutant("the right counts from before the request", "late answer", Hold, "_granted", _from_the_answer),
     mutant("the right allows for drift", "nearly over", holding, "right", _whole),
     mutant("a new leader counts anew", "deposed leader", Watch, "begin", _remembers),
--- a/thistleline/lab/scale/council.py
+++ b/thistleline/lab/scale/council.py
@@ -15,8 +15,12 @@
 import anyio
 import msgspec
 
-from thistleline.consensus.messages import Append, Appended, Message
-from thistleline.consensus.replica import COMPACT_SIZE, ENTRY_COST, TICKETS_BOUND, Spans
+from thistleline.consensus.effects import SendMessage, WriteRecords
+from thistleline.consensus.events import MessageReceived, WriteCompleted
+from thistleline.consensus.messages import AppendRequest, AppendResponse, Message
+from thistleline.consensus.persistence import ENTRY_COST, MAX_LOG_SIZE
+from thistleline.consensus.replica import MAX_PENDING_REQUESTS
+from thistleline.consensus.state import RaftTiming
 from thistleline.lab.harness import Fleet, Hung, folder_of
 from thistleline.lab.scale import slopes
 from thistleline.lab.scale.instance import cpu_seconds, machine
@@ -24,8 +28,10 @@
 from thistleline.lab.scale.slopes import Part, Row, Shape, cpu_of, judge, loop_cpu, memory_of
 from thistleline.lab.virtual import MS, VirtualCouncil
 from thistleline.lease.client import Council
+from thistleline.lease.effects import SendAnswer
+from thistleline.lease.events import Event, RequestReceived
 from thistleline.lease.protocol import VALUE_BOUND, Done, Get, Got, Granted, Keep, Kept, Op, Put, Take
-from thistleline.lease.server import Office
+from thistleline.lease.server import LeaseServer
 from thistleline.lease.service import CONNECTIONS_BOUND
 from thistleline.lease.table import NAMES_BOUND, RECORDS_BOUND, RECORDS_SIZE, Table, data_of, fault
 from thistleline.lease.wire import Reply, Request, decode_request, decode_voter, encode
@@ -37,7 +43,9 @@
 NAME = "council"
 FULL = "stewards that fill the leader's core"
 SECOND = 1000 * MS
-QUIET = Spans(1000 * SECOND, 3000 * SECOND, 6000 * SECOND)  # nothing of it comes into a round that is counted
+QUIET = RaftTiming(
+    1000 * SECOND, 3000 * SECOND, 6000 * SECOND
+)  # nothing of it comes into a round that is counted
 KEEPS = 200
 SECONDS = 6.0  # of a rate, in the long run
 DIGEST = "5f" * 32
@@ -65,13 +73,13 @@
         self.writes += 1
         return super()._written(id)
 
-    def office(self) -> Office:
-        return self.offices[self.led]
+    def server(self) -> LeaseServer:
+        return self.servers[self.led]
 
     def ask_together(self, ops: list[Op]) -> "Round":
         """All in one input of the leader, as they come in one turn of its loop."""
         before = sum(self.sent.values()), self.bytes, self.writes, len(self.answers)
-        inputs = [("asked", ticket, op) for ticket, op in enumerate(ops)]
+        inputs: list[Event] = [RequestReceived(ticket, op) for ticket, op in enumerate(ops)]
         self._put_all(inputs)
         done = self.run(self.now + 100 * SECOND, lambda: len(self.answers) == before[3] + len(ops))
         if not done:
@@ -84,17 +92,18 @@
         self.run(self.now + SECOND)
         return Round(*spent, told)
 
-    def _put_all(self, inputs: list[tuple[Any, ...]]) -> None:
+    def _put_all(self, inputs: list[Event]) -> None:
         """As `put`, with more than one input at once."""
-        office = self.office()
-        for effect in office.take(self.now, *inputs):
-            if effect[0] == "send":
-                self.at(self.now + self.delay(self.chance), self._arrives(effect[1], self.led, effect[2]))
-            elif effect[0] == "write":
-                self.at(self.now + self.sync, self._written(self.led))
-            elif effect[0] == "answer":
-                self.answers.append((self.now, effect[1], effect[2]))
-        due = max(office.due(), self.now + 1)
+        server = self.server()
+        for effect in server.handle(self.now, *inputs):
+            match effect:
+                case SendMessage(to, message):
+                    self.at(self.now + self.delay(self.chance), self._arrives(to, self.led, message))
+                case WriteRecords():
+                    self.at(self.now + self.sync, self._written(self.led))
+                case SendAnswer(ticket, answer):
+                    self.answers.append((self.now, ticket, answer))
+        due = max(server.next_deadline(), self.now + 1)
         self.wakes[self.led] = due
         self.at(due, self._wakes(self.led, due))
 
@@ -178,35 +187,40 @@
         council = CountedCouncil(3, seed)
         for first in range(0, records, 400):
             writes(council, min(400, records - first), first)
-        self.office, self.now = council.office(), council.now
-        self.id = self.office.voter.id
+        self.server, self.now = council.server(), council.now
+        self.id = self.server.replica.state.id
 
     def round(self, requests: list[bytes]) -> int:
         """Requests as they come to answers as they go, with what voters say in between; how many answers."""
-        inputs = [("asked", told.number, told.op) for told in map(decode_request, requests)]
+        inputs: list[Event] = [
+            RequestReceived(told.number, told.op) for told in map(decode_request, requests)
+        ]
         self.now += MS
         answered = 0
-        waiting: list[tuple[Any, ...]] = inputs
+        waiting = inputs
         while waiting:
-            heard: list[tuple[Any, ...]] = []
-            for effect in self.office.take(self.now, *waiting):
-                if effect[0] == "send":
-                    sealed(encode(effect[2]))
-                    back = self._back(effect[2])
-                    if back is not None:
-                        heard.append(("heard", effect[1], decode_voter(encode(back))))
-                elif effect[0] == "write":
-                    heard.append(("written",))
-                elif effect[0] == "answer":
-                    sealed(encode(Reply(effect[1], effect[2])))
-                    answered += 1
+            heard: list[Event] = []
+            for effect in self.server.handle(self.now, *waiting):
+                match effect:
+                    case SendMessage(to, message):
+                        sealed(encode(message))
+                        back = self._back(message)
+                        if back is not None:
+                            heard.append(MessageReceived(to, decode_voter(encode(back))))
+                    case WriteRecords():
+                        heard.append(WriteCompleted())
+                    case SendAnswer(ticket, answer):
+                        sealed(encode(Reply(ticket, answer)))
+                        answered += 1
             waiting = heard
         return answered
 
     def _back(self, message: Message) -> Message | None:
-        if not isinstance(message, Append):
+        if not isinstance(message, AppendRequest):
             return None
-        return Appended(message.term, True, message.prior + len(message.entries), message.round)
+        return AppendResponse(
+            message.term, True, message.prev_log_index + len(message.entries), message.round
+        )
 
 
 def read_time(leader: Leader, count: int) -> float:
@@ -344,7 +358,7 @@
         "cores_of_a_leader_rounds_of_1_ms": round(together, 2),
         "connections_bound": CONNECTIONS_BOUND,
         "stewards_beyond_connections_bound": round(size("instances") / CONNECTIONS_BOUND, 2),
-        "tickets_bound": TICKETS_BOUND,
+        "tickets_bound": MAX_PENDING_REQUESTS,
     }
 
 
@@ -365,7 +379,7 @@
         "settings_size_bound": SIZE_BOUND,
         "settings_kb_refused": refused,
         "versions_of_settings_that_fit_beside_wants": (RECORDS_SIZE - instances * len(WANT)) // VALUE_BOUND,
-        "writes_between_two_snapshots": COMPACT_SIZE // (write + ENTRY_COST),
+        "writes_between_two_snapshots": MAX_LOG_SIZE // (write + ENTRY_COST),
         "changes_a_second": round(size("changes_day") / 86_400, 2),
     }
 
--- /dev/null
+++ b/thistleline/lease/effects.py
@@ -0,0 +1,32 @@
+"""Effects that the lease server asks its surroundings to carry out."""
+
+from dataclasses import dataclass
+from typing import Any
+
+from thistleline.consensus.effects import (
+    LeaderChanged,
+    LeadershipGained,
+    LogEvent,
+    SendMessage,
+    WriteRecords,
+)
+from thistleline.lease.protocol import Answer
+
+
+@dataclass(frozen=True, slots=True)
+class SendAnswer:
+    """Answer the request with `ticket`."""
+
+    ticket: Any
+    answer: Answer
+
+
+@dataclass(frozen=True, slots=True)
+class NotifyHolder:
+    """Tell a waiting client that it may hold the lease `name` now; a hint that may be lost."""
+
+    name: str
+    asker: str
+
+
+Effect = SendMessage | WriteRecords | SendAnswer | NotifyHolder | LeadershipGained | LeaderChanged | LogEvent
--- /dev/null
+++ b/thistleline/lease/peer_links.py
@@ -0,0 +1,88 @@
+"""Links that a replica keeps to its peers."""
+
+from collections.abc import Callable
+from functools import partial
+from random import Random
+
+import anyio
+from anyio.abc import ByteStream, TaskGroup
+
+from thistleline.config.schema import Council
+from thistleline.consensus.messages import AppendRequest, Message
+from thistleline.lease.wire import encode
+from thistleline.transport.address import read_address
+from thistleline.transport.codec import Hello, Unreadable, common_form, sealed
+from thistleline.transport.connection import Link
+from thistleline.transport.handshake import receive_hello
+
+
+class PeerLinks:
+    """One outgoing link to each wanted peer; each is made again when it ends."""
+
+    def __init__(
+        self, config: Council, chance: Random, log: Callable[..., None], own_hello: Callable[[], Hello]
+    ) -> None:
+        """Create it without links.
+
+        Args:
+            config: Settings of the replica; `via` may name another address of a peer.
+            chance: Source of random pauses.
+            log: Writes a line to the program's log.
+            own_hello: Returns the Hello that a link begins with.
+        """
+        self._config = config
+        self._chance = chance
+        self._log = log
+        self._own_hello = own_hello
+        self._links: dict[str, Link] = {}
+        self._scopes: dict[str, anyio.CancelScope] = {}
+        self._logged_states: dict[str, str] = {}  # what was last logged of a link
+
+    def send(self, to: str, message: Message) -> None:
+        """Queue a message for a peer; it is lost without a link."""
+        link = self._links.get(to)
+        if link is not None:
+            is_heartbeat = isinstance(message, AppendRequest) and not message.entries
+            link.send(encode(message), is_heartbeat)
+
+    def update(self, group: TaskGroup, wanted: dict[str, str]) -> None:
+        """Keep links to the peers in `wanted`, addresses by id, and to no other."""
+        if wanted.keys() == self._links.keys():
+            return
+        for id in self._links.keys() - wanted.keys():
+            self._scopes.pop(id).cancel()
+            del self._links[id]
+        for id in wanted.keys() - self._links.keys():
+            self._open(group, id, wanted[id])
+
+    def _open(self, group: TaskGroup, id: str, address_text: str) -> None:
+        name = id.partition(".")[0]
+        try:
+            address = self._config.via.get(name) or read_address(address_text)
+        except ValueError as error:
+            self._log("link", to=id, why=str(error))
+            return
+        link = Link(address, partial(self._greet, id), self._chance, partial(self.log_state, id))
+        scope = anyio.CancelScope()
+        self._links[id] = link
+        self._scopes[id] = scope
+        group.start_soon(self._hold, link, scope)
+
+    async def _hold(self, link: Link, scope: anyio.CancelScope) -> None:
+        with scope:
+            await link.hold()
+
+    async def _greet(self, id: str, stream: ByteStream) -> None:
+        """Exchange Hellos on a new connection."""
+        await stream.send(sealed(encode(self._own_hello())))
+        hello = await receive_hello(stream)
+        common_form(self._own_hello(), hello)
+        if hello.id != id:
+            raise Unreadable(f"{hello.id} is there, not {id}")
+        self.log_state(id, "up")
+
+    def log_state(self, id: str, why: str) -> None:
+        """Log the state of a link, once for each change."""
+        if self._logged_states.get(id) != why:
+            self._logged_states[id] = why
+            self._log("link", to=id, why=why)
--- a/thistleline/lease/server.py
+++ b/thistleline/lease/server.py
@@ -1,19 +1,33 @@
-"""One voter with the leases on top: what clients ask goes in, answers come out. No I/O, no clock.
+"""The lease server: a consensus replica whose state machine is the lease table.
 
-Inputs beside the voter's (consensus/replica.py):  asked ticket Op
-Effects beside its send, write, log, led, leading:  (answer ticket Answer)  (hint name asker): it holds now
+A pure state machine: events in, effects out. No I/O, no clock.
 """
 
 from collections.abc import Callable, Mapping
 from types import MappingProxyType
-from typing import Any
+from typing import Any, NamedTuple
 
+import msgspec
+
+from thistleline.consensus import events as consensus_events
+from thistleline.consensus.effects import (
+    LeadershipGained,
+    ProposalApplied,
+    ReadReady,
+    RequestRefused,
+)
+from thistleline.consensus.events import ChangeMembership, FormCluster, Propose, RequestRead
 from thistleline.consensus.messages import Member
-from thistleline.consensus.replica import Effect, Voter
+from thistleline.consensus.replica import Replica
+from thistleline.consensus.state import Phase
+from thistleline.lease.effects import Effect, NotifyHolder, SendAnswer
+from thistleline.lease.events import Event, RequestReceived
 from thistleline.lease.liveness import Watch
 from thistleline.lease.protocol import (
     DECISIONS,
+    Answer,
     Change,
+    Decision,
     Denied,
     Done,
     Elsewhere,
@@ -30,126 +44,198 @@
 )
 from thistleline.lease.table import Table, data_of, fault
 
-LIST_BOUND = 1000
-OWN = None  # the ticket of what the office itself proposes
+MAX_LISTED_NAMES = 1000  # of one answer
+NO_NAMES: Mapping[str, str] = MappingProxyType({})
+
+
+class PendingRequest(NamedTuple):
+    """A request that waits for the replica; goes as the ticket of its proposal or read."""
+
+    ticket: Any
+    op: Op
+
 
+class LeaseServer:
+    """Answers clients' requests by what the replica commits.
 
-class Office:
-    __slots__ = ("proposals", "questions", "table", "voter", "wall", "watch")
+    What the leader proposes by itself, as somebody was not heard of, has the ticket None.
 
-    def __init__(self, voter: Voter, wall: Callable[[], int]) -> None:
-        """`voter` decides on a Table. `wall`: ms, only for people to read."""
-        assert isinstance(voter.machine, Table)
-        self.voter, self.wall = voter, wall
-        self.table: Table = voter.machine
-        self.watch = Watch()
-        self.proposals: list[tuple[Any, bytes]] = []
-        self.questions: list[Any] = []
+    Attributes:
+        replica: The consensus replica.
+        table: The replica's state machine.
+        wall_clock: Returns the wall clock in ms; only for people to read.
+        liveness: The leader's record of who is still heard of.
+    """
 
-    def copy(self) -> "Office":
-        made = Office(self.voter.copy(), self.wall)
-        made.watch = self.watch.copy()
-        return made
+    __slots__ = ("_commands", "_questions", "liveness", "replica", "table", "wall_clock")
 
-    def frozen(self, names: Mapping[str, str] = MappingProxyType({})) -> tuple[Any, ...]:
-        led = self.watch.frozen() if self.voter.phase == "leading" else ()
-        return self.voter.frozen(names), led
+    def __init__(self, replica: Replica, wall_clock: Callable[[], int]) -> None:
+        """Create a server on a replica whose state machine is a lease table."""
+        table = replica.state.machine
+        assert isinstance(table, Table)
+        self.replica = replica
+        self.table: Table = table
+        self.wall_clock = wall_clock
+        self.liveness = Watch()
+        self._commands: list[tuple[PendingRequest, bytes]] = []
+        self._questions: list[PendingRequest] = []
 
-    def due(self) -> int:
-        due, watched = self.voter.due(), self.watch.due()
-        return due if watched is None or self.voter.phase != "leading" else min(due, watched)
+    @property
+    def is_leader(self) -> bool:
+        """Whether the replica leads."""
+        return self.replica.state.phase is Phase.LEADER
 
-    def take(self, now: int, *inputs: tuple[Any, ...]) -> list[Effect]:
-        """All that came in at once: what is asked goes to the log together."""
+    def copy(self) -> "LeaseServer":
+        """Return an independent copy, for exploring what may happen next."""
+        copied = LeaseServer(self.replica.copy(), self.wall_clock)
+        copied.liveness = self.liveness.copy()
+        return copied
+
+    def state_key(self, names: Mapping[str, str] = NO_NAMES) -> tuple[Any, ...]:
+        """Return a hashable value of all that behaviour depends on, with replicas renamed by `names`."""
+        liveness = self.liveness.frozen() if self.is_leader else ()
+        return self.replica.state_key(names), liveness
+
+    def next_deadline(self) -> int:
+        """Return when the next TimerFired is wanted, in ns."""
+        replica_deadline = self.replica.next_deadline()
+        liveness_deadline = self.liveness.due()
+        if liveness_deadline is None or not self.is_leader:
+            return replica_deadline
+        return min(replica_deadline, liveness_deadline)
+
+    def handle(self, now: int, *events: Event) -> list[Effect]:
+        """Handle all events that arrived by `now` ns; what they ask for goes to the log together."""
         effects: list[Effect] = []
-        for kind, *told in inputs:
-            if kind == "asked":
-                self._asked(now, told[0], told[1], effects)
+        for event in events:
+            if isinstance(event, RequestReceived):
+                self._handle_request(now, event.ticket, event.op, effects)
             else:
-                self._voter(now, effects, kind, *told)
-        if self.proposals:
-            proposals, self.proposals = self.proposals, []
-            self._voter(now, effects, "propose", proposals)
-        if self.questions:
-            questions, self.questions = self.questions, []
-            self._voter(now, effects, "read", questions)
-        if self.voter.phase == "leading":
-            over = self.watch.over(now, self.wall(), self.table)
-            if over:
-                self._voter(now, effects, "propose", [(OWN, data_of(one)) for one in over])
+                self._drive_replica(now, event, effects)
+        self._flush_requests(now, effects)
+        if self.is_leader:
+            self._propose_expired(now, effects)
         return effects
 
-    def _asked(self, now: int, ticket: Any, op: Op, effects: list[Effect]) -> None:
-        voter = self.voter
+    def _flush_requests(self, now: int, effects: list[Effect]) -> None:
+        """Give the replica the commands and questions of all requests at hand."""
+        if self._commands:
+            proposals = tuple(self._commands)
+            self._commands = []
+            self._drive_replica(now, Propose(proposals), effects)
+        if self._questions:
+            tickets = tuple(self._questions)
+            self._questions = []
+            self._drive_replica(now, RequestRead(tickets), effects)
+
+    def _propose_expired(self, now: int, effects: list[Effect]) -> None:
+        """Propose the end of what nobody was heard of for."""
+        expired = self.liveness.over(now, self.wall_clock(), self.table)
+        if expired:
+            proposals = tuple((None, data_of(decision)) for decision in expired)
+            self._drive_replica(now, Propose(proposals), effects)
+
+    # ---- requests
+
+    def _handle_request(self, now: int, ticket: Any, op: Op, effects: list[Effect]) -> None:
         if isinstance(op, Status):
-            told = (voter.id, voter.council, voter.phase, voter.term, voter.leader, voter.committed)
-            rest = (voter.applied, voter.log.last, voter.log.base)
-            known = tuple((one.id, one.address) for one in voter.members)
-            leases = len(self.table.state.leases)
-            effects.append(("answer", ticket, Stands(*told, *rest, known, leases, voter.failing)))
+            effects.append(SendAnswer(ticket, self._status()))
         elif isinstance(op, Form):
-            if voter.phase == "unformed":
-                members = tuple(sorted(Member(*one) for one in op.members))
-                self._voter(now, effects, "form", op.council, members)
-            formed = voter.council == op.council
-            effects.append(
-                ("answer", ticket, Done("formed") if formed else Denied("it has a council already"))
-            )
+            effects.append(SendAnswer(ticket, self._form_cluster(now, op, effects)))
         elif isinstance(op, Change):
-            self._voter(now, effects, "change", (ticket, op), op.what, Member(op.id, op.address))
+            member = Member(op.id, op.address)
+            change = ChangeMembership(PendingRequest(ticket, op), op.what, member)
+            self._drive_replica(now, change, effects)
         elif isinstance(op, DECISIONS):
-            wrong = fault(op)
-            if wrong:
-                effects.append(("answer", ticket, Denied(wrong)))
-            else:
-                self.proposals.append(((ticket, op), data_of(_stamped(op, self.wall()))))
+            self._handle_command(ticket, op, effects)
         else:
-            if isinstance(op, Keep) and voter.phase == "leading":
-                for name, asker in op.names:
-                    self.watch.heard(now, name, asker, self.table)
-            self.questions.append((ticket, op))
-
-    def _voter(self, now: int, effects: list[Effect], kind: str, *told: Any) -> None:
-        for effect in self.voter.take(now, kind, *told):
-            if effect[0] == "decided":
-                if effect[1] is not OWN:
-                    answer = effect[2]
-                    effects.append(
-                        ("answer", effect[1][0], Done(answer) if isinstance(answer, str) else answer)
-                    )
-            elif effect[0] == "readable":
-                effects.append(("answer", effect[1][0], self._look(effect[1][1])))
-            elif effect[0] == "refused":
-                if effect[1] is not OWN:
-                    effects.append(("answer", effect[1][0], Elsewhere(effect[2], effect[3])))
-            elif effect[0] == "leading":
-                self.watch.begin(now, self.table)
-                effects.append(effect)
-            else:
-                effects.append(effect)
-        table = self.table
-        if table.changed:
-            if self.voter.phase == "leading":
-                for name in table.changed:
-                    known = self.watch.leases.get(name)
-                    self.watch.look(now, name, table)
-                    lease = table.state.leases.get(name)
-                    if known is not None and lease is not None and lease.epoch != known[0]:
-                        effects.append(("hint", name, lease.holder))
-            table.changed = {}
-
-    def _look(self, op: Question) -> Any:
+            self._handle_question(now, ticket, op)
+
+    def _status(self) -> Stands:
+        state = self.replica.state
+        return Stands(
+            id=state.id,
+            council=state.cluster_id,
+            phase=state.phase.value,
+            term=state.term,
+            leader=state.leader,
+            committed=state.commit_index,
+            applied=state.last_applied,
+            last=state.log.last_index,
+            base=state.log.snapshot_index,
+            members=tuple((member.id, member.address) for member in state.members),
+            leases=len(self.table.state.leases),
+            failing=state.writes.failing,
+        )
+
+    def _form_cluster(self, now: int, op: Form, effects: list[Effect]) -> Answer:
+        state = self.replica.state
+        if state.phase is Phase.UNFORMED:
+            members = tuple(sorted(Member(id, address) for id, address in op.members))
+            self._drive_replica(now, FormCluster(op.council, members), effects)
+        if state.cluster_id == op.council:
+            return Done("formed")
+        return Denied("it has a council already")
+
+    def _handle_command(self, ticket: Any, command: Decision, effects: list[Effect]) -> None:
+        reason = fault(command)
+        if reason:
+            effects.append(SendAnswer(ticket, Denied(reason)))
+            return
+        stamped = msgspec.structs.replace(command, at=self.wall_clock())
+        self._commands.append((PendingRequest(ticket, command), data_of(stamped)))
+
+    def _handle_question(self, now: int, ticket: Any, question: Question) -> None:
+        if isinstance(question, Keep) and self.is_leader:
+            for name, asker in question.names:
+                self.liveness.heard(now, name, asker, self.table)
+        self._questions.append(PendingRequest(ticket, question))
+
+    def _answer_question(self, question: Any) -> Answer:
         table = self.table
-        if isinstance(op, Keep):
-            return Kept(tuple(table.stands(name, asker) for name, asker in op.names))
-        if isinstance(op, Get):
-            return table.get(op.key)
-        assert isinstance(op, Show)
-        if not op.name.endswith("*"):
-            return table.show(op.name)
-        names = sorted(one for one in table.state.leases if one.startswith(op.name[:-1]) and one > op.after)
-        return Listed(tuple(table.show(name) for name in names[:LIST_BOUND]))
-
-
-def _stamped(op: Any, at: int) -> Any:
-    return type(op)(**{**{name: getattr(op, name) for name in op.__struct_fields__}, "at": at})
+        if isinstance(question, Keep):
+            return Kept(tuple(table.stands(name, asker) for name, asker in question.names))
+        if isinstance(question, Get):
+            return table.get(question.key)
+        assert isinstance(question, Show)
+        if not question.name.endswith("*"):
+            return table.show(question.name)
+        prefix = question.name[:-1]
+        names = sorted(
+            name for name in table.state.leases if name.startswith(prefix) and name > question.after
+        )
+        return Listed(tuple(table.show(name) for name in names[:MAX_LISTED_NAMES]))
+
+    # ---- the replica
+
+    def _drive_replica(self, now: int, event: consensus_events.Event, effects: list[Effect]) -> None:
+        """Hand an event to the replica; turn what it says of requests into answers, pass on the rest."""
+        for effect in self.replica.handle(now, event):
+            match effect:
+                case ProposalApplied(ticket, answer):
+                    if ticket is not None:
+                        told = Done(answer) if isinstance(answer, str) else answer
+                        effects.append(SendAnswer(ticket.ticket, told))
+                case ReadReady(ticket):
+                    effects.append(SendAnswer(ticket.ticket, self._answer_question(ticket.op)))
+                case RequestRefused(ticket, reason, leader):
+                    if ticket is not None:
+                        effects.append(SendAnswer(ticket.ticket, Elsewhere(reason, leader)))
+                case LeadershipGained():
+                    self.liveness.begin(now, self.table)
+                    effects.append(effect)
+                case _:
+                    effects.append(effect)
+        if self.table.changed:
+            if self.is_leader:
+                self._track_changes(now, effects)
+            self.table.changed = {}
+
+    def _track_changes(self, now: int, effects: list[Effect]) -> None:
+        """Watch over the names that were decided on, and notify those who hold a lease now."""
+        for name in self.table.changed:
+            known = self.liveness.leases.get(name)
+            self.liveness.look(now, name, self.table)
+            lease = self.table.state.leases.get(name)
+            if known is not None and lease is not None and lease.epoch != known[0]:
+                effects.append(NotifyHolder(name, lease.holder))
--- a/thistleline/lease/service.py
+++ b/thistleline/lease/service.py
@@ -1,28 +1,36 @@
-"""A voter as a program: its listener, its links, its disk and its clock around lease/server.py."""
+"""A replica as a program: its listener, peer links, disk and clock around lease/server.py."""
 
 import os
 import signal
 from collections import OrderedDict
-from collections.abc import Callable
-from contextlib import suppress
-from functools import partial
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager, suppress
+from pathlib import Path
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
 import anyio
 import anyio.to_thread
-from anyio.abc import ByteStream, SocketStream, TaskGroup
+from anyio.abc import SocketStream, TaskGroup
 
 from thistleline.config.schema import Council
-from thistleline.consensus.messages import Append, Base
-from thistleline.consensus.replica import Spans, Voter, Work
-from thistleline.consensus.store import CouncilStore
-from thistleline.lease.server import Office
+from thistleline.consensus.effects import LeaderChanged, LogEvent, SendMessage, WriteRecords
+from thistleline.consensus.events import MessageReceived, TimerFired, WriteCompleted, WriteFailed
+from thistleline.consensus.records import SnapshotRecord, WriteBatch
+from thistleline.consensus.replica import Replica
+from thistleline.consensus.state import Phase, RaftTiming
+from thistleline.consensus.store import ReplicaStore
+from thistleline.lease.effects import Effect, NotifyHolder, SendAnswer
+from thistleline.lease.events import Event, RequestReceived
+from thistleline.lease.inbound import InboundConnection
+from thistleline.lease.peer_links import PeerLinks
+from thistleline.lease.protocol import Op
+from thistleline.lease.server import LeaseServer
 from thistleline.lease.table import Table
 from thistleline.lease.wire import Hint, Reply, decode_request, decode_voter, encode
 from thistleline.store.clock import boot_now, wall_ms
 from thistleline.store.disk import Disk
-from thistleline.transport.address import Address, read_address
+from thistleline.transport.address import Address
 from thistleline.transport.codec import (
     CLIENT_BOUND,
     VOTER_BOUND,
@@ -32,280 +40,326 @@
     common_form,
     sealed,
 )
-from thistleline.transport.connection import STALL, Link
 from thistleline.transport.disconnects import ends
 from thistleline.transport.handshake import receive_hello
 
-MS = 1_000_000
-STANDSTILL = 100 * MS  # after one as long all that lies unread is read first, then the clock is heeded
-READ_FIRST = 8  # turns of the loop
-CONNECTIONS_BOUND = 1024  # past it the longest silent gives way
-OPEN_BOUND = 256  # requests of one connection that wait for an answer; past it it is not read
-OUT_BOUND = 4 << 20  # bytes that a client does not read; past it it is let go
-HELLO_SPAN = 2.0  # s
-INBOX_BOUND = 50_000
-CALLERS_BOUND = 16
-
-
-class Guest:
-    """One connection that came in."""
-
-    def __init__(self, stream: SocketStream) -> None:
-        self.stream = stream
-        self.out = bytearray()
-        self.more = anyio.Event()
-        self.open = 0
-        self.room = anyio.Event()
-        self.scope = anyio.CancelScope()
-
-    def write(self, payload: bytes) -> None:
-        self.out += sealed(payload)
-        if len(self.out) > OUT_BOUND:
-            self.scope.cancel()
-        self.more.set()
-
-
-class VoterService:
-    def __init__(self, conf: Council, log: Callable[..., None], chance: Random | None = None) -> None:
-        """Takes the folder and reads it; blocks. Raises Damaged, Held, OSError."""
-        assert conf.folder is not None
-        assert conf.listen is not None
-        assert conf.name is not None
-        self.conf, self.log, self.chance = conf, log, chance or Random(os.urandom(8))
-        self.listen: Address = conf.listen
-        disk = Disk(conf.folder, "council")
-        disk.hold()
-        self.store = CouncilStore(disk)
-        found = self.store.recover()
-        spans = Spans(conf.heartbeat, conf.election, 2 * conf.election)
-        # Its id names this disk. An empty one gets another: whatever the one before has promised is unknown.
-        id = found.base.id if found is not None else f"{conf.name}.{os.urandom(4).hex()}"
-        voter = Voter(id, Table(), boot_now(), spans, self._spread, found)
-        if found is None:
-            begin = Base(id, "", 0, "", 0, 0, (), b"")
-            self.store.write(Work(True, (begin,)))
-        self.office, self.voter = Office(voter, wall_ms), voter
-        self.inbox: list[tuple[Any, ...]] = []
-        self.woken = anyio.Event()
-        self.links: dict[str, Link] = {}
-        self.scopes: dict[str, anyio.CancelScope] = {}
-        self.guests: OrderedDict[int, Guest] = OrderedDict()
-        self.askers: OrderedDict[str, int] = OrderedDict()  # by which connection an asker was last heard
-        self.callers: dict[str, str] = {}  # the voters that spoke to it last, and where they are
-        self.count = 0
-        self.told: dict[str, str] = {}  # what was last said of a link
-
-    def _spread(self, span: int) -> int:
-        return self.chance.randrange(span)
+MILLISECOND = 1_000_000  # ns
+STANDSTILL = (
+    100 * MILLISECOND
+)  # after a pause that long all that lies unread is read before the clock is heeded
+READ_TURNS = 8  # turns of the event loop for that reading
+CONNECTIONS_BOUND = 1024  # accepted connections; past it the longest silent one is closed
+HELLO_TIMEOUT = 2.0  # s
+MAX_INBOX_EVENTS = 50_000
+MAX_ASKERS = 50_000  # clients whose connection is remembered for hints
+MAX_CALLERS = 16  # replicas whose address is remembered
+REPLICA_READ_SIZE = 1 << 18  # bytes
+CLIENT_READ_SIZE = 1 << 16  # bytes
+ORDINARY_ENDS = ("EndOfStream", "BrokenResourceError", "ClosedResourceError")
+
+
+class ClientTicket(NamedTuple):
+    """Where the answer of a request goes, and the request's number there."""
+
+    connection: InboundConnection
+    number: int
+
+
+class ReplicaService:
+    """Runs one replica with the leases on top."""
+
+    def __init__(
+        self, config: Council, log: Callable[..., None], disk: Disk, chance: Random | None = None
+    ) -> None:
+        """Recover the replica from its disk. Blocks.
+
+        Args:
+            config: Settings of the replica; folder, name and listen address are given.
+            log: Writes a line to the program's log: an event and its facts.
+            disk: The folder of the replica, held.
+            chance: Source of random pauses; by default one of its own.
+
+        Raises:
+            Damaged: The records can't be read.
+            OSError: The disk can't be read or written.
+        """
+        assert config.listen is not None
+        self.config = config
+        self.log = log
+        self.chance = chance or Random(os.urandom(8))
+        self.listen: Address = config.listen
+        self.store = ReplicaStore(disk)
+        self.replica = self._recover_replica()
+        self.server = LeaseServer(self.replica, wall_ms)
+        self.inbox: list[Event] = []
+        self.inbox_filled = anyio.Event()
+        self.links = PeerLinks(config, self.chance, log, self._own_hello)
+        self.connections: OrderedDict[int, InboundConnection] = OrderedDict()
+        self.connection_count = 0
+        self.asker_connections: OrderedDict[str, int] = OrderedDict()  # where an asker was last heard
+        self.callers: dict[str, str] = {}  # addresses of the replicas that connected last, by id
+
+    def _recover_replica(self) -> Replica:
+        """Make the replica that the disk knows.
+
+        Its id names this disk. An empty disk gets a new id: what the replica before has promised is unknown.
+        """
+        config = self.config
+        timing = RaftTiming(config.heartbeat, config.election, 2 * config.election)
+        recovered = self.store.recover()
+        if recovered is not None:
+            return Replica(recovered.snapshot.id, Table(), boot_now(), timing, self._jitter, recovered)
+        id = f"{config.name}.{os.urandom(4).hex()}"
+        replica = Replica(id, Table(), boot_now(), timing, self._jitter)
+        first_record = SnapshotRecord(
+            id=id,
+            cluster_id="",
+            term=0,
+            voted_for="",
+            last_included_index=0,
+            last_included_term=0,
+            members=(),
+            state=b"",
+        )
+        self.store.write(WriteBatch(True, (first_record,)))
+        return replica
+
+    def _jitter(self, duration: int) -> int:
+        return self.chance.randrange(duration)
+
+    # ---- the main loop
 
     async def run(self) -> None:
-        """Until SIGTERM or SIGINT. Raises OSError where it can't listen."""
+        """Serve until SIGTERM or SIGINT.
+
+        Raises:
+            OSError: The address can't be listened on.
+        """
         listener = await anyio.create_tcp_listener(local_host=self.listen[0], local_port=self.listen[1])
-        self.log("started", id=self.voter.id, council=self.voter.council, phase=self.voter.phase,
-                 last=self.voter.log.last, listen=f"{self.listen[0]}:{self.listen[1]}")  # fmt: skip
+        state = self.replica.state
+        self.log(
+            "started",
+            id=state.id,
+            council=state.cluster_id,
+            phase=state.phase.value,
+            last=state.log.last_index,
+            listen=f"{self.listen[0]}:{self.listen[1]}",
+        )
         async with anyio.create_task_group() as group:
-            self.group = group
-            group.start_soon(self._until_told, group.cancel_scope)
+            group.start_soon(self._stop_on_signal, group.cancel_scope)
             group.start_soon(listener.serve, self._serve)
             group.start_soon(self._pump, group)
 
-    async def _until_told(self, scope: anyio.CancelScope) -> None:
+    async def _stop_on_signal(self, scope: anyio.CancelScope) -> None:
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async for _ in signals:
-                self.log("ended", term=self.voter.term)
+                self.log("ended", term=self.replica.state.term)
                 scope.cancel()
                 return
 
-    def take(self, *told: Any) -> None:
-        """Past the bound what others say is lost, as the net loses some too; never what the disk says."""
-        if len(self.inbox) < INBOX_BOUND or told[0] in ("written", "unwritten"):
-            self.inbox.append(told)
-            self.woken.set()
-        elif told[0] == "asked":
-            told[1][0].open -= 1
-            told[1][0].room.set()
+    def submit(self, event: Event) -> None:
+        """Hand an event to the main loop.
+
+        Past the limit events from others are lost, as the network loses messages too; the disk's never are.
+        """
+        if len(self.inbox) < MAX_INBOX_EVENTS or isinstance(event, WriteCompleted | WriteFailed):
+            self.inbox.append(event)
+            self.inbox_filled.set()
+        elif isinstance(event, RequestReceived):
+            event.ticket.connection.finish_request()
 
     async def _pump(self, group: TaskGroup) -> None:
-        seen = boot_now()
+        """Handle events and timers, one batch a turn."""
+        last_turn = boot_now()
         while True:
             if not self.inbox:
-                self.woken = anyio.Event()
-                wait = (self.office.due() - boot_now()) / 1e9
-                with anyio.move_on_after(max(0.0, wait)):
-                    await self.woken.wait()
-            # Whoever stood still may have been spoken to meanwhile: that is read first.
-            turns = READ_FIRST if boot_now() - seen > STANDSTILL + self.conf.heartbeat else 1
-            for _ in range(turns):
-                await anyio.lowlevel.checkpoint()
-            seen = now = boot_now()
-            inputs, self.inbox = self.inbox, []
-            for effect in self.office.take(now, *inputs):
-                self._carry_out(effect)
-            if self.office.due() <= boot_now() and not self.inbox:
-                for effect in self.office.take(boot_now(), ("elapsed",)):
-                    self._carry_out(effect)
-            self._tend_links(group)
+                await self._wait_for_event()
+            await self._let_readers_run(boot_now() - last_turn)
+            last_turn = boot_now()
+            events = self.inbox
+            self.inbox = []
+            self._handle(group, last_turn, *events)
+            if self.server.next_deadline() <= boot_now() and not self.inbox:
+                self._handle(group, boot_now(), TimerFired())
+            self.links.update(group, self._wanted_peers())
+
+    async def _wait_for_event(self) -> None:
+        self.inbox_filled = anyio.Event()
+        wait_seconds = (self.server.next_deadline() - boot_now()) / 1e9
+        with anyio.move_on_after(max(0.0, wait_seconds)):
+            await self.inbox_filled.wait()
+
+    async def _let_readers_run(self, pause: int) -> None:
+        """Let the connections' tasks run; longer after a standstill, as messages may wait to be read."""
+        turns = READ_TURNS if pause > STANDSTILL + self.config.heartbeat else 1
+        for _ in range(turns):
+            await anyio.lowlevel.checkpoint()
+
+    def _handle(self, group: TaskGroup, now: int, *events: Event) -> None:
+        for effect in self.server.handle(now, *events):
+            self._carry_out(group, effect)
 
     # ---- effects
 
-    def _carry_out(self, effect: tuple[Any, ...]) -> None:
-        kind = effect[0]
-        if kind == "send":
-            link = self.links.get(effect[1])
-            if link is not None:
-                message = effect[2]
-                link.send(encode(message), isinstance(message, Append) and not message.entries)
-        elif kind == "write":
-            self.group.start_soon(self._write, effect[1])
-        elif kind == "answer":
-            guest, number = effect[1]
-            guest.open -= 1
-            guest.room.set()
-            guest.write(encode(Reply(number, effect[2])))
-        elif kind == "hint":
-            known = self.guests.get(self.askers.get(effect[2], -1))
-            if known is not None:
-                known.write(encode(Hint(effect[1], effect[2])))
-        elif kind == "log":
-            self.log(effect[1], **effect[2])
-        elif kind == "led":
-            self.log("led", by=effect[1], term=self.voter.term)
-
-    async def _write(self, work: Work) -> None:
+    def _carry_out(self, group: TaskGroup, effect: Effect) -> None:
+        match effect:
+            case SendMessage(to, message):
+                self.links.send(to, message)
+            case WriteRecords(batch):
+                group.start_soon(self._write, batch)
+            case SendAnswer(ticket, answer):
+                ticket.connection.finish_request()
+                ticket.connection.write(encode(Reply(ticket.number, answer)))
+            case NotifyHolder(name, asker):
+                self._notify_holder(name, asker)
+            case LogEvent(event, facts):
+                self.log(event, **facts)
+            case LeaderChanged(leader):
+                self.log("led", by=leader, term=self.replica.state.term)
+
+    def _notify_holder(self, name: str, asker: str) -> None:
+        connection = self.connections.get(self.asker_connections.get(asker, -1))
+        if connection is not None:
+            connection.write(encode(Hint(name, asker)))
+
+    async def _write(self, batch: WriteBatch) -> None:
         try:
-            await anyio.to_thread.run_sync(self.store.write, work)
-        except Exception as error:  # whatever a disk brings, the voter hears of it
-            self.take("unwritten", getattr(error, "strerror", None) or f"{type(error).__name__}: {error}")
+            await anyio.to_thread.run_sync(self.store.write, batch)
+        except Exception as error:  # whatever a disk brings, the replica learns of it
+            reason = getattr(error, "strerror", None) or f"{type(error).__name__}: {error}"
+            self.submit(WriteFailed(reason))
         else:
-            self.take("written")
+            self.submit(WriteCompleted())
 
-    def _tend_links(self, group: TaskGroup) -> None:
-        """One to each other voter, and to one that is to be added."""
-        wanted = {one.id: one.address for one in self.voter.members if one.id != self.voter.id}
-        if self.voter.phase == "unformed":
+    def _wanted_peers(self) -> dict[str, str]:
+        """Return the addresses, by id, of the replicas to keep a link to."""
+        state = self.replica.state
+        wanted = {member.id: member.address for member in state.members if member.id != state.id}
+        if state.phase is Phase.UNFORMED:
             wanted |= self.callers
-        elif self.voter.leader in self.callers:
-            # Guards one that was given an old state: the members in it may not know who leads now, and a
-            # leader that is not answered never lets it catch up.
-            wanted.setdefault(self.voter.leader, self.callers[self.voter.leader])
-            wanted.pop(self.voter.id, None)
-        joining = self.voter.joining
-        if joining is not None:
-            wanted[joining.member.id] = joining.member.address
-        if wanted.keys() == self.links.keys():
-            return
-        for id in self.links.keys() - wanted.keys():
-            self.scopes.pop(id).cancel()
-            del self.links[id]
-        for id in wanted.keys() - self.links.keys():
-            name = id.partition(".")[0]
-            try:
-                address = self.conf.via.get(name) or read_address(wanted[id])
-            except ValueError as error:
-                self.log("link", to=id, why=str(error))
-                continue
-            self.links[id] = Link(address, partial(self._greet, id), self.chance, partial(self._of_link, id))
-            self.scopes[id] = anyio.CancelScope()
-            group.start_soon(self._hold, self.links[id], self.scopes[id])
-
-    async def _hold(self, link: Link, scope: anyio.CancelScope) -> None:
-        with scope:
-            await link.hold()
-
-    def _of_link(self, id: str, why: str) -> None:
-        if self.told.get(id) != why:
-            self.told[id] = why
-            self.log("link", to=id, why=why)
-
-    async def _greet(self, id: str, stream: ByteStream) -> None:
-        await stream.send(sealed(encode(self._own_hello())))
-        there = await receive_hello(stream)
-        common_form(self._own_hello(), there)
-        if there.id != id:
-            raise Unreadable(f"{there.id} is there, not {id}")
-        self._of_link(id, "up")
+        elif state.leader in self.callers:
+            # A replica with an old state may not have its leader among its members. Without a link back it
+            # could not answer, and the leader would never let it catch up.
+            wanted.setdefault(state.leader, self.callers[state.leader])
+            wanted.pop(state.id, None)
+        if state.joining is not None:
+            wanted[state.joining.member.id] = state.joining.member.address
+        return wanted
+
+    # ---- accepted connections
 
     def _own_hello(self) -> Hello:
         host, port = self.listen
-        return Hello("voter", self.voter.id, self.voter.council, f"[{host}]:{port}")
-
-    # ---- who comes
+        state = self.replica.state
+        return Hello("voter", state.id, state.cluster_id, f"[{host}]:{port}")
 
     async def _serve(self, stream: SocketStream) -> None:
-        self.count += 1
-        name, guest = self.count, Guest(stream)
-        self.guests[name] = guest
-        if len(self.guests) > CONNECTIONS_BOUND:
-            next(iter(self.guests.values())).scope.cancel()
+        self.connection_count += 1
+        number = self.connection_count
+        connection = InboundConnection(stream)
+        self.connections[number] = connection
+        if len(self.connections) > CONNECTIONS_BOUND:
+            next(iter(self.connections.values())).scope.cancel()
         try:
-            with guest.scope, ends(partial(self._of_guest, name)):
+            with connection.scope, ends(self._log_end):
                 async with stream:
-                    with anyio.fail_after(HELLO_SPAN):
-                        hello = await receive_hello(stream)
-                    common_form(self._own_hello(), hello)
-                    await stream.send(sealed(encode(self._own_hello())))
-                    if hello.kind == "voter":
-                        await self._hear(stream, hello)
-                    elif hello.kind == "client":
-                        await self._answer(name, guest)
-                    else:
-                        raise Unreadable(f"a {hello.kind} has no business here")
+                    await self._serve_peer(number, connection)
         finally:
-            self.guests.pop(name, None)
+            self.connections.pop(number, None)
+
+    async def _serve_peer(self, number: int, connection: InboundConnection) -> None:
+        """Exchange Hellos, then serve a replica or a client."""
+        stream = connection.stream
+        with anyio.fail_after(HELLO_TIMEOUT):
+            hello = await receive_hello(stream)
+        common_form(self._own_hello(), hello)
+        await stream.send(sealed(encode(self._own_hello())))
+        if hello.kind == "voter":
+            await self._receive_messages(stream, hello)
+        elif hello.kind == "client":
+            await self._receive_requests(number, connection)
+        else:
+            raise Unreadable(f"a {hello.kind} has no business here")
 
-    def _of_guest(self, name: int, why: str) -> None:
-        if why not in ("EndOfStream", "BrokenResourceError", "ClosedResourceError"):
-            self._of_link("who came", why)
+    def _log_end(self, why: str) -> None:
+        if why not in ORDINARY_ENDS:
+            self.links.log_state("who came", why)
 
-    async def _hear(self, stream: SocketStream, hello: Hello) -> None:
-        """A voter's messages. One of another council is not heard; an empty one may be spoken to by any."""
+    async def _receive_messages(self, stream: SocketStream, hello: Hello) -> None:
+        """Receive a replica's messages.
+
+        Raises:
+            Unreadable: It is of another cluster; an empty replica is spoken to by any.
+        """
         if hello.address:
-            self.callers.pop(hello.id, None)
-            self.callers[hello.id] = hello.address
-            while len(self.callers) > CALLERS_BOUND:
-                del self.callers[next(iter(self.callers))]
-            self.woken.set()
+            self._remember_caller(hello)
         unpacker = Unpacker(VOTER_BOUND)
         while True:
-            for payload in unpacker.take(await stream.receive(1 << 18)):
-                own = self.voter.council
-                if own and hello.council not in (own, ""):
+            for payload in unpacker.take(await stream.receive(REPLICA_READ_SIZE)):
+                cluster_id = self.replica.state.cluster_id
+                if cluster_id and hello.council not in (cluster_id, ""):
                     raise Unreadable(f"{hello.id} is of another council")
-                self.take("heard", hello.id, decode_voter(payload))
+                self.submit(MessageReceived(hello.id, decode_voter(payload)))
+
+    def _remember_caller(self, hello: Hello) -> None:
+        self.callers.pop(hello.id, None)
+        self.callers[hello.id] = hello.address
+        while len(self.callers) > MAX_CALLERS:
+            del self.callers[next(iter(self.callers))]
+        self.inbox_filled.set()
 
-    async def _answer(self, name: int, guest: Guest) -> None:
+    async def _receive_requests(self, number: int, connection: InboundConnection) -> None:
+        """Receive a client's requests and send it the answers."""
         unpacker = Unpacker(CLIENT_BOUND)
         async with anyio.create_task_group() as group:
-            group.start_soon(self._write_out, guest)
+            group.start_soon(connection.send_output)
             while True:
-                for payload in unpacker.take(await guest.stream.receive(1 << 16)):
+                for payload in unpacker.take(await connection.stream.receive(CLIENT_READ_SIZE)):
                     request = decode_request(payload)
-                    while guest.open >= OPEN_BOUND:
-                        guest.room = anyio.Event()
-                        await guest.room.wait()
-                    guest.open += 1
-                    self._remember(name, request.op)
-                    self.take("asked", (guest, request.number), request.op)
-                self.guests.move_to_end(name)
-
-    def _remember(self, name: int, op: Any) -> None:
-        asker = getattr(op, "asker", "") or (op.names[0][1] if getattr(op, "names", ()) else "")
-        if asker:
-            self.askers[asker] = name
-            self.askers.move_to_end(asker)
-            if len(self.askers) > INBOX_BOUND:
-                self.askers.popitem(last=False)
+                    await connection.begin_request()
+                    self._remember_asker(number, request.op)
+                    self.submit(RequestReceived(ClientTicket(connection, request.number), request.op))
+                self.connections.move_to_end(number)
 
-    async def _write_out(self, guest: Guest) -> None:
-        while True:
-            while guest.out:
-                data, guest.out = bytes(guest.out), bytearray()
-                with anyio.fail_after(STALL):
-                    await guest.stream.send(data)
-            guest.more = anyio.Event()
-            await guest.more.wait()
-
-
-def run(conf: Council, log: Callable[..., None]) -> None:
-    with suppress(KeyboardInterrupt):
-        anyio.run(VoterService(conf, log).run)
+    def _remember_asker(self, number: int, op: Op) -> None:
+        asker = _asker_of(op)
+        if asker:
+            self.asker_connections[asker] = number
+            self.asker_connections.move_to_end(asker)
+            if len(self.asker_connections) > MAX_ASKERS:
+                self.asker_connections.popitem(last=False)
+
+
+def _asker_of(op: Any) -> str:
+    """Return who asks, where a request says so."""
+    names = getattr(op, "names", ())
+    return getattr(op, "asker", "") or (names[0][1] if names else "")
+
+
+@contextmanager
+def _held_disk(folder: Path) -> Iterator[Disk]:
+    """Hold the replica's folder.
+
+    Raises:
+        Held: Another program has it.
+        OSError: It can't be made or locked.
+    """
+    disk = Disk(folder, "council")
+    disk.hold()
+    try:
+        yield disk
+    finally:
+        disk.release()
+
+
+def run(config: Council, log: Callable[..., None]) -> None:
+    """Run a replica until SIGTERM or SIGINT.
+
+    Raises:
+        Damaged: The records can't be read.
+        Held: Another program has the folder.
+        OSError: The disk can't be read or written, or the address can't be listened on.
+    """
+    assert config.folder is not None
+    with suppress(KeyboardInterrupt), _held_disk(config.folder) as disk:
+        anyio.run(ReplicaService(config, log, disk).run)
--- a/thistleline/lease/table.py
+++ b/thistleline/lease/table.py
@@ -105,7 +105,7 @@
         made.changed = dict(self.changed)
         return made
 
-    def frozen(self) -> Any:
+    def state_key(self) -> Any:
         state = self.state
         leases = tuple(
             (name, one.holder, one.epoch, one.length, one.touched, tuple(one.line))
--- a/thistleline/lease/wire.py
+++ b/thistleline/lease/wire.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from thistleline.consensus.messages import Append, Appended, Ask, Install, Vote
+from thistleline.consensus.messages import Message
 from thistleline.lease.protocol import Answer, Op
 
 
@@ -24,6 +24,6 @@
 
 
 encode = msgspec.msgpack.Encoder().encode
-decode_voter = msgspec.msgpack.Decoder(Ask | Vote | Append | Install | Appended).decode
+decode_voter = msgspec.msgpack.Decoder(Message).decode
 decode_request = msgspec.msgpack.Decoder(Request).decode
 decode_reply = msgspec.msgpack.Decoder(Reply | Hint).decode
