--- a/thistleline/consensus/elections.py
+++ b/thistleline/consensus/elections.py
@@ -65,7 +65,7 @@
         return VoteRequest(term, log.last_index, log.last_term, pre_vote)
 
     def count_response(self, sender: str, response: VoteResponse) -> bool:
-        """Count a granted (pre-)vote of the election under way; return whether it wins the election."""
+        """Count a granted (pre-)vote of the current election; return whether it wins the election."""
         state = self.state
         if not response.granted:
             return False
@@ -88,14 +88,14 @@
     # ---- as a voter
 
     def follows_leader(self) -> bool:
-        """Return whether this replica leads, or has heard of its leader within the election timeout.
+        """Return whether this replica leads, or had contact to its leader within the election timeout.
 
         Such a replica grants no votes, which protects a leader from a replica that it alone does not reach.
         """
         state = self.state
         if state.phase is Phase.LEADER:
             return True
-        return bool(state.leader) and state.now - state.leader_heard_at < state.timing.election_timeout
+        return bool(state.leader) and state.now - state.leader_contact_at < state.timing.election_timeout
 
     def answer_pre_vote(self, candidate: str, request: VoteRequest) -> None:
         """Tell whether a vote would be granted."""
--- a/thistleline/consensus/membership.py
+++ b/thistleline/consensus/membership.py
@@ -26,7 +26,7 @@
     __slots__ = ("change_ticket", "replication", "state")
 
     def __init__(self, state: ReplicaState, replication: Replication) -> None:
-        """Create it without a change under way."""
+        """Create it without a pending change."""
         self.state = state
         self.replication = replication
         self.change_ticket: Any = None
@@ -38,7 +38,7 @@
         return copied
 
     def clear(self) -> list[Any]:
-        """Give up the change under way and return the tickets that wait for it."""
+        """Give up the pending change and return the tickets that wait for it."""
         tickets = []
         if self.state.joining is not None:
             tickets.append(self.state.joining.ticket)
--- a/thistleline/consensus/reads.py
+++ b/thistleline/consensus/reads.py
@@ -20,13 +20,13 @@
 
 
 class Reads:
-    """Groups reads into heartbeat rounds, one round under way at a time.
+    """Groups reads into heartbeat rounds, one outstanding round at a time.
 
     Attributes:
         state: State of the replica.
         replication: Sends the rounds.
         waiting: Reads for the next round.
-        in_round: Reads of the round under way, or of a confirmed one whose index is not applied yet.
+        in_round: Reads of the outstanding round, or of a confirmed one whose index is not applied yet.
     """
 
     __slots__ = ("in_round", "replication", "state", "waiting")
@@ -75,7 +75,7 @@
         self.answer()  # a single member is its own majority
 
     def answer(self) -> None:
-        """Answer the reads of the round under way, if it is confirmed, as far as their index is applied."""
+        """Answer the reads of the outstanding round, if it is confirmed, as far as their index is applied."""
         if not self.in_round:
             return
         state = self.state
--- a/thistleline/consensus/replay.py
+++ b/thistleline/consensus/replay.py
@@ -1,15 +1,12 @@
 """Replaying a replica's records, one after another, into the state they stand for. No I/O."""
 
 from collections.abc import Mapping
-from types import MappingProxyType
 
 from thistleline.consensus.log import Log
 from thistleline.consensus.records import EntriesRecord, Record, SnapshotRecord, VoteRecord
-from thistleline.consensus.state import RecoveredState
+from thistleline.consensus.state import NO_NAMES, RecoveredState
 from thistleline.store.frames import Damaged
 
-NO_NAMES: Mapping[str, str] = MappingProxyType({})
-
 
 class Replay:
     """What the records of one segment say so far."""
--- a/thistleline/consensus/replica.py
+++ b/thistleline/consensus/replica.py
@@ -13,7 +13,6 @@
 """
 
 from collections.abc import Callable, Mapping
-from types import MappingProxyType
 from typing import Any, assert_never
 
 from thistleline.consensus import follower, persistence
@@ -51,10 +50,16 @@
 from thistleline.consensus.reads import Reads
 from thistleline.consensus.records import VoteRecord
 from thistleline.consensus.replication import Replication
-from thistleline.consensus.state import Phase, RaftTiming, RecoveredState, ReplicaState, StateMachine
+from thistleline.consensus.state import (
+    NO_NAMES,
+    Phase,
+    RaftTiming,
+    RecoveredState,
+    ReplicaState,
+    StateMachine,
+)
 
 MAX_PENDING_REQUESTS = 20_000  # proposals and reads without an answer; past it new ones are refused
-NO_NAMES: Mapping[str, str] = MappingProxyType({})
 
 
 class Replica:
@@ -187,7 +192,7 @@
             self.state.refuse(ticket, "it leads no more", leader)
 
     def _adopt_term(self, term: int) -> None:
-        """Enter a later term that another replica has told of."""
+        """Enter a later term that another replica is in."""
         self.state.record_vote(term, "")
         if self.state.phase is not Phase.UNFORMED:
             self._become_follower("")
@@ -203,7 +208,7 @@
         self._replication.send_heartbeats()
 
     def _form_cluster(self, cluster_id: str, members: Members) -> None:
-        """Become a first member. All first members are told the same, once, by an operator."""
+        """Become a first member. An operator gives all first members the same list, once."""
         state = self.state
         named = any(member.id == state.id for member in members)
         if state.phase is not Phase.UNFORMED or state.log.last_index or not named:
@@ -234,7 +239,7 @@
         if state.now >= self._replication.heartbeat_deadline:
             self._replication.send_heartbeats()
         self._membership.expire_join()
-        recent = self._replication.heard_since(state.timing.quorum_timeout)
+        recent = self._replication.recent_contacts(state.timing.quorum_timeout)
         if not state.has_majority(recent | {state.id}):
             state.log_event("quorum lost", term=state.term)
             self._become_follower("")
@@ -363,7 +368,7 @@
         follows_sender = state.phase is Phase.FOLLOWER and state.leader == sender
         if state.phase is not Phase.UNFORMED and not follows_sender:
             self._become_follower(sender)
-        state.leader_heard_at = state.now
+        state.leader_contact_at = state.now
         state.restart_election_timer()
         if isinstance(message, InstallSnapshot):
             response = follower.accept_snapshot(state, sender, message)
--- a/thistleline/consensus/replication.py
+++ b/thistleline/consensus/replication.py
@@ -21,17 +21,17 @@
         next_index: Index of the next entry to send.
         match_index: Highest index where the peer's log is known to match and to be durable.
         confirmed_round: Newest heartbeat round that the peer has confirmed.
-        heard_at: When the peer last answered, in ns; None if it has not since it began to join.
+        last_contact_at: When the peer last answered, in ns; None if it has not since it began to join.
     """
 
     next_index: int
     match_index: int
     confirmed_round: int
-    heard_at: int | None
+    last_contact_at: int | None
 
     def copy(self) -> "PeerProgress":
         """Return an independent copy."""
-        return PeerProgress(self.next_index, self.match_index, self.confirmed_round, self.heard_at)
+        return PeerProgress(self.next_index, self.match_index, self.confirmed_round, self.last_contact_at)
 
 
 class Replication:
@@ -68,7 +68,7 @@
     def state_key(self, names: Mapping[str, str]) -> tuple[object, ...]:
         """Return a hashable value of all that behaviour depends on, with replicas renamed by `names`."""
         peers = frozenset(
-            (names.get(id, id), one.next_index, one.match_index, one.confirmed_round, one.heard_at)
+            (names.get(id, id), one.next_index, one.match_index, one.confirmed_round, one.last_contact_at)
             for id, one in self.peers.items()
         )
         return peers, self.heartbeat_deadline, self.round
@@ -83,7 +83,7 @@
         return ids
 
     def reset_peers(self) -> None:
-        """Begin to lead: assume that all peers have the whole log, and were just heard of."""
+        """Begin to lead: assume that all peers have the whole log, and had contact just now."""
         state = self.state
         next_index = state.log.last_index + 1
         self.peers = {id: PeerProgress(next_index, 0, 0, state.now) for id in self.peer_ids()}
@@ -92,8 +92,8 @@
     def begin_join(self, peer: str) -> None:
         """Begin to send the log to a replica that joins."""
         known = self.peers.get(peer)
-        heard_at = known.heard_at if known is not None else None
-        self.peers[peer] = PeerProgress(self.state.log.last_index + 1, 0, 0, heard_at)
+        last_contact_at = known.last_contact_at if known is not None else None
+        self.peers[peer] = PeerProgress(self.state.log.last_index + 1, 0, 0, last_contact_at)
         self.send_entries(peer, heartbeat=True)
 
     def add_missing_peers(self) -> None:
@@ -103,8 +103,8 @@
             progress = self.peers.get(peer)
             if progress is None:
                 self.peers[peer] = PeerProgress(state.log.last_index, 0, 0, state.now)
-            elif progress.heard_at is None:
-                progress.heard_at = state.now
+            elif progress.last_contact_at is None:
+                progress.last_contact_at = state.now
 
     def drop_removed_peers(self) -> None:
         """Forget peers that are members no more, after a last message that tells them so."""
@@ -112,13 +112,13 @@
             self.send_entries(peer, heartbeat=True)
             del self.peers[peer]
 
-    def heard_since(self, quorum_timeout: int) -> set[str]:
+    def recent_contacts(self, quorum_timeout: int) -> set[str]:
         """Return the peers that answered within the last `quorum_timeout` ns."""
         now = self.state.now
         return {
             id
             for id, progress in self.peers.items()
-            if progress.heard_at is not None and now - progress.heard_at < quorum_timeout
+            if progress.last_contact_at is not None and now - progress.last_contact_at < quorum_timeout
         }
 
     def confirmed_since(self, round: int) -> set[str]:
@@ -189,7 +189,7 @@
     def record_response(self, sender: str, response: AppendResponse) -> None:
         """Update what is known of a peer by its answer."""
         progress = self.peers[sender]
-        progress.heard_at = self.state.now
+        progress.last_contact_at = self.state.now
         progress.confirmed_round = max(progress.confirmed_round, response.round)
         if response.success:
             progress.match_index = max(progress.match_index, response.index)
--- a/thistleline/consensus/state.py
+++ b/thistleline/consensus/state.py
@@ -2,6 +2,7 @@
 
 from collections.abc import Callable, Mapping
 from enum import StrEnum
+from types import MappingProxyType
 from typing import Any, NamedTuple, Protocol
 
 from thistleline.consensus.effects import Effect, LogEvent, RequestRefused, SendMessage
@@ -10,6 +11,8 @@
 from thistleline.consensus.records import Record, SnapshotRecord, VoteRecord
 from thistleline.consensus.write_queue import WriteQueue
 
+NO_NAMES: Mapping[str, str] = MappingProxyType({})  # replicas keep their own names in a state key
+
 
 class Phase(StrEnum):
     """Role of a replica. The values go over the wire and into logs."""
@@ -47,7 +50,7 @@
         heartbeat_interval: Time between two heartbeats of a leader.
         election_timeout: Without a leader for that long, and up to as much again by chance, a replica
             starts an election.
-        quorum_timeout: A leader that has not heard of a majority for that long steps down.
+        quorum_timeout: A leader without contact to a majority for that long steps down.
     """
 
     heartbeat_interval: int
@@ -91,8 +94,8 @@
         last_applied: Highest log index applied to the state machine.
         durable_index: Highest log index that is durable here.
         leader: Id of the leader; empty if none is known.
-        leader_heard_at: When a leader was last heard of, in ns.
-        election_deadline: When the next election starts unless a leader is heard of, in ns.
+        leader_contact_at: When a leader's last message came, in ns.
+        election_deadline: When the next election starts unless a leader's message comes, in ns.
         joining: The replica that is about to become a member; of a leader only.
         writes: Records and effects that wait for the disk.
     """
@@ -108,7 +111,7 @@
         "joining",
         "last_applied",
         "leader",
-        "leader_heard_at",
+        "leader_contact_at",
         "log",
         "machine",
         "now",
@@ -140,7 +143,7 @@
         self.last_applied = 0
         self.durable_index = 0
         self.leader = ""
-        self.leader_heard_at = now - timing.election_timeout
+        self.leader_contact_at = now - timing.election_timeout
         self.election_deadline = 0
         self.joining: JoiningMember | None = None
         self.writes = WriteQueue()
@@ -226,25 +229,11 @@
     def copy(self) -> "ReplicaState":
         """Return an independent copy."""
         copied = ReplicaState.__new__(ReplicaState)
-        copied.id = self.id
-        copied.cluster_id = self.cluster_id
+        for name in self.__slots__:
+            setattr(copied, name, getattr(self, name))
         copied.machine = self.machine.copy()
-        copied.timing = self.timing
-        copied.jitter = self.jitter
-        copied.now = self.now
         copied.effects = self.effects.copy()
-        copied.phase = self.phase
-        copied.term = self.term
-        copied.voted_for = self.voted_for
         copied.log = self.log.copy()
-        copied.snapshot = self.snapshot
-        copied.commit_index = self.commit_index
-        copied.last_applied = self.last_applied
-        copied.durable_index = self.durable_index
-        copied.leader = self.leader
-        copied.leader_heard_at = self.leader_heard_at
-        copied.election_deadline = self.election_deadline
-        copied.joining = self.joining
         copied.writes = self.writes.copy()
         return copied
 
@@ -259,7 +248,7 @@
             self.commit_index,
             self.last_applied,
             names.get(self.leader, self.leader),
-            self.leader_heard_at,
+            self.leader_contact_at,
             self.election_deadline,
             self.joining,
             self.durable_index,
--- a/thistleline/consensus/store.py
+++ b/thistleline/consensus/store.py
@@ -5,10 +5,10 @@
     number u64 of the write, part u16, parts u16, then bytes; together msgpack of its records
 
 Each frame is written twice. A write goes out only once the one before is durable, so a crash can tear the
-last one alone, and nobody was told of that one. But a flipped bit in the last one would look like a tear, and
-a vote or an entry that others count on would be gone: the second copy stands in for it. Where both copies are
-gone in the middle, or a number is missing, the segment is damaged, and the replica must not go on as who it
-was.
+last one alone, and nothing was sent that relies on it. But a flipped bit in the last one would look like a
+tear, and a vote or an entry that others count on would be gone: the second copy stands in for it. Where both
+copies are gone in the middle, or a number is missing, the segment is damaged, and the replica must not go on
+as who it was.
 """
 
 import struct
--- a/thistleline/consensus/write_queue.py
+++ b/thistleline/consensus/write_queue.py
@@ -114,15 +114,10 @@
     def copy(self) -> "WriteQueue":
         """Return an independent copy."""
         copied = WriteQueue.__new__(WriteQueue)
-        copied.noted = self.noted
-        copied.saved = self.saved
+        for name in self.__slots__:
+            setattr(copied, name, getattr(self, name))
         copied.pending = self.pending.copy()
-        copied.in_flight = self.in_flight
         copied.deferred = self.deferred.copy()
-        copied.failing = self.failing
-        copied.retry_at = self.retry_at
-        copied.retry_wait = self.retry_wait
-        copied.new_segment = self.new_segment
         return copied
 
     def state_key(self) -> tuple[object, ...]:
--- a/thistleline/lease/server.py
+++ b/thistleline/lease/server.py
@@ -4,7 +4,6 @@
 """
 
 from collections.abc import Callable, Mapping
-from types import MappingProxyType
 from typing import Any, NamedTuple
 
 import msgspec
@@ -19,7 +18,7 @@
 from thistleline.consensus.events import ChangeMembership, FormCluster, Propose, RequestRead
 from thistleline.consensus.messages import Member
 from thistleline.consensus.replica import Replica
-from thistleline.consensus.state import Phase
+from thistleline.consensus.state import NO_NAMES, Phase
 from thistleline.lease.effects import Effect, NotifyHolder, SendAnswer
 from thistleline.lease.events import Event, RequestReceived
 from thistleline.lease.liveness import Watch
@@ -45,7 +44,6 @@
 from thistleline.lease.table import Table, data_of, fault
 
 MAX_LISTED_NAMES = 1000  # of one answer
-NO_NAMES: Mapping[str, str] = MappingProxyType({})
 
 
 class PendingRequest(NamedTuple):
@@ -58,13 +56,13 @@
 class LeaseServer:
     """Answers clients' requests by what the replica commits.
 
-    What the leader proposes by itself, as somebody was not heard of, has the ticket None.
+    What the leader proposes by itself, to expire a lease, has the ticket None.
 
     Attributes:
         replica: The consensus replica.
         table: The replica's state machine.
         wall_clock: Returns the wall clock in ms; only for people to read.
-        liveness: The leader's record of who is still heard of.
+        liveness: The leader's record of which holders and waiters still renew.
     """
 
     __slots__ = ("_commands", "_questions", "liveness", "replica", "table", "wall_clock")
@@ -129,7 +127,7 @@
             self._drive_replica(now, RequestRead(tickets), effects)
 
     def _propose_expired(self, now: int, effects: list[Effect]) -> None:
-        """Propose the end of what nobody was heard of for."""
+        """Propose to expire leases and waits that were not renewed."""
         expired = self.liveness.over(now, self.wall_clock(), self.table)
         if expired:
             proposals = tuple((None, data_of(decision)) for decision in expired)
@@ -212,12 +210,12 @@
         """Hand an event to the replica; turn what it says of requests into answers, pass on the rest."""
         for effect in self.replica.handle(now, event):
             match effect:
-                case ProposalApplied(ticket, answer):
-                    if ticket is not None:
-                        told = Done(answer) if isinstance(answer, str) else answer
-                        effects.append(SendAnswer(ticket.ticket, told))
                 case ReadReady(ticket):
                     effects.append(SendAnswer(ticket.ticket, self._answer_question(ticket.op)))
+                case ProposalApplied(ticket, answer):
+                    if ticket is not None:
+                        reply = Done(answer) if isinstance(answer, str) else answer
+                        effects.append(SendAnswer(ticket.ticket, reply))
                 case RequestRefused(ticket, reason, leader):
                     if ticket is not None:
                         effects.append(SendAnswer(ticket.ticket, Elsewhere(reason, leader)))
--- a/thistleline/lease/service.py
+++ b/thistleline/lease/service.py
@@ -96,7 +96,7 @@
         self.links = PeerLinks(config, self.chance, log, self._own_hello)
         self.connections: OrderedDict[int, InboundConnection] = OrderedDict()
         self.connection_count = 0
-        self.asker_connections: OrderedDict[str, int] = OrderedDict()  # where an asker was last heard
+        self.asker_connections: OrderedDict[str, int] = OrderedDict()  # of each asker's last request
         self.callers: dict[str, str] = {}  # addresses of the replicas that connected last, by id
 
     def _recover_replica(self) -> Replica:
