--- a/thistleline/consensus/replay.py
+++ b/thistleline/consensus/replay.py
@@ -5,7 +5,7 @@
 from thistleline.consensus.log import Log
 from thistleline.consensus.records import EntriesRecord, Record, SnapshotRecord, VoteRecord
 from thistleline.consensus.state import NO_NAMES, RecoveredState
-from thistleline.store.frames import Damaged
+from thistleline.store.frames import CorruptFrameError
 
 
 class Replay:
@@ -23,7 +23,7 @@
         """Apply the next record.
 
         Raises:
-            Damaged: The records can't follow each other.
+            CorruptFrameError: The records can't follow each other.
         """
         match record:
             case SnapshotRecord():
@@ -31,7 +31,7 @@
                 self.vote = VoteRecord(record.term, record.voted_for)
                 self.log = Log(record.last_included_index, record.last_included_term, record.members)
             case _ if self.snapshot is None:
-                raise Damaged("it does not begin with a base")
+                raise CorruptFrameError("it does not begin with a base")
             case VoteRecord():
                 self.vote = record
             case EntriesRecord():
@@ -40,7 +40,7 @@
     def _apply_entries(self, record: EntriesRecord) -> None:
         log = self.log
         if not log.snapshot_index < record.first_index <= log.last_index + 1:
-            raise Damaged(f"its log ends at {log.last_index} and goes on at {record.first_index}")
+            raise CorruptFrameError(f"its log ends at {log.last_index} and goes on at {record.first_index}")
         log.truncate(record.first_index)
         for entry in record.entries:
             log.append(entry)
--- a/thistleline/consensus/store.py
+++ b/thistleline/consensus/store.py
@@ -19,7 +19,7 @@
 from thistleline.consensus.replay import Replay
 from thistleline.consensus.state import RecoveredState
 from thistleline.store.disk import Disk
-from thistleline.store.frames import Damaged, frames, seal
+from thistleline.store.frames import CorruptFrameError, encode_checksum_frame, scan_frames
 
 MAGIC = b"TLCOUNCL"
 FORMAT = 1
@@ -61,7 +61,7 @@
         parts = max(1, -(-len(data) // MAX_PART_SIZE))
         for part in range(parts):
             share = data[part * MAX_PART_SIZE : (part + 1) * MAX_PART_SIZE]
-            self.disk.append(2 * seal(_PART.pack(self.number, part, parts) + share))
+            self.disk.append(2 * encode_checksum_frame(_PART.pack(self.number, part, parts) + share))
         self.disk.sync()
         if batch.new_segment:
             self.disk.sync_folder()
@@ -87,7 +87,7 @@
         """Read the newest whole segment; None on an empty disk. Blocks.
 
         Raises:
-            Damaged: No segment can be read, or the newest has a gap.
+            CorruptFrameError: No segment can be read, or the newest has a gap.
             OSError: The disk can't be read.
         """
         segments = [number for number, _ in self.disk.segments()]
@@ -98,7 +98,7 @@
             if replay is not None:
                 return replay.recovered_state()
         if segments:
-            raise Damaged(f"no segment in {self.disk.folder} has a beginning that can be read")
+            raise CorruptFrameError(f"no segment in {self.disk.folder} has a beginning that can be read")
         return None
 
     def _replay_segment(self, number: int) -> Replay | None:
@@ -109,16 +109,16 @@
             return None
         magic, version = _HEAD.unpack_from(data)
         if magic != MAGIC or version != FORMAT:
-            raise Damaged(f"{name}: it is no council's segment of form {FORMAT}")
+            raise CorruptFrameError(f"{name}: it is no council's segment of form {FORMAT}")
         reader = _WriteReader(name)
         unreadable = False
-        for _, payload, end in frames(data, _HEAD.size, _PART.size):
+        for _, payload, end in scan_frames(data, _HEAD.size, _PART.size):
             if payload is not None:
                 reader.add_frame(payload)
             elif end < len(data):
                 unreadable = True
         if reader.writes == 0 and unreadable:
-            raise Damaged(f"{name}: its first write can't be read")
+            raise CorruptFrameError(f"{name}: its first write can't be read")
         return reader.replay if reader.writes else None
 
 
@@ -141,7 +141,7 @@
             if self.next_part == parts:
                 self._finish_write()
         elif write > self.writes + 1 or (write == self.writes + 1 and part > self.next_part):
-            raise Damaged(f"{self.name}: write {self.writes + 1} can't be read, and later ones can")
+            raise CorruptFrameError(f"{self.name}: write {self.writes + 1} can't be read, and later ones can")
 
     def _finish_write(self) -> None:
         for record in _decode(bytes(self.share)):
--- a/thistleline/lease/inbound.py
+++ b/thistleline/lease/inbound.py
@@ -3,8 +3,8 @@
 import anyio
 from anyio.abc import SocketStream
 
-from thistleline.transport.codec import sealed
-from thistleline.transport.connection import STALL
+from thistleline.transport.codec import encode_frame
+from thistleline.transport.connection import SEND_TIMEOUT
 
 MAX_OPEN_REQUESTS = 256  # of one connection without an answer; past it the connection is not read
 MAX_OUTPUT_SIZE = 4 << 20  # bytes that a client does not read; past it the connection is closed
@@ -29,7 +29,7 @@
 
     def write(self, payload: bytes) -> None:
         """Queue a message; a connection with too much output is closed."""
-        self._output += sealed(payload)
+        self._output += encode_frame(payload)
         if len(self._output) > MAX_OUTPUT_SIZE:
             self.scope.cancel()
         self._output_added.set()
@@ -44,7 +44,7 @@
             while self._output:
                 data = bytes(self._output)
                 self._output = bytearray()
-                with anyio.fail_after(STALL):
+                with anyio.fail_after(SEND_TIMEOUT):
                     await self.stream.send(data)
             self._output_added = anyio.Event()
             await self._output_added.wait()
--- a/thistleline/lease/peer_links.py
+++ b/thistleline/lease/peer_links.py
@@ -10,9 +10,9 @@
 from thistleline.config.schema import Council
 from thistleline.consensus.messages import AppendRequest, Message
 from thistleline.lease.wire import encode
-from thistleline.transport.address import read_address
-from thistleline.transport.codec import Hello, Unreadable, common_form, sealed
-from thistleline.transport.connection import Link
+from thistleline.transport.address import parse_address
+from thistleline.transport.codec import Hello, ProtocolError, encode_frame, negotiate_version
+from thistleline.transport.connection import MessageConnection
 from thistleline.transport.handshake import receive_hello
 
 
@@ -34,7 +34,7 @@
         self._chance = chance
         self._log = log
         self._own_hello = own_hello
-        self._links: dict[str, Link] = {}
+        self._links: dict[str, MessageConnection] = {}
         self._scopes: dict[str, anyio.CancelScope] = {}
         self._logged_states: dict[str, str] = {}  # what was last logged of a link
 
@@ -58,27 +58,27 @@
     def _open(self, group: TaskGroup, id: str, address_text: str) -> None:
         name = id.partition(".")[0]
         try:
-            address = self._config.via.get(name) or read_address(address_text)
+            address = self._config.via.get(name) or parse_address(address_text)
         except ValueError as error:
             self._log("link", to=id, why=str(error))
             return
-        link = Link(address, partial(self._greet, id), self._chance, partial(self.log_state, id))
+        link = MessageConnection(address, partial(self._greet, id), self._chance, partial(self.log_state, id))
         scope = anyio.CancelScope()
         self._links[id] = link
         self._scopes[id] = scope
         group.start_soon(self._hold, link, scope)
 
-    async def _hold(self, link: Link, scope: anyio.CancelScope) -> None:
+    async def _hold(self, link: MessageConnection, scope: anyio.CancelScope) -> None:
         with scope:
-            await link.hold()
+            await link.run()
 
     async def _greet(self, id: str, stream: ByteStream) -> None:
         """Exchange Hellos on a new connection."""
-        await stream.send(sealed(encode(self._own_hello())))
+        await stream.send(encode_frame(encode(self._own_hello())))
         hello = await receive_hello(stream)
-        common_form(self._own_hello(), hello)
+        negotiate_version(self._own_hello(), hello)
         if hello.id != id:
-            raise Unreadable(f"{hello.id} is there, not {id}")
+            raise ProtocolError(f"{hello.id} is there, not {id}")
         self.log_state(id, "up")
 
     def log_state(self, id: str, why: str) -> None:
--- a/thistleline/lease/service.py
+++ b/thistleline/lease/service.py
@@ -32,15 +32,15 @@
 from thistleline.store.disk import Disk
 from thistleline.transport.address import Address
 from thistleline.transport.codec import (
-    CLIENT_BOUND,
-    VOTER_BOUND,
+    MAX_CLIENT_MESSAGE_SIZE,
+    MAX_REPLICA_MESSAGE_SIZE,
+    FrameDecoder,
     Hello,
-    Unpacker,
-    Unreadable,
-    common_form,
-    sealed,
+    ProtocolError,
+    encode_frame,
+    negotiate_version,
 )
-from thistleline.transport.disconnects import ends
+from thistleline.transport.disconnects import report_disconnects
 from thistleline.transport.handshake import receive_hello
 
 MILLISECOND = 1_000_000  # ns
@@ -80,7 +80,7 @@
             chance: Source of random pauses; by default one of its own.
 
         Raises:
-            Damaged: The records can't be read.
+            CorruptFrameError: The records can't be read.
             OSError: The disk can't be read or written.
         """
         assert config.listen is not None
@@ -261,7 +261,7 @@
         if len(self.connections) > CONNECTIONS_BOUND:
             next(iter(self.connections.values())).scope.cancel()
         try:
-            with connection.scope, ends(self._log_end):
+            with connection.scope, report_disconnects(self._log_end):
                 async with stream:
                     await self._serve_peer(number, connection)
         finally:
@@ -272,14 +272,14 @@
         stream = connection.stream
         with anyio.fail_after(HELLO_TIMEOUT):
             hello = await receive_hello(stream)
-        common_form(self._own_hello(), hello)
-        await stream.send(sealed(encode(self._own_hello())))
+        negotiate_version(self._own_hello(), hello)
+        await stream.send(encode_frame(encode(self._own_hello())))
         if hello.kind == "voter":
             await self._receive_messages(stream, hello)
         elif hello.kind == "client":
             await self._receive_requests(number, connection)
         else:
-            raise Unreadable(f"a {hello.kind} has no business here")
+            raise ProtocolError(f"a {hello.kind} has no business here")
 
     def _log_end(self, why: str) -> None:
         if why not in ORDINARY_ENDS:
@@ -289,16 +289,16 @@
         """Receive a replica's messages.
 
         Raises:
-            Unreadable: It is of another cluster; an empty replica is spoken to by any.
+            ProtocolError: It is of another cluster; an empty replica is spoken to by any.
         """
         if hello.address:
             self._remember_caller(hello)
-        unpacker = Unpacker(VOTER_BOUND)
+        decoder = FrameDecoder(MAX_REPLICA_MESSAGE_SIZE)
         while True:
-            for payload in unpacker.take(await stream.receive(REPLICA_READ_SIZE)):
+            for payload in decoder.feed(await stream.receive(REPLICA_READ_SIZE)):
                 cluster_id = self.replica.state.cluster_id
-                if cluster_id and hello.council not in (cluster_id, ""):
-                    raise Unreadable(f"{hello.id} is of another council")
+                if cluster_id and hello.cluster not in (cluster_id, ""):
+                    raise ProtocolError(f"{hello.id} is of another council")
                 self.submit(MessageReceived(hello.id, decode_voter(payload)))
 
     def _remember_caller(self, hello: Hello) -> None:
@@ -310,11 +310,11 @@
 
     async def _receive_requests(self, number: int, connection: InboundConnection) -> None:
         """Receive a client's requests and send it the answers."""
-        unpacker = Unpacker(CLIENT_BOUND)
+        decoder = FrameDecoder(MAX_CLIENT_MESSAGE_SIZE)
         async with anyio.create_task_group() as group:
             group.start_soon(connection.send_output)
             while True:
-                for payload in unpacker.take(await connection.stream.receive(CLIENT_READ_SIZE)):
+                for payload in decoder.feed(await connection.stream.receive(CLIENT_READ_SIZE)):
                     request = decode_request(payload)
                     await connection.begin_request()
                     self._remember_asker(number, request.op)
@@ -341,11 +341,11 @@
     """Hold the replica's folder.
 
     Raises:
-        Held: Another program has it.
+        DiskLockedError: Another program has it.
         OSError: It can't be made or locked.
     """
     disk = Disk(folder, "council")
-    disk.hold()
+    disk.acquire()
     try:
         yield disk
     finally:
@@ -356,8 +356,8 @@
     """Run a replica until SIGTERM or SIGINT.
 
     Raises:
-        Damaged: The records can't be read.
-        Held: Another program has the folder.
+        CorruptFrameError: The records can't be read.
+        DiskLockedError: Another program has the folder.
         OSError: The disk can't be read or written, or the address can't be listened on.
     """
     assert config.folder is not None
