--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -544,7 +544,7 @@
         ("memory.reducer", "Reducer._round", "ZeroDivisionError"),
         ("memory.reducer", "Reducer._sweep", "KeyError"),
         ("wire.thrift", "Stubs.messages", "IndexError"),
-        ("policy", "Policy._sense", "ZeroDivisionError"),
+        ("policy.policy", "Policy._sample", "ZeroDivisionError"),
     ],
 )
 def test_a_fault_in_one_part_ends_no_more_than_that(halls: Any, module: str, what: str, error: str) -> None:
@@ -563,11 +563,18 @@
     assert hall.instance.leave() == 0
 
 
-@pytest.mark.parametrize("what", ["Policy._bucket", "Policy._start", "Policy._pass"])
+@pytest.mark.parametrize(
+    ("module", "what"),
+    [
+        ("shedding", "LoadShedder.bucket_of"),
+        ("admission", "Admission._start"),
+        ("admission", "Admission.process"),
+    ],
+)
 def test_a_task_that_the_module_fails_on_is_answered_at_once_and_the_next_is_served(
-    halls: Any, what: str
+    halls: Any, module: str, what: str
 ) -> None:
-    fault = {"module": "thistleline.policy", "what": what, "error": "KeyError", "times": 1}
+    fault = {"module": f"thistleline.policy.{module}", "what": what, "error": "KeyError", "times": 1}
     hall = halls(environ=faults(fault))
     hall.up()
     with hall.instance.connect() as link:
@@ -588,7 +595,12 @@
 
 
 def test_a_module_that_fails_at_every_tick_leaves_no_task_without_an_answer(halls: Any) -> None:
-    fault = {"module": "thistleline.policy", "what": "Policy._steer", "error": "KeyError", "times": 1_000_000}
+    fault = {
+        "module": "thistleline.policy.policy",
+        "what": "Policy._control",
+        "error": "KeyError",
+        "times": 1_000_000,
+    }
     hall = halls(environ=faults(fault), settings=quick_settings())
     hall.up()
     with hall.instance.connect() as link:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -23,7 +23,15 @@
 from thistleline.lab.scale.settings_text import text_of
 from thistleline.lab.scale.size import FOLDER, read_plan, size
 from thistleline.lab.scale.slopes import Part, Row, judge, memory_of, no_worse, row, steps_of
-from thistleline.lab.scale.tenants import born, policy_of, settings_for, steps_of_task, tick, weighings
+from thistleline.lab.scale.tenants import (
+    born,
+    policy_of,
+    quota_update,
+    settings_for,
+    steps_of_task,
+    tick,
+    weighings,
+)
 from thistleline.policy import SECOND, TICK, WINDOW, Policy
 from thistleline.supervisor.settings import unfit_settings
 from thistleline.wire.settings import read_server_settings
@@ -179,7 +187,7 @@
 
 
 def test_a_weighing_grows_no_faster_than_the_tenants() -> None:
-    values = [steps_of(policy_of(3, n, 1)._weigh_owners) for n in SIZES]
+    values = [steps_of(quota_update(policy_of(3, n, 1))) for n in SIZES]
     held_to("_weigh_owners", "linear", SIZES, values, "tenants")
 
 
@@ -222,15 +230,20 @@
 # ---- the check can fail
 
 
-class Doctored(Policy):
-    """Looks through all owners for each task."""
+def doctored(settings: ServerSettings) -> Policy:
+    """A policy that looks through all tenants for each task."""
+    policy = Policy(settings, 1, SECOND)
+    bucket_of = policy.state.shedder.bucket_of
+
+    def slow_bucket_of(task: Any) -> int:
+        return bucket_of(task) + 0 * sum(1 for tenant in settings.tenants if tenant.quota < 0)
 
-    def _bucket(self, task: Any) -> int:
-        return super()._bucket(task) + 0 * sum(1 for tenant in self.settings.tenants if tenant.quota < 0)
+    policy.state.shedder.bucket_of = slow_bucket_of  # type: ignore[method-assign]
+    return policy
 
 
 def test_a_task_that_looks_through_all_tenants_is_called_linear() -> None:
-    values = [steps_of_task(Doctored(settings_for(3, n, 1), 1, SECOND)) for n in SIZES]
+    values = [steps_of_task(doctored(settings_for(3, n, 1))) for n in SIZES]
     found = row("a task", "count", "steps", "tenant", SIZES, values, size("tenants"))
     assert found["shape"] == "linear"
     assert not no_worse(found, "flat")
--- a/tests/test_state_machine.py
+++ b/tests/test_state_machine.py
@@ -96,7 +96,7 @@
         desk.send(place % 8, arrived_at=desk.now + ahead)
     desk.wait()
     assert len(desk.kinds("misunderstood")) == 100
-    assert desk.reducer.module._unread_wait() == 0
+    assert desk.reducer.module.state.detector.unread_wait(desk.reducer.module.now) == 0
     assert [effect[1] for effect in desk.kinds("start")] == []
 
 
@@ -213,7 +213,7 @@
     else:
         desk.end(name, "moot")
     desk.wait()
-    assert (desk.reducer.entries.by_key, desk.reducer.module.entries) == ({}, {})
+    assert (desk.reducer.entries.by_key, desk.reducer.module.state.idempotency.remembered) == ({}, {})
     again = desk.send(1, "mark", is_retry=True)
     desk.wait()
     assert desk.launched() == [name, again]
@@ -389,8 +389,9 @@
     desk = Desk(up=False)
     desk.wait(SECOND)
     desk.put("agent_up", fresh, age)
-    desk.reducer.module.limit = 99.0
-    assert desk.reducer.module._room() == room
+    concurrency = desk.reducer.module.state.concurrency
+    concurrency.limit = 99.0
+    assert concurrency.max_running(desk.reducer.module.now) == room
 
 
 def test_no_health_before_the_agent_and_a_deep_check_asks_it() -> None:
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -80,7 +80,7 @@
         usual = host.task(deadline=host.now + 3 * SECOND)
         host.read(usual)
         host.round(RunEnded(usual.id, "finished", 100 * MS))
-    host.policy.cap = None if marked else 1.0
+    host.policy.state.rate_cap.cap = None if marked else 1.0
     young, old = (host.task(is_retry=marked, deadline=host.now + span) for span in (3 * SECOND, 2 * SECOND))
     host.read(young, old)
     assert host.fates(young) == ["start"]
@@ -148,7 +148,7 @@
     host.read(first)
     host.round(RunEnded(first.id, "failed", 100 * MS))
     again = host.task(1, duplicate_of=first.id)
-    host.policy.cut = 10 * BUCKETS
+    host.policy.state.shedder.cut = 10 * BUCKETS
     host.read(again)
     host.wait(8 * SECOND)
     assert host.fates(again)[0] == "replay_result"
@@ -394,7 +394,7 @@
     assert host.policy.cap is None
     jam(host, 4 * SECOND)
     assert host.policy.cap is not None
-    assert host.policy.cut > 0
+    assert host.policy.state.shedder.cut > 0
     assert any(said[0] == "publish_load_hint" and said[1] > 0 for said in host.said)
     low = host.task(0, user=1)
     assert host.read(low)[0][:2] == ("reject", low.id)
@@ -409,17 +409,18 @@
     host.gauges["on_cores"] = 0.0
     host.wait(8 * SECOND)
     assert host.policy.cap is None
-    assert host.policy.cut == 0
+    assert host.policy.state.shedder.cut == 0
 
 
 def test_a_cap_that_outlives_a_slowdown_follows_what_is_finished_in_calm() -> None:
     """Seeded while all servers did a fifth of their pace; it held callers back for seconds after."""
     host = FakeHost(cores=8)
     served(host, 5 * SECOND)
-    host.policy.cap, host.policy.changed, host.policy.fired = 2.0, host.now, host.now
+    rate_cap = host.policy.state.rate_cap
+    rate_cap.cap, rate_cap.changed_at, rate_cap.fired_at = 2.0, host.now, host.now
     served(host, 2 * SECOND)
     assert host.policy.cap is None or host.policy.cap >= 9.0
-    assert (host.policy.cut, host.policy.said) == (0, 0.0)
+    assert (host.policy.state.shedder.cut, host.policy.load_hint) == (0, 0.0)
 
 
 def test_a_jam_of_unread_tasks_fires_though_nothing_is_held() -> None:
@@ -496,7 +497,7 @@
 @pytest.mark.parametrize(("cores", "spared"), [(1, 3), (2, 5), (6, 10)])
 def test_a_short_hold_is_spared_by_the_cut_and_a_longer_one_is_not(cores: int, spared: int) -> None:
     host = FakeHost(cores=cores)
-    host.policy.cut = 4 * BUCKETS - 1
+    host.policy.state.shedder.cut = 4 * BUCKETS - 1
     tasks = [host.task() for _ in range(spared + 1)]
     host.read(*tasks)
     fates = [host.fates(task) for task in tasks]
@@ -508,7 +509,7 @@
     for _ in range(40):
         host.read(host.task(tenant=0), host.task(tenant=1))
         host.wait(100 * MS)
-    over, within = host.policy.over
+    over, within = host.policy.state.quotas.excess
     assert over > 0.8
     assert within == 0.0
 
--- a/thistleline/lab/scale/tenants.py
+++ b/thistleline/lab/scale/tenants.py
@@ -1,6 +1,7 @@
 """What one instance's `Policy` costs by tenant and by stage, with no traffic but what is said."""
 
 from collections.abc import Callable
+from functools import partial
 from typing import Any
 
 from thistleline.interface import RunEnded, ServerSettings, Task, TaskArrived, TimerFired
@@ -86,16 +87,21 @@
     return steps_of(one)
 
 
+def quota_update(policy: Policy) -> Callable[[], None]:
+    """One weighing of all tenants."""
+    return partial(policy.state.quotas.update, policy.now)
+
+
 def weighings(ticks: int) -> int:
     """How often so many ticks weigh the owners."""
     policy, count = policy_of(1, 1, 1), 0
     out = born(policy)
 
-    def counted() -> None:
+    def counted(now: int) -> None:
         nonlocal count
         count += 1
 
-    policy._weigh_owners = counted  # type: ignore[method-assign]
+    policy.state.quotas.update = counted  # type: ignore[method-assign]
     for _ in range(ticks):
         tick(policy, out)
     return count
@@ -124,11 +130,11 @@
         steps("a task by stage: steps", "stage", [steps_of_task(policy_of(n, 3, seed)) for n in start_sizes]),
         steps("a tick between two weighings by tenant: steps", "tenant", between_tenant),
         steps("a tick between two weighings by stage: steps", "stage", between_stage),
-        steps("_weigh_owners, all idle: steps", "tenant", [steps_of(one._weigh_owners) for one in by_tenant]),
+        steps("_weigh_owners, all idle: steps", "tenant", [steps_of(quota_update(one)) for one in by_tenant]),
         steps("a steering tick by stage: steps", "stage", steering_stage, "where the instance says a level"),
         steps("a start by tenant: steps", "tenant", [start(3, n) for n in sizes]),
         steps("a start by stage: steps", "stage", [start(n, 3) for n in start_sizes],
-              "Row sorts the utilities of all stages, for each stage"),
+              "StageProfile sorts the utilities of all stages, for each stage"),
     ]  # fmt: skip
 
 
@@ -166,7 +172,7 @@
     cases: list[tuple[str, str, tuple[int, ...], Callable[[int], Callable[[], Any]]]] = [
         ("_weigh_owners, all idle: time", "tenant",
          few if quick else many,
-         lambda n: policy_of(3, n, seed)._weigh_owners),
+         lambda n: quota_update(policy_of(3, n, seed))),
         ("a start by stage: time", "stage", (100, 300, 600, 1000) if quick else (300, 1000, 2000, 4000),
          lambda n: (lambda bench: lambda: Policy(bench, seed, BORN))(settings_for(n, 3, seed))),
         ("a start by tenant: time", "tenant",
--- /dev/null
+++ b/thistleline/policy/completion.py
@@ -0,0 +1,142 @@
+"""The ends of tasks: rejected, given up by their client, answered at their deadline, or run to an end."""
+
+from thistleline.interface import CallOutcome, DecisionSink, RunOutcome
+from thistleline.policy.downstream import may_call_again
+from thistleline.policy.rejections import tolerable_unread_wait
+from thistleline.policy.state import PolicyState
+from thistleline.policy.tasks import TaskRecord
+from thistleline.policy.tuning import STOPPED_RUN_FACTOR
+
+
+class Completion:
+    """Ends tasks and learns from their ends."""
+
+    def __init__(self, state: PolicyState) -> None:
+        """Create it over the policy's state."""
+        self._state = state
+        self._tolerable_wait = tolerable_unread_wait(state.detector.least_objective)
+
+    def reject(self, record: TaskRecord, out: DecisionSink) -> None:
+        """Shed a task that did not run."""
+        state = self._state
+        now = state.now
+        retry_after = state.rejections.retry_after(
+            state.detector.unread_wait(now),
+            self._tolerable_wait,
+            state.drain.is_draining,
+            state.rate_cap.cap is not None,
+        )
+        state.rejections.observe(now, now - record.task.arrived_at + retry_after)
+        out.reject(record.task.id, self._is_fleet_overloaded(), retry_after)
+        self._remove(record, out)
+
+    def answer_due(self, out: DecisionSink) -> None:
+        """Answer each task before its deadline or this server's stop, whatever its state.
+
+        Prevents a task that is lost.
+        """
+        state = self._state
+        now = state.now
+        is_near_stop = state.drain.is_near_stop(now)
+        due = [record for record in state.tasks.by_id.values() if is_near_stop or record.answer_by <= now]
+        for record in due:
+            if record.state == "queued":
+                self.reject(record, out)
+            elif record.state != "answered":
+                out.abandon(record.task.id)
+                self.client_gone(record.task.id, out)
+
+    def client_gone(self, task_id: str, out: DecisionSink) -> None:
+        """End a task for which nobody waits.
+
+        A restartable run is stopped; an effect goes on, for the sake of its duplicates.
+        """
+        state = self._state
+        record = state.tasks.by_id.get(task_id)
+        if record is None or record.state == "answered":
+            return
+        if record.state in ("queued", "replaying"):
+            self._remove(record, out)
+            return
+        state.downstream.withdraw(record)
+        is_restartable = state.settings.stages[record.task.stage].effect == "idempotent"
+        if record.state == "running" and state.settings.cancellation != "none" and is_restartable:
+            out.stop(task_id)
+        record.state = "answered"
+
+    def run_ended(self, task_id: str, outcome: RunOutcome, duration: int, out: DecisionSink) -> None:
+        """Take a task whose run, or whose replayed answer, ended out of the table."""
+        state = self._state
+        record = state.tasks.by_id.pop(task_id, None)
+        if record is None:
+            return
+        state.downstream.withdraw(record)
+        state.downstream.end_call(state.now, task_id, is_given_up=True)
+        state.tasks.release(record)
+        if outcome == "moot" and record.effect is not None:
+            record.effect.has_run = False  # nothing ran; prevents a key of what the agent does not know
+            state.idempotency.withdraw(state.now, record, out)
+        if record.started_at:
+            self._observe_run(record, outcome, duration)
+
+    def call_requested(self, task_id: str) -> None:
+        """Queue a running task for its downstream call."""
+        record = self._state.tasks.by_id.get(task_id)
+        if record is not None and record.state == "running":
+            self._state.downstream.request(record)
+
+    def call_ended(self, task_id: str, outcome: CallOutcome, out: DecisionSink) -> None:
+        """Let a task go on from its call, call again, or give it up."""
+        state = self._state
+        downstream = state.downstream
+        record = state.tasks.by_id.get(task_id)
+        duration = downstream.end_call(state.now, task_id, is_given_up=outcome in ("timed_out", "aborted"))
+        downstream.observe(outcome, duration)
+        if record is None or record.state == "answered":
+            return
+        record.state = "running"
+        if outcome == "finished":
+            return
+        stage = state.settings.stages[record.task.stage]
+        record.failed_calls += 1
+        if stage.utility_share_without_call > 0:
+            out.skip_call(task_id)
+        elif may_call_again(record, stage, outcome, state.now):
+            downstream.request(record)
+        else:
+            out.abandon(task_id)
+            record.state = "answered"
+
+    def _remove(self, record: TaskRecord, out: DecisionSink) -> None:
+        self._state.tasks.remove(record)
+        self._state.idempotency.withdraw(self._state.now, record, out)
+
+    def _is_fleet_overloaded(self) -> bool:
+        """Return whether a retry at another server would fare no better.
+
+        So it is when retries exceed a budget, or when rejections do while this server keeps its usual pace:
+        then too much is sent rather than too little done. Prevents retries that walk the whole endpoint
+        list; could harm where one server alone is overloaded for long.
+        """
+        state = self._state
+        arrival_rate = state.shedder.arrival_rate(state.now)
+        if state.drain.is_draining:
+            return False
+        if state.shedder.exceeds_retry_budget():
+            return True
+        return state.rejections.exceeds_budget(state.now, arrival_rate) and state.estimator.keeps_usual_pace()
+
+    def _observe_run(self, record: TaskRecord, outcome: RunOutcome, duration: int) -> None:
+        """Learn from a run that ended, finished or stopped as overdue."""
+        state = self._state
+        now = state.now
+        is_capped = state.rate_cap.cap is not None
+        if outcome == "finished":
+            state.rate_cap.observe_finish(now)
+            state.detector.observe_finish(now, now - record.task.arrived_at, is_capped)
+            state.estimator.observe(record, duration, is_capped)
+        elif outcome == "stopped" and now >= record.due:
+            # Counts as longer than estimated. Prevents judging by those runs alone that finished in time, and
+            # so starting ever more that cannot.
+            estimate = state.estimator.estimate(record.task, state.slowdown())
+            state.estimator.observe(record, max(duration, int(STOPPED_RUN_FACTOR * estimate)), is_capped)
--- /dev/null
+++ b/thistleline/policy/detectors.py
@@ -0,0 +1,130 @@
+"""Overload detectors: run queue per core and queueing delay, sampled from inside, confirmed by latency.
+
+After Hodor ("Who Gets Dropped: Hodor and Overload Protection at LinkedIn"): consecutive windows in violation
+make a firing, and a firing counts only when the fast average of latency passes the slow one.
+"""
+
+from collections import deque
+from collections.abc import Collection
+from itertools import takewhile
+from statistics import fmean, median_high
+
+from thistleline.interface import ServerSettings
+from thistleline.policy.estimates import RunTimeEstimator
+from thistleline.policy.tasks import TaskRecord
+from thistleline.policy.tuning import (
+    FAST_LATENCY_WINDOW,
+    HIGH_PERCENTILE,
+    LATENCY_RATIO_TO_CONFIRM,
+    MAX_RUN_QUEUE_PER_CORE,
+    MAX_WAIT_SHARE,
+    MIN_CALM_SAMPLES,
+    PEAK_WINDOWS,
+    SLOW_LATENCY_SAMPLES,
+    TICK,
+    UNREAD_SAMPLES,
+    VIOLATIONS_TO_FIRE,
+    WINDOW,
+)
+
+
+class OverloadDetector:
+    """Both detectors and their confirmation.
+
+    Attributes:
+        peaks: Highest run queue per core of each calm window, for the concurrency limit.
+    """
+
+    def __init__(self, settings: ServerSettings) -> None:
+        """Create detectors without history."""
+        objectives = [stage.latency_objective for stage in settings.stages]
+        self.least_objective = min(objectives)  # ns
+        self.peaks: deque[float] = deque(maxlen=PEAK_WINDOWS)
+        self._default_latency = fmean(objectives) / 3
+        self._cores = settings.cores
+        self._run_queue_samples: deque[float] = deque(maxlen=WINDOW)
+        self._wait_samples: deque[float] = deque(maxlen=WINDOW)
+        self._run_queue_violations = 0
+        self._wait_violations = 0
+        self._latencies: deque[tuple[int, int]] = deque(maxlen=SLOW_LATENCY_SAMPLES)  # when ended, latency
+        self._calm_latencies: deque[int] = deque(maxlen=SLOW_LATENCY_SAMPLES)
+        self._unread_waits: deque[tuple[int, int]] = deque(maxlen=UNREAD_SAMPLES)  # when read, waited
+
+    @property
+    def in_violation(self) -> bool:
+        """Whether the last window of either detector was in violation."""
+        return self._run_queue_violations > 0 or self._wait_violations > 0
+
+    def observe_read(self, now: int, arrived_at: int) -> None:
+        """Note how long a task had lain unread."""
+        self._unread_waits.append((now, now - arrived_at))
+
+    def observe_finish(self, now: int, latency: int, is_capped: bool) -> None:
+        """Note the latency of a finished run, in the slow average only if it is calm."""
+        self._latencies.append((now, latency))
+        if not is_capped and not self.in_violation:
+            self._calm_latencies.append(latency)
+
+    def sample(
+        self,
+        now: int,
+        on_cores: float,
+        queued: Collection[TaskRecord],
+        estimator: RunTimeEstimator,
+        slowdown: float,
+    ) -> None:
+        """Take one sample of both detectors.
+
+        Args:
+            now: The time, ns.
+            on_cores: Tasks on the cores or waiting for one.
+            queued: Records whose queued ones are looked at.
+            estimator: Estimates of run time.
+            slowdown: The slowdown for these estimates.
+        """
+        self._run_queue_samples.append(on_cores / self._cores)
+        # Rejected tasks never enter the queue, so the wait of unread tasks is that of those just read.
+        # Prevents a backlog of reading, which the concurrency limit can't relieve and the queue doesn't show.
+        worst = self.unread_wait(now) / self.least_objective
+        for record in queued:
+            if record.state == "queued":
+                arrived_at = record.task.arrived_at
+                spare = record.due - estimator.estimate(record.task, slowdown) - arrived_at
+                worst = max(worst, (now - arrived_at) / max(spare, TICK))
+        self._wait_samples.append(worst)
+
+    def close_window(self) -> None:
+        """Judge the window that the last samples make up."""
+        queue_high = _high(self._run_queue_samples) > MAX_RUN_QUEUE_PER_CORE
+        wait_high = _high(self._wait_samples) > MAX_WAIT_SHARE
+        self._run_queue_violations = self._run_queue_violations + 1 if queue_high else 0
+        self._wait_violations = self._wait_violations + 1 if wait_high else 0
+        if not self.in_violation:
+            self.peaks.append(max(self._run_queue_samples))
+
+    def unread_wait(self, now: int) -> int:
+        """Return the median time in ns that the tasks of the last window had lain unread."""
+        since = now - WINDOW * TICK
+        recent = [wait for _, wait in takewhile(lambda read: read[0] > since, reversed(self._unread_waits))]
+        return median_high(recent) if recent else 0
+
+    def is_firing(self, now: int, records: Collection[TaskRecord]) -> bool:
+        """Return whether a detector fires and latency confirms it."""
+        violations = max(self._run_queue_violations, self._wait_violations)
+        return violations >= VIOLATIONS_TO_FIRE and self._is_confirmed(now, records)
+
+    def _is_confirmed(self, now: int, records: Collection[TaskRecord]) -> bool:
+        """Compare fast with slow latency. What is in hand counts by its age, so a standstill shows."""
+        slow = fmean(self._calm_latencies) if len(self._calm_latencies) >= MIN_CALM_SAMPLES else 0.0
+        since = now - FAST_LATENCY_WINDOW
+        fast = [latency for ended_at, latency in self._latencies if ended_at > since]
+        fast += [wait for read_at, wait in self._unread_waits if read_at > since and wait > slow]
+        ages = [now - record.task.arrived_at for record in records if record.state in ("queued", "running")]
+        fast += [age for age in ages if age > slow]
+        if not slow:
+            slow = self._default_latency
+        return bool(fast) and fmean(fast) > slow * LATENCY_RATIO_TO_CONFIRM
+
+
+def _high(samples: deque[float]) -> float:
+    return sorted(samples)[int(HIGH_PERCENTILE * (len(samples) - 1))]
--- /dev/null
+++ b/thistleline/policy/downstream.py
@@ -0,0 +1,136 @@
+"""Calls of running tasks to the downstream dependency, within this server's quota of concurrent calls."""
+
+from collections import deque
+
+from thistleline.interface import CallOutcome, DecisionSink, ServerSettings, Stage
+from thistleline.policy.tasks import TaskRecord, by_due
+from thistleline.policy.tuning import (
+    CALL_SAMPLES,
+    HIGH_PERCENTILE,
+    MAX_CALL_ATTEMPTS,
+    MAX_CALL_TIMEOUT_FACTOR,
+    MAX_SAMPLES,
+    MIN_CALL_TIMEOUT_FACTOR,
+    MS,
+)
+
+
+class DownstreamCalls:
+    """Starts calls in order of due time.
+
+    A shared dependency has a quota: this server's share of it, as a mean over the quota window. A call in
+    flight is booked to the end of its timeout, so the quota holds when the whole dependency stands still; a
+    timeout follows what calls took lately, so that those which end soon leave room for the next.
+    """
+
+    def __init__(self, settings: ServerSettings) -> None:
+        """Create the state of a server without calls."""
+        self._settings = settings
+        self._is_shared = settings.downstream == "shared"
+        self._quota = int(settings.downstream_quota * settings.downstream_quota_window)  # ns of calls
+        self._waiting: list[TaskRecord] = []
+        self._ended: deque[tuple[int, int]] = deque()  # from, until of calls of the last quota window
+        self._in_flight: dict[str, tuple[int, int]] = {}  # from, until when at the latest
+        self._durations: deque[int] = deque(maxlen=CALL_SAMPLES)
+
+    def request(self, record: TaskRecord) -> None:
+        """Queue a running task for its call."""
+        record.state = "awaiting_call"
+        self._waiting.append(record)
+
+    def withdraw(self, record: TaskRecord) -> None:
+        """Take a task out of the queue, if it is there."""
+        self._waiting = [other for other in self._waiting if other is not record]
+
+    def start_calls(self, now: int, out: DecisionSink) -> None:
+        """Start all calls for which there is room; skip others where an answer without them has utility."""
+        if not self._waiting:
+            return
+        settings = self._settings
+        room = self._quota
+        expected = 0
+        if self._is_shared:
+            room -= self._booked(now)
+            expected = self._expected_duration(now)
+        for record in sorted(self._waiting, key=by_due):
+            timeout = max(MS, (record.due - now) // 2)
+            if self._is_shared:
+                bounded = self._timeout_within(room, timeout, expected)
+                if bounded is None:
+                    self._skip_if_useful(record, settings.stages[record.task.stage], out)
+                    continue
+                timeout = bounded
+                room -= timeout + settings.downstream_linger
+            self._waiting.remove(record)
+            record.state = "calling"
+            self._in_flight[record.task.id] = now, now + timeout + settings.downstream_linger
+            out.start_call(record.task.id, timeout)
+
+    def end_call(self, now: int, task_id: str, is_given_up: bool) -> int:
+        """End the task's call, if one is in flight.
+
+        What is given up may stay in flight downstream for a while.
+
+        Returns:
+            How long the call took, ns.
+        """
+        if task_id not in self._in_flight:
+            return 0
+        started_at, _ = self._in_flight.pop(task_id)
+        if self._is_shared:
+            self._ended.append((started_at, now + self._settings.downstream_linger * is_given_up))
+        return now - started_at
+
+    def observe(self, outcome: CallOutcome, duration: int) -> None:
+        """Learn from a call how long calls take, unless it was never processed."""
+        if outcome in ("finished", "failed", "timed_out"):
+            self._durations.append(duration)
+
+    def _booked(self, now: int) -> int:
+        """Return the nanoseconds of calls, ended and in flight, inside the quota window."""
+        since = now - self._settings.downstream_quota_window
+        while self._ended and self._ended[0][1] <= since:
+            self._ended.popleft()
+        in_flight = ((started_at, max(until, now)) for started_at, until in self._in_flight.values())
+        return sum(max(0, until - max(since, started_at)) for started_at, until in (*self._ended, *in_flight))
+
+    def _timeout_within(self, room: int, timeout: int, expected: int) -> int | None:
+        """Return the timeout for which the quota has room, or None.
+
+        Args:
+            room: What is left of the quota, ns.
+            timeout: The longest timeout that makes sense, ns.
+            expected: How long a call takes, ns; 0 if unknown.
+        """
+        timeout = min(timeout, MAX_CALL_TIMEOUT_FACTOR * expected or timeout)
+        least = min(timeout, MIN_CALL_TIMEOUT_FACTOR * expected or timeout)
+        usable = room - self._settings.downstream_linger
+        # Too many ended calls to remember would make the booked time too low, so none is started then.
+        if (room < self._quota and usable < least) or len(self._ended) >= MAX_SAMPLES:
+            return None
+        return max(least, min(timeout, usable))
+
+    def _skip_if_useful(self, record: TaskRecord, stage: Stage, out: DecisionSink) -> None:
+        if stage.utility_share_without_call > 0:
+            out.skip_call(record.task.id)
+            record.state = "running"
+            self._waiting.remove(record)
+
+    def _expected_duration(self, now: int) -> int:
+        """Return how long a call takes, calls in flight for longer counted too; 0 if unknown."""
+        if not self._durations:
+            return 0
+        durations = list(self._durations)
+        high = _high(durations)
+        durations += [age for started_at, _ in self._in_flight.values() if (age := now - started_at) > high]
+        return max(MS, _high(durations))
+
+
+def may_call_again(record: TaskRecord, stage: Stage, outcome: CallOutcome, now: int) -> bool:
+    """Return whether a failed call may be repeated: restartable, or known not to have run, and in time."""
+    is_safe = stage.effect == "idempotent" or outcome in ("rejected", "unreachable")
+    return record.failed_calls <= MAX_CALL_ATTEMPTS and now < record.due and is_safe
+
+
+def _high(durations: list[int]) -> int:
+    return sorted(durations)[int(HIGH_PERCENTILE * (len(durations) - 1))]
--- /dev/null
+++ b/thistleline/policy/rate_cap.py
@@ -0,0 +1,86 @@
+"""The cap on the rate of admitted tasks: seeded by a firing, probed upward with exponential backoff."""
+
+from collections import deque
+
+from thistleline.policy.tuning import (
+    CAP_DECREASE,
+    CAP_LIFT_AFTER,
+    CAP_SETTLE_TIME,
+    MAX_PROBE_BACKOFF,
+    MAX_SAMPLES,
+    MIN_PROBE_BACKOFF,
+    PROBE_STEP,
+    SECOND,
+    THROUGHPUT_WINDOW,
+)
+
+
+class RateCap:
+    """The cap, in tasks per second.
+
+    Attributes:
+        cap: The cap; None while there is none.
+        changed_at: When it was last changed, ns.
+        fired_at: When the detectors last fired, ns.
+    """
+
+    def __init__(self, now: int) -> None:
+        """Create it without a cap."""
+        self.cap: float | None = None
+        self.changed_at = now
+        self.fired_at = now
+        self._cap_before_probe: float | None = None
+        self._probe_backoff = MIN_PROBE_BACKOFF
+        self._finishes: deque[int] = deque(maxlen=MAX_SAMPLES)
+
+    def observe_finish(self, now: int) -> None:
+        """Count a finished run."""
+        self._finishes.append(now)
+
+    def update(self, now: int, is_firing: bool, in_violation: bool, arrival_rate: float) -> None:
+        """Adjust the cap at the end of a detector window.
+
+        Args:
+            now: The time, ns.
+            is_firing: Whether the detectors fire.
+            in_violation: Whether either detector's last window was in violation.
+            arrival_rate: Tasks per second that arrive.
+        """
+        since = now - THROUGHPUT_WINDOW
+        throughput = (
+            sum(1 for finished_at in self._finishes if finished_at > since) * SECOND / THROUGHPUT_WINDOW
+        )
+        if is_firing:
+            self.fired_at = now
+            self._lower(now, throughput)
+        elif self.cap is not None:
+            self._probe(now, 0.0 if in_violation else throughput, arrival_rate)
+
+    def _lower(self, now: int, throughput: float) -> None:
+        """Seed the cap; or roll a probe back and double the backoff; or decrease the cap."""
+        if self.cap is None:
+            self.cap = max(1.0, throughput)
+            self._probe_backoff = MIN_PROBE_BACKOFF
+            self._cap_before_probe = None
+            self.changed_at = now
+        elif now - self.changed_at >= CAP_SETTLE_TIME:
+            if self._cap_before_probe is not None:
+                self.cap = self._cap_before_probe
+                self._probe_backoff = min(MAX_PROBE_BACKOFF, self._probe_backoff * 2)
+                self._cap_before_probe = None
+            else:
+                self.cap = max(1.0, min(self.cap, throughput) * CAP_DECREASE)
+            self.changed_at = now
+
+    def _probe(self, now: int, calm_throughput: float, arrival_rate: float) -> None:
+        """Raise the cap, or lift it once it is calm for long or the cap passes the arrival rate."""
+        assert self.cap is not None
+        # What is finished in calm is proof of room. Prevents a cap, and a load hint, that outlive a slowdown
+        # of all servers; could harm where runs end in bursts of seconds.
+        self.cap = max(self.cap, calm_throughput)
+        if now - self.fired_at >= CAP_LIFT_AFTER or self.cap > arrival_rate * PROBE_STEP:
+            self.cap = None
+        elif now - max(self.changed_at, self.fired_at) >= self._probe_backoff:
+            self._cap_before_probe = self.cap
+            self.cap *= PROBE_STEP
+            self.changed_at = now
--- /dev/null
+++ b/thistleline/policy/state.py
@@ -0,0 +1,66 @@
+"""The state of one policy: its mechanisms, and the questions that need several of them."""
+
+from thistleline.interface import ServerSettings, Task
+from thistleline.policy.concurrency import ConcurrencyLimit
+from thistleline.policy.connections import IdleTimeoutAdvisor
+from thistleline.policy.detectors import OverloadDetector
+from thistleline.policy.downstream import DownstreamCalls
+from thistleline.policy.drain import Drain
+from thistleline.policy.estimates import RunTimeEstimator, StageProfile
+from thistleline.policy.idempotency import IdempotencyTable
+from thistleline.policy.quotas import TenantQuotas
+from thistleline.policy.rate_cap import RateCap
+from thistleline.policy.rejections import RejectionAdvisor
+from thistleline.policy.retries import TimeoutHistory
+from thistleline.policy.shedding import LoadShedder
+from thistleline.policy.tasks import TaskTable
+from thistleline.policy.tuning import MEMORY_MARGIN
+
+
+class PolicyState:
+    """All that a policy knows.
+
+    Attributes:
+        settings: The server's settings.
+        now: The time of the present round, ns.
+        started_at: When the server started, ns.
+        on_cores: Tasks on the cores or waiting for one, as last gauged.
+    """
+
+    def __init__(self, settings: ServerSettings, seed: int, now: int) -> None:
+        """Create the state of a server that starts now."""
+        self.settings = settings
+        self.now = now
+        self.started_at = now
+        self.on_cores = 0.0
+        profiles = [StageProfile(settings, index) for index in range(len(settings.stages))]
+        self.profiles = profiles
+        self.tasks = TaskTable(settings)
+        self.estimator = RunTimeEstimator(profiles)
+        self.detector = OverloadDetector(settings)
+        self.concurrency = ConcurrencyLimit(settings, now)
+        self.rate_cap = RateCap(now)
+        self.shedder = LoadShedder(profiles)
+        self.quotas = TenantQuotas(settings)
+        self.timeouts = TimeoutHistory()
+        self.rejections = RejectionAdvisor(settings, seed)
+        self.idempotency = IdempotencyTable(settings)
+        self.downstream = DownstreamCalls(settings)
+        self.connections = IdleTimeoutAdvisor()
+        self.drain = Drain()
+
+    def slowdown(self) -> float:
+        """Return how many times its usual pace a run should take now."""
+        return self.estimator.slowdown(self.rate_cap.cap is not None)
+
+    def is_memory_short(self, more_kb: float) -> bool:
+        """Return whether there is no memory for so much more."""
+        used = self.tasks.memory_kb + self.idempotency.memory_kb + more_kb
+        return used > self.settings.memory_kb * MEMORY_MARGIN
+
+    def is_too_late_to_run(self, task: Task) -> bool:
+        """Return whether the drain forbids to start the task: it came late, or can't end in time."""
+        if not self.drain.is_draining:
+            return False
+        end = self.now + self.estimator.estimate(task, self.slowdown())
+        return self.drain.forbids_run(task.arrived_at, end)
