--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -8,7 +8,8 @@
 from hypothesis import strategies as st
 
 from tests.host import BOOKING, LOOKUP, ORDER, FakeHost, stage, tenants
-from thistleline.bench_adapter.adapter import main, seconds
+from thistleline.bench_adapter.adapter import main
+from thistleline.bench_adapter.sink import format_seconds
 from thistleline.interface import (
     CallEnded,
     CallOutcome,
@@ -530,7 +531,7 @@
 @pytest.mark.parametrize(("text", "whole"), [("8.41225", 8_412_250_000), ("0", 0), ("1", SECOND)])
 def test_times_are_exact(text: str, whole: int) -> None:
     assert nanos(text) == whole
-    assert nanos(seconds(whole)) == whole
+    assert nanos(format_seconds(whole)) == whole
 
 
 @pytest.mark.parametrize(
--- /dev/null
+++ b/thistleline/bench_adapter/events.py
@@ -0,0 +1,122 @@
+"""Event lines of the bench's wire as policy events."""
+
+from thistleline.interface import (
+    CallEnded,
+    CallOutcome,
+    CallRequested,
+    ClientGone,
+    DrainRequested,
+    PolicyEvent,
+    RunEnded,
+    RunOutcome,
+    Task,
+    TaskArrived,
+    TimerFired,
+)
+from thistleline.wire.settings import nanos
+
+RUN_OUTCOMES: dict[str, RunOutcome] = {
+    "OK": "finished",
+    "INTERNAL": "failed",
+    "CANCELLED": "stopped",
+    "TOO_LATE": "moot",
+}
+CALL_OUTCOMES: dict[str, CallOutcome] = {
+    "OK": "finished",
+    "INTERNAL": "failed",
+    "RESOURCE_EXHAUSTED": "rejected",
+    "DEADLINE_EXCEEDED": "timed_out",
+    "UNAVAILABLE": "unreachable",
+    "ABORTED": "aborted",
+}
+
+# Flags of a QUERY.
+HAS_WORK_HINT = 1
+IS_RETRY = 2
+
+QUERY_PARTS = 14  # parts of a QUERY line that are read
+
+
+def parse_event(now: int, parts: list[str], gauge_names: tuple[str, ...]) -> PolicyEvent | None:
+    """Return the event of a line.
+
+    Args:
+        now: The round's clock, ns.
+        parts: The line's parts: message, instance, values.
+        gauge_names: The names of the gauges, in the order of their values.
+
+    Returns:
+        The event; None for a message that concerns no policy.
+
+    Raises:
+        ValueError: A part is missing or no number.
+        KeyError: An outcome is unknown.
+        IndexError: A part is missing.
+        SettingsError: A time is no number.
+    """
+    match parts[0]:
+        case "QUERY":
+            return TaskArrived(_parse_task(now, parts))
+        case "BELL":
+            return TimerFired(parts[2], _parse_gauges(parts, gauge_names))
+        case "DONE":
+            return RunEnded(parts[2], RUN_OUTCOMES[parts[3]], _parse_duration(parts[4]))
+        case "EXPIRED":
+            return ClientGone(parts[2])
+        case "NEEDS":
+            return CallRequested(parts[2])
+        case "DEP_REPLY":
+            return CallEnded(parts[2], CALL_OUTCOMES[parts[3]], _parse_duration(parts[4]))
+        case "TERMINATE_SOON":
+            return DrainRequested(nanos(parts[2]))
+        case _:
+            return None
+
+
+def _parse_task(now: int, parts: list[str]) -> Task:
+    (
+        _,
+        _,
+        task_id,
+        work,
+        tenant,
+        stage,
+        flag_bits,
+        client,
+        memory_kb,
+        deadline,
+        user,
+        waited,
+        duplicate_of,
+        priority_rank,
+    ) = parts[:QUERY_PARTS]
+    flags = 0 if _is_absent(flag_bits) else int(flag_bits)
+    has_work_hint = flags & HAS_WORK_HINT and not _is_absent(work)
+    return Task(
+        id=task_id,
+        stage=int(stage),
+        tenant=0 if _is_absent(tenant) else int(tenant),
+        client=0 if _is_absent(client) else int(client),
+        priority_rank=0.0 if _is_absent(priority_rank) else float(priority_rank),
+        user=None if user in ("-", "") else int(user),
+        estimated_work=nanos(work) if has_work_hint else None,
+        queued_memory_kb=float(memory_kb),
+        arrived_at=now - _parse_duration(waited),
+        deadline=None if _is_absent(deadline) else nanos(deadline) or None,
+        is_retry=bool(flags & IS_RETRY),
+        duplicate_of=None if _is_absent(duplicate_of) else duplicate_of,
+    )
+
+
+def _parse_gauges(parts: list[str], names: tuple[str, ...]) -> dict[str, float]:
+    texts = parts[3].split(",") if len(parts) > 3 and parts[3] not in ("-", "") else []
+    values = (0.0 if _is_absent(text) else float(text) for text in texts)
+    return dict(zip(names, values, strict=False))
+
+
+def _parse_duration(text: str) -> int:
+    return 0 if _is_absent(text) else nanos(text)
+
+
+def _is_absent(text: str) -> bool:
+    return text in ("-", "", "0")
--- /dev/null
+++ b/thistleline/bench_adapter/host.py
@@ -0,0 +1,66 @@
+"""Hosts the policy of each instance that the bench runs in this process."""
+
+import json
+from collections.abc import Callable
+
+from thistleline.bench_adapter.errors import BenchProtocolError
+from thistleline.bench_adapter.events import parse_event
+from thistleline.bench_adapter.sink import LineSink
+from thistleline.interface import PolicyEvent
+from thistleline.policy import Policy
+from thistleline.wire.settings import read_gauges, read_server_settings
+
+
+class PolicyHost:
+    """The policies by instance; they share nothing."""
+
+    def __init__(self) -> None:
+        """Create a host without instances."""
+        self._policies: dict[str, Policy] = {}
+        self._gauge_names: dict[str, tuple[str, ...]] = {}
+
+    def round(self, now: int, lines: list[list[str]], write: Callable[[str], None]) -> None:
+        """Gather a round's events by instance, in order, and call each instance's policy once.
+
+        Args:
+            now: The round's clock, ns.
+            lines: The parts of each line: message, instance, values.
+            write: Takes each line of the reply.
+
+        Raises:
+            BenchProtocolError: A line is for an instance that was never born.
+            ValueError: A value is malformed; also KeyError, IndexError, TypeError, ArithmeticError and the
+                errors of the settings.
+        """
+        events_by_instance: dict[str, list[PolicyEvent]] = {}
+        for parts in lines:
+            message, instance = parts[0], parts[1]
+            if message == "KILL":
+                self._policies.pop(instance, None)
+                events_by_instance.pop(instance, None)
+            elif message == "BORN":
+                self._create(now, parts)
+                events_by_instance[instance] = []
+            elif instance not in self._policies:
+                raise BenchProtocolError(f"{message} for {instance}, which was never born")
+            else:
+                event = parse_event(now, parts, self._gauge_names[instance])
+                if event is not None:
+                    events_by_instance.setdefault(instance, []).append(event)
+        for instance, events in events_by_instance.items():
+            try:
+                self._policies[instance].round(now, events, LineSink(instance, write))
+            except Exception as error:
+                write(f"BROKEN\t{instance}\t{describe(error)}\n")
+
+    def _create(self, now: int, parts: list[str]) -> None:
+        """Make the policy of an instance: BORN, instance, seed, settings."""
+        _, instance, seed = parts[:3]
+        env = json.loads("\t".join(parts[3:]))
+        self._gauge_names[instance] = read_gauges(env)
+        self._policies[instance] = Policy(read_server_settings(env), int(seed), now)
+
+
+def describe(error: Exception) -> str:
+    """Return an error's type and text on one line."""
+    return f"{type(error).__name__}: {' '.join(str(error).split())}"
--- a/thistleline/interface.py
+++ b/thistleline/interface.py
@@ -168,47 +168,52 @@
 class DecisionSink(Protocol):
     """Takes each decision at once; the order of calls is the order in which they act."""
 
-    def start(self, task: str) -> None:
+    def start(self, task_id: str) -> None:
         """Start running the task."""
 
-    def stop(self, task: str) -> None:
+    def stop(self, task_id: str) -> None:
         """Stop the task's run."""
 
-    def reject(self, task: str, nowhere_else: bool, stay_away: int) -> None:
+    def reject(self, task_id: str, fleet_overloaded: bool, retry_after: int) -> None:
         """Shed the task: it did not run.
 
         Args:
-            task: Its id.
-            nowhere_else: Whether a retry at another server would fare no better.
-            stay_away: Nanoseconds the client should wait before a retry (Retry-After); 0 for none.
+            task_id: The task.
+            fleet_overloaded: Whether a retry at another server would fare no better.
+            retry_after: Nanoseconds the client should wait before a retry (Retry-After); 0 for none.
         """
 
-    def abandon(self, task: str) -> None:
+    def abandon(self, task_id: str) -> None:
         """Answer the task with a failure that says nothing about whether it ran."""
 
-    def replay_result(self, task: str) -> None:
+    def replay_result(self, task_id: str) -> None:
         """Answer the task from the run of the one that it repeats."""
 
-    def remember_key(self, task: str, span: int) -> None:
-        """Remember the task's idempotency key for `span` nanoseconds."""
+    def remember_key(self, task_id: str, duration: int) -> None:
+        """Remember the task's idempotency key for `duration` nanoseconds."""
 
-    def forget_key(self, task: str) -> None:
+    def forget_key(self, task_id: str) -> None:
         """Forget the task's idempotency key: it did not run."""
 
-    def start_call(self, task: str, patience: int) -> None:
-        """Make the task's downstream call, with a timeout of `patience` nanoseconds."""
+    def start_call(self, task_id: str, timeout: int) -> None:
+        """Make the task's downstream call, with a timeout of `timeout` nanoseconds."""
 
-    def skip_call(self, task: str) -> None:
+    def skip_call(self, task_id: str) -> None:
         """Let the task go on without its downstream call."""
 
-    def set_health(self, good: bool, from_store: bool) -> None:
-        """Set what health checks report; `from_store`: a deep check need not ask the agent."""
+    def set_health(self, healthy: bool, from_cache: bool) -> None:
+        """Set what health checks report.
+
+        Args:
+            healthy: Whether the server wants new tasks.
+            from_cache: Whether deep checks are answered by this alone, without asking the agent.
+        """
 
     def publish_load_hint(self, value: float) -> None:
         """Attach this load hint to answers from now on."""
 
-    def set_idle_timeout(self, span: int) -> None:
-        """Close connections that are idle for `span` nanoseconds; 0 for never."""
+    def set_idle_timeout(self, timeout: int) -> None:
+        """Close connections that are idle for `timeout` nanoseconds; 0 for never."""
 
-    def set_timer(self, name: str, span: int) -> None:
-        """Send `TimerFired` with this name after `span` nanoseconds."""
+    def set_timer(self, name: str, duration: int) -> None:
+        """Send `TimerFired` with this name after `duration` nanoseconds."""
