--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -5,6 +5,7 @@
 import os
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
+from dataclasses import replace
 from pathlib import Path
 from random import Random
 from typing import Any
@@ -28,10 +29,25 @@
 from thistleline.rollout.controller import Conducting, Spans
 from thistleline.rollout.record import STAGES, Order, Roll, Seen, controls, targets, wrong
 from thistleline.store.latest import Latest
-from thistleline.supervisor.decisions import SECOND, Keeping, State, Version, Want
-from thistleline.supervisor.releases import Releases, Unfit, digest_of, forms_of
-from thistleline.supervisor.service import StewardService
+from thistleline.supervisor.crash_history import SECOND
+from thistleline.supervisor.effects import KillServer, PersistState, SpawnServer, VerifyVersion
+from thistleline.supervisor.errors import ReleaseError
+from thistleline.supervisor.events import (
+    ConsensusPolled,
+    DesiredVersionReceived,
+    Event,
+    ServerExited,
+    ServerSpawned,
+    StatePersisted,
+    StateRecovered,
+    TimerExpired,
+    VersionVerified,
+)
+from thistleline.supervisor.model import DesiredVersion, SupervisorState, Version
+from thistleline.supervisor.releases import Releases, content_digest, ledger_formats
+from thistleline.supervisor.service import SupervisorService
 from thistleline.supervisor.settings import unfit_settings
+from thistleline.supervisor.state_machine import AfterPersist, Supervisor
 
 OLD, NEW = Version("1", "a"), Version("2", "b")
 
@@ -343,61 +359,58 @@
     assert not found.wrong, found.trace
 
 
-def _spawn_unnoted(self: Keeping, version: Version) -> None:
+def _spawn_unnoted(self: Supervisor, version: Version) -> None:
     self.phase = "spawning"
-    self.state = State(self.state.want, version, self.state.life + 1, self.state.good)
-    self.effects.append(("spawn", self.state.life, version))
-    self.effects.append(("note", self.state))
-    self.notes.append(())
+    state = self.state
+    self.state = SupervisorState(state.desired, version, state.incarnation + 1, state.last_good)
+    self._effects.append(SpawnServer(self.state.incarnation, version))
+    self._effects.append(PersistState(self.state))
+    self._after_persist.append(None)
 
 
-def _any_want(self: Keeping, want: Want, had: Any = Keeping._want) -> None:
-    known = self.state.want
+def _any_want(self: Supervisor, want: DesiredVersion, had: Any = Supervisor._on_desired_version) -> None:
+    state, known = self.state, self.state.desired
     if known is not None and (want.epoch, want.number) < (known.epoch, known.number):
-        self._note(State(want, self.state.running, self.state.life, self.state.good), ("go on",))
+        followed = SupervisorState(want, state.running, state.incarnation, state.last_good)
+        self._persist(followed, AfterPersist.CONVERGE)
     else:
         had(self, want)
 
 
-def _unverified(self: Keeping, why: str, had: Any = Keeping._verified) -> None:
+def _unverified(self: Supervisor, why: str, had: Any = Supervisor._on_verified) -> None:
     had(self, "")
 
 
 @pytest.mark.parametrize(("name", "put", "wanted"), [
     ("_spawn", _spawn_unnoted, "nobody would know of"),
-    ("_want", _any_want, "an older conductor"),
-    ("_verified", _unverified, "unfit is started"),
+    ("_on_desired_version", _any_want, "an older conductor"),
+    ("_on_verified", _unverified, "unfit is started"),
 ])  # fmt: skip
 def test_a_protection_of_the_steward_left_out_is_found(name: str, put: Any, wanted: str) -> None:
-    with without(((Keeping, name, put),)):
+    with without(((Supervisor, name, put),)):
         assert wanted in explore(StewardWorld(), following, 40, 60_000).wrong
 
 
-def _heir_unnoted(self: Keeping, version: Version) -> None:
-    life = self._next_life()
-    self.phase, self.heir_since, self.heir_alive = "succeeding", self.now, False
-    self.state = msgspec.structs.replace(self.state, heir=version, heir_life=life, last=life)
-    self.effects += [("spawn", life, version), ("note", self.state)]
-    self.notes.append(())
+def _heir_unnoted(self: Supervisor, version: Version) -> None:
+    life = self.state.next_incarnation()
+    self.phase, self.successor_since, self.successor_alive = "succeeding", self.now, False
+    self.state = msgspec.structs.replace(
+        self.state, successor=version, successor_incarnation=life, last_incarnation=life
+    )
+    self._effects += [SpawnServer(life, version), PersistState(self.state)]
+    self._after_persist.append(None)
 
 
-def _heir_forgotten(
-    self: Keeping,
-    state: State,
-    lives: bool,
-    heir: bool = False,
-    elder: int = 0,
-    had: Any = Keeping._recovered,
-) -> None:
-    had(self, state, lives, False, elder)
+def _heir_forgotten(self: Supervisor, event: StateRecovered, had: Any = Supervisor._on_recovered) -> None:
+    had(self, replace(event, successor_alive=False))
 
 
-def _elder_forgotten(self: Keeping, life: int, had: Any = Keeping._served) -> None:
+def _elder_forgotten(self: Supervisor, life: int, had: Any = Supervisor._on_ready) -> None:
     had(self, life)
-    self.elder = 0
+    self.predecessor.end()
 
 
-def _never_again(self: Keeping, had: Any = Keeping._elapsed) -> None:
+def _never_again(self: Supervisor, had: Any = Supervisor._on_timer) -> None:
     if self.phase != "running":
         had(self)
 
@@ -408,69 +421,72 @@
 
 
 @pytest.mark.parametrize(("name", "put", "wanted"), [
-    ("_spawn_heir", _heir_unnoted, "nobody would know of"),
-    ("_recovered", _heir_forgotten, "too many live"),
-    ("_served", _elder_forgotten, "too many live"),
-    ("_elapsed", _never_again, "does not come to serve"),
+    ("_spawn_successor", _heir_unnoted, "nobody would know of"),
+    ("_on_recovered", _heir_forgotten, "too many live"),
+    ("_on_ready", _elder_forgotten, "too many live"),
+    ("_on_timer", _never_again, "does not come to serve"),
 ])  # fmt: skip
 def test_a_protection_of_the_change_beside_left_out_is_found(name: str, put: Any, wanted: str) -> None:
-    with without(((Keeping, name, put),)):
+    with without(((Supervisor, name, put),)):
         assert wanted in wander(range(1500), 150)
 
 
-def kept(good: Version | None = OLD) -> Keeping:
-    made = Keeping(SECOND, 0)
-    made.take(0, "recovered", State(Want(1, 1, OLD), OLD, 3, good), True)
+def kept(good: Version | None = OLD) -> Supervisor:
+    made = Supervisor(SECOND, 0)
+    made.handle(0, StateRecovered(SupervisorState(DesiredVersion(1, 1, OLD), OLD, 3, good), True))
     return made
 
 
-def through(keeping: Keeping, now: int, *told: Any) -> list[Any]:
+def through(supervisor: Supervisor, now: int, event: Event) -> list[Version]:
     """Carries out what is asked at once, but the server's end; what it spawned comes back."""
-    effects, spawned = keeping.take(now, *told), []
+    effects, spawned = supervisor.handle(now, event), []
     for effect in effects:
-        if effect[0] == "note":
-            effects += keeping.take(now, "noted")
-        elif effect[0] == "verify":
-            effects += keeping.take(now, "verified", "")
-        elif effect[0] == "spawn":
-            spawned.append(effect[2])
-            effects += keeping.take(now, "spawned", 1)
+        match effect:
+            case PersistState():
+                effects += supervisor.handle(now, StatePersisted())
+            case VerifyVersion():
+                effects += supervisor.handle(now, VersionVerified(""))
+            case SpawnServer(_, version):
+                spawned.append(version)
+                effects += supervisor.handle(now, ServerSpawned(1))
     return spawned
 
 
 def test_a_crash_loop_is_given_up_and_taken_back_alone_only_without_the_council() -> None:
-    keeping, now = kept(), SECOND
-    through(keeping, now, "want", Want(1, 2, NEW))
-    spawned = through(keeping, now, "exited", 0)
+    supervisor, now = kept(), SECOND
+    through(supervisor, now, DesiredVersionReceived(DesiredVersion(1, 2, NEW)))
+    spawned = through(supervisor, now, ServerExited(0))
     assert spawned == [NEW]
     for _ in range(4):
         now += SECOND // 10
-        assert through(keeping, now, "exited", 1) == []
+        assert through(supervisor, now, ServerExited(1)) == []
         now += 6 * SECOND
-        assert through(keeping, now, "elapsed") == [NEW]
-    through(keeping, now, "exited", 1)
-    assert keeping.phase == "failed"
-    through(keeping, now, "reached", True)
-    assert through(keeping, now + 20 * SECOND, "elapsed") == []
-    through(keeping, now + 21 * SECOND, "reached", False)
-    assert through(keeping, now + 40 * SECOND, "elapsed") == [OLD]
-    assert through(keeping, now + 41 * SECOND, "want", Want(1, 2, NEW)) == []  # not that one again
+        assert through(supervisor, now, TimerExpired()) == [NEW]
+    through(supervisor, now, ServerExited(1))
+    assert supervisor.phase == "failed"
+    through(supervisor, now, ConsensusPolled(True))
+    assert through(supervisor, now + 20 * SECOND, TimerExpired()) == []
+    through(supervisor, now + 21 * SECOND, ConsensusPolled(False))
+    assert through(supervisor, now + 40 * SECOND, TimerExpired()) == [OLD]
+    assert (
+        through(supervisor, now + 41 * SECOND, DesiredVersionReceived(DesiredVersion(1, 2, NEW))) == []
+    )  # not that one again
 
 
 def test_one_that_does_not_end_in_time_is_killed() -> None:
-    keeping = kept()
-    through(keeping, SECOND, "want", Want(1, 2, NEW))
-    assert keeping.phase == "stopping"
-    assert keeping.take(2 * SECOND, "elapsed") == []
-    assert ("kill",) in keeping.take(3 * SECOND, "elapsed")
-    assert ("kill",) not in keeping.take(4 * SECOND, "elapsed")
+    supervisor = kept()
+    through(supervisor, SECOND, DesiredVersionReceived(DesiredVersion(1, 2, NEW)))
+    assert supervisor.phase == "stopping"
+    assert supervisor.handle(2 * SECOND, TimerExpired()) == []
+    assert KillServer(3) in supervisor.handle(3 * SECOND, TimerExpired())
+    assert KillServer(3) not in supervisor.handle(4 * SECOND, TimerExpired())
 
 
 def test_a_release_is_known_by_all_that_is_in_it(tmp_path: Path) -> None:
     source = tmp_path / "source"
     source.mkdir()
     (source / "run").write_text("#!/bin/sh\n")
-    with pytest.raises(Unfit, match="can be executed"):
+    with pytest.raises(ReleaseError, match="can be executed"):
         Releases(tmp_path / "r").add("1", source)
     (source / "run").chmod(0o755)
     releases = Releases(tmp_path / "r")
@@ -478,24 +494,24 @@
     assert releases.add("1", source) == digest
     releases.verify("1", digest)
     (source / "more").write_text("x")
-    assert digest_of(source) != digest
-    with pytest.raises(Unfit, match="another content"):
+    assert content_digest(source) != digest
+    with pytest.raises(ReleaseError, match="another content"):
         releases.add("1", source)
     (tmp_path / "r" / "1" / "run").write_text("#!/bin/sh\nexit 1\n")
-    with pytest.raises(Unfit, match="digest"):
+    with pytest.raises(ReleaseError, match="digest"):
         releases.verify("1", digest)
     for name in ("../1", "", ".x"):
-        with pytest.raises(Unfit):
+        with pytest.raises(ReleaseError):
             releases.verify(name, digest)
 
 
 def test_what_a_release_says_of_the_ledger_is_a_part_of_it(tmp_path: Path) -> None:
-    assert forms_of(tmp_path) == ((), 0)
+    assert ledger_formats(tmp_path) == ((), 0)
     (tmp_path / "forms").write_text("1 2 writes 2\n")
-    assert forms_of(tmp_path) == ((1, 2), 2)
+    assert ledger_formats(tmp_path) == ((1, 2), 2)
     (tmp_path / "forms").write_text("two\n")
-    with pytest.raises(Unfit, match="does not say"):
-        forms_of(tmp_path)
+    with pytest.raises(ReleaseError, match="does not say"):
+        ledger_formats(tmp_path)
 
 
 @pytest.mark.parametrize(("changes", "limits", "why"), [
@@ -632,13 +648,13 @@
     told = (f"members name m\nmembers listen 127.0.0.1:{free_port()}\ncouncil voter a=127.0.0.1:9\n"
             f"steward folder {tmp_path}/s\nsteward plate {tmp_path}/plate.json\n"
             f"steward releases {tmp_path}/releases\n")  # fmt: skip
-    service = StewardService(check("conf", told), lambda *_, **__: None)
+    service = SupervisorService(check("conf", told), lambda *_, **__: None)
     async with anyio.create_task_group() as group:
-        service.group, keeping = group, service.keeping
-        keeping.phase, keeping.state = "spawning", State(None, Version("bad", digest), 1)
+        service.group, supervisor = group, service.supervisor
+        supervisor.phase, supervisor.state = "spawning", SupervisorState(None, Version("bad", digest), 1)
         await service._spawn(1, Version("bad", digest))
         with anyio.fail_after(10):
-            while not keeping.crashes:
+            while not supervisor.crashes.recent:
                 await anyio.sleep(0.02)
         group.cancel_scope.cancel()
 
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -12,9 +12,10 @@
 from thistleline.rollout.controller import Conducting
 from thistleline.rollout.record import ORDER_KEY
 from thistleline.rollout.service import Records
-from thistleline.supervisor.decisions import Keeping, Want
+from thistleline.supervisor.model import DesiredVersion
 from thistleline.supervisor.releases import Releases
 from thistleline.supervisor.service import POLL
+from thistleline.supervisor.state_machine import Supervisor
 from thistleline.zones.decision import Deciding
 from thistleline.zones.status import Pictures
 
@@ -73,30 +74,30 @@
 
 
 def test_a_steward_that_looks_through_all_it_followed_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    had = Keeping._want
+    had = Supervisor._on_desired_version
 
-    def through_all(self: Keeping, want: Want) -> None:
-        known: list[Want] = self.__dict__.setdefault("known", [])
+    def through_all(self: Supervisor, want: DesiredVersion) -> None:
+        known: list[DesiredVersion] = self.__dict__.setdefault("known", [])
         if all(one != want for one in known):
             known.append(want)
         had(self, want)
 
-    monkeypatch.setattr(Keeping, "_want", through_all)
+    monkeypatch.setattr(Supervisor, "_on_desired_version", through_all)
     what = "steward: steps of a look with nothing new by want"
     assert of(what, [3, 10, 30, 60], lambda n: control.followed(n).look) == [f"{what}: flat"]
 
 
 def test_a_steward_that_notes_more_each_time_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    had = Keeping._want
+    had = Supervisor._on_desired_version
 
-    def longer(self: Keeping, want: Want) -> None:
-        count = 0 if self.state.want is None else len(self.state.want.version.reads)
+    def longer(self: Supervisor, want: DesiredVersion) -> None:
+        count = 0 if self.state.desired is None else len(self.state.desired.version.readable_formats)
         version = control.version(want.number)
         grown = type(version)(version.release, version.digest, version.settings, version.settings_digest,
                               (3,) * (count + 1), 4)  # fmt: skip
-        had(self, Want(want.epoch, want.number, grown, want.turn))
+        had(self, DesiredVersion(want.epoch, want.number, grown, want.restart_token))
 
-    monkeypatch.setattr(Keeping, "_want", longer)
+    monkeypatch.setattr(Supervisor, "_on_desired_version", longer)
     what = "steward: bytes of its state by want"
     assert of(what, [3, 10, 30, 60], lambda n: control.followed(n).state_bytes()) == [f"{what}: flat"]
 
--- a/thistleline/cli/roll.py
+++ b/thistleline/cli/roll.py
@@ -14,10 +14,11 @@
 from thistleline.cli.fleet import Unusable, ask, conf_of, logger, tell, voters_of, where
 from thistleline.lease.protocol import Get, Got, Put
 from thistleline.rollout.record import KEY, ORDER_KEY, STAGES, Order, Roll, wrong
-from thistleline.supervisor.decisions import Version
-from thistleline.supervisor.releases import Unfit, digest_of, forms_of
-from thistleline.supervisor.service import digest_of_settings, settings_key
-from thistleline.supervisor.settings import lines_of, unfit_settings
+from thistleline.supervisor.errors import ReleaseError
+from thistleline.supervisor.model import Version
+from thistleline.supervisor.records import digest_settings, settings_key
+from thistleline.supervisor.releases import content_digest, ledger_formats
+from thistleline.supervisor.settings import flatten_settings, unfit_settings
 
 FOLLOW = 0.5  # s between two looks
 GAP = 16  # numbers without settings, after which there are no more
@@ -73,19 +74,19 @@
 
 def version_of(voters: dict[str, Any], release: str | None, settings: int, at: Version) -> Version:
     """`release`: a folder; its name and content. What is not told stays as it is."""
-    name, digest, reads, writes = at.release, at.digest, at.reads, at.writes
+    name, digest, reads, writes = at.release, at.digest, at.readable_formats, at.written_format
     if release is not None:
         try:
-            name, digest = Path(release).name, digest_of(Path(release))
-            reads, writes = forms_of(Path(release))
-        except (OSError, Unfit) as error:
+            name, digest = Path(release).name, content_digest(Path(release))
+            reads, writes = ledger_formats(Path(release))
+        except (OSError, ReleaseError) as error:
             raise Unusable(str(error)) from error
     number, settings_digest = at.settings, at.settings_digest
     if settings:
         known = _got(voters, settings_key(settings))
         if not known.version:
             raise Unusable(f"there are no settings {settings}; 'settings add' them first")
-        number, settings_digest = settings, digest_of_settings(known.value)
+        number, settings_digest = settings, digest_settings(known.value)
     return Version(name, digest, number, settings_digest, reads, writes)
 
 
@@ -191,7 +192,7 @@
     """Keep FILE as version NUMBER, once it is checked."""
     content = _checked(file, None)
     ask(voters_of(conf, voters), Put(settings_key(number), content, 0))
-    click.echo(f"settings {number}: {digest_of_settings(content)}")
+    click.echo(f"settings {number}: {digest_settings(content)}")
 
 
 def _checked(file: Path, plate: Path | None) -> bytes:
@@ -216,7 +217,7 @@
 def check_settings(file: Path, plate: Path | None) -> None:
     """Whether a server could take FILE; exit code 2 and the reason if not."""
     content = _checked(file, plate)
-    click.echo(f"{file}: can be taken, {digest_of_settings(content)}")
+    click.echo(f"{file}: can be taken, {digest_settings(content)}")
 
 
 def _settings(voters: dict[str, Any], number: int) -> bytes:
@@ -233,7 +234,7 @@
 def diff_settings(conf: str | None, voters: tuple[str, ...], one: int, other: int) -> None:
     """What differs between two versions, a value a line; exit code 1 if anything does."""
     known = voters_of(conf, voters)
-    before, after = (lines_of(_settings(known, number)) for number in (one, other))
+    before, after = (flatten_settings(_settings(known, number)) for number in (one, other))
     told = list(difflib.unified_diff(before, after, str(one), str(other), lineterm="", n=0))
     for line in told:
         if not line.startswith(("@@", "---", "+++")):
@@ -262,7 +263,7 @@
                 role = f"change {now.number}: {now.phase}"
             elif now is not None and number == now.base.settings:
                 role = f"what change {now.number} began from"
-            facts = {"number": number, "digest": digest_of_settings(found.value), "role": role}
+            facts = {"number": number, "digest": digest_settings(found.value), "role": role}
             tell(facts, as_json, lambda one: f"{one['number']}  {one['digest'][:16]}  {one['role']}".rstrip())
         else:
             missing += 1
--- a/thistleline/cli/steward.py
+++ b/thistleline/cli/steward.py
@@ -6,7 +6,8 @@
 
 from thistleline.cli.fleet import Unusable, conf_of, logger
 from thistleline.store.disk import Held
-from thistleline.supervisor.releases import Releases, Unfit, digest_of
+from thistleline.supervisor.errors import ReleaseError, SupervisorError
+from thistleline.supervisor.releases import Releases, content_digest
 
 
 @click.command()
@@ -20,7 +21,7 @@
 
     try:
         run(told, logger(told.members.name))
-    except (Held, Unfit) as error:
+    except (Held, SupervisorError) as error:
         raise Unusable(str(error)) from error
     except OSError as error:
         raise click.ClickException(str(error)) from error
@@ -39,7 +40,7 @@
     """Copy SOURCE to FOLDER as NAME; a name stands for one content for ever."""
     try:
         click.echo(Releases(folder).add(name, source))
-    except (Unfit, OSError) as error:
+    except (ReleaseError, OSError) as error:
         raise click.ClickException(str(error)) from error
 
 
@@ -58,7 +59,7 @@
     """All releases in FOLDER, with their digests."""
     releases = Releases(folder)
     for name in releases.names():
-        click.echo(f"{name}  {digest_of(releases.path(name))}")
+        click.echo(f"{name}  {content_digest(releases.path(name))}")
 
 
 @release.command()
@@ -69,6 +70,6 @@
     """Exit code 1 unless NAME is there with that DIGEST."""
     try:
         Releases(folder).verify(name, digest)
-    except (Unfit, OSError) as error:
+    except (ReleaseError, OSError) as error:
         raise click.ClickException(str(error)) from error
     click.echo(f"{name}: as it is meant")
--- a/thistleline/lab/conductorworld.py
+++ b/thistleline/lab/conductorworld.py
@@ -7,7 +7,7 @@
 from thistleline.rollout.canary import Finding, Judge, Verdict
 from thistleline.rollout.controller import SECOND, Conducting, Spans
 from thistleline.rollout.record import Order, Roll, Seen
-from thistleline.supervisor.decisions import Version
+from thistleline.supervisor.model import Version
 
 OLD, NEW = Version("1", "a"), Version("2", "b")
 ORDER = Order(1, "start", "", NEW, OLD, ("one", "all"), down=2, down_zone=1)
--- a/thistleline/lab/machines.py
+++ b/thistleline/lab/machines.py
@@ -24,7 +24,7 @@
 from thistleline.lab.ledger import SETTINGS, judge
 from thistleline.lease.protocol import Get, Got, Put
 from thistleline.rollout.record import KEY, ORDER_KEY, Order, Roll
-from thistleline.supervisor.decisions import Version
+from thistleline.supervisor.model import Version
 from thistleline.supervisor.releases import Releases
 
 ROOT = Path(__file__).parent.parent.parent
--- a/thistleline/lab/polledrun.py
+++ b/thistleline/lab/polledrun.py
@@ -20,8 +20,9 @@
 from thistleline.lease.protocol import VALUE_BOUND, Done, Get, Got, Put
 from thistleline.lease.table import Table, data_of
 from thistleline.lease.wire import Reply, Request, encode
-from thistleline.supervisor.decisions import Version, Want
-from thistleline.supervisor.service import POLL, digest_of_settings, settings_key, want_key
+from thistleline.supervisor.model import DesiredVersion, Version
+from thistleline.supervisor.records import desired_version_key, digest_settings, settings_key
+from thistleline.supervisor.service import POLL
 
 SETTINGS = settings_key(0)  # one for all versions: the council's records together are bounded to some ten
 ENTRY_HEAD = 4  # bytes of an entry in a record beside its key and value, at most
@@ -107,7 +108,7 @@
         ]
         self._record()
         for steward in self.stewards:
-            self.at(self.chance.randrange(WANT_AT), self._asks, steward, want_key(steward.name))
+            self.at(self.chance.randrange(WANT_AT), self._asks, steward, desired_version_key(steward.name))
 
     def _way(self, one: int, other: int) -> int:
         return self.apart[one][other] or MS // 2
@@ -142,13 +143,13 @@
 
     def _written(self, content: bytes) -> None:
         self._put(SETTINGS, content)
-        digest = digest_of_settings(content)
-        value = encode(Want(1, self.number, Version("1.0.0", digest, self.number, digest)))
+        digest = digest_settings(content)
+        value = encode(DesiredVersion(1, self.number, Version("1.0.0", digest, self.number, digest)))
         self.at(self.now + MS + self.confirmed + SYNC, self._wanted, value)
 
     def _wanted(self, value: bytes) -> None:
         for steward in self.stewards:
-            self._put(want_key(steward.name), value)
+            self._put(desired_version_key(steward.name), value)
         self.under_way = False
         if self.waiting:
             self._record()
@@ -200,7 +201,7 @@
         if key.startswith("want/"):
             if got.version != steward.version and got.version:
                 steward.version = got.version
-                steward.wanted = msgspec.msgpack.decode(got.value, type=Want).number
+                steward.wanted = msgspec.msgpack.decode(got.value, type=DesiredVersion).number
             self.at(self.now + WANT_AT, self._asks, steward, key)
         else:
             steward.loading = False
--- a/thistleline/lab/roll.py
+++ b/thistleline/lab/roll.py
@@ -23,7 +23,7 @@
 from thistleline.rollout.canary import Finding, Judge, Slot, Verdict
 from thistleline.rollout.controller import SECOND, Conducting, Spans
 from thistleline.rollout.record import STAGES, Order, Roll, Seen
-from thistleline.supervisor.decisions import Version
+from thistleline.supervisor.model import Version
 
 OLD, NEW = Version("1", "d1", 1, "s1"), Version("2", "d2", 1, "s1")
 SPANS = Spans()
--- a/thistleline/lab/scale/control.py
+++ b/thistleline/lab/scale/control.py
@@ -47,9 +47,24 @@
 from thistleline.rollout.controller import SECOND, Conducting, Spans
 from thistleline.rollout.record import KEY, ORDER_KEY, STAGES, Roll, Seen
 from thistleline.rollout.service import ConductorService, encode
-from thistleline.supervisor.decisions import GOOD_SPAN, Keeping, State, Version, Want
+from thistleline.supervisor.effects import Effect, PersistState, SpawnServer, TerminateServer, VerifyVersion
+from thistleline.supervisor.events import (
+    ConsensusPolled,
+    DesiredVersionReceived,
+    Event,
+    ServerExited,
+    ServerReady,
+    ServerSpawned,
+    StatePersisted,
+    StateRecovered,
+    TimerExpired,
+    VersionVerified,
+)
+from thistleline.supervisor.model import DesiredVersion, SupervisorState, Version
+from thistleline.supervisor.records import desired_version_key
 from thistleline.supervisor.releases import RUN, Releases
-from thistleline.supervisor.service import POLL, StewardService, want_key
+from thistleline.supervisor.service import POLL, SupervisorService
+from thistleline.supervisor.state_machine import GOOD_AFTER, Supervisor
 from thistleline.transport.codec import sealed
 from thistleline.zones.decision import Deciding, Rules, Table
 from thistleline.zones.status import FRESH_SPAN, Pictures, Report
@@ -83,64 +98,65 @@
 
     def __init__(self, beside: bool) -> None:
         self.now, self.life, self.beside = SECOND, 0, beside
-        self.keeping = Keeping(SECOND, self.now, beside)
+        self.supervisor = Supervisor(SECOND, self.now, beside)
         self.spent: Counter[str] = Counter()
         self.told: tuple[Any, ...] = ()
-        self.take("recovered", State(life=1000), False)
+        self.handle(StateRecovered(SupervisorState(incarnation=1000), False))
 
-    def take(self, kind: str, *told: Any) -> None:
-        effects: list[tuple[Any, ...]] = []
-        taken = partial(self.keeping.take, self.now, kind, *told)
+    def handle(self, event: Event) -> None:
+        effects: list[Effect] = []
+        taken = partial(self.supervisor.handle, self.now, event)
         self.spent["steps"] += steps_of(lambda: effects.extend(taken()))
         self.spent["inputs"] += 1
         self._count_words()
         for effect in effects:
-            self._carry_out(*effect)
+            self._carry_out(effect)
 
     def _count_words(self) -> None:
-        """Of what members hear of it that was not so before (steward/service.py, _tell)."""
-        keeping, state = self.keeping, self.keeping.state
-        serves = keeping.serves and state.running
-        told = (serves, state.life, keeping.crashed_in_all)
+        """Of what members hear of it that was not so before (supervisor/service.py, _publish)."""
+        supervisor, state = self.supervisor, self.supervisor.state
+        serves = supervisor.serves and state.running
+        told = (serves, state.incarnation, supervisor.crashes.total)
         self.spent[WORDS] += told != self.told
         self.told = told
 
-    def _carry_out(self, kind: str, *told: Any) -> None:
-        if kind == "note":
-            self.spent["notes to disk"] += 1
-            self.spent["bytes to disk"] += self.state_bytes()
-            self.take("noted")
-        elif kind == "verify":
-            self.spent["checks of a release"] += 1
-            self.take("verified", "")
-        elif kind == "spawn":
-            elder, self.life = self.life, told[0]
-            self.take("spawned", 1)
-            if self.keeping.phase == "succeeding":
-                self.take("served", self.life)
-                self.take("exited", 0, elder)
-        elif kind == "term":
-            self.take("exited", 0, self.life)
+    def _carry_out(self, effect: Effect) -> None:
+        match effect:
+            case PersistState():
+                self.spent["notes to disk"] += 1
+                self.spent["bytes to disk"] += self.state_bytes()
+                self.handle(StatePersisted())
+            case VerifyVersion():
+                self.spent["checks of a release"] += 1
+                self.handle(VersionVerified(""))
+            case SpawnServer(incarnation):
+                elder, self.life = self.life, incarnation
+                self.handle(ServerSpawned(1))
+                if self.supervisor.phase == "succeeding":
+                    self.handle(ServerReady(self.life))
+                    self.handle(ServerExited(0, elder))
+            case TerminateServer(incarnation):
+                self.handle(ServerExited(0, incarnation))
 
     def want(self, number: int, turn: int = 0) -> None:
         """Followed, and its server taken for good."""
-        self.take("want", Want(7, number, version(number), turn))
+        self.handle(DesiredVersionReceived(DesiredVersion(7, number, version(number), turn)))
         self.settle()
 
     def settle(self) -> None:
         for _ in range(2):
-            self.now = max(self.now + GOOD_SPAN, self.keeping.due())
-            self.take("elapsed")
+            self.now = max(self.now + GOOD_AFTER, self.supervisor.next_deadline())
+            self.handle(TimerExpired())
 
     def state_bytes(self) -> int:
-        return len(msgspec.json.encode(self.keeping.state))
+        return len(msgspec.json.encode(self.supervisor.state))
 
     def look(self) -> None:
         """What comes of an answer of the council that says nothing new, and of the clock."""
-        assert self.keeping.state.want is not None
-        self.keeping.take(self.now, "reached", True)
-        self.keeping.take(self.now, "want", self.keeping.state.want)
-        self.keeping.take(self.now, "elapsed")
+        assert self.supervisor.state.desired is not None
+        self.supervisor.handle(self.now, ConsensusPolled(True))
+        self.supervisor.handle(self.now, DesiredVersionReceived(self.supervisor.state.desired))
+        self.supervisor.handle(self.now, TimerExpired())
 
 
 def followed(wants: int, beside: bool = True) -> Kept:
@@ -158,7 +174,7 @@
         kept = followed(1, beside)
         kept.spent.clear()
         if name == "crash":
-            kept.take("exited", 1, kept.life)
+            kept.handle(ServerExited(1, kept.life))
             kept.settle()
         else:
             kept.want(1000 + ("settings" in name), 1)
@@ -180,10 +196,10 @@
                          f"council voter a=127.0.0.1:9\n{more}\n".replace("FOLDER", str(folder)))  # fmt: skip
 
 
-def steward_of(known: int, folder: Path) -> StewardService:
+def steward_of(known: int, folder: Path) -> SupervisorService:
     """Whose member knows so many."""
     conf = service_conf(folder, "steward folder FOLDER/s\nsteward plate FOLDER/p\nsteward releases FOLDER/r")
-    service = StewardService(conf, _log)
+    service = SupervisorService(conf, _log)
     service.member.gossip = hollow(known, 1)
     return service
 
@@ -193,9 +209,9 @@
     with TemporaryDirectory() as folder:
         service = steward_of(known, Path(folder))
     kept = followed(1)
-    service.keeping, service.pids = kept.keeping, {kept.life: 1}
-    service._tell()
-    return service._tell
+    service.supervisor, service.servers.pids = kept.supervisor, {kept.life: 1}
+    service._publish()
+    return service._publish
 
 
 def steps_of_verify(releases: int) -> int:
@@ -212,8 +228,8 @@
 def calm_hour() -> dict[str, Any]:
     """What a steward and the council say to each other where nothing changes, by POLL and the program's own
     encoding; on TCP, whose acknowledgements are not in it."""
-    want = encode(Want(7, 1182, version(118), 2))
-    question = sealed(encode_client(Request(100_000, Get(want_key("i00000.zone-01")))))
+    want = encode(DesiredVersion(7, 1182, version(118), 2))
+    question = sealed(encode_client(Request(100_000, Get(desired_version_key("i00000.zone-01")))))
     answer = sealed(encode_client(Reply(100_000, Got(want, 5_000_000))))
     questions = round(3600 / POLL)
     each = len(question) + len(answer)
@@ -319,7 +335,7 @@
 
     async def surely(self, op: Op, span: float) -> Answer:
         assert isinstance(op, Get), op
-        value = encode(self.roll) if op.key == KEY else encode(Want(7, 1, self.roll.base))
+        value = encode(self.roll) if op.key == KEY else encode(DesiredVersion(7, 1, self.roll.base))
         answer = Got(b"", 0) if op.key == ORDER_KEY else Got(value, 7)
         self.reads += 1
         self.bytes += len(sealed(encode_client(Request(self.reads, op))))
--- a/thistleline/lab/scale/council.py
+++ b/thistleline/lab/scale/council.py
@@ -29,9 +29,10 @@
 from thistleline.lease.service import CONNECTIONS_BOUND
 from thistleline.lease.table import NAMES_BOUND, RECORDS_BOUND, RECORDS_SIZE, Table, data_of, fault
 from thistleline.lease.wire import Reply, Request, decode_request, decode_voter, encode
-from thistleline.supervisor.decisions import Version, Want
-from thistleline.supervisor.service import POLL, want_key
-from thistleline.supervisor.settings import SIZE_BOUND
+from thistleline.supervisor.model import DesiredVersion, Version
+from thistleline.supervisor.records import desired_version_key
+from thistleline.supervisor.service import POLL
+from thistleline.supervisor.settings import SETTINGS_SIZE_LIMIT
 from thistleline.transport.codec import sealed
 
 NAME = "council"
@@ -41,7 +42,7 @@
 KEEPS = 200
 SECONDS = 6.0  # of a rate, in the long run
 DIGEST = "5f" * 32
-WANT = msgspec.msgpack.encode(Want(7, 1182, Version("2.31.4", DIGEST, 118, DIGEST, (3, 4), 4), 2))
+WANT = msgspec.msgpack.encode(DesiredVersion(7, 1182, Version("2.31.4", DIGEST, 118, DIGEST, (3, 4), 4), 2))
 
 
 class CountedCouncil(VirtualCouncil):
@@ -107,11 +108,11 @@
 
 
 def reads(council: CountedCouncil, count: int) -> Round:
-    return council.ask_together([Get(want_key(f"i{place:05}.zone-01")) for place in range(count)])
+    return council.ask_together([Get(desired_version_key(f"i{place:05}.zone-01")) for place in range(count)])
 
 
 def writes(council: CountedCouncil, count: int, first: int = 0) -> Round:
-    keys = [want_key(f"i{place:05}.zone-01") for place in range(first, first + count)]
+    keys = [desired_version_key(f"i{place:05}.zone-01") for place in range(first, first + count)]
     return council.ask_together([Put(key, WANT, 0) for key in keys])
 
 
@@ -211,7 +212,9 @@
 
 def read_time(leader: Leader, count: int) -> float:
     """CPU seconds of a round of so many reads."""
-    asked = [encode(Request(number, Get(want_key(f"i{number:05}.zone-01")))) for number in range(count)]
+    asked = [
+        encode(Request(number, Get(desired_version_key(f"i{number:05}.zone-01")))) for number in range(count)
+    ]
     rounds = max(1, 1000 // count)
 
     def all_rounds() -> None:
@@ -235,7 +238,7 @@
 def filled(records: int) -> Table:
     table = Table()
     for place in range(records):
-        told = table.apply(place + 1, data_of(Put(want_key(f"i{place:05}.zone-01"), WANT, 0)))
+        told = table.apply(place + 1, data_of(Put(desired_version_key(f"i{place:05}.zone-01"), WANT, 0)))
         assert isinstance(told, Done), told
     return table
 
@@ -351,7 +354,7 @@
 def bounds() -> dict[str, Any]:
     """What the table may hold, against a want for each instance and the settings."""
     instances = size("instances")
-    key = len(want_key(f"i{instances:05}.zone-01"))
+    key = len(desired_version_key(f"i{instances:05}.zone-01"))
     refused = [kb for kb in (128, 256, 257, 512) if fault(Put("settings/1", b"x" * (kb << 10), 0))]
     write = len(data_of(Put("w" * key, WANT, 0)))
     return {
@@ -362,7 +365,7 @@
         "records_bound": RECORDS_BOUND,
         "names_bound": NAMES_BOUND,
         "value_bound": VALUE_BOUND,
-        "settings_size_bound": SIZE_BOUND,
+        "settings_size_bound": SETTINGS_SIZE_LIMIT,
         "settings_kb_refused": refused,
         "versions_of_settings_that_fit_beside_wants": (RECORDS_SIZE - instances * len(WANT)) // VALUE_BOUND,
         "writes_between_two_snapshots": COMPACT_SIZE // (write + ENTRY_COST),
--- a/thistleline/lab/scale/members.py
+++ b/thistleline/lab/scale/members.py
@@ -50,7 +50,9 @@
 NAME = "members"
 
 DAY = 86_400
-WORDS_A_RESTART = 3  # taken as: it takes no more; another life takes; that one is warm (steward/service.py)
+WORDS_A_RESTART = (
+    3  # taken as: it takes no more; another life takes; that one is warm (supervisor/service.py)
+)
 WORDS_A_DEATH = 3  # suspected, dead, and another one in its place
 DEATHS_PATIENCE = 400  # periods
 
--- a/thistleline/lab/scale/settings_costs.py
+++ b/thistleline/lab/scale/settings_costs.py
@@ -24,8 +24,8 @@
 from thistleline.rollout.controller import SECOND, Conducting, Spans
 from thistleline.rollout.record import STAGES, Order, Roll, Seen
 from thistleline.rollout.service import POLL as LOOK
-from thistleline.supervisor.decisions import Version, Want
-from thistleline.supervisor.settings import SIZE_BOUND, unfit_settings
+from thistleline.supervisor.model import DesiredVersion, Version
+from thistleline.supervisor.settings import SETTINGS_SIZE_LIMIT, unfit_settings
 from thistleline.wire.settings import read_bench
 
 NAME = "settings"
@@ -97,7 +97,7 @@
             elif name == "want":
                 id, version, turn = what
                 self.wants += 1
-                self.want_bytes += len(encode(Want(1, 1, version, turn)))
+                self.want_bytes += len(encode(DesiredVersion(1, 1, version, turn)))
                 self.settings[self.at[id]] = version.settings
 
     @property
@@ -137,7 +137,7 @@
     by_tenant = (100, 300, 600, 1000) if quick else (100, 1000, 10_000, 100_000)
     for per, sizes, at in (("stage", by_stage, routes), ("tenant", by_tenant, tenants)):
         texts = [text_of(n, 3, seed) if per == "stage" else text_of(3, n, seed) for n in sizes]
-        bounds = f"{SIZE_BOUND} at most by SIZE_BOUND, the council's VALUE_BOUND"
+        bounds = f"{SETTINGS_SIZE_LIMIT} at most by SETTINGS_SIZE_LIMIT, the council's VALUE_BOUND"
         found.append(row(f"text by {per}: bytes", "count", "bytes", per, sizes,
                          [len(one) for one in texts], at, note=bounds))  # fmt: skip
         told = [msgspec.json.decode(one) for one in texts]
@@ -229,7 +229,7 @@
     tell(f"{name}: {took[-1]:.3f} s at {sizes[-1]}")
     seconds[f"{name}, CPU seconds by size"] = rounded(sizes, took)
     found.append(row(name, "time", "loops", "stage", sizes, loops, size("routes"), 5,
-                     note="SIZE_BOUND refuses it before the size is reached"))  # fmt: skip
+                     note="SETTINGS_SIZE_LIMIT refuses it before the size is reached"))  # fmt: skip
     return found, {"loop_s": loop_cpu(), **seconds}
 
 
@@ -250,7 +250,7 @@
     spans = Spans()
     carrying = looks * LOOK
     judging = len(STAGES) * spans.enough * spans.slot / SECOND
-    content = SIZE_BOUND
+    content = SETTINGS_SIZE_LIMIT
     at_once = known["a change, all down at once: the conductor's looks by instance"]["at_size"] * LOOK
     wants = known["a change: bytes of the wants by instance"]["at_size"]
     roll = known["a change: bytes of the roll's records by instance"]["at_size"]
@@ -271,7 +271,7 @@
         "changes a second wanted": day / DAY,
         "changes that wait within the time to be in force": day * within / DAY,
         "bytes a second to an instance at the day's rate": content * day / DAY,
-        "stages and tenants in a record": most_that_fit(rows, SIZE_BOUND),
+        "stages and tenants in a record": most_that_fit(rows, SETTINGS_SIZE_LIMIT),
         "days till RECORDS_BOUND is full of numbered settings": (RECORDS_BOUND - instances) / day,
         "settings of full size that RECORDS_SIZE holds": RECORDS_SIZE // content,
     }
--- a/thistleline/lab/stewardworld.py
+++ b/thistleline/lab/stewardworld.py
@@ -3,10 +3,39 @@
 from collections.abc import Callable, Iterator
 from typing import Any, Self, TypeVar
 
-from thistleline.supervisor.decisions import SECOND, Keeping, State, Version, Want
+from thistleline.supervisor.crash_history import SECOND
+from thistleline.supervisor.effects import (
+    Effect,
+    KillServer,
+    LogEvent,
+    PersistState,
+    PublishStatus,
+    SpawnServer,
+    TerminateServer,
+    VerifyVersion,
+)
+from thistleline.supervisor.events import (
+    DesiredVersionReceived,
+    Event,
+    ServerExited,
+    ServerReady,
+    ServerSpawned,
+    StatePersisted,
+    StateRecovered,
+    TimerExpired,
+    VersionVerified,
+)
+from thistleline.supervisor.model import DesiredVersion, SupervisorState, Version
+from thistleline.supervisor.state_machine import Supervisor
 
 OLD, NEW, BAD = Version("1", "a"), Version("2", "b"), Version("3", "c")
-WANTS = (Want(1, 1, OLD), Want(2, 2, NEW), Want(2, 3, BAD), Want(3, 4, OLD), Want(1, 9, NEW))
+WANTS = (
+    DesiredVersion(1, 1, OLD),
+    DesiredVersion(2, 2, NEW),
+    DesiredVersion(2, 3, BAD),
+    DesiredVersion(3, 4, OLD),
+    DesiredVersion(1, 9, NEW),
+)
 STOP = SECOND
 
 
@@ -15,11 +44,11 @@
 
     def __init__(self) -> None:
         self.now = 1000 * SECOND
-        self.disk = State()
-        self.keeping: Keeping | None = None
+        self.disk = SupervisorState()
+        self.supervisor: Supervisor | None = None
         self.server: Version | None = None  # that lives
         self.termed = False
-        self.asked: tuple[tuple[Any, ...], ...] = ()  # of the carrier, in order
+        self.asked: tuple[Effect, ...] = ()  # of the carrier, in order
         self.wanted = 0  # how many of WANTS were told
         self.deaths = self.crashes = 2
         self.newest = (0, 0)
@@ -29,87 +58,76 @@
     def copy(self) -> Self:
         made = type(self).__new__(type(self))
         made.__dict__.update(self.__dict__)
-        if self.keeping is not None:
-            keeping = Keeping.__new__(Keeping)
-            keeping.__dict__.update(self.keeping.__dict__)
-            keeping.crashes, keeping.effects = list(keeping.crashes), []
-            keeping.notes = list(keeping.notes)
-            made.keeping = keeping
+        if self.supervisor is not None:
+            made.supervisor = self.supervisor.copy()
         return made
 
-    def take(self, kind: str, *told: Any) -> None:
-        assert self.keeping is not None
-        for effect in self.keeping.take(self.now, kind, *told):
-            if effect[0] in ("note", "verify", "spawn", "term", "kill"):
+    def handle(self, event: Event) -> None:
+        assert self.supervisor is not None
+        for effect in self.supervisor.handle(self.now, event):
+            if not isinstance(effect, LogEvent | PublishStatus):
                 self.asked = (*self.asked, effect)
 
     def start(self) -> None:
-        self.keeping = Keeping(STOP, self.now)
+        self.supervisor = Supervisor(STOP, self.now)
         self.asked = ()
-        self.take("recovered", self.disk, self.server is not None)
+        self.handle(StateRecovered(self.disk, self.server is not None))
 
     def carry_out(self) -> None:
         effect, *rest = self.asked
         self.asked = tuple(rest)
-        kind = effect[0]
-        if kind == "note":
-            before, after = self.disk.want, effect[1].want
-            if before is not None and (after.epoch, after.number) < (before.epoch, before.number):
-                self.broken = "an older conductor is followed"
-            self.disk = effect[1]
-            self.take("noted")
-        elif kind == "verify":
-            self.take("verified", "not what is meant" if effect[1] == BAD else "")
-        elif kind == "spawn":
-            if self.server is not None:
-                self.broken = "a server is started while one lives"
-            if effect[2] == BAD:
-                self.broken = "what is unfit is started"
-            if self.disk.running != effect[2] or self.disk.life != effect[1]:
-                self.broken = "a server is started that nobody would know of"
-            self.server, self.termed = effect[2], False
-            self.take("spawned", 1)
-        elif kind == "term":
-            self.termed = True
-        elif kind == "kill" and self.server is not None:
-            self.end(-9)
+        match effect:
+            case PersistState(state):
+                before, after = self.disk.desired, state.desired
+                if before is not None and (after is None or after.is_older_than(before)):
+                    self.broken = "an older conductor is followed"
+                self.disk = state
+                self.handle(StatePersisted())
+            case VerifyVersion(version):
+                self.handle(VersionVerified("not what is meant" if version == BAD else ""))
+            case SpawnServer(incarnation, version):
+                if self.server is not None:
+                    self.broken = "a server is started while one lives"
+                if version == BAD:
+                    self.broken = "what is unfit is started"
+                if self.disk.running != version or self.disk.incarnation != incarnation:
+                    self.broken = "a server is started that nobody would know of"
+                self.server, self.termed = version, False
+                self.handle(ServerSpawned(1))
+            case TerminateServer():
+                self.termed = True
+            case KillServer() if self.server is not None:
+                self.end(-9)
 
     def end(self, code: int) -> None:
         self.server, self.termed = None, False
-        if self.keeping is not None:
-            self.take("exited", code)
+        if self.supervisor is not None:
+            self.handle(ServerExited(code))
 
     def die(self) -> None:
-        self.keeping, self.asked = None, ()
+        self.supervisor, self.asked = None, ()
 
     def want(self) -> None:
         told = WANTS[self.wanted]
         self.wanted += 1
-        self.take("want", told)
+        self.handle(DesiredVersionReceived(told))
         self.newest = max(self.newest, (told.epoch, told.number))
 
     def tick(self) -> None:
         self.now += 2 * SECOND
-        if self.keeping is not None and self.keeping.due() <= self.now:
-            self.take("elapsed")
+        if self.supervisor is not None and self.supervisor.next_deadline() <= self.now:
+            self.handle(TimerExpired())
 
     def wrong(self) -> str:
         if self.broken:
             return self.broken
-        want = self.disk.want
-        if want is not None and want not in WANTS[: self.wanted]:
+        desired = self.disk.desired
+        if desired is not None and desired not in WANTS[: self.wanted]:
             return "nobody wanted that"
         return ""
 
     def key(self) -> Any:
-        keeping = self.keeping
-        told: tuple[Any, ...] = ()
-        if keeping is not None:
-            told = (
-                *(keeping.phase, keeping.state, keeping.next, tuple(keeping.notes)),
-                *(keeping.alive, keeping.started, keeping.stopping, keeping.killed, tuple(keeping.crashes)),
-                keeping.retry_at,
-            )
+        told = self.supervisor.state_key() if self.supervisor is not None else ()
         rest = (self.disk, self.server, self.termed, self.asked, self.wanted, self.deaths, self.crashes)
         return hash((told, rest, self.now, self.newest, self.broken))
 
@@ -127,70 +145,75 @@
         super().__init__()
 
     def start(self) -> None:
-        self.keeping = Keeping(STOP, self.now, True)
+        self.supervisor = Supervisor(STOP, self.now, True)
         self.asked, self.ended = (), ()
-        lives = [life for life, _ in self.alive]
-        rest = [life for life in lives if life not in (self.disk.life, self.disk.heir_life)]
-        heir = self.disk.heir is not None and self.disk.heir_life in lives
-        self.take("recovered", self.disk, self.disk.life in lives, heir, max(rest, default=0))
-
-    def take(self, kind: str, *told: Any) -> None:
-        assert self.keeping is not None
-        for effect in self.keeping.take(self.now, kind, *told):
-            if effect[0] in ("note", "verify", "spawn"):
-                self.asked = (*self.asked, effect)
-            else:
-                self.signal(effect)
+        disk, lives = self.disk, [life for life, _ in self.alive]
+        rest = [life for life in lives if life not in (disk.incarnation, disk.successor_incarnation)]
+        heir = disk.successor is not None and disk.successor_incarnation in lives
+        self.handle(StateRecovered(disk, disk.incarnation in lives, heir, max(rest, default=0)))
+
+    def handle(self, event: Event) -> None:
+        assert self.supervisor is not None
+        for effect in self.supervisor.handle(self.now, event):
+            match effect:
+                case PersistState() | VerifyVersion() | SpawnServer():
+                    self.asked = (*self.asked, effect)
+                case TerminateServer(life):
+                    self.terminate(life)
+                case KillServer(life):
+                    self.kill(life)
 
     def carry_out(self) -> None:
         effect = self.asked[0]
-        if effect[0] in ("note", "verify"):
+        if not isinstance(effect, SpawnServer):
             super().carry_out()
             return
         self.asked = self.asked[1:]
-        if effect[0] == "spawn":
-            life, version = effect[1:]
-            if version == BAD:
-                self.broken = "what is unfit is started"
-            if life not in (self.disk.life, self.disk.heir_life):
-                self.broken = "a server is started that nobody would know of"
-            if any(life <= other for other, _ in self.alive):
-                self.broken = "a life is begun twice"
-            serving = [one for one, _ in self.alive if one not in self.handed]
-            if len(self.alive) > 1 or (serving and life == self.disk.life):
-                self.broken = "a server is started while too many live"
-            self.alive = (*self.alive, (life, version))
-            self.take("spawned", 1)
-
-    def signal(self, effect: tuple[Any, ...]) -> None:
+        life, version = effect.incarnation, effect.version
+        if version == BAD:
+            self.broken = "what is unfit is started"
+        if life not in (self.disk.incarnation, self.disk.successor_incarnation):
+            self.broken = "a server is started that nobody would know of"
+        if any(life <= other for other, _ in self.alive):
+            self.broken = "a life is begun twice"
+        serving = [one for one, _ in self.alive if one not in self.handed]
+        if len(self.alive) > 1 or (serving and life == self.disk.incarnation):
+            self.broken = "a server is started while too many live"
+        self.alive = (*self.alive, (life, version))
+        self.handle(ServerSpawned(1))
+
+    def terminate(self, life: int) -> None:
         """Carried out at once."""
-        if effect[0] in ("term", "kill"):
+        if self.knows(life):
             self.broken = "the one that serves is ended for another"
-        elif effect[0] == "term_heir" and any(life == effect[1] for life, _ in self.alive):
-            self.termed_lives |= {effect[1]}
-        elif effect[0] == "kill_life" and any(life == effect[1] for life, _ in self.alive):
-            if effect[1] == self.owner and effect[1] not in self.handed and self.knows(effect[1]):
-                self.broken = "the one that serves is killed"
-            self.end_life(effect[1])
+        elif any(life == one for one, _ in self.alive):
+            self.termed_lives |= {life}
+
+    def kill(self, life: int) -> None:
+        """Carried out at once."""
+        if self.knows(life):
+            self.broken = "the one that serves is killed"
+        elif any(life == one for one, _ in self.alive):
+            self.end_life(life)
 
     def knows(self, life: int) -> bool:
-        return self.keeping is not None and self.keeping.state.life == life
+        return self.supervisor is not None and self.supervisor.state.incarnation == life
 
     def end_life(self, life: int) -> None:
         self.alive = tuple(one for one in self.alive if one[0] != life)
         self.termed_lives -= {life}
-        if self.keeping is not None:
+        if self.supervisor is not None:
             self.ended = (*self.ended, life)
 
     def hear_end(self) -> None:
         life, *rest = self.ended
         self.ended = tuple(rest)
         self.hear_owner()
-        self.take("exited", 1, life)
+        self.handle(ServerExited(1, life))
 
     def hear_owner(self) -> None:
-        if self.keeping is not None and self.keeping.phase == "succeeding":
-            self.take("served", self.owner)
+        if self.supervisor is not None and self.supervisor.phase == "succeeding":
+            self.handle(ServerReady(self.owner))
 
     def serve(self, life: int) -> None:
         """The latest life comes to serve: whoever served before has handed over, or is gone."""
@@ -198,13 +221,8 @@
         self.owner = life
 
     def key(self) -> Any:
-        keeping = self.keeping
-        told: tuple[Any, ...] = ()
-        if keeping is not None:
-            told = (keeping.heir_alive, keeping.heir_since, keeping.elder, keeping.elder_since)
-            told += (keeping.elder_killed,)
         rest = (self.alive, self.owner, self.handed, self.ended, self.termed_lives)
-        return hash((super().key(), told, rest))
+        return hash((super().key(), rest))
 
 
 W = TypeVar("W", bound=StewardWorld)
@@ -225,14 +243,17 @@
 
 def following_beside(world: BesideWorld) -> Iterator[tuple[str, BesideWorld]]:
     step = steps(world)
-    if world.keeping is None:
+    if world.supervisor is None:
         yield from step("the steward starts", BesideWorld.start)
     else:
         if world.asked:
-            yield from step(f"it carries out: {world.asked[0][0]}", BesideWorld.carry_out)
+            yield from step(f"it carries out: {type(world.asked[0]).__name__}", BesideWorld.carry_out)
         if world.ended:
             yield from step(f"it hears that {world.ended[0]} ended", BesideWorld.hear_end)
-        if world.owner == world.keeping.state.heir_life != 0 and world.keeping.phase == "succeeding":
+        if (
+            world.owner == world.supervisor.state.successor_incarnation != 0
+            and world.supervisor.phase == "succeeding"
+        ):
             yield from step("it hears who serves", BesideWorld.hear_owner)
         if world.wanted < len(WANTS):
             yield from step(f"want {world.wanted} comes", BesideWorld.want)
@@ -254,11 +275,11 @@
 
 def following(world: StewardWorld) -> Way:
     step = steps(world)
-    if world.keeping is None:
+    if world.supervisor is None:
         yield from step("the steward starts", StewardWorld.start)
     else:
         if world.asked:
-            yield from step(f"it carries out: {world.asked[0][0]}", StewardWorld.carry_out)
+            yield from step(f"it carries out: {type(world.asked[0]).__name__}", StewardWorld.carry_out)
         if world.wanted < len(WANTS):
             yield from step(f"want {world.wanted} comes", StewardWorld.want)
         if world.deaths:
@@ -295,10 +316,10 @@
             trace.append(name)
             if world.wrong():
                 return f"seed {seed}: {world.wrong()}: {trace}"
-        keeping = world.keeping
-        if keeping is None or keeping._wanted() is None:
+        supervisor = world.supervisor
+        if supervisor is None or supervisor.state.wanted is None:
             continue
         serving = [version for life, version in world.alive if life == world.owner]
-        if keeping._wanted() not in (*serving, BAD):
-            return f"seed {seed}: {keeping._wanted()} does not come to serve, {world.alive}: {trace}"
+        if supervisor.state.wanted not in (*serving, BAD):
+            return f"seed {seed}: {supervisor.state.wanted} does not come to serve, {world.alive}: {trace}"
     return ""
--- a/thistleline/rollout/controller.py
+++ b/thistleline/rollout/controller.py
@@ -16,7 +16,7 @@
 
 from thistleline.rollout.canary import Judge, Slot
 from thistleline.rollout.record import PAST_BOUND, Order, Past, Phase, Roll, Seen, controls, targets, wrong
-from thistleline.supervisor.decisions import Version
+from thistleline.supervisor.model import Version
 
 SECOND = 1_000_000_000
 
--- a/thistleline/rollout/record.py
+++ b/thistleline/rollout/record.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from thistleline.supervisor.decisions import Version
+from thistleline.supervisor.model import Version
 
 Phase = Literal["going", "paused", "asking", "backing", "done", "back"]
 STAGES = ("one", "one a zone", "tenth", "half", "all")
@@ -91,9 +91,11 @@
     if unknown or not order.stages or order.stages[-1] != "all":
         return f"stages are of {', '.join(STAGES)}, and 'all' is the last"
     for one, other in ((order.version, order.base), (order.base, order.version)):
-        if one.writes and other.reads and one.writes not in other.reads:
-            known = ", ".join(map(str, other.reads))
-            what = f"{one.release} writes a ledger of form {one.writes}, {other.release} reads {known}"
+        if one.written_format and other.readable_formats and one.written_format not in other.readable_formats:
+            known = ", ".join(map(str, other.readable_formats))
+            what = (
+                f"{one.release} writes a ledger of form {one.written_format}, {other.release} reads {known}"
+            )
             return f"{what}: there is no way back"
     if order.down < 1 or order.down_zone < 1:
         return "nothing can change with no server down"
--- a/thistleline/rollout/service.py
+++ b/thistleline/rollout/service.py
@@ -15,14 +15,14 @@
 from thistleline.rollout.controller import Conducting, Spans
 from thistleline.rollout.record import KEY, LEASE, ORDER_KEY, Order, Roll, Seen
 from thistleline.store.clock import boot_now, wall_ms
-from thistleline.supervisor.decisions import Version, Want
-from thistleline.supervisor.service import want_key
+from thistleline.supervisor.model import DesiredVersion, Version
+from thistleline.supervisor.records import desired_version_key
 
 POLL = 0.2  # s
 SPAN = 8.0  # s in which the council has to decide a write, else the lease is given back
 
 _roll = msgspec.msgpack.Decoder(Roll).decode
-_want = msgspec.msgpack.Decoder(Want).decode
+_want = msgspec.msgpack.Decoder(DesiredVersion).decode
 _order = msgspec.msgpack.Decoder(Order).decode
 encode = msgspec.msgpack.Encoder().encode
 
@@ -99,7 +99,7 @@
             for one in seen:
                 if one.id not in asked:
                     asked.add(one.id)
-                    known = await records.get(want_key(one.id))
+                    known = await records.get(desired_version_key(one.id))
                     if known is not None:
                         wants[one.id] = _want(known).version
             if wants:
@@ -124,7 +124,7 @@
         self, records: Records, held: Held, conducting: Conducting, id: str, version: Version, turn: int
     ) -> None:
         number = conducting.roll.number if conducting.roll is not None else 0
-        await records.put(want_key(id), encode(Want(held.epoch, number, version, turn)))
+        await records.put(desired_version_key(id), encode(DesiredVersion(held.epoch, number, version, turn)))
         self.log("wants", of=id, release=version.release, settings=version.settings)
 
     def seen(self) -> list[Seen]:
--- a/thistleline/supervisor/__init__.py
+++ b/thistleline/supervisor/__init__.py
@@ -1,1 +1,1 @@
-"""One a machine: keeps the server running that the conductor wants, found again after its own death."""
+"""One for each machine: keeps the server at the desired version, and finds it again after its own death."""
--- /dev/null
+++ b/thistleline/supervisor/effects.py
@@ -0,0 +1,58 @@
+"""Outputs of the supervisor's state machine, to be carried out in order."""
+
+from dataclasses import dataclass
+from typing import Any
+
+from thistleline.supervisor.model import SupervisorState, Version
+
+
+@dataclass(frozen=True, slots=True)
+class PersistState:
+    """Make the state durable, then answer with `StatePersisted`."""
+
+    state: SupervisorState
+
+
+@dataclass(frozen=True, slots=True)
+class VerifyVersion:
+    """Check release and settings, then answer with `VersionVerified`."""
+
+    version: Version
+
+
+@dataclass(frozen=True, slots=True)
+class SpawnServer:
+    """Start a server, then answer with `ServerSpawned` or `SpawnFailed`."""
+
+    incarnation: int
+    version: Version
+
+
+@dataclass(frozen=True, slots=True)
+class TerminateServer:
+    """Ask the server of this incarnation to stop gracefully (SIGTERM)."""
+
+    incarnation: int
+
+
+@dataclass(frozen=True, slots=True)
+class KillServer:
+    """End the server of this incarnation at once (SIGKILL)."""
+
+    incarnation: int
+
+
+@dataclass(frozen=True, slots=True)
+class PublishStatus:
+    """Let the other members know what runs here now."""
+
+
+@dataclass(frozen=True, slots=True)
+class LogEvent:
+    """Write a line to the structured log."""
+
+    event: str
+    fields: dict[str, Any]
+
+
+Effect = PersistState | VerifyVersion | SpawnServer | TerminateServer | KillServer | PublishStatus | LogEvent
--- a/thistleline/supervisor/releases.py
+++ b/thistleline/supervisor/releases.py
@@ -7,86 +7,127 @@
 import os
 import shutil
 from pathlib import Path
+from typing import NamedTuple
 
-RUN = "run"
-FORMS = "forms"  # a file that says which forms of the ledger it reads, and which it writes: "1 2 writes 2"
-FILES_BOUND = 100_000
+from thistleline.supervisor.errors import ReleaseError
 
+RUN = "run"  # the file that is executed
+FORMATS_FILE = "forms"  # says which ledger formats the release reads and which it writes: "1 2 writes 2"
+MAX_FILES = 100_000  # in a release
 
-class Unfit(Exception):
-    """Not a release, or not the one that is meant; says why."""
 
+class LedgerFormats(NamedTuple):
+    """Ledger formats of a release: those that it reads, and the one that it writes; 0 where unknown."""
 
-def digest_of(folder: Path) -> str:
-    """Over names, kinds, the right to execute, and contents, in order. Raises Unfit."""
-    whole = hashlib.sha256()
+    readable: tuple[int, ...]
+    written: int
+
+
+def content_digest(folder: Path) -> str:
+    """Return the SHA-256 over names, kinds, the right to execute, and contents, in order.
+
+    Raises:
+        ReleaseError: There are too many files.
+        OSError: A file can't be read.
+    """
+    digest = hashlib.sha256()
     files = sorted(path for path in folder.rglob("*") if not path.is_dir() or path.is_symlink())
-    if len(files) > FILES_BOUND:
-        raise Unfit(f"more than {FILES_BOUND} files")
+    if len(files) > MAX_FILES:
+        raise ReleaseError(f"more than {MAX_FILES} files")
     for path in files:
         name = path.relative_to(folder).as_posix().encode()
-        if path.is_symlink():
-            kind, content = b"l", os.readlink(path).encode()
-        else:
-            kind = b"x" if os.access(path, os.X_OK) else b"f"
-            content = hashlib.sha256(path.read_bytes()).digest()
-        whole.update(len(name).to_bytes(4, "big") + name + kind + len(content).to_bytes(4, "big") + content)
-    return whole.hexdigest()
-
-
-def forms_of(folder: Path) -> tuple[tuple[int, ...], int]:
-    """What a release says of the ledger: the forms that it reads, and the one that it writes; nothing and 0
-    where it does not say. Raises Unfit, OSError."""
-    place = folder / FORMS
-    if not place.exists():
-        return (), 0
-    reads, _, writes = place.read_text().partition("writes")
+        kind, content = _kind_and_content(path)
+        digest.update(len(name).to_bytes(4, "big") + name)
+        digest.update(kind + len(content).to_bytes(4, "big") + content)
+    return digest.hexdigest()
+
+
+def _kind_and_content(path: Path) -> tuple[bytes, bytes]:
+    """Return what goes into the digest for a file: link, executable or other; target or content's digest."""
+    if path.is_symlink():
+        return b"l", os.readlink(path).encode()
+    kind = b"x" if os.access(path, os.X_OK) else b"f"
+    return kind, hashlib.sha256(path.read_bytes()).digest()
+
+
+def ledger_formats(folder: Path) -> LedgerFormats:
+    """Return what a release says of the ledger; nothing and 0 where it does not say.
+
+    Raises:
+        ReleaseError: The file has another form.
+        OSError: It can't be read.
+    """
+    path = folder / FORMATS_FILE
+    if not path.exists():
+        return LedgerFormats((), 0)
+    readable, _, written = path.read_text().partition("writes")
     try:
-        return tuple(map(int, reads.split())), int(writes)
+        return LedgerFormats(tuple(map(int, readable.split())), int(written))
     except ValueError:
-        raise Unfit(f"{place} does not say '1 2 writes 2'") from None
+        raise ReleaseError(f"{path} does not say '1 2 writes 2'") from None
 
 
 class Releases:
+    """The releases in a folder, by name."""
+
     def __init__(self, folder: Path) -> None:
+        """Use `folder`, which is created with the first release."""
         self.folder = folder
 
     def path(self, name: str) -> Path:
+        """Return the folder of a release, there or not.
+
+        Raises:
+            ReleaseError: No release can have that name.
+        """
         if not name or "/" in name or name.startswith("."):
-            raise Unfit(f"{name!r} is no name of a release")
+            raise ReleaseError(f"{name!r} is no name of a release")
         return self.folder / name
 
     def add(self, name: str, source: Path) -> str:
-        """Copies it; whole or not at all. A name stands for one content for ever. Raises Unfit, OSError."""
-        place = self.path(name)
+        """Copy a release, as a whole or not at all, and return its digest.
+
+        A name stands for one content for ever; adding the same content again changes nothing.
+
+        Raises:
+            ReleaseError: `source` is no release, or the name has another content.
+            OSError: It can't be read or copied.
+        """
+        target = self.path(name)
         if not os.access(source / RUN, os.X_OK):
-            raise Unfit(f"{source} has no file '{RUN}' that can be executed")
-        digest = digest_of(source)
-        if place.exists():
-            if digest_of(place) != digest:
-                raise Unfit(f"{name} is there with another content")
+            raise ReleaseError(f"{source} has no file '{RUN}' that can be executed")
+        digest = content_digest(source)
+        if target.exists():
+            if content_digest(target) != digest:
+                raise ReleaseError(f"{name} is there with another content")
             return digest
         self.folder.mkdir(parents=True, exist_ok=True)
-        fresh = self.folder / f".{name}.{os.getpid()}"
-        shutil.copytree(source, fresh, symlinks=True)
-        if digest_of(fresh) != digest:
-            shutil.rmtree(fresh)
-            raise Unfit(f"{source} changed while it was copied")
-        fresh.rename(place)
+        temporary = self.folder / f".{name}.{os.getpid()}"
+        shutil.copytree(source, temporary, symlinks=True)
+        if content_digest(temporary) != digest:
+            shutil.rmtree(temporary)
+            raise ReleaseError(f"{source} changed while it was copied")
+        temporary.rename(target)
         return digest
 
     def names(self) -> list[str]:
+        """Return the names of all releases, sorted."""
         if not self.folder.is_dir():
             return []
         return sorted(path.name for path in self.folder.iterdir() if not path.name.startswith("."))
 
     def verify(self, name: str, digest: str) -> None:
-        """Raises Unfit where it is not there, or not with this content, which its forms are a part of."""
-        place = self.path(name)
-        if not place.is_dir():
-            raise Unfit(f"{name} is not here")
-        found = digest_of(place)
+        """Check that a release is here with this content, which its ledger formats are a part of.
+
+        Raises:
+            ReleaseError: It is missing or has another content.
+            OSError: It can't be read.
+        """
+        path = self.path(name)
+        if not path.is_dir():
+            raise ReleaseError(f"{name} is not here")
+        found = content_digest(path)
         if found != digest:
-            raise Unfit(f"{name} has digest {found[:12]}, {digest[:12]} is meant")
-        if not os.access(place / RUN, os.X_OK):
-            raise Unfit(f"{name} has no file '{RUN}' that can be executed")
+            raise ReleaseError(f"{name} has digest {found[:12]}, {digest[:12]} is meant")
+        if not os.access(path / RUN, os.X_OK):
+            raise ReleaseError(f"{name} has no file '{RUN}' that can be executed")
--- a/thistleline/supervisor/service.py
+++ b/thistleline/supervisor/service.py
@@ -1,13 +1,12 @@
-"""A steward as a program: a server's process, its state on disk, the council's wants, the members' facts."""
+"""The supervisor as a program: its state on disk, the records it follows, its server's processes, its member.
+
+The state machine decides (`state_machine.py`); here its effects are carried out and events are gathered.
+"""
 
-import fcntl
-import hashlib
-import os
 import signal
 from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
-from typing import Any
 
 import anyio
 import anyio.to_thread
@@ -22,338 +21,252 @@
 from thistleline.membership.service import MemberService
 from thistleline.store.clock import boot_now, wall_ms
 from thistleline.store.latest import Latest
-from thistleline.supervisor.decisions import Keeping, State, Version, Want
-from thistleline.supervisor.releases import RUN, Releases, Unfit
+from thistleline.supervisor.effects import (
+    Effect,
+    KillServer,
+    LogEvent,
+    PersistState,
+    PublishStatus,
+    SpawnServer,
+    TerminateServer,
+    VerifyVersion,
+)
+from thistleline.supervisor.errors import ReleaseError, SupervisorError
+from thistleline.supervisor.events import (
+    ConsensusPolled,
+    DesiredVersionReceived,
+    Event,
+    ServerExited,
+    ServerReady,
+    ServerSpawned,
+    SpawnFailed,
+    StatePersisted,
+    StateRecovered,
+    TimerExpired,
+    VersionVerified,
+)
+from thistleline.supervisor.model import DesiredVersion, SupervisorState, Version
+from thistleline.supervisor.records import desired_version_key, digest_settings, settings_key
+from thistleline.supervisor.releases import Releases
+from thistleline.supervisor.server_log import ServerLog
+from thistleline.supervisor.server_processes import RunningServer, ServerProcesses
 from thistleline.supervisor.settings import unfit_settings
+from thistleline.supervisor.settings_files import SettingsFiles
+from thistleline.supervisor.state_machine import Supervisor
 
-TAIL = 0.1  # s between two looks at what the server says
-POLL = 0.25  # s between two questions to the council
-FIND_SPAN = 3.0  # s for a server that was being started to say who it is
-LOG_BOUND = 64 << 20  # bytes of a server's log, cut to nothing past it
-LIVES_KEPT = 5  # logs
-FIGURES = ("tasks", "finished", "rejected", "abandoned", "slow")
-WORTH = ("worth_came", "worth_done")
-
-_state = msgspec.json.Decoder(State).decode
-_want = msgspec.msgpack.Decoder(Want).decode
-WRAP = 'echo $$ >"$1.new" && mv "$1.new" "$1" && cd "$2" && exec "./$3"'
-
-
-def want_key(name: str) -> str:
-    return f"want/{name}"
+PUBLISH_INTERVAL = 0.1  # s between two looks at what the server says
+POLL = 0.25  # s between two reads of the desired version
+PERSIST_RETRY = 1.0  # s before a state that could not be written is written again
+SETTINGS_TIMEOUT = 5.0  # s for settings to come from the replicated log
 
+_decode_state = msgspec.json.Decoder(SupervisorState).decode
+_decode_desired = msgspec.msgpack.Decoder(DesiredVersion).decode
 
-def settings_key(number: int) -> str:
-    return f"settings/{number}"
 
+class SupervisorService:
+    """Keeps the server of one machine running, in the foreground."""
 
-def digest_of_settings(content: bytes) -> str:
-    return hashlib.sha256(content).hexdigest()
-
-
-class StewardService:
     def __init__(self, conf: Conf, log: Callable[..., None]) -> None:
-        """Takes the folder. Raises Held, OSError."""
+        """Take the folder.
+
+        Raises:
+            Held: Another supervisor holds it.
+            OSError: It can't be used.
+        """
         assert conf.steward is not None
         assert conf.members is not None
         assert conf.council is not None
-        self.conf, self.log = conf.steward, log
+        self.conf = conf.steward
+        self.log = log
         self.voters = dict(conf.council.voter)
-        self.folder: Path = conf.steward.folder
-        self.latest = Latest(self.folder / "state", "steward")
-        self.releases = Releases(conf.steward.releases or self.folder / "releases")
-        self.handover = None if conf.handover is None else conf.handover.folder
-        self.keeping = Keeping(conf.steward.stop, boot_now(), self.handover is not None)
+        folder: Path = conf.steward.folder
+        self.latest = Latest(folder / "state", "steward")
+        self.releases = Releases(conf.steward.releases or folder / "releases")
+        self.settings = SettingsFiles(folder / "settings")
+        self.handover_folder = None if conf.handover is None else conf.handover.folder
+        overlapping = self.handover_folder is not None
+        self.supervisor = Supervisor(conf.steward.stop, boot_now(), overlapping)
+        self.servers = ServerProcesses(folder, conf.steward.plate, self.releases, overlapping)
+        self.server_log = ServerLog(self.servers.log_of)
         self.name = conf.members.name
         self.born = wall_ms()
         self.member = MemberService(conf.members, Facts("", 0, conf.members.zone, self.born), log)
-        self.pids: dict[int, int] = {}  # of lives that run
-        self.up_at = 0
-        self.told_life = 0  # whose figures these are
-        self.figures = [0] * len(FIGURES)
-        self.worth = (0, 0)
-        self.memory = 0
-        self.settings: dict[int, bytes] = {}
-        self.woken = anyio.Event()
+        self.serving_since = 0  # boot time, ns
+        self._woken = anyio.Event()
 
     async def run(self) -> None:
-        """Until SIGTERM or SIGINT; the server runs on. Raises OSError where it can't listen."""
+        """Run until SIGTERM or SIGINT; the server runs on.
+
+        Raises:
+            OSError: The member's address can't be listened on.
+            ServerProcessError: A server lives and can't be found.
+        """
         async with anyio.create_task_group() as group:
             self.group = group
             self.council = Council(self.voters, group)
             group.start_soon(self.member.run)
-            state = _state(self.latest.value) if self.latest.value else State()
-            alive = await self._find(state)
-            rest = [life for life in alive if life not in (state.life, state.heir_life)]
-            lives, heir_lives = state.life in alive, state.heir is not None and state.heir_life in alive
-            self.take("recovered", state, lives, heir_lives, max(rest, default=0))
-            self._ask_owner()
-            group.start_soon(self._pump)
-            group.start_soon(self._poll)
-            group.start_soon(self._tail)
+            await self._recover()
+            self._check_takeover()
+            group.start_soon(self._keep_time)
+            group.start_soon(self._poll_desired_version)
+            group.start_soon(self._publish_periodically)
             with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
                 async for _ in signals:
                     group.cancel_scope.cancel()
 
-    def take(self, kind: str, *told: Any) -> None:
-        for effect in self.keeping.take(boot_now(), kind, *told):
+    async def _recover(self) -> None:
+        state = _decode_state(self.latest.value) if self.latest.value else SupervisorState()
+        alive = []
+        async for server in self.servers.find(state.incarnation):
+            self.group.start_soon(self._watch, server)
+            self.serving_since = boot_now() - self.conf.warm
+            alive.append(server.incarnation)
+        known = (state.incarnation, state.successor_incarnation)
+        self.handle(
+            StateRecovered(
+                state,
+                server_alive=state.incarnation in alive,
+                successor_alive=state.successor is not None and state.successor_incarnation in alive,
+                predecessor=max((one for one in alive if one not in known), default=0),
+            )
+        )
+
+    def handle(self, event: Event) -> None:
+        """Give an event to the state machine and carry out what follows."""
+        for effect in self.supervisor.handle(boot_now(), event):
             self._carry_out(effect)
-        self.woken.set()
+        self._woken.set()
 
-    async def _pump(self) -> None:
+    async def _keep_time(self) -> None:
         while True:
-            self.woken = anyio.Event()
-            with anyio.move_on_after(max(0.0, (self.keeping.due() - boot_now()) / 1e9)):
-                await self.woken.wait()
+            self._woken = anyio.Event()
+            with anyio.move_on_after(max(0.0, (self.supervisor.next_deadline() - boot_now()) / 1e9)):
+                await self._woken.wait()
                 continue
-            self.take("elapsed")
-
-    def _carry_out(self, effect: tuple[Any, ...]) -> None:
-        kind, *told = effect
-        if kind == "log":
-            self.log(told[0], **told[1])
-        elif kind == "tell":
-            self._tell()
-        elif kind == "term":
-            self._signal(self.keeping.state.life, signal.SIGTERM)
-        elif kind == "kill":
-            self._signal(self.keeping.state.life, signal.SIGKILL)
-        elif kind == "term_heir":
-            self._signal(told[0], signal.SIGTERM)
-        elif kind == "kill_life":
-            self._signal(told[0], signal.SIGKILL)
-        elif kind in ("note", "verify", "spawn"):
-            self.group.start_soon(getattr(self, f"_{kind}"), *told)
-
-    def _signal(self, life: int, number: int) -> None:
-        if life in self.pids:
-            with suppress(ProcessLookupError):
-                os.kill(self.pids[life], number)
+            self.handle(TimerExpired())
+
+    def _carry_out(self, effect: Effect) -> None:
+        match effect:
+            case LogEvent(event, fields):
+                self.log(event, **fields)
+            case PublishStatus():
+                self._publish()
+            case TerminateServer(incarnation):
+                self.servers.signal(incarnation, signal.SIGTERM)
+            case KillServer(incarnation):
+                self.servers.signal(incarnation, signal.SIGKILL)
+            case PersistState(state):
+                self.group.start_soon(self._persist, state)
+            case VerifyVersion(version):
+                self.group.start_soon(self._verify, version)
+            case SpawnServer(incarnation, version):
+                self.group.start_soon(self._spawn, incarnation, version)
 
     # ---- state and releases
 
-    async def _note(self, state: State) -> None:
-        """Tries till it is durable: nothing else is done before."""
+    async def _persist(self, state: SupervisorState) -> None:
+        """Try until it is durable: nothing else is done before."""
         while True:
             try:
                 await anyio.to_thread.run_sync(self.latest.put, msgspec.json.encode(state))
                 break
             except OSError as error:
                 self.log("state", why=error.strerror)
-                await anyio.sleep(1.0)
-        self.take("noted")
+                await anyio.sleep(PERSIST_RETRY)
+        self.handle(StatePersisted())
 
     async def _verify(self, version: Version) -> None:
-        why = ""
+        fault = ""
         try:
             await anyio.to_thread.run_sync(self.releases.verify, version.release, version.digest)
             if version.settings:
-                await self._settings(version)
-        except (Unfit, OSError, orjson.JSONDecodeError) as error:
-            why = str(error)
-        self.take("verified", why)
-
-    async def _settings(self, version: Version) -> None:
-        """The settings of that number are the ones that are meant, and are kept here. Raises Unfit."""
-        place = self.folder / "settings" / f"{version.settings}.json"
-        if not place.exists():
-            answer = await self.council.surely(Get(settings_key(version.settings)), 5.0)
+                await self._verify_settings(version)
+        except (ReleaseError, OSError, orjson.JSONDecodeError) as error:
+            fault = str(error)
+        self.handle(VersionVerified(fault))
+
+    async def _verify_settings(self, version: Version) -> None:
+        """Fetch the settings of that number unless they are here, and check them.
+
+        Raises:
+            ReleaseError: They can't be had, have another content than meant, or don't fit this machine.
+        """
+        number = version.settings
+        if not self.settings.exists(number):
+            answer = await self.council.surely(Get(settings_key(number)), SETTINGS_TIMEOUT)
             if not isinstance(answer, Got) or not answer.version:
-                raise Unfit(f"settings {version.settings} are not to be had")
-            place.parent.mkdir(exist_ok=True)
-            fresh = place.with_suffix(".new")
-            fresh.write_bytes(answer.value)
-            fresh.rename(place)
-        content = place.read_bytes()
-        if digest_of_settings(content) != version.settings_digest:
-            raise Unfit(f"settings {version.settings} have another content here")
+                raise ReleaseError(f"settings {number} are not to be had")
+            self.settings.write(number, answer.value)
+        content = self.settings.read(number)
+        if digest_settings(content) != version.settings_digest:
+            raise ReleaseError(f"settings {number} have another content here")
         limits = orjson.loads(self.conf.plate.read_bytes()).get("limits")
         fault = unfit_settings(content, limits)
         if fault:
-            raise Unfit(f"settings {version.settings} can't be taken here: {fault}")
+            raise ReleaseError(f"settings {number} can't be taken here: {fault}")
 
     # ---- the server's process
 
-    def _paths(self, life: int) -> tuple[Path, Path, Path]:
-        """Of its pid, its configuration, its log."""
-        base = self.folder / "lives"
-        base.mkdir(exist_ok=True)
-        return base / f"{life}.pid", base / f"{life}.json", base / f"{life}.log"
-
-    def _lock(self, life: int) -> int | None:
-        """The lock that a server holds as long as it lives; none if one has it. Where servers don't follow
-        one another beside each other there is one for all lives."""
-        place = self.folder / "server.lock" if self.handover is None else self._paths(life)[0]
-        lock = os.open(place.with_suffix(".lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+    async def _spawn(self, incarnation: int, version: Version) -> None:
         try:
-            fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except BlockingIOError:
-            os.close(lock)
-            return None
-        return lock
-
-    async def _find(self, state: State) -> list[int]:
-        """Which servers of earlier stewards live, also one whose start was not seen through."""
-        known = [state.life]
-        if self.handover is not None:
-            known = sorted(int(place.stem) for place in (self.folder / "lives").glob("*.lock"))
-        found = []
-        for life in known:
-            lock = self._lock(life)
-            if lock is not None:
-                os.close(lock)
-                continue
-            place = self._paths(life)[0]
-            with anyio.move_on_after(FIND_SPAN):
-                while not place.exists():
-                    await anyio.sleep(0.02)
-            try:
-                self.pids[life] = int(place.read_text())
-                watched = os.pidfd_open(self.pids[life])
-            except (OSError, ValueError) as error:
-                lock = self._lock(life)
-                if lock is not None:  # it has ended just now
-                    os.close(lock)
-                    self.pids.pop(life, None)
-                    continue
-                raise Unfit(f"a server of life {life} has its lock and can't be found: {error}") from error
-            self.group.start_soon(self._watch, life, watched, None)
-            self.up_at = boot_now() - self.conf.warm
-            found.append(life)
-        return found
-
-    def _ask_owner(self) -> None:
-        """Which life serves, by its own word."""
-        if self.handover is not None and self.keeping.phase == "succeeding":
-            owner = read_owner(self.handover)
-            if owner is not None and owner[0] == self.keeping.state.heir_life:
-                self.up_at = boot_now()
-                self.take("served", owner[0])
-
-    async def _spawn(self, life: int, version: Version) -> None:
-        lock = self._lock(life)
-        if lock is None:
-            self.take("unspawned", "a server lives already")
+            process = await self.servers.start(incarnation, version)
+        except (OSError, SupervisorError, orjson.JSONDecodeError) as error:
+            self.handle(SpawnFailed(str(error)))
             return
-        try:
-            pid_place, conf_place, log_place = self._paths(life)
-            plate = orjson.loads(self.conf.plate.read_bytes())
-            if version.settings:
-                told = (self.folder / "settings" / f"{version.settings}.json").read_bytes()
-                plate["settings"] = orjson.loads(told)
-            conf_place.write_bytes(orjson.dumps(plate))
-            env = {**os.environ, "ROUTER_CONFIG": str(conf_place), "ROUTER_RELEASE": version.release,
-                   "ROUTER_LIFE": str(life)}  # fmt: skip
-            words = [
-                "/bin/sh",
-                "-c",
-                WRAP,
-                "sh",
-                str(pid_place),
-                str(self.releases.path(version.release)),
-                RUN,
-            ]
-            with log_place.open("ab") as log:
-                process = await anyio.open_process(
-                    words,
-                    stdin=None,
-                    stdout=log,
-                    stderr=log,
-                    env=env,
-                    pass_fds=(lock,),
-                    start_new_session=True,
-                )
-        except (OSError, Unfit, orjson.JSONDecodeError) as error:
-            self.take("unspawned", str(error))
+        server = self.servers.register(incarnation, process)
+        if self.supervisor.phase != "succeeding":
+            self.serving_since = boot_now()
+        self.group.start_soon(self._watch, server)
+        self.handle(ServerSpawned(process.pid))
+
+    async def _watch(self, server: RunningServer) -> None:
+        code = await server.wait()
+        self.servers.pids.pop(server.incarnation, None)
+        self._check_takeover()  # it may have served before it ended
+        self.handle(ServerExited(code, server.incarnation))
+
+    def _check_takeover(self) -> None:
+        """See whether the successor says that it serves."""
+        if self.handover_folder is None or self.supervisor.phase != "succeeding":
             return
-        finally:
-            os.close(lock)  # the server has it now, and alone
-        self.pids[life] = process.pid
-        if self.keeping.phase != "succeeding":
-            self.up_at = boot_now()
-        for old in pid_place.parent.glob("*.*"):
-            if old.stem.isdecimal() and int(old.stem) <= life - LIVES_KEPT and int(old.stem) not in self.pids:
-                old.unlink(missing_ok=True)
-        try:
-            watched = os.pidfd_open(process.pid)
-        except ProcessLookupError:  # it has ended and been reaped already
-            watched = -1
-        self.group.start_soon(self._watch, life, watched, process)
-        self.take("spawned", process.pid)
-
-    async def _watch(self, life: int, watched: int, process: Any) -> None:
-        """Of a server that another steward started the exit code is not known: -1."""
-        if watched >= 0:
-            await anyio.wait_readable(watched)
-            os.close(watched)
-        code = await process.wait() if process is not None else -1
-        self.pids.pop(life, None)
-        self._ask_owner()  # it may have served before it ended
-        self.take("exited", code, life)
+        owner = read_owner(self.handover_folder)
+        if owner is not None and owner[0] == self.supervisor.state.successor_incarnation:
+            self.serving_since = boot_now()
+            self.handle(ServerReady(owner[0]))
 
-    # ---- what is wanted, and what others hear
+    # ---- the desired version, and what other members hear
 
-    async def _poll(self) -> None:
+    async def _poll_desired_version(self) -> None:
         while True:
-            answer = await self.council.ask(Get(want_key(self.name)))
-            self.take("reached", isinstance(answer, Got))
+            answer = await self.council.ask(Get(desired_version_key(self.name)))
+            self.handle(ConsensusPolled(isinstance(answer, Got)))
             if isinstance(answer, Got) and answer.version:
                 with suppress(msgspec.MsgspecError):
-                    self.take("want", _want(answer.value))
+                    self.handle(DesiredVersionReceived(_decode_desired(answer.value)))
             await anyio.sleep(POLL)
 
-    async def _tail(self) -> None:
-        """Reads what the server says of itself."""
-        place, read = Path(), 0
+    async def _publish_periodically(self) -> None:
         while True:
-            await anyio.sleep(TAIL)
-            self._ask_owner()
-            current = self._paths(self.keeping.state.life)[2]
-            if current != place:
-                place, read = current, 0
-                # Guards against the figures of one life being taken for those of the next.
-                self.figures, self.worth, self.memory = [0] * len(FIGURES), (0, 0), 0
-                self.told_life = self.keeping.state.life
-            with suppress(OSError):
-                size = place.stat().st_size
-                if size > LOG_BOUND:
-                    os.truncate(place, 0)  # it is appended to
-                    read = size = 0
-                if size > read:
-                    with place.open("rb") as file:
-                        file.seek(read)
-                        data = file.read(min(size - read, 1 << 20))
-                    whole = data.rfind(b"\n") + 1
-                    read += whole
-                    self._lines(data[:whole])
-            self._tell()
-
-    def _lines(self, data: bytes) -> None:
-        for line in data.splitlines():
-            if b'"figures"' not in line:
-                continue
-            with suppress(orjson.JSONDecodeError):
-                told = orjson.loads(line)
-                self.figures = [int(told.get(name, 0)) for name in FIGURES]
-                came, done = (int(told.get(name, 0)) for name in WORTH)
-                self.worth = came, done
-                self.memory = int(told.get("peak_kb", 0))
-
-    def _tell(self) -> None:
-        keeping = self.keeping
-        running = keeping.state.running or Version()
-        up = keeping.serves and keeping.state.life in self.pids
-        known = self.told_life == keeping.state.life
-        figures = (*self.figures, self.memory) if known else (0,) * (len(FIGURES) + 1)
+            await anyio.sleep(PUBLISH_INTERVAL)
+            self._check_takeover()
+            self.server_log.poll(self.supervisor.state.incarnation)
+            self._publish()
+
+    def _publish(self) -> None:
+        """Tell the other members what runs here and how it does."""
+        supervisor = self.supervisor
+        incarnation = supervisor.state.incarnation
+        running = supervisor.state.running or Version()
+        up = supervisor.serves and incarnation in self.servers.pids
         facts = Facts(
             running.release if up else "",
             running.settings if up else 0,
             self.member.conf.zone,
             self.born,
-            up and boot_now() - self.up_at >= self.conf.warm,
+            up and boot_now() - self.serving_since >= self.conf.warm,
             up,
-            (*figures, keeping.crashed_in_all, keeping.state.life),
-            self.worth if known else (0, 0),
+            (*self.server_log.figures_of(incarnation), supervisor.crashes.total, incarnation),
+            self.server_log.value_of(incarnation),
         )
         for effect in self.member.gossip.take(boot_now(), "tell", facts):
             if effect[0] == "log":
@@ -361,4 +274,5 @@
 
 
 def run(conf: Conf, log: Callable[..., None]) -> None:
-    anyio.run(StewardService(conf, log).run)
+    """Run a supervisor until it is signalled; raises as `SupervisorService` does."""
+    anyio.run(SupervisorService(conf, log).run)
--- a/thistleline/supervisor/settings.py
+++ b/thistleline/supervisor/settings.py
@@ -10,55 +10,66 @@
 from thistleline.server.service import CONNECTION_COST, RESERVE
 from thistleline.wire.settings import Malformed, read_bench, read_gauges, read_granularity
 
-SIZE_BOUND = VALUE_BOUND  # bytes of a version: it has to go through the council in one record
+SETTINGS_SIZE_LIMIT = VALUE_BOUND  # bytes of a version: it goes through the replicated log in one record
+MEGABYTE = 1 << 20  # bytes
+CONNECTIONS_MEMORY_DIVISOR = 4  # connections may take this part of the memory
 
 
 def unfit_settings(content: bytes, limits: dict[str, Any] | None = None) -> str:
-    """Why no server takes them; nothing where one does. `limits`: of a server's configuration, `sockets` and
-    `memory_mb`; without them only what holds for all servers is looked at."""
-    if len(content) > SIZE_BOUND:
-        return f"{len(content)} bytes, {SIZE_BOUND} at most"
+    """Return why no server takes the settings; nothing where one does.
+
+    Args:
+        content: The settings, JSON.
+        limits: `sockets` and `memory_mb` of a server's configuration; without them only what holds for all
+            servers is checked.
+    """
+    if len(content) > SETTINGS_SIZE_LIMIT:
+        return f"{len(content)} bytes, {SETTINGS_SIZE_LIMIT} at most"
     try:
-        told = msgspec.json.decode(content)
-        bench = read_bench(told)
-        read_gauges(told)
-        read_granularity(told)
+        raw = msgspec.json.decode(content)
+        settings = read_bench(raw)
+        read_gauges(raw)
+        read_granularity(raw)
     except KeyError as error:
         return f"{error.args[0]!r} is missing or unknown"
     except (msgspec.MsgspecError, Malformed, TypeError, LookupError, ValueError, ArithmeticError) as error:
         return f"{type(error).__name__}: {' '.join(str(error).split())}"
-    twice = [name for name, count in Counter(one.name for one in bench.stages).items() if count > 1]
-    if twice:
-        return f"there are two stages {twice[0]!r}"
-    if limits is None:
-        return ""
+    repeated = [name for name, count in Counter(stage.name for stage in settings.stages).items() if count > 1]
+    if repeated:
+        return f"there are two stages {repeated[0]!r}"
+    return "" if limits is None else _beyond_limits(settings.callers, limits)
+
+
+def _beyond_limits(callers: int, limits: dict[str, Any]) -> str:
+    """Return why so many callers don't fit the limits of a server; nothing where they do."""
     try:
-        sockets, memory = int(limits["sockets"]), float(limits["memory_mb"]) * 1024 * 1024
+        sockets = int(limits["sockets"])
+        memory = float(limits["memory_mb"]) * MEGABYTE
     except (KeyError, TypeError, ValueError):
         return "the limits have no 'sockets' or no 'memory_mb'"
-    if bench.callers + RESERVE > sockets:
-        return f"{bench.callers} callers and {RESERVE} of its own need more than {sockets} descriptors"
-    if bench.callers * CONNECTION_COST > memory / 4:
-        taken = bench.callers * CONNECTION_COST >> 20
-        return f"{bench.callers} callers take {taken} MB, more than a quarter of {int(memory) >> 20} MB"
+    if callers + RESERVE > sockets:
+        return f"{callers} callers and {RESERVE} of its own need more than {sockets} descriptors"
+    needed = callers * CONNECTION_COST
+    if needed > memory / CONNECTIONS_MEMORY_DIVISOR:
+        needed_mb, memory_mb = needed >> 20, int(memory) >> 20
+        return f"{callers} callers take {needed_mb} MB, more than a quarter of {memory_mb} MB"
     return ""
 
 
-def lines_of(content: bytes) -> list[str]:
-    """A value a line, each with the way to it, in the order of the ways."""
-    return sorted(f"{way} = {msgspec.json.encode(value).decode()}" for way, value in _leaves(content))
-
+def flatten_settings(content: bytes) -> list[str]:
+    """Return a line `path = value` for each value in the settings, in the order of the paths."""
+    leaves = _leaves("", msgspec.json.decode(content))
+    return sorted(f"{path} = {msgspec.json.encode(value).decode()}" for path, value in leaves)
 
-def _leaves(content: bytes) -> Iterator[tuple[str, Any]]:
-    def walk(way: str, value: Any) -> Iterator[tuple[str, Any]]:
-        if isinstance(value, dict) and value:
-            for name, inner in value.items():
-                yield from walk(f"{way}.{name}" if way else str(name), inner)
-        elif isinstance(value, list) and value:
-            for place, inner in enumerate(value):
-                named = inner.get("name", place) if isinstance(inner, dict) else place
-                yield from walk(f"{way}[{named}]", inner)
-        else:
-            yield way, value
 
-    yield from walk("", msgspec.json.decode(content))
+def _leaves(path: str, value: Any) -> Iterator[tuple[str, Any]]:
+    """Yield the path and value of each leaf; elements of a list go by their name if they have one."""
+    if isinstance(value, dict) and value:
+        for name, inner in value.items():
+            yield from _leaves(f"{path}.{name}" if path else str(name), inner)
+    elif isinstance(value, list) and value:
+        for index, inner in enumerate(value):
+            name = inner.get("name", index) if isinstance(inner, dict) else index
+            yield from _leaves(f"{path}[{name}]", inner)
+    else:
+        yield path, value
--- /dev/null
+++ b/thistleline/supervisor/state_machine.py
@@ -0,0 +1,508 @@
+"""What a supervisor decides: which server runs, when it is stopped, restarted or given up. No I/O, no clock.
+
+Events of `events.py` come in by `handle`, effects of `effects.py` come out. One effect at a time changes what
+runs, and each only after `PersistState` was answered: whenever the supervisor dies, its state on disk and
+which servers live say together what is to be done. A server is never started while one lives.
+
+The exception is `overlapping`: there a server is followed by its successor while it serves. Until the
+successor says that it serves (`ServerReady`) the other one does; then that one is the predecessor, which ends
+by itself or is killed. A successor that dies, or does not come to serve, costs nothing but its attempt. At
+most two live, and those two are the one that serves and either its successor or its predecessor.
+"""
+
+from enum import Enum, auto
+from typing import Any
+
+import msgspec
+
+from thistleline.supervisor.crash_history import MILLISECOND, SECOND, CrashHistory
+from thistleline.supervisor.effects import (
+    Effect,
+    KillServer,
+    LogEvent,
+    PersistState,
+    PublishStatus,
+    SpawnServer,
+    TerminateServer,
+    VerifyVersion,
+)
+from thistleline.supervisor.events import (
+    ConsensusPolled,
+    DesiredVersionReceived,
+    Event,
+    ServerExited,
+    ServerReady,
+    ServerSpawned,
+    SpawnFailed,
+    StatePersisted,
+    StateRecovered,
+    TimerExpired,
+    VersionVerified,
+)
+from thistleline.supervisor.model import DesiredVersion, Phase, SupervisorState, Version
+from thistleline.supervisor.predecessor import KILL_DELAY, Predecessor
+
+GOOD_AFTER = 15 * SECOND  # ns; a server that ran so long without a crash is good
+TAKEOVER_TIMEOUT = 30 * SECOND  # ns for a successor to come to serve
+UNREACHABLE_AFTER = 10 * SECOND  # ns without consensus, before a version that crash-loops is rejected here
+IDLE_INTERVAL = SECOND  # ns between two timer events where nothing is due
+
+
+class AfterPersist(Enum):
+    """What follows once a state is durable, other than an effect."""
+
+    CONVERGE = auto()
+    RESTART = auto()
+
+
+class Supervisor:
+    """Keeps one server of a machine at the desired version, as a pure state machine.
+
+    Attributes:
+        phase: What is under way.
+        state: The state as last handed out to be persisted.
+        candidate: The version that is verified, or stopped for.
+        alive: Whether the server of the current incarnation runs.
+        crashes: Crashes of the current version, and the backoff.
+        predecessor: The server that handed over and has not ended yet.
+    """
+
+    def __init__(self, stop_timeout: int, now: int, overlapping: bool = False) -> None:
+        """Begin before recovery.
+
+        Args:
+            stop_timeout: Time that a server has from SIGTERM to its end, ns.
+            now: Boot time, ns.
+            overlapping: Whether servers hand over to their successors.
+        """
+        self.stop_timeout = stop_timeout
+        self.now = now
+        self.overlapping = overlapping
+        self.phase: Phase = "recovering"
+        self.reason = ""
+        self.state = SupervisorState()
+        self.candidate: Version | None = None
+        self.alive = False
+        self.started_at = 0
+        self.stopping_since = 0
+        self.kill_sent = False
+        self.successor_alive = False
+        self.successor_since = 0
+        self.predecessor = Predecessor()
+        self.crashes = CrashHistory()
+        self.consensus_reachable = True
+        self.consensus_reached_at = now
+        self._after_persist: list[AfterPersist | Effect | None] = []  # one for each state being persisted
+        self._effects: list[Effect] = []
+
+    def copy(self) -> "Supervisor":
+        """Return an independent copy, for exploration."""
+        made = Supervisor.__new__(Supervisor)
+        made.__dict__.update(self.__dict__)
+        made.crashes = self.crashes.copy()
+        made.predecessor = self.predecessor.copy()
+        made._after_persist = list(self._after_persist)
+        made._effects = []
+        return made
+
+    def state_key(self) -> tuple[Any, ...]:
+        """Return all that later decisions depend on but time and consensus, hashable, for exploration."""
+        return (
+            self.phase,
+            self.state,
+            self.candidate,
+            tuple(self._after_persist),
+            self.alive,
+            self.started_at,
+            self.stopping_since,
+            self.kill_sent,
+            tuple(self.crashes.recent),
+            self.crashes.retry_at,
+            self.successor_alive,
+            self.successor_since,
+            self.predecessor.incarnation,
+            self.predecessor.since,
+            self.predecessor.killed,
+        )
+
+    def handle(self, now: int, event: Event) -> list[Effect]:
+        """Take an event at boot time `now` (ns) and return the effects to carry out, in order."""
+        self.now = max(self.now, now)
+        phase_before = self.phase
+        self._dispatch(event)
+        if self.phase != phase_before:
+            self._log("phase", phase=self.phase, why=self.reason)
+            self._effects.append(PublishStatus())
+        effects = self._effects
+        self._effects = []
+        return effects
+
+    def _dispatch(self, event: Event) -> None:
+        match event:
+            case TimerExpired():
+                self._on_timer()
+            case ConsensusPolled(reachable):
+                self._on_consensus_polled(reachable)
+            case DesiredVersionReceived(desired):
+                self._on_desired_version(desired)
+            case VersionVerified(fault):
+                self._on_verified(fault)
+            case StatePersisted():
+                self._on_persisted()
+            case ServerSpawned(pid):
+                self._on_spawned(pid)
+            case SpawnFailed(reason):
+                self._on_spawn_failed(reason)
+            case ServerReady(incarnation):
+                self._on_ready(incarnation)
+            case ServerExited(code, incarnation):
+                self._on_exited(code, incarnation)
+            case StateRecovered():
+                self._on_recovered(event)
+
+    @property
+    def serves(self) -> bool:
+        """Whether there is a server that takes tasks, by all that is known here."""
+        return self.alive and self.phase in ("running", "verifying", "succeeding")
+
+    def next_deadline(self) -> int:
+        """Return the boot time (ns) at which `TimerExpired` is due."""
+        deadline = self._phase_deadline()
+        if self.predecessor.awaited:
+            return min(deadline, self.predecessor.deadline(self.stop_timeout))
+        return deadline
+
+    def _phase_deadline(self) -> int:
+        if self.phase == "stopping":
+            return self._kill_deadline()
+        if self.phase == "succeeding":
+            return self.successor_since + TAKEOVER_TIMEOUT
+        if self.phase == "running" and self.crashes.retry_at > self.now:
+            return self.crashes.retry_at
+        if self.phase == "backing off":
+            return self.crashes.retry_at
+        if self.phase == "running" and self.state.last_good != self.state.running:
+            return self.started_at + GOOD_AFTER
+        if self.phase == "failed" and not self.consensus_reachable:
+            return self.consensus_reached_at + UNREACHABLE_AFTER
+        return self.now + IDLE_INTERVAL
+
+    def _kill_deadline(self) -> int:
+        return self.stopping_since + self.stop_timeout + KILL_DELAY
+
+    def _log(self, event: str, **fields: Any) -> None:
+        self._effects.append(LogEvent(event, fields))
+
+    # ---- state on disk
+
+    def _persist(self, state: SupervisorState, then: AfterPersist | Effect | None = None) -> None:
+        """Adopt the state, have it made durable, and do `then` once it is."""
+        self.state = state
+        self._after_persist.append(then)
+        self._effects.append(PersistState(state))
+
+    def _on_persisted(self) -> None:
+        then = self._after_persist.pop(0)
+        if then is AfterPersist.CONVERGE:
+            self._converge()
+        elif then is AfterPersist.RESTART:
+            self._restart()
+        elif then is not None:
+            self._effects.append(then)
+
+    def _on_recovered(self, event: StateRecovered) -> None:
+        self.state = event.state
+        self.predecessor.begin(event.predecessor, self.now)
+        self.alive = event.server_alive
+        self.successor_alive = event.successor_alive
+        self.started_at = self.now
+        if event.successor_alive:
+            self.phase = "succeeding"
+            self.reason = "found alive with its heir"
+            self.successor_since = self.now
+            return
+        self.phase = "running" if event.server_alive else "idle"
+        self.reason = "found alive" if event.server_alive else ""
+        if event.state.successor is not None:
+            self._persist(event.state.without_successor(), AfterPersist.CONVERGE)
+        else:
+            self._converge()
+
+    # ---- the desired version
+
+    def _on_consensus_polled(self, reachable: bool) -> None:
+        if reachable:
+            self.consensus_reached_at = self.now
+        self.consensus_reachable = reachable
+
+    def _on_desired_version(self, desired: DesiredVersion) -> None:
+        """Follow it; idempotent. One with an older fencing token is refused."""
+        known = self.state.desired
+        if known is not None and desired.is_older_than(known):
+            self._log(
+                "refused", epoch=desired.epoch, number=desired.number, known=[known.epoch, known.number]
+            )
+            return
+        if desired == known or self.phase == "recovering":
+            return
+        changed = msgspec.structs.replace(self.state, desired=desired)
+        if known is not None and known.version == desired.version:
+            restart = desired.restart_token not in (known.restart_token, 0) and self.phase == "running"
+            self._persist(changed, AfterPersist.RESTART if restart else None)
+            return
+        self.crashes.clear()
+        self.crashes.retry_at = 0
+        self._log(
+            "wants",
+            release=desired.version.release,
+            settings=desired.version.settings,
+            number=desired.number,
+        )
+        self._persist(changed, AfterPersist.CONVERGE)
+
+    def _converge(self) -> None:
+        """Take the next step towards the wanted version."""
+        wanted = self.state.wanted
+        if wanted is None:
+            return
+        if self.phase == "succeeding":
+            if self.successor_alive and wanted != self.state.successor:
+                self._log("heir given up", life=self.state.successor_incarnation)
+                self._effects.append(TerminateServer(self.state.successor_incarnation))
+        elif self.phase == "running":
+            if self._may_change() and wanted != self.state.running:
+                self._verify(wanted, "another version is wanted")
+        elif self.phase in ("idle", "failed", "backing off"):
+            self._verify(wanted, "")
+
+    def _may_change(self) -> bool:
+        """Whether a running server may be replaced now."""
+        if not self.overlapping:
+            return True
+        return not (self.predecessor.alive or self.crashes.retry_at > self.now or self.crashes.is_loop)
+
+    def _verify(self, version: Version, reason: str) -> None:
+        self.phase = "verifying"
+        self.candidate = version
+        self.reason = reason
+        self._effects.append(VerifyVersion(version))
+
+    def _on_verified(self, fault: str) -> None:
+        if self.phase != "verifying" or self.candidate is None:
+            return
+        if fault:
+            self._on_unfit(self.candidate, fault)
+        elif not self.alive:
+            self._spawn(self.candidate)
+        elif self.overlapping:
+            self._spawn_successor(self.candidate)
+        else:
+            self._stop("another version is wanted")
+
+    def _on_unfit(self, candidate: Version, fault: str) -> None:
+        """Reject what is not here, or is not what is meant; what runs goes on."""
+        self._log("unfit", release=candidate.release, why=fault)
+        self.reason = fault
+        self.phase = "running" if self.alive else "failed"
+        if candidate == self.state.wanted and self.state.desired is not None:
+            rejecting = msgspec.structs.replace(self.state, rejected=self.state.desired)
+            self._persist(rejecting, AfterPersist.CONVERGE)
+
+    # ---- starts and stops
+
+    def _spawn(self, version: Version) -> None:
+        incarnation = self.state.next_incarnation()
+        self.phase = "spawning"
+        state = msgspec.structs.replace(self.state, running=version, incarnation=incarnation)
+        self._persist(state, SpawnServer(incarnation, version))
+
+    def _spawn_successor(self, version: Version) -> None:
+        incarnation = self.state.next_incarnation()
+        self.phase = "succeeding"
+        self.successor_since = self.now
+        self.successor_alive = False
+        state = msgspec.structs.replace(
+            self.state, successor=version, successor_incarnation=incarnation, last_incarnation=incarnation
+        )
+        self._persist(state, SpawnServer(incarnation, version))
+
+    def _restart(self) -> None:
+        """Start the same version anew, if nothing else has begun meanwhile."""
+        if self.phase != "running":
+            return
+        if not self.overlapping:
+            self.candidate = self.state.running
+            self._stop("it is started anew")
+        elif not self.predecessor.alive and self.state.running is not None:
+            self._spawn_successor(self.state.running)
+
+    def _on_spawned(self, pid: int) -> None:
+        if self.phase == "succeeding":
+            self.successor_alive = True
+            self.successor_since = self.now
+            self._log(
+                "started",
+                pid=pid,
+                life=self.state.successor_incarnation,
+                release=self._successor_release(),
+                beside=True,
+            )
+        else:
+            self.alive = True
+            self.started_at = self.now
+            self.phase = "running"
+            self.reason = ""
+            self.kill_sent = False
+            self._log("started", pid=pid, life=self.state.incarnation, release=self._running_release())
+        self._converge()
+
+    def _on_spawn_failed(self, reason: str) -> None:
+        self._log("unstarted", why=reason)
+        if self.phase == "succeeding":
+            self._on_successor_failed(f"it could not be started: {reason}")
+        else:
+            self._on_crashed(f"it could not be started: {reason}")
+
+    def _on_ready(self, incarnation: int) -> None:
+        """Let the successor be the current incarnation: it serves now, as it says itself."""
+        state = self.state
+        if incarnation != state.successor_incarnation or not incarnation or self.phase != "succeeding":
+            return
+        self.predecessor.begin(state.incarnation if self.alive else 0, self.now)
+        self.alive = True
+        self.started_at = self.now
+        self.successor_alive = False
+        self.phase = "running"
+        self.reason = ""
+        self._log("serves", life=incarnation, release=self._successor_release())
+        changed = msgspec.structs.replace(state, running=state.successor, incarnation=incarnation)
+        self._persist(changed.without_successor(), AfterPersist.CONVERGE)
+
+    def _running_release(self) -> str | None:
+        return self.state.running.release if self.state.running is not None else None
+
+    def _successor_release(self) -> str:
+        return self.state.successor.release if self.state.successor is not None else ""
+
+    def _stop(self, reason: str) -> None:
+        self.phase = "stopping"
+        self.stopping_since = self.now
+        self.reason = reason
+        self._effects.append(TerminateServer(self.state.incarnation))
+
+    # ---- ends and crashes
+
+    def _on_exited(self, code: int, incarnation: int) -> None:
+        if incarnation and incarnation == self.predecessor.incarnation:
+            self._on_predecessor_exited(code)
+        elif incarnation and incarnation == self.state.successor_incarnation and self.phase == "succeeding":
+            self._on_successor_failed(f"it ended by itself with {code} before it served")
+        elif incarnation in (0, self.state.incarnation):
+            self._on_current_exited(code)
+
+    def _on_predecessor_exited(self, code: int) -> None:
+        after_ms = (self.now - self.predecessor.since) // MILLISECOND
+        self._log("elder gone", code=code, life=self.predecessor.incarnation, after_ms=after_ms)
+        self.predecessor.end()
+        if self.phase == "running":
+            self._converge()
+
+    def _on_current_exited(self, code: int) -> None:
+        ran_ms = (self.now - self.started_at) // MILLISECOND
+        self.alive = False
+        self._log("exited", code=code, life=self.state.incarnation, ran_ms=ran_ms)
+        if self.phase == "succeeding":
+            return  # its successor comes to serve without it, or is taken for one that does not
+        if self.phase == "verifying":
+            return  # it died while another was verified, which is started once that is done
+        if self.phase != "stopping":
+            self._on_crashed(f"it ended by itself with {code} after {ran_ms} ms")
+            return
+        self.phase = "idle"
+        if self.candidate is not None and self.candidate == self.state.wanted:
+            self._spawn(self.candidate)
+        else:
+            self._converge()
+
+    def _on_successor_failed(self, reason: str) -> None:
+        """Let the server that serves go on; where that is gone too it counts as any crash."""
+        self.successor_alive = False
+        abandoned = self.state.wanted != self.state.successor
+        if not self.alive:
+            self._persist(self.state.without_successor())
+            self._on_crashed(reason)
+            return
+        self.phase = "running"
+        self.reason = reason
+        if not abandoned:
+            self.crashes.record(self.now)
+            self.crashes.back_off(self.now)
+            event = "crash loop" if self.crashes.is_loop else "heir lost"
+            self._log(event, why=reason, crashes=len(self.crashes.recent))
+        self._persist(self.state.without_successor(), AfterPersist.CONVERGE)
+
+    def _on_crashed(self, reason: str) -> None:
+        self.crashes.record(self.now)
+        self.reason = reason
+        if self.crashes.is_loop:
+            self.phase = "failed"
+            self._log("crash loop", release=self._running_release(), crashes=len(self.crashes.recent))
+            self._fall_back()
+        else:
+            self.phase = "backing off"
+            self.crashes.back_off(self.now)
+
+    def _fall_back(self) -> None:
+        """Return to the last good version, where consensus is away and the new one does not come up."""
+        unreachable_for = self.now - self.consensus_reached_at
+        alone = not self.consensus_reachable and unreachable_for >= UNREACHABLE_AFTER
+        good = self.state.last_good
+        if not alone or good is None or good == self.state.wanted:
+            return
+        self._log("back alone", release=good.release, settings=good.settings)
+        self.crashes.clear()
+        rejecting = msgspec.structs.replace(self.state, rejected=self.state.desired)
+        self._persist(rejecting, AfterPersist.CONVERGE)
+
+    # ---- time
+
+    def _on_timer(self) -> None:
+        self._kill_late_predecessor()
+        if self.phase == "succeeding":
+            self._kill_late_successor()
+        elif self.phase == "stopping" and not self.kill_sent:
+            self._kill_late_server()
+        elif self.phase == "backing off" and self.now >= self.crashes.retry_at:
+            self._converge()
+        elif self.phase == "failed":
+            self._fall_back()
+        elif self.phase == "running":
+            self._on_timer_running()
+
+    def _on_timer_running(self) -> None:
+        state = self.state
+        if self.now - self.started_at >= GOOD_AFTER and state.last_good != state.running:
+            settings = state.running.settings if state.running is not None else None
+            self._log("good", release=self._running_release(), settings=settings)
+            self._persist(msgspec.structs.replace(state, last_good=state.running))
+        elif self.overlapping:
+            self._converge()
+
+    def _kill_late_predecessor(self) -> None:
+        if self.predecessor.awaited and self.now >= self.predecessor.deadline(self.stop_timeout):
+            self.predecessor.killed = True
+            self._log("killed", life=self.predecessor.incarnation)
+            self._effects.append(KillServer(self.predecessor.incarnation))
+
+    def _kill_late_successor(self) -> None:
+        if self.now >= self.successor_since + TAKEOVER_TIMEOUT:
+            self.successor_since = self.now
+            incarnation = self.state.successor_incarnation
+            self._log("killed", life=incarnation, why="it does not come to serve")
+            self._effects.append(KillServer(incarnation))
+
+    def _kill_late_server(self) -> None:
+        if self.now >= self._kill_deadline():
+            self.kill_sent = True
+            self._log("killed", life=self.state.incarnation)
+            self._effects.append(KillServer(self.state.incarnation))
