--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -24,10 +24,19 @@
 from thistleline.lab.stewardworld import BesideWorld, StewardWorld, following, following_beside, wander
 from thistleline.lease.protocol import VALUE_BOUND, Put
 from thistleline.lease.table import fault
-from thistleline.rollout.canary import Judge, Slot
-from thistleline.rollout.confidence import Bounds
-from thistleline.rollout.controller import Conducting, Spans
-from thistleline.rollout.record import STAGES, Order, Roll, Seen, controls, targets, wrong
+from thistleline.rollout.canary import CanaryAnalysis
+from thistleline.rollout.confidence import ConfidenceSequence
+from thistleline.rollout.controller import RolloutController
+from thistleline.rollout.effects import SetDesiredVersion, StoreRecord
+from thistleline.rollout.events import Event as RolloutEvent
+from thistleline.rollout.events import OrderReceived, RecordStored, ServersObserved
+from thistleline.rollout.events import TimerExpired as RolloutTimerExpired
+from thistleline.rollout.metrics import SlotSample
+from thistleline.rollout.order import Order, start_fault
+from thistleline.rollout.record import HistoryEntry, RolloutRecord
+from thistleline.rollout.server_status import ServerStatus
+from thistleline.rollout.stages import STAGES, choose_controls, choose_targets
+from thistleline.rollout.timing import RolloutTiming
 from thistleline.store.latest import Latest
 from thistleline.supervisor.crash_history import SECOND
 from thistleline.supervisor.effects import KillServer, PersistState, SpawnServer, VerifyVersion
@@ -59,14 +68,14 @@
     """Who stops whenever the bounds exclude the truth is fooled in few of many runs."""
     fooled = 0
     for seed in range(200):
-        chance, bounds = Random(seed), Bounds(0.1)
+        chance, bounds = Random(seed), ConfidenceSequence(0.1)
         for _ in range(300):
-            bounds.take(min(1.0, max(0.0, chance.gauss(0.4, 0.15))))
-            if not bounds.least <= 0.4 <= bounds.most:
+            bounds.add(min(1.0, max(0.0, chance.gauss(0.4, 0.15))))
+            if not bounds.lower <= 0.4 <= bounds.upper:
                 fooled += 1
                 break
     assert fooled <= 20
-    assert bounds.most - bounds.least < 0.2
+    assert bounds.upper - bounds.lower < 0.2
 
 
 def judged(
@@ -77,15 +86,15 @@
     seed: int = 1,
     hit: Callable[[int, str], float] = lambda s, i: 0.0,
 ) -> Any:
-    judge, chance = Judge(("z0", "z1", "z2"), 0.02, 36), Random(seed)
+    judge, chance = CanaryAnalysis(("z0", "z1", "z2"), 0.02, 36), Random(seed)
     ids = [(f"s{k}", f"z{k % 3}", k < new) for k in range(new + old)]
     for slot in range(slots):
         told = []
         for id, zone, is_new in ids:
             served = min(1.0, max(0.0, chance.gauss(0.9, 0.03) - (harm if is_new else 0) - hit(slot, id)))
-            told.append(Slot(id, zone, is_new, False, 50, served, 0.05, 0.02, 0.1, 0.3, 0, 0))
-        judge.take(told, [id for id, _, is_new in ids if is_new])
-        verdict = judge.verdict({id: zone for id, zone, _ in ids})
+            told.append(SlotSample(id, zone, is_new, False, 50, served, 0.05, 0.02, 0.1, 0.3, 0, 0))
+        judge.add_slot(told, [id for id, _, is_new in ids if is_new])
+        verdict = judge.judge({id: zone for id, zone, _ in ids})
         if verdict[0] != "can't tell":
             break
     return verdict
@@ -102,7 +111,7 @@
 
 def test_new_ones_that_reject_are_found_though_their_traffic_weighs_on_the_old_ones() -> None:
     """Six of thirty turn a fifth away; the old ones get it and do worse than before themselves."""
-    judge, chance = Judge(("z0", "z1", "z2"), 0.02, 36), Random(1)
+    judge, chance = CanaryAnalysis(("z0", "z1", "z2"), 0.02, 36), Random(1)
     verdict = ""
     for _ in range(120):
         told = []
@@ -110,9 +119,11 @@
             new = k < 6
             tasks, served = (40, chance.gauss(0.75, 0.03)) if new else (54, chance.gauss(0.86, 0.02))
             rejected = 0.22 if new else 0.09
-            told.append(Slot(f"s{k}", f"z{k % 3}", new, False, tasks, served, rejected, 0.02, 0.1, 0.3, 0, 0))
-        judge.take(told, [f"s{k}" for k in range(6)])
-        verdict = judge.verdict({f"s{k}": f"z{k % 3}" for k in range(6)})[0]
+            told.append(
+                SlotSample(f"s{k}", f"z{k % 3}", new, False, tasks, served, rejected, 0.02, 0.1, 0.3, 0, 0)
+            )
+        judge.add_slot(told, [f"s{k}" for k in range(6)])
+        verdict = judge.judge({f"s{k}": f"z{k % 3}" for k in range(6)})[0]
         if verdict != "can't tell":
             break
     assert verdict == "worse"
@@ -123,17 +134,17 @@
 
 
 @pytest.mark.parametrize(("slots", "why"), [
-    ([Slot("s0", "z0", True, False, 50, 1.0, 0, 0, 0, 0, 0, 1)], "broke a rule"),
-    ([Slot("s0", "z0", True, False, 50, 1.0, 0, 0, 0, 0, 3, 0)], "crashes again"),
+    ([SlotSample("s0", "z0", True, False, 50, 1.0, 0, 0, 0, 0, 0, 1)], "broke a rule"),
+    ([SlotSample("s0", "z0", True, False, 50, 1.0, 0, 0, 0, 0, 3, 0)], "crashes again"),
     ([], "silent"),
-    ([Slot("s0", "z0", True, False, 0, 0.0, 0, 0, 0, 0, 0, 0),
-      Slot("s1", "z0", False, False, 50, 1.0, 0, 0, 0, 0, 0, 0)], "silent"),
+    ([SlotSample("s0", "z0", True, False, 0, 0.0, 0, 0, 0, 0, 0, 0),
+      SlotSample("s1", "z0", False, False, 50, 1.0, 0, 0, 0, 0, 0, 0)], "silent"),
 ])  # fmt: skip
-def test_a_broken_rule_a_crash_loop_and_silence_stop_at_once(slots: list[Slot], why: str) -> None:
-    judge = Judge(("z0",), 0.02, 36)
+def test_a_broken_rule_a_crash_loop_and_silence_stop_at_once(slots: list[SlotSample], why: str) -> None:
+    judge = CanaryAnalysis(("z0",), 0.02, 36)
     for _ in range(4):
-        judge.take(slots, ["s0"])
-    verdict, _, told = judge.verdict({"s0": "z0"})
+        judge.add_slot(slots, ["s0"])
+    verdict, _, told = judge.judge({"s0": "z0"})
     assert verdict == "worse"
     assert why in told
 
@@ -141,22 +152,22 @@
 # ---- the conductor
 
 
-def seen(count: int, version: Version = OLD, **changes: Any) -> list[Seen]:
-    told: dict[str, Any] = {"alive": True, "release": version.release, "settings": 0, "taking": True,
+def seen(count: int, version: Version = OLD, **changes: Any) -> list[ServerStatus]:
+    told: dict[str, Any] = {"alive": True, "release": version.release, "settings": 0, "accepting": True,
             "warm": True,
             "figures": (0, 0, 0, 0, 0, 0, 0, 1)} | changes  # fmt: skip
-    return [Seen(f"s{place:02}", f"z{place % 3}", **told) for place in range(count)]
+    return [ServerStatus(f"s{place:02}", f"z{place % 3}", **told) for place in range(count)]
 
 
 def test_stages_grow_across_zones_and_controls_stand_beside() -> None:
     fleet, sizes = seen(30), []
     chosen: tuple[str, ...] = ()
     for stage in STAGES:
-        chosen = targets(stage, chosen, fleet)
+        chosen = choose_targets(stage, chosen, fleet)
         sizes.append(len(chosen))
     assert sizes == [1, 3, 3, 15, 30]
-    assert {id for id in targets("one a zone", (), fleet)} == {"s00", "s01", "s02"}
-    beside = controls("one", ("s00",), fleet)
+    assert {id for id in choose_targets("one a zone", (), fleet)} == {"s00", "s01", "s02"}
+    beside = choose_controls("one", ("s00",), fleet)
     assert len(beside) == 2
     assert all(int(id[1:]) % 3 == 0 and id != "s00" for id in beside)
 
@@ -166,14 +177,14 @@
     ({"version": Version("1", "other")}, "other content"),
     ({"version": Version("2", "b", 5, "x"), "base": Version("1", "a", 5, "y")}, "other content"),
     ({"stages": ("one", "half")}, "'all' is the last"),
-    ({"down": 0}, "no server down"),
+    ({"max_down": 0}, "no server down"),
     ({"version": Version("2", "b", 0, "", (2, 3), 3), "base": Version("1", "a", 0, "", (1, 2), 2)},
      "2 writes a ledger of form 3, 1 reads 1, 2: there is no way back"),
     ({"version": None}, "names no version"),
 ])  # fmt: skip
 def test_an_order_that_makes_no_sense_is_refused_with_the_reason(changes: dict[str, Any], why: str) -> None:
     told = {"version": NEW, "base": OLD} | changes
-    assert why in wrong(Order(1, "start", **told))
+    assert why in start_fault(Order(1, "start", **told))
 
 
 class Stage:
@@ -182,45 +193,46 @@
     def __init__(self, fleet: int, **order: Any) -> None:
         self.now = 0
         self.members = {one.id: one for one in seen(fleet)}
-        self.conducting = Conducting(0, lambda: 0, None, Spans())
-        self.roll: Roll | None = None
+        self.controller = RolloutController(0, lambda: 0, None, RolloutTiming())
+        self.roll: RolloutRecord | None = None
         self.wants: list[tuple[str, Version]] = []
         self.step()
-        self.put("order", Order(1, "start", "", NEW, OLD, **order))
+        self.put(OrderReceived(Order(1, "start", "", NEW, OLD, **order)))
 
-    def put(self, *told: Any) -> None:
-        effects = self.conducting.take(self.now, *told)
+    def put(self, event: RolloutEvent) -> None:
+        effects = self.controller.handle(self.now, event)
         for effect in effects:
-            if effect[0] == "record":
-                self.roll = effect[1]
-                effects += self.conducting.take(self.now, "recorded")
-            elif effect[0] == "want":
-                self.wants.append((effect[1], effect[2]))
+            match effect:
+                case StoreRecord(record):
+                    self.roll = record
+                    effects += self.controller.handle(self.now, RecordStored())
+                case SetDesiredVersion(id, version):
+                    self.wants.append((id, version))
 
     def step(self) -> None:
         self.now += SECOND
-        self.put("seen", list(self.members.values()))
-        self.put("elapsed")
+        self.put(ServersObserved(list(self.members.values())))
+        self.put(RolloutTimerExpired())
 
     def show(self, id: str, **changes: Any) -> None:
         self.members[id] = self.members[id]._replace(**changes)
 
 
 def test_no_more_servers_are_down_at_once_than_is_allowed_whoever_took_them_down() -> None:
-    stage = Stage(9, stages=("all",), down=3, down_zone=1)
-    stage.show("s03", alive=False, taking=False)  # of z0, for reasons of its own
+    stage = Stage(9, stages=("all",), max_down=3, max_down_per_zone=1)
+    stage.show("s03", alive=False, accepting=False)  # of z0, for reasons of its own
     for _ in range(3):
         stage.step()
     assert {id for id, _ in stage.wants} <= {"s01", "s02", "s04", "s05", "s07", "s08"}
     assert len(stage.wants) == 2
-    stage.show("s03", alive=True, taking=True)
+    stage.show("s03", alive=True, accepting=True)
     stage.step()
     assert len(stage.wants) == 3
 
 
 def test_one_that_stays_down_and_leaves_no_room_is_asked_about_not_waited_for() -> None:
-    stage = Stage(9, stages=("all",), down=3, down_zone=1)
-    stage.show("s03", alive=False, taking=False)
+    stage = Stage(9, stages=("all",), max_down=3, max_down_per_zone=1)
+    stage.show("s03", alive=False, accepting=False)
     for id in ("s01", "s02", "s04", "s05", "s07", "s08"):
         for _ in range(2):
             stage.step()
@@ -231,25 +243,25 @@
         stage.step()
     assert stage.roll is not None
     assert stage.roll.phase == "asking"
-    assert "no room to change s00: down are s03" in stage.roll.why
-    stage.show("s03", alive=True, taking=True)
-    stage.put("order", Order(2, "resume", "it is back"))
+    assert "no room to change s00: down are s03" in stage.roll.reason
+    stage.show("s03", alive=True, accepting=True)
+    stage.put(OrderReceived(Order(2, "resume", "it is back")))
     stage.step()
     assert stage.wants[-1][0] == "s00"
 
 
 def test_going_back_while_a_stage_goes_forward_brings_all_to_the_base() -> None:
-    stage = Stage(9, stages=("one", "all"), down=2, down_zone=2)
+    stage = Stage(9, stages=("one", "all"), max_down=2, max_down_per_zone=2)
     for _ in range(3):
         stage.step()
     first = stage.wants[0][0]
     stage.show(first, release="2")
-    stage.put("order", Order(2, "skip", "no time"))
+    stage.put(OrderReceived(Order(2, "skip", "no time")))
     for _ in range(3):
         stage.step()
     under_way = [id for id, version in stage.wants if version == NEW and id != first]
     assert under_way  # wanted, and not there yet
-    stage.put("order", Order(3, "back", "a bad feeling"))
+    stage.put(OrderReceived(Order(3, "back", "a bad feeling")))
     for _ in range(30):
         for id in stage.members:
             last = [version for wanted, version in stage.wants if wanted == id]
@@ -264,10 +276,10 @@
 def test_a_change_while_another_runs_is_refused_and_a_pause_holds_all() -> None:
     stage = Stage(9)
     stage.step()
-    stage.put("order", Order(2, "start", "", Version("3", "c"), OLD))
+    stage.put(OrderReceived(Order(2, "start", "", Version("3", "c"), OLD)))
     assert stage.roll is not None
     assert stage.roll.number == 1
-    stage.put("order", Order(3, "pause", "lunch"))
+    stage.put(OrderReceived(Order(3, "pause", "lunch")))
     before = len(stage.wants)
     for _ in range(5):
         stage.step()
@@ -280,8 +292,8 @@
     stage.step()
     stage.step()
     assert stage.wants[0][1] == NEW
-    stage.show(stage.wants[0][0], taking=False, release="")
-    stage.now += Spans().change
+    stage.show(stage.wants[0][0], accepting=False, release="")
+    stage.now += RolloutTiming().change_timeout
     stage.step()
     stage.step()
     assert stage.roll is not None
@@ -290,8 +302,8 @@
 
 
 def test_a_member_that_was_away_comes_back_to_what_the_fleet_runs_now() -> None:
-    stage = Stage(3, stages=("all",), down=3, down_zone=3)
-    stage.show("s02", alive=False, taking=False)
+    stage = Stage(3, stages=("all",), max_down=3, max_down_per_zone=3)
+    stage.show("s02", alive=False, accepting=False)
     for _ in range(300):
         for id, version in stage.wants:
             if stage.members[id].alive:
@@ -300,7 +312,7 @@
     assert stage.roll is not None
     assert stage.roll.phase == "done"
     stage.wants.clear()
-    stage.show("s02", alive=True, taking=True)
+    stage.show("s02", alive=True, accepting=True)
     stage.step()
     assert stage.wants == [("s02", NEW)]
 
@@ -319,20 +331,20 @@
 
 
 def figured(came: int, done: int, worth: tuple[int, int], crashes: int = 0) -> dict[str, Any]:
-    return {"figures": (came, done, 0, 0, 0, 0, crashes, 1), "worth": worth}
+    return {"figures": (came, done, 0, 0, 0, 0, crashes, 1), "value": worth}
 
 
 @pytest.mark.parametrize(("says", "served"), [(True, 0.5), (False, 0.9)])
 def test_what_work_was_worth_is_compared_only_where_all_say_it(says: bool, served: float) -> None:
     stage = Stage(9)
-    told: list[Slot] = []
+    told: list[SlotSample] = []
     for step in range(1, 12):
         for id in stage.members:
             worth = (1000 * step, 500 * step) if says or id != "s08" else (0, 0)
             stage.show(id, **figured(100 * step, 90 * step, worth))
         stage.step()
-        if stage.conducting.judge is not None:
-            setattr(stage.conducting.judge, "take", lambda slots, _: told.extend(slots))  # noqa: B010
+        if stage.controller.analysis is not None:
+            setattr(stage.controller.analysis, "add_slot", lambda slots, _: told.extend(slots))  # noqa: B010
     assert {round(one.served, 2) for one in told} == {served}
 
 
@@ -343,12 +355,12 @@
     stage.step()
     assert stage.roll is not None
     new = stage.roll.targets[0]
-    stage.show(new, taking=False, release="", figures=(0, 0, 0, 0, 0, 0, 3, 2))
-    stage.conducting = Conducting(stage.now, lambda: 0, stage.roll, Spans())
+    stage.show(new, accepting=False, release="", figures=(0, 0, 0, 0, 0, 0, 3, 2))
+    stage.controller = RolloutController(stage.now, lambda: 0, stage.roll, RolloutTiming())
     for _ in range(12):
         stage.step()
     assert stage.roll.phase == "backing"
-    assert "2 crashes" in stage.roll.why or "crashes of new servers" in stage.roll.why
+    assert "2 crashes" in stage.roll.reason or "crashes of new servers" in stage.roll.reason
 
 
 # ---- the steward
@@ -559,6 +571,36 @@
     assert Latest(tmp_path, "x").value == b"two"
 
 
+# ---- what is stored
+
+
+VERSION_STORED = '{"release":"2.4","digest":"d","settings":17,"settings_digest":"s","reads":[2,3],"writes":3}'
+BASE_STORED = '{"release":"2.3","digest":"c","settings":0,"settings_digest":"","reads":[],"writes":0}'
+DESIRED_STORED = f'{{"epoch":3,"number":7,"version":{VERSION_STORED},"turn":2}}'
+
+
+def test_what_is_stored_keeps_its_encoded_names() -> None:
+    version, base = Version("2.4", "d", 17, "s", (2, 3), 3), Version("2.3", "c")
+    desired = DesiredVersion(3, 7, version, 2)
+    history = (HistoryEntry(1_700_000_000_000, "start", "x"),)
+    told: dict[str, msgspec.Struct] = {
+        f'{{"want":{DESIRED_STORED},"running":{VERSION_STORED},"life":9,"good":{BASE_STORED},'
+        f'"refused":{DESIRED_STORED},"heir":{VERSION_STORED},"heir_life":10,"last":11}}':
+            SupervisorState(desired, version, 9, base, desired, version, 10, 11),
+        f'{{"number":4,"version":{VERSION_STORED},"base":{BASE_STORED},"stages":["one","all"],"down":3,'
+        '"down_zone":1,"phase":"paused","stage":1,"controls":["s1"],"targets":["s0"],"crashes":[["s0",2]],'
+        '"why":"why","order":5,"past":[[1700000000000,"start","x"]]}':
+            RolloutRecord(4, version, base, ("one", "all"), 3, 1, "paused", 1, ("s1",), ("s0",),
+                          (("s0", 2),), "why", 5, history),
+        f'{{"number":5,"what":"start","why":"r","version":{VERSION_STORED},"base":{BASE_STORED},'
+        '"stages":["one","all"],"down":3,"down_zone":2}':
+            Order(5, "start", "r", version, base, ("one", "all"), 3, 2),
+    }  # fmt: skip
+    for stored, value in told.items():
+        assert msgspec.json.encode(value).decode() == stored
+        assert msgspec.json.decode(stored, type=type(value)) == value
+
+
 # ---- programs
 
 
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -7,11 +7,11 @@
 from thistleline.lab.scale import control
 from thistleline.lab.scale.members import word_bytes
 from thistleline.lab.scale.slopes import Row, judge, steps_of
-from thistleline.rollout import controller as conducting
-from thistleline.rollout.canary import Judge
-from thistleline.rollout.controller import Conducting
-from thistleline.rollout.record import ORDER_KEY
-from thistleline.rollout.service import Records
+from thistleline.rollout import controller as rollout_controller
+from thistleline.rollout.canary import CanaryAnalysis
+from thistleline.rollout.controller import RolloutController
+from thistleline.rollout.leased_records import LeasedRecords
+from thistleline.rollout.order import ORDER_KEY
 from thistleline.supervisor.model import DesiredVersion
 from thistleline.supervisor.releases import Releases
 from thistleline.supervisor.service import POLL
@@ -128,41 +128,41 @@
 
 
 def test_a_conductor_that_asks_for_all_wants_at_each_look_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    had = Records.get
+    had = LeasedRecords.get
 
-    async def again(self: Records, key: str) -> bytes | None:
+    async def again(self: LeasedRecords, key: str) -> bytes | None:
         if key == ORDER_KEY:
             for place in range(len(self.versions) - 2):
                 await had(self, f"want/{place}")
         return await had(self, key)
 
-    monkeypatch.setattr(Records, "get", again)
+    monkeypatch.setattr(LeasedRecords, "get", again)
     asked = {n: control.looks_asked(n) for n in SIZES}
     what = "conductor: reads of the council of a later look by instance"
     assert of(what, SIZES, lambda n: asked[n][1][0] - asked[n][0][0]) == [f"{what}: flat"]
 
 
 def test_a_look_that_passes_over_all_for_each_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    had = Conducting._bring
+    had = RolloutController._steer
 
-    def for_each(self: Conducting, roll: Any, should: Any) -> None:
-        for one in self.members.values():
-            sum(other.up for other in self.members.values() if other.zone != one.zone)
-        had(self, roll, should)
+    def for_each(self: RolloutController, record: Any, desired: Any) -> None:
+        for one in self.servers.values():
+            sum(other.up for other in self.servers.values() if other.zone != one.zone)
+        had(self, record, desired)
 
-    monkeypatch.setattr(Conducting, "_bring", for_each)
+    monkeypatch.setattr(RolloutController, "_steer", for_each)
     assert of(LOOK, SIZES, lambda n: control.conducted(n, 0, 1).look) == [f"{LOOK}: linear"]
 
 
 def test_a_slot_that_holds_each_against_each_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    had = Judge._measure
+    had = CanaryAnalysis._compare_warm
 
-    def each(self: Judge, measure: Any, told: Any, cold: bool = False) -> None:
+    def each(self: CanaryAnalysis, metric: Any, told: Any) -> None:
         for one in told:
             sum(other.tasks for other in told if other.zone != one.zone)
-        had(self, measure, told, cold)
+        had(self, metric, told)
 
-    monkeypatch.setattr(Judge, "_measure", each)
+    monkeypatch.setattr(CanaryAnalysis, "_compare_warm", each)
     what = "conductor: steps of a slot judged by instance"
     assert of(what, SIZES, lambda n: control.conducted(n, 0, 1).slot) == [f"{what}: linear"]
 
@@ -170,18 +170,18 @@
 def test_a_slot_that_looks_each_up_in_a_row_of_all_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
     what = "conductor: comparisons of ids in a slot by instance"
     assert of(what, SIZES, lambda n: control.compared_in_slot(n, 1)) == []
-    monkeypatch.setattr(conducting, "frozenset", tuple, raising=False)
+    monkeypatch.setattr(rollout_controller, "frozenset", tuple, raising=False)
     assert of(what, SIZES, lambda n: control.compared_in_slot(n, 1)) == [f"{what}: linear"]
 
 
 def test_the_conductor_that_is_measured_judges_and_waits_for_room() -> None:
-    made = control.conducted(108, 10, 1).conducting
-    assert made.roll is not None
-    assert made.roll.phase == "going"
-    assert made.judge is not None
-    assert made.judge.compared == 3  # of four slots: the first is what the next is held against
-    assert len(made.changing) == 1
-    assert made.no_room
+    made = control.conducted(108, 10, 1).controller
+    assert made.record is not None
+    assert made.record.phase == "going"
+    assert made.analysis is not None
+    assert made.analysis.compared_slots == 3  # of four slots: the first is what the next is held against
+    assert len(made.changes.under_way) == 1
+    assert made.changes.no_room
 
 
 def test_comparisons_in_c_are_counted() -> None:
--- a/thistleline/cli/roll.py
+++ b/thistleline/cli/roll.py
@@ -13,7 +13,9 @@
 
 from thistleline.cli.fleet import Unusable, ask, conf_of, logger, tell, voters_of, where
 from thistleline.lease.protocol import Get, Got, Put
-from thistleline.rollout.record import KEY, ORDER_KEY, STAGES, Order, Roll, wrong
+from thistleline.rollout.order import ORDER_KEY, Order, start_fault
+from thistleline.rollout.record import RECORD_KEY, RolloutRecord
+from thistleline.rollout.stages import STAGES
 from thistleline.supervisor.errors import ReleaseError
 from thistleline.supervisor.model import Version
 from thistleline.supervisor.records import digest_settings, settings_key
@@ -22,7 +24,7 @@
 
 FOLLOW = 0.5  # s between two looks
 GAP = 16  # numbers without settings, after which there are no more
-_roll = msgspec.msgpack.Decoder(Roll).decode
+_roll = msgspec.msgpack.Decoder(RolloutRecord).decode
 _order = msgspec.msgpack.Decoder(Order).decode
 encode = msgspec.msgpack.Encoder().encode
 
@@ -34,9 +36,9 @@
     told = conf_of(conf)
     if told.members is None or told.council is None or not told.council.voter:
         raise Unusable(f"{conf}: a conductor wants the parts 'members' and 'council voter'")
-    from thistleline.rollout.service import ConductorService
+    from thistleline.rollout.service import RolloutService
 
-    service = ConductorService(told, logger(told.members.name))
+    service = RolloutService(told, logger(told.members.name))
 
     async def run() -> None:
         async with anyio.create_task_group() as group:
@@ -66,7 +68,7 @@
     known = _got(voters, ORDER_KEY)
     number = _order(known.value).number + 1 if known.version else 1
     order = Order(number, what, why, **more)  # type: ignore[arg-type]
-    if what == "start" and (fault := wrong(order)):
+    if what == "start" and (fault := start_fault(order)):
         raise Unusable(fault)
     ask(voters, Put(ORDER_KEY, encode(order), known.version))
     click.echo(f"order {number}: {what}; 'roll status' tells what becomes of it")
@@ -114,14 +116,14 @@
 ) -> None:
     """Bring a release or settings to all servers, in stages, back where it does worse."""
     known = voters_of(conf, voters)
-    last = _got(known, KEY)
+    last = _got(known, RECORD_KEY)
     at = Version()
     if last.version:
         before = _roll(last.value)
         at = before.version if before.phase == "done" else before.base
     base = version_of(known, from_release, from_settings, at)
     version = version_of(known, release, settings, base)
-    bounds = {"down": down, "down_zone": down_zone}
+    bounds = {"max_down": down, "max_down_per_zone": down_zone}
     _put(known, "start", reason, version=version, base=base, stages=stages or STAGES, **bounds)
 
 
@@ -146,9 +148,9 @@
 def status(conf: str | None, voters: tuple[str, ...], as_json: bool, follow: bool) -> None:
     """How far the change is, and why; exit code 1 if there never was one."""
     where_voters = voters_of(conf, voters)
-    last: Roll | None = None
+    last: RolloutRecord | None = None
     while True:
-        known = _got(where_voters, KEY)
+        known = _got(where_voters, RECORD_KEY)
         if not known.version:
             click.echo("no change yet")
             raise SystemExit(1)
@@ -156,16 +158,16 @@
         if now != last:
             tell(now, as_json, _words)
         last = now
-        if not follow or now.over:
+        if not follow or now.is_over:
             return
         time.sleep(FOLLOW)
 
 
-def _words(roll: Roll) -> str:
-    stage = roll.stages[roll.stage]
+def _words(roll: RolloutRecord) -> str:
     return (
         f"change {roll.number}: {roll.base.release}/{roll.base.settings} to {roll.version.release}/"
-        f"{roll.version.settings}, {roll.phase}, stage {stage}, {len(roll.targets)} servers ({roll.why})"
+        f"{roll.version.settings}, {roll.phase}, stage {roll.stage}, {len(roll.targets)} servers "
+        f"({roll.reason})"
     )
 
 
@@ -173,10 +175,10 @@
 @where
 def history(conf: str | None, voters: tuple[str, ...]) -> None:
     """What was done, when and why."""
-    known = _got(voters_of(conf, voters), KEY)
-    for one in _roll(known.value).past if known.version else ():
+    known = _got(voters_of(conf, voters), RECORD_KEY)
+    for one in _roll(known.value).history if known.version else ():
         at = datetime.datetime.fromtimestamp(one.at / 1000, datetime.UTC).isoformat(timespec="milliseconds")
-        click.echo(f"{at}  {one.what}  {one.why}")
+        click.echo(f"{at}  {one.step}  {one.reason}")
 
 
 @click.group("settings")
@@ -250,7 +252,7 @@
 def settings_history(conf: str | None, voters: tuple[str, ...], first: int, as_json: bool) -> None:
     """The versions that are kept, each with its digest; and which changes brought or bring them."""
     known = voters_of(conf, voters)
-    told = _got(known, KEY)
+    told = _got(known, RECORD_KEY)
     now = _roll(told.value) if told.version else None
     missing = 0
     number = first
--- a/thistleline/lab/conductorworld.py
+++ b/thistleline/lab/conductorworld.py
@@ -4,18 +4,29 @@
 from collections.abc import Callable, Iterator
 from typing import Any, Literal
 
-from thistleline.rollout.canary import Finding, Judge, Verdict
-from thistleline.rollout.controller import SECOND, Conducting, Spans
-from thistleline.rollout.record import Order, Roll, Seen
+from thistleline.rollout.canary import CanaryAnalysis, Judgement, Verdict
+from thistleline.rollout.controller import RolloutController
+from thistleline.rollout.effects import Effect, LogEvent, SetDesiredVersion, StoreRecord
+from thistleline.rollout.events import (
+    DesiredVersionsRecovered,
+    OrderReceived,
+    RecordStored,
+    ServersObserved,
+    TimerExpired,
+)
+from thistleline.rollout.order import Order
+from thistleline.rollout.record import RolloutRecord
+from thistleline.rollout.server_status import ServerStatus
+from thistleline.rollout.timing import SECOND, RolloutTiming
 from thistleline.supervisor.model import Version
 
 OLD, NEW = Version("1", "a"), Version("2", "b")
-ORDER = Order(1, "start", "", NEW, OLD, ("one", "all"), down=2, down_zone=1)
-SPANS = Spans(change=1000 * SECOND)
+ORDER = Order(1, "start", "", NEW, OLD, ("one", "all"), max_down=2, max_down_per_zone=1)
+TIMING = RolloutTiming(change_timeout=1000 * SECOND)
 State = Literal["up", "changing", "down"]
 
 
-class AnyJudge(Judge):
+class AnyJudge(CanaryAnalysis):
     """Says what the world has chosen."""
 
     says: Verdict = "can't tell"
@@ -23,21 +34,21 @@
     def __init__(self, *told: Any) -> None:
         super().__init__(("z0", "z1"), 0.02, 3)
 
-    def take(self, slots: Any, expected: Any) -> None:
+    def add_slot(self, samples: Any, expected: Any) -> None:
         return None
 
-    def verdict(self, zone_of: dict[str, str]) -> tuple[Verdict, list[Finding], str]:
-        return AnyJudge.says, [], "as the world has it"
+    def judge(self, zone_of: dict[str, str]) -> Judgement:
+        return Judgement(AnyJudge.says, [], "as the world has it")
 
 
 class ConductorWorld:
     def __init__(self) -> None:
         self.epoch = 1
-        self.roll: Roll | None = None
+        self.roll: RolloutRecord | None = None
         self.wants: dict[str, Version] = {}
         self.servers: dict[str, tuple[Version, State]] = {f"s{place}": (OLD, "up") for place in range(4)}
-        self.conductors: dict[int, Conducting] = {}  # by epoch; of an older one its writes are refused
-        self.asked: dict[int, tuple[tuple[Any, ...], ...]] = {}
+        self.conductors: dict[int, RolloutController] = {}  # by epoch; of an older one its writes are refused
+        self.asked: dict[int, tuple[Effect, ...]] = {}
         self.successions, self.deaths, self.verdicts = 2, 1, 3
         self.broken = ""
         self.start()
@@ -52,9 +63,9 @@
 
     def start(self) -> None:
         """The holder of the newest epoch begins with what is recorded."""
-        one = self.conductors[self.epoch] = Conducting(0, lambda: 0, self.roll, SPANS, AnyJudge)
-        one.take(0, "seen", self.seen())
-        one.take(0, "wanted", self.wants)
+        one = self.conductors[self.epoch] = RolloutController(0, lambda: 0, self.roll, TIMING, AnyJudge)
+        one.handle(0, ServersObserved(self.seen()))
+        one.handle(0, DesiredVersionsRecovered(self.wants))
         self.asked[self.epoch] = ()
         for epoch in list(self.conductors):
             if epoch < self.epoch - 1:
@@ -66,10 +77,11 @@
         self.epoch += 1
         self.start()
 
-    def seen(self) -> list[Seen]:
+    def seen(self) -> list[ServerStatus]:
         return [
-            Seen(id, f"z{int(id[1:]) % 2}", state != "down", version.release if state == "up" else "", 0,
-                 state == "up", True, (0, 0, 0, 0, 0, 0, 0, 1))
+            ServerStatus(id, f"z{int(id[1:]) % 2}", state != "down",
+                         version.release if state == "up" else "", 0,
+                         state == "up", True, (0, 0, 0, 0, 0, 0, 0, 1))
             for id, (version, state) in sorted(self.servers.items())
         ]  # fmt: skip
 
@@ -77,9 +89,11 @@
         """A conductor looks, and asks for what follows."""
         one = self.conductors[epoch]
         AnyJudge.says = says
-        effects = one.take(0, "seen", self.seen()) + one.take(0, "order", ORDER) + one.take(0, "elapsed")
+        effects = one.handle(0, ServersObserved(self.seen()))
+        effects += one.handle(0, OrderReceived(ORDER))
+        effects += one.handle(0, TimerExpired())
         AnyJudge.says = "can't tell"
-        self.asked[epoch] = (*self.asked[epoch], *(one for one in effects if one[0] != "log"))
+        self.asked[epoch] = (*self.asked[epoch], *(one for one in effects if not isinstance(one, LogEvent)))
 
     def carry_out(self, epoch: int) -> None:
         effect, *rest = self.asked[epoch]
@@ -87,12 +101,14 @@
         if self.refused(epoch):
             del self.conductors[epoch], self.asked[epoch]  # it learns that it conducts no more
             return
-        if effect[0] == "record":
-            self.roll = effect[1]
-            told = self.conductors[epoch].take(0, "recorded")
-            self.asked[epoch] = (*self.asked[epoch], *(one for one in told if one[0] != "log"))
-        else:
-            self._want(effect[1], effect[2])
+        match effect:
+            case StoreRecord(record):
+                self.roll = record
+                told = self.conductors[epoch].handle(0, RecordStored())
+                follows = (one for one in told if not isinstance(one, LogEvent))
+                self.asked[epoch] = (*self.asked[epoch], *follows)
+            case SetDesiredVersion(id, version):
+                self._want(id, version)
 
     def refused(self, epoch: int) -> bool:
         return epoch != self.epoch
@@ -109,7 +125,7 @@
         self.servers[id] = self.servers[id][0], "changing"
         down = [one for one, (_, state) in self.servers.items() if state == "changing"]
         here = sum(int(one[1:]) % 2 == int(id[1:]) % 2 for one in down)
-        if len(down) > ORDER.down or here > ORDER.down_zone:
+        if len(down) > ORDER.max_down or here > ORDER.max_down_per_zone:
             self.broken = f"{', '.join(sorted(down))} are down at once"
 
     def up(self, id: str) -> None:
@@ -124,7 +140,7 @@
 
     def key(self) -> Any:
         told = tuple(
-            (epoch, one.frozen(), self.asked[epoch]) for epoch, one in sorted(self.conductors.items())
+            (epoch, one.state_key(), self.asked[epoch]) for epoch, one in sorted(self.conductors.items())
         )
         rest = (self.epoch, self.roll, tuple(sorted(self.wants.items())), tuple(sorted(self.servers.items())))
         return hash((told, rest, self.successions, self.deaths, self.verdicts, self.broken))
@@ -133,7 +149,7 @@
 def away() -> ConductorWorld:
     """The last stage; s0 was away, so its zone's s2 is wanted to change and has not yet; s0 is back."""
     world = ConductorWorld()
-    while world.roll is None or world.roll.stage == 0 or not world.roll.targets:
+    while world.roll is None or world.roll.stage_index == 0 or not world.roll.targets:
         if world.asked[1]:
             world.carry_out(1)
         elif world.wants.get("s0") == NEW and world.servers["s0"][0] != NEW:
@@ -167,11 +183,11 @@
     for epoch in world.conductors:
         if world.asked[epoch]:
             yield from step(
-                f"{epoch} carries out {world.asked[epoch][0][0]}", ConductorWorld.carry_out, epoch
+                f"{epoch} carries out {type(world.asked[epoch][0]).__name__}", ConductorWorld.carry_out, epoch
             )
         else:
             yield from step(f"{epoch} looks", ConductorWorld.step, epoch, "can't tell")
-            if world.verdicts and world.conductors[epoch].judge is not None:
+            if world.verdicts and world.conductors[epoch].analysis is not None:
                 for says in ("worse", "not worse"):
                     yield from step(f"{epoch} looks: {says}", ConductorWorld.step, epoch, says, verdicts=1)
     if world.successions:
--- a/thistleline/lab/machines.py
+++ b/thistleline/lab/machines.py
@@ -23,14 +23,15 @@
 from thistleline.lab.harness import Fleet, Hung, Process, free_port
 from thistleline.lab.ledger import SETTINGS, judge
 from thistleline.lease.protocol import Get, Got, Put
-from thistleline.rollout.record import KEY, ORDER_KEY, Order, Roll
+from thistleline.rollout.order import ORDER_KEY, Order
+from thistleline.rollout.record import RECORD_KEY, RolloutRecord
 from thistleline.supervisor.model import Version
 from thistleline.supervisor.releases import Releases
 
 ROOT = Path(__file__).parent.parent.parent
 FIGURES = 0.5  # s between two figures of a server
 RATE = 12.0  # bookings a second to a machine
-_roll = msgspec.msgpack.Decoder(Roll).decode
+_roll = msgspec.msgpack.Decoder(RolloutRecord).decode
 encode = msgspec.msgpack.Encoder().encode
 
 # What a release does, by its name: the fault that is built into the server, or nothing at all.
@@ -184,8 +185,8 @@
 
     # ---- changes
 
-    async def status(self) -> Roll | None:
-        answer = await self.fleet.ask(Get(KEY))
+    async def status(self) -> RolloutRecord | None:
+        answer = await self.fleet.ask(Get(RECORD_KEY))
         return _roll(answer.value) if isinstance(answer, Got) and answer.version else None
 
     def version(self, name: str) -> Version:
@@ -208,13 +209,13 @@
 
     async def through(
         self, span: float, number: int, do: Callable[[], Any] | None = None, asks: bool = True
-    ) -> Roll:
+    ) -> RolloutRecord:
         """Till the change of that number is over, or a person is asked; `do` once a stage is under way."""
         until, done = time.monotonic() + span, do is None
         while time.monotonic() < until:
             roll = await self.status()
             if roll is not None and roll.number == number:
-                if roll.over or (asks and roll.phase == "asking"):
+                if roll.is_over or (asks and roll.phase == "asking"):
                     return roll
                 if not done and roll.targets:
                     done = True
--- a/thistleline/lab/roll.py
+++ b/thistleline/lab/roll.py
@@ -20,13 +20,20 @@
 
 from thistleline.lab.harness import Fleet, folder_of
 from thistleline.lab.machines import HARMFUL, HARMLESS, ROOT, Machines
-from thistleline.rollout.canary import Finding, Judge, Slot, Verdict
-from thistleline.rollout.controller import SECOND, Conducting, Spans
-from thistleline.rollout.record import STAGES, Order, Roll, Seen
+from thistleline.rollout.canary import CanaryAnalysis, Judgement, Verdict
+from thistleline.rollout.controller import RolloutController
+from thistleline.rollout.effects import SetDesiredVersion, StoreRecord
+from thistleline.rollout.events import OrderReceived, RecordStored, ServersObserved, TimerExpired
+from thistleline.rollout.metrics import SlotSample
+from thistleline.rollout.order import Order
+from thistleline.rollout.record import RolloutRecord
+from thistleline.rollout.server_status import ServerStatus
+from thistleline.rollout.stages import STAGES
+from thistleline.rollout.timing import SECOND, RolloutTiming
 from thistleline.supervisor.model import Version
 
 OLD, NEW = Version("1", "d1", 1, "s1"), Version("2", "d2", 1, "s1")
-SPANS = Spans()
+TIMING = RolloutTiming()
 STEP = 5 * SECOND
 RESTART, COLD = 4, 6  # steps down, and cold, after a change
 RATE = 80  # tasks of a server in a step
@@ -131,16 +138,16 @@
         self.worth[1] += round(1000 * finished * (1 - dear))
         return lost * tasks + dear * finished, tasks
 
-    def seen(self, harm: Harm) -> Seen:
+    def seen(self, harm: Harm) -> ServerStatus:
         up = not self.down
         mute = up and self.runs == NEW and harm.silent
         figures = () if mute else tuple(self.figures)
         runs = (self.runs.release, self.runs.settings) if up else ("", 0)
         worth = (self.worth[0], self.worth[1])
-        return Seen(self.id, self.zone, True, *runs, up, self.age > COLD, figures, worth)
+        return ServerStatus(self.id, self.zone, True, *runs, up, self.age > COLD, figures, worth)
 
 
-class Threshold(Judge):
+class Threshold(CanaryAnalysis):
     """For comparison: worse by so much in so many slots in a row, new ones against old ones over all zones,
     or against what old ones did last where none are left."""
 
@@ -151,23 +158,24 @@
         self.in_a_row = 0
         self.old = 0.0
 
-    def take(self, slots: Iterable[Slot], expected: Iterable[str]) -> None:
-        told = list(slots)
-        super().take(told, expected)
+    def add_slot(self, samples: Iterable[SlotSample], expected: Iterable[str]) -> None:
+        told = list(samples)
+        super().add_slot(told, expected)
         new = [one.served for one in told if one.new and one.tasks]
         old = [one.served for one in told if not one.new and one.tasks]
         self.old = statistics.fmean(old) if old else self.old
         worse = bool(new) and self.old - statistics.fmean(new) > self.LIMIT
         self.in_a_row = self.in_a_row + 1 if worse else 0
 
-    def verdict(self, zone_of: dict[str, str]) -> tuple[Verdict, list[Finding], str]:
-        if self.at_once or self.in_a_row >= self.IN_A_ROW:
-            return "worse", [], self.at_once or "the threshold"
-        return ("not worse" if self.slots >= self.enough else "can't tell"), [], "the threshold"
+    def judge(self, zone_of: dict[str, str]) -> Judgement:
+        if self.health.fault or self.in_a_row >= self.IN_A_ROW:
+            return Judgement("worse", [], self.health.fault or "the threshold")
+        verdict: Verdict = "not worse" if self.slots >= self.min_slots else "can't tell"
+        return Judgement(verdict, [], "the threshold")
 
 
-RULES: dict[str, tuple[Callable[..., Judge], tuple[str, ...]]] = {
-    "judge": (Judge, STAGES),
+RULES: dict[str, tuple[Callable[..., CanaryAnalysis], tuple[str, ...]]] = {
+    "judge": (CanaryAnalysis, STAGES),
     "threshold": (Threshold, STAGES),
     "all at once": (Threshold, ("all",)),
 }
@@ -205,10 +213,10 @@
         return now // 1_000_000
 
     judge, stages = RULES[rule]
-    conducting = Conducting(now, wall, None, SPANS, judge)
+    controller = RolloutController(now, wall, None, TIMING, judge)
     down = servers if len(stages) == 1 else max(1, servers // 10)
     order = Order(1, "start", "", NEW, OLD, stages, down, max(1, down // 2))
-    record: Roll | None = None
+    record: RolloutRecord | None = None
     burst = {f"z{zone}": 0.0 for zone in range(zones)}
     ever: set[str] = set()
     lost = came = 0.0
@@ -225,25 +233,26 @@
                 ever.add(server.id)
         most_down = max(most_down, sum(1 for one in fleet if one.down))
         if chance.random() < successions:
-            conducting = Conducting(now, wall, record, SPANS, judge)
-        effects = conducting.take(now, "seen", [one.seen(harm) for one in fleet])
+            controller = RolloutController(now, wall, record, TIMING, judge)
+        effects = controller.handle(now, ServersObserved([one.seen(harm) for one in fleet]))
         if step >= 20 and record is None:
-            effects += conducting.take(now, "order", order)
-        effects += conducting.take(now, "elapsed")
+            effects += controller.handle(now, OrderReceived(order))
+        effects += controller.handle(now, TimerExpired())
         by_id = {one.id: one for one in fleet}
         while effects:
             effect = effects.pop(0)
             if chance.random() < successions:  # it dies between two effects
-                conducting = Conducting(now, wall, record, SPANS, judge)
+                controller = RolloutController(now, wall, record, TIMING, judge)
                 break
-            if effect[0] == "record":
-                record = effect[1]
-                effects += conducting.take(now, "recorded")
-            elif effect[0] == "want":
-                by_id[effect[1]].want(effect[2], effect[3])
-        if record is not None and (record.over or record.phase == "asking"):
+            match effect:
+                case StoreRecord(stored):
+                    record = stored
+                    effects += controller.handle(now, RecordStored())
+                case SetDesiredVersion(id, version, restart_token):
+                    by_id[id].want(version, restart_token)
+        if record is not None and (record.is_over or record.phase == "asking"):
             break
-    why = record.why if record is not None else ""
+    why = record.reason if record is not None else ""
     return Rolled(record.phase if record else "none", step, len(ever), lost / max(1.0, came), why, most_down)
 
 
@@ -346,7 +355,7 @@
                 await machines.order(release, base, ("one", "one a zone", "all"))
                 roll = await machines.through(180, number, partial(fault, fleet, chance))
                 told.append({"release": release, "fault": fault.__name__.strip("_"), "phase": roll.phase,
-                             "why": roll.why, "reached": len(machines.reached(release))})  # fmt: skip
+                             "why": roll.reason, "reached": len(machines.reached(release))})  # fmt: skip
                 tell(str(told[-1]))
                 if roll.phase == "asking":
                     await machines.back()
--- a/thistleline/lab/scale/control.py
+++ b/thistleline/lab/scale/control.py
@@ -44,9 +44,15 @@
 from thistleline.lease.protocol import Answer, Get, Got, Op
 from thistleline.lease.wire import Reply, Request
 from thistleline.lease.wire import encode as encode_client
-from thistleline.rollout.controller import SECOND, Conducting, Spans
-from thistleline.rollout.record import KEY, ORDER_KEY, STAGES, Roll, Seen
-from thistleline.rollout.service import ConductorService, encode
+from thistleline.rollout.controller import RolloutController
+from thistleline.rollout.events import ServersObserved
+from thistleline.rollout.events import TimerExpired as RolloutTimerExpired
+from thistleline.rollout.order import ORDER_KEY
+from thistleline.rollout.record import RECORD_KEY, RolloutRecord
+from thistleline.rollout.server_status import ServerStatus
+from thistleline.rollout.service import RolloutService, encode
+from thistleline.rollout.stages import STAGES
+from thistleline.rollout.timing import SECOND, RolloutTiming
 from thistleline.supervisor.effects import Effect, PersistState, SpawnServer, TerminateServer, VerifyVersion
 from thistleline.supervisor.events import (
     ConsensusPolled,
@@ -255,8 +261,9 @@
         self.old, self.new = version(117), version(118)
         self.figures = [[0, 0, 0, 0, 0] for _ in self.places]
         all_of_them = tuple(id for id, _, _ in self.places)
-        roll = Roll(1, self.new, self.old, STAGES, 1, 1, stage=len(STAGES) - 1, targets=all_of_them)
-        self.conducting = Conducting(self.now, lambda: 1_790_000_000_000, roll, Spans())
+        last = len(STAGES) - 1
+        roll = RolloutRecord(1, self.new, self.old, STAGES, 1, 1, stage_index=last, targets=all_of_them)
+        self.controller = RolloutController(self.now, lambda: 1_790_000_000_000, roll, RolloutTiming())
         self.pass_time()
         self.look()
         for _ in range(4):
@@ -266,7 +273,7 @@
 
     def pass_time(self) -> None:
         """A slot in which all of them worked; the conductor sees it, with ids that came in anew."""
-        self.now += self.conducting.spans.slot
+        self.now += self.controller.timing.slot
         found = []
         for place, (id, zone, new) in enumerate(self.places):
             tasks = self.chance.randint(1400, 1600)
@@ -276,24 +283,24 @@
                 counts[at] += more
             runs = self.new if new else self.old
             found.append(
-                Seen(self.id_of(id), zone, True, runs.release, runs.settings, True,
+                ServerStatus(self.id_of(id), zone, True, runs.release, runs.settings, True,
                      place % 100 >= self.cold, (*counts, 96_000 + self.chance.randint(0, 999), 0, 12))
             )  # fmt: skip
-        self.conducting.take(self.now, "seen", found)
-        self.seen, self.before = found, dict(self.conducting.before)
+        self.controller.handle(self.now, ServersObserved(found))
+        self.seen, self.before = found, dict(self.controller.sampler.previous)
 
     def id_of(self, id: str) -> str:
         return str(id.encode(), "ascii")
 
     def slot(self) -> None:
         """The last one that passed; the same work each time."""
-        self.conducting.before = dict(self.before)
-        self.conducting._slot()
+        self.controller.sampler.previous = dict(self.before)
+        self.controller._end_slot()
 
     def look(self) -> None:
-        self.conducting.next_slot = self.now + SECOND
-        self.conducting.take(self.now, "seen", self.seen)
-        self.conducting.take(self.now, "elapsed")
+        self.controller.next_slot = self.now + SECOND
+        self.controller.handle(self.now, ServersObserved(self.seen))
+        self.controller.handle(self.now, RolloutTimerExpired())
 
 
 class Id(str):
@@ -328,14 +335,14 @@
 class Answering:
     """A council that answers at once, and how much it was asked by the end of each look's questions."""
 
-    def __init__(self, looks: int, roll: Roll) -> None:
+    def __init__(self, looks: int, roll: RolloutRecord) -> None:
         self.looks, self.roll = looks, roll
         self.reads = self.bytes = 0
         self.by_look: list[tuple[int, int]] = []
 
     async def surely(self, op: Op, span: float) -> Answer:
         assert isinstance(op, Get), op
-        value = encode(self.roll) if op.key == KEY else encode(DesiredVersion(7, 1, self.roll.base))
+        value = encode(self.roll) if op.key == RECORD_KEY else encode(DesiredVersion(7, 1, self.roll.base))
         answer = Got(b"", 0) if op.key == ORDER_KEY else Got(value, 7)
         self.reads += 1
         self.bytes += len(sealed(encode_client(Request(self.reads, op))))
@@ -351,12 +358,12 @@
     """Reads of the council and their bytes until the first look, and until the second one, of a conductor
     that takes over a fleet at rest."""
     base = Version("2.31.4", DIGESTS[0], 118, DIGESTS[0], (3, 4), 4)
-    service = ConductorService(service_conf(Path(), ""), _log)
+    service = RolloutService(service_conf(Path(), ""), _log)
     service.member.gossip = hollow(instances, 1)
-    council: Any = Answering(2, Roll(1, version(119), base, STAGES, 1, 1, "back"))
+    council: Any = Answering(2, RolloutRecord(1, version(119), base, STAGES, 1, 1, "back"))
     held: Any = None  # it writes nothing
     try:
-        anyio.run(service._conduct, council, held)
+        anyio.run(service._lead, council, held)
     except Enough:
         return list(council.by_look)
     raise AssertionError("it asks no more")
@@ -364,9 +371,9 @@
 
 def picturing(instances: int) -> Callable[[], Any]:
     """The picture that is made of members for each look."""
-    service = ConductorService(service_conf(Path(), ""), _log)
+    service = RolloutService(service_conf(Path(), ""), _log)
     service.member.gossip = hollow(instances, 1)
-    return service.seen
+    return service.server_statuses
 
 
 def resting(instances: int) -> Callable[[], Any]:
@@ -375,17 +382,17 @@
     seen = carried.seen()
 
     def look() -> None:
-        carried.tell("seen", seen)
-        carried.tell("elapsed")
+        carried.tell(ServersObserved(seen))
+        carried.tell(RolloutTimerExpired())
 
     return look
 
 
 def resting_slot(made: Conducted) -> Callable[[], Any]:
     """Its change is over: nothing is judged any more."""
-    assert made.conducting.roll is not None
-    made.conducting.roll = msgspec.structs.replace(made.conducting.roll, phase="done")
-    made.conducting.judge = None
+    assert made.controller.record is not None
+    made.controller.record = msgspec.structs.replace(made.controller.record, phase="done")
+    made.controller.analysis = None
     return made.slot
 
 
@@ -557,7 +564,7 @@
     rolled = {n: conducted(n, 0, seed) for n in fleets}
     held = [
         Case("conductor: memory of what it sees and judges by instance", fleets,
-             lambda n: conducted(n, 0, seed).conducting),
+             lambda n: conducted(n, 0, seed).controller),
         Case("decider: memory of reports by entry", entries, lambda n: entered(n).pictures, ENTRY),
     ]  # fmt: skip
     timed = [
@@ -641,10 +648,10 @@
             told = {what: [((cpu_seconds(pid) - before[pid]) / span, resident(pid)) for pid in found]
                     for what, found in pids.items()}  # fmt: skip
             client = Council({name: fleet.address(name) for name in fleet.names}, group, fleet.chance)
-            await client.surely(Get(KEY), 10.0)
+            await client.surely(Get(RECORD_KEY), 10.0)
             begun = time.monotonic()
             for _ in range(TRIPS):
-                await client.surely(Get(KEY), 10.0)
+                await client.surely(Get(RECORD_KEY), 10.0)
             told["a read of the council"] = [((time.monotonic() - begun) / TRIPS, 0)]
         finally:
             machines.close()
--- a/thistleline/lab/scale/settings_costs.py
+++ b/thistleline/lab/scale/settings_costs.py
@@ -21,9 +21,16 @@
     steps_of,
 )
 from thistleline.lease.table import RECORDS_BOUND, RECORDS_SIZE
-from thistleline.rollout.controller import SECOND, Conducting, Spans
-from thistleline.rollout.record import STAGES, Order, Roll, Seen
+from thistleline.rollout.canary import ColdBaseline, Judgement
+from thistleline.rollout.controller import RolloutController
+from thistleline.rollout.effects import SetDesiredVersion, StoreRecord
+from thistleline.rollout.events import Event, OrderReceived, RecordStored, ServersObserved, TimerExpired
+from thistleline.rollout.order import Order
+from thistleline.rollout.record import RolloutRecord
+from thistleline.rollout.server_status import ServerStatus
 from thistleline.rollout.service import POLL as LOOK
+from thistleline.rollout.stages import STAGES
+from thistleline.rollout.timing import SECOND, RolloutTiming
 from thistleline.supervisor.model import DesiredVersion, Version
 from thistleline.supervisor.settings import SETTINGS_SIZE_LIMIT, unfit_settings
 from thistleline.wire.settings import read_bench
@@ -54,19 +61,18 @@
 class Content:
     """A judge that finds nothing worse, at once: what is left is what carrying a change takes."""
 
-    def __init__(self, zones: Iterable[str], alpha: float, enough: int) -> None:
-        self.cold_old: dict[str, tuple[int, float]] = {}
+    def __init__(self, zones: Iterable[str], alpha: float, min_slots: int, cold: ColdBaseline) -> None:
         self.slots = 0
 
-    def take(self, told: Any, here: Any) -> None:
+    def add_slot(self, samples: Any, expected: Any) -> None:
         self.slots += 1
 
-    def verdict(self, zone_of: Any) -> tuple[str, list[Any], str]:
-        return "not worse", [], "nothing to judge"
+    def judge(self, zone_of: Any) -> Judgement:
+        return Judgement("not worse", [], "nothing to judge")
 
 
-def seen_of(place: int, settings: int, figures: tuple[int, ...] = ()) -> Seen:
-    return Seen(f"i{place:05}", f"z{place % ZONES}", True, "r1", settings, True, True, figures)
+def seen_of(place: int, settings: int, figures: tuple[int, ...] = ()) -> ServerStatus:
+    return ServerStatus(f"i{place:05}", f"z{place % ZONES}", True, "r1", settings, True, True, figures)
 
 
 class Carried:
@@ -79,42 +85,43 @@
         self.settings = [1] * instances
         self.now = SECOND
         judge: Any = Content
-        self.conducting = Conducting(self.now, lambda: self.now // 1_000_000, None, Spans(), judge)
-        self.tell("seen", self.seen())
-        self.tell("order", Order(1, "start", "lab", NEW, OLD, STAGES, down, down))
+        self.controller = RolloutController(
+            self.now, lambda: self.now // 1_000_000, None, RolloutTiming(), judge
+        )
+        self.tell(ServersObserved(self.seen()))
+        self.tell(OrderReceived(Order(1, "start", "lab", NEW, OLD, STAGES, down, down)))
 
-    def seen(self) -> list[Seen]:
+    def seen(self) -> list[ServerStatus]:
         return [seen_of(place, settings) for place, settings in enumerate(self.settings)]
 
-    def tell(self, kind: str, *told: Any) -> None:
-        effects = self.conducting.take(self.now, kind, *told)
+    def tell(self, event: Event) -> None:
+        effects = self.controller.handle(self.now, event)
         while effects:
-            name, *what = effects.pop(0)
-            if name == "record":
-                self.records += 1
-                self.roll_bytes += len(encode(what[0]))
-                effects += self.conducting.take(self.now, "recorded")
-            elif name == "want":
-                id, version, turn = what
-                self.wants += 1
-                self.want_bytes += len(encode(DesiredVersion(1, 1, version, turn)))
-                self.settings[self.at[id]] = version.settings
+            match effects.pop(0):
+                case StoreRecord(record):
+                    self.records += 1
+                    self.roll_bytes += len(encode(record))
+                    effects += self.controller.handle(self.now, RecordStored())
+                case SetDesiredVersion(id, version, restart_token):
+                    self.wants += 1
+                    self.want_bytes += len(encode(DesiredVersion(1, 1, version, restart_token)))
+                    self.settings[self.at[id]] = version.settings
 
     @property
-    def roll(self) -> Roll:
-        assert self.conducting.roll is not None
-        return self.conducting.roll
+    def roll(self) -> RolloutRecord:
+        assert self.controller.record is not None
+        return self.controller.record
 
     def carry(self) -> "Carried":
         """Until it is over. Raises RuntimeError where it isn't by far too many looks."""
         bound = 100 + 20 * len(self.settings)
-        while not self.roll.over:
+        while not self.roll.is_over:
             self.looks += 1
             self.now += round(LOOK * SECOND)
-            self.tell("seen", self.seen())
-            self.tell("elapsed")
+            self.tell(ServersObserved(self.seen()))
+            self.tell(TimerExpired())
             if self.looks > bound:
-                raise RuntimeError(f"a change is {self.roll.phase} after {bound} looks: {self.roll.why}")
+                raise RuntimeError(f"a change is {self.roll.phase} after {bound} looks: {self.roll.reason}")
         return self
 
 
@@ -124,8 +131,8 @@
     seen = carried.seen()
 
     def look() -> None:
-        carried.conducting.take(carried.now, "seen", seen)
-        carried.conducting.take(carried.now, "elapsed")
+        carried.controller.handle(carried.now, ServersObserved(seen))
+        carried.controller.handle(carried.now, TimerExpired())
 
     return steps_of(look)
 
@@ -247,9 +254,9 @@
     known = {one["name"]: one for one in rows}
     instances, day = size("instances"), size("changes_day")
     looks = known["a change: the conductor's looks by instance"]["at_size"]
-    spans = Spans()
+    timing = RolloutTiming()
     carrying = looks * LOOK
-    judging = len(STAGES) * spans.enough * spans.slot / SECOND
+    judging = len(STAGES) * timing.min_slots * timing.slot / SECOND
     content = SETTINGS_SIZE_LIMIT
     at_once = known["a change, all down at once: the conductor's looks by instance"]["at_size"] * LOOK
     wants = known["a change: bytes of the wants by instance"]["at_size"]
--- a/thistleline/rollout/__init__.py
+++ b/thistleline/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""A change that goes through the fleet in stages: decided, judged, stopped and taken back."""
+"""Rolling changes: brought to the fleet in stages, judged against a control group, paused and rolled back."""
--- a/thistleline/rollout/canary.py
+++ b/thistleline/rollout/canary.py
@@ -1,252 +1,282 @@
-"""New against old: worse, not worse, or can't tell yet. No I/O, no clock.
+"""Canary analysis: new servers against the control group of old ones. No I/O, no clock.
 
-What is compared is what servers did in the same slot of time in the same zone, so that what hits both, a
-burst or a neighbour's trouble, takes itself out. Each slot and zone gives a difference a measure: the median
-of the new ones less that of the old ones. Of those, bounds that hold at any look (bounds.py), clipped so
-that one wild slot says no more than that it was bad.
+The verdict is: worse, not worse, or can't tell yet. What is compared is what servers did in the same slot of
+time in the same zone, so that what hits both, a burst or a noisy neighbour, takes itself out. Each slot and
+zone gives a difference for each metric: the median of the new ones less that of the old ones. Of those,
+bounds that hold at any look (`confidence.py`), clipped so that one wild slot says no more than that it was
+bad.
 
-- `alpha` is shared out over all measures, zones and the whole: many measures bring no more alarms.
+- `alpha` is shared out over all metrics, zones and the whole: many metrics bring no more alarms.
 - Only a difference beyond a practical margin is worse, and only if most of the new ones show it by
-  themselves: a neighbour's trouble on one of them is no fault of the release.
+  themselves: a noisy neighbour of one of them is no fault of the release.
 - One or two new ones alone can't tell their release from their machine: from them only what is grave counts.
-- What is silent is worse, and a broken rule or a crash loop is at once.
+- Silence, a broken rule or a crash loop is worse at once (`canary_health.py`).
 """
 
 from collections.abc import Iterable
-from statistics import fmean, median
-from typing import Literal, NamedTuple
+from operator import attrgetter
+from statistics import median
+from typing import Any, Literal, NamedTuple
 
-from thistleline.rollout.confidence import Bounds
+from thistleline.rollout.canary_health import MIN_TASKS, CanaryHealth
+from thistleline.rollout.confidence import ConfidenceSequence
+from thistleline.rollout.metrics import GUARDRAIL_METRICS, Metric, SlotSample
 
 Verdict = Literal["worse", "not worse", "can't tell"]
-CLIP = 0.10  # of a difference: narrow, as the bounds are as wide as what they allow for
-FEW, GRAVE = 2, 0.06  # so many new ones are few, and what counts from them
-SILENT_SLOTS = 4  # without a word from a new one that should speak
-LEAST_TASKS = 5  # of a server in a slot, for its rates to say anything
-AGREE = 0.6  # of the new ones have to show it
-COLD_LEAST = 6  # samples of cold old ones, before cold new ones are held against them
-CRASH_LOOP = 3  # restarts that nobody asked for, of one server in a stage
-
-
-class Slot(NamedTuple):
-    """What one server did in one slot."""
-
-    id: str
-    zone: str
-    new: bool
-    cold: bool
-    tasks: int
-    served: float  # part of the utility of what came that was finished in time, 0 to 1
-    rejected: float  # parts of what came
-    abandoned: float
-    slow: float  # part of what finished that took longer than it should, of the worst stage
-    memory: float  # part of the limit
-    crashes: int  # since the stage began, not asked for
-    broken: int  # rules, as the server itself noticed them
-
-
-class Measure(NamedTuple):
-    name: str
-    margin: float  # a worsening of so much is of no practical matter
-    sign: int  # 1: more is worse
-    relative: bool = False  # to what the old ones have
-
-
-MEASURES = (
-    Measure("served", 0.01, -1),
-    Measure("rejected", 0.02, 1),
-    Measure("abandoned", 0.01, 1),
-    Measure("slow", 0.03, 1),
-    Measure("memory", 0.05, 1, True),
-)
+MAX_DIFFERENCE = 0.10  # clip of a difference: narrow, as the bounds are as wide as what they allow for
+FEW_CANARIES = 2  # so many new servers are few
+GRAVE_DIFFERENCE = 0.06  # what counts from a single new server; from n the n-th part
+DETECTABLE_DIFFERENCE = 0.03  # a worsening below that need not be excluded before 'not worse' is said
+MIN_OWN_SAMPLES = 3  # of a new server, before it has a say
+UNANIMOUS_CANARIES = 4  # up to so many new servers, each has to show a worsening
+MIN_AGREEMENT = 0.6  # of more new servers, this part has to show it
+MIN_COLD_SAMPLES = 6  # of cold old servers, before cold new ones are held against them
+FLEET = "all"  # in place of a zone
 
+_GUARDRAIL_METRIC = {metric.name: metric for metric in GUARDRAIL_METRICS}
+_Key = tuple[str, str, bool]  # a metric; a zone, FLEET or a server; whether of cold servers
 
-class Finding(NamedTuple):
-    """Why a verdict is what it is."""
 
-    measure: str
-    where: str  # a zone, or "all"
-    least: float  # bounds on how much worse the new ones are
-    most: float
+class Finding(NamedTuple):
+    """How a metric of the new servers compares, with bounds on how much worse they are.
+
+    Attributes:
+        metric: Its name.
+        where: A zone or "all", with ", cold" for cold servers.
+        lower: Lower bound on the worsening.
+        upper: Upper bound on it.
+        mean: Mean worsening.
+        slots: Slots that it rests on.
+    """
+
+    metric: str
+    where: str
+    lower: float
+    upper: float
     mean: float
     slots: int
 
+    def log_fields(self) -> dict[str, Any]:
+        """Return the finding as it stands in the log."""
+        return {
+            "measure": self.metric,
+            "where": self.where,
+            "least": self.lower,
+            "most": self.upper,
+            "mean": self.mean,
+            "slots": self.slots,
+        }
+
+
+class Judgement(NamedTuple):
+    """A verdict with the findings that it rests on, the gravest first, and the reason in words."""
+
+    verdict: Verdict
+    findings: list[Finding]
+    reason: str
+
+
+class ColdBaseline:
+    """How far cold old servers fall behind warm ones of their zone, by metric."""
+
+    def __init__(self) -> None:
+        """Begin without a sample."""
+        self._counts: dict[str, int] = {}
+        self._totals: dict[str, float] = {}
+
+    def add(self, metric: str, behind: float) -> None:
+        """Add a sample of a cold old server."""
+        self._counts[metric] = self._counts.get(metric, 0) + 1
+        self._totals[metric] = self._totals.get(metric, 0.0) + behind
+
+    def mean(self, metric: str) -> float | None:
+        """Return how far they fall behind; None while there are too few samples."""
+        count = self._counts.get(metric, 0)
+        return self._totals[metric] / count if count >= MIN_COLD_SAMPLES else None
+
 
-class Judge:
-    """Of one stage."""
+class CanaryAnalysis:
+    """Compares the new servers of one stage with its control group.
 
-    def __init__(self, zones: Iterable[str], alpha: float, enough: int) -> None:
-        """`enough`: slots after which 'not worse' may be said, if the bounds allow it."""
-        self.zones, self.enough = tuple(zones), enough
-        places = len(MEASURES) * (len(self.zones) + 1) * 2  # the cold are judged apart
-        self.alpha = alpha / places
-        self.bounds: dict[tuple[str, str, bool], Bounds] = {}
-        self.own: dict[tuple[str, str, bool], tuple[int, float]] = {}  # count and sum of each new one's own
+    Attributes:
+        slots: Slots so far.
+        compared_slots: Slots in which warm new servers could be held against warm old ones.
+        min_slots: Slots after which 'not worse' may be said, if the bounds allow it.
+        health: What stops the stage at once.
+    """
+
+    def __init__(
+        self, zones: Iterable[str], alpha: float, min_slots: int, cold_baseline: ColdBaseline | None = None
+    ) -> None:
+        """Begin a stage.
+
+        Args:
+            zones: Zones of the fleet.
+            alpha: How often a harmless version may be called worse, at most.
+            min_slots: Slots after which 'not worse' may be said.
+            cold_baseline: What earlier stages of the same change learned of cold old servers; grows here.
+        """
+        self.zones = tuple(zones)
+        self.min_slots = min_slots
         self.slots = 0
-        self.silent: dict[str, int] = {}
-        self.at_once = ""
-        self.new: set[str] = set()
-        self.compared = 0  # slots in which warm new ones could be held against warm old ones
-        self.old_spoke = 0  # the last slot in which an old one spoke
-        self.crashed: dict[str, int] = {}  # of each new one, as last told; and of the old ones
-        self.crashed_old: dict[str, int] = {}
-        self.crashed_at = 0  # the last slot in which a new one had crashed anew
-        self.cold_old: dict[
-            str, tuple[int, float]
-        ] = {}  # count and sum: how cold old ones fall behind warm ones
-
-    def take(self, slots: Iterable[Slot], expected: Iterable[str]) -> None:
-        """All that is known of one slot; `expected`: the new ones that should have spoken."""
+        self.compared_slots = 0
+        self.health = CanaryHealth()
+        self._cold_baseline = ColdBaseline() if cold_baseline is None else cold_baseline
+        comparisons = len(GUARDRAIL_METRICS) * (len(self.zones) + 1) * 2  # the cold are judged apart
+        self._alpha = alpha / comparisons
+        self._sequences: dict[_Key, ConfidenceSequence] = {}
+        self._own: dict[_Key, tuple[int, float]] = {}  # count and sum of each new server's own worsening
+
+    def add_slot(self, samples: Iterable[SlotSample], expected: Iterable[str]) -> None:
+        """Take all that is known of one slot; `expected`: the new servers that should have spoken."""
         self.slots += 1
-        told = list(slots)
-        # Figures that stand still while those of others move say as little as none.
-        busy = {one.zone for one in told if not one.new and one.tasks >= LEAST_TASKS}
-        spoke = {one.id for one in told if one.tasks or one.zone not in busy}
-        for id in expected:
-            self.silent[id] = 0 if id in spoke else self.silent.get(id, 0) + 1
-            if self.silent[id] >= SILENT_SLOTS:
-                self.at_once = self.at_once or f"{id} is silent"
-        for one in told:
-            if one.new:
-                self.new.add(one.id)
-                if one.broken:
-                    self.at_once = self.at_once or f"{one.id} broke a rule"
-                if one.crashes >= CRASH_LOOP:
-                    self.at_once = self.at_once or f"{one.id} crashes again and again"
-                if one.crashes > self.crashed.get(one.id, 0):
-                    self.crashed[one.id], self.crashed_at = one.crashes, self.slots
-            else:
-                self.old_spoke = self.slots
-                self.crashed_old[one.id] = one.crashes
-        if self._crash_more():
-            self.at_once = self.at_once or f"{sum(self.crashed.values())} crashes of new servers"
-        spoke_enough = [one for one in told if one.tasks >= LEAST_TASKS]
-        warm = [one for one in spoke_enough if not one.cold]
-        cold = [one for one in spoke_enough if one.cold]
-        for measure in MEASURES:
-            self._measure(measure, warm)
-            self._measure_cold(measure, warm, cold)
-
-    def _crash_more(self) -> bool:
-        """Two crashes that nobody asked for, and more a server than old ones have."""
-        new, old = sum(self.crashed.values()), sum(self.crashed_old.values())
-        return new >= 2 and new * max(1, len(self.crashed_old)) > 2 * old * max(1, len(self.new))
-
-    def _measure_cold(self, measure: Measure, warm: list[Slot], cold: list[Slot]) -> None:
-        """Of the same age, not of the same moment: how far each falls behind the warm old ones of its zone
-        just then. The old ones that say so are controls, and any that came up by themselves."""
-        old: dict[str, list[float]] = {}
-        for one in warm if cold else ():
-            if not one.new:
-                old.setdefault(one.zone, []).append(getattr(one, measure.name))
-        middles = {zone: median(values) for zone, values in old.items()}
-        for one in cold:
-            if one.zone not in middles:
-                continue
-            behind = _worse(measure, getattr(one, measure.name), middles[one.zone])
-            count, total = self.cold_old.get(measure.name, (0, 0.0))
-            if not one.new:
-                self.cold_old[measure.name] = count + 1, total + behind
-            elif count >= COLD_LEAST:
-                worse = behind - total / count
-                known = self.own.get((one.id, measure.name, True), (0, 0.0))
-                self.own[one.id, measure.name, True] = known[0] + 1, known[1] + worse
-                self._sample(measure.name, "all", True, worse)
-
-    def _measure(self, measure: Measure, told: list[Slot], cold: bool = False) -> None:
+        samples = list(samples)
+        self.health.add_slot(self.slots, samples, expected)
+        busy = [sample for sample in samples if sample.tasks >= MIN_TASKS]
+        warm = [sample for sample in busy if not sample.cold]
+        cold = [sample for sample in busy if sample.cold]
+        for metric in GUARDRAIL_METRICS:
+            self._compare_warm(metric, warm)
+            self._compare_cold(metric, warm, cold)
+
+    def _compare_warm(self, metric: Metric, samples: list[SlotSample]) -> None:
+        """Compare medians zone by zone, and over the fleet weighted by new servers."""
+        value_of = attrgetter(metric.name)
         differences: list[tuple[float, int]] = []
         for zone in self.zones:
-            here = [one for one in told if one.zone == zone]
-            old = [getattr(one, measure.name) for one in here if not one.new]
-            new = [one for one in here if one.new]
+            in_zone = [sample for sample in samples if sample.zone == zone]
+            old = [value_of(sample) for sample in in_zone if not sample.new]
+            new = [sample for sample in in_zone if sample.new]
             if not old:  # a zone of new ones alone is held against all others
-                old = [getattr(one, measure.name) for one in told if not one.new]
+                old = [value_of(sample) for sample in samples if not sample.new]
             if not old or not new:
                 continue
             base = median(old)
-            for one in new:
-                worse = _worse(measure, getattr(one, measure.name), base)
-                count, total = self.own.get((one.id, measure.name, cold), (0, 0.0))
-                self.own[one.id, measure.name, cold] = count + 1, total + worse
-            worse = _worse(measure, median(getattr(one, measure.name) for one in new), base)
-            self._sample(measure.name, zone, cold, worse)
+            for sample in new:
+                self._add_own(sample.id, metric, False, metric.worsening(value_of(sample), base))
+            worse = metric.worsening(median(value_of(sample) for sample in new), base)
+            self._add_difference(metric, zone, False, worse)
             differences.append((worse, len(new)))
-        if differences:
-            whole = sum(worse * count for worse, count in differences) / sum(
-                count for _, count in differences
-            )
-            self._sample(measure.name, "all", cold, whole)
-            if not cold and measure is MEASURES[0]:
-                self.compared += 1
-
-    def _sample(self, measure: str, where: str, cold: bool, worse: float) -> None:
-        bounds = self.bounds.get((measure, where, cold))
-        if bounds is None:
-            bounds = self.bounds[measure, where, cold] = Bounds(self.alpha)
-        bounds.take((max(-CLIP, min(CLIP, worse)) + CLIP) / (2 * CLIP))
-
-    def _finding(self, measure: str, where: str, bounds: Bounds) -> Finding:
-        def scaled(value: float) -> float:
-            return round(value * 2 * CLIP - CLIP, 4)
-
-        return Finding(
-            measure, where, scaled(bounds.least), scaled(bounds.most), scaled(bounds.mean), bounds.count
-        )
-
-    def _agree(self, measure: Measure, where: str, cold: bool, zone_of: dict[str, str]) -> bool:
-        """Whether most of the new ones show it, each by itself."""
+        if not differences:
+            return
+        new_servers = sum(count for _, count in differences)
+        fleet_worse = sum(worse * count for worse, count in differences) / new_servers
+        self._add_difference(metric, FLEET, False, fleet_worse)
+        if metric is GUARDRAIL_METRICS[0]:
+            self.compared_slots += 1
+
+    def _compare_cold(self, metric: Metric, warm: list[SlotSample], cold: list[SlotSample]) -> None:
+        """Compare cold new servers with cold old ones, of the same age but not of the same moment.
+
+        Of each counts how far it falls behind the warm old ones of its zone just then. The cold old ones are
+        the restarted controls, and any that came up by themselves.
+        """
+        if not cold:
+            return
+        value_of = attrgetter(metric.name)
+        old_by_zone: dict[str, list[float]] = {}
+        for sample in warm:
+            if not sample.new:
+                old_by_zone.setdefault(sample.zone, []).append(value_of(sample))
+        medians = {zone: median(values) for zone, values in old_by_zone.items()}
+        for sample in cold:
+            if sample.zone not in medians:
+                continue
+            behind = metric.worsening(value_of(sample), medians[sample.zone])
+            if not sample.new:
+                self._cold_baseline.add(metric.name, behind)
+                continue
+            usual = self._cold_baseline.mean(metric.name)
+            if usual is not None:
+                self._add_own(sample.id, metric, True, behind - usual)
+                self._add_difference(metric, FLEET, True, behind - usual)
+
+    def _add_own(self, server_id: str, metric: Metric, cold: bool, worse: float) -> None:
+        count, total = self._own.get((server_id, metric.name, cold), (0, 0.0))
+        self._own[server_id, metric.name, cold] = count + 1, total + worse
+
+    def _add_difference(self, metric: Metric, where: str, cold: bool, worse: float) -> None:
+        sequence = self._sequences.get((metric.name, where, cold))
+        if sequence is None:
+            sequence = ConfidenceSequence(self._alpha)
+            self._sequences[metric.name, where, cold] = sequence
+        clipped = max(-MAX_DIFFERENCE, min(MAX_DIFFERENCE, worse))
+        sequence.add((clipped + MAX_DIFFERENCE) / (2 * MAX_DIFFERENCE))
+
+    # ---- the verdict
+
+    def judge(self, zone_of: dict[str, str]) -> Judgement:
+        """Return the verdict by now; `zone_of`: the zone of each server."""
+        if self.health.fault:
+            return Judgement("worse", [], self.health.fault)
+        worse, undecided = self._findings(zone_of)
+        if worse:
+            worse.sort(key=lambda finding: -finding.lower)
+            gravest = worse[0]
+            reason = f"{gravest.metric} is worse by {gravest.lower:.3f} at the least, {gravest.where}"
+            return Judgement("worse", worse, reason)
+        return self._judge_not_worse(undecided)
+
+    def _judge_not_worse(self, undecided: list[Finding]) -> Judgement:
+        """Return the verdict where nothing is worse; `undecided`: worsenings that are not excluded yet."""
+        crashed_at = self.health.last_crash_slot
+        if crashed_at and self.slots - crashed_at < self.min_slots:
+            return Judgement("can't tell", [], "a new server crashed a while ago")
+        if self.compared_slots >= self.min_slots:
+            if not undecided:
+                return Judgement("not worse", [], f"{self.compared_slots} slots")
+            canaries = len(self.health.new)
+            if 0 < canaries <= FEW_CANARIES:
+                reason = f"nothing grave in {self.compared_slots} slots of {canaries}"
+                return Judgement("not worse", [], reason)
+        if self.slots - self.health.last_control_slot >= self.min_slots:
+            return Judgement("not worse", [], "no old ones are left to hold it against")
+        undecided.sort(key=lambda finding: -finding.upper)
+        return Judgement("can't tell", undecided, f"{self.compared_slots} slots of {self.min_slots}")
+
+    def _findings(self, zone_of: dict[str, str]) -> tuple[list[Finding], list[Finding]]:
+        """Return what is worse, and what of the whole fleet may still be."""
+        worse: list[Finding] = []
+        undecided: list[Finding] = []
+        for (name, where, cold), sequence in self._sequences.items():
+            metric = _GUARDRAIL_METRIC[name]
+            finding = _finding(name, where + (", cold" if cold else ""), sequence)
+            canaries = [one for one in self.health.new if where in (FLEET, zone_of.get(one, ""))]
+            # A noisy neighbour that lasts moves the mean of few by as much as the release might.
+            grave = GRAVE_DIFFERENCE / max(1, len(canaries))
+            margin = max(metric.margin, grave)
+            if finding.lower > margin and self._canaries_agree(metric, where, cold, zone_of):
+                worse.append(finding)
+            excluded = max(margin, DETECTABLE_DIFFERENCE, 2 * grave)
+            if not worse and where == FLEET and not cold and finding.upper > excluded:
+                undecided.append(finding)
+        return worse, undecided
+
+    def _canaries_agree(self, metric: Metric, where: str, cold: bool, zone_of: dict[str, str]) -> bool:
+        """Tell whether most of the new servers show a worsening, each by itself."""
         means = [
             total / count
-            for (id, name, age), (count, total) in self.own.items()
-            if name == measure.name and age == cold and count >= 3 and (where in ("all", zone_of.get(id, "")))
+            for (server_id, name, own_cold), (count, total) in self._own.items()
+            if name == metric.name
+            and own_cold == cold
+            and count >= MIN_OWN_SAMPLES
+            and where in (FLEET, zone_of.get(server_id, ""))
         ]
-        wanted = len(means) if len(means) <= 4 else AGREE * len(means)  # of few, each
-        return bool(means) and sum(mean > measure.margin for mean in means) >= wanted
-
-    def verdict(self, zone_of: dict[str, str]) -> tuple[Verdict, list[Finding], str]:
-        """With the findings that it rests on, the gravest first, and words. `zone_of`: of each new one."""
-        if self.at_once:
-            return "worse", [], self.at_once
-        worse, open_ones = list[Finding](), list[Finding]()
-        for (name, where, cold), bounds in self.bounds.items():
-            measure = next(one for one in MEASURES if one.name == name)
-            finding = self._finding(name, where + (", cold" if cold else ""), bounds)
-            here = [id for id in self.new if where in ("all", zone_of.get(id, ""))]
-            # A neighbour's trouble that lasts moves the mean of few by as much as the release might.
-            margin = max(measure.margin, GRAVE / max(1, len(here)))
-            if finding.least > margin and self._agree(measure, where, cold, zone_of):
-                worse.append(finding)
-            excluded = max(margin, TELLABLE, 2 * GRAVE / max(1, len(here)))
-            if not worse and where == "all" and not cold and finding.most > excluded:
-                open_ones.append(finding)
-        if worse:
-            worse.sort(key=lambda one: -one.least)
-            one = worse[0]
-            return "worse", worse, f"{one.measure} is worse by {one.least:.3f} at the least, {one.where}"
-        if self.slots - self.crashed_at < self.enough and self.crashed_at:
-            return "can't tell", [], "a new server crashed a while ago"
-        if self.compared >= self.enough and not open_ones:
-            return "not worse", [], f"{self.compared} slots"
-        if self.compared >= self.enough and 0 < len(self.new) <= FEW:
-            return "not worse", [], f"nothing grave in {self.compared} slots of {len(self.new)}"
-        if self.slots - self.old_spoke >= self.enough:
-            return "not worse", [], "no old ones are left to hold it against"
-        open_ones.sort(key=lambda one: -one.most)
-        return "can't tell", open_ones, f"{self.compared} slots of {self.enough}"
-
-    def means(self) -> dict[str, float]:
-        """How much worse each measure was, over all, for people."""
-        return {
-            name: round(
-                fmean(total / count for (_, one, _), (count, total) in self.own.items() if one == name), 4
-            )
-            for name in {name for _, name, _ in self.own}
-        }
+        needed = len(means) if len(means) <= UNANIMOUS_CANARIES else MIN_AGREEMENT * len(means)
+        return bool(means) and sum(mean > metric.margin for mean in means) >= needed
 
 
-def _worse(measure: Measure, value: float, base: float) -> float:
-    worse = measure.sign * (value - base)
-    return worse / max(1e-9, base) if measure.relative else worse
+def _finding(metric: str, where: str, sequence: ConfidenceSequence) -> Finding:
+    return Finding(
+        metric,
+        where,
+        _unscaled(sequence.lower),
+        _unscaled(sequence.upper),
+        _unscaled(sequence.mean),
+        sequence.count,
+    )
 
 
-TELLABLE = 0.03  # a worsening below that need not be excluded before 'not worse' is said
+def _unscaled(value: float) -> float:
+    """Return the worsening that a value in [0, 1] stands for."""
+    return round(value * 2 * MAX_DIFFERENCE - MAX_DIFFERENCE, 4)
--- a/thistleline/rollout/confidence.py
+++ b/thistleline/rollout/confidence.py
@@ -1,44 +1,68 @@
-"""Bounds on a mean that hold at any look: who looks after every sample and stops when it suits is not fooled
-more often than `alpha`. No I/O, no clock.
+"""A confidence sequence: bounds on a mean that hold at any look. No I/O, no clock.
 
-The predictable plug-in empirical Bernstein confidence sequence (Waudby-Smith and Ramdas 2023, theorem 2):
-for samples in [0, 1] whose mean, given all before, is the same. No shape of distribution is taken for
-granted, and it narrows as their variance does.
+Who looks after every sample and stops when it suits is not fooled more often than `alpha`. This is the
+predictable plug-in empirical Bernstein confidence sequence (Waudby-Smith and Ramdas 2023, theorem 2): for
+samples in [0, 1] whose mean, given all before, is the same. No shape of distribution is taken for granted,
+and it narrows as their variance does.
 """
 
 from math import log, sqrt
 
-BET_MOST = 0.9
+BET_MAX = 0.9  # the paper's c, below 1
 
 
-class Bounds:
-    __slots__ = ("alpha", "bets", "count", "least", "most", "penalty", "scatter", "total", "weighted")
+class ConfidenceSequence:
+    """Bounds on the mean of the samples added so far.
+
+    Attributes:
+        count: Samples so far.
+        lower: Lower bound on the mean.
+        upper: Upper bound on the mean.
+    """
+
+    __slots__ = (
+        "_alpha",
+        "_bets",
+        "_penalty",
+        "_squared_deviations",
+        "_total",
+        "_weighted",
+        "count",
+        "lower",
+        "upper",
+    )
 
     def __init__(self, alpha: float) -> None:
-        """`alpha`: how often the mean may ever lie outside, at the most."""
-        self.alpha = alpha
+        """Begin without a sample; `alpha`: how often the mean may ever lie outside, at most."""
+        self._alpha = alpha
+        self._total = 0.0
+        self._squared_deviations = 0.0
+        self._weighted = 0.0
+        self._bets = 0.0
+        self._penalty = 0.0
         self.count = 0
-        self.total = self.scatter = 0.0
-        self.weighted = self.bets = self.penalty = 0.0
-        self.least, self.most = 0.0, 1.0
-
-    def take(self, sample: float) -> None:
-        """A sample in [0, 1]."""
-        mean = (0.5 + self.total) / (self.count + 1)
-        variance = (0.25 + self.scatter) / (self.count + 1)
+        self.lower = 0.0
+        self.upper = 1.0
+
+    def add(self, sample: float) -> None:
+        """Add a sample in [0, 1]."""
+        mean = (0.5 + self._total) / (self.count + 1)
+        variance = (0.25 + self._squared_deviations) / (self.count + 1)
         self.count += 1
-        bet = min(BET_MOST, sqrt(2 * log(2 / self.alpha) / (variance * self.count * log(1 + self.count))))
-        self.weighted += bet * sample
-        self.bets += bet
-        self.penalty += 4 * (sample - mean) ** 2 * (-log(1 - bet) - bet) / 4
-        self.total += sample
-        mean = (0.5 + self.total) / (self.count + 1)
-        self.scatter += (sample - mean) ** 2
-        centre = self.weighted / self.bets
-        width = (log(2 / self.alpha) + self.penalty) / self.bets
+        bet = min(BET_MAX, sqrt(2 * log(2 / self._alpha) / (variance * self.count * log(1 + self.count))))
+        self._weighted += bet * sample
+        self._bets += bet
+        self._penalty += 4 * (sample - mean) ** 2 * (-log(1 - bet) - bet) / 4
+        self._total += sample
+        mean = (0.5 + self._total) / (self.count + 1)
+        self._squared_deviations += (sample - mean) ** 2
+        centre = self._weighted / self._bets
+        half_width = (log(2 / self._alpha) + self._penalty) / self._bets
         # Running intersection: what was once excluded stays so.
-        self.least, self.most = max(self.least, centre - width), min(self.most, centre + width)
+        self.lower = max(self.lower, centre - half_width)
+        self.upper = min(self.upper, centre + half_width)
 
     @property
     def mean(self) -> float:
-        return self.total / self.count if self.count else 0.5
+        """Mean of the samples; 0.5 where there is none."""
+        return self._total / self.count if self.count else 0.5
--- a/thistleline/rollout/controller.py
+++ b/thistleline/rollout/controller.py
@@ -1,12 +1,9 @@
-"""What a conductor decides: who changes next, when a stage is judged, when all goes back. No I/O, no clock.
+"""What a rollout controller decides: who changes next, when a stage is judged, when all is rolled back.
 
-Inputs:  seen [Seen] | wanted {id: Version} | order Order | recorded | elapsed
-Effects: (record Roll)      decided by the council under the lease; `recorded` answers it
-         (want id Version turn)  idempotent, under the lease; what is wanted already costs nothing
-         (log event facts)
-
-Whatever it does follows from the record that is decided and from what members show, so that a successor goes
-on where it stopped. Only how far a stage has been judged is in memory: a successor judges it anew.
+A pure state machine without I/O or clock: events of `events.py` come in by `handle`, effects of `effects.py`
+come out. Whatever it does follows from the record that is decided and from what members show, so that a
+successor goes on where it stopped. Only how far a stage has been judged is in memory: a successor judges it
+anew.
 """
 
 from collections.abc import Callable
@@ -14,324 +11,309 @@
 
 import msgspec
 
-from thistleline.rollout.canary import Judge, Slot
-from thistleline.rollout.record import PAST_BOUND, Order, Past, Phase, Roll, Seen, controls, targets, wrong
+from thistleline.rollout.canary import CanaryAnalysis, ColdBaseline, Judgement
+from thistleline.rollout.effects import Effect, LogEvent, StoreRecord
+from thistleline.rollout.events import (
+    DesiredVersionsRecovered,
+    Event,
+    OrderReceived,
+    RecordStored,
+    ServersObserved,
+    TimerExpired,
+)
+from thistleline.rollout.order import TRANSITIONS, Order, start_fault
+from thistleline.rollout.record import MAX_HISTORY, HistoryEntry, RolloutRecord
+from thistleline.rollout.server_changes import ServerChanges
+from thistleline.rollout.server_status import CRASHES, ServerStatus
+from thistleline.rollout.slot_sampler import SlotSampler, crashed_targets
+from thistleline.rollout.stages import choose_controls, choose_targets
+from thistleline.rollout.timing import RolloutTiming
 from thistleline.supervisor.model import Version
 
-SECOND = 1_000_000_000
+MAX_FINDINGS_LOGGED = 5
+MAX_DOWN_NAMED = 8  # servers named in a reason
 
 
-class Spans:
-    """How long things may take, ns."""
+class RolloutController:
+    """Leads a change through the fleet.
 
-    __slots__ = ("alpha", "change", "enough", "patience", "slot")
+    Attributes:
+        record: The change as it was last decided.
+        pending_record: The record that is being decided; nothing else is done until it is.
+        servers: The fleet as it was last seen, by server id.
+        changes: Changes of single servers under way.
+        analysis: Judges the current stage; None outside of one.
+        sampler: Turns figures into samples of slots.
+        next_slot: When the current slot ends, ns.
+    """
 
-    def __init__(
-        self, slot: int = 5 * SECOND, change: int = 120 * SECOND, enough: int = 36, patience: int = 240
-    ) -> None:
-        """`slot`: of what is compared. `change`: for a server to come up with a version; past that it counts
-        as one that does not. `enough`, `patience`: slots for 'not worse', and before a person is asked."""
-        self.slot, self.change, self.enough, self.patience = slot, change, enough, patience
-        self.alpha = 0.02
-
-
-class Conducting:
     def __init__(
         self,
         now: int,
-        wall: Callable[[], int],
-        roll: Roll | None,
-        spans: Spans,
-        judge: Callable[..., Judge] = Judge,
+        wall_clock: Callable[[], int],
+        record: RolloutRecord | None,
+        timing: RolloutTiming,
+        make_analysis: Callable[..., CanaryAnalysis] = CanaryAnalysis,
     ) -> None:
-        """`roll`: as the council has it, of this or an earlier conductor. `judge` makes one a stage."""
-        self.make_judge = judge
-        self.now, self.wall, self.spans = now, wall, spans
-        self.roll = roll
-        self.crashes = dict(roll.crashes) if roll is not None else {}  # as the stage began; 0 where not told
-        self.recording: Roll | None = None
-        self.members: dict[str, Seen] = {}
-        self.seen_once = False
-        self.effects: list[tuple[Any, ...]] = []
-        self.changing: dict[str, tuple[Version, int]] = {}  # wanted of whom, since when
-        self.judge: Judge | None = None
-        self.next_slot = now + spans.slot
-        self.before: dict[str, tuple[int, ...]] = {}  # figures at the last slot
-        self.restarted: set[str] = set()  # controls of this stage, once each
-        self.cold_old: dict[str, tuple[int, float]] = {}  # what judges of this change have learned of it
-        self.no_room: tuple[str, ...] = ()  # who would be changed next, if others were not down
-        self.no_room_since = now
-        self.verdict: tuple[str, list[Any], str] = ("can't tell", [], "")
-
-    def take(self, now: int, kind: str, *told: Any) -> list[tuple[Any, ...]]:
-        self.now = max(self.now, now)
-        getattr(self, f"_{kind}")(*told)
-        effects, self.effects = self.effects, []
-        return effects
-
-    def copy(self) -> "Conducting":
-        made = Conducting.__new__(Conducting)
+        """Go on from what is recorded.
+
+        Args:
+            now: Boot time, ns.
+            wall_clock: Returns wall clock ms.
+            record: The change as the replicated log has it, of this or an earlier controller.
+            timing: How long things may take.
+            make_analysis: Makes the analysis of a stage.
+        """
+        self.now = now
+        self.wall_clock = wall_clock
+        self.timing = timing
+        self.record = record
+        self.pending_record: RolloutRecord | None = None
+        self.servers: dict[str, ServerStatus] = {}
+        self.changes = ServerChanges(now)
+        self.analysis: CanaryAnalysis | None = None
+        self.sampler = SlotSampler()
+        self.next_slot = now + timing.slot
+        self._make_analysis = make_analysis
+        self._observed = False  # whether the fleet was seen at all
+        self._crashes_before = dict(record.crashes) if record is not None else {}  # as the stage began
+        self._cold_baseline = ColdBaseline()  # of this change: how the base does cold is true of all stages
+        self._effects: list[Effect] = []
+
+    def copy(self) -> "RolloutController":
+        """Return an independent copy but for the analysis, for exploration."""
+        made = RolloutController.__new__(RolloutController)
         made.__dict__.update(self.__dict__)
-        made.members, made.changing = dict(self.members), dict(self.changing)
-        made.before, made.crashes, made.effects = dict(self.before), dict(self.crashes), []
-        made.restarted = set(self.restarted)
+        made.servers = dict(self.servers)
+        made.changes = self.changes.copy()
+        made.sampler = self.sampler.copy()
+        made._crashes_before = dict(self._crashes_before)
+        made._effects = []
         return made
 
-    def frozen(self) -> tuple[Any, ...]:
-        """All that what it decides can depend on, but for how far a stage is judged."""
+    def state_key(self) -> tuple[Any, ...]:
+        """Return all that decisions can depend on but how far a stage is judged; hashable."""
         return (
-            *(self.roll, self.recording, tuple(self.members.items()), tuple(self.changing.items())),
-            *(self.judge is None, frozenset(self.restarted), self.seen_once),
+            self.record,
+            self.pending_record,
+            tuple(self.servers.items()),
+            tuple(self.changes.under_way.items()),
+            self.analysis is None,
+            frozenset(self.changes.restarted_controls),
+            self._observed,
         )
 
-    def _log(self, event: str, **facts: Any) -> None:
-        self.effects.append(("log", event, facts))
-
-    # ---- what is recorded
-
-    def _record(self, what: str, why: str, **changes: Any) -> None:
-        """Nothing is done on a change of the roll before it is decided."""
-        assert self.roll is not None
-        past = (*self.roll.past, Past(self.wall(), what, why))[-PAST_BOUND:]
-        self.recording = msgspec.structs.replace(self.roll, past=past, why=why, **changes)
-        self.effects.append(("record", self.recording))
-        self._log("roll", number=self.roll.number, what=what, why=why)
-
-    def _recorded(self) -> None:
-        assert self.recording is not None
-        before, self.roll, self.recording = self.roll, self.recording, None
-        self.no_room_since = self.now
-        self.crashes = dict(self.roll.crashes)
-        if before is None or (before.number, before.stage) != (self.roll.number, self.roll.stage):
-            self._begin_stage()
-        if before is None or before.number != self.roll.number:
-            self.cold_old = {}
-
-    def _begin_stage(self) -> None:
-        self.judge = None
-        self.restarted = set()
-        self.changing = {id: told for id, told in self.changing.items() if not self._is(id, told[0])}
-
-    def _is(self, id: str, version: Version) -> bool:
-        return id in self.members and self.members[id].runs(version)
+    def handle(self, now: int, event: Event) -> list[Effect]:
+        """Take an event at boot time `now` (ns) and return the effects to carry out, in order."""
+        self.now = max(self.now, now)
+        match event:
+            case ServersObserved(servers):
+                self._on_servers_observed(servers)
+            case TimerExpired():
+                self._on_timer()
+            case OrderReceived(order):
+                self._on_order(order)
+            case RecordStored():
+                self._on_record_stored()
+            case DesiredVersionsRecovered(versions):
+                self._on_desired_versions_recovered(versions)
+        effects = self._effects
+        self._effects = []
+        return effects
+
+    def _log(self, event: str, **fields: Any) -> None:
+        self._effects.append(LogEvent(event, fields))
+
+    # ---- the record
+
+    def _store_step(self, step: str, reason: str, **changes: Any) -> None:
+        """Have a step of the change decided, with these fields of the record changed."""
+        assert self.record is not None
+        history = (*self.record.history, HistoryEntry(self.wall_clock(), step, reason))
+        changed = msgspec.structs.replace(
+            self.record, history=history[-MAX_HISTORY:], reason=reason, **changes
+        )
+        self._store(changed, step)
+
+    def _store(self, record: RolloutRecord, step: str) -> None:
+        self.pending_record = record
+        self._effects.append(StoreRecord(record))
+        self._log("roll", number=record.number, what=step, why=record.reason)
+
+    def _on_record_stored(self) -> None:
+        assert self.pending_record is not None
+        before = self.record
+        record = self.record = self.pending_record
+        self.pending_record = None
+        self.changes.no_room_since = self.now
+        self._crashes_before = dict(record.crashes)
+        if before is None or (before.number, before.stage_index) != (record.number, record.stage_index):
+            self.analysis = None
+            self.changes.begin_stage(self.servers)
+        if before is None or before.number != record.number:
+            self._cold_baseline = ColdBaseline()
 
     # ---- orders
 
-    def _order(self, order: Order) -> None:
-        """Each once; one that makes no sense now is answered in the log and nowhere else."""
-        roll = self.roll
-        if self.recording is not None or (roll is not None and order.number <= roll.order):
+    def _on_order(self, order: Order) -> None:
+        """Follow an order once; one that makes no sense now is answered in the log and nowhere else."""
+        record = self.record
+        if self.pending_record is not None or (record is not None and order.number <= record.last_order):
             return
-        why = order.why or "by hand"
-        if order.what == "start":
-            fault = wrong(order)
-            if roll is not None and not roll.over:
-                fault = f"change {roll.number} is under way"
-            if fault:
-                self._log("order refused", number=order.number, why=fault)
-                return
-            assert order.version is not None
-            assert order.base is not None
-            number = 1 if roll is None else roll.number + 1
-            past = (Past(self.wall(), "start", why),)
-            bounds = (order.stages, order.down, order.down_zone)
-            fresh = Roll(number, order.version, order.base, *bounds)
-            self.recording = msgspec.structs.replace(fresh, why=why, order=order.number, past=past)
-            self.effects.append(("record", self.recording))
-            self._log("roll", number=number, what="start", why=why)
+        reason = order.reason or "by hand"
+        if order.command == "start":
+            self._start(order, reason)
             return
-        allowed: dict[str, tuple[tuple[Phase, ...], Phase]] = {
-            "pause": (("going", "asking"), "paused"),
-            "resume": (("paused", "asking"), "going"),
-            "back": (("going", "paused", "asking", "done"), "backing"),
-            "skip": (("going", "paused", "asking"), "going"),
-        }
-        phases, to = allowed[order.what]
-        if roll is None or roll.phase not in phases:
-            self._log("order refused", number=order.number, why="nothing to " + order.what)
-        elif order.what == "skip":
-            self._next_stage(f"skipped: {why}", order=order.number)
+        transition = TRANSITIONS[order.command]
+        if record is None or record.phase not in transition.allowed_in:
+            self._log("order refused", number=order.number, why="nothing to " + order.command)
+        elif order.command == "skip":
+            self._next_stage(f"skipped: {reason}", last_order=order.number)
         else:
-            self.judge = None
-            self._record(order.what, why, phase=to, order=order.number)
+            self.analysis = None
+            self._store_step(order.command, reason, phase=transition.to, last_order=order.number)
+
+    def _start(self, order: Order, reason: str) -> None:
+        fault = start_fault(order)
+        if self.record is not None and not self.record.is_over:
+            fault = f"change {self.record.number} is under way"
+        if fault:
+            self._log("order refused", number=order.number, why=fault)
+            return
+        assert order.version is not None
+        assert order.base is not None
+        record = RolloutRecord(
+            number=1 if self.record is None else self.record.number + 1,
+            version=order.version,
+            base=order.base,
+            stages=order.stages,
+            max_down=order.max_down,
+            max_down_per_zone=order.max_down_per_zone,
+            reason=reason,
+            last_order=order.number,
+            history=(HistoryEntry(self.wall_clock(), "start", reason),),
+        )
+        self._store(record, "start")
+
+    # ---- the fleet
+
+    def _on_servers_observed(self, servers: list[ServerStatus]) -> None:
+        self.servers = {server.id: server for server in servers}
+        self._observed = True
+
+    def _on_desired_versions_recovered(self, versions: dict[str, Version]) -> None:
+        """Prevent a successor from taking for up what is about to go down."""
+        for server_id, version in versions.items():
+            if not self._runs(server_id, version):
+                self.changes.expect(server_id, version, self.now)
 
-    # ---- what is seen
+    def _runs(self, server_id: str, version: Version) -> bool:
+        return server_id in self.servers and self.servers[server_id].runs(version)
 
-    def _seen(self, members: list[Seen]) -> None:
-        self.members = {one.id: one for one in members}
-        self.seen_once = True
+    def _steer(self, record: RolloutRecord, desired: dict[str, Version]) -> None:
+        """Bring each server towards what it should run."""
+        self._effects += self.changes.plan(self.now, record, self.servers, desired)
 
-    def _wanted(self, wants: dict[str, Version]) -> None:
-        """What earlier conductors wanted of servers, and may not have come about yet; guards the bounds
-        against a successor that takes for up what is about to go down."""
-        for id, version in wants.items():
-            if not self._is(id, version):
-                self.changing.setdefault(id, (version, self.now))
+    # ---- time
 
-    def _elapsed(self) -> None:
+    def _on_timer(self) -> None:
         if self.now >= self.next_slot:
-            self.next_slot = self.now + self.spans.slot
-            self._slot()
-        if self.recording is not None or not self.seen_once or self.roll is None:
+            self.next_slot = self.now + self.timing.slot
+            self._end_slot()
+        record = self.record
+        if self.pending_record is not None or not self._observed or record is None:
             return
-        roll = self.roll
-        if roll.phase == "going":
-            self._go(roll)
-        elif roll.phase == "backing":
-            self._back(roll)
-        elif roll.over:
+        if record.phase == "going":
+            self._advance(record)
+        elif record.phase == "backing":
+            self._roll_back(record)
+        elif record.is_over:
             # Who was away comes back with what it had then.
-            self._bring(
-                roll, dict.fromkeys(self.members, roll.version if roll.phase == "done" else roll.base)
-            )
+            version = record.version if record.phase == "done" else record.base
+            self._steer(record, dict.fromkeys(self.servers, version))
 
-    def _go(self, roll: Roll) -> None:
-        chosen = targets(roll.stages[roll.stage], roll.targets, list(self.members.values()))
-        if len(chosen) > len(roll.targets) and (not roll.targets or self.judge is None):
-            stage = roll.stages[roll.stage]
-            beside = controls(stage, chosen, list(self.members.values()))
-            # In the record, so that a successor counts from the same.
-            counts = tuple((one.id, one.figures[6]) for one in self.members.values() if any(one.figures[6:7]))
-            self._record("stage", stage, targets=chosen, controls=beside, crashes=counts)
+    def _advance(self, record: RolloutRecord) -> None:
+        """Carry the current stage on: choose targets, change them, judge them."""
+        if self._choose_targets(record):
             return
-        if self.judge is None:
-            zones = {one.zone for one in self.members.values()}
-            self.judge = self.make_judge(sorted(zones), self.spans.alpha, self.spans.enough)
-            self.judge.cold_old = self.cold_old  # how the base does cold is true of all stages
-        new = set(roll.targets)
-        self._bring(roll, {id: roll.version if id in new else roll.base for id in self.members})
-        late = [
-            id
-            for id, (version, since) in self.changing.items()
-            if version == roll.version and self.now - since >= self.spans.change
-        ]
+        if self.analysis is None:
+            zones = sorted({server.zone for server in self.servers.values()})
+            self.analysis = self._make_analysis(
+                zones, self.timing.alpha, self.timing.min_slots, self._cold_baseline
+            )
+        targets = set(record.targets)
+        desired = {one: record.version if one in targets else record.base for one in self.servers}
+        self._steer(record, desired)
+        late = self.changes.late(record.version, self.now, self.timing.change_timeout)
         if late:
-            self._record("back", f"{late[0]} does not come up with it", phase="backing")
-            return
-        if self.no_room and self.now - self.no_room_since >= self.spans.change:
-            down = [one.id for one in self.members.values() if not one.up]
-            why = f"no room to change {self.no_room[0]}: down are {', '.join(down[:8]) or 'none'}"
-            self._record("ask", why, phase="asking")
-            return
-        self._judged(roll)
-
-    def _judged(self, roll: Roll) -> None:
-        assert self.judge is not None
-        zone_of = {one.id: one.zone for one in self.members.values()}
-        self.verdict = verdict, findings, why = self.judge.verdict(zone_of)
-        if verdict == "worse":
-            self._log("verdict", verdict=verdict, why=why, findings=[one._asdict() for one in findings[:5]])
-            self._record("back", why, phase="backing")
+            self._store_step("back", f"{late} does not come up with it", phase="backing")
+        elif self.changes.no_room and self.now - self.changes.no_room_since >= self.timing.change_timeout:
+            down = [server.id for server in self.servers.values() if not server.up]
+            named = ", ".join(down[:MAX_DOWN_NAMED]) or "none"
+            reason = f"no room to change {self.changes.no_room[0]}: down are {named}"
+            self._store_step("ask", reason, phase="asking")
+        else:
+            self._judge(record, self.analysis)
+
+    def _choose_targets(self, record: RolloutRecord) -> bool:
+        """Have the targets and controls of the stage decided, unless they are."""
+        servers = list(self.servers.values())
+        targets = choose_targets(record.stage, record.targets, servers)
+        if len(targets) <= len(record.targets) or (record.targets and self.analysis is not None):
+            return False
+        controls = choose_controls(record.stage, targets, servers)
+        # In the record, so that a successor counts from the same.
+        crashes = tuple((one.id, one.figures[CRASHES]) for one in servers if one.crashes)
+        self._store_step("stage", record.stage, targets=targets, controls=controls, crashes=crashes)
+        return True
+
+    def _judge(self, record: RolloutRecord, analysis: CanaryAnalysis) -> None:
+        """Follow the verdict on the stage, once all its targets run the new version."""
+        zone_of = {server.id: server.zone for server in self.servers.values()}
+        judgement = analysis.judge(zone_of)
+        if judgement.verdict == "worse":
+            self._log_findings(judgement)
+            self._store_step("back", judgement.reason, phase="backing")
             return
-        here = [self.members[id] for id in roll.targets if id in self.members]
-        if not all(one.runs(roll.version) for one in here if one.alive):
+        here = [self.servers[one] for one in record.targets if one in self.servers]
+        if not all(server.runs(record.version) for server in here if server.alive):
             return
-        if verdict == "not worse":
-            self._log("verdict", verdict=verdict, why=why)
-            self._next_stage(why)
-        elif self.judge.slots >= self.spans.patience:
-            self._log("verdict", verdict=verdict, why=why, findings=[one._asdict() for one in findings[:5]])
-            self._record("ask", f"can't tell: {why}", phase="asking")
-
-    def _next_stage(self, why: str, **more: Any) -> None:
-        roll = self.roll
-        assert roll is not None
-        self.judge = None
-        if roll.stage + 1 < len(roll.stages):
-            self._record("next stage", why, phase="going", stage=roll.stage + 1, **more)
+        if judgement.verdict == "not worse":
+            self._log("verdict", verdict=judgement.verdict, why=judgement.reason)
+            self._next_stage(judgement.reason)
+        elif analysis.slots >= self.timing.max_slots:
+            self._log_findings(judgement)
+            self._store_step("ask", f"can't tell: {judgement.reason}", phase="asking")
+
+    def _log_findings(self, judgement: Judgement) -> None:
+        findings = [finding.log_fields() for finding in judgement.findings[:MAX_FINDINGS_LOGGED]]
+        self._log("verdict", verdict=judgement.verdict, why=judgement.reason, findings=findings)
+
+    def _next_stage(self, reason: str, **changes: Any) -> None:
+        record = self.record
+        assert record is not None
+        self.analysis = None
+        if record.stage_index + 1 < len(record.stages):
+            index = record.stage_index + 1
+            self._store_step("next stage", reason, phase="going", stage_index=index, **changes)
         else:
-            self._record("done", why, phase="done", **more)
-
-    def _back(self, roll: Roll) -> None:
-        self._bring(roll, dict.fromkeys(self.members, roll.base))
-        if all(self._is(one.id, roll.base) for one in self.members.values() if one.alive):
-            self._record("back", roll.why, phase="back")
-
-    # ---- servers
-
-    def _bring(self, roll: Roll, should: dict[str, Version]) -> None:
-        """Towards what each should run, with no more down at once than is allowed, whoever took them down."""
-        moved = False
-        for id in list(self.changing):
-            if id not in self.members or self._is(id, self.changing[id][0]):
-                del self.changing[id]
-                moved = True
-        down: dict[str, int] = {}
-        no_room: list[str] = []
-        for one in self.members.values():
-            if not one.up or one.id in self.changing:
-                down[one.zone] = down.get(one.zone, 0) + 1
-        for id, version in sorted(should.items()):
-            one = self.members[id]
-            if one.runs(version) or not one.alive:
-                continue
-            wanted = self.changing.get(id)
-            if wanted is not None and wanted[0] == version:
-                continue
-            counted = not one.up or id in self.changing  # down already: a change takes no other down
-            room = sum(down.values()) < roll.down and down.get(one.zone, 0) < roll.down_zone
-            if counted or room:
-                if not counted:
-                    down[one.zone] = down.get(one.zone, 0) + 1
-                self.changing[id] = version, self.now
-                self.effects.append(("want", id, version, 0))
-                moved = True
-            else:
-                no_room.append(id)
-        if moved or not no_room:
-            self.no_room_since = self.now
-        self.no_room = tuple(no_room)
-        if roll.phase == "going":
-            self._restart_controls(roll, down)
-
-    def _restart_controls(self, roll: Roll, down: dict[str, int]) -> None:
-        """Old ones, once each, and within what may be down: how they do cold is what cold new ones are held
-        against."""
-        for id in roll.controls:
-            one = self.members.get(id)
-            if one is None or id in self.restarted or not one.runs(roll.base):
-                continue
-            if sum(down.values()) < roll.down and down.get(one.zone, 0) < roll.down_zone:
-                down[one.zone] = down.get(one.zone, 0) + 1
-                self.restarted.add(id)
-                self.effects.append(("want", id, roll.base, roll.number * 100 + roll.stage + 1))
-
-    # ---- what is compared
-
-    def _slot(self) -> None:
-        roll, judge = self.roll, self.judge
-        changing = frozenset(roll.targets if roll is not None else ())
-        told: list[Slot] = []
-        # Where one does not say what its work was worth, counts are compared; guards against holding the
-        # worth of new ones against the counts of old ones.
-        says_worth = all(one.worth[0] for one in self.members.values() if one.up and one.figures[:1] > (0,))
-        for one in self.members.values():
-            if len(one.figures) < 8:
-                continue
-            before, here = self.before.get(one.id), (*one.figures[:8], *one.worth)
-            self.before[one.id] = here
-            # Of the same life, or of one whose figures began anew.
-            if before is None or not one.up or roll is None:
-                continue
-            since = before if before[7] == here[7] else (0,) * len(here)
-            tasks, finished, rejected, abandoned, slow = (max(0, here[k] - since[k]) for k in range(5))
-            came = max(1, tasks)
-            worth, done = (max(0, here[k] - since[k]) for k in (8, 9))
-            served = done / worth if says_worth and worth else finished / came
-            tried = one.id in changing and not one.runs(roll.version)  # its crashes are counted below
-            told.append(
-                Slot(one.id, one.zone, one.runs(roll.version), not one.warm, tasks, min(1.0, served),
-                     min(1.0, rejected / came), min(1.0, abandoned / came), min(1.0, slow / max(1, finished)),
-                     here[5] / MEMORY_SCALE, 0 if tried else here[6] - self.crashes.get(one.id, 0), 0)
-            )  # fmt: skip
-        if judge is not None and roll is not None and roll.phase == "going":
-            # A crashed one that comes and goes is in no slot; its crashes count all the same.
-            for one in self.members.values():
-                crashed = one.figures[6] - self.crashes.get(one.id, 0) if len(one.figures) > 6 else 0
-                # One whose heirs die serves on with the old version; those deaths are the new one's.
-                if one.id in changing and not one.runs(roll.version) and crashed > 0:
-                    told.append(Slot(one.id, one.zone, True, True, 0, 0.0, 0.0, 0.0, 0.0, 0.0, crashed, 0))
-            judge.take(told, [id for id in roll.targets if self._is(id, roll.version)])
-
-
-MEMORY_SCALE = 1_000_000  # kB that count as the whole, so that growth is a small part
+            self._store_step("done", reason, phase="done", **changes)
+
+    def _roll_back(self, record: RolloutRecord) -> None:
+        self._steer(record, dict.fromkeys(self.servers, record.base))
+        if all(server.runs(record.base) for server in self.servers.values() if server.alive):
+            self._store_step("back", record.reason, phase="back")
+
+    # ---- slots
+
+    def _end_slot(self) -> None:
+        """Hand what servers did in the slot to the analysis."""
+        record = self.record
+        servers = self.servers.values()
+        targets = frozenset(record.targets if record is not None else ())
+        samples = self.sampler.sample(servers, record, targets, self._crashes_before)
+        if self.analysis is None or record is None or record.phase != "going":
+            return
+        samples += crashed_targets(servers, record, targets, self._crashes_before)
+        running = [one for one in record.targets if self._runs(one, record.version)]
+        self.analysis.add_slot(samples, running)
--- /dev/null
+++ b/thistleline/rollout/effects.py
@@ -0,0 +1,34 @@
+"""Outputs of the rollout controller, to be carried out in order under its lease."""
+
+from dataclasses import dataclass
+from typing import Any
+
+from thistleline.rollout.record import RolloutRecord
+from thistleline.supervisor.model import Version
+
+
+@dataclass(frozen=True, slots=True)
+class StoreRecord:
+    """Have the record decided by the replicated log, then answer with `RecordStored`."""
+
+    record: RolloutRecord
+
+
+@dataclass(frozen=True, slots=True)
+class SetDesiredVersion:
+    """Want a version of a server; idempotent. Another `restart_token` restarts it with the same version."""
+
+    server_id: str
+    version: Version
+    restart_token: int = 0
+
+
+@dataclass(frozen=True, slots=True)
+class LogEvent:
+    """Write a line to the structured log."""
+
+    event: str
+    fields: dict[str, Any]
+
+
+Effect = StoreRecord | SetDesiredVersion | LogEvent
--- a/thistleline/rollout/service.py
+++ b/thistleline/rollout/service.py
@@ -1,4 +1,4 @@
-"""A conductor as a program: under its lease it sees members, and writes wants and the roll to the council."""
+"""The rollout controller as a program: under its lease it watches members and writes records."""
 
 from collections.abc import Callable
 from contextlib import suppress
@@ -8,134 +8,167 @@
 
 from thistleline.config.schema import Conductor, Conf
 from thistleline.lease.client import Council
-from thistleline.lease.protocol import Denied, Done, Elsewhere, Get, Got, Put
 from thistleline.lease.session import Held, Lost, Refused, lease
 from thistleline.membership.messages import ALIVE, DEAD, Facts
 from thistleline.membership.service import MemberService
-from thistleline.rollout.controller import Conducting, Spans
-from thistleline.rollout.record import KEY, LEASE, ORDER_KEY, Order, Roll, Seen
+from thistleline.rollout.controller import RolloutController
+from thistleline.rollout.effects import Effect, LogEvent, SetDesiredVersion, StoreRecord
+from thistleline.rollout.events import (
+    DesiredVersionsRecovered,
+    Event,
+    OrderReceived,
+    RecordStored,
+    ServersObserved,
+    TimerExpired,
+)
+from thistleline.rollout.leased_records import LeasedRecords, UndecidedError
+from thistleline.rollout.order import ORDER_KEY, Order
+from thistleline.rollout.record import LEASE_NAME, RECORD_KEY, RolloutRecord
+from thistleline.rollout.server_status import ServerStatus
+from thistleline.rollout.timing import SECOND, RolloutTiming
 from thistleline.store.clock import boot_now, wall_ms
 from thistleline.supervisor.model import DesiredVersion, Version
 from thistleline.supervisor.records import desired_version_key
 
-POLL = 0.2  # s
-SPAN = 8.0  # s in which the council has to decide a write, else the lease is given back
+POLL = 0.2  # s between two looks at the fleet
+LEAD_RETRY = 0.5  # s after a lease was lost, before it is asked for again
+CONTROLLER_RELEASE = "conductor"  # what a controller's member shows as its release
 
-_roll = msgspec.msgpack.Decoder(Roll).decode
-_want = msgspec.msgpack.Decoder(DesiredVersion).decode
-_order = msgspec.msgpack.Decoder(Order).decode
+_decode_record = msgspec.msgpack.Decoder(RolloutRecord).decode
+_decode_desired = msgspec.msgpack.Decoder(DesiredVersion).decode
+_decode_order = msgspec.msgpack.Decoder(Order).decode
 encode = msgspec.msgpack.Encoder().encode
 
 
-class Undecided(Exception):
-    """Nothing is known of a write: all begins anew from what the council has."""
+class RolloutService:
+    """Leads changes whenever no other controller does."""
 
-
-class Records:
-    """Records of the council under a lease. A write that is there already costs nothing."""
-
-    def __init__(self, council: Council, held: Held) -> None:
-        self.council, self.held = council, held
-        self.versions: dict[str, int] = {}
-
-    async def get(self, key: str) -> bytes | None:
-        answer = await self.council.surely(Get(key), SPAN)
-        if not isinstance(answer, Got):
-            raise Undecided(str(answer))
-        self.versions[key] = answer.version
-        return answer.value if answer.version else None
-
-    async def put(self, key: str, value: bytes) -> None:
-        """Raises Undecided."""
-        for _ in range(3):
-            if key not in self.versions and await self.get(key) == value:
-                return
-            told = Put(key, value, self.versions[key], LEASE, self.held.epoch)
-            answer = await self.council.surely(told, SPAN)
-            if isinstance(answer, Done):
-                self.versions[key] = answer.number
-                return
-            del self.versions[key]
-            if isinstance(answer, Elsewhere) or (isinstance(answer, Denied) and "epoch" in answer.why):
-                break
-        raise Undecided(f"{key}: {answer}")
-
-
-class ConductorService:
     def __init__(self, conf: Conf, log: Callable[..., None]) -> None:
+        """Read the settings; nothing runs yet."""
         assert conf.members is not None
         assert conf.council is not None
-        told = conf.conductor or Conductor()
-        self.spans = Spans(told.slot, told.change, told.enough, told.patience)
-        self.length = told.lease / 1e9
-        self.conf, self.log = conf, log
+        settings = conf.conductor or Conductor()
+        self.timing = RolloutTiming(settings.slot, settings.change, settings.enough, settings.patience)
+        self.lease_length = settings.lease / SECOND  # s
+        self.conf = conf
+        self.log = log
         self.name = conf.members.name
-        self.member = MemberService(conf.members, Facts("conductor", 0, "", wall_ms()), log)
+        self.member = MemberService(conf.members, Facts(CONTROLLER_RELEASE, 0, "", wall_ms()), log)
 
     async def run(self) -> None:
-        """Until it is cancelled. Raises OSError where it can't listen."""
+        """Run until cancelled.
+
+        Raises:
+            OSError: The member's address can't be listened on.
+        """
         assert self.conf.council is not None
         async with anyio.create_task_group() as group:
             group.start_soon(self.member.run)
-            council = Council(dict(self.conf.council.voter), group)
+            client = Council(dict(self.conf.council.voter), group)
             while True:
                 try:
-                    async with lease(council, LEASE, self.length, who=self.name) as held:
+                    async with lease(client, LEASE_NAME, self.lease_length, who=self.name) as held:
                         self.log("conducts", epoch=held.epoch)
-                        await self._conduct(council, held)
-                except (Lost, Refused, Undecided) as error:
+                        await self._lead(client, held)
+                except (Lost, Refused, UndecidedError) as error:
                     self.log("conducts no more", why=str(error))
-                    await anyio.sleep(0.5)
-
-    async def _conduct(self, council: Council, held: Held) -> None:
-        records = Records(council, held)
-        known = await records.get(KEY)
-        conducting = Conducting(boot_now(), wall_ms, _roll(known) if known else None, self.spans)
-        asked: set[str] = set()
+                    await anyio.sleep(LEAD_RETRY)
+
+    async def _lead(self, client: Council, held: Held) -> None:
+        """Go on from what is recorded, for as long as the lease is held.
+
+        Raises:
+            UndecidedError: A record could not be read or written.
+        """
+        records = LeasedRecords(client, held)
+        stored = await records.get(RECORD_KEY)
+        record = _decode_record(stored) if stored else None
+        controller = RolloutController(boot_now(), wall_ms, record, self.timing)
+        leadership = _Leadership(self, records, controller)
         while True:
-            seen = self.seen()
-            effects = conducting.take(boot_now(), "seen", seen)
-            wants: dict[str, Version] = {}
-            for one in seen:
-                if one.id not in asked:
-                    asked.add(one.id)
-                    known = await records.get(desired_version_key(one.id))
-                    if known is not None:
-                        wants[one.id] = _want(known).version
-            if wants:
-                effects += conducting.take(boot_now(), "wanted", wants)
-            told = await records.get(ORDER_KEY)
-            if told is not None:
-                with suppress(msgspec.MsgspecError):
-                    effects += conducting.take(boot_now(), "order", _order(told))
-            effects += conducting.take(boot_now(), "elapsed")
-            while effects:
-                effect = effects.pop(0)
-                if effect[0] == "log":
-                    self.log(effect[1], **effect[2])
-                elif effect[0] == "record":
-                    await records.put(KEY, encode(effect[1]))
-                    effects += conducting.take(boot_now(), "recorded")
-                elif effect[0] == "want":
-                    await self._want(records, held, conducting, *effect[1:])
+            await leadership.look()
             await anyio.sleep(POLL)
 
-    async def _want(
-        self, records: Records, held: Held, conducting: Conducting, id: str, version: Version, turn: int
-    ) -> None:
-        number = conducting.roll.number if conducting.roll is not None else 0
-        await records.put(desired_version_key(id), encode(DesiredVersion(held.epoch, number, version, turn)))
-        self.log("wants", of=id, release=version.release, settings=version.settings)
-
-    def seen(self) -> list[Seen]:
-        """Servers; whoever says that it runs none, and never did, is none."""
+    def server_statuses(self) -> list[ServerStatus]:
+        """Return the servers of the fleet; whoever says that it runs none, and never did, is none."""
         found = []
         for word in self.member.words():
             facts = word.facts
-            if word.id != self.name and facts.release != "conductor":
-                alive = word.status < DEAD and (word.status == ALIVE or facts.taking)
-                found.append(
-                    Seen(word.id, facts.zone, alive, facts.release, facts.settings, facts.taking and alive,
-                         facts.warm, facts.figures, facts.worth)
-                )  # fmt: skip
+            if word.id == self.name or facts.release == CONTROLLER_RELEASE:
+                continue
+            alive = word.status < DEAD and (word.status == ALIVE or facts.taking)
+            found.append(
+                ServerStatus(
+                    word.id,
+                    facts.zone,
+                    alive,
+                    facts.release,
+                    facts.settings,
+                    facts.taking and alive,
+                    facts.warm,
+                    facts.figures,
+                    facts.worth,
+                )
+            )
         return found
+
+
+class _Leadership:
+    """What one controller does from the grant of its lease to its end."""
+
+    def __init__(
+        self, service: RolloutService, records: LeasedRecords, controller: RolloutController
+    ) -> None:
+        self.service = service
+        self.records = records
+        self.controller = controller
+        self._recovered: set[str] = set()  # servers whose desired version was read
+
+    async def look(self) -> None:
+        """Show the controller the fleet and the order, and carry out what follows."""
+        servers = self.service.server_statuses()
+        effects = self._handle(ServersObserved(servers))
+        versions = await self._recover_desired_versions(servers)
+        if versions:
+            effects += self._handle(DesiredVersionsRecovered(versions))
+        stored_order = await self.records.get(ORDER_KEY)
+        if stored_order is not None:
+            with suppress(msgspec.MsgspecError):
+                effects += self._handle(OrderReceived(_decode_order(stored_order)))
+        effects += self._handle(TimerExpired())
+        while effects:
+            effects += await self._carry_out(effects.pop(0))
+
+    def _handle(self, event: Event) -> list[Effect]:
+        return self.controller.handle(boot_now(), event)
+
+    async def _recover_desired_versions(self, servers: list[ServerStatus]) -> dict[str, Version]:
+        """Return what is wanted of servers that were not seen before."""
+        versions: dict[str, Version] = {}
+        for server in servers:
+            if server.id in self._recovered:
+                continue
+            self._recovered.add(server.id)
+            stored = await self.records.get(desired_version_key(server.id))
+            if stored is not None:
+                versions[server.id] = _decode_desired(stored).version
+        return versions
+
+    async def _carry_out(self, effect: Effect) -> list[Effect]:
+        """Carry out an effect and return those that follow from it."""
+        match effect:
+            case LogEvent(event, fields):
+                self.service.log(event, **fields)
+            case StoreRecord(record):
+                await self.records.put(RECORD_KEY, encode(record))
+                return self._handle(RecordStored())
+            case SetDesiredVersion(server_id, version, restart_token):
+                await self._set_desired_version(server_id, version, restart_token)
+        return []
+
+    async def _set_desired_version(self, server_id: str, version: Version, restart_token: int) -> None:
+        record = self.controller.record
+        number = record.number if record is not None else 0
+        desired = DesiredVersion(self.records.lease.epoch, number, version, restart_token)
+        await self.records.put(desired_version_key(server_id), encode(desired))
+        self.service.log("wants", of=server_id, release=version.release, settings=version.settings)
