--- a/thistleline/lab/stewardworld.py
+++ b/thistleline/lab/stewardworld.py
@@ -3,28 +3,8 @@
 from collections.abc import Callable, Iterator
 from typing import Any, Self, TypeVar
 
+from thistleline.supervisor import effects, events
 from thistleline.supervisor.crash_history import SECOND
-from thistleline.supervisor.effects import (
-    Effect,
-    KillServer,
-    LogEvent,
-    PersistState,
-    PublishStatus,
-    SpawnServer,
-    TerminateServer,
-    VerifyVersion,
-)
-from thistleline.supervisor.events import (
-    DesiredVersionReceived,
-    Event,
-    ServerExited,
-    ServerReady,
-    ServerSpawned,
-    StatePersisted,
-    StateRecovered,
-    TimerExpired,
-    VersionVerified,
-)
 from thistleline.supervisor.model import DesiredVersion, SupervisorState, Version
 from thistleline.supervisor.state_machine import Supervisor
 
@@ -48,7 +28,7 @@
         self.supervisor: Supervisor | None = None
         self.server: Version | None = None  # that lives
         self.termed = False
-        self.asked: tuple[Effect, ...] = ()  # of the carrier, in order
+        self.asked: tuple[effects.Effect, ...] = ()  # of the carrier, in order
         self.wanted = 0  # how many of WANTS were told
         self.deaths = self.crashes = 2
         self.newest = (0, 0)
@@ -62,30 +42,30 @@
             made.supervisor = self.supervisor.copy()
         return made
 
-    def handle(self, event: Event) -> None:
+    def handle(self, event: events.Event) -> None:
         assert self.supervisor is not None
         for effect in self.supervisor.handle(self.now, event):
-            if not isinstance(effect, LogEvent | PublishStatus):
+            if not isinstance(effect, effects.LogEvent | effects.PublishStatus):
                 self.asked = (*self.asked, effect)
 
     def start(self) -> None:
         self.supervisor = Supervisor(STOP, self.now)
         self.asked = ()
-        self.handle(StateRecovered(self.disk, self.server is not None))
+        self.handle(events.StateRecovered(self.disk, self.server is not None))
 
     def carry_out(self) -> None:
         effect, *rest = self.asked
         self.asked = tuple(rest)
         match effect:
-            case PersistState(state):
+            case effects.PersistState(state):
                 before, after = self.disk.desired, state.desired
                 if before is not None and (after is None or after.is_older_than(before)):
                     self.broken = "an older conductor is followed"
                 self.disk = state
-                self.handle(StatePersisted())
-            case VerifyVersion(version):
-                self.handle(VersionVerified("not what is meant" if version == BAD else ""))
-            case SpawnServer(incarnation, version):
+                self.handle(events.StatePersisted())
+            case effects.VerifyVersion(version):
+                self.handle(events.VersionVerified("not what is meant" if version == BAD else ""))
+            case effects.SpawnServer(incarnation, version):
                 if self.server is not None:
                     self.broken = "a server is started while one lives"
                 if version == BAD:
@@ -93,16 +73,16 @@
                 if self.disk.running != version or self.disk.incarnation != incarnation:
                     self.broken = "a server is started that nobody would know of"
                 self.server, self.termed = version, False
-                self.handle(ServerSpawned(1))
-            case TerminateServer():
+                self.handle(events.ServerSpawned(1))
+            case effects.TerminateServer():
                 self.termed = True
-            case KillServer() if self.server is not None:
+            case effects.KillServer() if self.server is not None:
                 self.end(-9)
 
     def end(self, code: int) -> None:
         self.server, self.termed = None, False
         if self.supervisor is not None:
-            self.handle(ServerExited(code))
+            self.handle(events.ServerExited(code))
 
     def die(self) -> None:
         self.supervisor, self.asked = None, ()
@@ -110,13 +90,13 @@
     def want(self) -> None:
         told = WANTS[self.wanted]
         self.wanted += 1
-        self.handle(DesiredVersionReceived(told))
+        self.handle(events.DesiredVersionReceived(told))
         self.newest = max(self.newest, (told.epoch, told.number))
 
     def tick(self) -> None:
         self.now += 2 * SECOND
         if self.supervisor is not None and self.supervisor.next_deadline() <= self.now:
-            self.handle(TimerExpired())
+            self.handle(events.TimerExpired())
 
     def wrong(self) -> str:
         if self.broken:
@@ -150,22 +130,22 @@
         disk, lives = self.disk, [life for life, _ in self.alive]
         rest = [life for life in lives if life not in (disk.incarnation, disk.successor_incarnation)]
         heir = disk.successor is not None and disk.successor_incarnation in lives
-        self.handle(StateRecovered(disk, disk.incarnation in lives, heir, max(rest, default=0)))
+        self.handle(events.StateRecovered(disk, disk.incarnation in lives, heir, max(rest, default=0)))
 
-    def handle(self, event: Event) -> None:
+    def handle(self, event: events.Event) -> None:
         assert self.supervisor is not None
         for effect in self.supervisor.handle(self.now, event):
             match effect:
-                case PersistState() | VerifyVersion() | SpawnServer():
+                case effects.PersistState() | effects.VerifyVersion() | effects.SpawnServer():
                     self.asked = (*self.asked, effect)
-                case TerminateServer(life):
+                case effects.TerminateServer(life):
                     self.terminate(life)
-                case KillServer(life):
+                case effects.KillServer(life):
                     self.kill(life)
 
     def carry_out(self) -> None:
         effect = self.asked[0]
-        if not isinstance(effect, SpawnServer):
+        if not isinstance(effect, effects.SpawnServer):
             super().carry_out()
             return
         self.asked = self.asked[1:]
@@ -180,7 +160,7 @@
         if len(self.alive) > 1 or (serving and life == self.disk.incarnation):
             self.broken = "a server is started while too many live"
         self.alive = (*self.alive, (life, version))
-        self.handle(ServerSpawned(1))
+        self.handle(events.ServerSpawned(1))
 
     def terminate(self, life: int) -> None:
         """Carried out at once."""
@@ -209,11 +189,11 @@
         life, *rest = self.ended
         self.ended = tuple(rest)
         self.hear_owner()
-        self.handle(ServerExited(1, life))
+        self.handle(events.ServerExited(1, life))
 
     def hear_owner(self) -> None:
         if self.supervisor is not None and self.supervisor.phase == "succeeding":
-            self.handle(ServerReady(self.owner))
+            self.handle(events.ServerReady(self.owner))
 
     def serve(self, life: int) -> None:
         """The latest life comes to serve: whoever served before has handed over, or is gone."""
--- a/thistleline/rollout/service.py
+++ b/thistleline/rollout/service.py
@@ -11,16 +11,8 @@
 from thistleline.lease.session import Held, Lost, Refused, lease
 from thistleline.membership.messages import ALIVE, DEAD, Facts
 from thistleline.membership.service import MemberService
+from thistleline.rollout import effects, events
 from thistleline.rollout.controller import RolloutController
-from thistleline.rollout.effects import Effect, LogEvent, SetDesiredVersion, StoreRecord
-from thistleline.rollout.events import (
-    DesiredVersionsRecovered,
-    Event,
-    OrderReceived,
-    RecordStored,
-    ServersObserved,
-    TimerExpired,
-)
 from thistleline.rollout.leased_records import LeasedRecords, UndecidedError
 from thistleline.rollout.order import ORDER_KEY, Order
 from thistleline.rollout.record import LEASE_NAME, RECORD_KEY, RolloutRecord
@@ -127,19 +119,19 @@
     async def look(self) -> None:
         """Show the controller the fleet and the order, and carry out what follows."""
         servers = self.service.server_statuses()
-        effects = self._handle(ServersObserved(servers))
+        pending = self._handle(events.ServersObserved(servers))
         versions = await self._recover_desired_versions(servers)
         if versions:
-            effects += self._handle(DesiredVersionsRecovered(versions))
+            pending += self._handle(events.DesiredVersionsRecovered(versions))
         stored_order = await self.records.get(ORDER_KEY)
         if stored_order is not None:
             with suppress(msgspec.MsgspecError):
-                effects += self._handle(OrderReceived(_decode_order(stored_order)))
-        effects += self._handle(TimerExpired())
-        while effects:
-            effects += await self._carry_out(effects.pop(0))
+                pending += self._handle(events.OrderReceived(_decode_order(stored_order)))
+        pending += self._handle(events.TimerExpired())
+        while pending:
+            pending += await self._carry_out(pending.pop(0))
 
-    def _handle(self, event: Event) -> list[Effect]:
+    def _handle(self, event: events.Event) -> list[effects.Effect]:
         return self.controller.handle(boot_now(), event)
 
     async def _recover_desired_versions(self, servers: list[ServerStatus]) -> dict[str, Version]:
@@ -154,15 +146,15 @@
                 versions[server.id] = _decode_desired(stored).version
         return versions
 
-    async def _carry_out(self, effect: Effect) -> list[Effect]:
+    async def _carry_out(self, effect: effects.Effect) -> list[effects.Effect]:
         """Carry out an effect and return those that follow from it."""
         match effect:
-            case LogEvent(event, fields):
+            case effects.LogEvent(event, fields):
                 self.service.log(event, **fields)
-            case StoreRecord(record):
+            case effects.StoreRecord(record):
                 await self.records.put(RECORD_KEY, encode(record))
-                return self._handle(RecordStored())
-            case SetDesiredVersion(server_id, version, restart_token):
+                return self._handle(events.RecordStored())
+            case effects.SetDesiredVersion(server_id, version, restart_token):
                 await self._set_desired_version(server_id, version, restart_token)
         return []
 
--- a/thistleline/supervisor/service.py
+++ b/thistleline/supervisor/service.py
@@ -21,30 +21,8 @@
 from thistleline.membership.service import MemberService
 from thistleline.store.clock import boot_now, wall_ms
 from thistleline.store.latest import Latest
-from thistleline.supervisor.effects import (
-    Effect,
-    KillServer,
-    LogEvent,
-    PersistState,
-    PublishStatus,
-    SpawnServer,
-    TerminateServer,
-    VerifyVersion,
-)
+from thistleline.supervisor import effects, events
 from thistleline.supervisor.errors import ReleaseError, SupervisorError
-from thistleline.supervisor.events import (
-    ConsensusPolled,
-    DesiredVersionReceived,
-    Event,
-    ServerExited,
-    ServerReady,
-    ServerSpawned,
-    SpawnFailed,
-    StatePersisted,
-    StateRecovered,
-    TimerExpired,
-    VersionVerified,
-)
 from thistleline.supervisor.model import DesiredVersion, SupervisorState, Version
 from thistleline.supervisor.records import desired_version_key, digest_settings, settings_key
 from thistleline.supervisor.releases import Releases
@@ -123,7 +101,7 @@
             alive.append(server.incarnation)
         known = (state.incarnation, state.successor_incarnation)
         self.handle(
-            StateRecovered(
+            events.StateRecovered(
                 state,
                 server_alive=state.incarnation in alive,
                 successor_alive=state.successor is not None and state.successor_incarnation in alive,
@@ -131,7 +109,7 @@
             )
         )
 
-    def handle(self, event: Event) -> None:
+    def handle(self, event: events.Event) -> None:
         """Give an event to the state machine and carry out what follows."""
         for effect in self.supervisor.handle(boot_now(), event):
             self._carry_out(effect)
@@ -143,23 +121,23 @@
             with anyio.move_on_after(max(0.0, (self.supervisor.next_deadline() - boot_now()) / 1e9)):
                 await self._woken.wait()
                 continue
-            self.handle(TimerExpired())
+            self.handle(events.TimerExpired())
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _carry_out(self, effect: effects.Effect) -> None:
         match effect:
-            case LogEvent(event, fields):
+            case effects.LogEvent(event, fields):
                 self.log(event, **fields)
-            case PublishStatus():
+            case effects.PublishStatus():
                 self._publish()
-            case TerminateServer(incarnation):
+            case effects.TerminateServer(incarnation):
                 self.servers.signal(incarnation, signal.SIGTERM)
-            case KillServer(incarnation):
+            case effects.KillServer(incarnation):
                 self.servers.signal(incarnation, signal.SIGKILL)
-            case PersistState(state):
+            case effects.PersistState(state):
                 self.group.start_soon(self._persist, state)
-            case VerifyVersion(version):
+            case effects.VerifyVersion(version):
                 self.group.start_soon(self._verify, version)
-            case SpawnServer(incarnation, version):
+            case effects.SpawnServer(incarnation, version):
                 self.group.start_soon(self._spawn, incarnation, version)
 
     # ---- state and releases
@@ -173,7 +151,7 @@
             except OSError as error:
                 self.log("state", why=error.strerror)
                 await anyio.sleep(PERSIST_RETRY)
-        self.handle(StatePersisted())
+        self.handle(events.StatePersisted())
 
     async def _verify(self, version: Version) -> None:
         fault = ""
@@ -183,7 +161,7 @@
                 await self._verify_settings(version)
         except (ReleaseError, OSError, orjson.JSONDecodeError) as error:
             fault = str(error)
-        self.handle(VersionVerified(fault))
+        self.handle(events.VersionVerified(fault))
 
     async def _verify_settings(self, version: Version) -> None:
         """Fetch the settings of that number unless they are here, and check them.
@@ -211,19 +189,19 @@
         try:
             process = await self.servers.start(incarnation, version)
         except (OSError, SupervisorError, orjson.JSONDecodeError) as error:
-            self.handle(SpawnFailed(str(error)))
+            self.handle(events.SpawnFailed(str(error)))
             return
         server = self.servers.register(incarnation, process)
         if self.supervisor.phase != "succeeding":
             self.serving_since = boot_now()
         self.group.start_soon(self._watch, server)
-        self.handle(ServerSpawned(process.pid))
+        self.handle(events.ServerSpawned(process.pid))
 
     async def _watch(self, server: RunningServer) -> None:
         code = await server.wait()
         self.servers.pids.pop(server.incarnation, None)
         self._check_takeover()  # it may have served before it ended
-        self.handle(ServerExited(code, server.incarnation))
+        self.handle(events.ServerExited(code, server.incarnation))
 
     def _check_takeover(self) -> None:
         """See whether the successor says that it serves."""
@@ -232,17 +210,17 @@
         owner = read_owner(self.handover_folder)
         if owner is not None and owner[0] == self.supervisor.state.successor_incarnation:
             self.serving_since = boot_now()
-            self.handle(ServerReady(owner[0]))
+            self.handle(events.ServerReady(owner[0]))
 
     # ---- the desired version, and what other members hear
 
     async def _poll_desired_version(self) -> None:
         while True:
             answer = await self.council.ask(Get(desired_version_key(self.name)))
-            self.handle(ConsensusPolled(isinstance(answer, Got)))
+            self.handle(events.ConsensusPolled(isinstance(answer, Got)))
             if isinstance(answer, Got) and answer.version:
                 with suppress(msgspec.MsgspecError):
-                    self.handle(DesiredVersionReceived(_decode_desired(answer.value)))
+                    self.handle(events.DesiredVersionReceived(_decode_desired(answer.value)))
             await anyio.sleep(POLL)
 
     async def _publish_periodically(self) -> None:
