--- a/thistleline/supervisor/settings.py
+++ b/thistleline/supervisor/settings.py
@@ -8,7 +8,7 @@
 
 from thistleline.lease.protocol import VALUE_BOUND
 from thistleline.server.service import CONNECTION_COST, RESERVE
-from thistleline.wire.settings import Malformed, read_bench, read_gauges, read_granularity
+from thistleline.wire.settings import Malformed, read_gauges, read_granularity, read_server_settings
 
 SETTINGS_SIZE_LIMIT = VALUE_BOUND  # bytes of a version: it goes through the replicated log in one record
 MEGABYTE = 1 << 20  # bytes
@@ -27,7 +27,7 @@
         return f"{len(content)} bytes, {SETTINGS_SIZE_LIMIT} at most"
     try:
         raw = msgspec.json.decode(content)
-        settings = read_bench(raw)
+        settings = read_server_settings(raw)
         read_gauges(raw)
         read_granularity(raw)
     except KeyError as error:
@@ -37,22 +37,23 @@
     repeated = [name for name, count in Counter(stage.name for stage in settings.stages).items() if count > 1]
     if repeated:
         return f"there are two stages {repeated[0]!r}"
-    return "" if limits is None else _beyond_limits(settings.callers, limits)
+    return "" if limits is None else _beyond_limits(settings.client_count, limits)
 
 
-def _beyond_limits(callers: int, limits: dict[str, Any]) -> str:
-    """Return why so many callers don't fit the limits of a server; nothing where they do."""
+def _beyond_limits(clients: int, limits: dict[str, Any]) -> str:
+    """Return why so many clients don't fit the limits of a server; nothing where they do."""
     try:
         sockets = int(limits["sockets"])
         memory = float(limits["memory_mb"]) * MEGABYTE
     except (KeyError, TypeError, ValueError):
         return "the limits have no 'sockets' or no 'memory_mb'"
-    if callers + RESERVE > sockets:
-        return f"{callers} callers and {RESERVE} of its own need more than {sockets} descriptors"
-    needed = callers * CONNECTION_COST
+    if clients + RESERVE > sockets:
+        return f"{clients} callers and {RESERVE} of its own need more than {sockets} descriptors"
+    needed = clients * CONNECTION_COST
     if needed > memory / CONNECTIONS_MEMORY_DIVISOR:
-        needed_mb, memory_mb = needed >> 20, int(memory) >> 20
-        return f"{callers} callers take {needed_mb} MB, more than a quarter of {memory_mb} MB"
+        needed_mb = needed >> 20
+        memory_mb = int(memory) >> 20
+        return f"{clients} callers take {needed_mb} MB, more than a quarter of {memory_mb} MB"
     return ""
 
 
