--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -38,7 +38,6 @@
 from thistleline.rollout.stages import STAGES, choose_controls, choose_targets
 from thistleline.rollout.timing import RolloutTiming
 from thistleline.store.latest import Latest
-from thistleline.supervisor.crash_history import SECOND
 from thistleline.supervisor.effects import KillServer, PersistState, SpawnServer, VerifyVersion
 from thistleline.supervisor.errors import ReleaseError
 from thistleline.supervisor.events import (
@@ -57,6 +56,7 @@
 from thistleline.supervisor.service import SupervisorService
 from thistleline.supervisor.settings import unfit_settings
 from thistleline.supervisor.state_machine import AfterPersist, Supervisor
+from thistleline.supervisor.timing import SECOND
 
 OLD, NEW = Version("1", "a"), Version("2", "b")
 
@@ -377,7 +377,7 @@
     self.state = SupervisorState(state.desired, version, state.incarnation + 1, state.last_good)
     self._effects.append(SpawnServer(self.state.incarnation, version))
     self._effects.append(PersistState(self.state))
-    self._after_persist.append(None)
+    self._continuations.append(None)
 
 
 def _any_want(self: Supervisor, want: DesiredVersion, had: Any = Supervisor._on_desired_version) -> None:
@@ -405,12 +405,13 @@
 
 def _heir_unnoted(self: Supervisor, version: Version) -> None:
     life = self.state.next_incarnation()
-    self.phase, self.successor_since, self.successor_alive = "succeeding", self.now, False
+    self.phase = "succeeding"
+    self.takeover.begin(self.now)
     self.state = msgspec.structs.replace(
         self.state, successor=version, successor_incarnation=life, last_incarnation=life
     )
     self._effects += [SpawnServer(life, version), PersistState(self.state)]
-    self._after_persist.append(None)
+    self._continuations.append(None)
 
 
 def _heir_forgotten(self: Supervisor, event: StateRecovered, had: Any = Supervisor._on_recovered) -> None:
@@ -419,7 +420,7 @@
 
 def _elder_forgotten(self: Supervisor, life: int, had: Any = Supervisor._on_ready) -> None:
     had(self, life)
-    self.predecessor.end()
+    self.takeover.predecessor_ended()
 
 
 def _never_again(self: Supervisor, had: Any = Supervisor._on_timer) -> None:
--- a/thistleline/lab/scale/control.py
+++ b/thistleline/lab/scale/control.py
@@ -70,7 +70,8 @@
 from thistleline.supervisor.records import desired_version_key
 from thistleline.supervisor.releases import RUN, Releases
 from thistleline.supervisor.service import POLL, SupervisorService
-from thistleline.supervisor.state_machine import GOOD_AFTER, Supervisor
+from thistleline.supervisor.state_machine import Supervisor
+from thistleline.supervisor.timing import GOOD_AFTER
 from thistleline.transport.codec import sealed
 from thistleline.zones.decision import Deciding, Rules, Table
 from thistleline.zones.status import FRESH_SPAN, Pictures, Report
--- a/thistleline/lab/stewardworld.py
+++ b/thistleline/lab/stewardworld.py
@@ -4,9 +4,9 @@
 from typing import Any, Self, TypeVar
 
 from thistleline.supervisor import effects, events
-from thistleline.supervisor.crash_history import SECOND
 from thistleline.supervisor.model import DesiredVersion, SupervisorState, Version
 from thistleline.supervisor.state_machine import Supervisor
+from thistleline.supervisor.timing import SECOND
 
 OLD, NEW, BAD = Version("1", "a"), Version("2", "b"), Version("3", "c")
 WANTS = (
--- a/thistleline/supervisor/crash_history.py
+++ b/thistleline/supervisor/crash_history.py
@@ -1,11 +1,8 @@
 """Crashes of a server: exponential backoff between restarts, and when they make a crash loop."""
 
-MILLISECOND = 1_000_000  # ns
-SECOND = 1_000_000_000  # ns
-BACKOFF_FIRST = 200 * MILLISECOND  # ns before the first restart; doubled with each further crash
-BACKOFF_MAX = 5 * SECOND  # ns
+from thistleline.supervisor.timing import BACKOFF_FIRST, BACKOFF_MAX, CRASH_LOOP_WINDOW
+
 CRASH_LOOP_COUNT = 5  # so many crashes in the window are a crash loop
-CRASH_LOOP_WINDOW = 60 * SECOND  # ns
 
 
 class CrashHistory:
--- a/thistleline/supervisor/state_machine.py
+++ b/thistleline/supervisor/state_machine.py
@@ -15,37 +15,17 @@
 
 import msgspec
 
-from thistleline.supervisor.crash_history import MILLISECOND, SECOND, CrashHistory
-from thistleline.supervisor.effects import (
-    Effect,
-    KillServer,
-    LogEvent,
-    PersistState,
-    PublishStatus,
-    SpawnServer,
-    TerminateServer,
-    VerifyVersion,
-)
-from thistleline.supervisor.events import (
-    ConsensusPolled,
-    DesiredVersionReceived,
-    Event,
-    ServerExited,
-    ServerReady,
-    ServerSpawned,
-    SpawnFailed,
-    StatePersisted,
-    StateRecovered,
-    TimerExpired,
-    VersionVerified,
-)
+from thistleline.supervisor import effects, events
+from thistleline.supervisor.crash_history import CrashHistory
 from thistleline.supervisor.model import DesiredVersion, Phase, SupervisorState, Version
-from thistleline.supervisor.predecessor import KILL_DELAY, Predecessor
-
-GOOD_AFTER = 15 * SECOND  # ns; a server that ran so long without a crash is good
-TAKEOVER_TIMEOUT = 30 * SECOND  # ns for a successor to come to serve
-UNREACHABLE_AFTER = 10 * SECOND  # ns without consensus, before a version that crash-loops is rejected here
-IDLE_INTERVAL = SECOND  # ns between two timer events where nothing is due
+from thistleline.supervisor.takeover import Takeover
+from thistleline.supervisor.timing import (
+    GOOD_AFTER,
+    IDLE_INTERVAL,
+    KILL_DELAY,
+    MILLISECOND,
+    UNREACHABLE_AFTER,
+)
 
 
 class AfterPersist(Enum):
@@ -55,6 +35,9 @@
     RESTART = auto()
 
 
+Continuation = AfterPersist | effects.Effect | None  # done once a state is durable
+
+
 class Supervisor:
     """Keeps one server of a machine at the desired version, as a pure state machine.
 
@@ -64,7 +47,7 @@
         candidate: The version that is verified, or stopped for.
         alive: Whether the server of the current incarnation runs.
         crashes: Crashes of the current version, and the backoff.
-        predecessor: The server that handed over and has not ended yet.
+        takeover: The successor or predecessor of the current server.
     """
 
     def __init__(self, stop_timeout: int, now: int, overlapping: bool = False) -> None:
@@ -86,22 +69,20 @@
         self.started_at = 0
         self.stopping_since = 0
         self.kill_sent = False
-        self.successor_alive = False
-        self.successor_since = 0
-        self.predecessor = Predecessor()
+        self.takeover = Takeover()
         self.crashes = CrashHistory()
         self.consensus_reachable = True
         self.consensus_reached_at = now
-        self._after_persist: list[AfterPersist | Effect | None] = []  # one for each state being persisted
-        self._effects: list[Effect] = []
+        self._continuations: list[Continuation] = []  # one for each state that is being persisted
+        self._effects: list[effects.Effect] = []
 
     def copy(self) -> "Supervisor":
         """Return an independent copy, for exploration."""
         made = Supervisor.__new__(Supervisor)
         made.__dict__.update(self.__dict__)
         made.crashes = self.crashes.copy()
-        made.predecessor = self.predecessor.copy()
-        made._after_persist = list(self._after_persist)
+        made.takeover = self.takeover.copy()
+        made._continuations = list(self._continuations)
         made._effects = []
         return made
 
@@ -111,53 +92,49 @@
             self.phase,
             self.state,
             self.candidate,
-            tuple(self._after_persist),
+            tuple(self._continuations),
             self.alive,
             self.started_at,
             self.stopping_since,
             self.kill_sent,
             tuple(self.crashes.recent),
             self.crashes.retry_at,
-            self.successor_alive,
-            self.successor_since,
-            self.predecessor.incarnation,
-            self.predecessor.since,
-            self.predecessor.killed,
+            self.takeover.state_key(),
         )
 
-    def handle(self, now: int, event: Event) -> list[Effect]:
+    def handle(self, now: int, event: events.Event) -> list[effects.Effect]:
         """Take an event at boot time `now` (ns) and return the effects to carry out, in order."""
         self.now = max(self.now, now)
         phase_before = self.phase
         self._dispatch(event)
         if self.phase != phase_before:
             self._log("phase", phase=self.phase, why=self.reason)
-            self._effects.append(PublishStatus())
-        effects = self._effects
+            self._effects.append(effects.PublishStatus())
+        pending = self._effects
         self._effects = []
-        return effects
+        return pending
 
-    def _dispatch(self, event: Event) -> None:
+    def _dispatch(self, event: events.Event) -> None:
         match event:
-            case TimerExpired():
+            case events.TimerExpired():
                 self._on_timer()
-            case ConsensusPolled(reachable):
+            case events.ConsensusPolled(reachable):
                 self._on_consensus_polled(reachable)
-            case DesiredVersionReceived(desired):
+            case events.DesiredVersionReceived(desired):
                 self._on_desired_version(desired)
-            case VersionVerified(fault):
+            case events.VersionVerified(fault):
                 self._on_verified(fault)
-            case StatePersisted():
+            case events.StatePersisted():
                 self._on_persisted()
-            case ServerSpawned(pid):
+            case events.ServerSpawned(pid):
                 self._on_spawned(pid)
-            case SpawnFailed(reason):
+            case events.SpawnFailed(reason):
                 self._on_spawn_failed(reason)
-            case ServerReady(incarnation):
+            case events.ServerReady(incarnation):
                 self._on_ready(incarnation)
-            case ServerExited(code, incarnation):
+            case events.ServerExited(code, incarnation):
                 self._on_exited(code, incarnation)
-            case StateRecovered():
+            case events.StateRecovered():
                 self._on_recovered(event)
 
     @property
@@ -168,15 +145,14 @@
     def next_deadline(self) -> int:
         """Return the boot time (ns) at which `TimerExpired` is due."""
         deadline = self._phase_deadline()
-        if self.predecessor.awaited:
-            return min(deadline, self.predecessor.deadline(self.stop_timeout))
-        return deadline
+        predecessor_deadline = self.takeover.predecessor_deadline(self.stop_timeout)
+        return deadline if predecessor_deadline is None else min(deadline, predecessor_deadline)
 
     def _phase_deadline(self) -> int:
         if self.phase == "stopping":
             return self._kill_deadline()
         if self.phase == "succeeding":
-            return self.successor_since + TAKEOVER_TIMEOUT
+            return self.takeover.successor_deadline()
         if self.phase == "running" and self.crashes.retry_at > self.now:
             return self.crashes.retry_at
         if self.phase == "backing off":
@@ -191,18 +167,18 @@
         return self.stopping_since + self.stop_timeout + KILL_DELAY
 
     def _log(self, event: str, **fields: Any) -> None:
-        self._effects.append(LogEvent(event, fields))
+        self._effects.append(effects.LogEvent(event, fields))
 
     # ---- state on disk
 
-    def _persist(self, state: SupervisorState, then: AfterPersist | Effect | None = None) -> None:
+    def _persist(self, state: SupervisorState, then: Continuation = None) -> None:
         """Adopt the state, have it made durable, and do `then` once it is."""
         self.state = state
-        self._after_persist.append(then)
-        self._effects.append(PersistState(state))
+        self._continuations.append(then)
+        self._effects.append(effects.PersistState(state))
 
     def _on_persisted(self) -> None:
-        then = self._after_persist.pop(0)
+        then = self._continuations.pop(0)
         if then is AfterPersist.CONVERGE:
             self._converge()
         elif then is AfterPersist.RESTART:
@@ -210,16 +186,15 @@
         elif then is not None:
             self._effects.append(then)
 
-    def _on_recovered(self, event: StateRecovered) -> None:
+    def _on_recovered(self, event: events.StateRecovered) -> None:
         self.state = event.state
-        self.predecessor.begin(event.predecessor, self.now)
+        self.takeover.await_predecessor(event.predecessor, self.now)
         self.alive = event.server_alive
-        self.successor_alive = event.successor_alive
         self.started_at = self.now
         if event.successor_alive:
             self.phase = "succeeding"
             self.reason = "found alive with its heir"
-            self.successor_since = self.now
+            self.takeover.begin(self.now, alive=True)
             return
         self.phase = "running" if event.server_alive else "idle"
         self.reason = "found alive" if event.server_alive else ""
@@ -266,9 +241,9 @@
         if wanted is None:
             return
         if self.phase == "succeeding":
-            if self.successor_alive and wanted != self.state.successor:
+            if self.takeover.successor_alive and wanted != self.state.successor:
                 self._log("heir given up", life=self.state.successor_incarnation)
-                self._effects.append(TerminateServer(self.state.successor_incarnation))
+                self._effects.append(effects.TerminateServer(self.state.successor_incarnation))
         elif self.phase == "running":
             if self._may_change() and wanted != self.state.running:
                 self._verify(wanted, "another version is wanted")
@@ -279,13 +254,13 @@
         """Whether a running server may be replaced now."""
         if not self.overlapping:
             return True
-        return not (self.predecessor.alive or self.crashes.retry_at > self.now or self.crashes.is_loop)
+        return not (self.takeover.predecessor or self.crashes.retry_at > self.now or self.crashes.is_loop)
 
     def _verify(self, version: Version, reason: str) -> None:
         self.phase = "verifying"
         self.candidate = version
         self.reason = reason
-        self._effects.append(VerifyVersion(version))
+        self._effects.append(effects.VerifyVersion(version))
 
     def _on_verified(self, fault: str) -> None:
         if self.phase != "verifying" or self.candidate is None:
@@ -314,17 +289,16 @@
         incarnation = self.state.next_incarnation()
         self.phase = "spawning"
         state = msgspec.structs.replace(self.state, running=version, incarnation=incarnation)
-        self._persist(state, SpawnServer(incarnation, version))
+        self._persist(state, effects.SpawnServer(incarnation, version))
 
     def _spawn_successor(self, version: Version) -> None:
         incarnation = self.state.next_incarnation()
         self.phase = "succeeding"
-        self.successor_since = self.now
-        self.successor_alive = False
+        self.takeover.begin(self.now)
         state = msgspec.structs.replace(
             self.state, successor=version, successor_incarnation=incarnation, last_incarnation=incarnation
         )
-        self._persist(state, SpawnServer(incarnation, version))
+        self._persist(state, effects.SpawnServer(incarnation, version))
 
     def _restart(self) -> None:
         """Start the same version anew, if nothing else has begun meanwhile."""
@@ -333,13 +307,12 @@
         if not self.overlapping:
             self.candidate = self.state.running
             self._stop("it is started anew")
-        elif not self.predecessor.alive and self.state.running is not None:
+        elif not self.takeover.predecessor and self.state.running is not None:
             self._spawn_successor(self.state.running)
 
     def _on_spawned(self, pid: int) -> None:
         if self.phase == "succeeding":
-            self.successor_alive = True
-            self.successor_since = self.now
+            self.takeover.begin(self.now, alive=True)
             self._log(
                 "started",
                 pid=pid,
@@ -368,10 +341,9 @@
         state = self.state
         if incarnation != state.successor_incarnation or not incarnation or self.phase != "succeeding":
             return
-        self.predecessor.begin(state.incarnation if self.alive else 0, self.now)
+        self.takeover.complete(state.incarnation if self.alive else 0, self.now)
         self.alive = True
         self.started_at = self.now
-        self.successor_alive = False
         self.phase = "running"
         self.reason = ""
         self._log("serves", life=incarnation, release=self._successor_release())
@@ -388,12 +360,12 @@
         self.phase = "stopping"
         self.stopping_since = self.now
         self.reason = reason
-        self._effects.append(TerminateServer(self.state.incarnation))
+        self._effects.append(effects.TerminateServer(self.state.incarnation))
 
     # ---- ends and crashes
 
     def _on_exited(self, code: int, incarnation: int) -> None:
-        if incarnation and incarnation == self.predecessor.incarnation:
+        if incarnation and incarnation == self.takeover.predecessor:
             self._on_predecessor_exited(code)
         elif incarnation and incarnation == self.state.successor_incarnation and self.phase == "succeeding":
             self._on_successor_failed(f"it ended by itself with {code} before it served")
@@ -401,9 +373,9 @@
             self._on_current_exited(code)
 
     def _on_predecessor_exited(self, code: int) -> None:
-        after_ms = (self.now - self.predecessor.since) // MILLISECOND
-        self._log("elder gone", code=code, life=self.predecessor.incarnation, after_ms=after_ms)
-        self.predecessor.end()
+        after_ms = (self.now - self.takeover.predecessor_since) // MILLISECOND
+        self._log("elder gone", code=code, life=self.takeover.predecessor, after_ms=after_ms)
+        self.takeover.predecessor_ended()
         if self.phase == "running":
             self._converge()
 
@@ -426,7 +398,7 @@
 
     def _on_successor_failed(self, reason: str) -> None:
         """Let the server that serves go on; where that is gone too it counts as any crash."""
-        self.successor_alive = False
+        self.takeover.fail()
         abandoned = self.state.wanted != self.state.successor
         if not self.alive:
             self._persist(self.state.without_successor())
@@ -489,20 +461,21 @@
             self._converge()
 
     def _kill_late_predecessor(self) -> None:
-        if self.predecessor.awaited and self.now >= self.predecessor.deadline(self.stop_timeout):
-            self.predecessor.killed = True
-            self._log("killed", life=self.predecessor.incarnation)
-            self._effects.append(KillServer(self.predecessor.incarnation))
+        deadline = self.takeover.predecessor_deadline(self.stop_timeout)
+        if deadline is not None and self.now >= deadline:
+            self.takeover.predecessor_killed()
+            self._log("killed", life=self.takeover.predecessor)
+            self._effects.append(effects.KillServer(self.takeover.predecessor))
 
     def _kill_late_successor(self) -> None:
-        if self.now >= self.successor_since + TAKEOVER_TIMEOUT:
-            self.successor_since = self.now
+        if self.now >= self.takeover.successor_deadline():
+            self.takeover.begin(self.now, alive=self.takeover.successor_alive)
             incarnation = self.state.successor_incarnation
             self._log("killed", life=incarnation, why="it does not come to serve")
-            self._effects.append(KillServer(incarnation))
+            self._effects.append(effects.KillServer(incarnation))
 
     def _kill_late_server(self) -> None:
         if self.now >= self._kill_deadline():
             self.kill_sent = True
             self._log("killed", life=self.state.incarnation)
-            self._effects.append(KillServer(self.state.incarnation))
+            self._effects.append(effects.KillServer(self.state.incarnation))
