--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: its form, its book, its files under faults, and a server that starts anew on it."""
+"""The ledger: its format, its state, its files under faults, and a server that starts anew on it."""
 
 import errno
 import json
@@ -32,9 +32,9 @@
 from thistleline.lab.farm import FarmStandIn, Ran
 from thistleline.lab.ledger import judge, storm
 from thistleline.ledger import format as form
-from thistleline.ledger.format import Group, Intent, Outcome
-from thistleline.ledger.state import Book
-from thistleline.ledger.store import Store
+from thistleline.ledger.format import Intent, Outcome, RecordGroup
+from thistleline.ledger.state import LedgerState
+from thistleline.ledger.store import LedgerStore
 from thistleline.policy import MS, SECOND
 from thistleline.state.phases import Phases
 from thistleline.store.clock import boot_now
@@ -42,6 +42,7 @@
 from thistleline.store.frames import Damaged
 
 STAGES = ("lookup", "booking")
+HEADER = form.encode_header(STAGES, b"b" * 16)
 START = 5000 * SECOND
 
 
@@ -104,10 +105,10 @@
         self.effects, self.answers_samples, self.number, self.count = [], True, 0, 0
         self.disk = Troubled(folder)
         self.disk.hold()
-        self.store = Store(self.disk, STAGES)
+        self.store = LedgerStore(self.disk, STAGES)
         self.store.boot = left or self.store.boot
         self.slow = False
-        self.put("recovered", self.store.recover(made.book))
+        self.put("recovered", self.store.recover(made.ledger))
         self.put("listening")
         if up:
             self.put("agent_up", False, 60 * SECOND)
@@ -145,22 +146,26 @@
 GROUPS = st.lists(st.tuples(st.lists(INTENTS, max_size=4), st.lists(OUTCOMES, max_size=4)), max_size=5)
 
 
-def _read(data: bytes, place: int = 0) -> list[Group]:
+def _read(data: bytes, place: int = 0) -> list[RecordGroup]:
     return [
-        form.group(payload) for _, payload, _ in form.frames(memoryview(data), place) if payload is not None
+        form.decode_group(payload)
+        for _, payload, _ in form.iter_frames(memoryview(data), place)
+        if payload is not None
     ]
 
 
 @given(GROUPS)
 @settings(derandomize=True, database=None)
 def test_what_is_written_is_read(groups: list[tuple[list[Intent], list[Outcome]]]) -> None:
-    assert _read(b"".join(form.frame(*group) for group in groups)) == [Group(*group) for group in groups]
+    assert _read(b"".join(form.encode_frame(*group) for group in groups)) == [
+        RecordGroup(*group) for group in groups
+    ]
 
 
 @given(GROUPS, st.data())
 @settings(derandomize=True, database=None, max_examples=300)
 def test_a_flipped_bit_or_a_cut_takes_its_own_group_and_no_other(groups: Any, data: st.DataObject) -> None:
-    parts = [form.frame(*group) for group in groups]
+    parts = [form.encode_frame(*group) for group in groups]
     whole = b"".join(parts)
     place = data.draw(st.integers(0, max(0, len(whole) - 1)))
     if data.draw(st.booleans()):
@@ -173,7 +178,7 @@
     kept, start = [], 0
     for part, group in zip(parts, groups, strict=True):
         if harmed[start : start + len(part)] == part:
-            kept.append(Group(*group))
+            kept.append(RecordGroup(*group))
         start += len(part)
     assert _read(harmed) == kept
 
@@ -183,20 +188,20 @@
 def test_any_bytes_are_damaged_or_nothing(data: bytes) -> None:
     assert _read(data) == []
     with pytest.raises(Damaged):
-        form.read_head(data)
+        form.decode_header(data)
 
 
 @pytest.mark.parametrize(("head", "reason"), [
-    (form.head(STAGES, b"b" * 16)[:8] + b"\3\0" + form.head(STAGES, b"b" * 16)[10:], "form 3"),
-    (b"X" + form.head(STAGES, b"b" * 16)[1:], "no segment"),
-    (form.head(STAGES, b"b" * 16)[:-1] + b"!", "checksum"),
+    (HEADER[:8] + b"\3\0" + HEADER[10:], "form 3"),
+    (b"X" + HEADER[1:], "no segment"),
+    (HEADER[:-1] + b"!", "checksum"),
 ])  # fmt: skip
 def test_a_segment_of_another_form_is_refused_with_the_reason(
     head: bytes, reason: str, tmp_path: Path
 ) -> None:
     (tmp_path / "000000000001.ledger").write_bytes(head)
     with pytest.raises(Damaged, match=reason):
-        Store(Disk(tmp_path), STAGES).recover(Book(1 << 20, 1 << 20, START, lambda _: None))
+        LedgerStore(Disk(tmp_path), STAGES).recover(LedgerState(1 << 20, 1 << 20, START, lambda _: None))
 
 
 def test_a_second_program_on_a_folder_is_told_so(tmp_path: Path) -> None:
@@ -270,7 +275,7 @@
     assert len(desk.kinds("rejected")) == 40
     assert len(desk.launched()) == 40
     assert desk.disk.calls < 20  # tries are further and further apart
-    assert len(desk.kept.book.segments) < 3
+    assert len(desk.kept.ledger.segments) < 3
 
 
 # ---- a kill at any point
@@ -369,8 +374,8 @@
         later.die()
         if how == "compacted":
             monkeypatch.setattr("thistleline.cli.ledger.boot_now", lambda boot=boot: boot)
-            with look(tmp_path) as (book, found, _):
-                rewrite(tmp_path, book, found)
+            with look(tmp_path) as (ledger, found, _):
+                rewrite(tmp_path, ledger, found)
         if later.answers():
             assert later.answers() == ["abandoned"]
             break
@@ -405,7 +410,7 @@
         desk.wait(100 * MS)
         most = max(most, sum(size for _, size in desk.disk.segments()))
     assert most <= 1 << 15
-    assert desk.kept.book.refusals == 0
+    assert desk.kept.ledger.refusals == 0
     assert len(desk.launched()) > 500
 
 
@@ -418,7 +423,7 @@
             desk.end(name)
     refused = desk.kinds("rejected")
     assert refused
-    assert desk.kept.book.phase == "full"
+    assert desk.kept.ledger.phase == "full"
     assert sum(size for _, size in desk.disk.segments()) <= 1 << 14
     desk.send(1, "mark0", again=True)
     desk.wait()
@@ -432,28 +437,28 @@
 @pytest.mark.parametrize("at", range(1, 8))
 def test_compaction_leaves_out_what_is_over_and_survives_a_kill(tmp_path: Path, at: int) -> None:
     disk = Troubled(tmp_path)
-    store, now = Store(disk, STAGES), START
-    book = Book(1 << 16, 1 << 16, now, lambda number: b"r" * 700)
+    store, now = LedgerStore(disk, STAGES), START
+    ledger = LedgerState(1 << 16, 1 << 16, now, lambda number: b"r" * 700)
     for place in range(90):
         span = 3600 * SECOND if place % 9 == 0 else SECOND
-        number = book.intend(now, 1, b"%016d" % place, span, b"")
+        number = ledger.record_intent(now, 1, b"%016d" % place, span, b"")
         assert number is not None
-        book.ended(now, number, "finished", b"r" * 700)
+        ledger.record_outcome(now, number, "finished", b"r" * 700)
         now += 100 * MS
-        work = book.work(now)
+        work = ledger.next_write(now)
         if work is not None:
-            if work.compaction:
+            if work.is_compaction:
                 disk.at, disk.how = disk.calls + at, "kill"
             try:
                 store.write(work)
             except KeyboardInterrupt:
                 break
-            book.done(now)
-    assert book.compactions
-    kept = Book(1 << 16, 1 << 16, now, lambda number: None)
-    found = [one for one in Store(Disk(tmp_path), STAGES).recover(kept) if one.left > 60 * SECOND]
+            ledger.write_completed(now)
+    assert ledger.compactions
+    kept = LedgerState(1 << 16, 1 << 16, now, lambda number: None)
+    found = [one for one in LedgerStore(Disk(tmp_path), STAGES).recover(kept) if one.remaining > 60 * SECOND]
     assert len(found) >= place // 9
-    assert all(one.how == "finished" for one in found)
+    assert all(one.outcome == "finished" for one in found)
 
 
 def test_a_drain_writes_what_is_unsynced_before_it_ends(tmp_path: Path) -> None:
@@ -558,7 +563,7 @@
     (path,) = (tmp_path / "kept").glob("*.ledger")
     harmed = bytearray(path.read_bytes())
     harmed[len(harmed) // 2] ^= 4
-    path.write_bytes(bytes(harmed) + form.frame([], []))
+    path.write_bytes(bytes(harmed) + form.encode_frame([], []))
     assert run(entry, ["ledger", "verify", folder]).exit_code == 1
 
 
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -15,8 +15,9 @@
 from thistleline.consensus.messages import Ballot, Base, Entry, Member
 from thistleline.consensus.replica import Spans, Voter
 from thistleline.consensus.store import CouncilStore
-from thistleline.ledger.state import Book, Found
-from thistleline.ledger.store import Reading, Store
+from thistleline.ledger.records import RecoveredEffect
+from thistleline.ledger.state import LedgerState
+from thistleline.ledger.store import LedgerStore, SegmentReading
 from thistleline.store.disk import Disk
 
 STORED = Path(__file__).parent / "fixtures" / "stored"
@@ -61,14 +62,16 @@
 NOW = 5060 * SECOND  # boot time of the life that reads it: 60 s after the first life began
 
 
-def recovered_ledger(folder: Path, boot: bytes, stages: tuple[str, ...] = STAGES) -> tuple[list[Found], Any]:
+def recovered_ledger(
+    folder: Path, boot: bytes, stages: tuple[str, ...] = STAGES
+) -> tuple[list[RecoveredEffect], Any]:
     disk = Disk(folder)
     disk.hold()
-    store = Store(disk, stages)
+    store = LedgerStore(disk, stages)
     store.boot = boot
-    readings: list[Reading] = []
-    book = Book(8192, 8192, NOW, lambda _: None)
-    found = store.recover(book, readings.append)
+    readings: list[SegmentReading] = []
+    ledger = LedgerState(8192, 8192, NOW, lambda _: None)
+    found = store.recover(ledger, readings.append)
     disk.release()
     return found, readings
 
@@ -77,16 +80,16 @@
     """Times stand as written; the doubt told by the second life counts."""
     found, readings = recovered_ledger(copied(tmp_path, "ledger"), BOOT)
     assert readings == [
-        Reading(1, 463, 5, 4, False, 0, 463),
-        Reading(2, 199, 1, 2, False, 0, 199),
+        SegmentReading(1, 463, 5, 4, False, 0, 463),
+        SegmentReading(2, 199, 1, 2, False, 0, 199),
     ]
     left = (5000 + 3600) * SECOND - NOW
     assert found == [
-        Found(1, 1, b"digest-000000001", b"order-0001", left, "finished", b"receipt-0001", None),
-        Found(2, 1, b"digest-000000002", b"order-0002", left, "failed", b"card declined", None),
-        Found(4, 1, b"digest-000000004", b"order-0004", left, None, None, 5040 * SECOND),
-        Found(5, 0, b"digest-000000005", b"order-0005", left, "finished", b"found: 42", None),
-        Found(6, 1, b"digest-000000006", b"order-0006", left + 10 * SECOND, "stopped", None, None),
+        RecoveredEffect(1, 1, b"digest-000000001", b"order-0001", left, "finished", b"receipt-0001", None),
+        RecoveredEffect(2, 1, b"digest-000000002", b"order-0002", left, "failed", b"card declined", None),
+        RecoveredEffect(4, 1, b"digest-000000004", b"order-0004", left, None, None, 5040 * SECOND),
+        RecoveredEffect(5, 0, b"digest-000000005", b"order-0005", left, "finished", b"found: 42", None),
+        RecoveredEffect(6, 1, b"digest-000000006", b"order-0006", left + 10 * SECOND, "stopped", None, None),
     ]  # 3 was told moot: it is gone
 
 
@@ -95,11 +98,11 @@
     found, _ = recovered_ledger(copied(tmp_path, "ledger"), bytes.fromhex("00112233445566778899aabbccddeeff"))
     span = 3600 * SECOND
     assert found == [
-        Found(1, 1, b"digest-000000001", b"order-0001", span, "finished", b"receipt-0001", None),
-        Found(2, 1, b"digest-000000002", b"order-0002", span, "failed", b"card declined", None),
-        Found(4, 1, b"digest-000000004", b"order-0004", span, None, None, None),
-        Found(5, 0, b"digest-000000005", b"order-0005", span, "finished", b"found: 42", None),
-        Found(6, 1, b"digest-000000006", b"order-0006", span, "stopped", None, None),
+        RecoveredEffect(1, 1, b"digest-000000001", b"order-0001", span, "finished", b"receipt-0001", None),
+        RecoveredEffect(2, 1, b"digest-000000002", b"order-0002", span, "failed", b"card declined", None),
+        RecoveredEffect(4, 1, b"digest-000000004", b"order-0004", span, None, None, None),
+        RecoveredEffect(5, 0, b"digest-000000005", b"order-0005", span, "finished", b"found: 42", None),
+        RecoveredEffect(6, 1, b"digest-000000006", b"order-0006", span, "stopped", None, None),
     ]
 
 
@@ -117,16 +120,16 @@
     folder = copied(tmp_path, "ledger")
     disk = Disk(folder)
     disk.hold()
-    store = Store(disk, STAGES)
+    store = LedgerStore(disk, STAGES)
     store.boot = BOOT
-    book = Book(8192, 8192, NOW, lambda _: None)
-    store.recover(book)
-    assert book.intend(NOW, 1, b"digest-000000007", 3600 * SECOND, b"order-0007") == 7
-    work = book.work(NOW)
+    ledger = LedgerState(8192, 8192, NOW, lambda _: None)
+    store.recover(ledger)
+    assert ledger.record_intent(NOW, 1, b"digest-000000007", 3600 * SECOND, b"order-0007") == 7
+    work = ledger.next_write(NOW)
     assert work is not None
-    assert (work.segment, work.fresh, work.drops) == (3, True, ())
+    assert (work.segment, work.creates_segment, work.obsolete_segments) == (3, True, ())
     store.write(work)
-    assert book.done(NOW) == [7]
+    assert ledger.write_completed(NOW) == [7]
     disk.release()
     found, _ = recovered_ledger(folder, BOOT)
     assert [one.number for one in found] == [1, 2, 4, 5, 6, 7]
--- a/thistleline/cli/ledger.py
+++ b/thistleline/cli/ledger.py
@@ -7,8 +7,10 @@
 import click
 
 from thistleline.ledger import format as ledger_format
-from thistleline.ledger.state import Book, Found, Work
-from thistleline.ledger.store import Reading, Store
+from thistleline.ledger.compaction import doubt_record
+from thistleline.ledger.records import LedgerWrite, RecoveredEffect
+from thistleline.ledger.state import LedgerState
+from thistleline.ledger.store import LedgerStore, SegmentReading
 from thistleline.store.clock import boot_now
 from thistleline.store.disk import Disk, Held
 from thistleline.store.frames import Damaged
@@ -17,14 +19,15 @@
 
 
 @contextmanager
-def look(folder: Path) -> Iterator[tuple[Book, list[Found], list[Reading]]]:
-    """The folder's book, held against a server that would write meanwhile."""
+def look(folder: Path) -> Iterator[tuple[LedgerState, list[RecoveredEffect], list[SegmentReading]]]:
+    """The folder's ledger, held against a server that would write meanwhile."""
     disk = Disk(folder)
     try:
         disk.hold()
-        book, readings = Book(ALL, ALL, boot_now(), lambda _: None), list[Reading]()
-        found = Store(disk, stages(disk)).recover(book, readings.append)
-        yield book, found, readings
+        ledger = LedgerState(ALL, ALL, boot_now(), lambda _: None)
+        readings: list[SegmentReading] = []
+        found = LedgerStore(disk, stages(disk)).recover(ledger, readings.append)
+        yield ledger, found, readings
     except (Held, Damaged, OSError) as error:
         raise click.ClickException(str(error)) from error
     finally:
@@ -36,29 +39,31 @@
     names: dict[str, None] = {}
     for number, _ in disk.segments():
         try:
-            names |= dict.fromkeys(ledger_format.read_head(disk.read(number))[0])
+            names |= dict.fromkeys(ledger_format.decode_header(disk.read(number)).stages)
         except Damaged:
             continue
     return tuple(names)
 
 
-def rewrite(folder: Path, book: Book, found: list[Found]) -> int:
+def rewrite(folder: Path, ledger: LedgerState, found: list[RecoveredEffect]) -> int:
     """The folder's bytes after all that matters was written anew; the old go once that is durable."""
     disk = Disk(folder)  # the folder is held already
-    intents = [effect.intent for effect in book.effects.values()]
+    intents = [effect.intent for effect in ledger.effects.values()]
     kept = {one.number: one.result or b"" for one in found}
     outcomes = [
-        ledger_format.Outcome(number, ledger_format.HOW.index(effect.how), kept.get(number, b""))
-        for number, effect in book.effects.items()
-        if effect.how is not None
-    ] + [
         ledger_format.Outcome(
-            number, ledger_format.HOW.index("doubtful"), ledger_format.DOUBT.pack(effect.doubt)
+            number, ledger_format.OUTCOME_KINDS.index(effect.outcome), kept.get(number, b"")
         )
-        for number, effect in book.effects.items()
-        if effect.how is None and effect.doubt is not None
+        for number, effect in ledger.effects.items()
+        if effect.outcome is not None
+    ] + [
+        doubt_record(number, effect.doubt_deadline)
+        for number, effect in ledger.effects.items()
+        if effect.outcome is None and effect.doubt_deadline is not None
     ]
-    group = ledger_format.Group(intents, outcomes)
-    Store(disk, stages(disk)).write(Work(book.segment_numbers + 1, True, group, tuple(book.segments), True))
+    group = ledger_format.RecordGroup(intents, outcomes)
+    LedgerStore(disk, stages(disk)).write(
+        LedgerWrite(ledger.last_segment_number + 1, True, group, tuple(ledger.segments), True)
+    )
     disk.release()
     return sum(size for _, size in disk.segments())
--- a/thistleline/cli/main.py
+++ b/thistleline/cli/main.py
@@ -61,9 +61,9 @@
                 "number": one.number,
                 "stage": one.stage,
                 "key": one.digest.hex(),
-                "id": one.id.decode("ascii", "replace"),
-                "left_ms": one.left // 1_000_000,
-                "how": one.how,
+                "id": one.attempt_id.decode("ascii", "replace"),
+                "left_ms": one.remaining // 1_000_000,
+                "how": one.outcome,
                 "result_bytes": None if one.result is None else len(one.result),
             }
             words = "  ".join(f"{name} {value}" for name, value in facts.items())
@@ -76,13 +76,13 @@
     """Read every segment; exit code 1 where bytes in the middle of one can't be read."""
     from thistleline.cli.ledger import look
 
-    with look(folder) as (book, _, readings):
+    with look(folder) as (ledger, _, readings):
         for one in readings:
-            state = "damaged" if one.damaged else ("torn at its end" if one.torn else "whole")
+            state = "damaged" if one.damaged_bytes else ("torn at its end" if one.torn else "whole")
             click.echo(f"segment {one.segment}: {one.size} bytes, {one.intents} intents, "
-                       f"{one.outcomes} outcomes, {state}, {one.damaged} bytes unread")  # fmt: skip
-        click.echo(f"{len(book.effects)} effects still matter")
-        if any(one.damaged for one in readings):
+                       f"{one.outcomes} outcomes, {state}, {one.damaged_bytes} bytes unread")  # fmt: skip
+        click.echo(f"{len(ledger.effects)} effects still matter")
+        if any(one.damaged_bytes for one in readings):
             raise SystemExit(1)
 
 
@@ -92,10 +92,10 @@
     """Write what still matters into one segment and remove the others."""
     from thistleline.cli.ledger import look, rewrite
 
-    with look(folder) as (book, found, readings):
+    with look(folder) as (ledger, found, readings):
         before = sum(one.size for one in readings)
         click.echo(
-            f"{before} bytes before, {rewrite(folder, book, found)} after, {len(book.effects)} effects"
+            f"{before} bytes before, {rewrite(folder, ledger, found)} after, {len(ledger.effects)} effects"
         )
 
 
--- a/thistleline/cli/steward.py
+++ b/thistleline/cli/steward.py
@@ -49,7 +49,7 @@
     writes, so that a change with no way back is refused before the first server."""
     from thistleline.ledger import format as ledger_format
 
-    click.echo(f"{' '.join(map(str, ledger_format.READS))} writes {ledger_format.FORM}")
+    click.echo(f"{' '.join(map(str, ledger_format.READABLE_VERSIONS))} writes {ledger_format.FORMAT_VERSION}")
 
 
 @release.command("list")
--- a/thistleline/durable/reducer.py
+++ b/thistleline/durable/reducer.py
@@ -8,13 +8,14 @@
 
     (write work)
 
-The ledger's choices are its book's (ledger/state.py); here they meet the tables and the module.
+The ledger's choices are made by `LedgerState` (ledger/state.py); here they meet the tables and the module.
 """
 
 from collections.abc import Iterable
 from typing import Any
 
-from thistleline.ledger.state import Book, Found
+from thistleline.ledger.records import RecoveredEffect
+from thistleline.ledger.state import LedgerState
 from thistleline.state.state_machine import DOUBT_PART, END_EARLY, SECOND, Effect, Reducer
 from thistleline.state.tables import Run, Try
 
@@ -27,7 +28,7 @@
         """`disk_bound` in bytes; `boot_ahead`: how far the boot time is ahead of this clock, ns."""
         super().__init__(*told, **more)
         self.boot_ahead = boot_ahead
-        self.book = Book(disk_bound, self.entries.results_bound, self.now + boot_ahead, self._result)
+        self.ledger = LedgerState(disk_bound, self.entries.results_bound, self.now + boot_ahead, self._result)
         self.numbers: dict[str, int] = {}  # of effects by the name of the run
         self.named: dict[int, str] = {}  # and back, while results may be asked for
         self.waiting: dict[int, str] = {}  # of these: not yet durable
@@ -42,44 +43,44 @@
 
     def take(self, now: int, kind: str, *told: Any) -> list[Effect]:
         effects = super().take(now, kind, *told)
-        work = self.book.work(self.now + self.boot_ahead)
+        work = self.ledger.next_write(self.now + self.boot_ahead)
         if work is not None:
             effects.append(("write", work))
         return effects
 
     def due(self) -> int:
-        due, wanted = super().due(), self.book.due()
+        due, wanted = super().due(), self.ledger.next_deadline()
         return due if wanted is None else min(due, max(wanted - self.boot_ahead, self.now))
 
     def believed(self) -> dict[str, Any]:
-        book = self.book
+        ledger = self.ledger
         return {
             **super().believed(),
             "ledger": {
-                "phase": book.phase,
-                "effects": len(book.effects),
-                "bytes": book.size(),
-                "segments": len(book.segments),
-                "refused": book.refusals,
-                "failures": book.failures,
+                "phase": ledger.phase,
+                "effects": len(ledger.effects),
+                "bytes": ledger.disk_size(),
+                "segments": len(ledger.segments),
+                "refused": ledger.refusals,
+                "failures": ledger.write_failures,
             },
         }
 
     # ---- what an earlier life left
 
-    def _recovered(self, effects: Iterable[Found]) -> None:
+    def _recovered(self, effects: Iterable[RecoveredEffect]) -> None:
         """Before the first round that knows of tasks. An effect without an end may have run."""
         for found in effects:
             self.names += 1
-            name, key, until = str(self.names), (found.stage, found.digest), self.now + found.left
+            name, key, until = str(self.names), (found.stage, found.digest), self.now + found.remaining
             entry = self.entries.put(key, name, until)
             entry.ran = name
-            id = found.id.decode("ascii", "replace")
+            id = found.attempt_id.decode("ascii", "replace")
             self.owned[id] = key, until
             self.remembered[name] = until
             self._name(name, found.number)
-            if found.how is not None:
-                self.entries.keep(key, found.how, self.now, found.result)
+            if found.outcome is not None:
+                self.entries.keep(key, found.outcome, self.now, found.result)
             else:
                 held = Try(0, 0, id, found.stage, self.now, self.now, key, b"")
                 run = self.runs[name] = Run(held, NOT_YET)
@@ -87,8 +88,8 @@
                 self.at_agent[id] = name
                 self.open[name] = None
                 self.in_doubt[name] = until
-                if found.doubt is not None:
-                    self.awaited[name] = found.doubt - self.boot_ahead
+                if found.doubt_deadline is not None:
+                    self.awaited[name] = found.doubt_deadline - self.boot_ahead
         while len(self.owned) > self.owned_bound:
             self.owned.popitem(last=False)
         self._count("recovered")
@@ -121,7 +122,9 @@
                 until = min(until, self.awaited[name])
             else:
                 self.awaited[name] = until
-                self.book.doubts(self.now + self.boot_ahead, self.numbers[name], until + self.boot_ahead)
+                self.ledger.record_doubt(
+                    self.now + self.boot_ahead, self.numbers[name], until + self.boot_ahead
+                )
             self.in_doubt[name] = min(self.in_doubt.get(name, NOT_YET), until)
         self._end_doubts()
 
@@ -134,7 +137,7 @@
             return
         assert run.key is not None
         span = entry.until - self.now + self.entry_slack
-        number = self.book.intend(
+        number = self.ledger.record_intent(
             self.now + self.boot_ahead, run.stage, run.key[1], span, run.id.encode("ascii", "replace")
         )
         if number is None:
@@ -151,7 +154,7 @@
         self._ended_run(task, "moot", 0, b"")
 
     def _recorded(self) -> None:
-        for number in self.book.done(self.now + self.boot_ahead):
+        for number in self.ledger.write_completed(self.now + self.boot_ahead):
             task = self.waiting.pop(number, "")
             run = self.runs.get(task)
             if run is None:
@@ -164,7 +167,7 @@
 
     def _unrecorded(self, why: str) -> None:
         self._log("ledger", state="failing", why=why)
-        for number in self.book.failed(self.now + self.boot_ahead):
+        for number in self.ledger.write_failed(self.now + self.boot_ahead):
             task = self.waiting.pop(number, "")
             if task in self.runs:
                 self._unname(task)
@@ -176,7 +179,7 @@
         number = self.numbers.get(task)
         if number is not None:
             kept = bytes(result) if how == "finished" else b""
-            self.book.ended(self.now + self.boot_ahead, number, how, kept)
+            self.ledger.record_outcome(self.now + self.boot_ahead, number, how, kept)
             if how == "moot":
                 self._unname(task)
         super()._ended_run(task, how, took, result)
@@ -188,21 +191,21 @@
         self.named.pop(self.numbers.pop(task, 0), None)
 
     def _result(self, number: int) -> bytes | None:
-        """For the book's compaction: what is still kept of a result."""
+        """For the ledger's compaction: what is still kept of a result."""
         key = self.entries.by_task.get(self.named.get(number, ""))
         return None if key is None else self.entries.by_key[key].result
 
     def _sweep(self) -> None:
         super()._sweep()
-        if len(self.numbers) > 2 * len(self.book.effects) + 64:
-            kept = self.book.effects
+        if len(self.numbers) > 2 * len(self.ledger.effects) + 64:
+            kept = self.ledger.effects
             self.numbers = {name: number for name, number in self.numbers.items() if number in kept}
             self.named = {number: name for name, number in self.numbers.items()}
 
     def _end_if_done(self) -> None:
         """A drain leaves nothing unwritten, unless the disk keeps it till just before the stop."""
         assert self.stop_by is not None
-        book = self.book
-        unwritten = book.work_out is not None or book.intents or book.outcomes
+        ledger = self.ledger
+        unwritten = ledger.has_unwritten()
         if not unwritten or self.now >= self.stop_by - END_EARLY:
             super()._end_if_done()
--- a/thistleline/durable/writer.py
+++ b/thistleline/durable/writer.py
@@ -10,8 +10,9 @@
 from thistleline.config.schema import Ledger
 from thistleline.durable.reducer import KeepingReducer
 from thistleline.durable.served_value import Worth
-from thistleline.ledger.state import Book, Found, Work
-from thistleline.ledger.store import Reading, Store
+from thistleline.ledger.records import LedgerWrite, RecoveredEffect
+from thistleline.ledger.state import LedgerState
+from thistleline.ledger.store import LedgerStore, SegmentReading
 from thistleline.server.configuration import Unusable
 from thistleline.store.clock import boot_now
 from thistleline.store.disk import Disk, Held
@@ -22,17 +23,17 @@
 
 
 class Keeper:
-    def __init__(self, store: Store, take: Callable[..., None], group: TaskGroup) -> None:
+    def __init__(self, store: LedgerStore, take: Callable[..., None], group: TaskGroup) -> None:
         self.store, self.take, self.group = store, take, group
 
     def effects(self) -> dict[str, Callable[..., None]]:
         """What it carries out, by the kind of effect."""
         return {"write": self.write}
 
-    def write(self, work: Work) -> None:
+    def write(self, work: LedgerWrite) -> None:
         self.group.start_soon(self._write, work)
 
-    async def _write(self, work: Work) -> None:
+    async def _write(self, work: LedgerWrite) -> None:
         why = ""
         try:
             await anyio.to_thread.run_sync(self.store.write, work)
@@ -46,26 +47,26 @@
             self.take("recorded")
 
 
-def recover(store: Store, book: Book, tell: Callable[..., None]) -> list[Found]:
+def recover(store: LedgerStore, ledger: LedgerState, tell: Callable[..., None]) -> list[RecoveredEffect]:
     """All that earlier lives left; blocks. Raises Unusable."""
     begun = told = boot_now()
     read = size = 0
 
-    def progress(reading: Reading) -> None:
+    def progress(reading: SegmentReading) -> None:
         nonlocal told, read, size
         read, size = read + 1, size + reading.size
-        if reading.damaged or reading.torn:
-            facts = {"segment": reading.segment, "bytes": reading.damaged, "torn": reading.torn}
+        if reading.damaged_bytes or reading.torn:
+            facts = {"segment": reading.segment, "bytes": reading.damaged_bytes, "torn": reading.torn}
             tell("ledger", state="damaged", **facts)
         if boot_now() - told >= PROGRESS_EVERY:
             told = boot_now()
-            tell("ledger", state="recovering", segments=read, bytes=size, effects=len(book.effects))
+            tell("ledger", state="recovering", segments=read, bytes=size, effects=len(ledger.effects))
 
     try:
-        found = store.recover(book, progress)
+        found = store.recover(ledger, progress)
     except (Damaged, OSError) as error:
         raise Unusable(f"the ledger can't be read: {error}") from error
-    unsettled = sum(1 for effect in found if effect.how is None)
+    unsettled = sum(1 for effect in found if effect.outcome is None)
     facts = {"effects": len(found), "unsettled": unsettled, "segments": read, "bytes": size}
     tell("ledger", state="recovered", ms=(boot_now() - begun) // MS, **facts)
     return found
@@ -77,7 +78,9 @@
 
 def furnish(
     conf: Ledger, told: tuple[Any, ...], take: Callable[..., None], tell: Callable[..., None]
-) -> tuple[KeepingReducer, Callable[[], list[Found]], Callable[[TaskGroup], dict[str, Callable[..., None]]]]:
+) -> tuple[
+    KeepingReducer, Callable[[], list[RecoveredEffect]], Callable[[TaskGroup], dict[str, Callable[..., None]]]
+]:
     """Takes the folder: the reducer, what recovers it, and what makes the writer's effects in a task group.
     `told` is what any reducer is told, its bench first and the time seventh. Raises Unusable."""
     store = store_of(conf, told)
@@ -85,13 +88,13 @@
     reducer = Told(*told, disk_bound=conf.disk, boot_ahead=boot_now() - told[6])
     return (
         reducer,
-        lambda: recover(store, reducer.book, tell),
+        lambda: recover(store, reducer.ledger, tell),
         lambda group: Keeper(store, take, group).effects(),
     )
 
 
-def store_of(conf: Ledger, told: tuple[Any, ...]) -> Store:
-    return Store(Disk(conf.folder), tuple(stage.name for stage in told[0].stages))
+def store_of(conf: Ledger, told: tuple[Any, ...]) -> LedgerStore:
+    return LedgerStore(Disk(conf.folder), tuple(stage.name for stage in told[0].stages))
 
 
 def hold(disk: Disk) -> None:
--- a/thistleline/handover/service.py
+++ b/thistleline/handover/service.py
@@ -112,7 +112,7 @@
     async def _follow(self, line: Line) -> socket.socket | None:
         """Reads what it will have, and asks for it; with nothing inherited where the elder died before."""
         try:
-            line.send(Hello(reads=ledger_format.READS))
+            line.send(Hello(reads=ledger_format.READABLE_VERSIONS))
             told = await line.receive()
             if isinstance(told, Refused):
                 raise Unusable(f"the server that runs here does not hand over: {told.why}")
@@ -156,7 +156,7 @@
                 path.unlink(missing_ok=True)
                 continue
             line = Line(sock, group)
-            line.send(Hello(reads=ledger_format.READS))
+            line.send(Hello(reads=ledger_format.READABLE_VERSIONS))
             told: Message | None = None
             with suppress(Unreadable, msgspec.MsgspecError), anyio.move_on_after(1.0):
                 told = await line.receive()
@@ -170,14 +170,14 @@
 
     def _read_some(self) -> None:
         with suppress(OSError):
-            self.store.follow(self.reducer.book, self.read, False, boot_now())
+            self.store.read_appended(self.reducer.ledger, self.read, False, boot_now())
 
     def _read_last(self) -> list[Any]:
         try:
-            self.store.follow(self.reducer.book, self.read, True, boot_now())
+            self.store.read_appended(self.reducer.ledger, self.read, True, boot_now())
         except (Damaged, OSError) as error:
             raise Unusable(f"the ledger can't be read: {error}") from error
-        return list(self.reducer.book.recovered())
+        return list(self.reducer.ledger.recovered_effects())
 
     # ---- while it serves
 
@@ -317,8 +317,9 @@
             why = ""
             if min(told.most, FORMS[1]) < max(told.least, FORMS[0]):
                 why = f"no common form: {told.least} to {told.most} and {FORMS[0]} to {FORMS[1]}"
-            elif ledger_format.FORM not in told.reads:
-                why = f"the ledger has form {ledger_format.FORM}, the follower reads {list(told.reads)}"
+            elif ledger_format.FORMAT_VERSION not in told.reads:
+                written = ledger_format.FORMAT_VERSION
+                why = f"the ledger has form {written}, the follower reads {list(told.reads)}"
             if why or self.heir is not None:
                 line.send(Refused(why or "another one follows already"))
                 return
--- a/thistleline/handover/state_machine.py
+++ b/thistleline/handover/state_machine.py
@@ -40,7 +40,7 @@
 from thistleline.durable.reducer import KeepingReducer
 from thistleline.durable.served_value import Worth
 from thistleline.interface import Task
-from thistleline.ledger.state import Book
+from thistleline.ledger.state import LedgerState
 from thistleline.state.state_machine import SECOND, Effect, Reducer
 from thistleline.state.tables import Connection, Run, Try
 
@@ -80,7 +80,7 @@
             self._try_to_hand()
             effects += self.effects
             self.effects = []
-            work = self.book.work(self.now + self.boot_ahead)  # what a thaw let go on
+            work = self.ledger.next_write(self.now + self.boot_ahead)  # what a thaw let go on
             if work is not None:
                 effects.append(("write", work))
         return effects
@@ -112,8 +112,8 @@
 
     def _try_to_hand(self) -> None:
         """Nothing is begun while it freezes; what was begun has to be written, then known at the agent."""
-        book = self.book
-        if book.work_out is not None or book.intents or book.outcomes or self.waiting:
+        ledger = self.ledger
+        if ledger.has_unwritten() or self.waiting:
             return
         if self.linked:
             if self.freeze_mark is None:
@@ -154,7 +154,7 @@
         self.effects.append(("hand", self.notice, runs, self._owned_beside(), False))
         # The ledger is another's: nothing more is written here.
         self.handed_numbers, self.numbers, self.named = self.numbers, {}, {}
-        self.book = Book(self.book.disk_bound, 0, self.now + self.boot_ahead, lambda _: None)
+        self.ledger = LedgerState(self.ledger.max_disk_bytes, 0, self.now + self.boot_ahead, lambda _: None)
         if self.linked:
             self._agent_lost("handed over")
         if not self.phases.leaving:
--- a/thistleline/lab/handoverworld.py
+++ b/thistleline/lab/handoverworld.py
@@ -14,7 +14,7 @@
 from thistleline.handover.state_machine import ELDER, Succeeding
 from thistleline.interface import Task
 from thistleline.lab.ledger import SETTINGS
-from thistleline.ledger.state import Work
+from thistleline.ledger.records import LedgerWrite
 from thistleline.state.phases import Phases
 from thistleline.wire.settings import read_bench
 
@@ -38,7 +38,7 @@
         self.heir: Life | None = None
         self.elder: Life | None = None
         self.wake = 0
-        self.writing: Work | None = None
+        self.writing: LedgerWrite | None = None
 
 
 class World:
@@ -144,7 +144,7 @@
         if to is not None:
             self.in_order((source.number, to.number), MS // 20, MS, lambda: self.take(to, kind, *told))
 
-    def write(self, life: Life, work: Work) -> None:
+    def write(self, life: Life, work: LedgerWrite) -> None:
         life.writing = work
 
         def durable() -> None:
@@ -157,13 +157,13 @@
                 self.take(life, "unrecorded", "the disk")
             else:
                 self.append(work)
-                for number in work.drops:
+                for number in work.obsolete_segments:
                     self.disk.pop(number, None)
                 self.take(life, "recorded")
 
         self.at(self.chance.randint(MS // 5, 4 * MS), durable)
 
-    def append(self, work: Work) -> None:
+    def append(self, work: LedgerWrite) -> None:
         self.disk.setdefault(work.segment, []).append(work.group)
 
     def die(self, life: Life) -> None:
@@ -239,14 +239,14 @@
         self.serve(life)
 
     def recover(self, life: Life) -> None:
-        book = life.reducer.book
-        book.reading_at(self.now)
+        ledger = life.reducer.ledger
+        ledger.advance_clock(self.now)
         for number in sorted(self.disk):
-            book.found_segment(number, 1000 * len(self.disk[number]))
+            ledger.recover_segment(number, 1000 * len(self.disk[number]))
             for group in self.disk[number]:
-                book.found(number, [0], True, group)
-        book.forget_expired()
-        self.take(life, "recovered", list(book.recovered()))
+                ledger.recover_group(number, [0], True, group)
+        ledger.forget_expired()
+        self.take(life, "recovered", list(ledger.recovered_effects()))
 
     def hand(self, life: Life, notice: int, runs: Any, owned: Any, again: bool) -> None:
         heir = life.heir
--- a/thistleline/lab/ledger.py
+++ b/thistleline/lab/ledger.py
@@ -26,8 +26,8 @@
 from thistleline.lab.harness import free_port
 from thistleline.ledger import format as ledger_format
 from thistleline.ledger.format import Intent, Outcome
-from thistleline.ledger.state import Book
-from thistleline.ledger.store import Store
+from thistleline.ledger.state import LedgerState
+from thistleline.ledger.store import LedgerStore
 from thistleline.store.clock import boot_now
 from thistleline.store.disk import Disk
 
@@ -287,19 +287,19 @@
     """Time, memory and bytes of so many entries with results of 64 bytes."""
     disk = Disk(folder)
     disk.hold()
-    store = Store(disk, ("booking",))
+    store = LedgerStore(disk, ("booking",))
     now, span = boot_now(), 3600 * 1_000_000_000
     disk.begin(1)
-    disk.append(ledger_format.head(store.stages, store.boot))
+    disk.append(ledger_format.encode_header(store.stages, store.boot))
     for first in range(0, entries, 1000):
         numbers = range(first + 1, min(first + 1000, entries) + 1)
         intents = [Intent(n, 0, n.to_bytes(16, "big"), now + span, span, b"%016x" % n) for n in numbers]
-        disk.append(ledger_format.frame(intents, [Outcome(n, 0, b"r" * 64) for n in numbers]))
+        disk.append(ledger_format.encode_frame(intents, [Outcome(n, 0, b"r" * 64) for n in numbers]))
     size = disk.segments()[0][1]
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
-    book = Book(1 << 40, 1 << 40, now, lambda number: None)
+    ledger = LedgerState(1 << 40, 1 << 40, now, lambda number: None)
     begun = time.perf_counter()
-    found = store.recover(book)
+    found = store.recover(ledger)
     took = time.perf_counter() - begun
     disk.release()
     return {
@@ -317,36 +317,36 @@
     50 ms after its start; a group goes out every 10 ms; there is no sync, as nobody is killed here."""
     disk = Disk(folder)
     disk.hold()
-    store, now = Store(disk, ("booking",), sync=False), boot_now()
-    book = Book(bound, 1 << 20, now, lambda number: b"r" * result)
+    store, now = LedgerStore(disk, ("booking",), sync=False), boot_now()
+    ledger = LedgerState(bound, 1 << 20, now, lambda number: b"r" * result)
     span, step = int(window * 1e9), 10_000_000
     running: deque[tuple[int, int]] = deque()
     started = most = refused = 0
     for turn in range(seconds * 100):
         now += step
         while running and running[0][0] <= now:
-            book.ended(now, running.popleft()[1], "finished", b"r" * result)
+            ledger.record_outcome(now, running.popleft()[1], "finished", b"r" * result)
         while started + refused < rate * turn // 100:
-            number = book.intend(now, 0, started.to_bytes(16, "big"), span, b"")
+            number = ledger.record_intent(now, 0, started.to_bytes(16, "big"), span, b"")
             if number is None:
                 refused += 1
             else:
                 started += 1
                 running.append((now + 5 * step, number))
-        work = book.work(now)
+        work = ledger.next_write(now)
         if work is not None:
             store.write(work)
-            book.done(now)
+            ledger.write_completed(now)
         if turn % 100 == 0:
             most = max(most, sum(size for _, size in disk.segments()))
     disk.release()
     return {
         "bookings": started,
         "refused": refused,
-        "results_left_out": book.dropped_results,
+        "results_left_out": ledger.dropped_results,
         "most_bytes": most,
         "bound": bound,
-        "effects_at_the_end": len(book.effects),
+        "effects_at_the_end": len(ledger.effects),
     }
 
 
--- a/thistleline/lab/server.py
+++ b/thistleline/lab/server.py
@@ -150,16 +150,16 @@
     LabDisk.fault = Faults.fault = fault
     setattr(ledger_writer, "Disk", LabDisk)  # noqa: B010
     if fault.get("sync") is False:
-        made = store.Store.__init__
-        setattr(store.Store, "__init__", lambda self, disk, names: made(self, disk, names, False))  # noqa: B010
+        made = store.LedgerStore.__init__
+        setattr(store.LedgerStore, "__init__", lambda self, disk, names: made(self, disk, names, False))  # noqa: B010
     if fault.get("keeps"):
         keep_right()
     if fault.get("figures"):
         setattr(service, "FIGURES_EVERY", float(fault["figures"]))  # noqa: B010
     if fault.get("each"):
-        from thistleline.ledger import state as book
+        from thistleline.ledger import state as ledger_state
 
-        book.GROUP_BOUND = 1
+        ledger_state.MAX_GROUP_RECORDS = 1
     named = os.environ.get("THISTLELINE_CONF")
     conf = read_conf(named) if named else None
     serves = LabAttended if conf is not None and conf.handover is not None else Faults
--- a/thistleline/ledger/state.py
+++ b/thistleline/ledger/state.py
@@ -1,389 +1,385 @@
-"""What the ledger decides: what is written when, what a found record means, what ages out, what is refused.
+"""The ledger's decisions: what is written when, what expires, and what is refused.
 
-No I/O and no clock. The book hands out one `Work` at a time; whoever writes it says `done` or `failed`.
-Times are boot times in nanoseconds (ledger/format.py).
+No I/O and no clock. `LedgerState` hands out one `LedgerWrite` at a time; whoever carries it out reports it by
+`write_completed` or `write_failed`. Times are boot times in nanoseconds (ledger/format.py).
 
-The promises that hold here:
+What holds:
 
-- An intent is durable once the work that carried it is done, and never because a later one is.
-- After a failed work nothing more goes to that segment: what a sync has failed for may be on disk or not,
-  and a later sync that succeeds says nothing of it. Its intents are refused, as nothing was started for
+- An intent is durable once the write that carried it is completed, and never because a later one is.
+- After a failed write nothing more goes to that segment: what a sync has failed for may be on disk or not,
+  and a later sync that succeeds says nothing about it. Its intents are refused, as nothing was started for
   them; its outcomes go again with the next segment.
-- Until when the end of an effect is awaited outlives a life, so that servers killed again and again still
-  come to say that it is in doubt.
-- An effect is known until its window has passed, by a clock that nobody sets; where the machine started
-  anew in between, and how long that took is unknown, for the whole window from the recovery on.
+- The deadline until which the end of an effect is awaited survives the incarnation that set it, so that a
+  server killed again and again still comes to declare the effect doubtful.
+- An effect is known until its window has passed, by a clock that nobody can set; where the machine rebooted
+  in between, and how long that took is unknown, for the whole window from the recovery on.
 """
 
 from collections.abc import Callable, Iterable
-from typing import Literal, NamedTuple
+from typing import Literal
 
+from thistleline.ledger.compaction import compacted_group, doubt_record
 from thistleline.ledger.format import (
-    DOUBT,
-    FRAME_COST,
-    HOW,
-    INTENT_COST,
-    OUTCOME_COST,
-    Group,
+    DOUBT_DEADLINE,
+    FRAME_OVERHEAD,
+    INTENT_SIZE,
+    OUTCOME_KINDS,
+    OUTCOME_SIZE,
     Intent,
     Outcome,
+    RecordGroup,
 )
+from thistleline.ledger.records import EffectRecord, LedgerWrite, RecoveredEffect, SegmentInfo
+from thistleline.ledger.recovery import EffectRecovery
 
-MS, SECOND = 1_000_000, 1_000_000_000
-GROUP_BOUND = 4096  # records in one group
-WAITING_BOUND = 16_384  # intents not yet durable; past it what would start is refused
-ROLL_PARTS = 8  # of the bound on disk, a segment
-RETRY_FIRST, RETRY_LAST = 100 * MS, 5 * SECOND  # after a failed write, doubled each time
-HEAD_COST = 512  # bytes, about
+MS = 1_000_000  # nanoseconds
+SECOND = 1_000_000_000  # nanoseconds
+MAX_GROUP_RECORDS = 4096  # intents, and as many outcomes, in one group
+MAX_PENDING_INTENTS = 16_384  # intents not yet durable; past it what would start is refused
+SEGMENTS_PER_DISK_LIMIT = 8  # a segment is closed once it takes this part of the disk limit
+FIRST_RETRY_BACKOFF = 100 * MS  # after a failed write; doubled each time
+MAX_RETRY_BACKOFF = 5 * SECOND
+HEADER_SIZE_ESTIMATE = 512  # bytes
 
-Phase = Literal["keeping", "failing", "full"]
+LedgerPhase = Literal[
+    "keeping", "failing", "full"
+]  # "keeping": it records; figures in the log have the value
 
 
-class Effect:
-    """One effect that may have run."""
+class LedgerState:
+    """All that one ledger knows and decides."""
 
-    __slots__ = ("doubt", "durable", "how", "intent", "result")
-
-    def __init__(self, intent: Intent) -> None:
-        self.intent = intent
-        self.durable = False
-        self.how: str | None = None
-        self.result = 0  # bytes of it
-        self.doubt: int | None = None  # until when its end is awaited, once all that its agent kept was read
-
-
-class Segment:
-    """What is known of one file."""
-
-    __slots__ = ("size", "until")
-
-    def __init__(self, size: int) -> None:
-        self.size = size
-        self.until = 0  # by then nothing in it matters any more
-
-
-class Work(NamedTuple):
-    """One write: to which segment, what, and which segments go once it is durable."""
-
-    segment: int
-    fresh: bool  # the segment is to be made
-    group: Group
-    drops: tuple[int, ...]
-    compaction: bool
-
-
-class Found(NamedTuple):
-    """An effect of an earlier life that still matters."""
-
-    number: int
-    stage: int
-    digest: bytes
-    id: bytes
-    left: int  # of its time
-    how: str | None  # none: it may have run, or run still
-    result: bytes | None
-    doubt: int | None  # until when an earlier life would have awaited its end, boot time
-
-
-class Book:
     def __init__(
-        self, disk_bound: int, results_bound: int, now: int, results: Callable[[int], bytes | None]
+        self,
+        max_disk_bytes: int,
+        max_result_bytes: int,
+        now: int,
+        stored_result: Callable[[int], bytes | None],
     ) -> None:
-        """`disk_bound` and `results_bound` in bytes; `results` tells the result of an effect where it is
-        still kept, for compaction."""
-        self.disk_bound, self.results_bound, self.now = disk_bound, results_bound, now
-        self.results = results
-        self.phase: Phase = "keeping"
-        self.effects: dict[int, Effect] = {}
-        self.unended: set[int] = set()  # of these: their outcome is still to be written
-        self.segments: dict[int, Segment] = {}
-        self.current: int | None = None  # where the next work goes; none: to a new one
-        self.numbers = self.segment_numbers = 0
-        self.intents: list[Intent] = []
-        self.outcomes: list[Outcome] = []
-        self.outcomes_size = 0  # bytes of them; guards against adding up at each intent what waits
-        self.work_out: Work | None = None
-        self.retry_at, self.retry_wait = 0, RETRY_FIRST
-        self.refusals = self.failures = self.compactions = self.dropped_results = 0
-        self.found_results: dict[int, bytes] = {}
-        self.found_size = 0
-
-    # ---- what the server tells
-
-    def intend(self, now: int, stage: int, digest: bytes, span: int, id: bytes) -> int | None:
-        """The number of an effect that wants to start, which may once it is durable; none: refused."""
-        self._at(now)
-        if self.phase != "keeping" or len(self.intents) >= WAITING_BOUND:
+        """Start with an empty ledger.
+
+        Args:
+            max_disk_bytes: Limit of all segments together.
+            max_result_bytes: Limit of the results retained in memory during recovery.
+            now: Boot time in ns.
+            stored_result: Returns the result of an effect where it is still in memory, for compaction.
+        """
+        self.max_disk_bytes = max_disk_bytes
+        self.now = now
+        self.stored_result = stored_result
+        self.phase: LedgerPhase = "keeping"
+        self.effects: dict[int, EffectRecord] = {}
+        self.unfinished: set[int] = set()  # effects whose outcome is still to be recorded
+        self.last_effect_number = 0
+        self.recovery = EffectRecovery(self.effects, max_result_bytes)
+
+        self.segments: dict[int, SegmentInfo] = {}
+        self.current_segment: int | None = None  # where the next write goes; None: to a new segment
+        self.last_segment_number = 0
+
+        self.pending_intents: list[Intent] = []
+        self.pending_outcomes: list[Outcome] = []
+        self.pending_outcomes_size = 0  # bytes; a running total, so that no intent has to add them up
+        self.outstanding_write: LedgerWrite | None = None
+        self.retry_at = 0
+        self.retry_backoff = FIRST_RETRY_BACKOFF
+
+        self.refusals = 0
+        self.write_failures = 0
+        self.compactions = 0
+        self.dropped_results = 0
+
+    # ---- inputs from the server
+
+    def record_intent(
+        self, now: int, stage: int, digest: bytes, lifetime: int, attempt_id: bytes
+    ) -> int | None:
+        """Record that an effect wants to start; it may once the intent is durable.
+
+        Args:
+            now: Boot time in ns.
+            stage: Place of the stage.
+            digest: 16 bytes of idempotency key and body.
+            lifetime: Nanoseconds for which the effect must be known.
+            attempt_id: Id of the attempt as the agent knows it; 16 bytes of it are recorded.
+
+        Returns:
+            The effect's number, or None if it is refused.
+        """
+        self.advance_clock(now)
+        if self.phase != "keeping" or len(self.pending_intents) >= MAX_PENDING_INTENTS:
             self.refusals += 1
             return None
-        if self.size() + self._waiting() + INTENT_COST + OUTCOME_COST > self.disk_bound - HEAD_COST:
-            self._refuse_full()
+        if not self._has_room(INTENT_SIZE + OUTCOME_SIZE):
+            self.refusals += 1
+            self.phase = "full"
             return None
-        self.numbers += 1
-        intent = Intent(self.numbers, stage, digest, self.now + span, span, id[:16])
-        self.effects[intent.number] = Effect(intent)
-        self.intents.append(intent)
-        self.unended.add(intent.number)
-        return intent.number
-
-    def ended(self, now: int, number: int, how: str, result: bytes) -> None:
-        """How an effect ended. Past the bound on disk its result is left out, its key stays."""
-        self._at(now)
-        self.unended.discard(number)
+        self.last_effect_number += 1
+        number = self.last_effect_number
+        intent = Intent(number, stage, digest, self.now + lifetime, lifetime, attempt_id[:16])
+        self.effects[number] = EffectRecord(intent)
+        self.pending_intents.append(intent)
+        self.unfinished.add(number)
+        return number
+
+    def record_outcome(self, now: int, number: int, outcome: str, result: bytes) -> None:
+        """Record how an effect ended; near the disk limit its result is left out, its key stays."""
+        self.advance_clock(now)
+        self.unfinished.discard(number)
         effect = self.effects.get(number)
         if effect is None:
-            return  # past its window
-        if self.size() + self._waiting() + OUTCOME_COST + len(result) > self.disk_bound - HEAD_COST:
-            result, self.dropped_results = b"", self.dropped_results + bool(result)
-        effect.how, effect.result = how, len(result)
-        self._tell(Outcome(number, HOW.index(how), result))
-        if how == "moot":
+            return  # its window has passed
+        if not self._has_room(OUTCOME_SIZE + len(result)):
+            if result:
+                self.dropped_results += 1
+            result = b""
+        effect.outcome = outcome
+        effect.result_size = len(result)
+        self._enqueue_outcome(Outcome(number, OUTCOME_KINDS.index(outcome), result))
+        if outcome == "moot":
             del self.effects[number]
 
-    def doubts(self, now: int, number: int, until: int) -> None:
-        """An effect of an earlier life whose end is awaited until then. Without room it is not written: the
-        next life awaits it anew."""
-        self._at(now)
+    def record_doubt(self, now: int, number: int, deadline: int) -> None:
+        """Record until when the end of an effect of an earlier incarnation is awaited, boot time in ns.
+
+        Without room on disk it is not written, and the next incarnation sets a deadline of its own.
+        """
+        self.advance_clock(now)
         effect = self.effects.get(number)
-        if effect is None or effect.how is not None:
+        if effect is None or effect.outcome is not None:
             return
-        effect.doubt = until
-        if self.size() + self._waiting() + OUTCOME_COST + DOUBT.size <= self.disk_bound - HEAD_COST:
-            self._tell(Outcome(number, HOW.index("doubtful"), DOUBT.pack(until)))
+        effect.doubt_deadline = deadline
+        if self._has_room(OUTCOME_SIZE + DOUBT_DEADLINE.size):
+            self._enqueue_outcome(doubt_record(number, deadline))
 
-    def _tell(self, outcome: Outcome) -> None:
-        self.outcomes.append(outcome)
-        self.outcomes_size += OUTCOME_COST + len(outcome.result)
+    def advance_clock(self, now: int) -> None:
+        """Advance to boot time `now` in ns; never back.
+
+        Called before records of another program are read: those written since this state was made would
+        otherwise seem to lie in the future, and be forgotten too early.
+        """
+        self.now = max(self.now, now)
+        if self.phase == "full" and not self._is_nearly_full():
+            self.phase = "keeping"
 
     # ---- the writer's side
 
-    def work(self, now: int) -> Work | None:
-        """What is to be written now; none while one is out, nothing waits, or a failure is too fresh."""
-        self._at(now)
-        if self.work_out is not None or (self.phase == "failing" and self.now < self.retry_at):
+    def next_write(self, now: int) -> LedgerWrite | None:
+        """Return what is to be written now.
+
+        None while a write is outstanding, nothing is pending, or the backoff after a failure runs.
+        """
+        self.advance_clock(now)
+        if self.outstanding_write is not None or (self.phase == "failing" and self.now < self.retry_at):
             return None
-        drops = self._expired()
-        compaction = self._worth_compacting()
-        if not (self.intents or self.outcomes or drops or compaction or self.phase == "failing"):
+        obsolete = self._drop_expired()
+        compacts = self._should_compact()
+        pending = self.pending_intents or self.pending_outcomes
+        if not (pending or obsolete or compacts or self.phase == "failing"):
             return None
-        if compaction:
+        if compacts:
             self.compactions += 1
-            group, drops = self._compacted(), tuple(self.segments)
+            group = compacted_group(self.effects, self.max_disk_bytes // 4, self.stored_result)
+            obsolete = tuple(self.segments)
         else:
-            group = Group(self.intents[:GROUP_BOUND], self.outcomes[:GROUP_BOUND])
-            del self.intents[:GROUP_BOUND], self.outcomes[:GROUP_BOUND]
-            self.outcomes_size -= _outcomes_cost(group)
-        current = self.segments.get(self.current) if self.current is not None else None
-        fresh = current is None or compaction or current.size > self.disk_bound // ROLL_PARTS
-        if fresh:
-            self.segment_numbers += 1
-            self.current = self.segment_numbers
-            self.segments[self.current] = Segment(HEAD_COST)
-        assert self.current is not None
-        segment = self.segments[self.current]
-        segment.size += 2 * FRAME_COST + _cost(group)  # intents and outcomes have a frame each
-        for number in (*(one.number for one in group.intents), *(one.number for one in group.outcomes)):
-            effect = self.effects.get(number)
-            if effect is not None:
-                segment.until = max(segment.until, effect.intent.until)
-        self.work_out = Work(self.current, fresh, group, drops, compaction)
-        return self.work_out
-
-    def done(self, now: int) -> list[int]:
-        """The work is durable, and what it drops is gone: the numbers that may start now."""
-        self._at(now)
-        work, self.work_out = self.work_out, None
-        assert work is not None
-        for segment in work.drops:
+            group = self._take_pending()
+        creates_segment = compacts or self._needs_new_segment()
+        if creates_segment:
+            self._open_segment()
+        assert self.current_segment is not None
+        self._account(self.segments[self.current_segment], group)
+        write = LedgerWrite(self.current_segment, creates_segment, group, obsolete, compacts)
+        self.outstanding_write = write
+        return write
+
+    def write_completed(self, now: int) -> list[int]:
+        """Note that the outstanding write is durable and its obsolete segments are gone.
+
+        Returns:
+            The numbers of the effects that may start now.
+        """
+        self.advance_clock(now)
+        write = self._take_outstanding()
+        for segment in write.obsolete_segments:
             self.segments.pop(segment, None)
-        self.phase, self.retry_wait = "keeping", RETRY_FIRST
+        self.phase = "keeping"
+        self.retry_backoff = FIRST_RETRY_BACKOFF
         ready = []
-        for intent in work.group.intents:
+        for intent in write.group.intents:
             effect = self.effects.get(intent.number)
             if effect is not None and not effect.durable:
                 effect.durable = True
                 ready.append(intent.number)
         return ready
 
-    def failed(self, now: int) -> list[int]:
-        """The work may or may not be on disk: the numbers that must not start."""
-        self._at(now)
-        work, self.work_out = self.work_out, None
-        assert work is not None
-        self.failures += 1
-        self.phase, self.current = "failing", None
-        if work.fresh:
-            del self.segments[work.segment]  # nothing in it counts; what is left of it goes at the next start
-        self.retry_at = self.now + self.retry_wait
-        self.retry_wait = min(RETRY_LAST, 2 * self.retry_wait)
-        refused = [one.number for one in (*work.group.intents, *self.intents) if self._unstarted(one.number)]
-        self.intents.clear()
-        if not work.compaction:
-            self.outcomes = [*work.group.outcomes, *self.outcomes]
-            self.outcomes_size += _outcomes_cost(work.group)
+    def write_failed(self, now: int) -> list[int]:
+        """Note that the outstanding write may or may not be on disk.
+
+        Returns:
+            The numbers of the effects that must not start.
+        """
+        self.advance_clock(now)
+        write = self._take_outstanding()
+        self.write_failures += 1
+        self.phase = "failing"
+        self.current_segment = None
+        if write.creates_segment:
+            del self.segments[
+                write.segment
+            ]  # nothing in it counts; what is left of it goes at the next start
+        self.retry_at = self.now + self.retry_backoff
+        self.retry_backoff = min(MAX_RETRY_BACKOFF, 2 * self.retry_backoff)
+        unwritten = [*write.group.intents, *self.pending_intents]
+        refused = [intent.number for intent in unwritten if self._is_unstarted(intent.number)]
+        self.pending_intents.clear()
+        if not write.is_compaction:
+            self.pending_outcomes = [*write.group.outcomes, *self.pending_outcomes]
+            self.pending_outcomes_size += write.group.outcomes_size()
         for number in refused:
-            # Its intent may stand on disk: told to be moot, lest a later life takes it for one that ran.
+            # The intent may be on disk: recorded as moot, lest a later incarnation takes it for one that ran.
             del self.effects[number]
-            self.unended.discard(number)
-            self._tell(Outcome(number, HOW.index("moot"), b""))
+            self.unfinished.discard(number)
+            self._enqueue_outcome(Outcome(number, OUTCOME_KINDS.index("moot"), b""))
         return refused
 
-    def due(self) -> int | None:
-        """When `work` may have something next, if nothing is told till then."""
-        if self.work_out is not None:
+    def next_deadline(self) -> int | None:
+        """Return the boot time in ns at which `next_write` may have something without further input."""
+        if self.outstanding_write is not None:
             return None
         if self.phase == "failing":
             return self.retry_at
         return min(
-            (held.until for number, held in self.segments.items() if number != self.current), default=None
+            (
+                segment.expires_at
+                for number, segment in self.segments.items()
+                if number != self.current_segment
+            ),
+            default=None,
         )
 
-    # ---- recovery
+    def has_unwritten(self) -> bool:
+        """Return whether a write is outstanding or any record is pending."""
+        return bool(self.outstanding_write is not None or self.pending_intents or self.pending_outcomes)
 
-    def reading_at(self, now: int) -> None:
-        """What is found from here on may have been written till then. Guards what another program wrote
-        since this book was made against being taken for a time that can't be, and so forgotten too early."""
-        self._at(now)
+    # ---- recovery
 
-    def found_segment(self, number: int, size: int) -> None:
-        """Also of one that has grown since it was read."""
+    def recover_segment(self, number: int, size: int) -> None:
+        """Note a segment that exists, or that has grown to `size` bytes since it was read."""
         if number in self.segments:
             self.segments[number].size = size
         else:
-            self.segments[number] = Segment(size)
-        self.segment_numbers = max(self.segment_numbers, number)
-
-    def lost_segments(self, there: set[int]) -> None:
-        """All others are gone: what mattered in them stands in these."""
-        self.segments = {number: held for number, held in self.segments.items() if number in there}
-
-    def found(self, segment: int, stages: list[int | None], same_boot: bool, group: Group) -> None:
-        """A group as it was read, segments in the order of their numbers. `stages`: the place here of each
-        stage of the segment, none where it is gone: nothing can repeat what belonged to it."""
-        held, now, effects = self.segments[segment], self.now, self.effects
-        latest, known_stages = held.until, len(stages)
-        for intent in group.intents:
-            number, at, _, until, span, _ = intent
-            stage = stages[at] if at < known_stages else None
-            if not same_boot or until > now + span:
-                until = now + span
-            if stage is None or until <= now:
-                continue
-            if until > latest:
-                latest = until
-            if number not in effects:  # else a copy, and its outcome known
-                if stage != at or until != intent[3]:
-                    intent = intent._replace(stage=stage, until=until)
-                effect = effects[number] = Effect(intent)
-                effect.durable = True
-        held.until = latest
-        self.numbers = max(self.numbers, max((one.number for one in group.intents), default=0))
-        for number, how, result in group.outcomes:
-            known = effects.get(number)
-            if known is None:
-                continue
-            if HOW[how] == "moot":
-                del effects[number]
-                continue
-            held.until = max(held.until, known.intent.until)
-            if HOW[how] == "doubtful":
-                if same_boot and known.how is None and len(result) == DOUBT.size:
-                    (known.doubt,) = DOUBT.unpack(result)
-                continue
-            known.how, known.result = HOW[how], len(result)
-            if len(result):
-                self._found_result(number, bytes(result))
-
-    def _found_result(self, number: int, result: bytes) -> None:
-        """Guards the memory: of what was found the oldest results go."""
-        self.found_size += len(result) - len(self.found_results.pop(number, b""))
-        self.found_results[number] = result
-        while self.found_size > self.results_bound:
-            self.found_size -= len(self.found_results.pop(next(iter(self.found_results))))
-
-    def recovered(self) -> Iterable[Found]:
-        """All that still matters, once every segment was read; to be taken once."""
-        results, self.found_results, self.found_size = self.found_results, {}, 0
-        for number, effect in self.effects.items():
-            intent = effect.intent
-            left = intent.until - self.now
-            yield Found(number, intent.stage, intent.digest, intent.id.rstrip(b"\0"), left, effect.how,
-                        results.pop(number, None), effect.doubt)  # fmt: skip
-
-    # ---- bounds
-
-    def size(self) -> int:
-        """Bytes on disk."""
+            self.segments[number] = SegmentInfo(size)
+        self.last_segment_number = max(self.last_segment_number, number)
+
+    def recover_group(
+        self, segment: int, stages: list[int | None], same_boot: bool, group: RecordGroup
+    ) -> None:
+        """Take up a group that was read back; segments come in the order of their numbers.
+
+        Args:
+            segment: Number of the segment that holds the group.
+            stages: The place here of each stage of the segment; None where the stage no longer exists.
+            same_boot: Whether the segment's times count in this boot of the machine.
+            group: The records.
+        """
+        self.recovery.merge_group(self.now, self.segments[segment], stages, same_boot, group)
+        largest = max((intent.number for intent in group.intents), default=0)
+        self.last_effect_number = max(self.last_effect_number, largest)
+
+    def retain_segments(self, numbers: set[int]) -> None:
+        """Forget all segments but these: the others are gone, and what mattered in them stands in these."""
+        self.segments = {number: info for number, info in self.segments.items() if number in numbers}
+
+    def recovered_effects(self) -> Iterable[RecoveredEffect]:
+        """Yield every effect that still matters, once all segments were read; to be called once."""
+        return self.recovery.take_effects(self.now)
+
+    def forget_expired(self) -> None:
+        """Forget the durable effects whose window has passed."""
+        expired = [number for number, effect in self.effects.items() if effect.intent.expires_at <= self.now]
+        for number in expired:
+            if self.effects[number].durable:
+                del self.effects[number]
+                self.unfinished.discard(number)
+
+    # ---- limits
+
+    def disk_size(self) -> int:
+        """Return the bytes of all segments."""
         return sum(segment.size for segment in self.segments.values())
 
-    def _waiting(self) -> int:
-        """Bytes that are promised: what waits, and an outcome for each effect that has none."""
+    def _reserved_size(self) -> int:
+        """Return the bytes already promised: pending records, and an outcome for each unfinished effect."""
         return (
-            len(self.intents) * (INTENT_COST + OUTCOME_COST)
-            + self.outcomes_size
-            + len(self.unended) * (OUTCOME_COST + FRAME_COST)  # each may go out alone
-            + 2 * FRAME_COST
+            len(self.pending_intents) * (INTENT_SIZE + OUTCOME_SIZE)
+            + self.pending_outcomes_size
+            + len(self.unfinished) * (OUTCOME_SIZE + FRAME_OVERHEAD)  # each may go out alone
+            + 2 * FRAME_OVERHEAD
         )
 
-    def _at(self, now: int) -> None:
-        self.now = max(self.now, now)
-        if self.phase == "full" and self.size() + self._waiting() < self.disk_bound * 3 // 4:
-            self.phase = "keeping"
+    def _has_room(self, size: int) -> bool:
+        limit = self.max_disk_bytes - HEADER_SIZE_ESTIMATE
+        return self.disk_size() + self._reserved_size() + size <= limit
 
-    def _refuse_full(self) -> None:
-        self.refusals += 1
-        self.phase = "full"
+    def _is_nearly_full(self) -> bool:
+        return self.disk_size() + self._reserved_size() >= self.max_disk_bytes * 3 // 4
 
-    def _unstarted(self, number: int) -> bool:
+    def _should_compact(self) -> bool:
+        """Return whether the disk limit is near while most of what is there no longer matters."""
+        if self.phase == "failing" or not self._is_nearly_full():
+            return False
+        return len(self.effects) * (INTENT_SIZE + OUTCOME_SIZE) < self.max_disk_bytes // 4
+
+    # ---- steps
+
+    def _enqueue_outcome(self, outcome: Outcome) -> None:
+        self.pending_outcomes.append(outcome)
+        self.pending_outcomes_size += OUTCOME_SIZE + len(outcome.result)
+
+    def _take_pending(self) -> RecordGroup:
+        group = RecordGroup(
+            self.pending_intents[:MAX_GROUP_RECORDS], self.pending_outcomes[:MAX_GROUP_RECORDS]
+        )
+        del self.pending_intents[:MAX_GROUP_RECORDS]
+        del self.pending_outcomes[:MAX_GROUP_RECORDS]
+        self.pending_outcomes_size -= group.outcomes_size()
+        return group
+
+    def _take_outstanding(self) -> LedgerWrite:
+        write = self.outstanding_write
+        assert write is not None
+        self.outstanding_write = None
+        return write
+
+    def _needs_new_segment(self) -> bool:
+        current = None if self.current_segment is None else self.segments.get(self.current_segment)
+        return current is None or current.size > self.max_disk_bytes // SEGMENTS_PER_DISK_LIMIT
+
+    def _open_segment(self) -> None:
+        self.last_segment_number += 1
+        self.current_segment = self.last_segment_number
+        self.segments[self.current_segment] = SegmentInfo(HEADER_SIZE_ESTIMATE)
+
+    def _account(self, segment: SegmentInfo, group: RecordGroup) -> None:
+        """Add a group's size and expiry to its segment."""
+        segment.size += 2 * FRAME_OVERHEAD + group.size()  # intents and outcomes have a frame each
+        for records in (group.intents, group.outcomes):
+            for record in records:
+                effect = self.effects.get(record.number)
+                if effect is not None:
+                    segment.expires_at = max(segment.expires_at, effect.intent.expires_at)
+
+    def _is_unstarted(self, number: int) -> bool:
         effect = self.effects.get(number)
         return effect is not None and not effect.durable
 
-    def _expired(self) -> tuple[int, ...]:
-        """Segments in which nothing matters any more; with them go their effects."""
-        gone = tuple(
+    def _drop_expired(self) -> tuple[int, ...]:
+        """Return the segments in which nothing matters any more, forgetting their effects."""
+        expired = tuple(
             number
-            for number, held in self.segments.items()
-            if held.until <= self.now and number != self.current
+            for number, segment in self.segments.items()
+            if segment.expires_at <= self.now and number != self.current_segment
         )
-        if gone:
+        if expired:
             self.forget_expired()
-        return gone
-
-    def forget_expired(self) -> None:
-        past = [number for number, effect in self.effects.items() if effect.intent.until <= self.now]
-        for number in past:
-            if self.effects[number].durable:
-                del self.effects[number]
-                self.unended.discard(number)
-
-    def _worth_compacting(self) -> bool:
-        """Near the bound, with half of it for nothing."""
-        if self.phase == "failing" or self.size() + self._waiting() < self.disk_bound * 3 // 4:
-            return False
-        return len(self.effects) * (INTENT_COST + OUTCOME_COST) < self.disk_bound // 4
-
-    def _compacted(self) -> Group:
-        """All that matters, with as many of the newest results as a quarter of the bound takes."""
-        room = self.disk_bound // 4
-        intents, outcomes = [], []
-        for number, effect in reversed(self.effects.items()):
-            if not effect.durable:
-                continue
-            intents.append(effect.intent)
-            if effect.how is not None:
-                result = (self.results(number) or b"") if effect.result <= room else b""
-                room -= len(result)
-                effect.result = len(result)
-                outcomes.append(Outcome(number, HOW.index(effect.how), result))
-            elif effect.doubt is not None:
-                outcomes.append(Outcome(number, HOW.index("doubtful"), DOUBT.pack(effect.doubt)))
-        return Group(intents[::-1], outcomes[::-1])
-
-
-def _cost(group: Group) -> int:
-    return len(group.intents) * INTENT_COST + _outcomes_cost(group)
-
-
-def _outcomes_cost(group: Group) -> int:
-    results = sum(len(outcome.result) for outcome in group.outcomes)
-    return len(group.outcomes) * OUTCOME_COST + results
+        return expired
