--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -543,7 +543,7 @@
         ("life.service", "_descriptors", "ValueError"),
         ("memory.reducer", "Reducer._round", "ZeroDivisionError"),
         ("memory.reducer", "Reducer._sweep", "KeyError"),
-        ("wire.thrift", "Stubs.messages", "IndexError"),
+        ("wire.requests", "ClientCodec.decode_requests", "IndexError"),
         ("policy", "Policy._sense", "ZeroDivisionError"),
     ],
 )
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -26,7 +26,7 @@
 from thistleline.lab.scale.tenants import bench_of, born, policy_of, steps_of_task, tick, weighings
 from thistleline.policy import SECOND, TICK, WINDOW, Policy
 from thistleline.supervisor.settings import unfit_settings
-from thistleline.wire.settings import read_bench
+from thistleline.wire.settings import read_server_settings
 
 SIZES = (10, 30, 100, 300)
 SQUARE_BY_STAGE = [("tenant", "tenants", "linear"), ("stage", "routes", "square")]
@@ -202,7 +202,7 @@
 @pytest.mark.parametrize(("per", "at"), [("tenant", "tenants"), ("stage", "routes")])
 def test_reading_settings_grows_no_faster_than_they_do(per: str, at: str) -> None:
     told = [json.loads(text_of(3, n, 1) if per == "tenant" else text_of(n, 3, 1)) for n in SIZES]
-    values = [steps_of(lambda one=one: read_bench(one)) for one in told]  # type: ignore[misc]
+    values = [steps_of(lambda one=one: read_server_settings(one)) for one in told]  # type: ignore[misc]
     held_to("read_bench", "linear", SIZES, values, at)
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -25,7 +25,7 @@
 from thistleline.interface import Bench
 from thistleline.policy import SECOND
 from thistleline.server.configuration import Configuration, read_configuration
-from thistleline.wire.settings import Malformed
+from thistleline.wire.settings import SettingsError
 
 # Keys without which nothing can be decided; all others may be left out.
 DEMANDED = {
@@ -178,7 +178,7 @@
     bench, line = None, ""
     try:
         bench = read(told).bench
-    except Malformed as error:
+    except SettingsError as error:
         line = str(error)
     if bench is None:
         assert len(line.splitlines()) == 1
@@ -190,7 +190,7 @@
 def test_what_can_not_be_left_out_is_named(path: tuple[Any, ...]) -> None:
     told = copy.deepcopy(TOLD)
     put(told, path, put)
-    with pytest.raises(Malformed, match=repr(path[-1])):
+    with pytest.raises(SettingsError, match=repr(path[-1])):
         read(told)
 
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -10,7 +10,7 @@
 from tests.host import BOOKING, LOOKUP, ORDER, FakeHost, owners, stage
 from thistleline.bench_adapter.adapter import main, seconds
 from thistleline.policy import BUCKETS, MS, SECOND
-from thistleline.wire.settings import nanos
+from thistleline.wire.durations import parse_seconds
 
 FINAL = {"reject", "abandon"}
 
@@ -500,8 +500,8 @@
 
 @pytest.mark.parametrize(("text", "whole"), [("8.41225", 8_412_250_000), ("0", 0), ("1", SECOND)])
 def test_times_are_exact(text: str, whole: int) -> None:
-    assert nanos(text) == whole
-    assert nanos(seconds(whole)) == whole
+    assert parse_seconds(text) == whole
+    assert parse_seconds(seconds(whole)) == whole
 
 
 @pytest.mark.parametrize(
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,5 +1,6 @@
 """What is spoken: against an independent codec, in any pieces, and with all that may come wrong."""
 
+import dataclasses
 import json
 import os
 import random
@@ -16,16 +17,39 @@
 from thistleline.server.clock import Clock
 from thistleline.server.configuration import read_configuration
 from thistleline.server.log import LINES_BOUND, Log
-from thistleline.wire import agent, announce, thrift
+from thistleline.wire import agent, announce, responses
+from thistleline.wire import requests as wire_requests
+from thistleline.wire.agent import (
+    AgentGreeting,
+    CommandRefused,
+    DeepCheckEnded,
+    GaugesSampled,
+    Remark,
+    RunEnded,
+    UnknownNotice,
+)
 from thistleline.wire.buffer import Buffer
-from thistleline.wire.settings import Malformed, read_bench
+from thistleline.wire.errors import MalformedMessageError
+from thistleline.wire.lines import BUFFER_SIZE
+from thistleline.wire.requests import ClientCodec, HealthRequest, MalformedRequest, TaskRequest
+from thistleline.wire.settings import SettingsError, read_server_settings
+
+CODEC = ClientCodec(read_server_settings(SETTINGS))
 
-STUBS = thrift.Stubs(read_bench(SETTINGS))
+
+def copied(message: Any) -> Any:
+    """The message with slices of its buffer copied, as the buffer goes on."""
+    slices = {
+        field.name: bytes(getattr(message, field.name))
+        for field in dataclasses.fields(message)
+        if isinstance(getattr(message, field.name), memoryview)
+    }
+    return dataclasses.replace(message, **slices)
 
 
-def fed(pieces: list[bytes], size: int = thrift.BUFFER_BOUND) -> list[tuple[Any, ...]]:
-    """What comes out of a buffer filled piece by piece; slices are copied, as the buffer goes on."""
-    buffer, told = Buffer(size), []
+def fed(pieces: list[bytes], size: int = wire_requests.BUFFER_SIZE) -> list[Any]:
+    """What comes out of a buffer filled piece by piece."""
+    buffer, told = Buffer(size), list[Any]()
     for piece in pieces:
         while piece:
             room = buffer.room()
@@ -33,49 +57,56 @@
             room[:count] = piece[:count]
             buffer.filled(count)
             piece = piece[count:]
-            for message in STUBS.messages(buffer):
-                told.append(tuple(bytes(part) if isinstance(part, memoryview) else part for part in message))
+            told += [copied(message) for message in CODEC.decode_requests(buffer)]
     return told
 
 
 def test_a_task_is_read_from_an_independent_codec() -> None:
     body = bytes(range(256)) * 8
     told = words(9, since="1764576000123", dup="1", novel="passed over")
-    [(kind, seq, task, word, read)] = fed([process(3, told, body)])
-    assert (kind, seq, word, read) == ("task", 3, "7f3a9c21e0b4d655", body)
+    [request] = fed([process(3, told, body)])
+    task = request.task
+    assert request == TaskRequest(3, task, "7f3a9c21e0b4d655", body)  # type: ignore[arg-type]
     assert (task.id, task.stage, task.owner, task.caller) == ("0000000000000009", 0, 0, 2)
     assert (task.work, task.held_kb, task.rank, task.again) == (12_500_000, 24.5, 0.625, True)
     assert (task.reached, task.user) == (1764576000123 * MS, 0x7F3A9C21E0B4D655)
-    [(_, _, task, word, _)] = fed([process(4, booking(1, "5c0f", effort=None))])
-    assert (task.stage, task.work, task.user, word, task.again) == (1, None, None, "5c0f", False)
+    [request] = fed([process(4, booking(1, "5c0f", effort=None))])
+    task = request.task
+    assert (task.stage, task.work, task.user, task.again) == (1, None, None, False)
+    assert request.retry_key == "5c0f"
 
 
 def test_answers_are_read_by_an_independent_codec() -> None:
     body = bytes(range(256)) * 16
-    assert answered(thrift.finished(7, body, 0.25)[4:]) == (
+    assert answered(responses.encode_finished(7, body, 0.25)[4:]) == (
         "process",
         TMessageType.REPLY,
         7,
         {0: {1: body, 2: {"pressure": "0.250000"}, 3: True}},
     )
-    assert answered(thrift.rejected(8, True, 1_500_001, 1.0)[4:])[3] == {
+    assert answered(responses.encode_rejected(8, True, 1_500_001, 1.0)[4:])[3] == {
         1: {1: {"pressure": "1.000000", "cooldown": "2", "nowhere": "1"}}
     }
-    assert answered(thrift.rejected(8, False, 0, None)[4:])[3] == {1: {1: {}}}
-    assert answered(thrift.abandoned(9, None)[4:])[3] == {2: {1: {}}}
-    assert answered(thrift.health(1, False, 0.5)[4:])[::3] == (
+    assert answered(responses.encode_rejected(8, False, 0, None)[4:])[3] == {1: {1: {}}}
+    assert answered(responses.encode_abandoned(9, None)[4:])[3] == {2: {1: {}}}
+    assert answered(responses.encode_health(1, False, 0.5)[4:])[::3] == (
         "probe",
         {0: {1: b"", 2: {"pressure": "0.500000"}, 3: False}},
     )
-    method, kind, seq, fields = answered(thrift.misunderstood(5, b"process", "not so")[4:])
+    method, kind, seq, fields = answered(responses.encode_exception(5, b"process", "not so")[4:])
     assert (method, kind, seq, fields[1]) == ("process", TMessageType.EXCEPTION, 5, b"not so")
-    assert answered(thrift.dismiss()[4:]) == ("farewell", TMessageType.ONEWAY, 0, {})
+    assert answered(responses.encode_farewell()[4:]) == ("farewell", TMessageType.ONEWAY, 0, {})
 
 
 def test_frames_come_in_any_pieces() -> None:
     stream = process(1, words(1)) + probe(2, True) + process(3, booking(2, "mark"), b"") + probe(4, False)
     whole = fed([stream])
-    assert [message[:2] for message in whole] == [("task", 1), ("check", 2), ("task", 3), ("check", 4)]
+    assert [(type(message), message.sequence) for message in whole] == [
+        (TaskRequest, 1),
+        (HealthRequest, 2),
+        (TaskRequest, 3),
+        (HealthRequest, 4),
+    ]
     for cut in range(len(stream)):
         assert fed([stream[:cut], stream[cut:]]) == whole
     assert fed([stream[place : place + 1] for place in range(len(stream))]) == whole
@@ -126,9 +157,9 @@
 )
 def test_what_is_malformed_is_told_with_its_number_where_it_has_one(sent: bytes, seq: int | None) -> None:
     first = fed([sent + probe(6, False)])
-    assert first[0][:2] == ("malformed", seq)
+    assert (type(first[0]), first[0].sequence) == (MalformedRequest, seq)
     if seq is not None:
-        assert first[1:] == [("check", 6, False)]
+        assert first[1:] == [HealthRequest(6, False)]
         assert fed([sent[place : place + 1] for place in range(len(sent))]) == first[:1]
 
 
@@ -140,19 +171,23 @@
         for _ in range(chance.randint(1, 6)):
             noisy[chance.randrange(len(noisy))] = chance.randrange(256)
         for message in fed([bytes(noisy)]):
-            assert message[0] in ("task", "check", "malformed")
+            assert isinstance(message, TaskRequest | HealthRequest | MalformedRequest)
 
 
-def heard(pieces: list[bytes]) -> list[tuple[Any, ...]]:
-    buffer, told = Buffer(agent.BUFFER_BOUND), []
+def heard(pieces: list[bytes]) -> list[Any]:
+    buffer, told = Buffer(BUFFER_SIZE), list[Any]()
     for piece in pieces:
         buffer.room()[: len(piece)] = piece
         buffer.filled(len(piece))
-        for notice in agent.notices(buffer):
-            told.append(tuple(bytes(part) if isinstance(part, memoryview) else part for part in notice))
+        told += [copied(notice) for notice in agent.decode_notices(buffer)]
     return told
 
 
+def run_ended(number: int, task_id: str, outcome: str, duration: int, result: bytes) -> RunEnded:
+    """A notice as `heard` copies it."""
+    return RunEnded(number, task_id, outcome, duration, result)  # type: ignore[arg-type]
+
+
 def test_notices_come_in_any_pieces() -> None:
     stream = (
         b"greeting new 1500\r\noutcome 1 ab good 12.5 6\r\na\r\nb\r\n\r\naside 2 all is well\r\n"
@@ -161,14 +196,14 @@
     )
     whole = heard([stream])
     assert whole == [
-        ("agent_up", True, 1500 * MS),
-        ("run_over", 1, "ab", "finished", 12_500_000, b"a\r\nb\r\n"),
-        ("remark", 2),
-        ("run_over", 3, "cd", "moot", 0, b""),
-        ("measured", "7", [0.5, 3.0, 0.1, 12.0]),
-        ("deep_checked", "x", False),
-        ("declined", "start", "ef"),
-        ("unknown", "sing"),
+        AgentGreeting(True, 1500 * MS),
+        run_ended(1, "ab", "finished", 12_500_000, b"a\r\nb\r\n"),
+        Remark(2),
+        run_ended(3, "cd", "moot", 0, b""),
+        GaugesSampled("7", [0.5, 3.0, 0.1, 12.0]),
+        DeepCheckEnded("x", False),
+        CommandRefused("start", "ef"),
+        UnknownNotice("sing"),
     ]
     for cut in range(len(stream)):
         assert heard([stream[:cut], stream[cut:]]) == whole
@@ -184,33 +219,33 @@
     ],
 )
 def test_a_link_that_makes_no_sense_is_given_up(noise: bytes) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         heard([noise])
 
 
 def test_an_unknown_end_counts_as_failed() -> None:
-    assert heard([b"outcome 1 ab odd 5 0\r\n\r\n"]) == [("run_over", 1, "ab", "failed", 5 * MS, b"")]
+    assert heard([b"outcome 1 ab odd 5 0\r\n\r\n"]) == [run_ended(1, "ab", "failed", 5 * MS, b"")]
 
 
 @pytest.mark.parametrize("cut", [1, 20, 60])
 def test_reports_are_answered_in_pieces_and_their_connection_kept(cut: int) -> None:
-    reports = announce.Reports("127.0.0.1:1")
+    reports = announce.AnnounceConnection("127.0.0.1:1")
     for _ in range(2):
-        sent = reports.report("n3", True)
+        sent = reports.encode_report("n3", True)
         assert sent.startswith(b"PUT /announce/n3 HTTP/1.1\r\n")
         assert sent.endswith(b'\r\n\r\n{"accepting":"true"}')
         answer = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\nServer: x\r\n\r\n"
-        assert reports.answered(answer[:cut]) is None
-        assert reports.answered(answer[cut:]) == 204
-        assert reports.again()
+        assert reports.receive(answer[:cut]) is None
+        assert reports.receive(answer[cut:]) == 204
+        assert reports.start_next_report()
 
 
 @pytest.mark.parametrize("answer", [b"", b"HTTP/1.1 2", b"nonsense\r\n\r\n"])
 def test_a_report_cut_short_is_told(answer: bytes) -> None:
-    reports = announce.Reports("127.0.0.1:1")
-    reports.report("n3", False)
+    reports = announce.AnnounceConnection("127.0.0.1:1")
+    reports.encode_report("n3", False)
     with pytest.raises(h11.RemoteProtocolError):
-        [reports.answered(piece) for piece in dict.fromkeys((answer, b""))]
+        [reports.receive(piece) for piece in dict.fromkeys((answer, b""))]
 
 
 # ---- what is read at start, the clock and the log
@@ -250,7 +285,7 @@
 def test_a_plate_that_can_not_be_read_is_told_in_a_line(tmp_path: Path, change: dict[str, Any]) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(TOLD | change))
-    with pytest.raises(Malformed) as told:
+    with pytest.raises(SettingsError) as told:
         read_configuration({"ROUTER_CONFIG": str(path)})
     assert "\n" not in str(told.value)
     assert str(told.value)
--- a/thistleline/__main__.py
+++ b/thistleline/__main__.py
@@ -21,11 +21,11 @@
     from thistleline.server.configuration import Unusable, read_configuration
     from thistleline.server.log import complain
     from thistleline.server.service import Service
-    from thistleline.wire.settings import Malformed
+    from thistleline.wire.settings import SettingsError
 
     try:
         configuration = read_configuration(os.environ)
-    except Malformed as error:
+    except SettingsError as error:
         complain(str(error))
         return 2
     conf = None
--- a/thistleline/bench_adapter/adapter.py
+++ b/thistleline/bench_adapter/adapter.py
@@ -7,7 +7,9 @@
 
 from thistleline.interface import CameIn, Task
 from thistleline.policy import Policy
-from thistleline.wire.settings import Malformed, nanos, read_bench, read_gauges
+from thistleline.wire.durations import parse_seconds
+from thistleline.wire.errors import MalformedMessageError, WireError
+from thistleline.wire.settings import read_gauge_names, read_server_settings
 
 RUN_ENDS = {"OK": "finished", "INTERNAL": "failed", "CANCELLED": "stopped", "TOO_LATE": "moot"}
 CALL_ENDS = {
@@ -96,11 +98,11 @@
                 came_in.pop(instance, None)
             elif word == "BORN":
                 env = json.loads("\t".join(parts[3:]))
-                self.gauges[instance] = read_gauges(env)
-                self.modules[instance] = Policy(read_bench(env), int(parts[2]), now)
+                self.gauges[instance] = read_gauge_names(env)
+                self.modules[instance] = Policy(read_server_settings(env), int(parts[2]), now)
                 came_in[instance] = []
             elif instance not in self.modules:
-                raise Malformed(f"{word} for {instance}, which was never born")
+                raise MalformedMessageError(f"{word} for {instance}, which was never born")
             else:
                 item = self.item(now, word, parts)
                 if item is not None:
@@ -125,10 +127,10 @@
                     caller=0 if absent(author) else int(author),
                     rank=0.0 if absent(rank) else float(rank),
                     user=None if user in ("-", "") else int(user),
-                    work=nanos(hint) if hinted else None,
+                    work=parse_seconds(hint) if hinted else None,
                     held_kb=float(kb),
-                    reached=now - (0 if absent(waited) else nanos(waited)),
-                    limit=None if absent(limit) else nanos(limit) or None,
+                    reached=now - (0 if absent(waited) else parse_seconds(waited)),
+                    limit=None if absent(limit) else parse_seconds(limit) or None,
                     again=bool(flags & AGAIN),
                     repeats=None if absent(repeats) else repeats,
                 ),
@@ -138,15 +140,20 @@
             values = (0.0 if absent(text) else float(text) for text in row)
             return ("bell", parts[2], dict(zip(self.gauges[parts[1]], values, strict=False)))
         if word == "DONE":
-            return ("over", parts[2], RUN_ENDS[parts[3]], 0 if absent(parts[4]) else nanos(parts[4]))
+            return ("over", parts[2], RUN_ENDS[parts[3]], 0 if absent(parts[4]) else parse_seconds(parts[4]))
         if word == "EXPIRED":
             return ("gone", parts[2])
         if word == "NEEDS":
             return ("wants_call", parts[2])
         if word == "DEP_REPLY":
-            return ("call_over", parts[2], CALL_ENDS[parts[3]], 0 if absent(parts[4]) else nanos(parts[4]))
+            return (
+                "call_over",
+                parts[2],
+                CALL_ENDS[parts[3]],
+                0 if absent(parts[4]) else parse_seconds(parts[4]),
+            )
         if word == "TERMINATE_SOON":
-            return ("leave", nanos(parts[2]))
+            return ("leave", parse_seconds(parts[2]))
         return None
 
 
@@ -160,10 +167,10 @@
             number += 1
             parts = line.rstrip("\r\n").split("\t")
             if parts[0] == "ROUND":
-                clock, lines = (nanos(parts[1]), parts[2]), []
+                clock, lines = (parse_seconds(parts[1]), parts[2]), []
             elif parts[0] == "EOB":
                 if clock is None:
-                    raise Malformed("EOB without ROUND")
+                    raise MalformedMessageError("EOB without ROUND")
                 out: list[str] = []
                 host.round(clock[0], lines, out.append)
                 out.append(f"EOR\t{clock[1]}\n")
@@ -172,11 +179,11 @@
                 clock = None
             elif parts != [""]:
                 if clock is None:
-                    raise Malformed(f"{parts[0][:40]!r} outside a round")
+                    raise MalformedMessageError(f"{parts[0][:40]!r} outside a round")
                 if len(parts) < 2:
-                    raise Malformed(f"{parts[0][:40]!r} names no instance")
+                    raise MalformedMessageError(f"{parts[0][:40]!r} names no instance")
                 lines.append(parts)
-    except (Malformed, ValueError, KeyError, IndexError, TypeError, ArithmeticError) as error:
+    except (WireError, ValueError, KeyError, IndexError, TypeError, ArithmeticError) as error:
         print(f"line {number}: {type(error).__name__}: {' '.join(str(error).split())}", file=sys.stderr)
         return 2
     return 0
--- a/thistleline/lab/caller.py
+++ b/thistleline/lab/caller.py
@@ -49,7 +49,7 @@
                 self.seq += 1
                 seq, waiting = self.seq, self.open
                 waiting[seq] = event, answer
-                await self.stream.send(stub.process(seq, words, body))
+                await self.stream.send(stub.encode_process(seq, words, body))
             with anyio.move_on_after(TRY_SPAN):
                 await event.wait()
         except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError):
@@ -61,18 +61,18 @@
 
     async def _read(self, stream: SocketStream, waiting: Open) -> None:
         """To its end; what is asked once nothing new is wanted here goes on another connection."""
-        buffer = Buffer(stub.ANSWER_BOUND)
+        buffer = Buffer(stub.MAX_RESPONSE_SIZE)
         try:
             while waiting or self.stream is stream:
                 data = await stream.receive(65536)
                 buffer.room()[: len(data)] = data
                 buffer.filled(len(data))
-                for seq, kind, value in stub.answers(buffer):
-                    if kind == "dismiss" and self.stream is stream:
+                for response in stub.decode_responses(buffer):
+                    if response.kind == "dismiss" and self.stream is stream:
                         self.stream = None
-                    elif seq in waiting:
-                        event, answer = waiting.pop(seq)
-                        answer += [kind, value]
+                    elif response.sequence in waiting:
+                        event, answer = waiting.pop(response.sequence)
+                        answer += [response.kind, response.value]
                         event.set()
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
             pass
--- a/thistleline/lab/handoverworld.py
+++ b/thistleline/lab/handoverworld.py
@@ -16,10 +16,10 @@
 from thistleline.lab.ledger import SETTINGS
 from thistleline.ledger.records import LedgerWrite
 from thistleline.state.phases import Phases
-from thistleline.wire.settings import read_bench
+from thistleline.wire.settings import read_server_settings
 
 MS, SECOND = 1_000_000, 1_000_000_000
-BENCH = read_bench(SETTINGS)
+BENCH = read_server_settings(SETTINGS)
 WINDOW, LIMIT = BENCH.stages[0].window, BENCH.stages[0].limit_span
 STOP = 2 * SECOND
 BY_HEIR = {"start": "lodge", "stop": "lodger_stop", "measure": "lodger_measure"}
--- a/thistleline/lab/scale/connections.py
+++ b/thistleline/lab/scale/connections.py
@@ -19,8 +19,8 @@
 from thistleline.server.announcer import ANSWER_BOUND, EVERY
 from thistleline.server.configuration import DESCRIPTORS, MEMORY_MB
 from thistleline.server.service import CONNECTION_COST, RESERVE
-from thistleline.wire import thrift
-from thistleline.wire.announce import Reports
+from thistleline.wire import stub
+from thistleline.wire.announce import AnnounceConnection
 
 NAME = "connections"
 RUN_MS = 20.0
@@ -30,7 +30,7 @@
 
 def check(seq: int) -> bytes:
     """A check as a client stub sends it, that asks for nothing beyond the instance."""
-    return thrift._message(thrift.CALL, b"probe", seq, thrift._field(thrift.BOOL, 1) + b"\0" + b"\0")
+    return stub.encode_probe(seq, deep=False)
 
 
 def checked(link: socket.socket, seq: int) -> None:
@@ -80,7 +80,11 @@
     """Bytes that so many instances send the announce service in a second, each on a connection it keeps."""
     sent = 0
     for place in range(instances):
-        sent += len(Reports("10.1.2.3:8761").report(f"i{place:05}.zone-{place % size('zones'):02}", True))
+        sent += len(
+            AnnounceConnection("10.1.2.3:8761").encode_report(
+                f"i{place:05}.zone-{place % size('zones'):02}", True
+            )
+        )
     return round(sent / EVERY)
 
 
--- a/thistleline/lab/scale/forwarder.py
+++ b/thistleline/lab/scale/forwarder.py
@@ -10,8 +10,10 @@
 from typing import Any
 
 from thistleline.server.configuration import Configuration, read_configuration
-from thistleline.wire import agent, thrift
+from thistleline.wire import agent, responses
 from thistleline.wire.buffer import Buffer
+from thistleline.wire.lines import BUFFER_SIZE as AGENT_BUFFER_SIZE
+from thistleline.wire.requests import BUFFER_SIZE, ClientCodec, HealthRequest, TaskRequest
 
 
 class Ends(asyncio.Protocol):
@@ -38,22 +40,22 @@
 
 class CallerEnd(Ends):
     def take(self) -> None:
-        for message in self.hall.stubs.messages(self.buffer):
-            if message[0] == "task":
-                _, seq, task, _, body = message
-                self.hall.open[task.id] = self, seq
+        for request in self.hall.codec.decode_requests(self.buffer):
+            if isinstance(request, TaskRequest):
+                task = request.task
+                self.hall.open[task.id] = self, request.sequence
                 stage = self.hall.configuration.bench.stages[task.stage].name
-                self.hall.agent.transport.write(agent.start(task.id, stage, bytes(body)))
-            elif message[0] == "check":
-                self.transport.write(thrift.health(message[1], True, None))
+                self.hall.agent.transport.write(agent.encode_start(task.id, stage, bytes(request.body)))
+            elif isinstance(request, HealthRequest):
+                self.transport.write(responses.encode_health(request.sequence, True, None))
 
 
 class AgentEnd(Ends):
     def take(self) -> None:
-        for notice in agent.notices(self.buffer):
-            if notice[0] == "run_over" and notice[2] in self.hall.open:
-                caller, seq = self.hall.open.pop(notice[2])
-                caller.transport.write(thrift.finished(seq, bytes(notice[5]), None))
+        for notice in agent.decode_notices(self.buffer):
+            if isinstance(notice, agent.RunEnded) and notice.task_id in self.hall.open:
+                caller, sequence = self.hall.open.pop(notice.task_id)
+                caller.transport.write(responses.encode_finished(sequence, bytes(notice.result), None))
 
 
 class Hall:
@@ -61,7 +63,7 @@
 
     def __init__(self, configuration: Configuration) -> None:
         self.configuration = configuration
-        self.stubs = thrift.Stubs(configuration.bench)
+        self.codec = ClientCodec(configuration.bench)
         self.open: dict[str, tuple[Ends, int]] = {}
         self.agent: Ends
 
@@ -69,12 +71,10 @@
         """To the end of the process, which is whoever started it."""
         loop = asyncio.get_running_loop()
         _, self.agent = await loop.create_connection(
-            lambda: AgentEnd(self, agent.BUFFER_BOUND), *self.configuration.agent
-        )
-        self.agent.transport.write(agent.subscribe(0))
-        server = await loop.create_server(
-            lambda: CallerEnd(self, thrift.BUFFER_BOUND), *self.configuration.listen
+            lambda: AgentEnd(self, AGENT_BUFFER_SIZE), *self.configuration.agent
         )
+        self.agent.transport.write(agent.encode_subscribe(0))
+        server = await loop.create_server(lambda: CallerEnd(self, BUFFER_SIZE), *self.configuration.listen)
         print('{"event":"serving"}', flush=True)
         await server.serve_forever()
 
--- a/thistleline/lab/scale/settings_costs.py
+++ b/thistleline/lab/scale/settings_costs.py
@@ -26,7 +26,7 @@
 from thistleline.rollout.service import POLL as LOOK
 from thistleline.supervisor.decisions import Version, Want
 from thistleline.supervisor.settings import SIZE_BOUND, unfit_settings
-from thistleline.wire.settings import read_bench
+from thistleline.wire.settings import read_server_settings
 
 NAME = "settings"
 
@@ -142,7 +142,7 @@
                          [len(one) for one in texts], at, note=bounds))  # fmt: skip
         told = [msgspec.json.decode(one) for one in texts]
         found.append(row(f"read_bench by {per}: steps", "count", "steps", per, sizes,
-                         [steps_of(lambda one=one: read_bench(one)) for one in told], at))  # type: ignore[misc]  # fmt: skip
+                         [steps_of(lambda one=one: read_server_settings(one)) for one in told], at))  # type: ignore[misc]  # fmt: skip
     for per, sizes, at in (("stage", (10, 30, 100, 200), routes), ("tenant", (10, 30, 100, 300), tenants)):
         texts = [text_of(n, 3, seed) if per == "stage" else text_of(3, n, seed) for n in sizes]
         found.append(row(f"unfit_settings by {per}: steps", "count", "steps", per, sizes,
@@ -194,7 +194,7 @@
         kept, most = [], []
         for n in sizes:
             text = text_of(n, 3, seed) if per == "stage" else text_of(3, n, seed)
-            one, other = memory_of(lambda text=text: read_bench(msgspec.json.decode(text)))  # type: ignore[misc]
+            one, other = memory_of(lambda text=text: read_server_settings(msgspec.json.decode(text)))  # type: ignore[misc]
             kept.append(one)
             most.append(other)
         tell(f"settings: memory of {sizes[-1]} by {per}")
@@ -213,7 +213,7 @@
         repeats = 3
         for n in sizes:
             text = text_of(n, 3, seed) if per == "stage" else text_of(3, n, seed)
-            told.append(loops_of(lambda text=text: read_bench(msgspec.json.decode(text)), repeats))  # type: ignore[misc]
+            told.append(loops_of(lambda text=text: read_server_settings(msgspec.json.decode(text)), repeats))  # type: ignore[misc]
         loops, took = zip(*told, strict=True)
         name = f"reading by {per}: time"
         tell(f"{name}: {took[-1]:.3f} s at {sizes[-1]}")
--- a/thistleline/lab/scale/tenants.py
+++ b/thistleline/lab/scale/tenants.py
@@ -19,7 +19,7 @@
     steps_of,
 )
 from thistleline.policy import MS, SECOND, TICK, WINDOW, Policy
-from thistleline.wire.settings import read_bench
+from thistleline.wire.settings import read_server_settings
 
 NAME = "policy"
 
@@ -47,7 +47,7 @@
 
 
 def bench_of(stages: int, tenants: int, seed: int) -> Bench:
-    return read_bench(settings_of(stages, tenants, seed))
+    return read_server_settings(settings_of(stages, tenants, seed))
 
 
 def policy_of(stages: int, tenants: int, seed: int) -> Policy:
@@ -144,7 +144,7 @@
                 values.append(memory_of(lambda bench=bench: Policy(bench, seed, BORN))[0])  # type: ignore[misc]
             else:
                 told = settings_of(3, n, seed)
-                values.append(memory_of(lambda told=told: read_bench(told))[0])  # type: ignore[misc]
+                values.append(memory_of(lambda told=told: read_server_settings(told))[0])  # type: ignore[misc]
         tell(f"{what}: memory of {sizes[-1]} tenants")
         name = f"{what} by tenant: bytes"
         found.append(row(name, "memory", "bytes", "tenant", sizes, values, size("tenants"), note=note))
--- a/thistleline/server/announcer.py
+++ b/thistleline/server/announcer.py
@@ -7,7 +7,7 @@
 
 from thistleline.server.configuration import Address
 from thistleline.server.streams import Dials, Stream
-from thistleline.wire.announce import Reports
+from thistleline.wire.announce import AnnounceConnection
 
 EVERY = 1.0  # an entry lapses three seconds after the last report
 PAUSE = 0.25  # after one that failed
@@ -28,7 +28,7 @@
         self.good: bool | None = None  # how it ended
         self.scope = anyio.CancelScope()
         self.stream: Stream | None = None
-        self.reports: Reports | None = None
+        self.reports: AnnounceConnection | None = None
 
 
 class Announcer:
@@ -38,7 +38,7 @@
         self.changed = anyio.Event()  # what is to be told, or where, or a report has ended
         self.version = 0  # of what is to be told and where
         self.dials = Dials(DIAL_FIRST, DIAL_MOST)
-        self.idle: tuple[Stream, Reports] | None = None
+        self.idle: tuple[Stream, AnnounceConnection] | None = None
         self.attempts: dict[Attempt, None] = {}  # the oldest first
         self.told: bool | None = None  # the state that was last answered for
         self.healthy = True
@@ -134,7 +134,7 @@
         self.attempts.pop(attempt, None)
         stream, reports = attempt.stream, attempt.reports
         if stream is not None and reports is not None:
-            if mine and status and not why and self.idle is None and reports.again():
+            if mine and status and not why and self.idle is None and reports.start_next_report():
                 self.idle = stream, reports
             else:
                 stream.close()
@@ -154,9 +154,9 @@
             host, port = self.address
             sock = await self.dials.dial(self.address)
             attempt.stream = Stream(sock, self.group, ANSWER_BOUND, ANSWER_BOUND)
-            attempt.reports = Reports(f"{host}:{port}")
+            attempt.reports = AnnounceConnection(f"{host}:{port}")
         stream, reports = attempt.stream, attempt.reports
-        stream.write(reports.report(self.name, attempt.taking))
+        stream.write(reports.encode_report(self.name, attempt.taking))
         stream.flush()
         read = 0
         with anyio.fail_after(PATIENCE):
@@ -164,7 +164,7 @@
                 stream.ask()
                 count = await stream.read()
                 read += count
-                status = reports.answered(stream.buffer.take(count))
+                status = reports.receive(stream.buffer.take(count))
                 if status is not None:
                     return status
         raise OSError("an answer without end")
--- a/thistleline/server/backend.py
+++ b/thistleline/server/backend.py
@@ -9,6 +9,7 @@
 from thistleline.server.configuration import Address
 from thistleline.server.streams import Dials, Stream
 from thistleline.wire import backend
+from thistleline.wire.lines import BUFFER_SIZE
 
 WRITE_BOUND = 4 * 1024 * 1024
 DIAL_FIRST, DIAL_MOST = 1.0, 16.0  # s, for a connection; a call that waits for it has its own patience
@@ -66,7 +67,7 @@
             if address is None:
                 raise OSError("the configuration names no back end")
             sock = await self.dials.dial(address)
-            stream = Stream(sock, self.group, backend.BUFFER_BOUND, WRITE_BOUND)
+            stream = Stream(sock, self.group, BUFFER_SIZE, WRITE_BOUND)
         except (OSError, TimeoutError):
             pending, self.pending = self.pending, {}
             for name in pending:
@@ -93,11 +94,11 @@
                 link.stream.ask()
                 if not await link.stream.read():
                     break
-                for told in backend.ends(link.stream.buffer):
-                    link.cancelled.discard(told[1])
-                    if told[1] in link.out:
-                        self._over(link, told[1])
-                        self.take(*told)
+                for ended in backend.decode_call_ends(link.stream.buffer):
+                    link.cancelled.discard(ended.task_id)
+                    if ended.task_id in link.out:
+                        self._over(link, ended.task_id)
+                        self.take("call_over", ended.task_id, ended.outcome, ended.result)
                 if link is not self.link and not link.out:
                     break
         except Exception:
@@ -128,7 +129,7 @@
             self.pending[name] = patience, body
             self.wanted.set()
         else:
-            self.link.stream.write(backend.call(name, patience, body))
+            self.link.stream.write(backend.encode_call(name, patience, body))
             self.link.out.add(name)
             self.calls[name] = self.link
 
@@ -136,7 +137,7 @@
         self.pending.pop(name, None)
         link = self.calls.get(name)
         if link is not None:
-            link.stream.write(backend.cancel(name))
+            link.stream.write(backend.encode_cancel(name))
             link.cancelled.add(name)
             self._over(link, name)
 
--- a/thistleline/server/configuration.py
+++ b/thistleline/server/configuration.py
@@ -8,7 +8,12 @@
 import orjson
 
 from thistleline.interface import Bench
-from thistleline.wire.settings import Malformed, read_bench, read_gauges, read_granularity
+from thistleline.wire.settings import (
+    SettingsError,
+    read_gauge_names,
+    read_round_interval,
+    read_server_settings,
+)
 
 Address = tuple[str, int]
 MS = 1_000_000
@@ -50,10 +55,10 @@
 
 
 def read_configuration(environ: Mapping[str, str]) -> Configuration:
-    """Raises Malformed with one plain line; keys that are not known are passed over."""
+    """Raises SettingsError with one plain line; keys that are not known are passed over."""
     path = environ.get("ROUTER_CONFIG")
     if not path:
-        raise Malformed("ROUTER_CONFIG names no file")
+        raise SettingsError("ROUTER_CONFIG names no file")
     try:
         with open(path, "rb") as file:
             told = orjson.loads(file.read())
@@ -70,18 +75,18 @@
             stop_span=_positive("stop_ms", told["stop_ms"], MS),
             descriptors=_descriptors(None if sockets is None else _positive("sockets", sockets)),
             memory=_positive("memory_mb", MEMORY_MB if memory_mb is None else memory_mb, 1024 * 1024),
-            bench=read_bench(settings),
-            gauges=read_gauges(settings),
-            granularity=read_granularity(settings),
+            bench=read_server_settings(settings),
+            gauges=read_gauge_names(settings),
+            granularity=read_round_interval(settings),
         )
     except OSError as error:
-        raise Malformed(f"{path}: {error.strerror}") from error
-    except Malformed as error:
-        raise Malformed(f"{path}: {error}") from error
+        raise SettingsError(f"{path}: {error.strerror}") from error
+    except SettingsError as error:
+        raise SettingsError(f"{path}: {error}") from error
     except KeyError as error:
-        raise Malformed(f"{path}: {error.args[0]!r} is missing or unknown") from error
+        raise SettingsError(f"{path}: {error.args[0]!r} is missing or unknown") from error
     except (ValueError, TypeError, ArithmeticError, AttributeError, LookupError) as error:
-        raise Malformed(f"{path}: {' '.join(str(error).split()) or type(error).__name__}") from error
+        raise SettingsError(f"{path}: {' '.join(str(error).split()) or type(error).__name__}") from error
     return configuration
 
 
@@ -89,7 +94,7 @@
     """A number above zero, in whole units."""
     number = float(value)
     if not 0 < number < NUMBER_BOUND:
-        raise Malformed(f"{name!r} is {value!r}, not a number above 0")
+        raise SettingsError(f"{name!r} is {value!r}, not a number above 0")
     return max(1, int(number * unit))
 
 
@@ -104,5 +109,5 @@
 def _address(text: Any) -> Address:
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise Malformed(f"{text!r} is no address")
+        raise SettingsError(f"{text!r} is no address")
     return host.strip("[]"), int(port)
--- a/thistleline/server/listener.py
+++ b/thistleline/server/listener.py
@@ -14,7 +14,15 @@
 
 from thistleline.server.configuration import Address
 from thistleline.server.streams import Stream
-from thistleline.wire import thrift
+from thistleline.wire import responses
+from thistleline.wire.requests import (
+    BUFFER_SIZE,
+    ClientCodec,
+    HealthRequest,
+    MalformedRequest,
+    Request,
+    TaskRequest,
+)
 
 WRITE_BOUND = 256 * 1024  # a full connection's answers take under 140 KiB
 BACKLOG = 1024
@@ -41,14 +49,14 @@
     def __init__(
         self,
         listener: socket.socket,
-        stubs: thrift.Stubs,
+        codec: ClientCodec,
         take: Callable[..., None],
         group: TaskGroup,
         bound: int = sys.maxsize,
     ) -> None:
         """`bound`: connections that may be open, those that linger among them."""
         self.listener: socket.socket | None = listener
-        self.stubs, self.take, self.group, self.bound = stubs, take, group, bound
+        self.codec, self.take, self.group, self.bound = codec, take, group, bound
         self.streams: dict[int, Stream] = {}
         self.written: dict[int, Stream] = {}
         self.lingering: OrderedDict[int, Stream] = OrderedDict()  # closed for the reducer; the oldest first
@@ -81,7 +89,7 @@
                     continue
                 raise
             try:
-                stream = Stream(sock, self.group, thrift.BUFFER_BOUND, WRITE_BOUND)
+                stream = Stream(sock, self.group, BUFFER_SIZE, WRITE_BOUND)
             except OSError:
                 continue
             self.count += 1
@@ -97,8 +105,8 @@
         why = ""
         try:
             while await stream.read():
-                for message in self.stubs.messages(stream.buffer):
-                    self.take(message[0], name, *message[1:])
+                for request in self.codec.decode_requests(stream.buffer):
+                    self._take_request(name, request)
                     if stream.finishing or stream.closed:
                         return
                 self.take("drained", name, len(stream.buffer) > 0)
@@ -118,6 +126,15 @@
                 if self.quiet is not None and not self.lingering:
                     self.quiet.set()
 
+    def _take_request(self, name: int, request: Request) -> None:
+        match request:
+            case TaskRequest(sequence, task, key, body):
+                self.take("task", name, sequence, task, key, body)
+            case HealthRequest(sequence, deep):
+                self.take("check", name, sequence, deep)
+            case MalformedRequest(sequence, method, reason):
+                self.take("malformed", name, sequence, method, reason)
+
     def _keep_to_bound(self) -> None:
         """Guards the descriptors: the longest lingering give way to whoever is served."""
         while len(self.streams) + len(self.lingering) > self.bound + LINGER_SPARE:
@@ -166,22 +183,22 @@
             self.written[name] = stream
 
     def finished(self, name: int, *told: Any) -> None:
-        self.write(name, thrift.finished(*told))
+        self.write(name, responses.encode_finished(*told))
 
     def rejected(self, name: int, *told: Any) -> None:
-        self.write(name, thrift.rejected(*told))
+        self.write(name, responses.encode_rejected(*told))
 
     def abandoned(self, name: int, *told: Any) -> None:
-        self.write(name, thrift.abandoned(*told))
+        self.write(name, responses.encode_abandoned(*told))
 
     def health(self, name: int, *told: Any) -> None:
-        self.write(name, thrift.health(*told))
+        self.write(name, responses.encode_health(*told))
 
     def misunderstood(self, name: int, *told: Any) -> None:
-        self.write(name, thrift.misunderstood(*told))
+        self.write(name, responses.encode_exception(*told))
 
     def dismiss(self, name: int) -> None:
-        self.write(name, thrift.dismiss())
+        self.write(name, responses.encode_farewell())
 
     def flush(self) -> list[int]:
         """Writes all that lies ready; returns the connections that are gone or don't read."""
--- a/thistleline/server/service.py
+++ b/thistleline/server/service.py
@@ -25,7 +25,7 @@
 from thistleline.server.log import Log
 from thistleline.state.phases import Phases
 from thistleline.state.state_machine import Effect, Reducer
-from thistleline.wire.thrift import Stubs
+from thistleline.wire.requests import ClientCodec
 
 if TYPE_CHECKING:
     from thistleline.config.schema import Conf
@@ -141,7 +141,7 @@
     def _serve(self, group: TaskGroup, found: Any, listener: socket.socket) -> None:
         self.serves = True
         front = self.front = Front(
-            listener, Stubs(self.configuration.bench), self.take_task, group, self.connections_bound
+            listener, ClientCodec(self.configuration.bench), self.take_task, group, self.connections_bound
         )
         agent = self.agent = AgentLink(self.configuration.agent, self.take, group)
         backend = self.backend = BackendLink(self.configuration.backend, self.take, group)
--- a/thistleline/supervisor/settings.py
+++ b/thistleline/supervisor/settings.py
@@ -8,7 +8,12 @@
 
 from thistleline.lease.protocol import VALUE_BOUND
 from thistleline.server.service import CONNECTION_COST, RESERVE
-from thistleline.wire.settings import Malformed, read_bench, read_gauges, read_granularity
+from thistleline.wire.settings import (
+    SettingsError,
+    read_gauge_names,
+    read_round_interval,
+    read_server_settings,
+)
 
 SIZE_BOUND = VALUE_BOUND  # bytes of a version: it has to go through the council in one record
 
@@ -20,12 +25,19 @@
         return f"{len(content)} bytes, {SIZE_BOUND} at most"
     try:
         told = msgspec.json.decode(content)
-        bench = read_bench(told)
-        read_gauges(told)
-        read_granularity(told)
+        bench = read_server_settings(told)
+        read_gauge_names(told)
+        read_round_interval(told)
     except KeyError as error:
         return f"{error.args[0]!r} is missing or unknown"
-    except (msgspec.MsgspecError, Malformed, TypeError, LookupError, ValueError, ArithmeticError) as error:
+    except (
+        msgspec.MsgspecError,
+        SettingsError,
+        TypeError,
+        LookupError,
+        ValueError,
+        ArithmeticError,
+    ) as error:
         return f"{type(error).__name__}: {' '.join(str(error).split())}"
     twice = [name for name, count in Counter(one.name for one in bench.stages).items() if count > 1]
     if twice:
--- a/thistleline/wire/agent.py
+++ b/thistleline/wire/agent.py
@@ -1,26 +1,16 @@
-"""The render farm agent: lines of words ending in CR LF; a last word that is a length brings that many bytes.
-
-`notices` yields a plain tuple a notice:
-
-    ("agent_up", fresh, age)
-    ("run_over", number, id, how, took, result)      how: HOW_RUNS_END
-    ("wants_call", number, id, body)                 a run stands at a call to what lies below
-    ("measured", tag, values)
-    ("deep_checked", tag, good)
-    ("declined", what, id)
-    ("remark", number)
-    ("unknown", text)
+"""The render farm agent's line protocol: its notices in, commands out.
+
+`decode_notices` yields one of the `Notice` classes for each message; the functions below it encode commands.
 """
 
 from collections.abc import Iterator
-from typing import Any
+from dataclasses import dataclass
 
 from thistleline.wire.buffer import Buffer
-from thistleline.wire.lines import LINE_BOUND, messages
-from thistleline.wire.settings import Malformed, nanos
+from thistleline.wire.durations import parse_seconds
+from thistleline.wire.lines import decode_messages, parse_body_size, unreadable
 
-RESULT_BOUND = 64 * 1024
-BUFFER_BOUND = 2 * (LINE_BOUND + RESULT_BOUND)
+# What a refused command was for, by its word on the wire.
 COMMANDS = {
     "launch": "start",
     "freeze": "stop",
@@ -29,78 +19,191 @@
     "deliver": "deliver",
     "forgo": "skip_call",
 }
-LENGTHS = {"outcome": 6, "request": 4}  # notices with a result or a body, and their words
-RUN_ENDS = {"good": "finished", "bad": "failed", "cut": "stopped", "gone": "moot"}
+WORD_COUNTS = {"outcome": 6, "request": 4}  # of the notices with a body
+RUN_OUTCOMES = {"good": "finished", "bad": "failed", "cut": "stopped", "gone": "moot"}
+GREETINGS = {"new": True, "old": False}
+
+
+@dataclass(frozen=True, slots=True)
+class AgentGreeting:
+    """The first notice on a link.
+
+    Attributes:
+        is_new: Whether the agent was started anew, so that what ran is gone.
+        age: Nanoseconds since it was.
+    """
+
+    is_new: bool
+    age: int
+
+
+@dataclass(frozen=True, slots=True)
+class RunEnded:
+    """A run has ended.
+
+    Attributes:
+        number: Of the notice, in the sequence of those that the agent retains.
+        task_id: Id under which it was started.
+        outcome: One of RUN_OUTCOMES' values.
+        duration: Nanoseconds of work it took.
+        result: A slice of the receive buffer.
+    """
+
+    number: int
+    task_id: str
+    outcome: str
+    duration: int
+    result: memoryview
+
+
+@dataclass(frozen=True, slots=True)
+class CallRequested:
+    """A run waits for a call to the back end.
+
+    Attributes:
+        number: Of the notice, in the sequence of those that the agent retains.
+        task_id: Id under which the run was started.
+        body: What the call is to carry.
+    """
+
+    number: int
+    task_id: str
+    body: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class GaugesSampled:
+    """The gauges that a sample with this tag asked for, in the order of the settings."""
+
+    tag: str
+    values: list[float]
+
 
+@dataclass(frozen=True, slots=True)
+class DeepCheckEnded:
+    """The deep check with this tag has ended."""
 
-def notices(buffer: Buffer) -> Iterator[tuple[Any, ...]]:
-    """Takes every whole notice out of the buffer; raises Malformed where the stream makes no sense."""
-    for line, words, body in messages(buffer, _length):
-        yield _notice(line, words, body)
+    tag: str
+    healthy: bool
 
 
-def _length(line: str, words: list[str]) -> int | None:
-    if words[0] not in LENGTHS:
+@dataclass(frozen=True, slots=True)
+class CommandRefused:
+    """The agent refused a command.
+
+    Attributes:
+        command: One of COMMANDS' values, or the unknown word.
+        target: The id or tag that the command named.
+    """
+
+    command: str
+    target: str
+
+
+@dataclass(frozen=True, slots=True)
+class Remark:
+    """A notice without a meaning here; its number counts in the sequence."""
+
+    number: int
+
+
+@dataclass(frozen=True, slots=True)
+class UnknownNotice:
+    """A line that is no notice known here, cut short."""
+
+    text: str
+
+
+Notice = (
+    AgentGreeting
+    | RunEnded
+    | CallRequested
+    | GaugesSampled
+    | DeepCheckEnded
+    | CommandRefused
+    | Remark
+    | UnknownNotice
+)
+
+
+def decode_notices(buffer: Buffer) -> Iterator[Notice]:
+    """Take every whole notice out of the buffer.
+
+    Raises:
+        MalformedMessageError: If the stream makes no sense.
+    """
+    return decode_messages(buffer, _body_size, _decode_notice)
+
+
+def _body_size(line: str, words: list[str]) -> int | None:
+    word_count = WORD_COUNTS.get(words[0])
+    if word_count is None:
         return None
-    if len(words) != LENGTHS[words[0]] or not words[-1].isdecimal() or int(words[-1]) > RESULT_BOUND:
-        raise Malformed(f"an {words[0]} can't be read: {line[:80]!r}")
-    return int(words[-1])
+    size = parse_body_size(words, word_count)
+    if size is None:
+        raise unreadable(f"an {words[0]}", line)
+    return size
 
 
-def _notice(line: str, words: list[str], result: memoryview) -> tuple[Any, ...]:
+def _decode_notice(line: str, words: list[str], body: memoryview) -> Notice:
     try:
         match words:
-            case ["outcome", number, name, end, took, _]:
-                return (
-                    "run_over",
-                    int(number),
-                    name,
-                    RUN_ENDS.get(end, "failed"),
-                    nanos(took) // 1000,
-                    result,
-                )
-            case ["request", number, name, _]:
-                return ("wants_call", int(number), name, bytes(result))
+            case ["outcome", number, task_id, outcome, duration, _]:
+                run_outcome = RUN_OUTCOMES.get(outcome, "failed")
+                return RunEnded(int(number), task_id, run_outcome, _parse_milliseconds(duration), body)
+            case ["request", number, task_id, _]:
+                return CallRequested(int(number), task_id, bytes(body))
             case ["sampled", tag, *values]:
-                return ("measured", tag, [float(value) for value in values])
+                return GaugesSampled(tag, [float(value) for value in values])
             case ["greeting", state, age]:
-                return ("agent_up", {"new": True, "old": False}[state], nanos(age) // 1000)
-            case ["exercised", tag, end]:
-                return ("deep_checked", tag, end == "good")
-            case ["refusal", command, name, *_]:
-                return ("declined", COMMANDS.get(command, command), name)
+                return AgentGreeting(GREETINGS[state], _parse_milliseconds(age))
+            case ["exercised", tag, outcome]:
+                return DeepCheckEnded(tag, outcome == "good")
+            case ["refusal", command, target, *_]:
+                return CommandRefused(COMMANDS.get(command, command), target)
             case ["aside", number, *_]:
-                return ("remark", int(number))
-    except (ValueError, KeyError, Malformed):
-        if words[0] in LENGTHS:
-            raise Malformed(f"an {words[0]} can't be read: {line[:80]!r}") from None
-    return ("unknown", line[:80])
+                return Remark(int(number))
+    except (ValueError, KeyError):
+        if words[0] in WORD_COUNTS:
+            raise unreadable(f"an {words[0]}", line) from None
+    return UnknownNotice(line[:80])
+
+
+def _parse_milliseconds(text: str) -> int:
+    """Return the whole nanoseconds of a text in decimal milliseconds."""
+    return parse_seconds(text) // 1000
 
 
-def subscribe(number: int) -> bytes:
+def encode_subscribe(number: int) -> bytes:
+    """Encode the subscription to every notice after the one with this number; 0 asks for all."""
     return b"subscribe %d\r\n" % number
 
 
-def start(name: str, stage: str, body: bytes) -> bytes:
-    return b"launch %s %s %d\r\n%s\r\n" % (name.encode(), stage.encode(), len(body), body)
+def encode_start(task_id: str, stage: str, body: bytes) -> bytes:
+    """Encode the start of a run of the named stage."""
+    return b"launch %s %s %d\r\n%s\r\n" % (task_id.encode(), stage.encode(), len(body), body)
 
 
-def stop(name: str) -> bytes:
-    return b"freeze %s\r\n" % name.encode()
+def encode_stop(task_id: str) -> bytes:
+    """Encode the stop of a run."""
+    return b"freeze %s\r\n" % task_id.encode()
 
 
-def measure(tag: str) -> bytes:
+def encode_sample(tag: str) -> bytes:
+    """Encode a request for the gauges."""
     return b"sample %s\r\n" % tag.encode()
 
 
-def deep_check(tag: str) -> bytes:
+def encode_deep_check(tag: str) -> bytes:
+    """Encode a request for a deep check."""
     return b"exercise %s\r\n" % tag.encode()
 
 
-def deliver(name: str, result: bytes) -> bytes:
-    return b"deliver %s %d\r\n%s\r\n" % (name.encode(), len(result), result)
+def encode_deliver(task_id: str, result: bytes) -> bytes:
+    """Encode the result of a call that a run waits for."""
+    return b"deliver %s %d\r\n%s\r\n" % (task_id.encode(), len(result), result)
 
 
-def skip_call(name: str, number: int) -> bytes:
-    """`number`: of the notice that told of the call."""
-    return b"forgo %s %d\r\n" % (name.encode(), number)
+def encode_skip_call(task_id: str, number: int) -> bytes:
+    """Encode that a run goes on without its call; `number` is that of the notice that requested the call."""
+    return b"forgo %s %d\r\n" % (task_id.encode(), number)
--- a/thistleline/wire/announce.py
+++ b/thistleline/wire/announce.py
@@ -1,18 +1,20 @@
-"""The announce service: one HTTP/1.1 report after another on a connection."""
+"""The announce service's protocol: one HTTP/1.1 report after another on a connection."""
 
 import h11
 
 
-class Reports:
-    """The state of one connection; a report is done when `answered` has told its status."""
+class AnnounceConnection:
+    """The HTTP state of one connection; a report is over once `receive` has returned its status."""
 
     def __init__(self, host: str) -> None:
+        """Start a connection to `host`, an address with its port."""
         self.host = host
         self.http = h11.Connection(h11.CLIENT)
         self.status = 0
 
-    def report(self, name: str, taking: bool) -> bytes:
-        body = b'{"accepting":"%s"}' % (b"true" if taking else b"false")
+    def encode_report(self, name: str, accepting: bool) -> bytes:
+        """Encode the report whether the server called `name` accepts tasks."""
+        body = b'{"accepting":"%s"}' % (b"true" if accepting else b"false")
         head = h11.Request(
             method="PUT",
             target=f"/announce/{name}",
@@ -21,9 +23,15 @@
         events = (head, h11.Data(data=body), h11.EndOfMessage())
         return b"".join(self.http.send(event) or b"" for event in events)
 
-    def answered(self, data: bytes | memoryview) -> int | None:
-        """The status once the whole answer has come; empty data is the end of the stream. May raise
-        h11.RemoteProtocolError."""
+    def receive(self, data: bytes | memoryview) -> int | None:
+        """Take up received bytes; empty ones are the end of the stream.
+
+        Returns:
+            The status once the whole response was received, None before.
+
+        Raises:
+            h11.RemoteProtocolError: If the response is malformed or cut short.
+        """
         self.http.receive_data(bytes(data))
         while True:
             event = self.http.next_event()
@@ -36,8 +44,8 @@
             elif event is h11.NEED_DATA:
                 return None
 
-    def again(self) -> bool:
-        """Whether the connection can carry a further report."""
+    def start_next_report(self) -> bool:
+        """Make ready for another report; return whether the connection can carry one."""
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
             self.http.start_next_cycle()
             return True
--- a/thistleline/wire/backend.py
+++ b/thistleline/wire/backend.py
@@ -1,49 +1,70 @@
-"""The back end, what lies below where the settings name it: calls out, their ends back, as lines of words.
+"""The back end's line protocol: calls out, their ends in.
 
-`ends` yields a plain tuple an end: ("call_over", id, how, result)      how: HOW_CALLS_END
-
-The form was learned from the names that the sites' files give and from what the bench's own back end answers;
+The format was learned from the names in the sites' files and from what the bench's own back end answers;
 `docs/design/calls.md` has both, and what is not known.
 """
 
 from collections.abc import Iterator
-from typing import Any
+from dataclasses import dataclass
 
 from thistleline.wire.buffer import Buffer
-from thistleline.wire.lines import LINE_BOUND, messages
-from thistleline.wire.settings import Malformed
+from thistleline.wire.lines import decode_messages, parse_body_size, unreadable
 
-RESULT_BOUND = 64 * 1024
-BUFFER_BOUND = 2 * (LINE_BOUND + RESULT_BOUND)
-CALL_ENDS = {
+CALL_OUTCOMES = {
     "ok": "finished",
     "overload": "turned_away",
     "internal": "failed",
     "deadline": "timed_out",
     "stale": "failed",
 }
+MESSAGE_NAME = "the end of a call"  # in the text of errors
+MILLISECOND = 1_000_000  # nanoseconds
+
+
+@dataclass(frozen=True, slots=True)
+class CallEnded:
+    """A call has ended.
+
+    Attributes:
+        task_id: Id of the task that it was made for.
+        outcome: One of CALL_OUTCOMES' values.
+        result: Empty unless it finished.
+    """
 
+    task_id: str
+    outcome: str
+    result: bytes
 
-def ends(buffer: Buffer) -> Iterator[tuple[Any, ...]]:
-    """Takes every whole end out of the buffer; raises Malformed where the stream makes no sense."""
-    for line, words, body in messages(buffer, _length):
-        if len(words) < 2 or words[1] not in CALL_ENDS:
-            raise Malformed(f"the end of a call can't be read: {line[:80]!r}")
-        yield "call_over", words[0], CALL_ENDS[words[1]], bytes(body)
 
+def decode_call_ends(buffer: Buffer) -> Iterator[CallEnded]:
+    """Take every whole end of a call out of the buffer.
 
-def _length(line: str, words: list[str]) -> int | None:
+    Raises:
+        MalformedMessageError: If the stream makes no sense.
+    """
+    return decode_messages(buffer, _body_size, _decode_call_end)
+
+
+def _body_size(line: str, words: list[str]) -> int | None:
     if len(words) < 3:
         return None
-    if len(words) != 3 or not words[2].isdecimal() or int(words[2]) > RESULT_BOUND:
-        raise Malformed(f"the end of a call can't be read: {line[:80]!r}")
-    return int(words[2])
+    size = parse_body_size(words, 3)
+    if size is None:
+        raise unreadable(MESSAGE_NAME, line)
+    return size
+
+
+def _decode_call_end(line: str, words: list[str], body: memoryview) -> CallEnded:
+    if len(words) < 2 or words[1] not in CALL_OUTCOMES:
+        raise unreadable(MESSAGE_NAME, line)
+    return CallEnded(words[0], CALL_OUTCOMES[words[1]], bytes(body))
 
 
-def call(name: str, patience: int, body: bytes) -> bytes:
-    """`patience`: nanoseconds after which the call is given up."""
-    return b"invoke %s %d %d\r\n%s\r\n" % (name.encode(), max(1, patience // 1_000_000), len(body), body)
+def encode_call(task_id: str, timeout: int, body: bytes) -> bytes:
+    """Encode a call that the back end gives up after `timeout` nanoseconds."""
+    return b"invoke %s %d %d\r\n%s\r\n" % (task_id.encode(), max(1, timeout // MILLISECOND), len(body), body)
 
 
-def cancel(name: str) -> bytes:
-    return b"cancel %s\r\n" % name.encode()
+def encode_cancel(task_id: str) -> bytes:
+    """Encode that the end of a call is no longer wanted."""
+    return b"cancel %s\r\n" % task_id.encode()
--- a/thistleline/wire/settings.py
+++ b/thistleline/wire/settings.py
@@ -1,83 +1,48 @@
-"""What a server is told about itself, in the words of the settings: read here for every wire."""
+"""The settings that a server is started with, in the operators' words, read for every wire.
 
-from decimal import Decimal, InvalidOperation
+Unknown keys are ignored. What may be left out has the meaning of a site without it; an unknown word is taken
+for the one that asks the least of others, but for an effect, on which a correctness rule depends.
+"""
+
+from decimal import Decimal
 from typing import Any
 
 from thistleline.interface import Bench, Owner, Stage
+from thistleline.wire.durations import parse_seconds
+from thistleline.wire.errors import DurationError, SettingsError
+
+__all__ = ["SettingsError", "read_gauge_names", "read_round_interval", "read_server_settings"]
+
+Section = dict[str, Any]
 
+# The operators' words and the field's.
 EFFECTS = {"read_like": "restartable", "idempotency_key": "fingerprinted", "non_idempotent": "side-effecting"}
 STOPPING = {"none": "none", "abort": "loses", "suspend": "pauses"}
 SAYS = {"none": "none", "threshold": "threshold", "window": "window", "share_of": "share"}
 GAUGES = {"core_use": "core_use", "on_cores": "on_cores", "heap_share": "memory_use", "links": "connections"}
 BELOW = {"none": "none", "shared": "shared", "tier": "tier"}
-NUMBER_BOUND = 1e21
 
-TIME_BOUND = 1 << 40  # seconds; guards against exponents whose digits would fill the memory
+MAX_NUMBER = 1e21
 
 
-class Malformed(Exception):
-    """A line that the wire does not allow."""
+def read_server_settings(env: Section) -> Bench:
+    """Return the settings of a server.
 
-
-def nanos(text: str) -> int:
-    """Decimal seconds to whole nanoseconds, through digits alone so that nothing drifts."""
-    whole, _, part = text.partition(".")
-    if whole.isdigit() and (part.isdigit() or not part):
-        return int(whole) * 1_000_000_000 + int((part + "000000000")[:9])
-    try:
-        value = Decimal(text)
-        if not abs(value) < TIME_BOUND:
-            raise Malformed(f"{text[:40]!r} is not a time")
-        return int(value * 1_000_000_000)
-    except (InvalidOperation, ValueError, OverflowError) as error:
-        raise Malformed(f"{text!r} is not a time") from error
-
-
-def read_bench(env: dict[str, Any]) -> Bench:
-    """The settings of BORN in our words. Keys that are not known are passed over. What may be left out has
-    the meaning of a site without it; a word that is not known is the one that asks the least of others, but
-    for an effect, on which a rule hangs. Raises Malformed, KeyError, TypeError, ValueError."""
-    info, rules = _of(env, "familyInfo"), _of(env, "invariants")
+    Raises:
+        SettingsError: If a value makes no sense.
+        KeyError: If a required key is missing.
+        TypeError: If a value has a type that its conversion refuses.
+        ValueError: If a value can't be converted.
+        ArithmeticError: If a duration is no number.
+    """
+    info, rules = _section(env, "familyInfo"), _section(env, "invariants")
     allowed, habits = env.get("allowed") or {}, env.get("clientHabits") or {}
-    calls, skips = info.get("classCalls") or [], info.get("classSkipWorth") or []
-    stages = []
-    for place, row in enumerate(env["classes"]):
-        name = str(row["name"])
-        limit = _above_zero(f"deadline of {name}", _span(row["deadline"]))
-        effect = EFFECTS.get(row["effect"])
-        if effect is None:
-            raise Malformed(
-                f"the effect of {name} is {row['effect']!r}, one of {', '.join(EFFECTS)} is wanted"
-            )
-        stages.append(
-            Stage(
-                name=name,
-                due_span=_above_zero(f"promise of {name}", _span(row.get("promise") or row["deadline"])),
-                due_stretch=_number(row, "aimStretch", 0.0),
-                limit_span=limit,
-                window=_span(row.get("window") or 0),
-                effect=effect,  # type: ignore[arg-type]
-                utility=_number(row, "credit", 1.0),
-                late_share=_number(row, "lateShare", 0.0),
-                calls=bool(calls[place]) if place < len(calls) else False,
-                skip_share=float(skips[place] or 0.0) if place < len(skips) else 0.0,
-            )
-        )
-    if not stages:
-        raise Malformed("there are no stages")
-    projects = env.get("projects") or []
-    owners = [
-        Owner(
-            str(row["name"]),
-            _number(row, "portion", 1 / len(projects)),
-            _number(row, "allowancePerS", float("inf")),
-        )
-        for row in projects
-    ]
+    stages = _read_stages(env, info)
+    tenants = _read_tenants(env)
     cores = _above_zero("a server without cores: 'cpus'", float(info["cpus"]))
     return Bench(
-        stages=tuple(stages),
-        owners=tuple(owners),
+        stages=stages,
+        owners=tenants,
         cores=int(cores) if cores == int(cores) else cores,
         memory_kb=_above_zero("a server without memory: 'memoryKb'", float(info["memoryKb"])),
         run_factor=_number(info, "blowup", 1.0),
@@ -86,60 +51,108 @@
         callers=max(1, int(_number(info, "upstreams", 1.0))),
         fresh=bool(info.get("freshStart")),
         cold_from=_number(rules, "coldFrom", 1.0),
-        cold_span=_span(rules.get("cold") or 0),
+        cold_span=_duration(rules.get("cold") or 0),
         crowd_bound=max(1.0, float(rules["fallMultiple"])),
-        crowd_span=_span(rules.get("fall") or 0),
-        answer_slack=_span(rules.get("graceToAnswer") or 0),
-        drain_grace=_span(rules.get("drainGrace") or 0),
+        crowd_span=_duration(rules.get("fall") or 0),
+        answer_slack=_duration(rules.get("graceToAnswer") or 0),
+        drain_grace=_duration(rules.get("drainGrace") or 0),
         stopping=STOPPING.get(info.get("halt"), "none"),  # type: ignore[arg-type]
         tells_limit=bool(info.get("passesDeadline")),
         tells_gone=bool(info.get("tellsGone")),
         marks_repeats=bool(habits.get("marksRetry")),
         says=SAYS.get(info.get("say"), "none"),  # type: ignore[arg-type]
         list_follows_health=bool(info.get("listFollows")),
-        longest_stay_away=_span(allowed.get("maxRetryAfter") or 0) if allowed.get("retryAfter") else 0,
+        longest_stay_away=_duration(allowed.get("maxRetryAfter") or 0) if allowed.get("retryAfter") else 0,
         over_share_utility=_number(env, "overShareWorth", 1.0),
-        answer_fresh_for=_span(info.get("freshFor") or 0),
+        answer_fresh_for=_duration(info.get("freshFor") or 0),
         below=BELOW.get(info.get("dependsOn") or "none", "tier"),  # type: ignore[arg-type]
         calls_out=_number(info, "callsOut", 0.0),
-        calls_span=_span(info.get("shareSpan") or 0),
-        call_linger=_span(info.get("staysFor") or 0),
+        calls_span=_duration(info.get("shareSpan") or 0),
+        call_linger=_duration(info.get("staysFor") or 0),
     )
 
 
-def _of(env: dict[str, Any], key: str) -> dict[str, Any]:
-    part = env[key]
-    if not isinstance(part, dict):
-        raise Malformed(f"{key!r} is no object")
-    return part
+def read_gauge_names(env: Section) -> tuple[str, ...]:
+    """Return the names of the gauges, in the order in which their values come."""
+    return tuple(GAUGES.get(name, str(name)) for name in _section(env, "familyInfo").get("gauges") or ())
 
 
-def _span(value: Any) -> int:
-    span = nanos(format(Decimal(str(value)), "f"))
-    if span < 0:
-        raise Malformed(f"{value!r} is no span of time")
-    return span
+def read_round_interval(env: Section) -> int:
+    """Return the least nanoseconds between two rounds of the decision module."""
+    return _duration(env.get("granularity") or 0)
 
 
-def _number(row: dict[str, Any], key: str, without: float) -> float:
-    value = row.get(key)
-    number = without if value is None else float(value)
-    if not number >= 0:
-        raise Malformed(f"{key!r} is {value!r}, a number from 0 up is wanted")
-    return number
+def _read_stages(env: Section, info: Section) -> tuple[Stage, ...]:
+    calls, skip_shares = info.get("classCalls") or [], info.get("classSkipWorth") or []
+    stages = tuple(_read_stage(row, place, calls, skip_shares) for place, row in enumerate(env["classes"]))
+    if not stages:
+        raise SettingsError("there are no stages")
+    return stages
+
+
+def _read_stage(row: Section, place: int, calls: list[Any], skip_shares: list[Any]) -> Stage:
+    """Return one stage; `calls` and `skip_shares` have a value a stage, and may be shorter."""
+    name = str(row["name"])
+    limit = _above_zero(f"deadline of {name}", _duration(row["deadline"]))
+    effect = EFFECTS.get(row["effect"])
+    if effect is None:
+        raise SettingsError(
+            f"the effect of {name} is {row['effect']!r}, one of {', '.join(EFFECTS)} is wanted"
+        )
+    return Stage(
+        name=name,
+        due_span=_above_zero(f"promise of {name}", _duration(row.get("promise") or row["deadline"])),
+        due_stretch=_number(row, "aimStretch", 0.0),
+        limit_span=limit,
+        window=_duration(row.get("window") or 0),
+        effect=effect,  # type: ignore[arg-type]
+        utility=_number(row, "credit", 1.0),
+        late_share=_number(row, "lateShare", 0.0),
+        calls=bool(calls[place]) if place < len(calls) else False,
+        skip_share=float(skip_shares[place] or 0.0) if place < len(skip_shares) else 0.0,
+    )
 
 
-def _above_zero(what: str, value: Any) -> Any:
-    if not 0 < value < NUMBER_BOUND:
-        raise Malformed(f"{what}: above 0 is wanted")
-    return value
+def _read_tenants(env: Section) -> tuple[Owner, ...]:
+    """Return the tenants; without a share each has as much as any other."""
+    projects = env.get("projects") or []
+    return tuple(
+        Owner(
+            str(row["name"]),
+            _number(row, "portion", 1 / len(projects)),
+            _number(row, "allowancePerS", float("inf")),
+        )
+        for row in projects
+    )
 
 
-def read_gauges(env: dict[str, Any]) -> tuple[str, ...]:
-    """The names of the gauges, in the order in which their values come."""
-    return tuple(GAUGES.get(name, str(name)) for name in _of(env, "familyInfo").get("gauges") or ())
+def _section(env: Section, key: str) -> Section:
+    section = env[key]
+    if not isinstance(section, dict):
+        raise SettingsError(f"{key!r} is no object")
+    return section
 
 
-def read_granularity(env: dict[str, Any]) -> int:
-    """The least span between two rounds."""
-    return _span(env.get("granularity") or 0)
+def _duration(value: Any) -> int:
+    """Return the nanoseconds of a number of seconds."""
+    try:
+        duration = parse_seconds(format(Decimal(str(value)), "f"))
+    except DurationError as error:
+        raise SettingsError(str(error)) from error
+    if duration < 0:
+        raise SettingsError(f"{value!r} is no span of time")
+    return duration
+
+
+def _number(row: Section, key: str, default: float) -> float:
+    value = row.get(key)
+    number = default if value is None else float(value)
+    if not number >= 0:
+        raise SettingsError(f"{key!r} is {value!r}, a number from 0 up is wanted")
+    return number
+
+
+def _above_zero(name: str, value: Any) -> Any:
+    if not 0 < value < MAX_NUMBER:
+        raise SettingsError(f"{name}: above 0 is wanted")
+    return value
--- a/thistleline/wire/stub.py
+++ b/thistleline/wire/stub.py
@@ -1,57 +1,87 @@
-"""The client stub's side of wire/thrift.py: calls out, answers in. The laboratory speaks it, no server does.
-
-An answer is a kind and its value: ("finished", result), ("rejected", words), ("abandoned", words), or
-("misunderstood", text); ("dismiss", b"") where nothing new is wanted on the connection.
-"""
+"""The client stub's side of the protocol: requests out, responses in. The lab speaks it, no server does."""
 
 from collections.abc import Iterator
-from typing import Any
+from dataclasses import dataclass
+from typing import Any, Literal
 
 from thistleline.wire import thrift
 from thistleline.wire.buffer import Buffer
-from thistleline.wire.settings import Malformed
+from thistleline.wire.errors import MalformedMessageError
+from thistleline.wire.thrift import FRAME_HEADER_SIZE, STOP, ThriftReader
+
+MAX_RESPONSE_SIZE = 256 * 1024  # bytes
+
+ResponseKind = Literal["finished", "rejected", "abandoned", "misunderstood", "dismiss"]
+PROCESS_KINDS: tuple[ResponseKind, ...] = ("finished", "rejected", "abandoned")  # by field of the reply
+
+
+@dataclass(frozen=True, slots=True)
+class Response:
+    """A response of a server.
+
+    Attributes:
+        sequence: Number of the request that it answers.
+        kind: "misunderstood" for an exception; "dismiss" where nothing new is wanted on the connection.
+        value: The result (bytes) of what finished; the fields (a dict of texts) of what was rejected or
+            abandoned; empty for the others.
+    """
+
+    sequence: int
+    kind: ResponseKind
+    value: Any
 
-ANSWER_BOUND = 256 * 1024
 
+def encode_process(sequence: int, fields: dict[str, str], body: bytes) -> bytes:
+    """Encode the request of a task."""
+    content = thrift.encode_text_map(1, fields)
+    content += thrift.encode_field(thrift.STRING, 2) + thrift.encode_binary(body) + STOP
+    return thrift.encode_message(thrift.CALL, b"process", sequence, content)
 
-def process(seq: int, words: dict[str, str], body: bytes) -> bytes:
-    content = thrift._words(1, words) + thrift._field(thrift.STRING, 2) + thrift._binary(body) + b"\0"
-    return thrift._message(thrift.CALL, b"process", seq, content)
 
+def encode_probe(sequence: int, deep: bool) -> bytes:
+    """Encode the request of the server's health."""
+    content = thrift.encode_field(thrift.BOOL, 1) + (b"\1" if deep else b"\0") + STOP
+    return thrift.encode_message(thrift.CALL, b"probe", sequence, content)
 
-def answers(buffer: Buffer) -> Iterator[tuple[int, str, Any]]:
-    """Sequence number, kind and value of every whole answer. Raises Malformed."""
-    while len(buffer) >= 4:
-        (count,) = thrift._u32(buffer.view, buffer.start)
-        if count > ANSWER_BOUND:
-            raise Malformed("an answer is too long")
-        if len(buffer) < 4 + count:
+
+def decode_responses(buffer: Buffer) -> Iterator[Response]:
+    """Take every whole response out of the buffer.
+
+    Raises:
+        MalformedMessageError: If the stream makes no sense.
+    """
+    while len(buffer) >= FRAME_HEADER_SIZE:
+        size = thrift.frame_size(buffer.view, buffer.start)
+        if size > MAX_RESPONSE_SIZE:
+            raise MalformedMessageError("an answer is too long")
+        if len(buffer) < FRAME_HEADER_SIZE + size:
             return
-        reader = thrift.Reader(buffer.take(4 + count)[4:])
-        kind = reader.i32() & 0xFF
-        reader.text()
-        seq = reader.i32()
-        if kind == thrift.ONEWAY:
-            yield seq, "dismiss", b""
-        elif kind == thrift.EXCEPTION:
-            yield seq, "misunderstood", ""
-        else:
-            yield seq, *_reply(reader)
-
-
-def _reply(reader: thrift.Reader) -> tuple[str, Any]:
-    field, place = reader.byte(), reader.i16()
-    if field != thrift.STRUCT or place not in (0, 1, 2):
-        raise Malformed("an answer of no kind")
-    result, words = b"", {}
-    while field := reader.byte():
-        inner = reader.i16()
-        if (field, inner) == (thrift.STRING, 1) and place == 0:
-            result = bytes(reader.binary())
-        elif field == thrift.MAP:
-            words = reader.words()
+        yield _decode_response(ThriftReader(buffer.take(FRAME_HEADER_SIZE + size)[FRAME_HEADER_SIZE:]))
+
+
+def _decode_response(reader: ThriftReader) -> Response:
+    message_type = reader.read_i32() & thrift.TYPE_MASK
+    reader.read_text()
+    sequence = reader.read_i32()
+    if message_type == thrift.ONEWAY:
+        return Response(sequence, "dismiss", b"")
+    if message_type == thrift.EXCEPTION:
+        return Response(sequence, "misunderstood", "")
+    return _decode_reply(reader, sequence)
+
+
+def _decode_reply(reader: ThriftReader, sequence: int) -> Response:
+    value_type, reply_field = reader.read_byte(), reader.read_i16()
+    if value_type != thrift.STRUCT or reply_field not in (0, 1, 2):
+        raise MalformedMessageError("an answer of no kind")
+    result = b""
+    fields: dict[str, str] = {}
+    while field_type := reader.read_byte():
+        field_id = reader.read_i16()
+        if (field_type, field_id) == (thrift.STRING, 1) and reply_field == 0:
+            result = bytes(reader.read_binary())
+        elif field_type == thrift.MAP:
+            fields = reader.read_text_map()
         else:
-            reader.pass_over(field)
-    return (
-        ("finished", result) if place == 0 else (("rejected", words) if place == 1 else ("abandoned", words))
-    )
+            reader.skip(field_type)
+    return Response(sequence, PROCESS_KINDS[reply_field], result if reply_field == 0 else fields)
