--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -13,6 +13,7 @@
 from thrift.Thrift import TMessageType, TType
 
 from tests.host import SETTINGS, TOLD, answered, asked, booking, probe, process, words
+from thistleline.interface import RunOutcome
 from thistleline.policy import MS, SECOND
 from thistleline.server.clock import Clock
 from thistleline.server.configuration import read_configuration
@@ -183,7 +184,7 @@
     return told
 
 
-def run_ended(number: int, task_id: str, outcome: str, duration: int, result: bytes) -> RunEnded:
+def run_ended(number: int, task_id: str, outcome: RunOutcome, duration: int, result: bytes) -> RunEnded:
     """A notice as `heard` copies it."""
     return RunEnded(number, task_id, outcome, duration, result)  # type: ignore[arg-type]
 
--- a/thistleline/lab/handoverworld.py
+++ b/thistleline/lab/handoverworld.py
@@ -20,7 +20,7 @@
 
 MS, SECOND = 1_000_000, 1_000_000_000
 BENCH = read_server_settings(SETTINGS)
-WINDOW, LIMIT = BENCH.stages[0].window, BENCH.stages[0].limit_span
+WINDOW, LIMIT = BENCH.stages[0].idempotency_window, BENCH.stages[0].timeout
 STOP = 2 * SECOND
 BY_HEIR = {"start": "lodge", "stop": "lodger_stop", "measure": "lodger_measure"}
 
--- a/thistleline/lab/scale/forwarder.py
+++ b/thistleline/lab/scale/forwarder.py
@@ -44,7 +44,7 @@
             if isinstance(request, TaskRequest):
                 task = request.task
                 self.hall.open[task.id] = self, request.sequence
-                stage = self.hall.configuration.bench.stages[task.stage].name
+                stage = self.hall.configuration.settings.stages[task.stage].name
                 self.hall.agent.transport.write(agent.encode_start(task.id, stage, bytes(request.body)))
             elif isinstance(request, HealthRequest):
                 self.transport.write(responses.encode_health(request.sequence, True, None))
@@ -63,7 +63,7 @@
 
     def __init__(self, configuration: Configuration) -> None:
         self.configuration = configuration
-        self.codec = ClientCodec(configuration.bench)
+        self.codec = ClientCodec(configuration.settings)
         self.open: dict[str, tuple[Ends, int]] = {}
         self.agent: Ends
 
--- a/thistleline/supervisor/settings.py
+++ b/thistleline/supervisor/settings.py
@@ -25,7 +25,7 @@
         return f"{len(content)} bytes, {SIZE_BOUND} at most"
     try:
         told = msgspec.json.decode(content)
-        bench = read_server_settings(told)
+        site = read_server_settings(told)
         read_gauge_names(told)
         read_round_interval(told)
     except KeyError as error:
@@ -39,7 +39,7 @@
         ArithmeticError,
     ) as error:
         return f"{type(error).__name__}: {' '.join(str(error).split())}"
-    twice = [name for name, count in Counter(one.name for one in bench.stages).items() if count > 1]
+    twice = [name for name, count in Counter(one.name for one in site.stages).items() if count > 1]
     if twice:
         return f"there are two stages {twice[0]!r}"
     if limits is None:
@@ -48,11 +48,11 @@
         sockets, memory = int(limits["sockets"]), float(limits["memory_mb"]) * 1024 * 1024
     except (KeyError, TypeError, ValueError):
         return "the limits have no 'sockets' or no 'memory_mb'"
-    if bench.callers + RESERVE > sockets:
-        return f"{bench.callers} callers and {RESERVE} of its own need more than {sockets} descriptors"
-    if bench.callers * CONNECTION_COST > memory / 4:
-        taken = bench.callers * CONNECTION_COST >> 20
-        return f"{bench.callers} callers take {taken} MB, more than a quarter of {int(memory) >> 20} MB"
+    if site.client_count + RESERVE > sockets:
+        return f"{site.client_count} callers and {RESERVE} of its own need more than {sockets} descriptors"
+    if site.client_count * CONNECTION_COST > memory / 4:
+        taken = site.client_count * CONNECTION_COST >> 20
+        return f"{site.client_count} callers take {taken} MB, more than a quarter of {int(memory) >> 20} MB"
     return ""
 
 
--- a/thistleline/wire/agent.py
+++ b/thistleline/wire/agent.py
@@ -6,6 +6,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
+from thistleline.interface import RunOutcome
 from thistleline.wire.buffer import Buffer
 from thistleline.wire.durations import parse_seconds
 from thistleline.wire.lines import decode_messages, parse_body_size, unreadable
@@ -20,7 +21,7 @@
     "forgo": "skip_call",
 }
 WORD_COUNTS = {"outcome": 6, "request": 4}  # of the notices with a body
-RUN_OUTCOMES = {"good": "finished", "bad": "failed", "cut": "stopped", "gone": "moot"}
+RUN_OUTCOMES: dict[str, RunOutcome] = {"good": "finished", "bad": "failed", "cut": "stopped", "gone": "moot"}
 GREETINGS = {"new": True, "old": False}
 
 
@@ -44,14 +45,14 @@
     Attributes:
         number: Of the notice, in the sequence of those that the agent retains.
         task_id: Id under which it was started.
-        outcome: One of RUN_OUTCOMES' values.
+        outcome: How it ended.
         duration: Nanoseconds of work it took.
         result: A slice of the receive buffer.
     """
 
     number: int
     task_id: str
-    outcome: str
+    outcome: RunOutcome
     duration: int
     result: memoryview
 
--- a/thistleline/wire/backend.py
+++ b/thistleline/wire/backend.py
@@ -7,12 +7,13 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
+from thistleline.interface import CallOutcome
 from thistleline.wire.buffer import Buffer
 from thistleline.wire.lines import decode_messages, parse_body_size, unreadable
 
-CALL_OUTCOMES = {
+CALL_OUTCOMES: dict[str, CallOutcome] = {
     "ok": "finished",
-    "overload": "turned_away",
+    "overload": "rejected",
     "internal": "failed",
     "deadline": "timed_out",
     "stale": "failed",
@@ -27,12 +28,12 @@
 
     Attributes:
         task_id: Id of the task that it was made for.
-        outcome: One of CALL_OUTCOMES' values.
+        outcome: How it ended.
         result: Empty unless it finished.
     """
 
     task_id: str
-    outcome: str
+    outcome: CallOutcome
     result: bytes
 
 
--- a/thistleline/wire/requests.py
+++ b/thistleline/wire/requests.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from thistleline.interface import Bench, Task
+from thistleline.interface import ServerSettings, Task
 from thistleline.wire import thrift
 from thistleline.wire.buffer import Buffer
 from thistleline.wire.errors import MalformedMessageError
@@ -71,11 +71,11 @@
 class ClientCodec:
     """Decodes the requests to one server, whose stages and tenants they name."""
 
-    def __init__(self, bench: Bench) -> None:
+    def __init__(self, settings: ServerSettings) -> None:
         """Take the names from the server's settings."""
-        self.stages = {stage.name: place for place, stage in enumerate(bench.stages)}
-        self.needs_key = [stage.effect == "fingerprinted" for stage in bench.stages]
-        self.tenants = {owner.name: place for place, owner in enumerate(bench.owners)}
+        self.stages = {stage.name: place for place, stage in enumerate(settings.stages)}
+        self.needs_key = [stage.effect == "keyed" for stage in settings.stages]
+        self.tenants = {tenant.name: place for place, tenant in enumerate(settings.tenants)}
 
     def decode_requests(self, buffer: Buffer) -> Iterator[Request]:
         """Take every whole frame out of the buffer."""
