--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -68,12 +68,17 @@
     [request] = fed([process(3, told, body)])
     task = request.task
     assert request == TaskRequest(3, task, "7f3a9c21e0b4d655", body)  # type: ignore[arg-type]
-    assert (task.id, task.stage, task.owner, task.caller) == ("0000000000000009", 0, 0, 2)
-    assert (task.work, task.held_kb, task.rank, task.again) == (12_500_000, 24.5, 0.625, True)
-    assert (task.reached, task.user) == (1764576000123 * MS, 0x7F3A9C21E0B4D655)
+    assert (task.id, task.stage, task.tenant, task.client) == ("0000000000000009", 0, 0, 2)
+    assert (task.estimated_work, task.queued_memory_kb, task.priority_rank, task.is_retry) == (
+        12_500_000,
+        24.5,
+        0.625,
+        True,
+    )
+    assert (task.arrived_at, task.user) == (1764576000123 * MS, 0x7F3A9C21E0B4D655)
     [request] = fed([process(4, booking(1, "5c0f", effort=None))])
     task = request.task
-    assert (task.stage, task.work, task.user, task.again) == (1, None, None, False)
+    assert (task.stage, task.estimated_work, task.user, task.is_retry) == (1, None, None, False)
     assert request.retry_key == "5c0f"
 
 
--- a/thistleline/ledger/store.py
+++ b/thistleline/ledger/store.py
@@ -14,7 +14,7 @@
 from thistleline.ledger.records import LedgerWrite, RecoveredEffect
 from thistleline.ledger.state import LedgerState
 from thistleline.store.disk import Disk, boot_id
-from thistleline.store.frames import Damaged
+from thistleline.store.frames import CorruptFrameError
 
 MAX_FRAME_RECORDS = 4096
 MAX_FRAME_RESULT_BYTES = 1024 * 1024  # bytes of results after which a frame ends
@@ -104,7 +104,8 @@
             The effects that still matter.
 
         Raises:
-            Damaged: If a segment has another format; nothing must be started on half of what is known.
+            CorruptFrameError: If a segment has another format; nothing must be started on half of what is
+                known.
             OSError: If the folder can't be read.
         """
         with _garbage_collection_paused():
@@ -125,7 +126,7 @@
             now: Boot time in ns.
 
         Raises:
-            Damaged: As `recover` does, if `final`.
+            CorruptFrameError: As `recover` does, if `final`.
             OSError: If the folder can't be read.
         """
         ledger.advance_clock(now)
@@ -142,7 +143,7 @@
             ledger.recover_segment(number, len(data))
             try:
                 reading = self._read_segment(ledger, number, data, position)
-            except Damaged:
+            except CorruptFrameError:
                 if final:
                     raise
                 continue  # its header is being written
@@ -158,8 +159,8 @@
             return SegmentReading(number, len(data), 0, 0, True, 0, 0)  # killed as the segment was created
         try:
             header = ledger_format.decode_header(data)
-        except Damaged as error:
-            raise Damaged(f"{self.disk.path(number)}: {error}") from error
+        except CorruptFrameError as error:
+            raise CorruptFrameError(f"{self.disk.path(number)}: {error}") from error
         own_places = {name: place for place, name in enumerate(self.stages)}
         stages = [own_places.get(name) for name in header.stages]
         same_boot = header.boot == self.boot and any(header.boot)
