--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -23,9 +23,9 @@
 from thistleline.lab.leaseworld import begin, following
 from thistleline.lab.mutants import MUTANTS, SCENARIOS, without
 from thistleline.lab.virtual import MS, VirtualCouncil
-from thistleline.lease.protocol import Change, Denied, Done, Elsewhere, Granted, Release, Take
+from thistleline.lease.protocol import Acquire, ChangeMembership, Denied, Done, Granted, Release, Unavailable
 from thistleline.lease.server import Office
-from thistleline.lease.table import Table
+from thistleline.lease.table import LeaseTable
 from thistleline.store.disk import Disk
 from thistleline.store.frames import CorruptFrameError
 from thistleline.transport.codec import FrameDecoder, Hello, ProtocolError, encode_frame, negotiate_version
@@ -56,13 +56,13 @@
 def test_a_leader_is_found_and_after_its_death_another(voters: int) -> None:
     made = council(voters)
     first = made.leader()
-    assert isinstance(ask(made, first, Take("n", "x", SECOND)), Granted)
+    assert isinstance(ask(made, first, Acquire("n", "x", SECOND)), Granted)
     if voters == 1:
         return
     made.dead.add(first)
     assert made.run(made.now + 5 * SECOND, lambda: bool(made.leader()))
     made.run(made.now + SECOND)
-    assert made.offices[made.leader()].table.stands("n", "x") == Granted(1, SECOND)
+    assert made.offices[made.leader()].table.status_of("n", "x") == Granted(1, SECOND)
 
 
 @pytest.mark.parametrize("hears", [True, False])
@@ -96,11 +96,11 @@
     other = next(id for id in made.offices if id != first)
     inside = {first, other}
     made.swallows = lambda source, to: (source in inside) != (to in inside)
-    assert isinstance(ask(made, first, Take("n", "x", SECOND)), Elsewhere)
+    assert isinstance(ask(made, first, Acquire("n", "x", SECOND)), Unavailable)
     made.run(made.now + 3 * SECOND)
     new = made.leader()
     assert new not in inside
-    assert isinstance(ask(made, new, Take("n", "y", 100 * SECOND)), Granted)
+    assert isinstance(ask(made, new, Acquire("n", "y", 100 * SECOND)), Granted)
     made.swallows = lambda source, to: False
     made.run(made.now + 3 * SECOND)
     assert {office.table.state.leases["n"].holder for office in made.offices.values()} == {"y"}
@@ -113,7 +113,7 @@
     late = next(id for id in made.offices if id != leader)
     made.swallows = lambda source, to: late in (source, to)
     for place in range(100):
-        assert isinstance(ask(made, leader, Take(f"n{place}", "x", 100 * SECOND)), Granted)
+        assert isinstance(ask(made, leader, Acquire(f"n{place}", "x", 100 * SECOND)), Granted)
     assert made.offices[leader].voter.log.base > 50
     made.swallows = lambda source, to: False
     made.run(made.now + 5 * SECOND)
@@ -128,16 +128,20 @@
     leader = made.leader()
     rest = sorted(set(made.offices) - {leader})
     made.swallows = lambda source, to: leader in (source, to)
-    assert isinstance(ask(made, leader, Change("remove", rest[0])), Elsewhere)  # it comes to nothing there
+    assert isinstance(
+        ask(made, leader, ChangeMembership("remove", rest[0])), Unavailable
+    )  # it comes to nothing there
     made.run(made.now + 3 * SECOND)
     new = made.leader()
     assert new != leader
-    assert ask(made, new, Change("remove", leader)) == Done("changed")
+    assert ask(made, new, ChangeMembership("remove", leader)) == Done("changed")
     made.swallows = lambda source, to: False
     made.run(made.now + 5 * SECOND)
     assert {one.id for one in made.offices[made.leader()].voter.members} == set(rest)
     assert made.offices[leader].voter.phase != "leading"
-    assert isinstance(ask(made, made.leader(), Change("remove", leader)), Done)  # it is gone already
+    assert isinstance(
+        ask(made, made.leader(), ChangeMembership("remove", leader)), Done
+    )  # it is gone already
     made.dead.add(leader)
     before = made.offices[made.leader()].voter.term
     made.run(made.now + 10 * SECOND)
@@ -148,15 +152,15 @@
     made = council(3)
     leader = made.leader()
     lost = next(id for id in made.offices if id != leader)
-    ask(made, leader, Take("n", "x", 100 * SECOND))
+    ask(made, leader, Acquire("n", "x", 100 * SECOND))
     del made.offices[lost]
     made.dead.add(lost)
-    empty = Voter("w0", Table(), made.now, SPANS, lambda span: made.chance.randrange(span))
+    empty = Voter("w0", LeaseTable(), made.now, SPANS, lambda span: made.chance.randrange(span))
     made.offices["w0"] = Office(empty, lambda: 0)
     made.run(made.now + 3 * SECOND)
     assert empty.phase == "unformed"
-    assert ask(made, leader, Change("remove", lost)) == Done("changed")
-    assert ask(made, leader, Change("add", "w0", "w0")) == Done("changed")
+    assert ask(made, leader, ChangeMembership("remove", lost)) == Done("changed")
+    assert ask(made, leader, ChangeMembership("add", "w0", "w0")) == Done("changed")
     assert "n" in made.offices["w0"].table.state.leases
     made.dead.add(leader)
     made.run(made.now + 5 * SECOND)
@@ -176,7 +180,7 @@
         )
         made.run(made.now + chance.randrange(3 * SECOND))
         if made.leader():
-            answer = ask(made, made.leader(), Take(f"n{place}", "x", 3600 * SECOND))
+            answer = ask(made, made.leader(), Acquire(f"n{place}", "x", 3600 * SECOND))
             if isinstance(answer, Granted):
                 assert answer.epoch not in granted.values()
                 granted[f"n{place}"] = answer.epoch
@@ -238,9 +242,9 @@
 def test_released_and_taken_in_the_same_instant_it_has_one_holder() -> None:
     made = council(3)
     leader = made.leader()
-    ask(made, leader, Take("n", "x", 100 * SECOND))
+    ask(made, leader, Acquire("n", "x", 100 * SECOND))
     office = made.offices[leader]
-    both = (("asked", "r", Release("n", "x")), ("asked", "t", Take("n", "y", 100 * SECOND)))
+    both = (("asked", "r", Release("n", "x")), ("asked", "t", Acquire("n", "y", 100 * SECOND)))
     for effect in office.take(made.now, *both):
         if effect[0] == "send":
             made.at(made.now + MS, made._arrives(effect[1], leader, effect[2]))
@@ -339,7 +343,7 @@
     """A leader whose disk fails leads no more; another does, and the first comes back with all it knows."""
     made = council(3)
     first = made.leader()
-    ask(made, first, Take("n", "x", 100 * SECOND))
+    ask(made, first, Acquire("n", "x", 100 * SECOND))
     office, put = made.offices[first], made.put
     failing = [True]
 
@@ -347,7 +351,7 @@
         put(id, *(("unwritten", "no space") if id == first and told == ("written",) and failing[0] else told))
 
     made.put = troubled  # type: ignore[method-assign]
-    made.put(first, "asked", "z", Take("m", "x", 100 * SECOND))
+    made.put(first, "asked", "z", Acquire("m", "x", 100 * SECOND))
     made.run(made.now + 5 * SECOND)
     assert made.leader() not in ("", first)
     assert office.voter.failing
@@ -442,15 +446,15 @@
 def test_the_line_is_fair_and_a_lost_answer_asked_again_is_the_same_grant() -> None:
     made = council(3)
     leader = made.leader()
-    assert ask(made, leader, Take("n", "x", 100 * SECOND)) == Granted(1, 100 * SECOND)
-    assert ask(made, leader, Take("n", "x", 100 * SECOND)) == Granted(1, 100 * SECOND)
-    assert isinstance(ask(made, leader, Take("n", "y", SECOND)), Denied)
+    assert ask(made, leader, Acquire("n", "x", 100 * SECOND)) == Granted(1, 100 * SECOND)
+    assert ask(made, leader, Acquire("n", "x", 100 * SECOND)) == Granted(1, 100 * SECOND)
+    assert isinstance(ask(made, leader, Acquire("n", "y", SECOND)), Denied)
     for asker in ("p", "q", "r"):
-        ask(made, leader, Take("n", asker, 100 * SECOND, True))
+        ask(made, leader, Acquire("n", asker, 100 * SECOND, True))
     ask(made, leader, Release("n", "q"))
     ask(made, leader, Release("n", "x"))
     assert made.offices[leader].table.state.leases["n"].holder == "p"
-    assert isinstance(ask(made, leader, Take("n", "x", SECOND)), Denied)  # a late copy of its wish
+    assert isinstance(ask(made, leader, Acquire("n", "x", SECOND)), Denied)  # a late copy of its wish
     ask(made, leader, Release("n", "p"))
     assert made.offices[leader].table.state.leases["n"].holder == "r"
     assert made.offices[leader].table.state.leases["n"].epoch == 3
--- a/tests/test_feed_writer.py
+++ b/tests/test_feed_writer.py
@@ -35,9 +35,9 @@
 from thistleline.config_feed.validation import fault
 from thistleline.config_feed.writer import ASK_AGAIN, CATCH_UP_SPAN, LINE_SIZE, Writer, key_of
 from thistleline.lab.feedworld import changed, fleet, settle
-from thistleline.lease.protocol import Break, Denied, Done, Granted, Put, Take
-from thistleline.lease.table import Table as Council
-from thistleline.lease.table import data_of
+from thistleline.lease.protocol import Acquire, Break, Denied, Done, Granted, Put
+from thistleline.lease.table import LeaseTable as Council
+from thistleline.lease.table import encode_decision
 from thistleline.store.disk import Disk
 
 KEEPERS = ("a", "b", "c")
@@ -63,14 +63,14 @@
 
     def _decide(self, decision: Any) -> Any:
         self.index += 1
-        return self.table.apply(self.index, data_of(decision))
+        return self.table.apply(self.index, encode_decision(decision))
 
     def grant(self, who: str) -> int:
         """To `who` a new lease; who had it is not told."""
         if self.epoch:
             self._decide(Break("feed", self.epoch, "a test"))
         self.grants += 1
-        granted = self._decide(Take("feed", f"{who}.{self.grants}", 10 * SECOND))
+        granted = self._decide(Acquire("feed", f"{who}.{self.grants}", 10 * SECOND))
         assert isinstance(granted, Granted)
         self.epoch = granted.epoch
         return self.epoch
@@ -123,10 +123,10 @@
         if unknown:
             self.tell("put_unknown", slot)
         elif answered and isinstance(answer, Done):
-            self.tell("put_done", slot, answer.number)
+            self.tell("put_done", slot, answer.version)
         elif answered:
             assert isinstance(answer, Denied)
-            self.tell("put_denied", slot, answer.why)
+            self.tell("put_denied", slot, answer.reason)
 
     def serve(self) -> "Keeper":
         while self.out:
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -18,11 +18,30 @@
 
 from thistleline.lab.harness import Fleet
 from thistleline.lab.leases import Storm, Wrote, judge
-from thistleline.lease.client import Council
-from thistleline.lease.fencing import Guard
-from thistleline.lease.holder import Hold
-from thistleline.lease.protocol import Denied, Done, Elsewhere, Granted, Kept, Show, Take, right
-from thistleline.lease.session import Held, Lost, NoTime, lease
+from thistleline.lease.client import LeaseClient
+from thistleline.lease.errors import LeaseLostError, LeaseTimeoutError
+from thistleline.lease.fencing import FencingGuard
+from thistleline.lease.holder import LeaseHolder
+from thistleline.lease.holder_effects import LeaseEnded, SendRequest
+from thistleline.lease.holder_events import (
+    AcquireStarted,
+    AnswerReceived,
+    DeadlineReached,
+    GrantHinted,
+    HolderEvent,
+    ReleaseRequested,
+)
+from thistleline.lease.protocol import (
+    Acquire,
+    Denied,
+    Describe,
+    Done,
+    Granted,
+    Renewed,
+    Unavailable,
+    holder_ttl,
+)
+from thistleline.lease.session import HeldLease, lease
 from thistleline.lease.wire import encode
 from thistleline.store.clock import boot_now
 from thistleline.transport.codec import Hello, encode_frame
@@ -31,7 +50,7 @@
 
 
 def with_fleet(
-    folder: Path, voters: int, story: Callable[[Fleet, Council], Awaitable[None]], formed: bool = True
+    folder: Path, voters: int, story: Callable[[Fleet, LeaseClient], Awaitable[None]], formed: bool = True
 ) -> None:
     """A story told to a council of processes; it ends by itself after a minute."""
 
@@ -43,7 +62,7 @@
                     await fleet.start_voters()
                     if formed:
                         await fleet.form()
-                    await story(fleet, Council(await fleet.ways("x"), group, fleet.chance))
+                    await story(fleet, LeaseClient(await fleet.ways("x"), group, fleet.chance))
                 finally:
                     fleet.close()
                     group.cancel_scope.cancel()
@@ -64,7 +83,7 @@
 
 
 def test_a_council_is_formed_holds_a_lease_for_a_command_and_changes_its_members(tmp_path: Path) -> None:
-    async def story(fleet: Fleet, _: Council) -> None:
+    async def story(fleet: Fleet, _: LeaseClient) -> None:
         async def run(*words: str) -> subprocess.CompletedProcess[str]:
             return await anyio.to_thread.run_sync(partial(command, fleet, *words))
 
@@ -74,7 +93,7 @@
         assert "has a council already" in (await run("council", "form")).stderr
         took = await run("lease", "take", "job", "--", "sh", "-c", "echo $LEASE_EPOCH; exit 7")
         assert (took.stdout, took.returncode) == ("1\n", 7)
-        held = await fleet.ask(Take("job", "somebody", 30 * SECOND))
+        held = await fleet.ask(Acquire("job", "somebody", 30 * SECOND))
         assert held == Granted(2, 30 * SECOND)
         refused = await run("lease", "take", "job", "--no-wait", "--", "true")
         assert (refused.returncode, "somebody holds it" in refused.stderr) == (69, True)
@@ -104,7 +123,7 @@
 
 
 def test_a_command_under_a_lease_is_ended_before_its_right_is_over(tmp_path: Path) -> None:
-    async def story(fleet: Fleet, _: Council) -> None:
+    async def story(fleet: Fleet, _: LeaseClient) -> None:
         words = [sys.executable, "-m", "thistleline", "lease", "take", "--length", "1.5"]
         words += [
             word for name in fleet.names for word in ("--voter", f"{name}=127.0.0.1:{fleet.ports[name]}")
@@ -121,7 +140,7 @@
         with anyio.fail_after(10):
             assert await process.wait() == 75
         last = int((tmp_path / "beats").read_text().split()[-1])
-        assert last - stopped < right(int(1.5 * SECOND)) + 50_000_000
+        assert last - stopped < holder_ttl(int(1.5 * SECOND)) + 50_000_000
 
     with_fleet(tmp_path, 3, story)
 
@@ -129,7 +148,7 @@
 def test_a_newcomer_answers_a_leader_that_its_first_state_does_not_know(tmp_path: Path) -> None:
     """It got an old state, with the members of then, and spoke to those alone: it never caught up."""
 
-    async def story(fleet: Fleet, _: Council) -> None:
+    async def story(fleet: Fleet, _: LeaseClient) -> None:
         await fleet.rejoin("b")
         while (leader := await fleet.leader()) != "b":
             fleet.processes[leader].stop()
@@ -145,7 +164,7 @@
 
 
 def test_a_voter_that_can_t_read_its_records_says_so_and_does_not_vote(tmp_path: Path) -> None:
-    async def story(fleet: Fleet, _: Council) -> None:
+    async def story(fleet: Fleet, _: LeaseClient) -> None:
         name = fleet.names[0]
         fleet.processes[name].kill()
         path = sorted((tmp_path / name).glob("*.council"))[-1]
@@ -165,7 +184,7 @@
 
 
 def test_a_holder_cut_from_the_council_ends_before_another_begins(tmp_path: Path) -> None:
-    async def story(fleet: Fleet, council: Council) -> None:
+    async def story(fleet: Fleet, council: LeaseClient) -> None:
         ended: list[int] = []
 
         async def hold_on() -> None:
@@ -178,13 +197,13 @@
                 finally:
                     ended.append(time.monotonic_ns())
 
-        with pytest.raises(Lost):
+        with pytest.raises(LeaseLostError):
             await hold_on()
         fleet.heal()
-        other = await fleet.ask(Take("n", "y", SECOND, True))
+        other = await fleet.ask(Acquire("n", "y", SECOND, True))
         while not isinstance(other, Granted):
             await anyio.sleep(0.02)
-            other = await fleet.ask(Take("n", "y", SECOND, True))
+            other = await fleet.ask(Acquire("n", "y", SECOND, True))
         assert other.epoch == 2
         assert ended[0] < time.monotonic_ns()
 
@@ -192,28 +211,28 @@
 
 
 def test_the_whole_council_is_killed_and_started_while_a_lease_runs(tmp_path: Path) -> None:
-    async def story(fleet: Fleet, council: Council) -> None:
+    async def story(fleet: Fleet, council: LeaseClient) -> None:
         async with lease(council, "n", 10.0) as held:
             for name in fleet.names:
                 fleet.processes[name].kill()
             for name in fleet.names:
                 fleet.processes[name].start()
             await fleet.leader()
-            before = held.hold.until
-            while held.hold.until == before:
+            before = held.holder.valid_until
+            while held.holder.valid_until == before:
                 await anyio.sleep(0.02)
-            assert (await fleet.ask(Show("n")) or held).epoch == held.epoch  # type: ignore[union-attr]
-        again = await fleet.ask(Take("n", "y", SECOND))
+            assert (await fleet.ask(Describe("n")) or held).epoch == held.epoch  # type: ignore[union-attr]
+        again = await fleet.ask(Acquire("n", "y", SECOND))
         assert again == Granted(held.epoch + 1, SECOND)
 
     with_fleet(tmp_path, 3, story)
 
 
 def test_three_hundred_ask_after_a_holder_s_death_and_each_gets_it_once(tmp_path: Path) -> None:
-    async def story(fleet: Fleet, _: Council) -> None:
+    async def story(fleet: Fleet, _: LeaseClient) -> None:
         epochs: list[int] = []
-        await fleet.ask(Take("n", "dead", SECOND // 2))
-        councils: list[Council] = []
+        await fleet.ask(Acquire("n", "dead", SECOND // 2))
+        councils: list[LeaseClient] = []
 
         async def one(place: int) -> None:
             async with lease(councils[place % 10], "n", 5.0) as held:
@@ -221,7 +240,7 @@
 
         async with anyio.create_task_group() as group:
             councils += [
-                Council({name: fleet.address(name) for name in fleet.names}, group) for _ in range(10)
+                LeaseClient({name: fleet.address(name) for name in fleet.names}, group) for _ in range(10)
             ]
             async with anyio.create_task_group() as asking:
                 for place in range(300):
@@ -234,7 +253,7 @@
 
 
 def test_a_program_of_a_later_form_and_strangers_are_met(tmp_path: Path) -> None:
-    async def story(fleet: Fleet, _: Council) -> None:
+    async def story(fleet: Fleet, _: LeaseClient) -> None:
         for greeting, wanted in (
             (encode(Hello("client", "", min_version=1, max_version=9)), True),
             (encode(Hello("client", "", min_version=2, max_version=9)), False),
@@ -249,7 +268,7 @@
                 except anyio.EndOfStream:
                     assert not wanted
         assert await fleet.leader()
-        assert isinstance(await fleet.ask(Take("n", "y", SECOND)), Granted)
+        assert isinstance(await fleet.ask(Acquire("n", "y", SECOND)), Granted)
 
     with_fleet(tmp_path, 3, story)
 
@@ -277,40 +296,40 @@
 # ---- the holder's reducer
 
 
-def hold(length: int = 10 * SECOND) -> Hold:
-    made = Hold("n", "x", length, True, 0, lambda span: 0)
-    made.take(0, "start")
+def hold(length: int = 10 * SECOND) -> LeaseHolder:
+    made = LeaseHolder("n", "x", length, True, 0, lambda span: 0)
+    made.handle(0, AcquireStarted())
     return made
 
 
 def test_a_right_counts_from_before_the_request_and_one_that_comes_late_is_none() -> None:
     late = hold()
-    assert late.take(7 * SECOND, "answered", 1, Granted(1, 10 * SECOND)) == []
-    assert not late.valid(7 * SECOND)
+    assert late.handle(7 * SECOND, AnswerReceived(1, Granted(1, 10 * SECOND))) == []
+    assert not late.is_valid(7 * SECOND)
     made = hold()
-    made.take(2 * SECOND, "answered", 1, Granted(1, 10 * SECOND))
-    assert made.until == 6 * SECOND
+    made.handle(2 * SECOND, AnswerReceived(1, Granted(1, 10 * SECOND)))
+    assert made.valid_until == 6 * SECOND
     assert made.fits(5 * SECOND, SECOND)
     assert not made.fits(5 * SECOND + 1, SECOND)
 
 
-@pytest.mark.parametrize("answer", [Granted(1, 10 * SECOND), Kept((Granted(1, 10 * SECOND),))])
+@pytest.mark.parametrize("answer", [Granted(1, 10 * SECOND), Renewed((Granted(1, 10 * SECOND),))])
 def test_what_comes_after_the_end_brings_nothing_back(answer: Any) -> None:
     made = hold()
-    made.take(0, "answered", 1, Granted(1, 10 * SECOND))
-    made.take(3 * SECOND, "elapsed")
-    assert made.take(6 * SECOND, "answered", 2, answer) == [("ended", "its right is over")]
-    assert not made.valid(6 * SECOND)
+    made.handle(0, AnswerReceived(1, Granted(1, 10 * SECOND)))
+    made.handle(3 * SECOND, DeadlineReached())
+    assert made.handle(6 * SECOND, AnswerReceived(2, answer)) == [LeaseEnded("its right is over")]
+    assert not made.is_valid(6 * SECOND)
 
 
 def test_given_back_it_is_valid_no_more_whatever_the_council_answers() -> None:
     made = hold()
-    made.take(0, "answered", 1, Granted(1, 10 * SECOND))
-    made.take(1, "release")
-    assert not made.valid(2)
-    made.take(2, "answered", 1, Granted(1, 10 * SECOND))
-    assert not made.valid(3)
-    assert made.take(4, "answered", made.number, Done("released"))[0][0] == "ended"
+    made.handle(0, AnswerReceived(1, Granted(1, 10 * SECOND)))
+    made.handle(1, ReleaseRequested())
+    assert not made.is_valid(2)
+    made.handle(2, AnswerReceived(1, Granted(1, 10 * SECOND)))
+    assert not made.is_valid(3)
+    assert isinstance(made.handle(4, AnswerReceived(made.last_request, Done("released")))[0], LeaseEnded)
 
 
 @given(st.lists(st.tuples(st.integers(0, 3 * SECOND), st.integers(0, 6)), max_size=40))
@@ -319,33 +338,33 @@
     made, now, asked = hold(), 0, {1: 0}
     for span, what in steps:
         now += span
-        told: tuple[Any, ...] = ("elapsed",)
+        event: HolderEvent = DeadlineReached()
         if what < 4 and asked:
             number = sorted(asked)[-1 - what % len(asked)]
             answers = (
                 Granted(1, 10 * SECOND),
                 Denied("no"),
-                Elsewhere("", ""),
-                Kept((Granted(1, 10 * SECOND),)),
+                Unavailable("", ""),
+                Renewed((Granted(1, 10 * SECOND),)),
             )
-            told = ("answered", number, answers[what])
+            event = AnswerReceived(number, answers[what])
         elif what == 4:
-            told = ("hinted",)
-        for effect in made.take(now, *told):
-            if effect[0] == "ask":
-                asked[effect[1]] = now
+            event = GrantHinted()
+        for effect in made.handle(now, event):
+            if isinstance(effect, SendRequest):
+                asked[effect.number] = now
         if made.phase == "held":
-            assert made.until <= max(asked.values()) + right(10 * SECOND)
-        assert not (made.valid(now) and made.phase == "ended")
+            assert made.valid_until <= max(asked.values()) + holder_ttl(10 * SECOND)
+        assert not (made.is_valid(now) and made.phase == "ended")
 
 
 def test_an_act_that_does_not_fit_does_not_begin() -> None:
     async def story() -> None:
-        made = Hold("n", "x", 10 * SECOND, True, boot_now(), lambda span: 0)
-        made.take(boot_now(), "start")
-        made.take(boot_now(), "answered", 1, Granted(1, SECOND))
-        with pytest.raises(NoTime):
-            async with Held(made).act(0.7):
+        made = LeaseHolder("n", "x", 10 * SECOND, True, boot_now(), lambda span: 0)
+        made.handle(boot_now(), AcquireStarted())
+        made.handle(boot_now(), AnswerReceived(1, Granted(1, SECOND)))
+        with pytest.raises(LeaseTimeoutError):
+            async with HeldLease(made).act(0.7):
                 pytest.fail("it began")
 
     anyio.run(story)
@@ -355,24 +374,24 @@
 
 
 def test_a_guard_refuses_what_is_older_also_after_its_restart(tmp_path: Path) -> None:
-    guard = Guard(tmp_path)
+    guard = FencingGuard(tmp_path)
     assert [guard.admit("n", epoch) for epoch in (3, 3, 5, 4, 5)] == [True, True, True, False, True]
     guard.close()
-    guard = Guard(tmp_path)
+    guard = FencingGuard(tmp_path)
     assert [guard.admit("n", 4), guard.admit("n", 5), guard.admit("m", 1)] == [False, True, True]
     guard.close()
 
 
 @pytest.mark.parametrize("place", range(0, 40, 3))
 def test_a_flipped_bit_lets_no_older_holder_in(tmp_path: Path, place: int) -> None:
-    guard = Guard(tmp_path)
+    guard = FencingGuard(tmp_path)
     guard.admit("n", 7)
     guard.close()
     (path,) = tmp_path.glob("*.guard")
     data = bytearray(path.read_bytes())
     data[place % len(data)] ^= 4
     path.write_bytes(data)
-    guard = Guard(tmp_path)
+    guard = FencingGuard(tmp_path)
     assert not guard.admit("n", 6)
     guard.close()
 
@@ -380,7 +399,7 @@
 def test_a_newer_holder_is_not_let_in_before_that_is_durable(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    guard = Guard(tmp_path)
+    guard = FencingGuard(tmp_path)
     guard.admit("n", 1)
 
     def fail() -> None:
--- a/tests/test_polled.py
+++ b/tests/test_polled.py
@@ -6,7 +6,7 @@
 from thistleline.config_feed.messages import Propose
 from thistleline.lab.polledrun import PolledFleet, Settings
 from thistleline.lab.scale import feed
-from thistleline.lease.protocol import VALUE_BOUND
+from thistleline.lease.protocol import MAX_VALUE_SIZE
 from thistleline.supervisor.service import POLL
 
 
@@ -55,14 +55,14 @@
 @pytest.mark.parametrize("more", [0, 1])
 def test_a_record_has_no_more_than_its_bound_and_the_newest_changes_are_in_it(more: int) -> None:
     settings = Settings(feed.record_entries(3000, 60_000, 1))
-    assert VALUE_BOUND * 0.9 < len(settings.content()) <= settings.size <= VALUE_BOUND
+    assert MAX_VALUE_SIZE * 0.9 < len(settings.content()) <= settings.size <= MAX_VALUE_SIZE
     many = len(settings.entries)
     assert many < 63_000
     oldest = next(iter(settings.entries))
     for place in range(50):
         settings.put(f"route/new-{place}", b"x" * 300)
     settings.put(oldest, b"{}" if more else None)
-    assert len(settings.content()) <= settings.size <= VALUE_BOUND
+    assert len(settings.content()) <= settings.size <= MAX_VALUE_SIZE
     assert all(f"route/new-{place}" in settings.entries for place in range(50))
     assert (oldest in settings.entries) is bool(more)
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -21,8 +21,8 @@
 from thistleline.lab.mutants import without
 from thistleline.lab.roll import HARMS, Harm, roll
 from thistleline.lab.stewardworld import BesideWorld, StewardWorld, following, following_beside, wander
-from thistleline.lease.protocol import VALUE_BOUND, Put
-from thistleline.lease.table import fault
+from thistleline.lease.protocol import MAX_VALUE_SIZE, Put
+from thistleline.lease.table import validate
 from thistleline.rollout.canary import Judge, Slot
 from thistleline.rollout.confidence import Bounds
 from thistleline.rollout.controller import Conducting, Spans
@@ -520,13 +520,14 @@
 
 
 @pytest.mark.parametrize(
-    ("size", "why"), [(VALUE_BOUND, ""), (VALUE_BOUND + 1, f"{VALUE_BOUND + 1} bytes, {VALUE_BOUND} at most")]
+    ("size", "why"),
+    [(MAX_VALUE_SIZE, ""), (MAX_VALUE_SIZE + 1, f"{MAX_VALUE_SIZE + 1} bytes, {MAX_VALUE_SIZE} at most")],
 )
 def test_the_check_and_the_council_take_settings_of_the_same_size(size: int, why: str) -> None:
     content = json.dumps(SETTINGS).encode()
     content += b" " * (size - len(content))
     assert unfit_settings(content) == why
-    assert bool(fault(Put("settings/1", content, 0))) == bool(why)
+    assert bool(validate(Put("settings/1", content, 0))) == bool(why)
 
 
 def test_the_latest_value_outlives_a_torn_write(tmp_path: Path) -> None:
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -183,7 +183,7 @@
         made.state, made.applied = self.state, list(self.applied)
         return made
 
-    def frozen(self) -> tuple[bytes, tuple[tuple[int, bytes], ...]]:
+    def state_key(self) -> tuple[bytes, tuple[tuple[int, bytes], ...]]:
         return self.state, tuple(self.applied)
 
 
--- a/thistleline/cli/council.py
+++ b/thistleline/cli/council.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from thistleline.cli.fleet import Unusable, ask, ask_each, conf_of, logger, tell, voters_of, where
-from thistleline.lease.protocol import Change, Done, Elsewhere, Form, Stands
+from thistleline.lease.protocol import ChangeMembership, Done, FormCluster, ReplicaStatus, Unavailable
 from thistleline.transport.address import parse_address
 
 
@@ -46,14 +46,14 @@
     """Make a council of voters that are all empty; once, by hand."""
     known = voters_of(conf, voters)
     stands = _all_stand(known)
-    formed = {name: one for name, one in stands.items() if one.council}
+    formed = {name: one for name, one in stands.items() if one.cluster}
     if formed:
         raise click.ClickException(f"{', '.join(sorted(formed))} has a council already")
     members = tuple(sorted((one.id, _text(known[name])) for name, one in stands.items()))
-    told = Form(os.urandom(8).hex(), members)
+    told = FormCluster(os.urandom(8).hex(), members)
     for name in known:
         ask({name: known[name]}, told)
-    click.echo(f"council {told.council}: {', '.join(id for id, _ in members)}")
+    click.echo(f"council {told.cluster}: {', '.join(id for id, _ in members)}")
 
 
 @council.command()
@@ -64,13 +64,13 @@
     answers = ask_each(voters_of(conf, voters))
     for name, one in sorted(answers.items()):
         facts = {"voter": name, **msgspec.to_builtins(one)}
-        if isinstance(one, Stands):
+        if isinstance(one, ReplicaStatus):
             tell(facts, as_json, lambda told: "  ".join(
                 f"{word} {told[word]}" for word in ("voter", "id", "phase", "term", "leader", "committed",
                                                     "last", "leases", "failing")))  # fmt: skip
         else:
             tell(facts, as_json, lambda told: f"voter {told['voter']}  {told.get('why', told)}")
-    if not any(isinstance(one, Stands) and one.phase == "leading" for one in answers.values()):
+    if not any(isinstance(one, ReplicaStatus) and one.phase == "leading" for one in answers.values()):
         raise SystemExit(1)
 
 
@@ -96,7 +96,7 @@
         there = _all_stand({"it": parse_address(address)})["it"]
     except ValueError as error:
         raise Unusable(str(error)) from error
-    _changed(ask(known, Change("add", there.id, address), 40.0), there.id)
+    _changed(ask(known, ChangeMembership("add", there.id, address), 40.0), there.id)
 
 
 @council.command()
@@ -104,23 +104,23 @@
 @click.argument("id")
 def remove(conf: str | None, voters: tuple[str, ...], id: str) -> None:
     """Let the voter ID vote no more."""
-    _changed(ask(voters_of(conf, voters), Change("remove", id)), id)
+    _changed(ask(voters_of(conf, voters), ChangeMembership("remove", id)), id)
 
 
 def _changed(answer: Any, id: str) -> None:
     click.echo(f"{id}: {answer.text if isinstance(answer, Done) else answer}")
 
 
-def _standing(known: dict[str, Any]) -> dict[str, Stands]:
-    return {name: one for name, one in ask_each(known).items() if isinstance(one, Stands)}
+def _standing(known: dict[str, Any]) -> dict[str, ReplicaStatus]:
+    return {name: one for name, one in ask_each(known).items() if isinstance(one, ReplicaStatus)}
 
 
-def _all_stand(known: dict[str, Any]) -> dict[str, Stands]:
+def _all_stand(known: dict[str, Any]) -> dict[str, ReplicaStatus]:
     found = ask_each(known)
-    silent = [f"{name}: {one.why}" for name, one in found.items() if isinstance(one, Elsewhere)]
+    silent = [f"{name}: {one.reason}" for name, one in found.items() if isinstance(one, Unavailable)]
     if silent:
         raise click.ClickException("; ".join(silent))
-    return {name: one for name, one in found.items() if isinstance(one, Stands)}
+    return {name: one for name, one in found.items() if isinstance(one, ReplicaStatus)}
 
 
 def _text(address: tuple[str, int]) -> str:
--- a/thistleline/cli/fleet.py
+++ b/thistleline/cli/fleet.py
@@ -11,8 +11,8 @@
 import structlog
 
 from thistleline.config.schema import Conf, Faulty, read_conf
-from thistleline.lease.client import Council
-from thistleline.lease.protocol import Answer, Denied, Elsewhere, Op, Status
+from thistleline.lease.client import LeaseClient
+from thistleline.lease.protocol import Answer, Denied, GetStatus, Op, Unavailable
 from thistleline.transport.address import Address, parse_address
 
 T = TypeVar("T")
@@ -62,10 +62,10 @@
     return conf(voter(command))
 
 
-def with_council(voters: dict[str, Address], do: Callable[[Council], Awaitable[T]]) -> T:
+def with_council(voters: dict[str, Address], do: Callable[[LeaseClient], Awaitable[T]]) -> T:
     async def run() -> T:
         async with anyio.create_task_group() as group:
-            found = await do(Council(voters, group))
+            found = await do(LeaseClient(voters, group))
             group.cancel_scope.cancel()
         return found
 
@@ -74,11 +74,11 @@
 
 def ask(voters: dict[str, Address], op: Op, span: float = SPAN) -> Answer:
     """What the council says. Ends the command where nobody decides, or it is denied."""
-    answer = with_council(voters, lambda council: council.surely(op, span))
-    if isinstance(answer, Elsewhere):
-        raise click.ClickException(f"no voter decides: {answer.why}")
+    answer = with_council(voters, lambda council: council.request_until_decided(op, span))
+    if isinstance(answer, Unavailable):
+        raise click.ClickException(f"no voter decides: {answer.reason}")
     if isinstance(answer, Denied):
-        raise click.ClickException(answer.why)
+        raise click.ClickException(answer.reason)
     return answer
 
 
@@ -90,7 +90,7 @@
         async with anyio.create_task_group() as group:
 
             async def one(name: str) -> None:
-                found[name] = await Council({name: voters[name]}, group).ask(Status())
+                found[name] = await LeaseClient({name: voters[name]}, group).request(GetStatus())
 
             async with anyio.create_task_group() as asking:
                 for name in voters:
--- a/thistleline/cli/lease.py
+++ b/thistleline/cli/lease.py
@@ -10,12 +10,13 @@
 import click
 
 from thistleline.cli.fleet import ask, tell, voters_of, where, with_council
-from thistleline.lease.client import Council
-from thistleline.lease.protocol import LENGTH_LEAST, LENGTH_MOST, Break, Done, Listed, Release, Show, Shown
-from thistleline.lease.session import Held, Lost, Refused, lease
+from thistleline.lease.client import LeaseClient
+from thistleline.lease.errors import LeaseLostError, LeaseRefusedError
+from thistleline.lease.protocol import MAX_TTL, MIN_TTL, Break, Describe, Done, LeaseInfo, LeaseList, Release
+from thistleline.lease.session import HeldLease, lease
 
 LOST, REFUSED = 75, 69  # exit codes of `take`, as sysexits.h has them: try again; not to be had
-LENGTHS = click.FloatRange(LENGTH_LEAST / 1e9, LENGTH_MOST / 1e9)
+LENGTHS = click.FloatRange(MIN_TTL / 1e9, MAX_TTL / 1e9)
 GRACE = 0.3  # of the right left when the command is told to end, 1 s at most
 
 
@@ -32,13 +33,13 @@
     """All names that are held, those that begin with PREFIX."""
     known, after = voters_of(conf, voters), ""
     while True:
-        listed = ask(known, Show(f"{prefix}*", after))
-        assert isinstance(listed, Listed)
-        for one in listed.names:
+        listed = ask(known, Describe(f"{prefix}*", after))
+        assert isinstance(listed, LeaseList)
+        for one in listed.leases:
             tell(one, as_json, _line)
-        if not listed.names:
+        if not listed.leases:
             return
-        after = listed.names[-1].name
+        after = listed.leases[-1].name
 
 
 @leases.command()
@@ -47,22 +48,24 @@
 @click.argument("name")
 def show(conf: str | None, voters: tuple[str, ...], as_json: bool, name: str) -> None:
     """Who holds NAME, who waits, and its last changes with reason and time."""
-    shown = ask(voters_of(conf, voters), Show(name))
-    assert isinstance(shown, Shown)
+    shown = ask(voters_of(conf, voters), Describe(name))
+    assert isinstance(shown, LeaseInfo)
     tell(shown, as_json, _words)
 
 
-def _line(shown: Shown) -> str:
-    return f"{shown.name}  epoch {shown.epoch}  {shown.holder}  {len(shown.line)} wait"
+def _line(shown: LeaseInfo) -> str:
+    return f"{shown.name}  epoch {shown.epoch}  {shown.holder}  {len(shown.waiters)} wait"
 
 
-def _words(shown: Shown) -> str:
-    held = f"held by {shown.holder} in epoch {shown.epoch}, {shown.length / 1e9:g} s long"
+def _words(shown: LeaseInfo) -> str:
+    held = f"held by {shown.holder} in epoch {shown.epoch}, {shown.ttl / 1e9:g} s long"
     lines = [f"{shown.name}: {held if shown.holder else 'free'}"]
-    lines += [f"  waits: {asker}" for asker in shown.line]
-    for one in shown.past:
-        at = datetime.datetime.fromtimestamp(one.at / 1000, datetime.UTC).isoformat(timespec="milliseconds")
-        lines.append(f"  {at}  {one.what}  epoch {one.epoch}  {one.holder}  ({one.reason})")
+    lines += [f"  waits: {asker}" for asker in shown.waiters]
+    for one in shown.history:
+        at = datetime.datetime.fromtimestamp(one.wall_ms / 1000, datetime.UTC).isoformat(
+            timespec="milliseconds"
+        )
+        lines.append(f"  {at}  {one.event}  epoch {one.epoch}  {one.holder}  ({one.reason})")
     return "\n".join(lines)
 
 
@@ -87,7 +90,7 @@
     It is told to end by SIGTERM while some of the right is left, and is killed before the right is over:
     exit code 75."""
 
-    async def run(council: Council) -> int:
+    async def run(council: LeaseClient) -> int:
         try:
             async with lease(council, name, length, not no_wait, who) as held:
                 env = {**os.environ, "LEASE_EPOCH": str(held.epoch), "LEASE_NAME": name}
@@ -102,9 +105,9 @@
                 finally:
                     if process.returncode is None:
                         process.kill()
-        except Lost:
+        except LeaseLostError:
             return LOST
-        except Refused as error:
+        except LeaseRefusedError as error:
             click.echo(f"Error: {name}: {error}", err=True)
             return REFUSED
         except OSError as error:
@@ -114,16 +117,16 @@
     sys.exit(with_council(voters_of(conf, voters), run))
 
 
-async def _end_in_time(held: Held, process: anyio.abc.Process, told_to_end: anyio.Event) -> None:
+async def _end_in_time(held: HeldLease, process: anyio.abc.Process, told_to_end: anyio.Event) -> None:
     """Renewals move the end on. Where they stop, the command gets what is left after the grace began."""
-    right = held.left()
+    right = held.remaining()
     grace = min(1.0, GRACE * right)
-    while (left := held.left()) > grace:
+    while (left := held.remaining()) > grace:
         await anyio.sleep(max(0.01, (left - grace) / 2))
     told_to_end.set()
     with suppress(ProcessLookupError):
         process.send_signal(signal.SIGTERM)
-        while (left := held.left()) > grace / 4:
+        while (left := held.remaining()) > grace / 4:
             await anyio.sleep(0.01)
         process.kill()
 
--- a/thistleline/config_feed/service.py
+++ b/thistleline/config_feed/service.py
@@ -24,10 +24,11 @@
 from thistleline.config_feed.messages import Look, Looked, Propose, Proposed, decode_follower
 from thistleline.config_feed.relay import Station
 from thistleline.config_feed.table import Table
-from thistleline.lease.client import Council
-from thistleline.lease.holder import Hold
+from thistleline.lease.client import LeaseClient
+from thistleline.lease.holder import LeaseHolder
+from thistleline.lease.holder_events import ReleaseRequested
 from thistleline.lease.protocol import Denied, Done, Get, Got
-from thistleline.lease.session import Keeper as Holding
+from thistleline.lease.session import HolderDriver
 from thistleline.store.clock import boot_now
 from thistleline.transport.address import Address
 from thistleline.transport.codec import FrameDecoder, Hello, ProtocolError, encode_frame, negotiate_version
@@ -74,7 +75,7 @@
         self.count = 0
         files = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         self.peers_bound = max(1, min(conf.followers + GUESTS_BOUND, files - SPARE_FILES))
-        self.holding: Holding | None = None
+        self.holding: HolderDriver | None = None
         self.epoch = 0  # of the lease that is held here; 0 without
         self.leaving = False
         self.given_back = anyio.Event()
@@ -116,7 +117,7 @@
             if self.persist is not None:
                 group.start_soon(self.persist.run)
             if self.voters:
-                self.council = Council(self.voters, group, self.chance)
+                self.council = LeaseClient(self.voters, group, self.chance)
                 group.start_soon(self._hold)
         if self.persist is not None:
             self.persist.close()
@@ -128,8 +129,8 @@
         self.log("leaving", number=self.station.table.number)
         self.leaving = True
         with anyio.move_on_after(LEAVE_SPAN):
-            if self.holding is not None and self.holding.hold.phase != "ended":
-                self.holding.take("release")
+            if self.holding is not None and self.holding.holder.phase != "ended":
+                self.holding.handle(ReleaseRequested())
                 await self.given_back.wait()
             if self.persist is not None:
                 await self.persist.flushed()
@@ -250,7 +251,7 @@
             self._answer(*told)
         elif kind == "release":
             if self.holding is not None:
-                self.holding.take("release")
+                self.holding.handle(ReleaseRequested())
         elif kind == "log":
             self.log(told[0], **told[1])
 
@@ -296,16 +297,16 @@
 
     async def _get(self, epoch: int, slot: int, key: str) -> None:
         """One question; the writer asks again where none is answered."""
-        answer = await self.council.surely(Get(key), GET_SPAN)
+        answer = await self.council.request_until_decided(Get(key), GET_SPAN)
         if isinstance(answer, Got):
             self.rounds.put("errand", epoch, "got", slot, answer.value, answer.version)
 
     async def _put(self, epoch: int, slot: int, put: Any) -> None:
-        answer = await self.council.ask(put)
+        answer = await self.council.request(put)
         if isinstance(answer, Done):
-            self.rounds.put("errand", epoch, "put_done", slot, answer.number)
+            self.rounds.put("errand", epoch, "put_done", slot, answer.version)
         elif isinstance(answer, Denied):
-            self.rounds.put("errand", epoch, "put_denied", slot, answer.why)
+            self.rounds.put("errand", epoch, "put_denied", slot, answer.reason)
         else:
             self.rounds.put("errand", epoch, "put_unknown", slot)
 
@@ -315,17 +316,17 @@
         """Wants the lease as long as the program runs."""
         while not self.leaving:
             asker = f"{self.name}.{os.getpid()}.{os.urandom(6).hex()}"
-            hold = Hold(LEASE, asker, self.conf.lease, True, boot_now(), self._spread)
-            holding = self.holding = Holding(self.council, hold)
+            hold = LeaseHolder(LEASE, asker, self.conf.lease, True, boot_now(), self._spread)
+            holding = self.holding = HolderDriver(self.council, hold)
             async with anyio.create_task_group() as group:
                 group.start_soon(holding.run, group)
-                await holding.decided.wait()
+                await holding.settled.wait()
                 if hold.phase == "held":
                     self.log("holds", epoch=hold.epoch)
                     self.rounds.put("lease", "held", hold.epoch)
-                    await holding.over.wait()
-                    self.log("lost", epoch=hold.epoch, why=hold.why)
-                    self.rounds.put("lease", "lost", hold.why)
+                    await holding.ended.wait()
+                    self.log("lost", epoch=hold.epoch, why=hold.end_reason)
+                    self.rounds.put("lease", "lost", hold.end_reason)
                 group.cancel_scope.cancel()
             holding.close()
             if not self.leaving:
--- a/thistleline/consensus/replica.py
+++ b/thistleline/consensus/replica.py
@@ -69,7 +69,7 @@
 
     def copy(self) -> Any: ...
 
-    def frozen(self) -> Any: ...
+    def state_key(self) -> Any: ...
 
 
 class Spans(NamedTuple):
@@ -226,7 +226,7 @@
             *(self.joining, self.change_ticket, tuple(self.unsaved)),
             self.work_out and (self.work_out[0], self.work_out[1] - self.noted),
             tuple((number - self.noted, effect) for number, effect in self.held),
-            *(self.durable, self.failing, self.begin_anew, self.machine.frozen()),
+            *(self.durable, self.failing, self.begin_anew, self.machine.state_key()),
         )
 
     def _send(self, to: str, message: Message) -> None:
--- a/thistleline/lab/contender.py
+++ b/thistleline/lab/contender.py
@@ -10,8 +10,9 @@
 from anyio.abc import SocketStream
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-from thistleline.lease.client import Council
-from thistleline.lease.session import Held, Lost, NoTime, Refused, lease
+from thistleline.lease.client import LeaseClient
+from thistleline.lease.errors import LeaseLostError, LeaseRefusedError, LeaseTimeoutError
+from thistleline.lease.session import HeldLease, lease
 from thistleline.transport.disconnects import DISCONNECT_ERRORS
 
 
@@ -37,27 +38,34 @@
     chance, number = Random(told["seed"]), 0
     voters = {name: (host, port) for name, (host, port) in told["voters"].items()}
     async with anyio.create_task_group() as group:
-        council = Council(voters, group, chance)
+        council = LeaseClient(voters, group, chance)
         while True:
             try:
                 async with await anyio.connect_tcp(*told["resource"]) as stream:
                     resource = Resource(stream, told["who"])
                     while True:
                         number += 1
-                        async with lease(council, told["name"], told["length"], who=told["who"]) as held:
+                        async with lease(council, told["name"], told["length"], owner=told["who"]) as held:
                             await acts(resource, held, chance, number * 1000, told)
                         await anyio.sleep(chance.uniform(0.0, told["pause"]))
-            except (Lost, NoTime) as error:
+            except (LeaseLostError, LeaseTimeoutError) as error:
                 print(json.dumps({"event": "lost", "why": str(error)}), flush=True)
-            except (Refused, Fenced, *DISCONNECT_ERRORS):
+            except (LeaseRefusedError, Fenced, *DISCONNECT_ERRORS):
                 await anyio.sleep(0.01)
             except BaseExceptionGroup as error:
-                if error.split((Lost, Refused, Fenced, NoTime, *DISCONNECT_ERRORS))[1] is not None:
+                if (
+                    error.split(
+                        (LeaseLostError, LeaseRefusedError, Fenced, LeaseTimeoutError, *DISCONNECT_ERRORS)
+                    )[1]
+                    is not None
+                ):
                     raise
                 await anyio.sleep(0.01)
 
 
-async def acts(resource: Resource, held: Held, chance: Random, number: int, told: dict[str, Any]) -> None:
+async def acts(
+    resource: Resource, held: HeldLease, chance: Random, number: int, told: dict[str, Any]
+) -> None:
     """Some acts, each of a few writes; then it gives the lease back."""
     longest = told["longest"]
     for act in range(number, number + chance.randint(1, told["acts"])):
--- a/thistleline/lab/feedmutants.py
+++ b/thistleline/lab/feedmutants.py
@@ -18,7 +18,7 @@
 from thistleline.lab.explore import Explored, explore
 from thistleline.lab.feedworld import FeedWorld, Scenario, begin, changed, fleet, following, settle
 from thistleline.lab.mutants import account, mutant, without
-from thistleline.lease.table import Table as Council
+from thistleline.lease.table import LeaseTable as Council
 
 DEPTH = 60
 # Small, so that a world of some steps comes to where it counts: two records in the ring, an entry a part.
--- a/thistleline/lab/feedrun.py
+++ b/thistleline/lab/feedrun.py
@@ -27,11 +27,13 @@
 from thistleline.config_feed.table import APART, Entries, Table
 from thistleline.config_feed.writer import LEASE, key_of
 from thistleline.lab.mutants import without
-from thistleline.lease.holder import Hold
-from thistleline.lease.liveness import Watch
-from thistleline.lease.protocol import Answer, Denied, Keep, Kept, Op, Put
-from thistleline.lease.table import Table as Leases
-from thistleline.lease.table import data_of
+from thistleline.lease.holder import LeaseHolder
+from thistleline.lease.holder_effects import LeaseAcquired, SendRequest
+from thistleline.lease.holder_events import AcquireStarted, AnswerReceived, DeadlineReached, HolderEvent
+from thistleline.lease.liveness import LivenessTracker
+from thistleline.lease.protocol import Answer, Denied, Op, Put, Renew, Renewed
+from thistleline.lease.table import LeaseTable as Leases
+from thistleline.lease.table import encode_decision
 from thistleline.transport.codec import encode_frame
 
 HEAD = len(encode_frame(b""))
@@ -283,8 +285,8 @@
         self.chance, self.timed = Random(seed), timed
         self.peers = 0
         self.leases, self.index = Leases(), 0
-        self.watch, self.watching = Watch(), NEVER
-        self.holds: dict[str, Hold] = {}
+        self.watch, self.watching = LivenessTracker(), NEVER
+        self.holds: dict[str, LeaseHolder] = {}
         table = Shared(*self._begun(table))
         self.start = table
         self.oracle = Oracle(table)
@@ -340,7 +342,7 @@
         change = Change(table.number + 1, "first", (("common/first", b"{}"),))
         made = table.applied(change)
         value = encode(Group(0, (change,), table.digest("all"), made.digest("all")))
-        self.leases.apply(0, data_of(Put(key_of(0), value, 0)))
+        self.leases.apply(0, encode_decision(Put(key_of(0), value, 0)))
         return made
 
     def _spread(self, span: int) -> int:
@@ -570,7 +572,7 @@
         """A confirmed write or read: there, to a majority, back."""
         return self.chance.randint(30, 120) * MS
 
-    def _errand(self, place: Place, hold: Hold, *told: Any) -> None:
+    def _errand(self, place: Place, hold: LeaseHolder, *told: Any) -> None:
         """What the council said of the writer's records; to a hold that is over it says nothing."""
         if self.holds.get(place.name) is hold:
             self.put(place, "writer", *told)
@@ -582,17 +584,17 @@
     def _put(self, place: Place, slot: int, put: Put) -> None:
         self.at(self.now + self._trip() // 2, self._decide, place, self.holds[place.name], slot, put)
 
-    def _decide(self, place: Place, hold: Hold, slot: int, put: Put) -> None:
+    def _decide(self, place: Place, hold: LeaseHolder, slot: int, put: Put) -> None:
         answer = self._apply(put)
         when = self.now + self._trip() // 2
         if isinstance(answer, Denied):
-            self.at(when, self._errand, place, hold, "put_denied", slot, answer.why)
+            self.at(when, self._errand, place, hold, "put_denied", slot, answer.reason)
         else:
             self.at(when, self._errand, place, hold, "put_done", slot, put.version + 1)
 
     def _apply(self, op: Op) -> Answer:
         self.index += 1
-        return self.leases.apply(self.index, data_of(op))  # type: ignore[arg-type]
+        return self.leases.apply(self.index, encode_decision(op))  # type: ignore[arg-type]
 
     def _release(self, place: Place, why: str) -> None:
         self.wrong = self.wrong or f"{place.name} gives the lease back: {why}"
@@ -606,46 +608,46 @@
         """A wish of its own for each try, as feed/service has it."""
         if place.alive:
             asker = f"{place.name}.{self.index}.{self.now}"
-            hold = self.holds[place.name] = Hold(LEASE, asker, LENGTH, True, self.now, self._spread)
-            self._holds(place, hold, "start")
+            hold = self.holds[place.name] = LeaseHolder(LEASE, asker, LENGTH, True, self.now, self._spread)
+            self._holds(place, hold, AcquireStarted())
 
-    def _holds(self, place: Place, hold: Hold, *told: Any) -> None:
+    def _holds(self, place: Place, hold: LeaseHolder, event: HolderEvent) -> None:
         if self.holds.get(place.name) is not hold:
             return
-        for effect, *rest in hold.take(self.now, *told):
-            if effect == "ask":
-                self.at(self.now + self._trip() // 2, self._asks, place, hold, *rest)
-            elif effect == "held":
-                self.put(place, "writer", "held", *rest)
+        for effect in hold.handle(self.now, event):
+            if isinstance(effect, SendRequest):
+                self.at(self.now + self._trip() // 2, self._asks, place, hold, effect.number, effect.op)
+            elif isinstance(effect, LeaseAcquired):
+                self.put(place, "writer", "held", effect.epoch)
             else:
                 del self.holds[place.name]
-                self.put(place, "writer", "lost", *rest)
+                self.put(place, "writer", "lost", effect.reason)
                 self.at(self.now + LENGTH // 3 + self._spread(LENGTH // 3), self._wants, place)
                 return
-        self.at(max(hold.due(), self.now + 1), self._holds_due, place, hold)
+        self.at(max(hold.next_deadline(), self.now + 1), self._holds_due, place, hold)
 
-    def _holds_due(self, place: Place, hold: Hold) -> None:
-        if self.holds.get(place.name) is hold and hold.due() <= self.now:
-            self._holds(place, hold, "elapsed")
+    def _holds_due(self, place: Place, hold: LeaseHolder) -> None:
+        if self.holds.get(place.name) is hold and hold.next_deadline() <= self.now:
+            self._holds(place, hold, DeadlineReached())
 
-    def _asks(self, place: Place, hold: Hold, number: int, op: Op) -> None:
+    def _asks(self, place: Place, hold: LeaseHolder, number: int, op: Op) -> None:
         """At the council's leader."""
-        if isinstance(op, Keep):
-            for name, asker in op.names:
-                self.watch.heard(self.now, name, asker, self.leases)
-            answer: Answer = Kept(tuple(self.leases.stands(*one) for one in op.names))
+        if isinstance(op, Renew):
+            for name, asker in op.leases:
+                self.watch.renew(self.now, name, asker, self.leases)
+            answer: Answer = Renewed(tuple(self.leases.status_of(*one) for one in op.leases))
         else:
             answer = self._apply(op)
         self._watch()
-        self.at(self.now + self._trip() // 2, self._holds, place, hold, "answered", number, answer)
+        self.at(self.now + self._trip() // 2, self._holds, place, hold, AnswerReceived(number, answer))
 
     def _watch(self) -> None:
         """Takes the lease from who was not heard of for its length."""
-        self.watch.look(self.now, LEASE, self.leases)
-        for op in self.watch.over(self.now, self.now // MS, self.leases):
+        self.watch.update(self.now, LEASE, self.leases)
+        for op in self.watch.expired(self.now, self.now // MS, self.leases):
             self._apply(op)
-            self.watch.look(self.now, LEASE, self.leases)
-        due = self.watch.due()
+            self.watch.update(self.now, LEASE, self.leases)
+        due = self.watch.next_deadline()
         if due is not None and (due < self.watching or self.watching <= self.now):
             self.watching = max(due, self.now + 1)
             self.at(self.watching, self._watch)
--- a/thistleline/lab/feedworld.py
+++ b/thistleline/lab/feedworld.py
@@ -26,9 +26,9 @@
 from thistleline.config_feed.table import APART, Table
 from thistleline.config_feed.writer import LEASE, key_of
 from thistleline.lab.feedrun import Instance
-from thistleline.lease.protocol import Break, Denied, Granted, Put, Take
-from thistleline.lease.table import Table as Council
-from thistleline.lease.table import data_of
+from thistleline.lease.protocol import Acquire, Break, Denied, Granted, Put
+from thistleline.lease.table import LeaseTable as Council
+from thistleline.lease.table import encode_decision
 
 TICK = 600_000_000  # ns: a beat is due
 SPENT = ("changes", "again", "ends", "restarts", "losses", "moves", "ticks", "damages", "looks")
@@ -255,7 +255,7 @@
     def _apply(self, decision: Any) -> Any:
         self.council = self.council.copy()
         self.index += 1
-        return self.council.apply(self.index, data_of(decision))
+        return self.council.apply(self.index, encode_decision(decision))
 
     def decide(self, place: int) -> None:
         """A Put arrives at the council; its answer is on its way."""
@@ -264,7 +264,7 @@
         before = self.council.get(put.key)
         answer = self._apply(put)
         if isinstance(answer, Denied):
-            told: tuple[Any, ...] = ("put_denied", slot, answer.why)
+            told: tuple[Any, ...] = ("put_denied", slot, answer.reason)
         else:
             told = "put_done", slot, put.version + 1
             if before.version:
@@ -290,7 +290,7 @@
         lease = self.council.state.leases.get(LEASE)
         if lease is not None:
             self._apply(Break(LEASE, lease.epoch, "it was silent"))
-        answer = self._apply(Take(LEASE, f"{name}.{self.index}", 10 * SECOND, True))
+        answer = self._apply(Acquire(LEASE, f"{name}.{self.index}", 10 * SECOND, True))
         assert isinstance(answer, Granted)
         self.held[name] = answer.epoch
         self.put(name, "writer", "held", answer.epoch)
@@ -411,7 +411,7 @@
             *(self.ticks, tuple(sorted(self.left.items())), len(self.sequence), self.made, self.broken),
             *(tuple(sorted(self.acked.items())), self.strange, self.refused),
         )
-        return hash((tuple(sorted(self.keys.items())), links, self.council.frozen(), rest))
+        return hash((tuple(sorted(self.keys.items())), links, self.council.state_key(), rest))
 
 
 def _told(message: Any) -> Any:
--- a/thistleline/lab/harness.py
+++ b/thistleline/lab/harness.py
@@ -24,8 +24,16 @@
 from anyio.abc import TaskGroup
 
 from thistleline.lab.net import Relay
-from thistleline.lease.client import Council
-from thistleline.lease.protocol import Answer, Change, Done, Form, Op, Stands, Status
+from thistleline.lease.client import LeaseClient
+from thistleline.lease.protocol import (
+    Answer,
+    ChangeMembership,
+    Done,
+    FormCluster,
+    GetStatus,
+    Op,
+    ReplicaStatus,
+)
 from thistleline.transport.address import Address
 
 HEARTBEAT, ELECTION = "40ms", "250ms"
@@ -168,7 +176,7 @@
         for name in self.names:
             members.append((await self.stands(name)).id)
         known = tuple((id, f"127.0.0.1:{self.ports[id.partition('.')[0]]}") for id in sorted(members))
-        told = Form(self.chance.randbytes(8).hex(), known)
+        told = FormCluster(self.chance.randbytes(8).hex(), known)
         for name in self.names:
             await self.ask(told, {name: self.address(name)})
         await self.leader()
@@ -176,13 +184,13 @@
     async def ask(self, op: Op, voters: dict[str, Address] | None = None, span: float = 10.0) -> Answer:
         known = voters or {name: self.address(name) for name in self.names}
         async with anyio.create_task_group() as group:
-            answer = await Council(known, group, self.chance).surely(op, span)
+            answer = await LeaseClient(known, group, self.chance).request_until_decided(op, span)
             group.cancel_scope.cancel()
         return answer
 
-    async def stands(self, name: str, span: float = 10.0) -> Stands:
-        answer = await self.ask(Status(), {name: self.address(name)}, span)
-        if not isinstance(answer, Stands):
+    async def stands(self, name: str, span: float = 10.0) -> ReplicaStatus:
+        answer = await self.ask(GetStatus(), {name: self.address(name)}, span)
+        if not isinstance(answer, ReplicaStatus):
             raise Hung(f"voter {name} does not say how it stands in {span} s")
         return answer
 
@@ -193,8 +201,8 @@
             found: list[tuple[int, str]] = []
             for name in self.names:
                 if self.processes[name].runs and not self.processes[name].stopped:
-                    answer = await self.ask(Status(), {name: self.address(name)}, 0.0)
-                    if isinstance(answer, Stands) and answer.phase == "leading":
+                    answer = await self.ask(GetStatus(), {name: self.address(name)}, 0.0)
+                    if isinstance(answer, ReplicaStatus) and answer.phase == "leading":
                         found.append((answer.term, name))
             if found:
                 return max(found)[1]
@@ -209,7 +217,10 @@
         self.processes[name].start()
         new = (await self.stands(name)).id
         rest = {one: self.address(one) for one in self.names if one != name}
-        for change in (Change("remove", old), Change("add", new, f"127.0.0.1:{self.ports[name]}")):
+        for change in (
+            ChangeMembership("remove", old),
+            ChangeMembership("add", new, f"127.0.0.1:{self.ports[name]}"),
+        ):
             answer = await self.ask(change, rest, 20.0)
             self.note("changed", what_of=str(change), answer=str(answer))
             if not isinstance(answer, Done):
--- a/thistleline/lab/leasecost.py
+++ b/thistleline/lab/leasecost.py
@@ -12,9 +12,9 @@
 from thistleline.consensus.replica import Spans, Voter, Work
 from thistleline.consensus.store import CouncilStore
 from thistleline.lab.virtual import MS, VirtualCouncil
-from thistleline.lease.protocol import Granted, Keep, Kept, Op, Release, Take
+from thistleline.lease.protocol import Acquire, Granted, Op, Release, Renew, Renewed
 from thistleline.lease.server import Office
-from thistleline.lease.table import Table, data_of
+from thistleline.lease.table import LeaseTable, encode_decision
 from thistleline.lease.wire import Reply, Request, encode
 from thistleline.store.disk import Disk
 
@@ -31,7 +31,7 @@
             disk = Disk(folder, "council")
             disk.acquire()
             self.store = CouncilStore(disk)
-        self.office = Office(Voter("a", Table(), 0, SPANS, lambda span: 0), lambda: 0)
+        self.office = Office(Voter("a", LeaseTable(), 0, SPANS, lambda span: 0), lambda: 0)
         self.now, self.answers = 0, list[Any]()
         self.put(("form", "c", (Member("a", ""),)))
         self.now += 600 * MS
@@ -59,7 +59,7 @@
     alone = Alone(folder)
     begun = time.perf_counter()
     for first in range(0, count, group):
-        alone.ask(*(Take(f"n{place}", f"x{place}", 10 * SECOND) for place in range(first, first + group)))
+        alone.ask(*(Acquire(f"n{place}", f"x{place}", 10 * SECOND) for place in range(first, first + group)))
     return count / (time.perf_counter() - begun)
 
 
@@ -67,26 +67,26 @@
     """CPU of a renewal with so many names in hand, 100 in a request; of a take and release beside them."""
     alone = Alone(None)
     for first in range(0, names, 100):
-        alone.ask(*(Take(f"n{place}", f"x{place}", 10 * SECOND) for place in range(first, first + 100)))
+        alone.ask(*(Acquire(f"n{place}", f"x{place}", 10 * SECOND) for place in range(first, first + 100)))
     begun = time.process_time()
     rounds = max(1, 20_000 // names)
     for _ in range(rounds):
         alone.now += SECOND
         for first in range(0, names, 100):
-            alone.ask(Keep(tuple((f"n{place}", f"x{place}") for place in range(first, first + 100))))
+            alone.ask(Renew(tuple((f"n{place}", f"x{place}") for place in range(first, first + 100))))
         alone.put(("elapsed",))
     renewed = (time.process_time() - begun) / rounds / names
     assert len(alone.office.table.state.leases) == names
     begun = time.process_time()
     for turn in range(500):
-        alone.ask(Take("more", f"y{turn}", SECOND))
+        alone.ask(Acquire("more", f"y{turn}", SECOND))
         alone.ask(Release("more", f"y{turn}"))
     taken = (time.process_time() - begun) / 500
     size = len(alone.office.table.snapshot()) / names
     asked = len(
-        encode(Request(1, Keep(tuple((f"n{place}", f"host.{place}.0123456789ab") for place in range(100)))))
+        encode(Request(1, Renew(tuple((f"n{place}", f"host.{place}.0123456789ab") for place in range(100)))))
     )
-    told = len(encode(Reply(1, Kept((Granted(1 << 20, 10 * SECOND),) * 100))))
+    told = len(encode(Reply(1, Renewed((Granted(1 << 20, 10 * SECOND),) * 100))))
     return {
         "renewal_us": round(renewed * 1e6, 2),
         "take_and_release_us": round(taken * 1e6, 1),
@@ -143,11 +143,11 @@
     disk.acquire()
     store = CouncilStore(disk)
     members = (Member("a", ""),)
-    store.write(Work(True, (Base("a", "c", 1, "a", 0, 0, members, Table().snapshot()),)))
+    store.write(Work(True, (Base("a", "c", 1, "a", 0, 0, members, LeaseTable().snapshot()),)))
     sync, disk.sync = disk.sync, lambda: None  # type: ignore[method-assign]
     for first in range(1, count + 1, 1000):
         entries = tuple(
-            Entry(1, "decision", data_of(Take(f"n{place % 5000}", f"x{place}", SECOND)))
+            Entry(1, "decision", encode_decision(Acquire(f"n{place % 5000}", f"x{place}", SECOND)))
             for place in range(first, first + 1000)
         )
         store.write(Work(False, (Tail(first, entries),)))
--- a/thistleline/lab/leases.py
+++ b/thistleline/lab/leases.py
@@ -20,7 +20,7 @@
 
 from thistleline.lab.harness import Fleet, Hung, Process, folder_of
 from thistleline.lab.net import Way
-from thistleline.lease.fencing import Guard
+from thistleline.lease.fencing import FencingGuard
 from thistleline.transport.disconnects import DISCONNECT_ERRORS
 
 LENGTH, LONGEST, NAME = 1.0, 0.12, "kiln"
@@ -45,7 +45,7 @@
     """The resource: writes down all that reaches it; with a guard, refuses what is older than it has seen."""
 
     def __init__(self, folder: Path, fenced: bool) -> None:
-        self.guard = Guard(folder / "guard") if fenced else None
+        self.guard = FencingGuard(folder / "guard") if fenced else None
         self.wrote: list[Wrote] = []
         self.port = 0
 
--- a/thistleline/lab/leaseworld.py
+++ b/thistleline/lab/leaseworld.py
@@ -13,10 +13,19 @@
 from thistleline.consensus.messages import Ask, Entry, Member
 from thistleline.consensus.replay import Replay
 from thistleline.consensus.replica import Spans, Voter, Work
-from thistleline.lease.fencing import Marks
-from thistleline.lease.holder import Hold
+from thistleline.lease.fencing import HighestEpochs
+from thistleline.lease.holder import LeaseHolder
+from thistleline.lease.holder_effects import SendRequest
+from thistleline.lease.holder_events import (
+    AcquireStarted,
+    AnswerReceived,
+    DeadlineReached,
+    GrantHinted,
+    HolderEvent,
+    ReleaseRequested,
+)
 from thistleline.lease.server import Office
-from thistleline.lease.table import Table
+from thistleline.lease.table import LeaseTable
 
 TICK = 40_000_000
 LENGTH = 100_000_000  # ns: two ticks by a clock that is a quarter fast
@@ -63,11 +72,11 @@
         self.rates, self.ticks = rates, 0
         ids = [f"v{place}" for place in range(voters)]
         self.offices = tuple(
-            Office(Voter(id, Table(), self.clock(place), SPANS, _no_spread), _no_wall)
+            Office(Voter(id, LeaseTable(), self.clock(place), SPANS, _no_spread), _no_wall)
             for place, id in enumerate(ids)
         )
         self.disks: tuple[Replay, ...] = tuple(Replay() for _ in ids)
-        self.holders: tuple[Hold, ...] = ()
+        self.holders: tuple[LeaseHolder, ...] = ()
         self.net: tuple[Flight, ...] = ()
         self.keys: dict[int, tuple[int, int]] = {}  # of each voter and its disk, and with two names swapped
         self.left: dict[str, int] = {}
@@ -94,7 +103,7 @@
     def hold(self, *askers: str) -> None:
         first = len(self.offices)
         self.holders = tuple(
-            Hold(NAME, asker, LENGTH, True, self.clock(first + place), _no_spread)
+            LeaseHolder(NAME, asker, LENGTH, True, self.clock(first + place), _no_spread)
             for place, asker in enumerate(askers)
         )
 
@@ -147,16 +156,16 @@
     def restart(self, place: int) -> None:
         id = self.offices[place].voter.id
         found = self.disks[place].found()
-        voter = Voter(id, Table(), self.clock(place), SPANS, _no_spread, found)
+        voter = Voter(id, LeaseTable(), self.clock(place), SPANS, _no_spread, found)
         self.offices = (*self.offices[:place], Office(voter, _no_wall), *self.offices[place + 1 :])
         self.keys = {known: key for known, key in self.keys.items() if known != place}
 
-    def holder(self, place: int, *told: Any, to: str = "") -> None:
+    def holder(self, place: int, event: HolderEvent, to: str = "") -> None:
         holder = self.holders[place].copy()
         self.holders = (*self.holders[:place], holder, *self.holders[place + 1 :])
-        for effect in holder.take(self.clock(len(self.offices) + place), *told):
-            if effect[0] == "ask":
-                self._send(holder.asker, to or self.leaders()[0], (effect[1], effect[2]))
+        for effect in holder.handle(self.clock(len(self.offices) + place), event):
+            if isinstance(effect, SendRequest):
+                self._send(holder.holder_id, to or self.leaders()[0], (effect.number, effect.op))
 
     def leaders(self) -> list[str]:
         """Whom holders may ask: who takes itself for the leader, as a client finds by asking around."""
@@ -188,8 +197,8 @@
             self._act(source, message)
             return
         for place, holder in enumerate(self.holders):
-            if holder.asker == to:
-                self.holder(place, "answered", *message)
+            if holder.holder_id == to:
+                self.holder(place, AnswerReceived(*message))
 
     def lose(self) -> None:
         self.net = ()
@@ -201,15 +210,15 @@
         """An act is sent off; when it arrives is the net's business."""
         holder = self.holders[place]
         if holder.fits(self.clock(len(self.offices) + place), 0):
-            self._send(holder.asker, "resource", holder.epoch)
+            self._send(holder.holder_id, "resource", holder.epoch)
 
     def _act(self, source: str, epoch: int) -> None:
-        marks = Marks(dict(self.marks))
-        if marks.judge(NAME, epoch) in ("known", "newer"):
+        marks = HighestEpochs(dict(self.marks))
+        if marks.classify(NAME, epoch) in ("known", "newer"):
             if self.acted and epoch < max(self.acted):
                 self.broken = "an older holder acted after a newer one"
-            marks.seen[NAME] = max(epoch, marks.seen.get(NAME, 0))
-            self.marks = marks.seen
+            marks.by_name[NAME] = max(epoch, marks.by_name.get(NAME, 0))
+            self.marks = marks.by_name
             self.acted = tuple(sorted({*self.acted, epoch}))[-2:]
 
     # ---- invariants
@@ -237,7 +246,7 @@
         if self.broken:
             return self.broken
         first = len(self.offices)
-        valid = [one for place, one in enumerate(self.holders) if one.valid(self.clock(first + place))]
+        valid = [one for place, one in enumerate(self.holders) if one.is_valid(self.clock(first + place))]
         if len(valid) > 1:
             return "two holders have a right at once"
         epochs = [one.epoch for one in self.holders if one.epoch]
@@ -246,8 +255,8 @@
         for office in self.offices:
             lease = office.table.state.leases.get(NAME)
             for one in self.holders:
-                given_back = one.phase == "ended" and one.why == "released"
-                if lease and given_back and lease.holder == one.asker and lease.epoch > one.epoch:
+                given_back = one.phase == "ended" and one.end_reason == "released"
+                if lease and given_back and lease.holder == one.holder_id and lease.epoch > one.epoch:
                     return "it was granted again to one who gave it back"
         return ""
 
@@ -261,7 +270,7 @@
                 self.keys[place] = one, hash((office.frozen(swap), disk.frozen(swap))) if swap else one
         keys = [self.keys[place] for place in range(len(self.offices))]
         rest = (
-            *(tuple(one.frozen() for one in self.holders), self.ticks, tuple(sorted(self.left.items()))),
+            *(tuple(one.state_key() for one in self.holders), self.ticks, tuple(sorted(self.left.items()))),
             *(tuple(self.marks.items()), self.acted, len(self.decided), self.broken),
         )
         here = hash((*(one for one, _ in keys), *sorted(one.key for one in self.net), self.terms, rest))
@@ -284,6 +293,12 @@
 # ---- what may happen next
 
 
+NEXT_EVENTS: dict[str, tuple[str, HolderEvent]] = {
+    "new": ("start", AcquireStarted()),
+    "waiting": ("hinted", GrantHinted()),
+}
+
+
 def following(world: LeaseWorld) -> Iterator[tuple[str, LeaseWorld]]:
     scenario, left = world.scenario, world.left
     assert scenario is not None
@@ -316,14 +331,14 @@
     first = len(world.offices)
     for place in scenario.moves:
         one, now = world.holders[place], world.clock(first + place)
-        if one.phase == "waiting" or (one.phase != "ended" and one.due() <= now):
-            what = {"new": "start", "waiting": "hinted"}.get(one.phase, "elapsed")
+        if one.phase == "waiting" or (one.phase != "ended" and one.next_deadline() <= now):
+            what, event = NEXT_EVENTS.get(one.phase, ("elapsed", DeadlineReached()))
             for to in world.leaders():
-                yield from step(f"{one.asker}: {what}, to {to}", "", partial(holder, to=to), place, what)
+                yield from step(f"{one.holder_id}: {what}, to {to}", "", partial(holder, to=to), place, event)
         if left["releases"] and one.phase == "held":
-            yield from step(f"{one.asker} gives it back", "releases", holder, place, "release")
+            yield from step(f"{one.holder_id} gives it back", "releases", holder, place, ReleaseRequested())
         if left["acts"] and one.fits(now, 1):
-            yield from step(f"{one.asker} acts", "acts", LeaseWorld.act, place)
+            yield from step(f"{one.holder_id} acts", "acts", LeaseWorld.act, place)
     if left["losses"] and world.net:
         yield from step("all in flight is lost", "losses", LeaseWorld.lose)
     if left["ticks"]:
@@ -371,9 +386,9 @@
 def held(rates: tuple[int, ...] = (4, 4, 4, 4, 4)) -> LeaseWorld:
     """h1 holds, h2 waits."""
     world = led(rates)
-    world.holder(0, "start")
+    world.holder(0, AcquireStarted())
     settle(world)
-    world.holder(1, "start")
+    world.holder(1, AcquireStarted())
     settle(world)
     world.voter(0, "elapsed")
     settle(world)
@@ -387,7 +402,7 @@
 def asked(rates: tuple[int, ...] = (4, 4, 4, 4, 4)) -> LeaseWorld:
     """As `held`, and h1's word that it is still there is in flight."""
     world = held(rates)
-    world.holder(0, "elapsed")
+    world.holder(0, DeadlineReached())
     return world
 
 
--- a/thistleline/lab/member.py
+++ b/thistleline/lab/member.py
@@ -63,11 +63,11 @@
     elif left_out == "drift":
         from thistleline.lease import holder
 
-        setattr(holder, "right", lambda length: length)  # noqa: B010
+        setattr(holder, "holder_ttl", lambda length: length)  # noqa: B010
     elif left_out == "clock":
         from thistleline.lease import holder
 
-        setattr(holder, "right", lambda length: 10 * length)  # noqa: B010
+        setattr(holder, "holder_ttl", lambda length: 10 * length)  # noqa: B010
     elif left_out == "majority":
         from thistleline.config_feed.writer import Writer
 
--- a/thistleline/lab/mutants.py
+++ b/thistleline/lab/mutants.py
@@ -23,10 +23,11 @@
 from thistleline.lease import holder as holding
 from thistleline.lease import protocol as terms
 from thistleline.lease import table as tables
-from thistleline.lease.fencing import Marks
-from thistleline.lease.holder import Hold
-from thistleline.lease.liveness import Watch
-from thistleline.lease.table import Table
+from thistleline.lease.fencing import HighestEpochs
+from thistleline.lease.holder import LeaseHolder
+from thistleline.lease.holder_events import AcquireStarted, DeadlineReached, GrantHinted, ReleaseRequested
+from thistleline.lease.liveness import LivenessTracker
+from thistleline.lease.table import LeaseTable
 
 DEPTH = 40
 FAST_LEADER = (5, 4, 4, 3, 3)  # the leader's clock a quarter fast, the holders' a quarter slow
@@ -78,13 +79,13 @@
 def _late_answer() -> LeaseWorld:
     """h1 was granted it a tick ago, the answer is still on its way; h2 waits."""
     world = led(FAST_LEADER)
-    world.holder(0, "start")
+    world.holder(0, AcquireStarted())
     while world.net[0].to != "h1":
         world.deliver(0)
     answer = world.net[0]
     world.net = world.net[1:]
     settle(world)
-    world.holder(1, "start")
+    world.holder(1, AcquireStarted())
     settle(world)
     _beaten(world, 1)
     world.net = (answer,)
@@ -93,7 +94,7 @@
 
 def _renewed() -> LeaseWorld:
     world = _beaten(held(FAST_LEADER), 1)
-    world.holder(0, "elapsed")
+    world.holder(0, DeadlineReached())
     settle(world)
     return world
 
@@ -102,7 +103,7 @@
     """v0 leads and is cut off; v1 has been elected, v0 does not know, and h1 still asks v0."""
     world = held((4, 5, 5, 3, 3))
     world.ticks += 1
-    world.holder(0, "elapsed")
+    world.holder(0, DeadlineReached())
     settle(world, lambda source, to: "v1" not in (source, to))
     world.ticks += 1
     world.voter(1, "elapsed")
@@ -114,7 +115,7 @@
 def _behind() -> LeaseWorld:
     """v2 has not heard of anything that was decided."""
     world = led()
-    world.holder(0, "start")
+    world.holder(0, AcquireStarted())
     settle(world, lambda source, to: "v2" not in (source, to))
     world.ticks += 2
     return world
@@ -137,9 +138,9 @@
     world = led(rates)
     world.hold("h0", "h1", "h2")
     for place in range(3):
-        world.holder(place, "start")
+        world.holder(place, AcquireStarted())
         settle(world)
-    world.holder(0, "release")
+    world.holder(0, ReleaseRequested())
     settle(world)
     return world
 
@@ -150,7 +151,7 @@
     world = _passed_on((5, 4, 4, 3, 3, 3))
     _beaten(world, 1)
     world.ticks += 1
-    world.holder(1, "hinted")
+    world.holder(1, GrantHinted())
     world.voter(0, "elapsed")
     return world
 
@@ -165,27 +166,27 @@
     settle(world, lambda source, to: "v0" not in (source, to))
     assert world.leaders() == ["v0", "v1"]
     world.ticks += 1
-    world.holder(1, "hinted", to="v0")
+    world.holder(1, GrantHinted(), to="v0")
     return world
 
 
 def _asked_again() -> LeaseWorld:
     """h1 was granted it, the answer was lost; it asks again as its length is nearly over. h2 waits."""
     world = led(FAST_LEADER)
-    world.holder(0, "start")
+    world.holder(0, AcquireStarted())
     settle(world, lambda source, to: to != "h1")
-    world.holder(1, "start")
+    world.holder(1, AcquireStarted())
     settle(world)
     _beaten(world, 1)
     world.ticks += 1
-    world.holder(0, "elapsed")
+    world.holder(0, DeadlineReached())
     return world
 
 
 def _doubled_wish() -> LeaseWorld:
     """h1 asked twice, as an answer came late; one copy is still in flight."""
     world = led()
-    world.holder(0, "start")
+    world.holder(0, AcquireStarted())
     copy = world.net[0]
     settle(world)
     world.net = (copy,)
@@ -195,7 +196,7 @@
 def _freed() -> LeaseWorld:
     """h1 holds and has acted; nobody waits."""
     world = led()
-    world.holder(0, "start")
+    world.holder(0, AcquireStarted())
     settle(world)
     world.act(0)
     settle(world)
@@ -209,7 +210,7 @@
     act = world.net[0]
     world.net = ()
     _beaten(world, 2)
-    world.holder(1, "hinted")
+    world.holder(1, GrantHinted())
     settle(world)
     assert world.holders[1].phase == "held"
     world.net = (act,)
@@ -290,7 +291,9 @@
         self._apply()
 
 
-def _from_the_answer(self: Hold, asked: int, answer: Any, had: Callable[..., None] = Hold._granted) -> None:
+def _from_the_answer(
+    self: LeaseHolder, asked: int, answer: Any, had: Callable[..., None] = LeaseHolder._on_granted
+) -> None:
     had(self, self.now, answer)
 
 
@@ -298,30 +301,30 @@
     had(self, sender, type(message)(message.term, 1 << 30, 1 << 30, message.trial))
 
 
-def _remembers(self: Watch, now: int, table: Table) -> None:
-    self.leases, self.waiters, self.looks, self.heap = {}, {}, {}, []
+def _remembers(self: LivenessTracker, now: int, table: LeaseTable) -> None:
+    self.leases, self.waiters, self.next_checks, self.check_queue = {}, {}, {}, []
     for name, lease in table.state.leases.items():
-        self._lease(name, lease.epoch, lease.touched, now)
+        self._track_lease(name, lease.epoch, lease.touched_index, now)
 
 
-def _unasked(self: Watch, now: int, name: str, asker: str, table: Table) -> None:
+def _unasked(self: LivenessTracker, now: int, name: str, asker: str, table: LeaseTable) -> None:
     return None
 
 
-def _touched_or_not(self: Table, index: int, expire: Any) -> Any:
+def _touched_or_not(self: LeaseTable, index: int, expire: Any) -> Any:
     lease = self.state.leases.get(expire.name)
     if lease is None or lease.epoch != expire.epoch:
         return terms.Denied("gone")
-    self._next(index, expire.name, lease, "expired", expire.at, "")
+    self._end(index, expire.name, lease, "expired", expire.wall_ms, "")
     return terms.Done("expired")
 
 
-def _own_count(self: Table, index: int, name: str, lease: Any, asker: str, length: int, *_: Any) -> Any:
-    lease.holder, lease.epoch, lease.length, lease.touched = asker, lease.epoch + 1, length, index
-    return terms.Granted(lease.epoch, length)
+def _own_count(self: LeaseTable, index: int, lease: Any, holder_id: str, ttl: int, *_: Any) -> Any:
+    lease.holder, lease.epoch, lease.ttl, lease.touched_index = holder_id, lease.epoch + 1, ttl, index
+    return terms.Granted(lease.epoch, ttl)
 
 
-def _all_pass(self: Marks, name: str, epoch: int) -> str:
+def _all_pass(self: HighestEpochs, name: str, epoch: int) -> str:
     return "known"
 
 
@@ -345,15 +348,16 @@
             Voter, "_read", _read_at_once),
     mutant("answers wait for all that stands in the log", "unaware of its grant",
             Voter, "_read", _read_decided, quick=False),
-    mutant("the right counts from before the request", "late answer", Hold, "_granted", _from_the_answer),
-    mutant("the right allows for drift", "nearly over", holding, "right", _whole),
-    mutant("a new leader counts anew", "deposed leader", Watch, "begin", _remembers),
-    mutant("who is heard is counted on", "renewed", Watch, "heard", _unasked),
+    mutant("the right counts from before the request", "late answer",
+            LeaseHolder, "_on_granted", _from_the_answer),
+    mutant("the right allows for drift", "nearly over", holding, "holder_ttl", _whole),
+    mutant("a new leader counts anew", "deposed leader", LivenessTracker, "reset", _remembers),
+    mutant("who is heard is counted on", "renewed", LivenessTracker, "renew", _unasked),
     mutant("an expiry does not end what was touched since", "asked again",
-            Table, "_expire", _touched_or_not, quick=False),
-    mutant("epochs are one count for all names", "freed", Table, "_grant", _own_count),
-    mutant("what was given back is not granted again", "wish doubled", tables, "OVER_BOUND", 0),
-    mutant("the fence", "act in flight", Marks, "judge", _all_pass),
+            LeaseTable, "_expire", _touched_or_not, quick=False),
+    mutant("epochs are one count for all names", "freed", LeaseTable, "_grant", _own_count),
+    mutant("what was given back is not granted again", "wish doubled", tables, "MAX_RELEASED", 0),
+    mutant("the fence", "act in flight", HighestEpochs, "classify", _all_pass),
 )  # fmt: skip
 
 
--- a/thistleline/lab/polledrun.py
+++ b/thistleline/lab/polledrun.py
@@ -17,8 +17,8 @@
 from thistleline.config_feed.limits import MS, SECOND
 from thistleline.config_feed.messages import Propose
 from thistleline.lab.feedrun import HEAD, LINE, PLENTY, SYNC, Clock, delays
-from thistleline.lease.protocol import VALUE_BOUND, Done, Get, Got, Put
-from thistleline.lease.table import Table, data_of
+from thistleline.lease.protocol import MAX_VALUE_SIZE, Done, Get, Got, Put
+from thistleline.lease.table import LeaseTable, encode_decision
 from thistleline.lease.wire import Reply, Request, encode
 from thistleline.supervisor.decisions import Version, Want
 from thistleline.supervisor.service import POLL, digest_of_settings, settings_key, want_key
@@ -37,7 +37,7 @@
         self.entries: dict[str, bytes] = {}
         self.size = RECORD_HEAD
         for key, value in entries:
-            if self.size + self._cost(key, value) > VALUE_BOUND:
+            if self.size + self._cost(key, value) > MAX_VALUE_SIZE:
                 break
             self.put(key, value)
 
@@ -51,7 +51,7 @@
         if value is not None:
             self.entries[key] = value
             self.size += self._cost(key, value)
-        while self.size > VALUE_BOUND:
+        while self.size > MAX_VALUE_SIZE:
             oldest = next(iter(self.entries))
             self.size -= self._cost(oldest, self.entries.pop(oldest))
 
@@ -91,7 +91,7 @@
         self.regions, self.apart = regions, delays(self.chance, regions)
         others = sorted(2 * self._way(0, place * regions // voters) for place in range(1, voters))
         self.confirmed = others[voters // 2 - 1]  # ns till a majority has what it is told, or says who leads
-        self.table, self.index = Table(), 0
+        self.table, self.index = LeaseTable(), 0
         self.settings, self.number = Settings(entries), 0
         self.waiting: list[tuple[int, Propose]] = []  # asked for, when; they go with the next record
         self.under_way = False
@@ -157,7 +157,7 @@
         self.index += 1
         put = Put(key, value, self.table.get(key).version)
         self.bytes += len(encode(Request(self.index, put))) + HEAD
-        answer = self.table.apply(self.index, data_of(put))
+        answer = self.table.apply(self.index, encode_decision(put))
         assert isinstance(answer, Done), answer
 
     # ---- who asks
--- a/thistleline/lab/scale/control.py
+++ b/thistleline/lab/scale/control.py
@@ -40,7 +40,7 @@
     rounded,
     steps_of,
 )
-from thistleline.lease.client import Council
+from thistleline.lease.client import LeaseClient
 from thistleline.lease.protocol import Answer, Get, Got, Op
 from thistleline.lease.wire import Reply, Request
 from thistleline.lease.wire import encode as encode_client
@@ -317,7 +317,7 @@
         self.reads = self.bytes = 0
         self.by_look: list[tuple[int, int]] = []
 
-    async def surely(self, op: Op, span: float) -> Answer:
+    async def request_until_decided(self, op: Op, timeout: float) -> Answer:
         assert isinstance(op, Get), op
         value = encode(self.roll) if op.key == KEY else encode(Want(7, 1, self.roll.base))
         answer = Got(b"", 0) if op.key == ORDER_KEY else Got(value, 7)
@@ -624,11 +624,11 @@
             span = time.monotonic() - begun
             told = {what: [((cpu_seconds(pid) - before[pid]) / span, resident(pid)) for pid in found]
                     for what, found in pids.items()}  # fmt: skip
-            client = Council({name: fleet.address(name) for name in fleet.names}, group, fleet.chance)
-            await client.surely(Get(KEY), 10.0)
+            client = LeaseClient({name: fleet.address(name) for name in fleet.names}, group, fleet.chance)
+            await client.request_until_decided(Get(KEY), 10.0)
             begun = time.monotonic()
             for _ in range(TRIPS):
-                await client.surely(Get(KEY), 10.0)
+                await client.request_until_decided(Get(KEY), 10.0)
             told["a read of the council"] = [((time.monotonic() - begun) / TRIPS, 0)]
         finally:
             machines.close()
--- a/thistleline/lab/scale/council.py
+++ b/thistleline/lab/scale/council.py
@@ -23,12 +23,30 @@
 from thistleline.lab.scale.size import size
 from thistleline.lab.scale.slopes import Part, Row, Shape, cpu_of, judge, loop_cpu, memory_of
 from thistleline.lab.virtual import MS, VirtualCouncil
-from thistleline.lease.client import Council
-from thistleline.lease.protocol import VALUE_BOUND, Done, Get, Got, Granted, Keep, Kept, Op, Put, Take
+from thistleline.lease.client import LeaseClient
+from thistleline.lease.protocol import (
+    MAX_VALUE_SIZE,
+    Acquire,
+    Done,
+    Get,
+    Got,
+    Granted,
+    Op,
+    Put,
+    Renew,
+    Renewed,
+)
 from thistleline.lease.server import Office
 from thistleline.lease.service import CONNECTIONS_BOUND
-from thistleline.lease.table import NAMES_BOUND, RECORDS_BOUND, RECORDS_SIZE, Table, data_of, fault
-from thistleline.lease.wire import Reply, Request, decode_request, decode_voter, encode
+from thistleline.lease.table import (
+    MAX_LEASES,
+    MAX_RECORDS,
+    MAX_RECORDS_SIZE,
+    LeaseTable,
+    encode_decision,
+    validate,
+)
+from thistleline.lease.wire import Reply, Request, decode_replica_message, decode_request, encode
 from thistleline.supervisor.decisions import Version, Want
 from thistleline.supervisor.service import POLL, want_key
 from thistleline.supervisor.settings import SIZE_BOUND
@@ -77,7 +95,7 @@
         if not done:
             raise Hung(f"{len(self.answers) - before[3]} of {len(ops)} answered")
         for _, _, answer in self.answers[before[3] :]:
-            assert isinstance(answer, Got | Done | Granted | Kept), answer
+            assert isinstance(answer, Got | Done | Granted | Renewed), answer
         told = sum(len(encode_frame(encode(Request(ticket, op)))) for ticket, op in enumerate(ops))
         told += sum(len(encode_frame(encode(Reply(at, one)))) for _, at, one in self.answers[before[3] :])
         spent = sum(self.sent.values()) - before[0], self.bytes - before[1], self.writes - before[2]
@@ -194,7 +212,7 @@
                     encode_frame(encode(effect[2]))
                     back = self._back(effect[2])
                     if back is not None:
-                        heard.append(("heard", effect[1], decode_voter(encode(back))))
+                        heard.append(("heard", effect[1], decode_replica_message(encode(back))))
                 elif effect[0] == "write":
                     heard.append(("written",))
                 elif effect[0] == "answer":
@@ -232,29 +250,29 @@
     return cpu_of(all_writes, 3)
 
 
-def filled(records: int) -> Table:
-    table = Table()
+def filled(records: int) -> LeaseTable:
+    table = LeaseTable()
     for place in range(records):
-        told = table.apply(place + 1, data_of(Put(want_key(f"i{place:05}.zone-01"), WANT, 0)))
+        told = table.apply(place + 1, encode_decision(Put(want_key(f"i{place:05}.zone-01"), WANT, 0)))
         assert isinstance(told, Done), told
     return table
 
 
-def leased(names: int) -> Table:
-    table = Table()
+def leased(names: int) -> LeaseTable:
+    table = LeaseTable()
     for place in range(names):
         asker = f"i{place:05}.zone-01.0123456789ab"
-        told = Take(f"part/{place:05}", asker, 10 * SECOND, at=1_790_000_000_000)
-        assert isinstance(table.apply(place + 1, data_of(told)), Granted)
+        told = Acquire(f"part/{place:05}", asker, 10 * SECOND, wall_ms=1_790_000_000_000)
+        assert isinstance(table.apply(place + 1, encode_decision(told)), Granted)
     return table
 
 
-def keep(names: int) -> Keep:
-    return Keep(tuple((f"part/{place:05}", f"i{place:05}.zone-01.0123456789ab") for place in range(names)))
+def keep(names: int) -> Renew:
+    return Renew(tuple((f"part/{place:05}", f"i{place:05}.zone-01.0123456789ab") for place in range(names)))
 
 
 def keep_bytes(names: int) -> int:
-    told = Kept((Granted(1 << 20, 10 * SECOND),) * names)
+    told = Renewed((Granted(1 << 20, 10 * SECOND),) * names)
     return len(encode_frame(encode(Request(1, keep(names))))) + len(encode_frame(encode(Reply(1, told))))
 
 
@@ -292,7 +310,7 @@
         seconds[f"{name}, CPU seconds by size"] = told
         return slopes.row(name, "time", "loops", per, sizes, [one / loop for one in took], at, 3)
 
-    def memory(name: str, per: str, make: Callable[[int], Table]) -> Row:
+    def memory(name: str, per: str, make: Callable[[int], LeaseTable]) -> Row:
         held = [float(memory_of(lambda one=one: make(one))[0]) for one in sizes]  # type: ignore[misc]
         return slopes.row(name, "memory", "bytes", per, sizes, held, instances)
 
@@ -308,7 +326,9 @@
     for one in sizes:
         holder = Leader(seed, 1)
         for first in range(0, one, 100):
-            asked = [Take(name, asker, 10 * SECOND) for name, asker in keep(one).names[first : first + 100]]
+            asked = [
+                Acquire(name, asker, 10 * SECOND) for name, asker in keep(one).leases[first : first + 100]
+            ]
             holder.round([encode(Request(number, take)) for number, take in enumerate(asked)])
         keeps.append(cpu_of(partial(kept, holder), 3) / KEEPS)
     rows = [
@@ -352,19 +372,20 @@
     """What the table may hold, against a want for each instance and the settings."""
     instances = size("instances")
     key = len(want_key(f"i{instances:05}.zone-01"))
-    refused = [kb for kb in (128, 256, 257, 512) if fault(Put("settings/1", b"x" * (kb << 10), 0))]
-    write = len(data_of(Put("w" * key, WANT, 0)))
+    refused = [kb for kb in (128, 256, 257, 512) if validate(Put("settings/1", b"x" * (kb << 10), 0))]
+    write = len(encode_decision(Put("w" * key, WANT, 0)))
     return {
         "want_bytes": len(WANT),
         "wants_bytes": instances * len(WANT),
-        "records_size": RECORDS_SIZE,
-        "wants_part_of_records_size": round(instances * len(WANT) / RECORDS_SIZE, 2),
-        "records_bound": RECORDS_BOUND,
-        "names_bound": NAMES_BOUND,
-        "value_bound": VALUE_BOUND,
+        "records_size": MAX_RECORDS_SIZE,
+        "wants_part_of_records_size": round(instances * len(WANT) / MAX_RECORDS_SIZE, 2),
+        "records_bound": MAX_RECORDS,
+        "names_bound": MAX_LEASES,
+        "value_bound": MAX_VALUE_SIZE,
         "settings_size_bound": SIZE_BOUND,
         "settings_kb_refused": refused,
-        "versions_of_settings_that_fit_beside_wants": (RECORDS_SIZE - instances * len(WANT)) // VALUE_BOUND,
+        "versions_of_settings_that_fit_beside_wants": (MAX_RECORDS_SIZE - instances * len(WANT))
+        // MAX_VALUE_SIZE,
         "writes_between_two_snapshots": COMPACT_SIZE // (write + ENTRY_COST),
         "changes_a_second": round(size("changes_day") / 86_400, 2),
     }
@@ -387,7 +408,7 @@
 
     def __init__(self, fleet: Fleet, connections: int, group: anyio.abc.TaskGroup) -> None:
         known = {name: fleet.address(name) for name in fleet.names}
-        self.clients = [Council(known, group, fleet.chance) for _ in range(connections)]
+        self.clients = [LeaseClient(known, group, fleet.chance) for _ in range(connections)]
         self.took: list[float] = []
         self.asked = self.done = 0
 
@@ -396,12 +417,12 @@
         for first in range(0, len(self.clients), 50):
             async with anyio.create_task_group() as group:
                 for client in self.clients[first : first + 50]:
-                    group.start_soon(client.surely, Get("warm"), 10.0)
+                    group.start_soon(client.request_until_decided, Get("warm"), 10.0)
 
     async def one(self, op: Op) -> None:
         self.asked += 1
         begun = time.monotonic()
-        answer = await self.clients[self.asked % len(self.clients)].ask(op)
+        answer = await self.clients[self.asked % len(self.clients)].request(op)
         self.took.append(time.monotonic() - begun)
         self.done += isinstance(answer, Got | Done)
 
--- a/thistleline/lab/scale/settings_costs.py
+++ b/thistleline/lab/scale/settings_costs.py
@@ -20,7 +20,7 @@
     row,
     steps_of,
 )
-from thistleline.lease.table import RECORDS_BOUND, RECORDS_SIZE
+from thistleline.lease.table import MAX_RECORDS, MAX_RECORDS_SIZE
 from thistleline.rollout.controller import SECOND, Conducting, Spans
 from thistleline.rollout.record import STAGES, Order, Roll, Seen
 from thistleline.rollout.service import POLL as LOOK
@@ -272,8 +272,8 @@
         "changes that wait within the time to be in force": day * within / DAY,
         "bytes a second to an instance at the day's rate": content * day / DAY,
         "stages and tenants in a record": most_that_fit(rows, SIZE_BOUND),
-        "days till RECORDS_BOUND is full of numbered settings": (RECORDS_BOUND - instances) / day,
-        "settings of full size that RECORDS_SIZE holds": RECORDS_SIZE // content,
+        "days till RECORDS_BOUND is full of numbered settings": (MAX_RECORDS - instances) / day,
+        "settings of full size that RECORDS_SIZE holds": MAX_RECORDS_SIZE // content,
     }
 
 
--- a/thistleline/lab/virtual.py
+++ b/thistleline/lab/virtual.py
@@ -8,7 +8,7 @@
 from thistleline.consensus.messages import Member
 from thistleline.consensus.replica import Spans, Voter
 from thistleline.lease.server import Office
-from thistleline.lease.table import Table
+from thistleline.lease.table import LeaseTable
 
 MS = 1_000_000
 
@@ -29,7 +29,7 @@
         self.wakes: dict[str, int] = {}
         members = tuple(Member(f"v{place}", f"v{place}") for place in range(voters))
         for one in members:
-            voter = Voter(one.id, Table(), 0, spans, lambda span: self.chance.randrange(span))
+            voter = Voter(one.id, LeaseTable(), 0, spans, lambda span: self.chance.randrange(span))
             self.offices[one.id] = Office(voter, lambda: self.now // MS)
         for one in members:
             self.put(one.id, "form", "c", members)
--- a/thistleline/lease/__init__.py
+++ b/thistleline/lease/__init__.py
@@ -1,1 +1,1 @@
-"""Leases on top of the council: one holder of a name at a time, each with an epoch that only ever grows."""
+"""Leases: named, time-limited locks with fencing tokens, granted by the consensus cluster."""
--- a/thistleline/lease/client.py
+++ b/thistleline/lease/client.py
@@ -1,4 +1,4 @@
-"""A client of the council: one connection to whoever leads, found by asking around."""
+"""A client of the lease cluster: one connection to the leader, found by asking the replicas in turn."""
 
 import os
 from collections.abc import Callable
@@ -8,8 +8,8 @@
 import msgspec
 from anyio.abc import SocketStream
 
-from thistleline.lease.protocol import Answer, Elsewhere, Op
-from thistleline.lease.wire import Hint, Request, decode_reply, encode
+from thistleline.lease.protocol import Answer, Op, Unavailable
+from thistleline.lease.wire import GrantHint, Request, decode_reply, encode
 from thistleline.transport.address import Address
 from thistleline.transport.codec import (
     MAX_CLIENT_MESSAGE_SIZE,
@@ -20,94 +20,109 @@
 )
 from thistleline.transport.disconnects import DISCONNECT_ERRORS
 
-PATIENCE = 1.0  # s for a connection with its greeting
-ANSWER_SPAN = 1.5  # s; a voter that is silent for so long is not asked again at once
-OPEN_BOUND = 256
-_first = msgspec.msgpack.Decoder(Hello).decode
+CONNECT_TIMEOUT = 1.0  # s
+ANSWER_TIMEOUT = 1.5  # s; a replica that is silent for so long is not asked again at once
+MAX_OPEN_REQUESTS = 256
+MIN_BACKOFF = 0.02  # s before an undecided request is repeated
+MAX_BACKOFF = 0.3  # s
+_RECEIVE_SIZE = 1 << 16  # bytes
+_decode_hello = msgspec.msgpack.Decoder(Hello).decode
 
 
-class Council:
-    """`ask` never raises for what a voter or a net does: it answers Elsewhere, and the next is asked then.
+class LeaseClient:
+    """Sends requests to the cluster; errors of a replica or the network are answers, never exceptions.
 
-    async with anyio.create_task_group() as group:
-        council = Council({"a": ("127.0.0.1", 7001), ...}, group)
-        answer = await council.ask(Show("rollout"))
+    Example:
+        async with anyio.create_task_group() as group:
+            client = LeaseClient({"a": ("127.0.0.1", 7001), ...}, group)
+            answer = await client.request(Describe("rollout"))
     """
 
     def __init__(
-        self, voters: dict[str, Address], group: anyio.abc.TaskGroup, chance: Random | None = None
+        self, replicas: dict[str, Address], group: anyio.abc.TaskGroup, rng: Random | None = None
     ) -> None:
-        self.voters, self.group = voters, group
-        self.chance = chance or Random(os.urandom(8))
-        self.at = self.chance.choice(sorted(voters))  # who is asked
+        """Describe the cluster; a connection is made by the first request.
+
+        Args:
+            replicas: Addresses by name.
+            group: Runs the reading of the connection.
+            rng: Chooses replicas and jitter.
+        """
+        self.replicas = replicas
+        self.group = group
+        self.rng = rng or Random(os.urandom(8))
+        self.target = self.rng.choice(sorted(replicas))  # the replica that is asked
         self.stream: SocketStream | None = None
-        self.making = anyio.Lock()
-        self.number = 0
-        self.open: dict[int, tuple[anyio.Event, list[Answer]]] = {}
-        self.hinted: dict[str, Callable[[], None]] = {}  # by asker
-
-    async def ask(self, op: Op) -> Answer:
-        """One request to one voter."""
-        if len(self.open) >= OPEN_BOUND:
-            return Elsewhere("too much is asked here at once", "")
+        self.send_lock = anyio.Lock()
+        self.last_number = 0
+        self.open_requests: dict[int, tuple[anyio.Event, list[Answer]]] = {}
+        self.hint_callbacks: dict[str, Callable[[], None]] = {}  # by holder id
+
+    async def request(self, op: Op) -> Answer:
+        """Send one request to one replica; `Unavailable` if it was not decided."""
+        if len(self.open_requests) >= MAX_OPEN_REQUESTS:
+            return Unavailable("too much is asked here at once", "")
         number, event, found = -1, anyio.Event(), list[Answer]()
         asked = ""
         try:
-            with anyio.move_on_after(ANSWER_SPAN):
-                async with self.making:
+            with anyio.move_on_after(ANSWER_TIMEOUT):
+                async with self.send_lock:
                     stream = self.stream if self.stream is not None else await self._connect()
-                    asked = self.at
-                    self.number += 1
-                    number = self.number
-                    self.open[number] = event, found
+                    asked = self.target
+                    self.last_number += 1
+                    number = self.last_number
+                    self.open_requests[number] = event, found
                     await stream.send(encode_frame(encode(Request(number, op))))
                 await event.wait()
         except DISCONNECT_ERRORS:
             pass
         finally:
-            self.open.pop(number, None)
+            self.open_requests.pop(number, None)
         if not found:
-            self._turn(asked, "")
-            return Elsewhere("no answer", "")
+            self._choose_next(asked, "")
+            return Unavailable("no answer", "")
         answer = found[0]
-        if isinstance(answer, Elsewhere):
-            self._turn(asked, answer.leader)
+        if isinstance(answer, Unavailable):
+            self._choose_next(asked, answer.leader)
         return answer
 
-    async def surely(self, op: Op, span: float) -> Answer:
-        """Asks until something is decided, for so many seconds at most. For what may be asked twice."""
-        until, pause = anyio.current_time() + span, 0.02
+    async def request_until_decided(self, op: Op, timeout: float) -> Answer:
+        """Repeat an idempotent request until it is decided, for about `timeout` seconds at most."""
+        until = anyio.current_time() + timeout
+        backoff = MIN_BACKOFF
         while True:
-            answer = await self.ask(op)
-            if not isinstance(answer, Elsewhere) or anyio.current_time() >= until:
+            answer = await self.request(op)
+            if not isinstance(answer, Unavailable) or anyio.current_time() >= until:
                 return answer
-            await anyio.sleep(pause * self.chance.uniform(0.5, 1.5))
-            pause = min(0.3, 2 * pause)
+            await anyio.sleep(backoff * self.rng.uniform(0.5, 1.5))
+            backoff = min(MAX_BACKOFF, 2 * backoff)
 
-    def _turn(self, asked: str, leader: str) -> None:
-        """Whom to ask next: the leader where it is known, else another than this one."""
-        if asked and asked != self.at:
-            return  # somebody has turned already
+    def _choose_next(self, asked: str, leader: str) -> None:
+        """Ask the leader next if it is known, else another replica than `asked`."""
+        if asked and asked != self.target:
+            return  # another request has chosen already
         name = leader.partition(".")[0]
-        if name not in self.voters or name == self.at:
-            if name == self.at and leader:
-                return  # it leads and can't take it just now
-            others = [one for one in sorted(self.voters) if one != self.at]
-            name = self.chance.choice(others) if others else self.at
-        self.at = name
+        if name not in self.replicas or name == self.target:
+            if name == self.target and leader:
+                return  # it leads, and can't take the request just now
+            others = [one for one in sorted(self.replicas) if one != self.target]
+            name = self.rng.choice(others) if others else self.target
+        self.target = name
         self._drop(self.stream)
 
     def _drop(self, stream: SocketStream | None) -> None:
-        if stream is not None and self.stream is stream:
-            self.stream = None
-            waiting, self.open = self.open, {}
-            for event, _ in waiting.values():
-                event.set()
-            self.group.start_soon(anyio.aclose_forcefully, stream)
+        """Close the connection, if it is still the current one, and end the requests on it."""
+        if stream is None or self.stream is not stream:
+            return
+        self.stream = None
+        waiting, self.open_requests = self.open_requests, {}
+        for event, _ in waiting.values():
+            event.set()
+        self.group.start_soon(anyio.aclose_forcefully, stream)
 
     async def _connect(self) -> SocketStream:
-        with anyio.fail_after(PATIENCE):
-            stream = await anyio.connect_tcp(*self.voters[self.at])
+        with anyio.fail_after(CONNECT_TIMEOUT):
+            stream = await anyio.connect_tcp(*self.replicas[self.target])
         hello = Hello("client", "")
         await stream.send(encode_frame(encode(hello)))
         self.stream = stream
@@ -115,24 +130,25 @@
         return stream
 
     async def _read(self, stream: SocketStream, hello: Hello) -> None:
-        unpacker, greeted = FrameDecoder(MAX_CLIENT_MESSAGE_SIZE), False
+        decoder, greeted = FrameDecoder(MAX_CLIENT_MESSAGE_SIZE), False
         try:
             while True:
-                for payload in unpacker.feed(await stream.receive(1 << 16)):
-                    if not greeted:
-                        negotiate_version(hello, _first(payload))
+                for payload in decoder.feed(await stream.receive(_RECEIVE_SIZE)):
+                    if greeted:
+                        self._on_message(payload)
+                    else:
+                        negotiate_version(hello, _decode_hello(payload))
                         greeted = True
-                        continue
-                    told = decode_reply(payload)
-                    if isinstance(told, Hint):
-                        self.hinted.get(told.asker, _nobody)()
-                    elif told.number in self.open:
-                        event, found = self.open.pop(told.number)
-                        found.append(told.answer)
-                        event.set()
         except DISCONNECT_ERRORS:
             self._drop(stream)
 
-
-def _nobody() -> None:
-    return None
+    def _on_message(self, payload: bytes) -> None:
+        message = decode_reply(payload)
+        if isinstance(message, GrantHint):
+            callback = self.hint_callbacks.get(message.holder_id)
+            if callback is not None:
+                callback()
+        elif message.number in self.open_requests:
+            event, found = self.open_requests.pop(message.number)
+            found.append(message.answer)
+            event.set()
--- a/thistleline/lease/fencing.py
+++ b/thistleline/lease/fencing.py
@@ -1,10 +1,12 @@
-"""The resource's side: an older holder acts no more once a newer one was seen, also after a restart.
+"""The protected resource's side: fencing tokens keep out a holder that a newer one has followed.
 
-`Marks` decides, without I/O. `Guard` keeps them on disk: a newer epoch is durable before its first act may
-begin, so that no restart makes the resource forget it. An act of an epoch that is known costs a look-up.
+`HighestEpochs` decides, without I/O. `FencingGuard` stores the epochs on disk: a newer epoch is durable
+before its first operation may begin, so that the resource does not forget it in a restart. An operation with
+an epoch that is known already costs a look-up.
 """
 
 from pathlib import Path
+from types import TracebackType
 from typing import Literal
 
 import msgspec
@@ -12,83 +14,118 @@
 from thistleline.store.disk import Disk
 from thistleline.store.frames import HEADER_SIZE, encode_checksum_frame, scan_frames
 
-NAMES_BOUND = 100_000
-REWRITE_SIZE = 1 << 20  # bytes of a segment before all marks go to a new one
+MAX_NAMES = 100_000
+MAX_SEGMENT_SIZE = 1 << 20  # bytes of a segment before all epochs are written to a new one
+_SIZE_PER_NAME = 64  # bytes by which that limit grows with each name
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(dict[str, int]).decode
 
 
-class Marks:
-    """The highest epoch that was seen of each name."""
+class HighestEpochs:
+    """The highest epoch that was seen of each lease."""
 
-    __slots__ = ("seen",)
+    __slots__ = ("by_name",)
 
-    def __init__(self, seen: dict[str, int] | None = None) -> None:
-        self.seen = seen or {}
+    def __init__(self, by_name: dict[str, int] | None = None) -> None:
+        """Begin with the given epochs, by lease name."""
+        self.by_name = by_name or {}
 
-    def judge(self, name: str, epoch: int) -> Literal["old", "known", "newer", "full"]:
-        known = self.seen.get(name, 0)
+    def classify(self, name: str, epoch: int) -> Literal["stale", "known", "newer", "full"]:
+        """Compare an epoch with the highest one seen; "full" means that no further name can be stored."""
+        known = self.by_name.get(name, 0)
         if epoch < known:
-            return "old"
+            return "stale"
         if epoch == known:
             return "known"
-        return "newer" if name in self.seen or len(self.seen) < NAMES_BOUND else "full"
+        return "newer" if name in self.by_name or len(self.by_name) < MAX_NAMES else "full"
 
 
-class Guard:
-    """`admit` blocks on a newer epoch for as long as the disk takes. Raises OSError, DiskLockedError."""
+class FencingGuard:
+    """Admits operations by their fencing token and stores the highest token of each lease.
+
+    Usable as a context manager, which closes it at the end.
+    """
 
     def __init__(self, folder: Path) -> None:
+        """Lock the folder and read the stored epochs; blocks on the disk.
+
+        Raises:
+            DiskLockedError: Another process has locked the folder.
+            OSError: The disk fails.
+        """
         self.disk = Disk(folder, "guard")
         self.disk.acquire()
-        self.marks = Marks()
-        self.segment = self.size = 0
-        segments = self.disk.segments()
-        for number, _ in segments:
+        self.highest = HighestEpochs()
+        self.segment = 0
+        self.segment_size = 0  # bytes
+        segments = [number for number, _ in self.disk.segments()]
+        for number in segments:
             self.segment = number
-            for _, payload, _ in scan_frames(memoryview(self.disk.read(number)), 0, 1):
-                if payload is not None:
-                    for name, epoch in _decode(payload).items():
-                        self.marks.seen[name] = max(epoch, self.marks.seen.get(name, 0))
-        self._rewrite([number for number, _ in segments])
+            self._read_segment(number)
+        self._write_new_segment(segments)
+
+    def __enter__(self) -> "FencingGuard":
+        """Return the guard itself."""
+        return self
+
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
+        """Give the folder back."""
+        self.close()
 
     def admit(self, name: str, epoch: int) -> bool:
-        """Whether an act of this holder may begin."""
-        judged = self.marks.judge(name, epoch)
-        if judged == "newer":
-            self._write({name: epoch})
-            self.marks.seen[name] = epoch
-            if self.size > REWRITE_SIZE + 64 * len(self.marks.seen):
-                self._rewrite([self.segment])
-        return judged in ("known", "newer")
+        """Return whether an operation of the holder with this epoch may begin.
+
+        Blocks on the disk where the epoch is newer than all before.
+
+        Raises:
+            OSError: The epoch could not be stored; the operation must not begin.
+        """
+        comparison = self.highest.classify(name, epoch)
+        if comparison == "newer":
+            self._append({name: epoch})
+            self.highest.by_name[name] = epoch
+            if self.segment_size > MAX_SEGMENT_SIZE + _SIZE_PER_NAME * len(self.highest.by_name):
+                self._write_new_segment([self.segment])
+        return comparison in ("known", "newer")
 
     def close(self) -> None:
+        """Give the folder back."""
         self.disk.release()
 
-    def _write(self, marks: dict[str, int]) -> None:
-        # Twice: guards against one flipped bit, which would let an old holder in.
-        data = 2 * encode_checksum_frame(_encode(marks))
+    def _read_segment(self, number: int) -> None:
+        by_name = self.highest.by_name
+        for _, payload, _ in scan_frames(memoryview(self.disk.read(number)), 0, 1):
+            if payload is not None:
+                for name, epoch in _decode(payload).items():
+                    by_name[name] = max(epoch, by_name.get(name, 0))
+
+    def _append(self, epochs: dict[str, int]) -> None:
+        # Twice, so that one flipped bit does not let a former holder in.
+        data = 2 * encode_checksum_frame(_encode(epochs))
         try:
             self.disk.append(data)
             self.disk.sync()
         except OSError:
-            self._rewrite([])  # what that write left is unknown; a new segment says it all, or raises
+            # What the failed write left behind is unknown; a new segment states all epochs, or raises too.
+            self._write_new_segment([])
             raise
-        self.size += len(data) + HEADER_SIZE
+        self.segment_size += len(data) + HEADER_SIZE
 
-    def _rewrite(self, old: list[int]) -> None:
+    def _write_new_segment(self, old_segments: list[int]) -> None:
         self.segment += 1
-        self.size = 0
+        self.segment_size = 0
         self.disk.begin(self.segment)
-        if self.marks.seen:
-            self._write_all()
+        if self.highest.by_name:
+            self._append_all()
         self.disk.sync_folder()
-        for number in old:
+        for number in old_segments:
             self.disk.remove(number)
 
-    def _write_all(self) -> None:
-        data = 2 * encode_checksum_frame(_encode(self.marks.seen))
+    def _append_all(self) -> None:
+        data = 2 * encode_checksum_frame(_encode(self.highest.by_name))
         self.disk.append(data)
         self.disk.sync()
-        self.size = len(data)
+        self.segment_size = len(data)
--- a/thistleline/lease/holder.py
+++ b/thistleline/lease/holder.py
@@ -1,178 +1,250 @@
-"""The holder's side: what it asks, what it believes, until when it may act. No I/O, no clock.
+"""The holder's side of a lease as a state machine: what to request, and until when it may act.
 
-Inputs:  start | answered number Answer | unanswered number | hinted | elapsed | release
-Effects: (ask number Op)  (held epoch)  (ended why)
+No I/O and no clock: `handle` takes an event with the current time and returns effects.
 
-A right counts from before the request was sent whose answer brought it. Times are CLOCK_BOOTTIME of the
-holder's machine, ns: a clock that stands still in a sleep would let a right outlive it.
+Validity counts from before the request was sent whose answer granted it. Times are CLOCK_BOOTTIME of the
+holder's machine in ns: a clock that stands still while the machine sleeps would let a lease outlive its TTL.
 """
 
 from collections.abc import Callable
-from typing import Any, Literal
-
+from typing import Literal
+
+from thistleline.lease.holder_effects import HolderEffect, LeaseAcquired, LeaseEnded, SendRequest
+from thistleline.lease.holder_events import (
+    AcquireStarted,
+    AnswerReceived,
+    DeadlineReached,
+    GrantHinted,
+    HolderEvent,
+    ReleaseRequested,
+    RequestFailed,
+)
 from thistleline.lease.protocol import (
+    Acquire,
     Answer,
     Denied,
     Done,
-    Elsewhere,
     Granted,
-    Keep,
-    Kept,
     Op,
     Release,
-    Take,
+    Renew,
+    Renewed,
+    Unavailable,
     Waiting,
-    right,
+    holder_ttl,
 )
+from thistleline.statecopy import copy_state
+
+Phase = Literal["new", "acquiring", "waiting", "held", "releasing", "ended"]
+MAX_OPEN_REQUESTS = 16  # whose answers are still of use
+WAITER_RENEW_INTERVAL = 500_000_000  # ns between two requests of a waiter
+MIN_BACKOFF = 20_000_000  # ns after an answer that decides nothing
+MAX_BACKOFF = 500_000_000  # ns
 
-Phase = Literal["new", "asking", "waiting", "held", "releasing", "ended"]
-SENT_BOUND = 16  # requests whose answers are still of use
-WAIT_AGAIN = 500_000_000  # ns between two words of one who waits
-PAUSE_FIRST, PAUSE_LAST = 20_000_000, 500_000_000  # ns, after an answer that decides nothing
 
+class LeaseHolder:
+    """One attempt to acquire a lease, hold it and release it.
+
+    Attributes:
+        name: Name of the lease.
+        holder_id: Identifies this attempt to the cluster; a new one is made for each.
+        phase: Where the attempt stands.
+        epoch: The fencing token, 0 before the lease was granted.
+        valid_until: Until when the holder may act, ns.
+        end_reason: Why it ended, empty before.
+    """
 
-class Hold:
     __slots__ = (
-        *("name", "asker", "length", "wait", "spread", "now", "phase", "epoch", "until", "number", "sent"),
-        *("ask_at", "pause", "effects", "why", "release_until"),
+        "backoff",
+        "effects",
+        "end_reason",
+        "epoch",
+        "holder_id",
+        "jitter",
+        "last_request",
+        "name",
+        "next_request_at",
+        "now",
+        "phase",
+        "release_deadline",
+        "sent_at",
+        "ttl",
+        "valid_until",
+        "wait",
     )
 
     def __init__(
-        self, name: str, asker: str, length: int, wait: bool, now: int, spread: Callable[[int], int]
+        self, name: str, holder_id: str, ttl: int, wait: bool, now: int, jitter: Callable[[int], int]
     ) -> None:
-        """`length` in ns; `spread`: a random part of a span."""
-        self.name, self.asker, self.length, self.wait, self.now = name, asker, length, wait, now
-        self.spread = spread
+        """Prepare an attempt; it begins with `AcquireStarted`.
+
+        Args:
+            name: Name of the lease.
+            holder_id: A new id for each attempt.
+            ttl: Time to live of the lease, ns.
+            wait: Whether to wait for the lease while another holds it.
+            now: Current time, ns.
+            jitter: Returns a random part of the given number of ns.
+        """
+        self.name = name
+        self.holder_id = holder_id
+        self.ttl = ttl
+        self.wait = wait
+        self.now = now
+        self.jitter = jitter
         self.phase: Phase = "new"
-        self.epoch = self.until = 0
-        self.number = 0
-        self.sent: dict[int, int] = {}  # when each request was sent
-        self.ask_at = now
-        self.pause = PAUSE_FIRST
-        self.effects: list[tuple[Any, ...]] = []
-        self.why = ""
-        self.release_until = 0
-
-    def copy(self) -> "Hold":
-        made = Hold.__new__(Hold)
-        for name in self.__slots__:
-            setattr(made, name, getattr(self, name))
-        made.sent, made.effects = dict(self.sent), []
-        return made
-
-    def frozen(self) -> tuple[Any, ...]:
+        self.epoch = 0
+        self.valid_until = 0
+        self.last_request = 0
+        self.sent_at: dict[int, int] = {}  # by number of the request
+        self.next_request_at = now
+        self.backoff = MIN_BACKOFF
+        self.effects: list[HolderEffect] = []
+        self.end_reason = ""
+        self.release_deadline = 0
+
+    def copy(self) -> "LeaseHolder":
+        """Return an independent copy."""
+        return copy_state(self)
+
+    def state_key(self) -> tuple[object, ...]:
+        """Return all that this holder's further behaviour can depend on, hashable."""
         return (
-            *(self.name, self.asker, self.phase, self.epoch, self.until, self.number),
-            *(tuple(self.sent.items()), self.ask_at, self.pause),
+            self.name,
+            self.holder_id,
+            self.phase,
+            self.epoch,
+            self.valid_until,
+            self.last_request,
+            tuple(self.sent_at.items()),
+            self.next_request_at,
+            self.backoff,
         )
 
-    # ---- what may be done
+    # ---- whether the holder may act
 
-    def valid(self, now: int) -> bool:
-        return self.phase == "held" and now < self.until
+    def is_valid(self, now: int) -> bool:
+        """Return whether the lease is held at this time."""
+        return self.phase == "held" and now < self.valid_until
 
-    def fits(self, now: int, longest: int) -> bool:
-        """Whether an act that takes so long at most may begin."""
-        return self.phase == "held" and now + longest <= self.until
+    def fits(self, now: int, duration: int) -> bool:
+        """Return whether an operation of up to `duration` ns, begun now, ends while the lease is valid."""
+        return self.phase == "held" and now + duration <= self.valid_until
 
-    # ---- from outside
+    # ---- events
 
-    def take(self, now: int, kind: str, *told: Any) -> list[tuple[Any, ...]]:
+    def handle(self, now: int, event: HolderEvent) -> list[HolderEffect]:
+        """Handle one event at time `now` (ns) and return what is to be done."""
         self.now = max(self.now, now)
-        if self.phase == "held" and self.now >= self.until:
-            self._end("its right is over")  # whatever came in, it came too late
+        if self.phase == "held" and self.now >= self.valid_until:
+            self._end("its right is over")  # whatever the event is, it came too late
         if self.phase != "ended":
-            getattr(self, f"_{kind}")(*told)
+            self._dispatch(event)
         effects, self.effects = self.effects, []
         return effects
 
-    def due(self) -> int:
-        return min(self.ask_at, self.until) if self.phase == "held" else self.ask_at
-
-    def _end(self, why: str) -> None:
-        self.phase, self.why = "ended", why
-        self.effects.append(("ended", why))
-
-    def _ask(self, op: Op) -> None:
-        self.number += 1
-        self.sent[self.number] = self.now
-        while len(self.sent) > SENT_BOUND:
-            del self.sent[next(iter(self.sent))]
-        self.effects.append(("ask", self.number, op))
-        self.ask_at = self.now + self._patience()
-
-    def _patience(self) -> int:
-        """Until it asks again, with or without an answer."""
-        if self.phase == "waiting":
-            return WAIT_AGAIN
-        return max(PAUSE_FIRST, right(self.length) // 4)
-
-    def _next(self) -> None:
-        if self.phase == "asking":
-            self._ask(Take(self.name, self.asker, self.length, self.wait))
-        elif self.phase == "releasing":
-            if self.now >= self.release_until:
-                self._end("released, unheard")  # the council lets it end by itself
-            else:
-                self._ask(Release(self.name, self.asker))
-        else:
-            self._ask(Keep(((self.name, self.asker),)))
-
-    def _start(self) -> None:
-        self.phase = "asking"
-        self._next()
-
-    def _hinted(self) -> None:
-        if self.phase == "waiting":
-            self._next()
-
-    def _elapsed(self) -> None:
-        if self.now >= self.ask_at:
-            self._next()
-
-    def _unanswered(self, number: int) -> None:
-        """No answer will come, as the connection is gone; what was asked may still be decided."""
-        if number == self.number:
-            self.ask_at = min(self.ask_at, self.now + self.pause + self.spread(self.pause))
-            self.pause = min(PAUSE_LAST, 2 * self.pause)
-
-    def _release(self) -> None:
-        """Stops at once; then tells."""
-        if self.phase == "held" or self.phase in ("asking", "waiting"):
+    def next_deadline(self) -> int:
+        """Return when `DeadlineReached` is to be handled, ns."""
+        if self.phase == "held":
+            return min(self.next_request_at, self.valid_until)
+        return self.next_request_at
+
+    def _dispatch(self, event: HolderEvent) -> None:
+        match event:
+            case AnswerReceived(number, answer):
+                self._on_answer(number, answer)
+            case RequestFailed(number):
+                self._on_request_failed(number)
+            case DeadlineReached():
+                if self.now >= self.next_request_at:
+                    self._send_next_request()
+            case GrantHinted():
+                if self.phase == "waiting":
+                    self._send_next_request()
+            case ReleaseRequested():
+                self._on_release_requested()
+            case AcquireStarted():
+                self.phase = "acquiring"
+                self._send_next_request()
+
+    def _on_request_failed(self, number: int) -> None:
+        """Request again after a backoff; what was requested may still be decided."""
+        if number == self.last_request:
+            retry_at = self.now + self.backoff + self.jitter(self.backoff)
+            self.next_request_at = min(self.next_request_at, retry_at)
+            self.backoff = min(MAX_BACKOFF, 2 * self.backoff)
+
+    def _on_release_requested(self) -> None:
+        """Stop acting at once, then tell the cluster."""
+        if self.phase in ("held", "acquiring", "waiting"):
             self.phase = "releasing"
-            self.release_until = self.now + self.length
-            self._next()
+            self.release_deadline = self.now + self.ttl
+            self._send_next_request()
 
-    def _answered(self, number: int, answer: Answer) -> None:
-        asked = self.sent.pop(number, None)
-        if isinstance(answer, Elsewhere):
-            self._unanswered(number)
+    def _on_answer(self, number: int, answer: Answer) -> None:
+        sent_at = self.sent_at.pop(number, None)
+        if isinstance(answer, Unavailable):
+            self._on_request_failed(number)
             return
-        self.pause = PAUSE_FIRST
+        self.backoff = MIN_BACKOFF
         if self.phase == "releasing":
             if isinstance(answer, Done):
                 self._end("released")
             return
-        if isinstance(answer, Kept) and len(answer.states) == 1:
+        if isinstance(answer, Renewed) and len(answer.states) == 1:
             answer = answer.states[0]
-        if asked is None:
+        if sent_at is None:
             return
         if isinstance(answer, Granted):
-            self._granted(asked, answer)
+            self._on_granted(sent_at, answer)
         elif isinstance(answer, Waiting):
-            if self.phase == "asking":
+            if self.phase == "acquiring":
                 self.phase = "waiting"
-                self.ask_at = self.now + WAIT_AGAIN
+                self.next_request_at = self.now + WAITER_RENEW_INTERVAL
         elif isinstance(answer, Denied):
-            self._end(answer.why)
+            self._end(answer.reason)
 
-    def _granted(self, asked: int, answer: Granted) -> None:
-        until = asked + right(answer.length)
+    def _on_granted(self, sent_at: int, answer: Granted) -> None:
+        valid_until = sent_at + holder_ttl(answer.ttl)
         if self.phase == "held":
-            self.until = max(self.until, until)
+            self.valid_until = max(self.valid_until, valid_until)
             return
-        if self.now >= until:
-            return  # it came after its end; asked again by and by, the same lease answers
-        self.phase, self.epoch, self.until = "held", answer.epoch, until
-        self.ask_at = min(self.ask_at, self.now + self._patience())
-        self.effects.append(("held", self.epoch))
+        if self.now >= valid_until:
+            return  # the answer came after its end; the next request gets the same lease
+        self.phase = "held"
+        self.epoch = answer.epoch
+        self.valid_until = valid_until
+        self.next_request_at = min(self.next_request_at, self.now + self._request_interval())
+        self.effects.append(LeaseAcquired(self.epoch))
+
+    # ---- requests
+
+    def _send_next_request(self) -> None:
+        if self.phase == "acquiring":
+            self._send(Acquire(self.name, self.holder_id, self.ttl, self.wait))
+        elif self.phase == "releasing":
+            if self.now >= self.release_deadline:
+                self._end("released, unheard")  # the cluster lets the lease expire by itself
+            else:
+                self._send(Release(self.name, self.holder_id))
+        else:
+            self._send(Renew(((self.name, self.holder_id),)))
+
+    def _send(self, op: Op) -> None:
+        self.last_request += 1
+        self.sent_at[self.last_request] = self.now
+        while len(self.sent_at) > MAX_OPEN_REQUESTS:
+            del self.sent_at[next(iter(self.sent_at))]
+        self.effects.append(SendRequest(self.last_request, op))
+        self.next_request_at = self.now + self._request_interval()
+
+    def _request_interval(self) -> int:
+        """Return the ns until the next request, whether or not this one is answered."""
+        if self.phase == "waiting":
+            return WAITER_RENEW_INTERVAL
+        return max(MIN_BACKOFF, holder_ttl(self.ttl) // 4)
+
+    def _end(self, reason: str) -> None:
+        self.phase = "ended"
+        self.end_reason = reason
+        self.effects.append(LeaseEnded(reason))
--- a/thistleline/lease/liveness.py
+++ b/thistleline/lease/liveness.py
@@ -1,120 +1,158 @@
-"""The leader's watch over who is still heard of. No I/O, no clock.
+"""The leader's record of which holders and waiters it still receives requests from. No I/O and no clock.
 
-It is the leader's own and nobody else's: a new leader counts every lease anew from when it began to lead.
-That is late, never early: whoever heard a leader confirm a renewal did so before a later one was elected.
+It belongs to one leader and is not replicated: a new leader counts the TTL of every lease anew from when it
+began to lead. That makes expiry late, never early: a holder whose renewal an earlier leader confirmed was
+heard before the later leader was elected.
 """
 
 from heapq import heappop, heappush
+from typing import NamedTuple
 
-from thistleline.lease.protocol import WAITER_SPAN, Expire, Release
-from thistleline.lease.table import Table
+from thistleline.lease.protocol import WAITER_TIMEOUT, Expire, Release
+from thistleline.lease.table import Lease, LeaseTable
+from thistleline.statecopy import copy_state
 
-AGAIN = 1_000_000_000  # ns until what was proposed and is not decided is proposed again
+REPROPOSE_INTERVAL = 1_000_000_000  # ns until what was proposed and is not decided is proposed again
+_SMALL = 64  # waiters; below it those that wait no more are not searched for
 
 
-class Watch:
-    __slots__ = ("heap", "leases", "looks", "waiters")
+class TrackedLease(NamedTuple):
+    """What the leader counts of one lease."""
+
+    epoch: int
+    touched_index: int
+    expires_at: int  # ns
+
+
+class LivenessTracker:
+    """Finds the leases and waiters that have not been renewed for their full duration.
+
+    Attributes:
+        leases: By name.
+        waiters: When a waiter loses its place (ns), by lease name and holder id.
+        next_checks: When a lease is to be examined next (ns), by name.
+        check_queue: The same as a heap; entries that `next_checks` does not confirm are out of date.
+    """
+
+    __slots__ = ("check_queue", "leases", "next_checks", "waiters")
 
     def __init__(self) -> None:
-        self.leases: dict[str, tuple[int, int, int]] = {}  # epoch, touched, until
-        self.waiters: dict[tuple[str, str], int] = {}  # until
-        self.looks: dict[str, int] = {}  # when to look at a name next
-        self.heap: list[tuple[int, str]] = []  # the same; what is out of date is passed over
-
-    def copy(self) -> "Watch":
-        made = Watch()
-        made.leases, made.waiters = dict(self.leases), dict(self.waiters)
-        made.looks, made.heap = dict(self.looks), list(self.heap)
-        return made
-
-    def frozen(self) -> tuple[object, ...]:
+        """Start with nothing tracked; `reset` begins."""
+        self.leases: dict[str, TrackedLease] = {}
+        self.waiters: dict[tuple[str, str], int] = {}
+        self.next_checks: dict[str, int] = {}
+        self.check_queue: list[tuple[int, str]] = []
+
+    def copy(self) -> "LivenessTracker":
+        """Return an independent copy."""
+        return copy_state(self)
+
+    def state_key(self) -> tuple[object, ...]:
+        """Return all that further behaviour can depend on, hashable."""
         return tuple(sorted(self.leases.items())), tuple(sorted(self.waiters.items()))
 
-    def begin(self, now: int, table: Table) -> None:
-        self.leases, self.waiters, self.looks, self.heap = {}, {}, {}, []
+    def reset(self, now: int, table: LeaseTable) -> None:
+        """Count every lease in the table anew, as a new leader does."""
+        self.leases = {}
+        self.waiters = {}
+        self.next_checks = {}
+        self.check_queue = []
         for name in table.state.leases:
-            self.look(now, name, table)
+            self.update(now, name, table)
 
-    def look(self, now: int, name: str, table: Table) -> None:
-        """Something was decided on this name."""
+    def update(self, now: int, name: str, table: LeaseTable) -> None:
+        """Follow a decision on this lease."""
         lease = table.state.leases.get(name)
         if lease is None:
             self.leases.pop(name, None)
             return
-        known = self.leases.get(name)
-        if known is None or known[:2] != (lease.epoch, lease.touched):
-            self._lease(name, lease.epoch, lease.touched, now + lease.length)
-        for asker, _ in lease.line:
-            if (name, asker) not in self.waiters:
-                self._waiter(name, asker, now)
-
-    def heard(self, now: int, name: str, asker: str, table: Table) -> None:
-        """Its holder or one in its line is still there. Counted at once; told only once it is confirmed."""
+        tracked = self.leases.get(name)
+        if tracked is None or tracked[:2] != (lease.epoch, lease.touched_index):
+            self._track_lease(name, lease.epoch, lease.touched_index, now + lease.ttl)
+        for holder_id, _ in lease.waiters:
+            if (name, holder_id) not in self.waiters:
+                self._track_waiter(name, holder_id, now)
+
+    def renew(self, now: int, name: str, holder_id: str, table: LeaseTable) -> None:
+        """Note that a holder or waiter is alive.
+
+        It counts from now on, but the client may be told only after a quorum has confirmed the leader.
+        """
         lease = table.state.leases.get(name)
-        known = self.leases.get(name)
-        if lease is None or known is None:
+        tracked = self.leases.get(name)
+        if lease is None or tracked is None:
             return
-        if lease.holder == asker:
-            self.leases[name] = known[0], known[1], max(known[2], now + lease.length)
-        elif (name, asker) in self.waiters:
-            self.waiters[name, asker] = now + WAITER_SPAN
-
-    def _lease(self, name: str, epoch: int, touched: int, until: int) -> None:
-        self.leases[name] = epoch, touched, until
-        self._at(until, name)
-
-    def _waiter(self, name: str, asker: str, now: int) -> None:
-        self.waiters[name, asker] = now + WAITER_SPAN
-        self._at(now + WAITER_SPAN, name)
-
-    def _at(self, until: int, name: str) -> None:
-        """Looks at a name then, or before. Guards the heap: one entry a name counts."""
-        known = self.looks.get(name)
-        if known is None or until < known:
-            self.looks[name] = until
-            heappush(self.heap, (until, name))
-
-    def due(self) -> int | None:
-        return self.heap[0][0] if self.heap else None
-
-    def over(self, now: int, at: int, table: Table) -> list[Expire | Release]:
-        """What is to be proposed, as nobody was heard of for its span."""
-        found: list[Expire | Release] = []
-        while self.heap and self.heap[0][0] <= now:
-            at_time, name = heappop(self.heap)
-            if self.looks.get(name) != at_time:
+        if lease.holder == holder_id:
+            expires_at = max(tracked.expires_at, now + lease.ttl)
+            self.leases[name] = TrackedLease(tracked.epoch, tracked.touched_index, expires_at)
+        elif (name, holder_id) in self.waiters:
+            self.waiters[name, holder_id] = now + WAITER_TIMEOUT
+
+    def next_deadline(self) -> int | None:
+        """Return when `expired` is to be called next (ns), None if nothing is tracked."""
+        return self.check_queue[0][0] if self.check_queue else None
+
+    def expired(self, now: int, wall_ms: int, table: LeaseTable) -> list[Expire | Release]:
+        """Return the decisions to propose, as a holder or waiter was silent for its full duration."""
+        proposals: list[Expire | Release] = []
+        while self.check_queue and self.check_queue[0][0] <= now:
+            check_at, name = heappop(self.check_queue)
+            if self.next_checks.get(name) != check_at:
                 continue
-            del self.looks[name]
-            lease, known = table.state.leases.get(name), self.leases.get(name)
-            if lease is None or known is None:
+            del self.next_checks[name]
+            lease, tracked = table.state.leases.get(name), self.leases.get(name)
+            if lease is None or tracked is None:
                 self.leases.pop(name, None)
                 continue
-            epoch, touched, until = known
-            if until <= now:
-                found.append(Expire(name, epoch, touched, at))
-                self._lease(name, epoch, touched, now + AGAIN)
-            else:
-                self._at(until, name)
-            self._waiters_over(now, at, name, [asker for asker, _ in lease.line], found)
+            self._check_lease(now, wall_ms, name, tracked, proposals)
+            self._check_waiters(now, wall_ms, name, lease, proposals)
         self._forget_waiters(table)
-        return found
+        return proposals
 
-    def _waiters_over(
-        self, now: int, at: int, name: str, line: list[str], found: list[Expire | Release]
+    def _track_lease(self, name: str, epoch: int, touched_index: int, expires_at: int) -> None:
+        self.leases[name] = TrackedLease(epoch, touched_index, expires_at)
+        self._check_by(expires_at, name)
+
+    def _track_waiter(self, name: str, holder_id: str, now: int) -> None:
+        self.waiters[name, holder_id] = now + WAITER_TIMEOUT
+        self._check_by(now + WAITER_TIMEOUT, name)
+
+    def _check_by(self, check_at: int, name: str) -> None:
+        """Examine a lease by then at the latest; one entry of the heap a name is valid, so it stays small."""
+        known = self.next_checks.get(name)
+        if known is None or check_at < known:
+            self.next_checks[name] = check_at
+            heappush(self.check_queue, (check_at, name))
+
+    def _check_lease(
+        self, now: int, wall_ms: int, name: str, tracked: TrackedLease, proposals: list[Expire | Release]
     ) -> None:
-        least = 0
-        for asker in line:
-            until = self.waiters.get((name, asker), 0)
-            if until <= now:
-                found.append(Release(name, asker, "not heard while it waited", at))
-                self.waiters[name, asker] = until = now + AGAIN
-            least = min(least or until, until)
-        if least:
-            self._at(least, name)
-
-    def _forget_waiters(self, table: Table) -> None:
+        if tracked.expires_at <= now:
+            proposals.append(Expire(name, tracked.epoch, tracked.touched_index, wall_ms))
+            self._track_lease(name, tracked.epoch, tracked.touched_index, now + REPROPOSE_INTERVAL)
+        else:
+            self._check_by(tracked.expires_at, name)
+
+    def _check_waiters(
+        self, now: int, wall_ms: int, name: str, lease: Lease, proposals: list[Expire | Release]
+    ) -> None:
+        earliest = 0
+        for holder_id, _ in lease.waiters:
+            expires_at = self.waiters.get((name, holder_id), 0)
+            if expires_at <= now:
+                proposals.append(Release(name, holder_id, "not heard while it waited", wall_ms))
+                expires_at = now + REPROPOSE_INTERVAL
+                self.waiters[name, holder_id] = expires_at
+            earliest = min(earliest or expires_at, expires_at)
+        if earliest:
+            self._check_by(earliest, name)
+
+    def _forget_waiters(self, table: LeaseTable) -> None:
+        """Drop the entries of those that wait no more, once they outnumber the others."""
+        if len(self.waiters) <= _SMALL:
+            return
         leases = table.state.leases
-        lines = sum(len(one.line) for one in leases.values()) if len(self.waiters) > 64 else 0
-        if len(self.waiters) > 64 + 2 * lines:
-            held = {(name, asker) for name, one in leases.items() for asker, _ in one.line}
-            self.waiters = {known: until for known, until in self.waiters.items() if known in held}
+        waiting = sum(len(lease.waiters) for lease in leases.values())
+        if len(self.waiters) > _SMALL + 2 * waiting:
+            current = {(name, holder_id) for name, lease in leases.items() for holder_id, _ in lease.waiters}
+            self.waiters = {waiter: at for waiter, at in self.waiters.items() if waiter in current}
--- a/thistleline/lease/server.py
+++ b/thistleline/lease/server.py
@@ -10,25 +10,25 @@
 
 from thistleline.consensus.messages import Member
 from thistleline.consensus.replica import Effect, Voter
-from thistleline.lease.liveness import Watch
+from thistleline.lease.liveness import LivenessTracker
 from thistleline.lease.protocol import (
     DECISIONS,
-    Change,
+    ChangeMembership,
     Denied,
+    Describe,
     Done,
-    Elsewhere,
-    Form,
+    FormCluster,
     Get,
-    Keep,
-    Kept,
-    Listed,
+    GetStatus,
+    LeaseList,
     Op,
     Question,
-    Show,
-    Stands,
-    Status,
+    Renew,
+    Renewed,
+    ReplicaStatus,
+    Unavailable,
 )
-from thistleline.lease.table import Table, data_of, fault
+from thistleline.lease.table import LeaseTable, encode_decision, validate
 
 LIST_BOUND = 1000
 OWN = None  # the ticket of what the office itself proposes
@@ -39,10 +39,10 @@
 
     def __init__(self, voter: Voter, wall: Callable[[], int]) -> None:
         """`voter` decides on a Table. `wall`: ms, only for people to read."""
-        assert isinstance(voter.machine, Table)
+        assert isinstance(voter.machine, LeaseTable)
         self.voter, self.wall = voter, wall
-        self.table: Table = voter.machine
-        self.watch = Watch()
+        self.table: LeaseTable = voter.machine
+        self.watch = LivenessTracker()
         self.proposals: list[tuple[Any, bytes]] = []
         self.questions: list[Any] = []
 
@@ -52,11 +52,11 @@
         return made
 
     def frozen(self, names: Mapping[str, str] = MappingProxyType({})) -> tuple[Any, ...]:
-        led = self.watch.frozen() if self.voter.phase == "leading" else ()
+        led = self.watch.state_key() if self.voter.phase == "leading" else ()
         return self.voter.frozen(names), led
 
     def due(self) -> int:
-        due, watched = self.voter.due(), self.watch.due()
+        due, watched = self.voter.due(), self.watch.next_deadline()
         return due if watched is None or self.voter.phase != "leading" else min(due, watched)
 
     def take(self, now: int, *inputs: tuple[Any, ...]) -> list[Effect]:
@@ -74,39 +74,39 @@
             questions, self.questions = self.questions, []
             self._voter(now, effects, "read", questions)
         if self.voter.phase == "leading":
-            over = self.watch.over(now, self.wall(), self.table)
+            over = self.watch.expired(now, self.wall(), self.table)
             if over:
-                self._voter(now, effects, "propose", [(OWN, data_of(one)) for one in over])
+                self._voter(now, effects, "propose", [(OWN, encode_decision(one)) for one in over])
         return effects
 
     def _asked(self, now: int, ticket: Any, op: Op, effects: list[Effect]) -> None:
         voter = self.voter
-        if isinstance(op, Status):
+        if isinstance(op, GetStatus):
             told = (voter.id, voter.council, voter.phase, voter.term, voter.leader, voter.committed)
             rest = (voter.applied, voter.log.last, voter.log.base)
             known = tuple((one.id, one.address) for one in voter.members)
             leases = len(self.table.state.leases)
-            effects.append(("answer", ticket, Stands(*told, *rest, known, leases, voter.failing)))
-        elif isinstance(op, Form):
+            effects.append(("answer", ticket, ReplicaStatus(*told, *rest, known, leases, voter.failing)))
+        elif isinstance(op, FormCluster):
             if voter.phase == "unformed":
                 members = tuple(sorted(Member(*one) for one in op.members))
-                self._voter(now, effects, "form", op.council, members)
-            formed = voter.council == op.council
+                self._voter(now, effects, "form", op.cluster, members)
+            formed = voter.council == op.cluster
             effects.append(
                 ("answer", ticket, Done("formed") if formed else Denied("it has a council already"))
             )
-        elif isinstance(op, Change):
-            self._voter(now, effects, "change", (ticket, op), op.what, Member(op.id, op.address))
+        elif isinstance(op, ChangeMembership):
+            self._voter(now, effects, "change", (ticket, op), op.action, Member(op.id, op.address))
         elif isinstance(op, DECISIONS):
-            wrong = fault(op)
+            wrong = validate(op)
             if wrong:
                 effects.append(("answer", ticket, Denied(wrong)))
             else:
-                self.proposals.append(((ticket, op), data_of(_stamped(op, self.wall()))))
+                self.proposals.append(((ticket, op), encode_decision(_stamped(op, self.wall()))))
         else:
-            if isinstance(op, Keep) and voter.phase == "leading":
-                for name, asker in op.names:
-                    self.watch.heard(now, name, asker, self.table)
+            if isinstance(op, Renew) and voter.phase == "leading":
+                for name, asker in op.leases:
+                    self.watch.renew(now, name, asker, self.table)
             self.questions.append((ticket, op))
 
     def _voter(self, now: int, effects: list[Effect], kind: str, *told: Any) -> None:
@@ -121,9 +121,9 @@
                 effects.append(("answer", effect[1][0], self._look(effect[1][1])))
             elif effect[0] == "refused":
                 if effect[1] is not OWN:
-                    effects.append(("answer", effect[1][0], Elsewhere(effect[2], effect[3])))
+                    effects.append(("answer", effect[1][0], Unavailable(effect[2], effect[3])))
             elif effect[0] == "leading":
-                self.watch.begin(now, self.table)
+                self.watch.reset(now, self.table)
                 effects.append(effect)
             else:
                 effects.append(effect)
@@ -132,7 +132,7 @@
             if self.voter.phase == "leading":
                 for name in table.changed:
                     known = self.watch.leases.get(name)
-                    self.watch.look(now, name, table)
+                    self.watch.update(now, name, table)
                     lease = table.state.leases.get(name)
                     if known is not None and lease is not None and lease.epoch != known[0]:
                         effects.append(("hint", name, lease.holder))
@@ -140,16 +140,16 @@
 
     def _look(self, op: Question) -> Any:
         table = self.table
-        if isinstance(op, Keep):
-            return Kept(tuple(table.stands(name, asker) for name, asker in op.names))
+        if isinstance(op, Renew):
+            return Renewed(tuple(table.status_of(name, asker) for name, asker in op.leases))
         if isinstance(op, Get):
             return table.get(op.key)
-        assert isinstance(op, Show)
+        assert isinstance(op, Describe)
         if not op.name.endswith("*"):
-            return table.show(op.name)
+            return table.describe(op.name)
         names = sorted(one for one in table.state.leases if one.startswith(op.name[:-1]) and one > op.after)
-        return Listed(tuple(table.show(name) for name in names[:LIST_BOUND]))
+        return LeaseList(tuple(table.describe(name) for name in names[:LIST_BOUND]))
 
 
 def _stamped(op: Any, at: int) -> Any:
-    return type(op)(**{**{name: getattr(op, name) for name in op.__struct_fields__}, "at": at})
+    return type(op)(**{**{name: getattr(op, name) for name in op.__struct_fields__}, "wall_ms": at})
--- a/thistleline/lease/service.py
+++ b/thistleline/lease/service.py
@@ -18,8 +18,8 @@
 from thistleline.consensus.replica import Spans, Voter, Work
 from thistleline.consensus.store import CouncilStore
 from thistleline.lease.server import Office
-from thistleline.lease.table import Table
-from thistleline.lease.wire import Hint, Reply, decode_request, decode_voter, encode
+from thistleline.lease.table import LeaseTable
+from thistleline.lease.wire import GrantHint, Reply, decode_replica_message, decode_request, encode
 from thistleline.store.clock import boot_now, wall_ms
 from thistleline.store.disk import Disk
 from thistleline.transport.address import Address, parse_address
@@ -80,7 +80,7 @@
         spans = Spans(conf.heartbeat, conf.election, 2 * conf.election)
         # Its id names this disk. An empty one gets another: whatever the one before has promised is unknown.
         id = found.base.id if found is not None else f"{conf.name}.{os.urandom(4).hex()}"
-        voter = Voter(id, Table(), boot_now(), spans, self._spread, found)
+        voter = Voter(id, LeaseTable(), boot_now(), spans, self._spread, found)
         if found is None:
             begin = Base(id, "", 0, "", 0, 0, (), b"")
             self.store.write(Work(True, (begin,)))
@@ -165,7 +165,7 @@
         elif kind == "hint":
             known = self.guests.get(self.askers.get(effect[2], -1))
             if known is not None:
-                known.write(encode(Hint(effect[1], effect[2])))
+                known.write(encode(GrantHint(effect[1], effect[2])))
         elif kind == "log":
             self.log(effect[1], **effect[2])
         elif kind == "led":
@@ -273,7 +273,7 @@
                 own = self.voter.council
                 if own and hello.cluster not in (own, ""):
                     raise ProtocolError(f"{hello.id} is of another council")
-                self.take("heard", hello.id, decode_voter(payload))
+                self.take("heard", hello.id, decode_replica_message(payload))
 
     async def _answer(self, name: int, guest: Guest) -> None:
         unpacker = FrameDecoder(MAX_CLIENT_MESSAGE_SIZE)
@@ -291,7 +291,7 @@
                 self.guests.move_to_end(name)
 
     def _remember(self, name: int, op: Any) -> None:
-        asker = getattr(op, "asker", "") or (op.names[0][1] if getattr(op, "names", ()) else "")
+        asker = getattr(op, "holder_id", "") or (op.leases[0][1] if getattr(op, "leases", ()) else "")
         if asker:
             self.askers[asker] = name
             self.askers.move_to_end(asker)
--- a/thistleline/lease/session.py
+++ b/thistleline/lease/session.py
@@ -1,13 +1,14 @@
-"""`async with lease(...)`: what runs inside has the lease, and is cancelled before its end.
+"""Holding a lease in a block of code, which is cancelled before the lease ends.
 
-    async with lease(council, "rollout", 10.0) as held:
-        async with held.act(0.5):          # at most half a second; raises NoTime if that does not fit
+    async with lease(client, "rollout", 10.0) as held:
+        # At most half a second; raises LeaseTimeoutError if that does not fit.
+        async with held.act(0.5):
             await resource.write(held.epoch, ...)
 
-Promised: by the holder's clock, taken to run within a quarter of true time as the leader's is, no act begins
-that could last past the right, and the scope is cancelled before its end. Not promised: that a process which
-is stopped inside an act does nothing when it goes on, for it can't know. Only the resource can keep that off,
-with the epoch (lease/fencing.py).
+Guaranteed: by the holder's clock, assumed to run within a quarter of true time as the leader's is, no
+operation begins that could last beyond the lease, and the block is cancelled before its end. Not guaranteed:
+that a process which is suspended inside an operation does nothing when it resumes, for it can't know. Only
+the resource can prevent that, with the fencing token (lease/fencing.py).
 """
 
 import os
@@ -19,148 +20,205 @@
 
 import anyio
 
-from thistleline.lease.client import Council
-from thistleline.lease.holder import Hold
-from thistleline.lease.protocol import Elsewhere, Op
+from thistleline.lease.client import LeaseClient
+from thistleline.lease.errors import LeaseLostError, LeaseRefusedError, LeaseTimeoutError
+from thistleline.lease.holder import LeaseHolder
+from thistleline.lease.holder_effects import LeaseAcquired, LeaseEnded, SendRequest
+from thistleline.lease.holder_events import (
+    AcquireStarted,
+    AnswerReceived,
+    DeadlineReached,
+    GrantHinted,
+    HolderEvent,
+    ReleaseRequested,
+    RequestFailed,
+)
+from thistleline.lease.protocol import Op, Unavailable
 from thistleline.store.clock import boot_now
 
-SECOND = 1_000_000_000
-RELEASE_SPAN = 2.0  # s to tell the council; past it the lease ends there by itself
+SECOND = 1_000_000_000  # ns
+RELEASE_TIMEOUT = 2.0  # s to tell the cluster; beyond it the lease expires there by itself
+MAX_OWNER_LENGTH = 60  # characters of a holder id that come from the owner's name
 
 
-class Lost(Exception):
-    """The lease ended while its holder was at work."""
+class HeldLease:
+    """A lease that is held, for the code that acts on it."""
 
-
-class Refused(Exception):
-    """It was not to be had; says why."""
-
-
-class NoTime(Exception):
-    """What is left of the right does not hold the act."""
-
-
-class Held:
-    """A lease that is held, for those who act on it."""
-
-    def __init__(self, hold: Hold) -> None:
-        self.hold = hold
+    def __init__(self, holder: LeaseHolder) -> None:
+        """Wrap the state machine that holds the lease."""
+        self.holder = holder
 
     @property
     def epoch(self) -> int:
-        """The fencing token: greater than that of every earlier holder of any name."""
-        return self.hold.epoch
+        """The fencing token: greater than that of every earlier holder of any lease."""
+        return self.holder.epoch
 
-    def left(self) -> float:
-        """Seconds of the right, by this machine's clock."""
-        return max(0, self.hold.until - boot_now()) / SECOND if self.hold.phase == "held" else 0.0
+    def remaining(self) -> float:
+        """Return for how many seconds the lease may still be acted on, by this machine's clock."""
+        if self.holder.phase != "held":
+            return 0.0
+        return max(0, self.holder.valid_until - boot_now()) / SECOND
 
     @asynccontextmanager
-    async def act(self, longest: float) -> AsyncIterator[None]:
-        """An act of so many seconds at most; its way to the resource counts too. Raises NoTime before it."""
-        if not self.hold.fits(boot_now(), int(longest * SECOND)):
-            raise NoTime(f"{self.left():.3f} s are left, {longest:.3f} s are wanted")
-        with anyio.fail_after(longest):
+    async def act(self, duration: float) -> AsyncIterator[None]:
+        """Run an operation of at most `duration` seconds, which includes its way to the resource.
+
+        Raises:
+            LeaseTimeoutError: What is left of the lease is shorter; raised before the block.
+            TimeoutError: The block took longer, and was cancelled.
+        """
+        if not self.holder.fits(boot_now(), int(duration * SECOND)):
+            raise LeaseTimeoutError(f"{self.remaining():.3f} s are left, {duration:.3f} s are wanted")
+        with anyio.fail_after(duration):
             yield
 
 
-class Keeper:
-    """Carries out what a Hold asks for."""
+class HolderDriver:
+    """Runs a `LeaseHolder` against the cluster: its requests, answers, hints and deadlines.
+
+    Attributes:
+        settled: Set once the lease is held, or has ended.
+        ended: Set once it has ended.
+    """
 
-    def __init__(self, council: Council, hold: Hold) -> None:
-        self.council, self.hold = council, hold
+    def __init__(self, client: LeaseClient, holder: LeaseHolder) -> None:
+        """Register for the holder's hints; `close` undoes that."""
+        self.client = client
+        self.holder = holder
         self.woken = anyio.Event()
-        self.decided = anyio.Event()  # held or ended
-        self.over = anyio.Event()
-        council.hinted[hold.asker] = lambda: self.take("hinted")
-
-    def take(self, kind: str, *told: object) -> None:
-        for effect in self.hold.take(boot_now(), kind, *told):
-            if effect[0] == "ask":
-                self.group.start_soon(self._ask, effect[1], effect[2])
-            else:
-                self.decided.set()
-                if effect[0] == "ended":
-                    self.over.set()
+        self.settled = anyio.Event()
+        self.ended = anyio.Event()
+        client.hint_callbacks[holder.holder_id] = lambda: self.handle(GrantHinted())
+
+    def handle(self, event: HolderEvent) -> None:
+        """Let the holder handle an event now, and carry out the effects."""
+        for effect in self.holder.handle(boot_now(), event):
+            match effect:
+                case SendRequest(number, op):
+                    self.group.start_soon(self._request, number, op)
+                case LeaseAcquired():
+                    self.settled.set()
+                case LeaseEnded():
+                    self.settled.set()
+                    self.ended.set()
         self.woken.set()
 
     async def run(self, group: anyio.abc.TaskGroup) -> None:
+        """Acquire the lease and renew it until it ends; requests run in `group`."""
         self.group = group
-        self.take("start")
-        while self.hold.phase != "ended":
+        self.handle(AcquireStarted())
+        while self.holder.phase != "ended":
             self.woken = anyio.Event()
-            wait = (self.hold.due() - boot_now()) / SECOND
+            wait = (self.holder.next_deadline() - boot_now()) / SECOND
             with anyio.move_on_after(max(0.0, wait)):
                 await self.woken.wait()
                 continue
-            self.take("elapsed")
-
-    async def _ask(self, number: int, op: Op) -> None:
-        answer = await self.council.ask(op)
-        if isinstance(answer, Elsewhere) and answer.why == "no answer":
-            self.take("unanswered", number)
-        else:
-            self.take("answered", number, answer)
+            self.handle(DeadlineReached())
 
     def close(self) -> None:
-        self.council.hinted.pop(self.hold.asker, None)
-
+        """Take no more hints."""
+        self.client.hint_callbacks.pop(self.holder.holder_id, None)
 
-class lease:
-    """Holds `name` for as long as the block runs. `length`: seconds in which the council gives it to nobody
-    else after it last heard of this holder; the right is three fifths of that. Raises Refused before the
-    block; Lost after it, where it was cancelled as the lease had ended. What the block raises goes on."""
-
-    def __init__(self, council: Council, name: str, length: float, wait: bool = True, who: str = "") -> None:
-        self.council, self.name, self.length, self.wait = council, name, int(length * SECOND), wait
-        self.who = (who or socket.gethostname())[:60]
-        self.chance = Random(os.urandom(8))
-
-    async def __aenter__(self) -> Held:
+    async def _request(self, number: int, op: Op) -> None:
+        answer = await self.client.request(op)
+        if isinstance(answer, Unavailable) and answer.reason == "no answer":
+            self.handle(RequestFailed(number))
+        else:
+            self.handle(AnswerReceived(number, answer))
+
+
+def lease(client: LeaseClient, name: str, ttl: float, wait: bool = True, owner: str = "") -> "LeaseSession":
+    """Return an async context manager that holds the lease `name` for as long as its block runs.
+
+    Args:
+        client: The cluster that grants the lease.
+        name: Name of the lease.
+        ttl: Seconds after this holder's last request in which the cluster grants the lease to nobody else;
+            the holder itself may act for three fifths of that.
+        wait: Whether to wait while another holds the lease.
+        owner: Shown to people as the holder; the host's name by default.
+    """
+    return LeaseSession(client, name, ttl, wait, owner)
+
+
+class LeaseSession:
+    """Holds a lease for as long as its `async with` block runs; made by `lease`.
+
+    Raises `LeaseRefusedError` before the block, and `LeaseLostError` after a block that was cancelled as the
+    lease had ended. What the block itself raises is passed on.
+    """
+
+    def __init__(
+        self, client: LeaseClient, name: str, ttl: float, wait: bool = True, owner: str = ""
+    ) -> None:
+        """See `lease`."""
+        self.client = client
+        self.name = name
+        self.ttl = int(ttl * SECOND)
+        self.wait = wait
+        self.owner = (owner or socket.gethostname())[:MAX_OWNER_LENGTH]
+        self.rng = Random(os.urandom(8))
+
+    async def __aenter__(self) -> HeldLease:
+        """Acquire the lease.
+
+        Raises:
+            LeaseRefusedError: It can't be had; says why.
+        """
         while True:
-            asker = f"{self.who}.{os.getpid()}.{os.urandom(6).hex()}"
-            hold = Hold(self.name, asker, self.length, self.wait, boot_now(), self._spread)
-            self.keeper = Keeper(self.council, hold)
-            self.group = anyio.create_task_group()
-            await self.group.__aenter__()
-            try:
-                self.group.start_soon(self.keeper.run, self.group)
-                await self.keeper.decided.wait()
-            except BaseException:
-                await self._leave()
-                raise
-            if hold.phase == "held":
+            holder_id = f"{self.owner}.{os.getpid()}.{os.urandom(6).hex()}"
+            holder = LeaseHolder(self.name, holder_id, self.ttl, self.wait, boot_now(), self._jitter)
+            await self._start(holder)
+            if holder.phase == "held":
                 self.scope = anyio.CancelScope()
                 self.scope.__enter__()
-                self.group.start_soon(self._end_with, self.scope)
-                return Held(hold)
+                self.group.start_soon(self._cancel_at_end, self.scope)
+                return HeldLease(holder)
             await self._leave()
-            if hold.epoch or not self.wait or "given back" not in hold.why:
-                raise Refused(hold.why)
+            # A place among the waiters that was lost through silence is asked for again.
+            if holder.epoch or not self.wait or "given back" not in holder.end_reason:
+                raise LeaseRefusedError(holder.end_reason)
 
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> bool | None:
-        over = self.keeper.over.is_set()
+        """Release the lease.
+
+        Raises:
+            LeaseLostError: The lease ended before the block did.
+        """
+        ended = self.driver.ended.is_set()
         swallowed = self.scope.__exit__(kind, error, trace)
         await self._leave()
-        if over and (swallowed or error is None):
-            raise Lost(self.keeper.hold.why)
+        if ended and (swallowed or error is None):
+            raise LeaseLostError(self.driver.holder.end_reason)
         return swallowed
 
-    def _spread(self, span: int) -> int:
-        return self.chance.randrange(span + 1)
-
-    async def _end_with(self, scope: anyio.CancelScope) -> None:
-        await self.keeper.over.wait()
-        scope.cancel()
+    async def _start(self, holder: LeaseHolder) -> None:
+        """Run the holder until it holds the lease or has ended."""
+        self.driver = HolderDriver(self.client, holder)
+        self.group = anyio.create_task_group()
+        await self.group.__aenter__()
+        try:
+            self.group.start_soon(self.driver.run, self.group)
+            await self.driver.settled.wait()
+        except BaseException:
+            await self._leave()
+            raise
 
     async def _leave(self) -> None:
-        """Gives back what may be held, also where this is cancelled itself."""
-        with anyio.CancelScope(shield=True), anyio.move_on_after(RELEASE_SPAN):
-            if self.keeper.hold.phase not in ("ended", "new"):
-                self.keeper.take("release")
-                await self.keeper.over.wait()
-        self.keeper.close()
+        """Give back what may be held, even when this is cancelled itself."""
+        with anyio.CancelScope(shield=True), anyio.move_on_after(RELEASE_TIMEOUT):
+            if self.driver.holder.phase not in ("ended", "new"):
+                self.driver.handle(ReleaseRequested())
+                await self.driver.ended.wait()
+        self.driver.close()
         self.group.cancel_scope.cancel()
         await self.group.__aexit__(None, None, None)
+
+    async def _cancel_at_end(self, scope: anyio.CancelScope) -> None:
+        await self.driver.ended.wait()
+        scope.cancel()
+
+    def _jitter(self, duration: int) -> int:
+        return self.rng.randrange(duration + 1)
--- a/thistleline/lease/table.py
+++ b/thistleline/lease/table.py
@@ -1,18 +1,22 @@
-"""The leases as the council's decisions make them: the same at every voter. No I/O, no clock, no chance."""
+"""The replicated state machine of leases and records: equal at every replica that applied the same log.
+
+No I/O, no clock and no randomness: everything depends on the decisions alone.
+"""
 
 from typing import Any
 
 import msgspec
 
 from thistleline.lease.protocol import (
-    ASKER_BOUND,
     DECISIONS,
-    LENGTH_LEAST,
-    LENGTH_MOST,
-    LINE_BOUND,
-    NAME_BOUND,
-    REASON_BOUND,
-    VALUE_BOUND,
+    MAX_HOLDER_ID_LENGTH,
+    MAX_NAME_LENGTH,
+    MAX_REASON_LENGTH,
+    MAX_TTL,
+    MAX_VALUE_SIZE,
+    MAX_WAITERS,
+    MIN_TTL,
+    Acquire,
     Answer,
     Break,
     Decision,
@@ -21,238 +25,311 @@
     Expire,
     Got,
     Granted,
-    Past,
+    HistoryEntry,
+    LeaseInfo,
     Put,
     Release,
-    Shown,
-    Take,
     Waiting,
 )
 
-NAMES_BOUND, WAITING_BOUND = 20_000, 50_000
-RECORDS_BOUND, RECORDS_SIZE = 10_000, 4 << 20  # bytes of their values together
-OVER_BOUND = 4096  # askers that gave back, remembered lest a late copy of their wish is granted
-FORGOTTEN_BOUND = 1024  # names without a holder whose past is kept
-PAST_BOUND = 8
+MAX_LEASES = 20_000
+MAX_WAITERS_TOTAL = 50_000  # of all leases together
+MAX_RECORDS = 10_000
+MAX_RECORDS_SIZE = 4 << 20  # bytes of all records' values together
+MAX_RELEASED = 4096  # holder ids that released, remembered lest a late copy of their request is granted
+MAX_FREE_HISTORIES = 1024  # free leases whose history is stored
+MAX_HISTORY = 8  # entries of one lease
 
 _encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(Decision).decode
+_decode_decision = msgspec.msgpack.Decoder(Decision).decode
 
 
-def data_of(decision: Decision) -> bytes:
+def encode_decision(decision: Decision) -> bytes:
+    """Return a decision as the data of a log entry."""
     return _encode(decision)
 
 
 class Lease(msgspec.Struct):
+    """A lease that is held.
+
+    Attributes:
+        holder: The holder's id.
+        epoch: The fencing token.
+        ttl: Time to live, ns.
+        touched_index: Log index of the decision that granted it or was its holder's latest request for it.
+        waiters: Holder ids and the TTLs they want, first come first.
+        history: The latest changes, oldest first.
+    """
+
     holder: str
     epoch: int
-    length: int
-    touched: int  # index of the decision that granted it or heard its holder ask again
-    line: list[tuple[str, int]]  # askers and the lengths they want
-    past: list[Past]
+    ttl: int = msgspec.field(name="length")
+    touched_index: int = msgspec.field(name="touched")
+    waiters: list[tuple[str, int]] = msgspec.field(name="line")
+    history: list[HistoryEntry] = msgspec.field(name="past")
+
 
+class LeaseState(msgspec.Struct):
+    """All that the decisions so far have led to; a snapshot is this, encoded.
+
+    Attributes:
+        epoch: The newest epoch; one count for all leases.
+        leases: The leases that are held, by name.
+        released: Holder ids that released, as an ordered set.
+        free_histories: History of leases that nobody holds, by name.
+        records: Value and version, by key.
+        waiter_count: Waiters of all leases.
+        records_size: Bytes of all records' values.
+    """
 
-class State(msgspec.Struct):
     epoch: int
     leases: dict[str, Lease]
-    over: dict[str, None]
-    forgotten: dict[str, list[Past]]
+    released: dict[str, None] = msgspec.field(name="over")
+    free_histories: dict[str, list[HistoryEntry]] = msgspec.field(name="forgotten")
     records: dict[str, tuple[bytes, int]]
-    waiting: int = 0  # in all lines
-    size: int = 0  # bytes of all records
+    waiter_count: int = msgspec.field(default=0, name="waiting")
+    records_size: int = msgspec.field(default=0, name="size")
+
+
+_decode_state = msgspec.msgpack.Decoder(LeaseState).decode
 
 
-_state = msgspec.msgpack.Decoder(State).decode
+class LeaseTable:
+    """Applies decisions to the leases and records, and answers questions about them.
 
+    Attributes:
+        state: What is replicated.
+        changed: Names of leases that were decided on since the owner of the table last cleared this.
+    """
 
-class Table:
     __slots__ = ("changed", "state")
 
     def __init__(self) -> None:
-        self.state = State(0, {}, {}, {}, {})
-        self.changed: dict[str, None] = {}  # names that were decided on since somebody looked
+        """Start without leases and records."""
+        self.state = LeaseState(0, {}, {}, {}, {})
+        self.changed: dict[str, None] = {}
 
-    # ---- the council's machine
+    # ---- the replicated state machine
 
     def apply(self, index: int, data: bytes) -> Answer:
-        decision = _decode(data)
+        """Apply the decision of the log entry at `index` and return the answer to its client."""
+        decision = _decode_decision(data)
         if isinstance(decision, Put):
             return self._put(decision)
         self.changed[decision.name] = None
-        if isinstance(decision, Take):
-            return self._take(index, decision)
-        if isinstance(decision, Release):
-            return self._release(index, decision)
-        if isinstance(decision, Expire):
-            return self._expire(index, decision)
-        return self._break(index, decision)
+        match decision:
+            case Acquire():
+                return self._acquire(index, decision)
+            case Release():
+                return self._release(index, decision)
+            case Expire():
+                return self._expire(index, decision)
+            case Break():
+                return self._break(index, decision)
 
     def snapshot(self) -> bytes:
+        """Return the whole state, encoded."""
         return _encode(self.state)
 
-    def restore(self, state: bytes) -> None:
-        self.state = _state(state)
+    def restore(self, snapshot: bytes) -> None:
+        """Replace the whole state by a snapshot."""
+        self.state = _decode_state(snapshot)
         self.changed = dict.fromkeys(self.state.leases)
 
-    def copy(self) -> "Table":
-        made, state = Table(), self.state
-        leases = {
-            name: Lease(one.holder, one.epoch, one.length, one.touched, list(one.line), list(one.past))
-            for name, one in state.leases.items()
-        }
-        rest = (dict(state.forgotten), dict(state.records), state.waiting, state.size)
-        made.state = State(state.epoch, leases, dict(state.over), *rest)
+    def copy(self) -> "LeaseTable":
+        """Return an independent copy."""
+        state = self.state
+        made = LeaseTable()
+        made.state = LeaseState(
+            epoch=state.epoch,
+            leases={name: _copy_lease(lease) for name, lease in state.leases.items()},
+            released=dict(state.released),
+            free_histories=dict(state.free_histories),
+            records=dict(state.records),
+            waiter_count=state.waiter_count,
+            records_size=state.records_size,
+        )
         made.changed = dict(self.changed)
         return made
 
-    def frozen(self) -> Any:
+    def state_key(self) -> Any:
+        """Return all that further behaviour can depend on, hashable."""
         state = self.state
         leases = tuple(
-            (name, one.holder, one.epoch, one.length, one.touched, tuple(one.line))
-            for name, one in sorted(state.leases.items())
+            (name, lease.holder, lease.epoch, lease.ttl, lease.touched_index, tuple(lease.waiters))
+            for name, lease in sorted(state.leases.items())
         )
-        return state.epoch, leases, tuple(state.over), tuple(self.changed), tuple(state.records.items())
+        return state.epoch, leases, tuple(state.released), tuple(self.changed), tuple(state.records.items())
 
     # ---- decisions
 
-    def _take(self, index: int, take: Take) -> Answer:
-        state, lease = self.state, self.state.leases.get(take.name)
-        if take.asker in state.over:
+    def _acquire(self, index: int, request: Acquire) -> Answer:
+        state = self.state
+        lease = state.leases.get(request.name)
+        if request.holder_id in state.released:
             return Denied("it was given back")
         if lease is None:
-            if len(state.leases) >= NAMES_BOUND:
-                return Denied("there are too many names")
-            past = state.forgotten.pop(take.name, [])
-            lease = state.leases[take.name] = Lease("", 0, 0, index, [], past)
-            return self._grant(index, take.name, lease, take.asker, take.length, take.at, "it was free")
-        if lease.holder == take.asker:
-            lease.touched = index
-            return Granted(lease.epoch, lease.length)
-        askers = [asker for asker, _ in lease.line]
-        if take.asker in askers:
-            return Waiting(askers.index(take.asker))
-        if not take.wait:
+            return self._acquire_free(index, request)
+        if lease.holder == request.holder_id:
+            lease.touched_index = index
+            return Granted(lease.epoch, lease.ttl)
+        waiting = [holder_id for holder_id, _ in lease.waiters]
+        if request.holder_id in waiting:
+            return Waiting(waiting.index(request.holder_id))
+        if not request.wait:
             return Denied(f"{lease.holder} holds it")
-        if len(askers) >= LINE_BOUND or state.waiting >= WAITING_BOUND:
+        if len(waiting) >= MAX_WAITERS or state.waiter_count >= MAX_WAITERS_TOTAL:
             return Denied("too many wait")
-        state.waiting += 1
-        lease.line.append((take.asker, take.length))
-        return Waiting(len(askers))
+        state.waiter_count += 1
+        lease.waiters.append((request.holder_id, request.ttl))
+        return Waiting(len(waiting))
+
+    def _acquire_free(self, index: int, request: Acquire) -> Answer:
+        state = self.state
+        if len(state.leases) >= MAX_LEASES:
+            return Denied("there are too many names")
+        history = state.free_histories.pop(request.name, [])
+        lease = Lease("", 0, 0, index, [], history)
+        state.leases[request.name] = lease
+        return self._grant(index, lease, request.holder_id, request.ttl, request.wall_ms, "it was free")
 
     def _grant(
-        self, index: int, name: str, lease: Lease, asker: str, length: int, at: int, reason: str
+        self, index: int, lease: Lease, holder_id: str, ttl: int, wall_ms: int, reason: str
     ) -> Granted:
-        # One number for all names: guards against a name that is forgotten and made anew beginning again.
+        # One count for all names, so that a name that was forgotten does not start again from epoch 1.
         self.state.epoch += 1
-        lease.holder, lease.epoch, lease.length, lease.touched = asker, self.state.epoch, length, index
-        self._note(lease, "granted", at, reason)
-        return Granted(lease.epoch, length)
-
-    def _note(self, lease: Lease, what: str, at: int, reason: str) -> None:
-        lease.past.append(Past(what, lease.epoch, lease.holder, at, reason))
-        del lease.past[:-PAST_BOUND]
-
-    def _next(self, index: int, name: str, lease: Lease, what: str, at: int, reason: str) -> None:
-        """Who holds it holds it no more; the first in the line does."""
-        self._note(lease, what, at, reason)
-        self._over(lease.holder)
-        if lease.line:
-            asker, length = lease.line.pop(0)
-            self.state.waiting -= 1
-            self._grant(index, name, lease, asker, length, at, f"{what}: {reason}")
+        lease.holder = holder_id
+        lease.epoch = self.state.epoch
+        lease.ttl = ttl
+        lease.touched_index = index
+        self._record(lease, "granted", wall_ms, reason)
+        return Granted(lease.epoch, ttl)
+
+    def _record(self, lease: Lease, event: str, wall_ms: int, reason: str) -> None:
+        lease.history.append(HistoryEntry(event, lease.epoch, lease.holder, wall_ms, reason))
+        del lease.history[:-MAX_HISTORY]
+
+    def _end(self, index: int, name: str, lease: Lease, event: str, wall_ms: int, reason: str) -> None:
+        """End the current holder's lease and grant it to the first waiter, if there is one."""
+        self._record(lease, event, wall_ms, reason)
+        self._remember_released(lease.holder)
+        if lease.waiters:
+            holder_id, ttl = lease.waiters.pop(0)
+            self.state.waiter_count -= 1
+            self._grant(index, lease, holder_id, ttl, wall_ms, f"{event}: {reason}")
             return
         del self.state.leases[name]
-        forgotten = self.state.forgotten
-        forgotten[name] = lease.past
-        while len(forgotten) > FORGOTTEN_BOUND:
-            del forgotten[next(iter(forgotten))]
-
-    def _over(self, asker: str) -> None:
-        over = self.state.over
-        over[asker] = None
-        while len(over) > OVER_BOUND:
-            del over[next(iter(over))]
-
-    def _release(self, index: int, release: Release) -> Answer:
-        lease = self.state.leases.get(release.name)
-        if lease is not None and lease.holder == release.asker:
-            self._next(index, release.name, lease, "released", release.at, release.reason)
+        histories = self.state.free_histories
+        histories[name] = lease.history
+        while len(histories) > MAX_FREE_HISTORIES:
+            del histories[next(iter(histories))]
+
+    def _remember_released(self, holder_id: str) -> None:
+        released = self.state.released
+        released[holder_id] = None
+        while len(released) > MAX_RELEASED:
+            del released[next(iter(released))]
+
+    def _release(self, index: int, request: Release) -> Answer:
+        lease = self.state.leases.get(request.name)
+        if lease is not None and lease.holder == request.holder_id:
+            self._end(index, request.name, lease, "released", request.wall_ms, request.reason)
             return Done("released")
-        self._over(release.asker)
+        self._remember_released(request.holder_id)
         if lease is not None:
-            left = [one for one in lease.line if one[0] != release.asker]
-            self.state.waiting -= len(lease.line) - len(left)
-            lease.line = left
+            remaining = [waiter for waiter in lease.waiters if waiter[0] != request.holder_id]
+            self.state.waiter_count -= len(lease.waiters) - len(remaining)
+            lease.waiters = remaining
         return Done("not held")
 
-    def _expire(self, index: int, expire: Expire) -> Answer:
-        lease = self.state.leases.get(expire.name)
-        if lease is None or (lease.epoch, lease.touched) != (expire.epoch, expire.touched):
+    def _expire(self, index: int, request: Expire) -> Answer:
+        lease = self.state.leases.get(request.name)
+        if lease is None or (lease.epoch, lease.touched_index) != (request.epoch, request.touched_index):
             return Denied("it was touched since")
-        self._next(index, expire.name, lease, "expired", expire.at, "not heard for its length")
+        self._end(index, request.name, lease, "expired", request.wall_ms, "not heard for its length")
         return Done("expired")
 
-    def _break(self, index: int, told: Break) -> Answer:
-        lease = self.state.leases.get(told.name)
-        if lease is None or lease.epoch != told.epoch:
+    def _break(self, index: int, request: Break) -> Answer:
+        lease = self.state.leases.get(request.name)
+        if lease is None or lease.epoch != request.epoch:
             return Denied("it is not held in that epoch")
-        self._next(index, told.name, lease, "broken", told.at, told.reason)
+        self._end(index, request.name, lease, "broken", request.wall_ms, request.reason)
         return Done("broken")
 
-    def _put(self, put: Put) -> Answer:
+    def _put(self, request: Put) -> Answer:
         records = self.state.records
-        version = records[put.key][1] if put.key in records else 0
-        if put.name:
-            lease = self.state.leases.get(put.name)
-            if lease is None or lease.epoch != put.epoch:
+        old_value, version = records.get(request.key, (b"", 0))
+        if request.name:
+            lease = self.state.leases.get(request.name)
+            if lease is None or lease.epoch != request.epoch:
                 return Denied("the lease stands in another epoch")
-        if version != put.version:
+        if version != request.version:
             return Denied(f"it has version {version}")
-        if put.key not in records and len(records) >= RECORDS_BOUND:
+        if request.key not in records and len(records) >= MAX_RECORDS:
             return Denied("there are too many records")
-        more = len(put.value) - len(records.get(put.key, (b"", 0))[0])
-        if self.state.size + more > RECORDS_SIZE:
+        growth = len(request.value) - len(old_value)
+        if self.state.records_size + growth > MAX_RECORDS_SIZE:
             return Denied("the records are too large together")
-        self.state.size += more
-        records[put.key] = put.value, version + 1
+        self.state.records_size += growth
+        records[request.key] = request.value, version + 1
         return Done("written", version + 1)
 
     # ---- questions
 
-    def stands(self, name: str, asker: str) -> Granted | Waiting | Denied:
+    def status_of(self, name: str, holder_id: str) -> Granted | Waiting | Denied:
+        """Return whether this holder id holds the lease, waits for it or neither."""
         lease = self.state.leases.get(name)
-        if lease is not None and lease.holder == asker:
-            return Granted(lease.epoch, lease.length)
-        for place, (waiting, _) in enumerate(lease.line if lease is not None else ()):
-            if waiting == asker:
-                return Waiting(place)
+        if lease is not None and lease.holder == holder_id:
+            return Granted(lease.epoch, lease.ttl)
+        for position, (waiter, _) in enumerate(lease.waiters if lease is not None else ()):
+            if waiter == holder_id:
+                return Waiting(position)
         return Denied("neither held nor waited for")
 
-    def show(self, name: str) -> Shown:
+    def describe(self, name: str) -> LeaseInfo:
+        """Return a lease for people to read, also if it is free."""
         lease = self.state.leases.get(name)
         if lease is None:
-            return Shown(name, "", 0, 0, (), tuple(self.state.forgotten.get(name, ())))
-        line = tuple(asker for asker, _ in lease.line)
-        return Shown(name, lease.holder, lease.epoch, lease.length, line, tuple(lease.past))
+            return LeaseInfo(name, "", 0, 0, (), tuple(self.state.free_histories.get(name, ())))
+        waiters = tuple(holder_id for holder_id, _ in lease.waiters)
+        return LeaseInfo(name, lease.holder, lease.epoch, lease.ttl, waiters, tuple(lease.history))
 
     def get(self, key: str) -> Got:
+        """Return a record, with version 0 if there is none."""
         return Got(*self.state.records.get(key, (b"", 0)))
 
 
-def fault(decision: Decision) -> str:
-    """What is wrong with a stranger's wish; nothing if it may go to the log."""
-    if not isinstance(decision, DECISIONS) or isinstance(decision, Expire):
+def _copy_lease(lease: Lease) -> Lease:
+    return Lease(
+        lease.holder,
+        lease.epoch,
+        lease.ttl,
+        lease.touched_index,
+        list(lease.waiters),
+        list(lease.history),
+    )
+
+
+def validate(decision: Decision) -> str:
+    """Return why a client's decision must not go to the log, empty if it may."""
+    match decision:
+        case Expire():
+            return "that is for the leader alone"
+        case Put():
+            valid = 0 < len(decision.key) <= MAX_NAME_LENGTH and len(decision.value) <= MAX_VALUE_SIZE
+            return "" if valid else "too long"
+    if not isinstance(decision, DECISIONS):
         return "that is for the leader alone"
-    if isinstance(decision, Put):
-        return (
-            "" if 0 < len(decision.key) <= NAME_BOUND and len(decision.value) <= VALUE_BOUND else "too long"
-        )
-    if not 0 < len(decision.name) <= NAME_BOUND or not decision.name.isprintable() or "*" in decision.name:
-        return f"a name has 1 to {NAME_BOUND} printable characters and no '*'"
-    if isinstance(decision, Take | Release) and not 0 < len(decision.asker) <= ASKER_BOUND:
-        return f"an asker has 1 to {ASKER_BOUND} characters"
-    if isinstance(decision, Take) and not LENGTH_LEAST <= decision.length <= LENGTH_MOST:
+    if (
+        not 0 < len(decision.name) <= MAX_NAME_LENGTH
+        or not decision.name.isprintable()
+        or "*" in decision.name
+    ):
+        return f"a name has 1 to {MAX_NAME_LENGTH} printable characters and no '*'"
+    if isinstance(decision, Acquire | Release) and not 0 < len(decision.holder_id) <= MAX_HOLDER_ID_LENGTH:
+        return f"an asker has 1 to {MAX_HOLDER_ID_LENGTH} characters"
+    if isinstance(decision, Acquire) and not MIN_TTL <= decision.ttl <= MAX_TTL:
         return "a lease is 0.1 s to an hour long"
-    if isinstance(decision, Release | Break) and len(decision.reason) > REASON_BOUND:
-        return f"a reason has {REASON_BOUND} characters at most"
+    if isinstance(decision, Release | Break) and len(decision.reason) > MAX_REASON_LENGTH:
+        return f"a reason has {MAX_REASON_LENGTH} characters at most"
     return ""
--- a/thistleline/lease/wire.py
+++ b/thistleline/lease/wire.py
@@ -1,4 +1,4 @@
-"""What goes over a link to a voter: requests and answers by number, and hints that a lease is held now."""
+"""The messages on a connection to a replica: numbered requests and replies, and hints of a granted lease."""
 
 import msgspec
 
@@ -7,23 +7,27 @@
 
 
 class Request(msgspec.Struct, frozen=True, tag="request"):
-    number: int  # of the client, on this connection
+    """A client's request; `number` is unique on its connection."""
+
+    number: int
     op: Op
 
 
 class Reply(msgspec.Struct, frozen=True, tag="reply"):
+    """The answer to the request of the same number."""
+
     number: int
     answer: Answer
 
 
-class Hint(msgspec.Struct, frozen=True, tag="hint"):
-    """Its lease may have changed: worth asking."""
+class GrantHint(msgspec.Struct, frozen=True, tag="hint"):
+    """Tells a waiter that the lease may have been granted to it, so that it asks at once."""
 
     name: str
-    asker: str
+    holder_id: str = msgspec.field(name="asker")
 
 
 encode = msgspec.msgpack.Encoder().encode
-decode_voter = msgspec.msgpack.Decoder(Ask | Vote | Append | Install | Appended).decode
+decode_replica_message = msgspec.msgpack.Decoder(Ask | Vote | Append | Install | Appended).decode
 decode_request = msgspec.msgpack.Decoder(Request).decode
-decode_reply = msgspec.msgpack.Decoder(Reply | Hint).decode
+decode_reply = msgspec.msgpack.Decoder(Reply | GrantHint).decode
--- a/thistleline/rollout/service.py
+++ b/thistleline/rollout/service.py
@@ -7,9 +7,10 @@
 import msgspec
 
 from thistleline.config.schema import Conductor, Conf
-from thistleline.lease.client import Council
-from thistleline.lease.protocol import Denied, Done, Elsewhere, Get, Got, Put
-from thistleline.lease.session import Held, Lost, Refused, lease
+from thistleline.lease.client import LeaseClient
+from thistleline.lease.errors import LeaseLostError, LeaseRefusedError
+from thistleline.lease.protocol import Denied, Done, Get, Got, Put, Unavailable
+from thistleline.lease.session import HeldLease, lease
 from thistleline.membership.messages import ALIVE, DEAD, Facts
 from thistleline.membership.service import MemberService
 from thistleline.rollout.controller import Conducting, Spans
@@ -34,12 +35,12 @@
 class Records:
     """Records of the council under a lease. A write that is there already costs nothing."""
 
-    def __init__(self, council: Council, held: Held) -> None:
+    def __init__(self, council: LeaseClient, held: HeldLease) -> None:
         self.council, self.held = council, held
         self.versions: dict[str, int] = {}
 
     async def get(self, key: str) -> bytes | None:
-        answer = await self.council.surely(Get(key), SPAN)
+        answer = await self.council.request_until_decided(Get(key), SPAN)
         if not isinstance(answer, Got):
             raise Undecided(str(answer))
         self.versions[key] = answer.version
@@ -51,12 +52,12 @@
             if key not in self.versions and await self.get(key) == value:
                 return
             told = Put(key, value, self.versions[key], LEASE, self.held.epoch)
-            answer = await self.council.surely(told, SPAN)
+            answer = await self.council.request_until_decided(told, SPAN)
             if isinstance(answer, Done):
-                self.versions[key] = answer.number
+                self.versions[key] = answer.version
                 return
             del self.versions[key]
-            if isinstance(answer, Elsewhere) or (isinstance(answer, Denied) and "epoch" in answer.why):
+            if isinstance(answer, Unavailable) or (isinstance(answer, Denied) and "epoch" in answer.reason):
                 break
         raise Undecided(f"{key}: {answer}")
 
@@ -77,17 +78,17 @@
         assert self.conf.council is not None
         async with anyio.create_task_group() as group:
             group.start_soon(self.member.run)
-            council = Council(dict(self.conf.council.voter), group)
+            council = LeaseClient(dict(self.conf.council.voter), group)
             while True:
                 try:
-                    async with lease(council, LEASE, self.length, who=self.name) as held:
+                    async with lease(council, LEASE, self.length, owner=self.name) as held:
                         self.log("conducts", epoch=held.epoch)
                         await self._conduct(council, held)
-                except (Lost, Refused, Undecided) as error:
+                except (LeaseLostError, LeaseRefusedError, Undecided) as error:
                     self.log("conducts no more", why=str(error))
                     await anyio.sleep(0.5)
 
-    async def _conduct(self, council: Council, held: Held) -> None:
+    async def _conduct(self, council: LeaseClient, held: HeldLease) -> None:
         records = Records(council, held)
         known = await records.get(KEY)
         conducting = Conducting(boot_now(), wall_ms, _roll(known) if known else None, self.spans)
@@ -121,7 +122,7 @@
             await anyio.sleep(POLL)
 
     async def _want(
-        self, records: Records, held: Held, conducting: Conducting, id: str, version: Version, turn: int
+        self, records: Records, held: HeldLease, conducting: Conducting, id: str, version: Version, turn: int
     ) -> None:
         number = conducting.roll.number if conducting.roll is not None else 0
         await records.put(want_key(id), encode(Want(held.epoch, number, version, turn)))
--- a/thistleline/supervisor/service.py
+++ b/thistleline/supervisor/service.py
@@ -16,7 +16,7 @@
 
 from thistleline.config.schema import Conf
 from thistleline.handover.serving import read_owner
-from thistleline.lease.client import Council
+from thistleline.lease.client import LeaseClient
 from thistleline.lease.protocol import Get, Got
 from thistleline.membership.messages import Facts
 from thistleline.membership.service import MemberService
@@ -80,7 +80,7 @@
         """Until SIGTERM or SIGINT; the server runs on. Raises OSError where it can't listen."""
         async with anyio.create_task_group() as group:
             self.group = group
-            self.council = Council(self.voters, group)
+            self.council = LeaseClient(self.voters, group)
             group.start_soon(self.member.run)
             state = _state(self.latest.value) if self.latest.value else State()
             alive = await self._find(state)
@@ -157,7 +157,7 @@
         """The settings of that number are the ones that are meant, and are kept here. Raises Unfit."""
         place = self.folder / "settings" / f"{version.settings}.json"
         if not place.exists():
-            answer = await self.council.surely(Get(settings_key(version.settings)), 5.0)
+            answer = await self.council.request_until_decided(Get(settings_key(version.settings)), 5.0)
             if not isinstance(answer, Got) or not answer.version:
                 raise Unfit(f"settings {version.settings} are not to be had")
             place.parent.mkdir(exist_ok=True)
@@ -295,7 +295,7 @@
 
     async def _poll(self) -> None:
         while True:
-            answer = await self.council.ask(Get(want_key(self.name)))
+            answer = await self.council.request(Get(want_key(self.name)))
             self.take("reached", isinstance(answer, Got))
             if isinstance(answer, Got) and answer.version:
                 with suppress(msgspec.MsgspecError):
--- a/thistleline/supervisor/settings.py
+++ b/thistleline/supervisor/settings.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from thistleline.lease.protocol import VALUE_BOUND
+from thistleline.lease.protocol import MAX_VALUE_SIZE
 from thistleline.server.service import CONNECTION_COST, RESERVE
 from thistleline.wire.settings import Malformed, read_bench, read_gauges, read_granularity
 
-SIZE_BOUND = VALUE_BOUND  # bytes of a version: it has to go through the council in one record
+SIZE_BOUND = MAX_VALUE_SIZE  # bytes of a version: it has to go through the council in one record
 
 
 def unfit_settings(content: bytes, limits: dict[str, Any] | None = None) -> str:
