--- a/thistleline/lease/service.py
+++ b/thistleline/lease/service.py
@@ -26,8 +26,8 @@
 from thistleline.lease.peer_links import PeerLinks
 from thistleline.lease.protocol import Op
 from thistleline.lease.server import LeaseServer
-from thistleline.lease.table import Table
-from thistleline.lease.wire import Hint, Reply, decode_request, decode_voter, encode
+from thistleline.lease.table import LeaseTable
+from thistleline.lease.wire import GrantHint, Reply, decode_replica_message, decode_request, encode
 from thistleline.store.clock import boot_now, wall_ms
 from thistleline.store.disk import Disk
 from thistleline.transport.address import Address
@@ -108,9 +108,9 @@
         timing = RaftTiming(config.heartbeat, config.election, 2 * config.election)
         recovered = self.store.recover()
         if recovered is not None:
-            return Replica(recovered.snapshot.id, Table(), boot_now(), timing, self._jitter, recovered)
+            return Replica(recovered.snapshot.id, LeaseTable(), boot_now(), timing, self._jitter, recovered)
         id = f"{config.name}.{os.urandom(4).hex()}"
-        replica = Replica(id, Table(), boot_now(), timing, self._jitter)
+        replica = Replica(id, LeaseTable(), boot_now(), timing, self._jitter)
         first_record = SnapshotRecord(
             id=id,
             cluster_id="",
@@ -220,7 +220,7 @@
     def _notify_holder(self, name: str, asker: str) -> None:
         connection = self.connections.get(self.asker_connections.get(asker, -1))
         if connection is not None:
-            connection.write(encode(Hint(name, asker)))
+            connection.write(encode(GrantHint(name, asker)))
 
     async def _write(self, batch: WriteBatch) -> None:
         try:
@@ -299,7 +299,7 @@
                 cluster_id = self.replica.state.cluster_id
                 if cluster_id and hello.cluster not in (cluster_id, ""):
                     raise ProtocolError(f"{hello.id} is of another council")
-                self.submit(MessageReceived(hello.id, decode_voter(payload)))
+                self.submit(MessageReceived(hello.id, decode_replica_message(payload)))
 
     def _remember_caller(self, hello: Hello) -> None:
         self.callers.pop(hello.id, None)
@@ -332,8 +332,8 @@
 
 def _asker_of(op: Any) -> str:
     """Return who asks, where a request says so."""
-    names = getattr(op, "names", ())
-    return getattr(op, "asker", "") or (names[0][1] if names else "")
+    leases = getattr(op, "leases", ())
+    return getattr(op, "holder_id", "") or (leases[0][1] if leases else "")
 
 
 @contextmanager
