--- a/thistleline/lab/virtual.py
+++ b/thistleline/lab/virtual.py
@@ -13,7 +13,7 @@
 from thistleline.lease.effects import SendAnswer
 from thistleline.lease.events import Event
 from thistleline.lease.server import LeaseServer
-from thistleline.lease.table import Table
+from thistleline.lease.table import LeaseTable
 
 MS = 1_000_000
 
@@ -34,7 +34,7 @@
         self.wakes: dict[str, int] = {}
         members = tuple(Member(f"v{place}", f"v{place}") for place in range(voters))
         for one in members:
-            replica = Replica(one.id, Table(), 0, timing, lambda span: self.chance.randrange(span))
+            replica = Replica(one.id, LeaseTable(), 0, timing, lambda span: self.chance.randrange(span))
             self.servers[one.id] = LeaseServer(replica, lambda: self.now // MS)
         for one in members:
             self.put(one.id, FormCluster("c", members))
--- a/thistleline/lease/server.py
+++ b/thistleline/lease/server.py
@@ -15,33 +15,33 @@
     ReadReady,
     RequestRefused,
 )
-from thistleline.consensus.events import ChangeMembership, FormCluster, Propose, RequestRead
+from thistleline.consensus.events import Propose, RequestRead
 from thistleline.consensus.messages import Member
 from thistleline.consensus.replica import Replica
 from thistleline.consensus.state import NO_NAMES, Phase
 from thistleline.lease.effects import Effect, NotifyHolder, SendAnswer
 from thistleline.lease.events import Event, RequestReceived
-from thistleline.lease.liveness import Watch
+from thistleline.lease.liveness import LivenessTracker
 from thistleline.lease.protocol import (
     DECISIONS,
     Answer,
-    Change,
+    ChangeMembership,
     Decision,
     Denied,
+    Describe,
     Done,
-    Elsewhere,
-    Form,
+    FormCluster,
     Get,
-    Keep,
-    Kept,
-    Listed,
+    GetStatus,
+    LeaseList,
     Op,
     Question,
-    Show,
-    Stands,
-    Status,
+    Renew,
+    Renewed,
+    ReplicaStatus,
+    Unavailable,
 )
-from thistleline.lease.table import Table, data_of, fault
+from thistleline.lease.table import LeaseTable, encode_decision, validate
 
 MAX_LISTED_NAMES = 1000  # of one answer
 
@@ -70,11 +70,11 @@
     def __init__(self, replica: Replica, wall_clock: Callable[[], int]) -> None:
         """Create a server on a replica whose state machine is a lease table."""
         table = replica.state.machine
-        assert isinstance(table, Table)
+        assert isinstance(table, LeaseTable)
         self.replica = replica
-        self.table: Table = table
+        self.table: LeaseTable = table
         self.wall_clock = wall_clock
-        self.liveness = Watch()
+        self.liveness = LivenessTracker()
         self._commands: list[tuple[PendingRequest, bytes]] = []
         self._questions: list[PendingRequest] = []
 
@@ -91,13 +91,13 @@
 
     def state_key(self, names: Mapping[str, str] = NO_NAMES) -> tuple[Any, ...]:
         """Return a hashable value of all that behaviour depends on, with replicas renamed by `names`."""
-        liveness = self.liveness.frozen() if self.is_leader else ()
+        liveness = self.liveness.state_key() if self.is_leader else ()
         return self.replica.state_key(names), liveness
 
     def next_deadline(self) -> int:
         """Return when the next TimerFired is wanted, in ns."""
         replica_deadline = self.replica.next_deadline()
-        liveness_deadline = self.liveness.due()
+        liveness_deadline = self.liveness.next_deadline()
         if liveness_deadline is None or not self.is_leader:
             return replica_deadline
         return min(replica_deadline, liveness_deadline)
@@ -128,81 +128,82 @@
 
     def _propose_expired(self, now: int, effects: list[Effect]) -> None:
         """Propose to expire leases and waits that were not renewed."""
-        expired = self.liveness.over(now, self.wall_clock(), self.table)
+        expired = self.liveness.expired(now, self.wall_clock(), self.table)
         if expired:
-            proposals = tuple((None, data_of(decision)) for decision in expired)
+            proposals = tuple((None, encode_decision(decision)) for decision in expired)
             self._drive_replica(now, Propose(proposals), effects)
 
     # ---- requests
 
     def _handle_request(self, now: int, ticket: Any, op: Op, effects: list[Effect]) -> None:
-        if isinstance(op, Status):
+        if isinstance(op, GetStatus):
             effects.append(SendAnswer(ticket, self._status()))
-        elif isinstance(op, Form):
+        elif isinstance(op, FormCluster):
             effects.append(SendAnswer(ticket, self._form_cluster(now, op, effects)))
-        elif isinstance(op, Change):
+        elif isinstance(op, ChangeMembership):
             member = Member(op.id, op.address)
-            change = ChangeMembership(PendingRequest(ticket, op), op.what, member)
+            pending = PendingRequest(ticket, op)
+            change = consensus_events.ChangeMembership(pending, op.action, member)
             self._drive_replica(now, change, effects)
         elif isinstance(op, DECISIONS):
             self._handle_command(ticket, op, effects)
         else:
             self._handle_question(now, ticket, op)
 
-    def _status(self) -> Stands:
+    def _status(self) -> ReplicaStatus:
         state = self.replica.state
-        return Stands(
+        return ReplicaStatus(
             id=state.id,
-            council=state.cluster_id,
+            cluster=state.cluster_id,
             phase=state.phase.value,
             term=state.term,
             leader=state.leader,
-            committed=state.commit_index,
-            applied=state.last_applied,
-            last=state.log.last_index,
-            base=state.log.snapshot_index,
+            commit_index=state.commit_index,
+            applied_index=state.last_applied,
+            last_index=state.log.last_index,
+            snapshot_index=state.log.snapshot_index,
             members=tuple((member.id, member.address) for member in state.members),
             leases=len(self.table.state.leases),
             failing=state.writes.failing,
         )
 
-    def _form_cluster(self, now: int, op: Form, effects: list[Effect]) -> Answer:
+    def _form_cluster(self, now: int, op: FormCluster, effects: list[Effect]) -> Answer:
         state = self.replica.state
         if state.phase is Phase.UNFORMED:
             members = tuple(sorted(Member(id, address) for id, address in op.members))
-            self._drive_replica(now, FormCluster(op.council, members), effects)
-        if state.cluster_id == op.council:
+            self._drive_replica(now, consensus_events.FormCluster(op.cluster, members), effects)
+        if state.cluster_id == op.cluster:
             return Done("formed")
         return Denied("it has a council already")
 
     def _handle_command(self, ticket: Any, command: Decision, effects: list[Effect]) -> None:
-        reason = fault(command)
+        reason = validate(command)
         if reason:
             effects.append(SendAnswer(ticket, Denied(reason)))
             return
-        stamped = msgspec.structs.replace(command, at=self.wall_clock())
-        self._commands.append((PendingRequest(ticket, command), data_of(stamped)))
+        stamped = msgspec.structs.replace(command, wall_ms=self.wall_clock())
+        self._commands.append((PendingRequest(ticket, command), encode_decision(stamped)))
 
     def _handle_question(self, now: int, ticket: Any, question: Question) -> None:
-        if isinstance(question, Keep) and self.is_leader:
-            for name, asker in question.names:
-                self.liveness.heard(now, name, asker, self.table)
+        if isinstance(question, Renew) and self.is_leader:
+            for name, asker in question.leases:
+                self.liveness.renew(now, name, asker, self.table)
         self._questions.append(PendingRequest(ticket, question))
 
     def _answer_question(self, question: Any) -> Answer:
         table = self.table
-        if isinstance(question, Keep):
-            return Kept(tuple(table.stands(name, asker) for name, asker in question.names))
+        if isinstance(question, Renew):
+            return Renewed(tuple(table.status_of(name, asker) for name, asker in question.leases))
         if isinstance(question, Get):
             return table.get(question.key)
-        assert isinstance(question, Show)
+        assert isinstance(question, Describe)
         if not question.name.endswith("*"):
-            return table.show(question.name)
+            return table.describe(question.name)
         prefix = question.name[:-1]
         names = sorted(
             name for name in table.state.leases if name.startswith(prefix) and name > question.after
         )
-        return Listed(tuple(table.show(name) for name in names[:MAX_LISTED_NAMES]))
+        return LeaseList(tuple(table.describe(name) for name in names[:MAX_LISTED_NAMES]))
 
     # ---- the replica
 
@@ -218,9 +219,9 @@
                         effects.append(SendAnswer(ticket.ticket, reply))
                 case RequestRefused(ticket, reason, leader):
                     if ticket is not None:
-                        effects.append(SendAnswer(ticket.ticket, Elsewhere(reason, leader)))
+                        effects.append(SendAnswer(ticket.ticket, Unavailable(reason, leader)))
                 case LeadershipGained():
-                    self.liveness.begin(now, self.table)
+                    self.liveness.reset(now, self.table)
                     effects.append(effect)
                 case _:
                     effects.append(effect)
@@ -233,7 +234,7 @@
         """Watch over the names that were decided on, and notify those who hold a lease now."""
         for name in self.table.changed:
             known = self.liveness.leases.get(name)
-            self.liveness.look(now, name, self.table)
+            self.liveness.update(now, name, self.table)
             lease = self.table.state.leases.get(name)
             if known is not None and lease is not None and lease.epoch != known[0]:
                 effects.append(NotifyHolder(name, lease.holder))
--- a/thistleline/rollout/leased_records.py
+++ b/thistleline/rollout/leased_records.py
@@ -1,8 +1,8 @@
 """Records of the replicated log that are written under a lease."""
 
-from thistleline.lease.client import Council
-from thistleline.lease.protocol import Denied, Done, Elsewhere, Get, Got, Put
-from thistleline.lease.session import Held
+from thistleline.lease.client import LeaseClient
+from thistleline.lease.protocol import Denied, Done, Get, Got, Put, Unavailable
+from thistleline.lease.session import HeldLease
 from thistleline.rollout.record import LEASE_NAME
 
 WRITE_TIMEOUT = 8.0  # s in which a read or write has to be decided, else the lease is given back
@@ -20,7 +20,7 @@
         versions: Version of each record as last read or written; 0 for none.
     """
 
-    def __init__(self, client: Council, lease: Held) -> None:
+    def __init__(self, client: LeaseClient, lease: HeldLease) -> None:
         """Use a client of the replicated log and a lease that is held."""
         self.client = client
         self.lease = lease
@@ -32,7 +32,7 @@
         Raises:
             UndecidedError: No answer in time.
         """
-        answer = await self.client.surely(Get(key), WRITE_TIMEOUT)
+        answer = await self.client.request_until_decided(Get(key), WRITE_TIMEOUT)
         if not isinstance(answer, Got):
             raise UndecidedError(str(answer))
         self.versions[key] = answer.version
@@ -48,11 +48,11 @@
             if key not in self.versions and await self.get(key) == value:
                 return
             write = Put(key, value, self.versions[key], LEASE_NAME, self.lease.epoch)
-            answer = await self.client.surely(write, WRITE_TIMEOUT)
+            answer = await self.client.request_until_decided(write, WRITE_TIMEOUT)
             if isinstance(answer, Done):
-                self.versions[key] = answer.number
+                self.versions[key] = answer.version
                 return
             del self.versions[key]
-            if isinstance(answer, Elsewhere) or (isinstance(answer, Denied) and "epoch" in answer.why):
+            if isinstance(answer, Unavailable) or (isinstance(answer, Denied) and "epoch" in answer.reason):
                 break
         raise UndecidedError(f"{key}: {answer}")
--- a/thistleline/rollout/service.py
+++ b/thistleline/rollout/service.py
@@ -7,8 +7,9 @@
 import msgspec
 
 from thistleline.config.schema import Conductor, Conf
-from thistleline.lease.client import Council
-from thistleline.lease.session import Held, Lost, Refused, lease
+from thistleline.lease.client import LeaseClient
+from thistleline.lease.errors import LeaseLostError, LeaseRefusedError
+from thistleline.lease.session import HeldLease, lease
 from thistleline.membership.messages import ALIVE, DEAD, Facts
 from thistleline.membership.service import MemberService
 from thistleline.rollout import effects, events
@@ -56,17 +57,17 @@
         assert self.conf.council is not None
         async with anyio.create_task_group() as group:
             group.start_soon(self.member.run)
-            client = Council(dict(self.conf.council.voter), group)
+            client = LeaseClient(dict(self.conf.council.voter), group)
             while True:
                 try:
-                    async with lease(client, LEASE_NAME, self.lease_length, who=self.name) as held:
+                    async with lease(client, LEASE_NAME, self.lease_length, owner=self.name) as held:
                         self.log("conducts", epoch=held.epoch)
                         await self._lead(client, held)
-                except (Lost, Refused, UndecidedError) as error:
+                except (LeaseLostError, LeaseRefusedError, UndecidedError) as error:
                     self.log("conducts no more", why=str(error))
                     await anyio.sleep(LEAD_RETRY)
 
-    async def _lead(self, client: Council, held: Held) -> None:
+    async def _lead(self, client: LeaseClient, held: HeldLease) -> None:
         """Go on from what is recorded, for as long as the lease is held.
 
         Raises:
--- a/thistleline/supervisor/settings.py
+++ b/thistleline/supervisor/settings.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from thistleline.lease.protocol import VALUE_BOUND
+from thistleline.lease.protocol import MAX_VALUE_SIZE
 from thistleline.server.service import CONNECTION_COST, RESERVE
 from thistleline.wire.settings import (
     SettingsError,
@@ -15,7 +15,7 @@
     read_server_settings,
 )
 
-SETTINGS_SIZE_LIMIT = VALUE_BOUND  # bytes of a version: it goes through the replicated log in one record
+SETTINGS_SIZE_LIMIT = MAX_VALUE_SIZE  # bytes of a version: it goes through the replicated log in one record
 MEGABYTE = 1 << 20  # bytes
 CONNECTIONS_MEMORY_DIVISOR = 4  # connections may take this part of the memory
 
