--- a/tests/test_feed_service.py
+++ b/tests/test_feed_service.py
@@ -43,8 +43,8 @@
 from thistleline.config_feed.service import LOOK_BOUND, FeedService
 from thistleline.config_feed.table import Table
 from thistleline.lab.feedfleet import FeedFleet
-from thistleline.lab.harness import Hung, Process, free_port
-from thistleline.lab.net import Way
+from thistleline.lab.harness import Process, RunTimeoutError, free_port
+from thistleline.lab.net import LinkFault
 from thistleline.transport.codec import FrameDecoder, Hello, encode_frame
 from thistleline.transport.disconnects import DISCONNECT_ERRORS
 
@@ -198,10 +198,10 @@
     async def story(feed: FeedFleet) -> None:
         await feed.pairs(4)
         writer = await feed.writer()
-        feed.processes[writer].stop()
+        feed.processes[writer].pause()
         await feed.pairs(4)
         assert await feed.writer() != writer
-        feed.processes[writer].go_on()
+        feed.processes[writer].resume()
         await feed.pairs(4)
         await feed.reaches(writer, feed.oracle.newest)
 
@@ -229,13 +229,13 @@
     writer = await feed.writer()
     (other,) = [one for one in feed.keepers if one != writer]
     await feed.kept(writer, 2)  # what it holds it may not have on disk yet, and then the ring is full sooner
-    feed.processes[other].stop()
+    feed.processes[other].pause()
     feed.asked = [writer]
     await feed.pairs(RING)
     await feed.pairs(4, 0.4)
     feed.asked = feed.keepers
     feed.empty(writer)
-    feed.processes[other].go_on()
+    feed.processes[other].resume()
     feed.processes[writer].start()
     await feed.writer(5.0)
 
@@ -260,17 +260,17 @@
         for fault in ("kill", "stop", "deaf", "mute"):
             for name in [*feed.relays, *feed.subscribers]:
                 await feed.reaches(name, feed.oracle.newest)
-            hurt = next(name for name in feed.relays if feed.fleet.relays["s1", name].open)
+            hurt = next(name for name in feed.relays if feed.fleet.relays["s1", name].connections)
             if fault == "kill":
                 feed.processes[hurt].kill()
             elif fault == "stop":
-                feed.processes[hurt].stop()
+                feed.processes[hurt].pause()
             elif fault == "deaf":  # its words come to nobody below it
                 for (_, to), relay in feed.fleet.relays.items():
                     if to == hurt:
-                        relay.back = Way(swallow=True)
+                        relay.backward = LinkFault(drop=True)
             else:  # nor to anybody above it
-                feed.fleet.cut(hurt, back=False)
+                feed.fleet.partition(hurt, incoming=False)
             await feed.pairs(3)
             if fault != "mute":  # where nobody above hears it, it serves on what it has
                 begun = time.monotonic()
@@ -278,8 +278,8 @@
                     await feed.reaches(name, feed.oracle.newest, 7.0)
                 assert time.monotonic() - begun < 7.0
             feed.fleet.heal()
-            feed.processes[hurt].go_on()
-            if not feed.processes[hurt].runs:
+            feed.processes[hurt].resume()
+            if not feed.processes[hurt].is_running:
                 feed.processes[hurt].start()
 
     assert with_feed(tmp_path, story) == []
@@ -290,12 +290,12 @@
         await feed.pairs(2)
         feed.asked = [await feed.writer()]
         for relay in feed.fleet.relays.values():
-            relay.there = relay.back = Way(delay=0.02, jitter=0.08)
-        feed.processes["s1"].stop()
+            relay.forward = relay.backward = LinkFault(delay=0.02, jitter=0.08)
+        feed.processes["s1"].pause()
         await feed.pairs(4)
         await feed.reaches("s2", feed.oracle.newest)
         feed.fleet.heal()
-        feed.processes["s1"].go_on()
+        feed.processes["s1"].resume()
         await feed.reaches("s1", feed.oracle.newest)
         feed.processes["s1"].kill()
         at = feed.seen("s1")[-1]["number"]
@@ -313,14 +313,14 @@
         await feed.reaches(name, 3)
     for (source, _), relay in feed.fleet.relays.items():
         if source == "r2":
-            relay.cut()
+            relay.disconnect()
     for name in feed.subscribers:
-        feed.fleet.relays[name, "r2"].cut()
+        feed.fleet.relays[name, "r2"].disconnect()
     await feed.pairs(3)
     for name in feed.subscribers:
         feed.fleet.relays[name, "r2"].heal()
         await feed.reaches(name, 6)
-    feed.processes["r1"].stop()
+    feed.processes["r1"].pause()
     for name in feed.subscribers:
         await feed.event(name, "dropped", after=0)
         await feed.reaches(name, 6)
@@ -709,7 +709,7 @@
         fleet.processes[await fleet.leader()].kill()
         await feed.pairs(3)
         for name in fleet.names:
-            if not fleet.processes[name].runs:
+            if not fleet.processes[name].is_running:
                 fleet.processes[name].start()
         await fleet.leader()
         for name in [*feed.keepers, *feed.relays]:
@@ -744,7 +744,7 @@
 ) -> None:
     try:
         wrong = with_feed(tmp_path, story, keepers, 1, without)
-    except* Hung as group:
+    except* RunTimeoutError as group:
         wrong = [str(one) for one in group.exceptions]
     assert any(words in one for one in wrong), wrong
     for path in tmp_path.glob("*.log"):
--- a/tests/test_feed_storms.py
+++ b/tests/test_feed_storms.py
@@ -13,7 +13,7 @@
 from thistleline.cli.main import entry
 from thistleline.lab import feeds
 from thistleline.lab.feeds import ALONE, Storm, storm
-from thistleline.lab.harness import Hung
+from thistleline.lab.harness import RunTimeoutError
 from thistleline.lab.net import Relay
 
 GOOD = {"wrong": [], "hung": False, "acknowledged": 5, "faults": {}}
@@ -44,20 +44,20 @@
 
 def test_who_is_mute_is_heard_by_nobody_and_who_is_deaf_hears_nobody(tmp_path: Path) -> None:
     """Both ends of a link talk, whichever dialled."""
-    for how, its_own, of_others in (("mute", "there", "back"), ("deaf", "back", "there")):
+    for how, its_own, of_others in (("mute", "forward", "backward"), ("deaf", "backward", "forward")):
         one, places = Storm(tmp_path, 1), (("k1", "k2"), ("r1", "k1"), ("r1", "k2"))
         relays = {place: Relay(("127.0.0.1", 1), Random(1)) for place in places}
         feed = SimpleNamespace(processes={"k1": None}, keepers=["k1"], relays=[], subscribers=[])
         vars(one).update(feed=feed, fleet=SimpleNamespace(relays=relays, names=[]))
         anyio.run(one._hurt, how, "keeper")
-        swallowed = [(place, way) for place, relay in relays.items() for way in ("there", "back")
-                     if getattr(relay, way).swallow]  # fmt: skip
+        swallowed = [(place, way) for place, relay in relays.items() for way in ("forward", "backward")
+                     if getattr(relay, way).drop]  # fmt: skip
         assert swallowed == [(places[0], its_own), (places[1], of_others)]
 
 
 def test_what_hangs_is_wrong_and_its_folder_is_kept(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     async def hangs(self: Storm, seconds: float, tell: Any) -> None:
-        raise Hung("no keeper writes in 25 s")
+        raise RunTimeoutError("no keeper writes in 25 s")
 
     monkeypatch.setattr(Storm, "_storm", hangs)
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -59,10 +59,10 @@
             async with anyio.create_task_group() as group:
                 fleet = Fleet(folder, group, 1, voters)
                 try:
-                    await fleet.start_voters()
+                    await fleet.start_replicas()
                     if formed:
                         await fleet.form()
-                    await story(fleet, LeaseClient(await fleet.ways("x"), group, fleet.chance))
+                    await story(fleet, LeaseClient(await fleet.open_relays("x"), group, fleet.rng))
                 finally:
                     fleet.close()
                     group.cancel_scope.cancel()
@@ -93,7 +93,7 @@
         assert "has a council already" in (await run("council", "form")).stderr
         took = await run("lease", "take", "job", "--", "sh", "-c", "echo $LEASE_EPOCH; exit 7")
         assert (took.stdout, took.returncode) == ("1\n", 7)
-        held = await fleet.ask(Acquire("job", "somebody", 30 * SECOND))
+        held = await fleet.request(Acquire("job", "somebody", 30 * SECOND))
         assert held == Granted(2, 30 * SECOND)
         refused = await run("lease", "take", "job", "--no-wait", "--", "true")
         assert (refused.returncode, "somebody holds it" in refused.stderr) == (69, True)
@@ -113,7 +113,7 @@
             one["id"]
             for one in map(json.loads, (await run("council", "members", "--json")).stdout.splitlines())
         }
-        await fleet.rejoin(lost)
+        await fleet.replace_replica(lost)
         told = (await run("council", "members", "--json")).stdout.splitlines()
         after = {one["id"] for one in map(json.loads, told)}
         assert len(before & after) == 2
@@ -135,7 +135,7 @@
         while not (tmp_path / "beats").exists():
             await anyio.sleep(0.02)
         for name in fleet.names:
-            fleet.processes[name].stop()
+            fleet.processes[name].pause()
         stopped = time.time_ns()
         with anyio.fail_after(10):
             assert await process.wait() == 75
@@ -149,14 +149,14 @@
     """It got an old state, with the members of then, and spoke to those alone: it never caught up."""
 
     async def story(fleet: Fleet, _: LeaseClient) -> None:
-        await fleet.rejoin("b")
+        await fleet.replace_replica("b")
         while (leader := await fleet.leader()) != "b":
-            fleet.processes[leader].stop()
+            fleet.processes[leader].pause()
             while await fleet.leader() == leader:
                 await anyio.sleep(0.05)
-            fleet.processes[leader].go_on()
-        await fleet.rejoin("a")
-        stands = await fleet.stands("b")
+            fleet.processes[leader].resume()
+        await fleet.replace_replica("a")
+        stands = await fleet.status("b")
         names = [id.partition(".")[0] for id, _ in stands.members]
         assert sorted(names) == ["a", "b", "c"]
 
@@ -191,7 +191,7 @@
             async with lease(council, "n", 1.0):
                 for (source, _), relay in fleet.relays.items():
                     if source == "x":
-                        relay.cut()
+                        relay.disconnect()
                 try:
                     await anyio.sleep(10)
                 finally:
@@ -200,10 +200,10 @@
         with pytest.raises(LeaseLostError):
             await hold_on()
         fleet.heal()
-        other = await fleet.ask(Acquire("n", "y", SECOND, True))
+        other = await fleet.request(Acquire("n", "y", SECOND, True))
         while not isinstance(other, Granted):
             await anyio.sleep(0.02)
-            other = await fleet.ask(Acquire("n", "y", SECOND, True))
+            other = await fleet.request(Acquire("n", "y", SECOND, True))
         assert other.epoch == 2
         assert ended[0] < time.monotonic_ns()
 
@@ -221,8 +221,8 @@
             before = held.holder.valid_until
             while held.holder.valid_until == before:
                 await anyio.sleep(0.02)
-            assert (await fleet.ask(Describe("n")) or held).epoch == held.epoch  # type: ignore[union-attr]
-        again = await fleet.ask(Acquire("n", "y", SECOND))
+            assert (await fleet.request(Describe("n")) or held).epoch == held.epoch  # type: ignore[union-attr]
+        again = await fleet.request(Acquire("n", "y", SECOND))
         assert again == Granted(held.epoch + 1, SECOND)
 
     with_fleet(tmp_path, 3, story)
@@ -231,7 +231,7 @@
 def test_three_hundred_ask_after_a_holder_s_death_and_each_gets_it_once(tmp_path: Path) -> None:
     async def story(fleet: Fleet, _: LeaseClient) -> None:
         epochs: list[int] = []
-        await fleet.ask(Acquire("n", "dead", SECOND // 2))
+        await fleet.request(Acquire("n", "dead", SECOND // 2))
         councils: list[LeaseClient] = []
 
         async def one(place: int) -> None:
@@ -268,7 +268,7 @@
                 except anyio.EndOfStream:
                     assert not wanted
         assert await fleet.leader()
-        assert isinstance(await fleet.ask(Acquire("n", "y", SECOND)), Granted)
+        assert isinstance(await fleet.request(Acquire("n", "y", SECOND)), Granted)
 
     with_fleet(tmp_path, 3, story)
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -708,7 +708,7 @@
     async with anyio.create_task_group() as group:
         fleet = Machines(tmp_path, group, 1, 1, 1)
         try:
-            await fleet.fleet.start_voters()
+            await fleet.fleet.start_replicas()
             await fleet.fleet.form()
             good, bad = tmp_path / "good.json", tmp_path / "bad.json"
             good.write_text(json.dumps(SETTINGS))
--- a/thistleline/lab/feedfleet.py
+++ b/thistleline/lab/feedfleet.py
@@ -17,7 +17,7 @@
 from thistleline.config_feed.limits import MADE_SLOTS
 from thistleline.config_feed.messages import Item, Looked, Propose, Proposed
 from thistleline.config_feed.table import Table
-from thistleline.lab.harness import Fleet, Hung, Process, free_port
+from thistleline.lab.harness import Fleet, Process, RunTimeoutError, free_port
 from thistleline.transport.address import Address
 
 PAIRS = 4
@@ -130,7 +130,7 @@
         fleet = self.fleet
         for name in [*self.keepers, *self.relays]:
             fleet.ports[name] = free_port()
-        await fleet.start_voters()
+        await fleet.start_replicas()
         for name in self.keepers:
             await self._start_keeper(name)
         for level, name in enumerate(self.relays, 1):  # r2 follows r1, and the keepers without it
@@ -143,7 +143,7 @@
 
     async def way(self, source: str, to: str) -> Address:
         """The one that `source` takes: through a relay of the lab."""
-        return await self.fleet.relay(source, to)
+        return await self.fleet.open_relay(source, to)
 
     async def _start_keeper(self, name: str) -> None:
         fleet = self.fleet
@@ -199,7 +199,9 @@
 
     async def looked(self, name: str) -> Looked | None:
         process = self.processes[name]
-        return await look(self.address(name), (), 0.5) if process.runs and not process.stopped else None
+        return (
+            await look(self.address(name), (), 0.5) if process.is_running and not process.is_paused else None
+        )
 
     async def writer(self, span: float = PATIENCE, other_than: str = "") -> str:
         """The keeper that writes, once there is one."""
@@ -210,7 +212,7 @@
             if found and max(found)[1] != other_than:
                 return max(found)[1]
             await anyio.sleep(0.02)
-        raise Hung(f"no keeper writes in {span} s")
+        raise RunTimeoutError(f"no keeper writes in {span} s")
 
     async def reaches(self, name: str, number: int, span: float = PATIENCE) -> None:
         """Till that keeper or relay stands there, or that subscriber said so."""
@@ -224,7 +226,7 @@
             if at >= number:
                 return
             await anyio.sleep(0.02)
-        raise Hung(f"{name} stands at {at} and not at {number} after {span} s")
+        raise RunTimeoutError(f"{name} stands at {at} and not at {number} after {span} s")
 
     async def kept(self, writer: str, number: int, span: float = PATIENCE) -> None:
         """Till the writer knows that a majority of the keepers has the change on disk."""
@@ -234,7 +236,7 @@
             if found is not None and found.facts.get("kept", 0) >= number:
                 return
             await anyio.sleep(0.02)
-        raise Hung(f"{writer} does not know in {span} s that {number} is kept")
+        raise RunTimeoutError(f"{writer} does not know in {span} s that {number} is kept")
 
     async def event(self, name: str, event: str, span: float = PATIENCE, after: int = 0) -> None:
         """Till its log tells of it more often than `after`."""
@@ -243,7 +245,7 @@
             if sum(one["event"] == event for one in self.processes[name].events()) > after:
                 return
             await anyio.sleep(0.02)
-        raise Hung(f"{name} logs no {event!r} in {span} s")
+        raise RunTimeoutError(f"{name} logs no {event!r} in {span} s")
 
     def seen(self, name: str) -> list[dict[str, Any]]:
         """The states that a subscriber told of in its last life."""
@@ -253,7 +255,7 @@
                 lives.append([])
             elif one["event"] == "state":
                 lives[-1].append(one)
-        return lives[-1] if len(lives) == self.processes[name].starts else []
+        return lives[-1] if len(lives) == self.processes[name].incarnation else []
 
     async def table(self, name: str, number: int, span: float = PATIENCE) -> Table:
         """All that a keeper or relay holds, at that number or after it."""
@@ -264,7 +266,7 @@
                 await following.beyond(number)
             group.cancel_scope.cancel()
         if scope.cancelled_caught:
-            raise Hung(f"{name} does not tell the state {number} in {span} s")
+            raise RunTimeoutError(f"{name} does not tell the state {number} in {span} s")
         return following.table
 
     # ---- changes
@@ -294,14 +296,14 @@
         """All is well again; what was not known is asked for once more; then all must stand alike."""
         self.fleet.heal()
         for process in self.processes.values():
-            if process.stopped:
-                process.go_on()
-            if not process.runs:
+            if process.is_paused:
+                process.resume()
+            if not process.is_running:
                 process.start()
         for told in list(self.oracle.open.values()):
             await self.ask(told, PATIENCE)
         if self.oracle.open:
-            raise Hung(f"still not known: {list(self.oracle.open)}")
+            raise RunTimeoutError(f"still not known: {list(self.oracle.open)}")
         for name in [*self.keepers, *self.relays, *self.subscribers]:
             await self.reaches(name, self.oracle.newest)
 
--- a/thistleline/lab/feeds.py
+++ b/thistleline/lab/feeds.py
@@ -16,8 +16,8 @@
 import anyio
 
 from thistleline.lab.feedfleet import FeedFleet
-from thistleline.lab.harness import Hung, folder_of
-from thistleline.lab.net import Way
+from thistleline.lab.harness import RunTimeoutError, run_folder
+from thistleline.lab.net import LinkFault
 
 Tell = Callable[[str], None]
 
@@ -97,7 +97,7 @@
                 names = [kinds[place % len(kinds)]]
                 names += [self.chance.choice(kinds)] if self.chance.random() < TWO else []
             place += 1
-            self.fleet.note(" and ".join(names))
+            self.fleet.record(" and ".join(names))
             for name in names:
                 self.faults[name] += 1
                 how, _, who = name.partition(" ")
@@ -111,19 +111,19 @@
         """All is well again, and changes are acknowledged. A connection of which something was swallowed
         ends: TCP loses nothing in the middle of one that goes on."""
         for relay in self.fleet.relays.values():
-            if relay.there.swallow or relay.back.swallow:
-                relay.cut()
+            if relay.forward.drop or relay.backward.drop:
+                relay.disconnect()
         self.fleet.heal()
         for name, process in self.feed.processes.items():
-            self.fleet.disk(name, "")
-            if process.stopped:
-                process.go_on()
-            if not process.runs:
+            self.fleet.set_disk_fault(name, "")
+            if process.is_paused:
+                process.resume()
+            if not process.is_running:
                 process.start()
         count, until = len(self.acknowledged), time.monotonic() + PATIENCE
         while len(self.acknowledged) == count:
             if time.monotonic() > until:
-                raise Hung(f"no change is acknowledged in {PATIENCE} s")
+                raise RunTimeoutError(f"no change is acknowledged in {PATIENCE} s")
             await anyio.sleep(0.01)
         await anyio.sleep(CALM)
 
@@ -139,24 +139,24 @@
     async def _hurt(self, how: str, who: str) -> None:
         try:
             name = await self._victim(who)
-        except Hung:
+        except RunTimeoutError:
             return  # the first of two faults took the one that there was
         process = self.feed.processes[name]
         if how == "kill":
             process.kill()
         elif how == "stop":
-            process.stop()
+            process.pause()
         elif how in DISK:
-            self.fleet.disk(name, how)
+            self.fleet.set_disk_fault(name, how)
         else:
             for (source, to), relay in self.fleet.relays.items():
                 if how == "cut" and name in (source, to):
-                    relay.cut()
+                    relay.disconnect()
                 elif name in (source, to):  # mute: nothing of it comes to others; deaf: nothing to it
                     if (source == name) == (how == "mute"):
-                        relay.there = Way(swallow=True)
+                        relay.forward = LinkFault(drop=True)
                     else:
-                        relay.back = Way(swallow=True)
+                        relay.backward = LinkFault(drop=True)
 
     async def _whole(self, name: str) -> None:
         whole: Callable[[], Awaitable[None]] = getattr(self, f"_{name}")
@@ -164,7 +164,9 @@
 
     async def _late(self) -> None:
         for relay in self.fleet.relays.values():
-            relay.there, relay.back = (Way(self.chance.uniform(0.0, 0.06), 0.05) for _ in range(2))
+            relay.forward, relay.backward = (
+                LinkFault(self.chance.uniform(0.0, 0.06), 0.05) for _ in range(2)
+            )
 
     async def _lose_keeper(self) -> None:
         """Its disk is lost; others follow only once it has all again."""
@@ -179,11 +181,11 @@
             if found is not None and found.facts.get("durable", 0) >= number:
                 return
             if time.monotonic() > until:
-                raise Hung(f"{name} has not all on disk {PATIENCE} s after its disk was lost")
+                raise RunTimeoutError(f"{name} has not all on disk {PATIENCE} s after its disk was lost")
             await anyio.sleep(0.02)
 
     async def _lose_voter(self) -> None:
-        await self.fleet.rejoin(self.chance.choice(self.fleet.names))
+        await self.fleet.replace_replica(self.chance.choice(self.fleet.names))
 
     async def _strand(self) -> None:
         """r2 is cut off from all above, changes go on at r1, then that one stands still: those who come to r2
@@ -191,15 +193,15 @@
         feed, relays = self.feed, self.fleet.relays
         for (source, _), relay in relays.items():
             if source == "r2":
-                relay.cut()
+                relay.disconnect()
         for name in feed.subscribers:
-            relays[name, "r2"].cut()
+            relays[name, "r2"].disconnect()
         await anyio.sleep(0.3)
         number = feed.oracle.newest + 1
         for name in feed.subscribers:
             await feed.reaches(name, number)
             relays[name, "r2"].heal()
-        feed.processes["r1"].stop()
+        feed.processes["r1"].pause()
         await anyio.sleep(LAST + 1.0)
 
 
@@ -207,12 +209,12 @@
     seed: int, seconds: float, tell: Tell, without: str = "", only: tuple[str, ...] = ()
 ) -> dict[str, Any]:
     """What came of it; what hangs is wrong too. The folder of a run that found something is kept."""
-    with folder_of("feeds", f"thistleline lab feeds --seed {seed}") as folder:
+    with run_folder("feeds", f"thistleline lab feeds --seed {seed}") as folder:
         one = Storm(folder, seed, without, only)
         found: dict[str, Any] = {}
         try:
             found = anyio.run(one.run, seconds, tell)
-        except* Hung as group:
+        except* RunTimeoutError as group:
             wrong = [*one.feed.oracle.wrong, *(str(why) for why in _leaves(group))]
             found = {"wrong": wrong, "hung": True, "acknowledged": len(one.acknowledged),
                      "faults": dict(sorted(one.faults.items()))}  # fmt: skip
@@ -222,7 +224,7 @@
         return found
 
 
-def _leaves(group: BaseExceptionGroup[Hung]) -> list[BaseException]:
+def _leaves(group: BaseExceptionGroup[RunTimeoutError]) -> list[BaseException]:
     return [leaf for one in group.exceptions
             for leaf in (_leaves(one) if isinstance(one, BaseExceptionGroup) else [one])]  # fmt: skip
 
--- a/thistleline/lab/handover.py
+++ b/thistleline/lab/handover.py
@@ -24,7 +24,7 @@
 from thistleline.handover.serving import read_owner
 from thistleline.lab.caller import Caller
 from thistleline.lab.farm import FarmStandIn
-from thistleline.lab.harness import folder_of, free_port
+from thistleline.lab.harness import free_port, run_folder
 from thistleline.lab.ledger import SETTINGS, judge
 
 STOP = 1500  # ms
@@ -227,7 +227,7 @@
 def in_folder(
     seed: int, count: int, faults: bool, keeps: bool, tell: Callable[[str], None]
 ) -> dict[str, Any]:
-    with folder_of("handover", f"thistleline lab handover --seed {seed}") as folder:
+    with run_folder("handover", f"thistleline lab handover --seed {seed}") as folder:
         found = anyio.run(changes, folder, seed, count, faults, keeps, tell)
         if found["run_twice"] and not keeps:
             (folder / "keep").touch()
--- a/thistleline/lab/harness.py
+++ b/thistleline/lab/harness.py
@@ -1,7 +1,7 @@
-"""The harness of all tests with several processes: start, kill, stop, restart, cut, record, clean up.
+"""The harness of all tests with several processes: start, kill, pause, restart, partition, record, clean up.
 
-It starts the program as its users start it, on free ports of loopback, and ends only what it started. Where a
-run fails its folder is kept: logs, settings and the plan of faults.
+It starts the program as its users start it, on free ports of loopback, and ends only what it started. The
+folder of a failed run is left in place: logs, settings and the record of the faults that were injected.
 """
 
 import fcntl
@@ -36,26 +36,32 @@
 )
 from thistleline.transport.address import Address
 
-HEARTBEAT, ELECTION = "40ms", "250ms"
+HEARTBEAT_INTERVAL = "40ms"
+ELECTION_TIMEOUT = "250ms"
+POLL_INTERVAL = 0.05  # s between two looks for a leader
 
 
-class Hung(Exception):
-    """What was awaited did not come."""
+class RunTimeoutError(Exception):
+    """What a run waited for did not happen in time."""
 
 
-PORTS = range(15_000, 32_000)  # below those that the system gives to connections that go out
-_held_ports: list[int] = []
+PORTS = range(15_000, 32_000)  # below the ephemeral ports of outgoing connections
+_port_locks: list[int] = []  # file descriptors, open for as long as this process runs
 
 
 def free_port() -> int:
-    """A port that is this process's own as long as it lives, used or not. Guards against one that goes to a
-    connection of somebody else between being found free and being listened on, and against runs beside each
-    other."""
+    """Reserve a port for this process until it ends, whether it is used or not.
+
+    The lock file prevents that a port goes to another run between being found free and being listened on.
+
+    Raises:
+        RunTimeoutError: No port of `PORTS` is free.
+    """
     folder = Path(tempfile.gettempdir()) / "thistleline-ports"
     folder.mkdir(mode=0o777, exist_ok=True)
     first = Random(os.urandom(8)).randrange(len(PORTS))
-    for place in range(len(PORTS)):
-        port = PORTS[(first + place) % len(PORTS)]
+    for offset in range(len(PORTS)):
+        port = PORTS[(first + offset) % len(PORTS)]
         lock = os.open(folder / str(port), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o666)
         try:
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -64,62 +70,79 @@
         except OSError:
             os.close(lock)
             continue
-        _held_ports.append(lock)
+        _port_locks.append(lock)
         return port
-    raise Hung("no port is free")
+    raise RunTimeoutError(f"no port from {PORTS.start} to {PORTS.stop - 1} is free")
 
 
 class Process:
-    """One process of the program, one life after another."""
-
-    def __init__(self, name: str, words: list[str], env: dict[str, str], folder: Path) -> None:
-        self.name, self.words, self.folder = name, words, folder
+    """One process of the program, through all its incarnations; they append to the same log."""
+
+    def __init__(self, name: str, arguments: list[str], env: dict[str, str], folder: Path) -> None:
+        """Name a process without starting it.
+
+        Args:
+            name: Its name in the fleet, and of its log file.
+            arguments: Of thistleline.lab.member.
+            env: Variables added to this process's environment.
+            folder: Where the log is written.
+        """
+        self.name = name
+        self.arguments = arguments
+        self.folder = folder
         self.env = {**os.environ, **env}
         self.log: IO[bytes] = (folder / f"{name}.log").open("ab")
         self.process: subprocess.Popen[bytes] | None = None
-        self.stopped = False
-        self.starts = 0
+        self.is_paused = False
+        self.incarnation = 0
 
     def start(self) -> None:
-        self.starts += 1
+        """Start the next incarnation."""
+        self.incarnation += 1
         if self.process is not None and self.process.stdin is not None:
             self.process.stdin.close()
-        command = [sys.executable, "-m", "thistleline.lab.member", *self.words]
-        # Its standard input ends with this process, however that ends; guards against what is left running.
+        command = [sys.executable, "-m", "thistleline.lab.member", *self.arguments]
+        # Its standard input ends when this process does, in whatever way: no orphan is left running.
         self.process = subprocess.Popen(
             command, env=self.env, stdin=subprocess.PIPE, stdout=self.log, stderr=self.log
         )
-        self.stopped = False
+        self.is_paused = False
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
+        """Whether the latest incarnation has not ended; a paused one counts as running."""
         return self.process is not None and self.process.poll() is None
 
     def signal(self, number: int) -> None:
-        if self.runs:
+        """Send a signal to the process if it runs."""
+        if self.is_running:
             assert self.process is not None
             self.process.send_signal(number)
 
-    def stop(self) -> None:
-        """Stands still, as a machine that swaps or is moved."""
-        self.stopped = True
+    def pause(self) -> None:
+        """Suspend the process, as a machine that swaps or is migrated."""
+        self.is_paused = True
         self.signal(signal.SIGSTOP)
 
-    def go_on(self) -> None:
-        self.stopped = False
+    def resume(self) -> None:
+        """Let a paused process run on."""
+        self.is_paused = False
         self.signal(signal.SIGCONT)
 
     def kill(self) -> None:
+        """Kill the process (SIGKILL) and wait for its end."""
         self.signal(signal.SIGKILL)
         if self.process is not None:
             self.process.wait()
-        self.stopped = False
+        self.is_paused = False
 
     def events(self) -> list[dict[str, Any]]:
+        """Return the JSON events of the log, of all incarnations."""
         lines = (self.folder / f"{self.name}.log").read_bytes().splitlines()
         return [json.loads(line) for line in lines if line.startswith(b"{") and line.endswith(b"}")]
 
     def close(self) -> None:
+        """Kill the process and close its log."""
         self.kill()
         if self.process is not None and self.process.stdin is not None:
             self.process.stdin.close()
@@ -127,138 +150,203 @@
 
 
 class Fleet:
-    """A council of voters, each pair of them with a relay each way, and whatever else a test starts."""
-
-    def __init__(self, folder: Path, group: TaskGroup, seed: int, voters: int) -> None:
-        self.folder, self.group, self.chance = folder, group, Random(seed)
-        self.names = [chr(ord("a") + place) for place in range(voters)]
+    """A cluster of replicas with a relay for each ordered pair, and the other processes of a test."""
+
+    def __init__(self, folder: Path, group: TaskGroup, seed: int, replicas: int) -> None:
+        """Reserve ports for the replicas, named a, b, ...; nothing is started.
+
+        Args:
+            folder: Of the run: settings, logs, data.
+            group: Runs the relays.
+            seed: Of all random draws.
+            replicas: How many.
+        """
+        self.folder = folder
+        self.group = group
+        self.rng = Random(seed)
+        self.names = [chr(ord("a") + index) for index in range(replicas)]
         self.ports = {name: free_port() for name in self.names}
         self.processes: dict[str, Process] = {}
-        self.relays: dict[tuple[str, str], Relay] = {}  # from, to
-        self.plan: list[dict[str, Any]] = []  # what was done, when
-        self.begun = time.monotonic()
+        self.relays: dict[tuple[str, str], Relay] = {}  # by (source, target)
+        self.history: list[dict[str, Any]] = []  # injected faults and their times, written to plan.json
+        self.started_at = time.monotonic()
 
-    def note(self, what: str, **facts: Any) -> None:
-        self.plan.append({"at": round(time.monotonic() - self.begun, 3), "what": what, **facts})
+    def record(self, what: str, **details: Any) -> None:
+        """Append a fault to the history, with the seconds since the start of the run."""
+        self.history.append({"at": round(time.monotonic() - self.started_at, 3), "what": what, **details})
 
     def address(self, name: str) -> Address:
+        """Return the replica's own address, past all relays."""
         return "127.0.0.1", self.ports[name]
 
-    async def relay(self, source: str, to: str) -> Address:
-        """The way that `source` takes to the voter `to`."""
-        relay = self.relays[source, to] = Relay(self.address(to), self.chance)
+    async def open_relay(self, source: str, target: str) -> Address:
+        """Open the relay that `source` dials to reach the replica `target`, and return its address."""
+        relay = Relay(self.address(target), self.rng)
+        self.relays[source, target] = relay
         await relay.serve(self.group)
         return "127.0.0.1", relay.port
 
-    async def ways(self, source: str) -> dict[str, Address]:
-        return {name: await self.relay(source, name) for name in self.names}
+    async def open_relays(self, source: str) -> dict[str, Address]:
+        """Open a relay from `source` to each replica; return the addresses by replica."""
+        return {name: await self.open_relay(source, name) for name in self.names}
 
-    async def start_voters(self, env: dict[str, dict[str, str]] | None = None, without: str = "") -> None:
+    async def start_replicas(self, env: dict[str, dict[str, str]] | None = None, without: str = "") -> None:
+        """Start all replicas.
+
+        Args:
+            env: More environment variables, by replica.
+            without: The safety measure that the replicas leave out (lab/member.py).
+        """
         for name in self.names:
-            lines = [f"council folder {self.folder}/{name}", f"council name {name}",
-                     f"council listen 127.0.0.1:{self.ports[name]}",
-                     f"council heartbeat {HEARTBEAT}", f"council election {ELECTION}"]  # fmt: skip
-            for other in self.names:
-                if other != name:
-                    host, port = await self.relay(name, other)
-                    lines.append(f"council via {other}={host}:{port}")
-            conf = self.folder / f"{name}.conf"
-            conf.write_text("\n".join(lines) + "\n")
-            told = {"LAB_DISK": str(self.folder / f"{name}.disk"), "LAB_WITHOUT": without}
-            told |= (env or {}).get(name, {})
-            process = Process(name, ["council", "--conf", str(conf)], told, self.folder)
+            settings = await self._write_settings(name)
+            variables = {"LAB_DISK": str(self._disk_fault_file(name)), "LAB_WITHOUT": without}
+            variables |= (env or {}).get(name, {})
+            process = Process(name, ["council", "--conf", str(settings)], variables, self.folder)
             self.processes[name] = process
             process.start()
 
+    async def _write_settings(self, name: str) -> Path:
+        lines = [f"council folder {self.folder}/{name}", f"council name {name}",
+                 f"council listen 127.0.0.1:{self.ports[name]}",
+                 f"council heartbeat {HEARTBEAT_INTERVAL}",
+                 f"council election {ELECTION_TIMEOUT}"]  # fmt: skip
+        for other in self.names:
+            if other != name:
+                host, port = await self.open_relay(name, other)
+                lines.append(f"council via {other}={host}:{port}")
+        settings = self.folder / f"{name}.conf"
+        settings.write_text("\n".join(lines) + "\n")
+        return settings
+
     async def form(self) -> None:
-        """Makes a council of all voters, each asked at its own address."""
-        members = []
+        """Form a cluster of all replicas, each asked at its own address, and wait for a leader."""
+        ids = []
         for name in self.names:
-            members.append((await self.stands(name)).id)
-        known = tuple((id, f"127.0.0.1:{self.ports[id.partition('.')[0]]}") for id in sorted(members))
-        told = FormCluster(self.chance.randbytes(8).hex(), known)
+            ids.append((await self.status(name)).id)
+        members = tuple((id, f"127.0.0.1:{self.ports[id.partition('.')[0]]}") for id in sorted(ids))
+        form = FormCluster(self.rng.randbytes(8).hex(), members)
         for name in self.names:
-            await self.ask(told, {name: self.address(name)})
+            await self.request(form, {name: self.address(name)})
         await self.leader()
 
-    async def ask(self, op: Op, voters: dict[str, Address] | None = None, span: float = 10.0) -> Answer:
-        known = voters or {name: self.address(name) for name in self.names}
+    async def request(
+        self, op: Op, replicas: dict[str, Address] | None = None, timeout: float = 10.0
+    ) -> Answer:
+        """Send one operation to the replicas (all unless named) until it is decided, or `timeout` seconds."""
+        addresses = replicas or {name: self.address(name) for name in self.names}
         async with anyio.create_task_group() as group:
-            answer = await LeaseClient(known, group, self.chance).request_until_decided(op, span)
+            client = LeaseClient(addresses, group, self.rng)
+            answer = await client.request_until_decided(op, timeout)
             group.cancel_scope.cancel()
         return answer
 
-    async def stands(self, name: str, span: float = 10.0) -> ReplicaStatus:
-        answer = await self.ask(GetStatus(), {name: self.address(name)}, span)
+    async def status(self, name: str, timeout: float = 10.0) -> ReplicaStatus:
+        """Return what a replica says of itself.
+
+        Raises:
+            RunTimeoutError: It says nothing in `timeout` seconds.
+        """
+        answer = await self.request(GetStatus(), {name: self.address(name)}, timeout)
         if not isinstance(answer, ReplicaStatus):
-            raise Hung(f"voter {name} does not say how it stands in {span} s")
+            raise RunTimeoutError(f"replica {name} does not give its status in {timeout} s")
         return answer
 
-    async def leader(self, span: float = 15.0) -> str:
-        """The name of the leader of the latest term, once there is one."""
-        until = time.monotonic() + span
-        while time.monotonic() < until:
-            found: list[tuple[int, str]] = []
+    async def leader(self, timeout: float = 15.0) -> str:
+        """Return the name of the leader of the latest term, once there is one.
+
+        Raises:
+            RunTimeoutError: There is none in `timeout` seconds.
+        """
+        deadline = time.monotonic() + timeout
+        while time.monotonic() < deadline:
+            leaders: list[tuple[int, str]] = []  # (term, name)
             for name in self.names:
-                if self.processes[name].runs and not self.processes[name].stopped:
-                    answer = await self.ask(GetStatus(), {name: self.address(name)}, 0.0)
+                if self.processes[name].is_running and not self.processes[name].is_paused:
+                    answer = await self.request(GetStatus(), {name: self.address(name)}, 0.0)
                     if isinstance(answer, ReplicaStatus) and answer.phase == "leading":
-                        found.append((answer.term, name))
-            if found:
-                return max(found)[1]
-            await anyio.sleep(0.05)
-        raise Hung(f"no leader in {span} s")
-
-    async def rejoin(self, name: str) -> None:
-        """A voter whose disk is lost comes back empty, as another one."""
-        old = (await self.stands(name)).id
+                        leaders.append((answer.term, name))
+            if leaders:
+                return max(leaders)[1]
+            await anyio.sleep(POLL_INTERVAL)
+        raise RunTimeoutError(f"no leader in {timeout} s")
+
+    async def replace_replica(self, name: str) -> None:
+        """Lose a replica's disk: it comes back empty, under a new id, and the membership is changed.
+
+        Raises:
+            RunTimeoutError: The membership change is not decided.
+        """
+        old = (await self.status(name)).id
         self.processes[name].kill()
         shutil.rmtree(self.folder / name)
         self.processes[name].start()
-        new = (await self.stands(name)).id
-        rest = {one: self.address(one) for one in self.names if one != name}
+        new = (await self.status(name)).id
+        others = {other: self.address(other) for other in self.names if other != name}
         for change in (
             ChangeMembership("remove", old),
             ChangeMembership("add", new, f"127.0.0.1:{self.ports[name]}"),
         ):
-            answer = await self.ask(change, rest, 20.0)
-            self.note("changed", what_of=str(change), answer=str(answer))
+            answer = await self.request(change, others, 20.0)
+            self.record("changed", what_of=str(change), answer=str(answer))
             if not isinstance(answer, Done):
-                raise Hung(f"{change} comes to nothing: {answer}")
-
-    def disk(self, name: str, how: str) -> None:
-        """What its disk does from now on: "fail", "slow", or nothing ill."""
-        (self.folder / f"{name}.disk").write_text(how)
-
-    def cut(self, name: str, there: bool = True, back: bool = True) -> None:
-        """`there`: what it sends, `back`: what others send to it. One way alone is swallowed, not refused."""
-        for (source, to), relay in self.relays.items():
-            if (source == name and there) or (to == name and back):
-                if there and back:
-                    relay.cut()
+                raise RunTimeoutError(f"{change} is not decided: {answer}")
+
+    def _disk_fault_file(self, name: str) -> Path:
+        return self.folder / f"{name}.disk"
+
+    def set_disk_fault(self, name: str, fault: str) -> None:
+        """Set what a process's disk does from now on: "fail", "slow", or "" for no fault."""
+        self._disk_fault_file(name).write_text(fault)
+
+    def partition(self, name: str, outgoing: bool = True, incoming: bool = True) -> None:
+        """Cut a process off: what it sends, what others send to it, or both.
+
+        One direction alone loses bytes silently; both directions end and refuse connections.
+        """
+        for (source, target), relay in self.relays.items():
+            if (source == name and outgoing) or (target == name and incoming):
+                if outgoing and incoming:
+                    relay.disconnect()
                 else:
-                    relay.there = relay.there._replace(swallow=True)
+                    relay.forward = relay.forward._replace(drop=True)
 
     def heal(self) -> None:
+        """Remove the faults of all relays."""
         for relay in self.relays.values():
             relay.heal()
 
+    def restore(self) -> None:
+        """Remove all faults: of relays and disks; resume what is paused, restart what is dead."""
+        self.heal()
+        for name, process in self.processes.items():
+            self.set_disk_fault(name, "")
+            if process.is_paused:
+                process.resume()
+            if not process.is_running:
+                process.start()
+
     def close(self) -> None:
+        """End every process and write the history of faults to plan.json."""
         for process in self.processes.values():
             process.close()
-        (self.folder / "plan.json").write_text(json.dumps(self.plan, indent=1))
+        (self.folder / "plan.json").write_text(json.dumps(self.history, indent=1))
 
 
 @contextmanager
-def folder_of(what: str, again: str) -> Iterator[Path]:
-    """A folder for a run; kept where it fails, with the command that plays it again."""
-    folder = Path(tempfile.mkdtemp(prefix=f"thistleline-{what}-"))
+def run_folder(run: str, command: str) -> Iterator[Path]:
+    """Make a folder for a run; leave it in place if the run fails or a file `keep` is in it.
+
+    Args:
+        run: The name of the run, part of the folder's name.
+        command: Repeats the run; printed with the folder that is left.
+    """
+    folder = Path(tempfile.mkdtemp(prefix=f"thistleline-{run}-"))
     try:
         yield folder
     except BaseException:
-        print(f"kept: {folder}; again: {again}", file=sys.stderr)
+        print(f"kept: {folder}; again: {command}", file=sys.stderr)
         raise
     if (folder / "keep").exists():
-        print(f"kept: {folder}; again: {again}", file=sys.stderr)
+        print(f"kept: {folder}; again: {command}", file=sys.stderr)
     else:
         shutil.rmtree(folder)
--- a/thistleline/lab/leases.py
+++ b/thistleline/lab/leases.py
@@ -18,8 +18,8 @@
 from anyio.abc import SocketStream, TaskGroup
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-from thistleline.lab.harness import Fleet, Hung, Process, folder_of
-from thistleline.lab.net import Way
+from thistleline.lab.harness import Fleet, Process, RunTimeoutError, run_folder
+from thistleline.lab.net import LinkFault
 from thistleline.lease.fencing import FencingGuard
 from thistleline.transport.disconnects import DISCONNECT_ERRORS
 
@@ -137,12 +137,12 @@
             try:
                 await recorder.serve(group)
                 clocks = {name: {"LAB_CLOCK": json.dumps(clock)} for name, clock in CLOCKS.items()}
-                await fleet.start_voters(clocks)
+                await fleet.start_replicas(clocks)
                 await fleet.form()
                 await self._contenders()
                 await self._storm(changes, seconds, tell)
                 figures = judge(recorder.wrote, self.fenced)
-                terms = (await fleet.stands(await fleet.leader())).term
+                terms = (await fleet.status(await fleet.leader())).term
             finally:
                 fleet.close()
                 recorder.close(self.folder)
@@ -162,7 +162,8 @@
     async def _contenders(self) -> None:
         for place in range(self.counts[1]):
             name = f"x{place}"
-            told = {"voters": await self.fleet.ways(name), "resource": ("127.0.0.1", self.recorder.port),
+            told = {"voters": await self.fleet.open_relays(name),
+                    "resource": ("127.0.0.1", self.recorder.port),
                     "who": name, "name": NAME, "length": LENGTH, "longest": LONGEST,
                     "acts": 40 if place % 4 == 0 else 3,  # a quarter works longer than a lease lasts
                     "pause": 0.05, "seed": self.seed * 100 + place}  # fmt: skip
@@ -191,7 +192,7 @@
                 self.chance.shuffle(kinds)
             fault = rare[place // 8 % len(rare)] if place % 8 == 7 else kinds[place % len(kinds)]
             place += 1
-            self.fleet.note(fault.__name__)
+            self.fleet.record(fault.__name__)
             self.faults[fault.__name__] += 1
             await fault()
             await self._healed()
@@ -207,10 +208,10 @@
         """All is well again, and somebody acts."""
         self.fleet.heal()
         for name, process in self.fleet.processes.items():
-            self.fleet.disk(name, "")
-            if process.stopped:
-                process.go_on()
-            if not process.runs:
+            self.fleet.set_disk_fault(name, "")
+            if process.is_paused:
+                process.resume()
+            if not process.is_running:
                 process.start()
         self.hurt = set()
         await self._acts()
@@ -221,7 +222,7 @@
         until = time.monotonic() + PATIENCE
         while not any(one.what == "begin" for one in self.recorder.wrote[count:]):
             if time.monotonic() > until:
-                raise Hung(f"nobody acts in {PATIENCE} s")
+                raise RunTimeoutError(f"nobody acts in {PATIENCE} s")
             await anyio.sleep(0.005)
 
     async def _holder(self) -> str:
@@ -242,7 +243,7 @@
         process.kill()
         while not any(one.epoch > epoch for one in wrote[-4:]):
             if time.monotonic() - died > PATIENCE:
-                raise Hung(f"nobody acts in {PATIENCE} s after a holder's death")
+                raise RunTimeoutError(f"nobody acts in {PATIENCE} s after a holder's death")
             await anyio.sleep(0.002)
         gap = time.monotonic() - died
         self.gaps.append(round(gap, 3))
@@ -280,29 +281,29 @@
         for (source, to), relay in self.fleet.relays.items():
             inside = {source, to} <= {leader, other}
             if not inside and source in self.fleet.names and {source, to} & {leader, other}:
-                relay.cut()
+                relay.disconnect()
         await anyio.sleep(self.chance.uniform(0.2, 2 * LENGTH))
 
     async def one_way(self) -> None:
         name = self._voters(1)[0]
         hears = self.chance.random() < 0.5
-        self.fleet.cut(name, there=not hears, back=hears)
+        self.fleet.partition(name, outgoing=not hears, incoming=hears)
         await anyio.sleep(self.chance.uniform(0.2, 2 * LENGTH))
 
     async def slow_net(self) -> None:
         for relay in self.fleet.relays.values():
-            relay.there = Way(self.chance.uniform(0.0, 0.08), 0.03)
-            relay.back = Way(self.chance.uniform(0.0, 0.08), 0.03)
+            relay.forward = LinkFault(self.chance.uniform(0.0, 0.08), 0.03)
+            relay.backward = LinkFault(self.chance.uniform(0.0, 0.08), 0.03)
         await anyio.sleep(self.chance.uniform(0.2, LENGTH))
 
     async def overtake(self) -> None:
         for relay in self.chance.sample(list(self.fleet.relays.values()), len(self.fleet.relays) // 2):
-            relay.overtake(self.chance.uniform(0.05, 1.5 * LENGTH))
+            relay.delay_in_flight(self.chance.uniform(0.05, 1.5 * LENGTH))
         await anyio.sleep(0.1)
 
     async def drip(self) -> None:
         for relay in self.chance.sample(list(self.fleet.relays.values()), len(self.fleet.relays) // 3):
-            relay.there = Way(drip=True)
+            relay.forward = LinkFault(trickle=True)
         await anyio.sleep(self.chance.uniform(0.2, LENGTH))
 
     async def half_close(self) -> None:
@@ -315,34 +316,34 @@
         name = await self._holder()
         for (source, _), relay in self.fleet.relays.items():
             if source == name:
-                relay.cut()
+                relay.disconnect()
         await anyio.sleep(self.chance.uniform(0.5, 1.5) * LENGTH)
 
     async def bad_disk(self) -> None:
         name = await self.fleet.leader()
-        self.fleet.disk(name, "fail")
+        self.fleet.set_disk_fault(name, "fail")
         await anyio.sleep(self.chance.uniform(0.2, LENGTH))
 
     async def slow_disk(self) -> None:
         for name in self._voters(2):
-            self.fleet.disk(name, "slow")
+            self.fleet.set_disk_fault(name, "slow")
         await anyio.sleep(self.chance.uniform(0.2, LENGTH))
 
     async def lose_disk(self) -> None:
-        await self.fleet.rejoin(self._voters(1)[0])
+        await self.fleet.replace_replica(self._voters(1)[0])
 
     async def pause_holder(self) -> None:
         """In an act, past its lease or not; then it goes on where it was."""
         name = await self._holder()
-        self.fleet.processes[name].stop()
+        self.fleet.processes[name].pause()
         await anyio.sleep(self.chance.uniform(0.2, 2.0) * LENGTH)
-        self.fleet.processes[name].go_on()
+        self.fleet.processes[name].resume()
 
     async def pause_leader(self) -> None:
         name = await self.fleet.leader()
-        self.fleet.processes[name].stop()
+        self.fleet.processes[name].pause()
         await anyio.sleep(self.chance.uniform(0.2, 1.5) * LENGTH)
-        self.fleet.processes[name].go_on()
+        self.fleet.processes[name].resume()
 
 
 def storm(
@@ -350,7 +351,7 @@
     tell: Callable[[str], None], fenced: bool = True, pauses: bool = False, without: str = "",
     only: bool = False,
 ) -> dict[str, Any]:  # fmt: skip
-    with folder_of(word, f"thistleline lab leases --seed {seed}") as folder:
+    with run_folder(word, f"thistleline lab leases --seed {seed}") as folder:
         one = Storm(folder, seed, voters, contenders, fenced, pauses, without, only)
         figures = anyio.run(partial(one.run, changes, seconds, tell))
         if figures["crashes"] or (figures["overlaps"] and not without and (fenced or not pauses)):
--- a/thistleline/lab/machines.py
+++ b/thistleline/lab/machines.py
@@ -20,7 +20,7 @@
 
 from thistleline.lab.caller import Caller
 from thistleline.lab.farm import FarmStandIn
-from thistleline.lab.harness import Fleet, Hung, Process, free_port
+from thistleline.lab.harness import Fleet, Process, RunTimeoutError, free_port
 from thistleline.lab.ledger import SETTINGS, judge
 from thistleline.lease.protocol import Get, Got, Put
 from thistleline.rollout.order import ORDER_KEY, Order
@@ -125,7 +125,7 @@
             (source / "run").write_text("\n".join(lines) + "\n")
             (source / "run").chmod(0o755)
             self.digests[name] = self.releases.add(name, source)
-        await self.fleet.start_voters()
+        await self.fleet.start_replicas()
         await self.fleet.form()
         names = [one.name for one in self.machines] + ["c0", "c1"]
         ports = {name: free_port() for name in names}
@@ -146,7 +146,7 @@
     ) -> None:
         told = [f"members name {name}", f"members listen 127.0.0.1:{ports[name]}", "members period 300ms"]
         told += [f"members seed s{place}=127.0.0.1:{ports[f'm{place}']}" for place in range(3)]
-        for voter, (host, port) in (await self.fleet.ways(name)).items():
+        for voter, (host, port) in (await self.fleet.open_relays(name)).items():
             told.append(f"council voter {voter}={host}:{port}")
         path = self.folder / f"{name}.conf"
         path.write_text("\n".join([*told, *lines]) + "\n")
@@ -186,7 +186,7 @@
     # ---- changes
 
     async def status(self) -> RolloutRecord | None:
-        answer = await self.fleet.ask(Get(RECORD_KEY))
+        answer = await self.fleet.request(Get(RECORD_KEY))
         return _roll(answer.value) if isinstance(answer, Got) and answer.version else None
 
     def version(self, name: str) -> Version:
@@ -203,9 +203,9 @@
 
     async def _order(self, order: Order) -> None:
         self.orders = order.number
-        known = await self.fleet.ask(Get(ORDER_KEY))
+        known = await self.fleet.request(Get(ORDER_KEY))
         assert isinstance(known, Got)
-        await self.fleet.ask(Put(ORDER_KEY, encode(order), known.version))
+        await self.fleet.request(Put(ORDER_KEY, encode(order), known.version))
 
     async def through(
         self, span: float, number: int, do: Callable[[], Any] | None = None, asks: bool = True
@@ -222,7 +222,7 @@
                     assert do is not None
                     await do()
             await anyio.sleep(0.1)
-        raise Hung(f"the change is not over in {span} s: {await self.status()}")
+        raise RunTimeoutError(f"the change is not over in {span} s: {await self.status()}")
 
     def reached(self, release: str) -> list[str]:
         """On which machines a release was ever started, by what the stewards wrote."""
@@ -258,7 +258,7 @@
         until = time.monotonic() + span
         while not true():
             if time.monotonic() > until:
-                raise Hung(
+                raise RunTimeoutError(
                     f"{what}: {await self.status()} {[self.serving(one.name) for one in self.machines]}"
                 )
             await anyio.sleep(0.05)
--- a/thistleline/lab/net.py
+++ b/thistleline/lab/net.py
@@ -1,7 +1,7 @@
-"""A relay for each pair of processes and way: what goes through it can be cut, held up, swallowed or dripped.
+"""TCP proxies between each ordered pair of processes: partitions, delays, message loss, trickled bytes.
 
-A link dials in one way and talks in one way (lease/service.py), so a fault on a relay's `there` or `back` way
-is a fault of one direction between two processes.
+A connection dials in one direction only (lease/service.py), so a fault on a relay's `forward` or `backward`
+direction is a fault of one direction between two processes.
 """
 
 from collections import deque
@@ -15,65 +15,80 @@
 from thistleline.transport.address import Address
 from thistleline.transport.disconnects import DISCONNECT_ERRORS
 
-PIECE = 65536
-HELD_BOUND = 8 << 20  # bytes that a slow way holds; past it it takes no more
+READ_SIZE = 65536  # bytes
+MAX_QUEUED_BYTES = 8 << 20  # held by one delayed direction; past it nothing more is read
+TRICKLE_BYTES = 7  # most bytes sent at a time
+TRICKLE_PAUSE = 0.001  # s between two such sends
+BACKPRESSURE_PAUSE = 0.01  # s between two looks at a full queue
 
 
-class Way(NamedTuple):
-    """What is done to bytes that go one way."""
+class LinkFault(NamedTuple):
+    """What happens to the bytes of one direction."""
 
     delay: float = 0.0  # s
-    jitter: float = 0.0  # s, as much again at most; order is kept
-    swallow: bool = False
-    drip: bool = False  # a few bytes at a time
+    jitter: float = 0.0  # s, added up to this much; order is preserved
+    drop: bool = False  # bytes are read and lost
+    trickle: bool = False  # a few bytes at a time
 
 
-CLEAR = Way()
+NO_FAULT = LinkFault()
 
 
 class Relay:
-    def __init__(self, target: Address, chance: Random) -> None:
-        self.target, self.chance = target, chance
-        self.there = self.back = CLEAR
+    """A proxy to one target address, with a fault for each direction."""
+
+    def __init__(self, target: Address, rng: Random) -> None:
+        """Make a relay to `target`; `rng` draws jitter and the sizes of trickled pieces."""
+        self.target = target
+        self.rng = rng
+        self.forward = NO_FAULT
+        self.backward = NO_FAULT
         self.refuses = False
-        self.open: dict[int, list[SocketStream]] = {}
-        self.half_closed: set[int] = set()  # of these: no more bytes go there
-        self.count = 0
+        self.connections: dict[int, list[SocketStream]] = {}  # by number: the dialling side, the target side
+        self.half_closed: set[int] = set()  # ids of streams that take no more bytes
+        self.accepted = 0
         self.port = 0
 
     async def serve(self, group: TaskGroup) -> None:
+        """Listen on a free loopback port, named by `port`, for as long as `group` runs."""
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         self.port = listener.extra(anyio.abc.SocketAttribute.local_port)
         group.start_soon(listener.serve, self._carry)
 
-    def cut(self) -> None:
-        """Ends all that is open and refuses more, till `heal`."""
+    def disconnect(self) -> None:
+        """End every connection and refuse new ones until `heal`."""
         self.refuses = True
         self._end_all(both=True)
 
-    def overtake(self, delay: float) -> None:
-        """Who dials is cut off and dials anew; what it has sent before arrives so much later."""
-        self.there = Way(delay=delay)
+    def delay_in_flight(self, delay: float) -> None:
+        """Cut off the dialling side, so that it dials again, while what it sent arrives `delay` seconds late.
+
+        The new connection's messages may overtake those of the old one.
+        """
+        self.forward = LinkFault(delay=delay)
         self._end_all(both=False)
 
     def half_close(self) -> None:
-        """No more bytes come there; the other way goes on."""
-        for name in list(self.open):
-            stream = self.open[name][-1]
+        """Send end-of-file to the target; the backward direction goes on."""
+        for number in list(self.connections):
+            stream = self.connections[number][-1]
             self.half_closed.add(id(stream))
             self.group.start_soon(_send_eof, stream)
 
     def heal(self) -> None:
-        self.refuses, self.there, self.back = False, CLEAR, CLEAR
+        """Accept connections again, and remove the faults of both directions."""
+        self.refuses = False
+        self.forward = NO_FAULT
+        self.backward = NO_FAULT
 
     def _end_all(self, both: bool) -> None:
-        for streams in list(self.open.values()):
+        for streams in list(self.connections.values()):
             for stream in streams if both else streams[:1]:
                 self.group.start_soon(anyio.aclose_forcefully, stream)
 
     async def _carry(self, near: SocketStream) -> None:
-        self.count += 1
-        name = self.count
+        self.accepted += 1
+        number = self.accepted
         async with near:
             if self.refuses:
                 return
@@ -82,65 +97,69 @@
             except OSError:
                 return
             async with far:
-                self.open[name] = [near, far]
+                self.connections[number] = [near, far]
                 try:
                     async with anyio.create_task_group() as group:
                         self.group = group
                         group.start_soon(self._pump, near, far, True)
                         group.start_soon(self._pump, far, near, False)
                 finally:
-                    del self.open[name]
+                    del self.connections[number]
                     self.half_closed.discard(id(far))
 
-    async def _pump(self, source: SocketStream, to: SocketStream, there: bool) -> None:
-        held: deque[tuple[float, bytes]] = deque()
-        more, over = anyio.Event(), False
+    def _fault(self, is_forward: bool) -> LinkFault:
+        return self.forward if is_forward else self.backward
+
+    async def _pump(self, source: SocketStream, target: SocketStream, is_forward: bool) -> None:
+        queue: deque[tuple[float, bytes]] = deque()  # (when to send, s of the event loop's clock; bytes)
+        arrived = anyio.Event()
+        is_over = False
 
         async def read() -> None:
-            nonlocal more, over
+            nonlocal arrived, is_over
             try:
                 while True:
-                    data = await source.receive(PIECE)
-                    way = self.there if there else self.back
-                    if not way.swallow:
-                        due = anyio.current_time() + way.delay + self.chance.random() * way.jitter
-                        held.append((max(due, held[-1][0]) if held else due, data))
-                        more.set()
-                    while sum(len(one) for _, one in held) > HELD_BOUND:
-                        await anyio.sleep(0.01)
+                    data = await source.receive(READ_SIZE)
+                    fault = self._fault(is_forward)
+                    if not fault.drop:
+                        send_at = anyio.current_time() + fault.delay + self.rng.random() * fault.jitter
+                        queue.append((max(send_at, queue[-1][0]) if queue else send_at, data))
+                        arrived.set()
+                    while sum(len(piece) for _, piece in queue) > MAX_QUEUED_BYTES:
+                        await anyio.sleep(BACKPRESSURE_PAUSE)
             except DISCONNECT_ERRORS:
-                over = True
-                more.set()
+                is_over = True
+                arrived.set()
 
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(read)
-                while held or not over:
-                    if not held:
-                        more = anyio.Event()
-                        await more.wait()
+                while queue or not is_over:
+                    if not queue:
+                        arrived = anyio.Event()
+                        await arrived.wait()
                         continue
-                    due, data = held[0]
-                    await anyio.sleep(max(0.0, due - anyio.current_time()))
-                    held.popleft()
-                    await self._hand_on(to, data, there)
+                    send_at, data = queue[0]
+                    await anyio.sleep(max(0.0, send_at - anyio.current_time()))
+                    queue.popleft()
+                    await self._send(target, data, is_forward)
                 group.cancel_scope.cancel()
-            await to.aclose()
+            await target.aclose()
         except DISCONNECT_ERRORS:
             pass
         except BaseExceptionGroup as group_error:
             if group_error.split(DISCONNECT_ERRORS)[1] is not None:
                 raise
 
-    async def _hand_on(self, to: SocketStream, data: bytes, there: bool) -> None:
-        place = 0
-        while place < len(data) and id(to) not in self.half_closed:
-            drips = (self.there if there else self.back).drip
-            count = self.chance.randint(1, 7) if drips else len(data)
-            await to.send(data[place : place + count])
-            place += count
-            if drips:
-                await anyio.sleep(0.001)
+    async def _send(self, target: SocketStream, data: bytes, is_forward: bool) -> None:
+        offset = 0
+        while offset < len(data) and id(target) not in self.half_closed:
+            trickles = self._fault(is_forward).trickle
+            count = self.rng.randint(1, TRICKLE_BYTES) if trickles else len(data)
+            await target.send(data[offset : offset + count])
+            offset += count
+            if trickles:
+                await anyio.sleep(TRICKLE_PAUSE)
 
 
 async def _send_eof(stream: SocketStream) -> None:
--- a/thistleline/lab/roll.py
+++ b/thistleline/lab/roll.py
@@ -18,7 +18,7 @@
 
 import anyio
 
-from thistleline.lab.harness import Fleet, folder_of
+from thistleline.lab.harness import Fleet, run_folder
 from thistleline.lab.machines import HARMFUL, HARMLESS, ROOT, Machines
 from thistleline.rollout.canary import CanaryAnalysis, Judgement, Verdict
 from thistleline.rollout.controller import RolloutController
@@ -389,9 +389,9 @@
 async def _pause_conductors(fleet: Fleet, chance: Random) -> None:
     """Past their lease, one after the other: the first goes on as one that conducts no more."""
     for name in ("c0", "c1"):
-        fleet.processes[name].stop()
+        fleet.processes[name].pause()
         await anyio.sleep(3.0)
-        fleet.processes[name].go_on()
+        fleet.processes[name].resume()
 
 
 async def _kill_leader(fleet: Fleet, chance: Random) -> None:
@@ -411,10 +411,10 @@
 async def _no_majority(fleet: Fleet, chance: Random) -> None:
     """Nothing moves, and servers serve on."""
     for name in fleet.names[:2]:
-        fleet.processes[name].stop()
+        fleet.processes[name].pause()
     await anyio.sleep(4.0)
     for name in fleet.names[:2]:
-        fleet.processes[name].go_on()
+        fleet.processes[name].resume()
 
 
 async def _cut_half(fleet: Fleet, chance: Random) -> None:
@@ -423,7 +423,7 @@
     away = {*chance.sample(names, len(names) // 2), chance.choice(("c0", "c1"))}
     for (source, _), relay in fleet.relays.items():
         if source in away:
-            relay.cut()
+            relay.disconnect()
     await anyio.sleep(4.0)
     fleet.heal()
 
@@ -434,7 +434,7 @@
     tell: Callable[[str], None] = print,
     revisions: tuple[str, ...] = (),
 ) -> dict[str, Any]:
-    with folder_of("roll", f"thistleline lab roll --seed {seed}") as folder:
+    with run_folder("roll", f"thistleline lab roll --seed {seed}") as folder:
         return anyio.run(_real, folder, seed, plan, tell, revisions)
 
 
--- a/thistleline/lab/scale/control.py
+++ b/thistleline/lab/scale/control.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from thistleline.config.schema import Conductor, check
-from thistleline.lab.harness import Fleet, Process, folder_of
+from thistleline.lab.harness import Fleet, Process, run_folder
 from thistleline.lab.machines import ROOT, Machines
 from thistleline.lab.scale import slopes
 from thistleline.lab.scale.instance import cpu_seconds, machine, resident
@@ -648,7 +648,7 @@
             span = time.monotonic() - begun
             told = {what: [((cpu_seconds(pid) - before[pid]) / span, resident(pid)) for pid in found]
                     for what, found in pids.items()}  # fmt: skip
-            client = LeaseClient({name: fleet.address(name) for name in fleet.names}, group, fleet.chance)
+            client = LeaseClient({name: fleet.address(name) for name in fleet.names}, group, fleet.rng)
             await client.request_until_decided(Get(RECORD_KEY), 10.0)
             begun = time.monotonic()
             for _ in range(TRIPS):
@@ -673,14 +673,14 @@
 
 def _pid(process: Process) -> int:
     assert process.process is not None
-    assert process.runs
+    assert process.is_running
     return process.process.pid
 
 
 def real(seed: int, tell: Callable[[str], None]) -> dict[str, Any]:
     found: dict[str, list[tuple[float, int]]] = {}
     for turn in range(RUNS):
-        with folder_of("control", f"lab scale --part control --seed {seed}") as folder:
+        with run_folder("control", f"lab scale --part control --seed {seed}") as folder:
             for what, each in anyio.run(processes, folder, seed + turn).items():
                 found.setdefault(what, []).extend(each)
         for what, words in (
--- a/thistleline/lab/scale/council.py
+++ b/thistleline/lab/scale/council.py
@@ -21,7 +21,7 @@
 from thistleline.consensus.persistence import ENTRY_COST, MAX_LOG_SIZE
 from thistleline.consensus.replica import MAX_PENDING_REQUESTS
 from thistleline.consensus.state import RaftTiming
-from thistleline.lab.harness import Fleet, Hung, folder_of
+from thistleline.lab.harness import Fleet, RunTimeoutError, run_folder
 from thistleline.lab.scale import slopes
 from thistleline.lab.scale.instance import cpu_seconds, machine
 from thistleline.lab.scale.size import size
@@ -79,7 +79,7 @@
         self.bytes = self.writes = 0
         super().__init__(voters, QUIET, seed, lambda chance: 5 * MS)
         if not self.run(100_000 * SECOND, lambda: bool(self.leader())):
-            raise Hung("no leader in virtual time")
+            raise RunTimeoutError("no leader in virtual time")
         self.run(self.now + SECOND)
         self.led = self.leader()
 
@@ -102,7 +102,7 @@
         self._put_all(inputs)
         done = self.run(self.now + 100 * SECOND, lambda: len(self.answers) == before[3] + len(ops))
         if not done:
-            raise Hung(f"{len(self.answers) - before[3]} of {len(ops)} answered")
+            raise RunTimeoutError(f"{len(self.answers) - before[3]} of {len(ops)} answered")
         for _, _, answer in self.answers[before[3] :]:
             assert isinstance(answer, Got | Done | Granted | Renewed), answer
         told = sum(len(encode_frame(encode(Request(ticket, op)))) for ticket, op in enumerate(ops))
@@ -427,7 +427,7 @@
 
     def __init__(self, fleet: Fleet, connections: int, group: anyio.abc.TaskGroup) -> None:
         known = {name: fleet.address(name) for name in fleet.names}
-        self.clients = [LeaseClient(known, group, fleet.chance) for _ in range(connections)]
+        self.clients = [LeaseClient(known, group, fleet.rng) for _ in range(connections)]
         self.took: list[float] = []
         self.asked = self.done = 0
 
@@ -478,9 +478,9 @@
     async with anyio.create_task_group() as group:
         fleet = Fleet(folder, group, seed, 3)
         try:
-            await fleet.start_voters()
+            await fleet.start_replicas()
             await fleet.form()
-            await fleet.ask(Put("want/i", WANT, 0))
+            await fleet.request(Put("want/i", WANT, 0))
             for count in STEWARDS:
                 tell(f"council: {count} connections that ask each {POLL:g} s, at three processes")
                 found["stewards"][count] = await load(fleet, count / POLL, seconds, _read, count)
@@ -536,7 +536,7 @@
     bars = judge(counts, PROMISED)
     rows = counts + costs
     if not quick:
-        with folder_of("council", f"lab scale --seed {seed}") as folder:
+        with run_folder("council", f"lab scale --seed {seed}") as folder:
             more, told = anyio.run(real, folder, seed, SECONDS, tell)
         rows += more
         figures |= told | {FULL: filling(next(one for one in more if one["per"] == "steward"))}
--- a/thistleline/lab/scale/feedsockets.py
+++ b/thistleline/lab/scale/feedsockets.py
@@ -32,7 +32,7 @@
 from thistleline.config_feed.table import APART, entry_hash
 from thistleline.config_feed.writer import key_of
 from thistleline.lab.feedfleet import FeedFleet
-from thistleline.lab.harness import Hung, folder_of, free_port
+from thistleline.lab.harness import RunTimeoutError, free_port, run_folder
 from thistleline.lab.scale import slopes
 from thistleline.lab.scale.feed import DAY, HOT, Load, made_table, route_key, route_value
 from thistleline.lab.scale.followers import Report, Told
@@ -65,10 +65,10 @@
         fleet = self.fleet
         for name in [*self.keepers, *self.relays]:
             fleet.ports[name] = free_port()
-        await fleet.start_voters()
+        await fleet.start_replicas()
         await fleet.form()
-        if first and not isinstance(await fleet.ask(Put(key_of(0), first, 0)), Done):
-            raise Hung("the council takes no first record")
+        if first and not isinstance(await fleet.request(Put(key_of(0), first, 0)), Done):
+            raise RunTimeoutError("the council takes no first record")
         for name in self.keepers:
             await self._start_keeper(name)
         for name in self.relays:
@@ -130,14 +130,14 @@
         return await self.ask("tell", Report)
 
     async def stand(self, number: int, at: str = "") -> None:
-        """Till all stand there, and follow that one if one is named. Raises Hung."""
+        """Till all stand there, and follow that one if one is named. Raises RunTimeoutError."""
         with anyio.move_on_after(PATIENCE):
             while True:
                 told = await self.ask("stands", tuple[dict[int, int], dict[str, int]])
                 if all(min(one[0]) >= number and (not at or list(one[1]) == [at]) for one in told):
                     return
                 await anyio.sleep(0.1)
-        raise Hung(f"not all followers stand at {number} after {PATIENCE} s: {told}")
+        raise RunTimeoutError(f"not all followers stand at {number} after {PATIENCE} s: {told}")
 
 
 @asynccontextmanager
@@ -422,7 +422,7 @@
     done = await anyio.run_process(words, check=False, stderr=subprocess.STDOUT)
     took = time.monotonic() - begun
     if done.returncode:
-        raise Hung(f"put of {routes} routes ends with {done.returncode}: {done.stdout[-300:]!r}")
+        raise RunTimeoutError(f"put of {routes} routes ends with {done.returncode}: {done.stdout[-300:]!r}")
     number = await region.number()
     for name in [*region.keepers, *region.relays]:
         await region.reaches(name, number, PATIENCE)
@@ -472,7 +472,7 @@
                    if b"Traceback" in path.read_bytes()]  # fmt: skip
         return found, faults
 
-    with folder_of("feedsockets", f"thistleline lab scale --part feedsockets --seed {seed}") as folder:
+    with run_folder("feedsockets", f"thistleline lab scale --part feedsockets --seed {seed}") as folder:
         found, faults = anyio.run(run, folder)
         if faults:
             (folder / "keep").touch()
--- a/thistleline/lab/scale/instance.py
+++ b/thistleline/lab/scale/instance.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from thistleline.lab.harness import Hung, folder_of, free_port
+from thistleline.lab.harness import RunTimeoutError, free_port, run_folder
 from thistleline.lab.ledger import SETTINGS
 
 PATIENCE = 15.0  # s for the instance to serve
@@ -53,8 +53,8 @@
 ) -> Iterator[Instance]:
     """One that serves, at an agent whose runs take so long, and that may have so many connections open; with
     a fault of lab/server.py built in where one is told, or another program in its place. It is ended by
-    SIGKILL, the agent by its standard input. Raises Hung where it doesn't come to serve."""
-    with folder_of("scale", "lab scale") as folder:
+    SIGKILL, the agent by its standard input. Raises RunTimeoutError where it doesn't come to serve."""
+    with run_folder("scale", "lab scale") as folder:
         words = [sys.executable, "-m", "thistleline.lab.scale.agent", f"{run_ms:g}"]
         agent = subprocess.Popen(words, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
         server: subprocess.Popen[bytes] | None = None
@@ -77,7 +77,9 @@
             until = time.monotonic() + PATIENCE
             while b'"serving"' not in log.read_bytes():
                 if server.poll() is not None or time.monotonic() > until:
-                    raise Hung(f"the instance does not serve in {PATIENCE} s: {log.read_text()[-500:]}")
+                    raise RunTimeoutError(
+                        f"the instance does not serve in {PATIENCE} s: {log.read_text()[-500:]}"
+                    )
                 time.sleep(0.01)
             yield Instance(port, server.pid, folder)
         finally:
