--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -17,8 +17,8 @@
 from thistleline.handover.channel import Line, reach
 from thistleline.handover.messages import Hello, Refused
 from thistleline.handover.state_machine import Succeeding
-from thistleline.lab.farm import FarmStandIn
-from thistleline.lab.handover import TOLD, Lives, Load, changes
+from thistleline.lab.farm import FakeFarmAgent
+from thistleline.lab.handover import HANDOVER_SETTINGS, Load, ServerIncarnations, run_handovers
 from thistleline.lab.handoverworld import play
 from thistleline.lab.mutants import without
 from thistleline.ledger import format as ledger_format
@@ -77,7 +77,7 @@
 
 
 def test_a_change_under_load_loses_rejects_and_abandons_nothing(tmp_path: Path) -> None:
-    figures = anyio.run(changes, tmp_path, 1, 2, False, False, quiet)
+    figures = anyio.run(run_handovers, tmp_path, 1, 2, False, False, quiet)
     assert figures["handed_over"] == 2
     assert [figures.get(what, 0) for what in (*BROKEN, "unanswered", "lookups_unanswered")] == 6 * [0]
     assert [
@@ -86,32 +86,32 @@
 
 
 def test_whichever_side_dies_nothing_runs_twice_and_all_is_answered(tmp_path: Path) -> None:
-    figures = anyio.run(changes, tmp_path, 5, 6, True, False, quiet)
+    figures = anyio.run(run_handovers, tmp_path, 5, 6, True, False, quiet)
     assert [figures.get(what, 0) for what in (*BROKEN, "unanswered", "lookups_unanswered")] == 6 * [0]
     assert figures["bookings_run"] > 100
 
 
 def test_a_server_that_keeps_its_right_is_found(tmp_path: Path) -> None:
-    assert anyio.run(changes, tmp_path, 3, 3, False, True, quiet)["run_twice"] > 0
+    assert anyio.run(run_handovers, tmp_path, 3, 3, False, True, quiet)["run_twice"] > 0
 
 
 @asynccontextmanager
-async def one_server(folder: Path) -> AsyncIterator[tuple[Lives, Load]]:
+async def one_server(folder: Path) -> AsyncIterator[tuple[ServerIncarnations, Load]]:
     """A server that serves under load."""
-    farm = FarmStandIn(1, (0.005, 0.1))
+    farm = FakeFarmAgent(1, (0.005, 0.1))
     async with anyio.create_task_group() as group:
         await farm.serve(group)
-        lives = Lives(folder, farm.port)
-        load = Load(farm, lambda: ("127.0.0.1", lives.port), 1)
+        servers = ServerIncarnations(folder, farm.port)
+        load = Load(farm, lambda: ("127.0.0.1", servers.port), 1)
         try:
-            assert await lives.serves(lives.start({}), 20)
-            group.start_soon(load.call, 60.0, group)
-            yield lives, load
+            assert await servers.wait_until_serving(servers.start({}), 20)
+            group.start_soon(load.generate, 60.0, group)
+            yield servers, load
             await load.end()
-            figures = load.judged()
+            figures = load.judge()
             assert [figures.get(what, 0) for what in (*BROKEN, "unanswered")] == 5 * [0]
         finally:
-            lives.close()
+            servers.close()
             group.cancel_scope.cancel()
 
 
@@ -119,37 +119,37 @@
 async def test_settings_change_beside_and_what_makes_no_sense_leaves_the_one_that_serves(
     tmp_path: Path,
 ) -> None:
-    async with one_server(tmp_path) as (lives, load):
-        bad = lives.start({}, {**TOLD, "classes": 3})
-        assert await lives.gone(bad, 10)
-        assert lives.owner == 1
+    async with one_server(tmp_path) as (servers, load):
+        bad = servers.start({}, {**HANDOVER_SETTINGS, "classes": 3})
+        assert await servers.wait_for_exit(bad, 10)
+        assert servers.owner == 1
         # A stage less, and another due span: each task is judged whole by the version it came in under.
-        other = {**TOLD, "classes": [{**TOLD["classes"][0], "promise": 1.5}]}
-        assert await lives.serves(lives.start({}, other), 10)
-        assert await lives.gone(1, 4)
-        (started,) = [one for one in lives.events(3) if one["event"] == "started"]
+        other = {**HANDOVER_SETTINGS, "classes": [{**HANDOVER_SETTINGS["classes"][0], "promise": 1.5}]}
+        assert await servers.wait_until_serving(servers.start({}, other), 10)
+        assert await servers.wait_for_exit(1, 4)
+        (started,) = [one for one in servers.events(3) if one["event"] == "started"]
         assert list(started["stages"]) == ["booking"]
-        assert not [one for one in load.bookings.told if one.kind == "lost"]
+        assert not [one for one in load.bookings.outcomes if one.kind == "lost"]
 
 
 @pytest.mark.anyio
 async def test_one_that_stands_still_before_it_has_it_stalls_nobody(tmp_path: Path) -> None:
-    async with one_server(tmp_path) as (lives, load):
-        heir = lives.start({})
+    async with one_server(tmp_path) as (servers, load):
+        heir = servers.start({})
         with anyio.fail_after(10):
-            while lives.owner == 1:
-                lives.signal(heir, signal.SIGSTOP)
+            while servers.owner == 1:
+                servers.signal(heir, signal.SIGSTOP)
                 await anyio.sleep(0.05)
-                lives.signal(heir, signal.SIGCONT)
+                servers.signal(heir, signal.SIGCONT)
                 await anyio.sleep(0.05)
-        before = len([one for one in load.bookings.told if one.kind == "finished"])
+        before = len([one for one in load.bookings.outcomes if one.kind == "finished"])
         await anyio.sleep(0.5)
-        assert len([one for one in load.bookings.told if one.kind == "finished"]) > before
+        assert len([one for one in load.bookings.outcomes if one.kind == "finished"]) > before
 
 
 @pytest.mark.anyio
 async def test_a_follower_that_cant_read_the_ledger_or_comes_second_is_refused(tmp_path: Path) -> None:
-    async with one_server(tmp_path) as (lives, _), anyio.create_task_group() as group:
+    async with one_server(tmp_path) as (servers, _), anyio.create_task_group() as group:
         for hello in (
             Hello(reads=(ledger_format.FORMAT_VERSION + 1,)),
             Hello(least=9, most=9, reads=ledger_format.READABLE_VERSIONS),
@@ -165,19 +165,19 @@
         line = Line(first, group)
         line.send(Hello(reads=ledger_format.READABLE_VERSIONS))
         await line.receive()
-        second = lives.start({})
-        assert await lives.gone(second, 10)
-        assert lives.processes[second].returncode == 2
+        second = servers.start({})
+        assert await servers.wait_for_exit(second, 10)
+        assert servers.processes[second].returncode == 2
         assert b"another one follows already" in (tmp_path / "2.log").read_bytes()
         # A stranger that says what makes no sense ends its own line and nothing else.
         line.sock.send(b"\0\0\0\x02\xff\xff")
         assert await line.receive() is None
-        assert await lives.serves(lives.start({}), 10)
+        assert await servers.wait_until_serving(servers.start({}), 10)
 
 
 def test_a_server_told_of_a_handover_without_a_ledger_says_so(tmp_path: Path) -> None:
     plate: dict[str, Any] = {"name": "n", "listen": "127.0.0.1:9", "agent": "127.0.0.1:9", "seed": "1",
-             "announce": "127.0.0.1:9", "stop_ms": 100, "settings": TOLD,
+             "announce": "127.0.0.1:9", "stop_ms": 100, "settings": HANDOVER_SETTINGS,
              "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 64}}  # fmt: skip
     (tmp_path / "plate.json").write_text(json.dumps(plate))
     (tmp_path / "conf").write_text(f"handover folder {tmp_path}\n")
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -28,8 +28,8 @@
 from thistleline.cli.main import entry
 from thistleline.config.schema import Faulty, check
 from thistleline.durable.reducer import KeepingReducer
-from thistleline.lab.caller import Caller, Told
-from thistleline.lab.farm import FarmStandIn, Ran
+from thistleline.lab.caller import AttemptOutcome, Caller
+from thistleline.lab.farm import FakeFarmAgent, RunRecord
 from thistleline.lab.ledger import judge, storm
 from thistleline.ledger import format as form
 from thistleline.ledger.format import Intent, Outcome, RecordGroup
@@ -589,10 +589,12 @@
     ([0.0, 10.0], "finished", ""),
 ])  # fmt: skip
 def test_the_oracle_of_the_laboratory_can_fail(runs: list[float], kind: str, wrong: str) -> None:
-    farm = FarmStandIn(1, (0.0, 0.0))
-    farm.ran = {b"body": [Ran(b"body", "t", began, b"result") for began in runs]} if runs else {}
+    farm = FakeFarmAgent(1, (0.0, 0.0))
+    farm.runs = {b"body": [RunRecord(b"body", "t", began, b"result") for began in runs]} if runs else {}
     caller = Caller(lambda: ("127.0.0.1", 1), 1, 1, "booking", "studio")
-    caller.told = [Told("mark", b"body", kind, b"result" if kind == "finished" else {}, 1.0, 1.5)]
+    caller.outcomes = [
+        AttemptOutcome("mark", b"body", kind, b"result" if kind == "finished" else {}, 1.0, 1.5)
+    ]
     figures = judge(farm, caller)
     faults = ("run_twice", "rejected_after_run", "acknowledged_and_lost", "another_result")
     assert [name for name in faults if figures[name]] == ([wrong] if wrong else [])
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -18,7 +18,7 @@
 from thistleline.lab.explore import explore
 from thistleline.lab.harness import free_port
 from thistleline.lab.ledger import SETTINGS
-from thistleline.lab.machines import Machines
+from thistleline.lab.machines import SupervisedFleet
 from thistleline.lab.mutants import without
 from thistleline.lab.roll import HARMS, Harm, roll
 from thistleline.lab.stewardworld import BesideWorld, StewardWorld, following, following_beside, wander
@@ -607,12 +607,12 @@
 
 
 @asynccontextmanager
-async def machines(folder: Path, count: int, beside: bool) -> AsyncIterator[Machines]:
+async def machines(folder: Path, count: int, beside: bool) -> AsyncIterator[SupervisedFleet]:
     async with anyio.create_task_group() as group:
-        made = Machines(folder, group, 1, count, 3, beside, "1s")
+        made = SupervisedFleet(folder, group, 1, count, 3, beside, "1s")
         try:
             await made.start()
-            group.start_soon(made.call)
+            group.start_soon(made.generate_load)
             yield made
         finally:
             made.close()
@@ -638,9 +638,9 @@
         # At first nothing runs: the base is brought to all by a change from nothing.
         folder = str(tmp_path / "releases")
         order = ("roll", "start", "--down", "3", "--down-zone", "3", "--stage", "all")
-        assert (await fleet.command(*order, "--release", f"{folder}/base")).returncode == 0
-        await fleet.until("all base", lambda: all_run("base"))
-        assert (await fleet.through(60, 1)).phase == "done"
+        assert (await fleet.run_command(*order, "--release", f"{folder}/base")).returncode == 0
+        await fleet.wait_until("all base", lambda: all_run("base"))
+        assert (await fleet.wait_for_rollout(60, 1)).phase == "done"
 
         # A steward is killed, its server runs on and is found again.
         life = fleet.serving("m1")[1]
@@ -649,27 +649,27 @@
 
         # A good one goes through, its conductors killed on the way.
         stages = (*order[:-1], "one", "--stage", "all", "--release")
-        told = await fleet.command(*stages, f"{folder}/good", "--from-release", f"{folder}/base")
+        told = await fleet.run_command(*stages, f"{folder}/good", "--from-release", f"{folder}/base")
         assert told.returncode == 0
-        await fleet.until("one good", lambda: any(fleet.serving(name)[0] == "good" for name in names))
+        await fleet.wait_until("one good", lambda: any(fleet.serving(name)[0] == "good" for name in names))
         assert fleet.serving("m1") == ("base", life)
         for name in ("c0", "c1"):
             fleet.fleet.processes[name].kill()
             fleet.fleet.processes[name].start()
-        assert (await fleet.through(90, 2)).phase == "done"
-        await fleet.until("all good", lambda: all_run("good"))
+        assert (await fleet.wait_for_rollout(90, 2)).phase == "done"
+        await fleet.wait_until("all good", lambda: all_run("good"))
 
         # A bad one is stopped at the first server and taken back.
-        assert (await fleet.command(*stages, f"{folder}/no-start")).returncode == 0
-        assert (await fleet.through(60, 3)).phase == "back"
-        await fleet.until("all good again", lambda: all_run("good"))
-        reached = fleet.reached("no-start")
+        assert (await fleet.run_command(*stages, f"{folder}/no-start")).returncode == 0
+        assert (await fleet.wait_for_rollout(60, 3)).phase == "back"
+        await fleet.wait_until("all good again", lambda: all_run("good"))
+        reached = fleet.machines_reached("no-start")
         assert len(reached) == 1
         if beside:  # its server never went away
             assert fleet.serving(reached[0])[1] == 2
-        assert b"back" in (await fleet.command("roll", "history")).stdout
-        fleet.calling.cancel()
-        judged = fleet.judged()
+        assert b"back" in (await fleet.run_command("roll", "history")).stdout
+        fleet.load_scope.cancel()
+        judged = fleet.judge()
         broken = ("run_twice", "rejected_after_run", "acknowledged_and_lost", "another_result")
         assert [judged.get(what, 0) for what in broken] == 4 * [0]
 
@@ -706,24 +706,24 @@
 @pytest.mark.anyio
 async def test_settings_are_checked_before_they_are_kept_and_never_change(tmp_path: Path) -> None:
     async with anyio.create_task_group() as group:
-        fleet = Machines(tmp_path, group, 1, 1, 1)
+        fleet = SupervisedFleet(tmp_path, group, 1, 1, 1)
         try:
             await fleet.fleet.start_replicas()
             await fleet.fleet.form()
             good, bad = tmp_path / "good.json", tmp_path / "bad.json"
             good.write_text(json.dumps(SETTINGS))
             bad.write_text(json.dumps({**SETTINGS, "classes": 3}))
-            assert (await fleet.command("settings", "add", "1", str(bad))).returncode == 2
-            told = await fleet.command("settings", "add", "1", str(good))
+            assert (await fleet.run_command("settings", "add", "1", str(bad))).returncode == 2
+            told = await fleet.run_command("settings", "add", "1", str(good))
             assert hashlib.sha256(good.read_bytes()).hexdigest().encode() in told.stdout
-            assert (await fleet.command("settings", "add", "1", str(good))).returncode == 1
-            assert json.loads((await fleet.command("settings", "show", "1")).stdout) == SETTINGS
+            assert (await fleet.run_command("settings", "add", "1", str(good))).returncode == 1
+            assert json.loads((await fleet.run_command("settings", "show", "1")).stdout) == SETTINGS
             other = tmp_path / "other.json"
             other.write_text(json.dumps({**SETTINGS, "overShareWorth": 0.5}))
-            assert (await fleet.command("settings", "add", "2", str(other))).returncode == 0
-            told = await fleet.command("settings", "diff", "1", "2")
+            assert (await fleet.run_command("settings", "add", "2", str(other))).returncode == 0
+            told = await fleet.run_command("settings", "diff", "1", "2")
             assert told.stdout == b"-overShareWorth = 1.0\n+overShareWorth = 0.5\n"
-            listed = (await fleet.command("settings", "history")).stdout.splitlines()
+            listed = (await fleet.run_command("settings", "history")).stdout.splitlines()
             assert [line.split()[0] for line in listed] == [b"1", b"2"]
         finally:
             fleet.close()
--- a/thistleline/lab/caller.py
+++ b/thistleline/lab/caller.py
@@ -1,4 +1,4 @@
-"""An open-loop caller: bookings begin at times fixed before the run; further tries follow their first."""
+"""An open-loop load generator: bookings begin at times drawn before the run, and are retried until final."""
 
 import random
 import time
@@ -6,136 +6,188 @@
 from typing import Any, NamedTuple
 
 import anyio
-from anyio.abc import SocketStream
+from anyio.abc import SocketStream, TaskGroup
 
+from thistleline.transport.address import Address
 from thistleline.wire import stub
 from thistleline.wire.buffer import Buffer
 
-Open = dict[int, tuple[anyio.Event, list[Any]]]
-TRY_SPAN = 3.0  # a try without an answer for so long is given up
+ATTEMPT_TIMEOUT = 3.0  # s; an attempt without an answer for so long is given up
+READ_SIZE = 65536  # bytes
+FIRST_BACKOFF = 0.02  # s between the first two attempts; it doubles
+MAX_BACKOFF = 0.3  # s
+RETRIED = ("lost", "rejected", "misunderstood")
 
 
-class Told(NamedTuple):
-    """What came back for one try: when it was sent and answered, by the monotonic clock."""
+class AttemptOutcome(NamedTuple):
+    """What came back for one attempt.
 
-    mark: str
+    Attributes:
+        key: The request's idempotency key, the same for all its attempts.
+        body: The request's body.
+        kind: finished, rejected, abandoned, misunderstood, or lost: no answer.
+        value: The result, or the fields of a rejection.
+        sent_at: Seconds of the monotonic clock.
+        answered_at: Seconds of the monotonic clock.
+    """
+
+    key: str
     body: bytes
-    kind: str  # finished, rejected, abandoned, misunderstood, or lost: no answer
+    kind: str
     value: Any
-    sent: float
-    at: float
+    sent_at: float
+    answered_at: float
+
+
+class PendingAnswer:
+    """An attempt's answer, once there is one; an attempt whose connection ends is woken without."""
+
+    def __init__(self) -> None:
+        """Wait for an answer."""
+        self.woken = anyio.Event()
+        self.kind = "lost"
+        self.value: Any = None
+
 
+PendingAnswers = dict[int, PendingAnswer]  # by sequence number
 
-class Line:
-    """One connection, made anew when it ends."""
 
-    def __init__(self, address: Callable[[], tuple[str, int]], caller: int) -> None:
-        self.address, self.caller = address, caller
+class CallerConnection:
+    """One connection to the server, dialled again when it ends."""
+
+    def __init__(self, address: Callable[[], Address]) -> None:
+        """Make a connection, dialled with the first attempt; `address` is asked at each dial."""
+        self.address = address
         self.stream: SocketStream | None = None
-        self.seq = 0
-        self.open: Open = {}  # of the connection that is asked on now
-        self.making = anyio.Lock()
-
-    async def ask(self, words: dict[str, str], body: bytes, group: Any) -> tuple[str, Any]:
-        """One try; "lost" where no answer came."""
-        event, answer = anyio.Event(), list[Any]()
-        seq, waiting = -1, self.open
+        self.sequence = 0
+        self.pending: PendingAnswers = {}  # of the stream that takes new attempts
+        self.dialling = anyio.Lock()
+
+    async def attempt(self, fields: dict[str, str], body: bytes, group: TaskGroup) -> tuple[str, Any]:
+        """Send one attempt; return the answer's kind and value, ("lost", None) where none came.
+
+        Args:
+            fields: The request's header fields.
+            body: The request's body.
+            group: Runs the reader of a new connection.
+        """
+        answer = PendingAnswer()
+        sequence, pending = -1, self.pending
         try:
-            async with self.making:
+            async with self.dialling:
                 if self.stream is None:
                     self.stream = await anyio.connect_tcp(*self.address())
-                    self.seq, self.open = 0, {}
-                    group.start_soon(self._read, self.stream, self.open)
-                self.seq += 1
-                seq, waiting = self.seq, self.open
-                waiting[seq] = event, answer
-                await self.stream.send(stub.encode_process(seq, words, body))
-            with anyio.move_on_after(TRY_SPAN):
-                await event.wait()
+                    self.sequence = 0
+                    self.pending = {}
+                    group.start_soon(self._read, self.stream, self.pending)
+                self.sequence += 1
+                sequence, pending = self.sequence, self.pending
+                pending[sequence] = answer
+                await self.stream.send(stub.encode_process(sequence, fields, body))
+            with anyio.move_on_after(ATTEMPT_TIMEOUT):
+                await answer.woken.wait()
         except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError):
-            if self.open is waiting:
+            if self.pending is pending:
                 self.stream = None
         finally:
-            waiting.pop(seq, None)
-        return (answer[0], answer[1]) if answer else ("lost", None)
+            pending.pop(sequence, None)
+        return answer.kind, answer.value
 
-    async def _read(self, stream: SocketStream, waiting: Open) -> None:
-        """To its end; what is asked once nothing new is wanted here goes on another connection."""
+    async def _read(self, stream: SocketStream, pending: PendingAnswers) -> None:
+        """Read answers until the stream ends; after a dismissal new attempts go on another one."""
         buffer = Buffer(stub.MAX_RESPONSE_SIZE)
         try:
-            while waiting or self.stream is stream:
-                data = await stream.receive(65536)
+            while pending or self.stream is stream:
+                data = await stream.receive(READ_SIZE)
                 buffer.room()[: len(data)] = data
                 buffer.filled(len(data))
                 for response in stub.decode_responses(buffer):
                     if response.kind == "dismiss" and self.stream is stream:
                         self.stream = None
-                    elif response.sequence in waiting:
-                        event, answer = waiting.pop(response.sequence)
-                        answer += [response.kind, response.value]
-                        event.set()
+                    elif response.sequence in pending:
+                        answer = pending.pop(response.sequence)
+                        answer.kind = response.kind
+                        answer.value = response.value
+                        answer.woken.set()
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
             pass
         if self.stream is stream:
             self.stream = None
-        for event, _ in waiting.values():
-            event.set()
-        waiting.clear()
+        for answer in pending.values():
+            answer.woken.set()
+        pending.clear()
         await anyio.aclose_forcefully(stream)
 
 
 class Caller:
+    """A client of one stage for one tenant, over several connections; it records every attempt's outcome."""
+
     def __init__(
-        self, address: Callable[[], tuple[str, int]], seed: int, lines: int, stage: str, owner: str
+        self, address: Callable[[], Address], seed: int, connections: int, stage: str, tenant: str
     ) -> None:
-        self.chance = random.Random(seed)
-        self.lines = [Line(address, place) for place in range(lines)]
-        self.stage, self.owner = stage, owner
-        self.told: list[Told] = []
-        self.since: dict[str, float] = {}  # of each try by its id: when it was made, by the monotonic clock
-        self.late = 0.0  # seconds that the latest first try was sent after its time
-
-    def words(self, mark: str, again: bool) -> dict[str, str]:
-        told = {
+        """Make a caller that has dialled nothing yet."""
+        self.rng = random.Random(seed)
+        self.connections = [CallerConnection(address) for _ in range(connections)]
+        self.stage = stage
+        self.tenant = tenant
+        self.outcomes: list[AttemptOutcome] = []
+        self.created_at: dict[str, float] = {}  # by attempt id; s of the monotonic clock
+        self.max_delay = 0.0  # s that the latest first attempt was sent after its time
+
+    def request_fields(self, key: str, is_retry: bool) -> dict[str, str]:
+        """Return the header fields of a new attempt, with a random attempt id."""
+        fields = {
             "service": self.stage,
-            "ref": f"{self.chance.getrandbits(64):016x}",
+            "ref": f"{self.rng.getrandbits(64):016x}",
             "since": str(time.time_ns() // 1_000_000),
             "sender": "1",
-            "project": self.owner,
+            "project": self.tenant,
             "effort": "5.0",
             "room": "1.0",
             "class_rank": "0.9",
-            "replay": mark,
+            "replay": key,
         }
-        return told | {"dup": "1"} if again else told
-
-    async def ask(self, mark: str, body: bytes, again: bool, group: Any) -> Told:
-        line = self.chance.choice(self.lines)
-        sent = time.monotonic()
-        words = self.words(mark, again)
-        self.since[words["ref"]] = sent
-        kind, value = await line.ask(words, body, group)
-        told = Told(mark, body, kind, value, sent, time.monotonic())
-        self.told.append(told)
-        return told
-
-    async def booking(self, number: int, due: float, span: float, repeats: float, group: Any) -> None:
-        """First try at its time, then further ones till something final comes or `span` seconds are over;
-        a part `repeats` of the bookings is asked for again after the end, as long."""
-        await anyio.sleep(max(0.0, due - time.monotonic()))
-        self.late = max(self.late, time.monotonic() - due)
-        mark, body = f"{number:032x}", b"booking %d" % number
-        await self.until_told(mark, body, False, due + span, group)
-        if self.chance.random() < repeats:
-            await anyio.sleep(self.chance.uniform(0.0, 1.0))
-            await self.until_told(mark, body, True, time.monotonic() + span, group)
-
-    async def until_told(self, mark: str, body: bytes, again: bool, until: float, group: Any) -> None:
-        """Tries till something final comes or the time is over; not before each rejection's stay away."""
-        told = await self.ask(mark, body, again, group)
-        pause = 0.02
-        while told.kind in ("lost", "rejected", "misunderstood") and time.monotonic() < until:
-            away = int(told.value.get("cooldown", 0)) / 1000 if told.kind == "rejected" else 0.0
-            await anyio.sleep(max(away, pause) * self.chance.uniform(0.8, 1.2))
-            pause = min(0.3, 2 * pause)
-            told = await self.ask(mark, body, True, group)
+        return fields | {"dup": "1"} if is_retry else fields
+
+    async def attempt(self, key: str, body: bytes, is_retry: bool, group: TaskGroup) -> AttemptOutcome:
+        """Send one attempt on a random connection and record its outcome."""
+        connection = self.rng.choice(self.connections)
+        sent_at = time.monotonic()
+        fields = self.request_fields(key, is_retry)
+        self.created_at[fields["ref"]] = sent_at
+        kind, value = await connection.attempt(fields, body, group)
+        outcome = AttemptOutcome(key, body, kind, value, sent_at, time.monotonic())
+        self.outcomes.append(outcome)
+        return outcome
+
+    async def book(
+        self, number: int, start_at: float, timeout: float, repeat_share: float, group: TaskGroup
+    ) -> None:
+        """Send a booking at its time, and retry it until it is final or timed out.
+
+        Args:
+            number: Of the booking; key and body follow from it.
+            start_at: Seconds of the monotonic clock.
+            timeout: Seconds of retrying.
+            repeat_share: Share of bookings that are asked for again after their end, for as long.
+            group: Runs the readers of new connections.
+        """
+        await anyio.sleep(max(0.0, start_at - time.monotonic()))
+        self.max_delay = max(self.max_delay, time.monotonic() - start_at)
+        key, body = f"{number:032x}", b"booking %d" % number
+        await self.retry_until_final(key, body, False, start_at + timeout, group)
+        if self.rng.random() < repeat_share:
+            await anyio.sleep(self.rng.uniform(0.0, 1.0))
+            await self.retry_until_final(key, body, True, time.monotonic() + timeout, group)
+
+    async def retry_until_final(
+        self, key: str, body: bytes, is_retry: bool, deadline: float, group: TaskGroup
+    ) -> None:
+        """Attempt a request until a final answer or the deadline, never before a rejection's cooldown."""
+        outcome = await self.attempt(key, body, is_retry, group)
+        backoff = FIRST_BACKOFF
+        while outcome.kind in RETRIED and time.monotonic() < deadline:
+            cooldown = int(outcome.value.get("cooldown", 0)) / 1000 if outcome.kind == "rejected" else 0.0
+            await anyio.sleep(max(cooldown, backoff) * self.rng.uniform(0.8, 1.2))
+            backoff = min(MAX_BACKOFF, 2 * backoff)
+            outcome = await self.attempt(key, body, True, group)
--- a/thistleline/lab/farm.py
+++ b/thistleline/lab/farm.py
@@ -1,7 +1,7 @@
-"""A farm agent that outlives the server and keeps its own record of every run: the oracle of the ledger.
+"""A fake farm agent that outlives the server and records every run: what the ledger's oracle judges by.
 
-Speaks the agent's side of wire/agent.py. Runs go on without a link; notices are kept and told again from the
-number that a new link names.
+It speaks the agent's side of wire/agent.py. Runs go on without a connection; notices of their ends are stored
+and sent again from the number that a new connection subscribes from.
 """
 
 import random
@@ -13,61 +13,65 @@
 from anyio.abc import ByteReceiveStream, SocketStream, TaskGroup
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-KEPT_BOUND = 4000
+MAX_NOTICES = 4000  # stored for a new connection; older ones are lost
+MAX_LINE = 4096  # bytes of a request's first line
 
 
-class Ran(NamedTuple):
-    """One run: of which body, under which id, when it began; with what result once it has ended."""
+class RunRecord(NamedTuple):
+    """One run of an effect.
+
+    Attributes:
+        body: The request's body.
+        id: The attempt that started it.
+        started_at: Seconds of the monotonic clock.
+        result: What it gives when it ends.
+    """
 
     body: bytes
     id: str
-    began: float
+    started_at: float
     result: bytes
 
 
-class FarmStandIn:
-    def __init__(self, seed: int, takes: tuple[float, float]) -> None:
-        """`takes`: the least and most seconds of a run."""
-        self.chance = random.Random(seed)
-        self.takes = takes
-        self.born = time.monotonic()
-        self.ran: dict[bytes, list[Ran]] = {}  # by body
-        self.running: dict[str, bytes] = {}
-        self.notices: deque[bytes] = deque(maxlen=KEPT_BOUND)
-        self.number = 0
-        self.link: SocketStream | None = None
+class FakeFarmAgent:
+    """One agent on a free loopback port; only the newest connection gets notices."""
+
+    def __init__(self, seed: int, run_seconds: tuple[float, float]) -> None:
+        """Make an agent whose runs take between the least and the most of `run_seconds`."""
+        self.rng = random.Random(seed)
+        self.run_seconds = run_seconds
+        self.started_at = time.monotonic()
+        self.runs: dict[bytes, list[RunRecord]] = {}  # by body; the record that the oracle reads
+        self.running: dict[str, bytes] = {}  # body by attempt
+        self.notices: deque[bytes] = deque(maxlen=MAX_NOTICES)
+        self.notice_number = 0  # of the latest
+        self.connection: SocketStream | None = None
         self.sending = anyio.Lock()
         self.port = 0
 
     async def serve(self, group: TaskGroup) -> None:
+        """Listen on a free port, named by `port`, for as long as `group` runs."""
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         self.port = listener.extra(anyio.abc.SocketAttribute.local_port)
         self.group = group
-        group.start_soon(listener.serve, self._talk)
+        group.start_soon(listener.serve, self._serve_connection)
 
-    async def _talk(self, link: SocketStream) -> None:
-        source = BufferedByteReceiveStream(_Source(link))
+    async def _serve_connection(self, connection: SocketStream) -> None:
+        source = BufferedByteReceiveStream(_Receiver(connection))
         try:
-            async with link:
+            async with connection:
                 while True:
-                    line = (await source.receive_until(b"\r\n", 4096)).decode()
+                    line = (await source.receive_until(b"\r\n", MAX_LINE)).decode()
                     words = line.split(" ")
                     if words[0] == "launch":
                         body = (await source.receive_exactly(int(words[3]) + 2))[:-2]
                         self._launch(words[1], body)
                     elif words[0] == "subscribe":
-                        age = int((time.monotonic() - self.born) * 1000)
-                        async with self.sending:
-                            before, self.link = self.link, link
-                            if before is not None and before is not link:
-                                await before.aclose()  # a new link replaces the one before it
-                            first = self.number - len(self.notices)
-                            missed = list(self.notices)[max(0, int(words[1]) - first) :]
-                            await link.send(b"greeting old %d\r\n" % age + b"".join(missed))
+                        await self._subscribe(connection, int(words[1]))
                     elif words[0] == "sample":
-                        told = f"sampled {words[1]} 0.5 {len(self.running)}.0 0.1 1\r\n"
+                        sample = f"sampled {words[1]} 0.5 {len(self.running)}.0 0.1 1\r\n"
                         async with self.sending:
-                            await link.send(told.encode())
+                            await connection.send(sample.encode())
         except (
             anyio.EndOfStream,
             anyio.IncompleteRead,
@@ -76,38 +80,56 @@
         ):
             pass
         finally:
-            if self.link is link:
-                self.link = None
+            if self.connection is connection:
+                self.connection = None
+
+    async def _subscribe(self, connection: SocketStream, after: int) -> None:
+        """Replace the connection before this one; greet, and send the notices after number `after`."""
+        age_ms = int((time.monotonic() - self.started_at) * 1000)
+        async with self.sending:
+            previous = self.connection
+            self.connection = connection
+            if previous is not None and previous is not connection:
+                await previous.aclose()
+            forgotten = self.notice_number - len(self.notices)
+            missed = list(self.notices)[max(0, after - forgotten) :]
+            await connection.send(b"greeting old %d\r\n" % age_ms + b"".join(missed))
 
     def _launch(self, id: str, body: bytes) -> None:
         if id not in self.running:
             self.running[id] = body
-            result = b"run %d of " % self.chance.getrandbits(32) + body[:16]
-            self.ran.setdefault(body, []).append(Ran(body, id, time.monotonic(), result))
+            result = b"run %d of " % self.rng.getrandbits(32) + body[:16]
+            self.runs.setdefault(body, []).append(RunRecord(body, id, time.monotonic(), result))
             self.group.start_soon(self._run, id, result)
 
     async def _run(self, id: str, result: bytes) -> None:
-        took = self.chance.uniform(*self.takes)
-        await anyio.sleep(took)
+        seconds = self.rng.uniform(*self.run_seconds)
+        await anyio.sleep(seconds)
+        await self._finish(id, f"{seconds * 1000:.3f}", result)
+
+    async def _finish(self, id: str, milliseconds: str, result: bytes) -> None:
+        """End a run: store its notice, and send it if there is a connection."""
         del self.running[id]
-        self.number += 1
-        head = f"outcome {self.number} {id} good {took * 1000:.3f} {len(result)}\r\n".encode()
-        link, notice = self.link, head + result + b"\r\n"
+        self.notice_number += 1
+        head = f"outcome {self.notice_number} {id} good {milliseconds} {len(result)}\r\n".encode()
+        connection, notice = self.connection, head + result + b"\r\n"
         self.notices.append(notice)
-        if link is not None:
+        if connection is not None:
             try:
                 async with self.sending:
-                    await link.send(notice)
+                    await connection.send(notice)
             except (anyio.BrokenResourceError, anyio.ClosedResourceError):
-                self.link = None if self.link is link else self.link
+                self.connection = None if self.connection is connection else self.connection
+
 
+class _Receiver(ByteReceiveStream):
+    """The receiving half of a connection, so that buffering it leaves the sending half alone."""
 
-class _Source(ByteReceiveStream):
-    def __init__(self, link: SocketStream) -> None:
-        self.link = link
+    def __init__(self, connection: SocketStream) -> None:
+        self.connection = connection
 
     async def receive(self, max_bytes: int = 65536) -> bytes:
-        return await self.link.receive(max_bytes)
+        return await self.connection.receive(max_bytes)
 
     async def aclose(self) -> None:
-        await self.link.aclose()
+        await self.connection.aclose()
--- a/thistleline/lab/handover.py
+++ b/thistleline/lab/handover.py
@@ -1,8 +1,8 @@
-"""Servers that follow one another on one machine under load, killed and stopped on both sides of the change.
+"""Handovers between servers on one machine under load, with kills and pauses on both sides of each.
 
-Real processes and sockets. The farm agent lives in this process and outlives every server; bookings are
-judged as for the ledger, lookups by whether each was answered. A server that goes on starting effects after
-it has handed over has to be found.
+Real processes and sockets. The fake farm agent (lab/farm.py) runs in this process and outlives every server.
+The oracle judges bookings as for the ledger (lab/ledger.py), and lookups by whether each was answered. It has
+to find a server that goes on starting effects after it has handed over ("keeps its right").
 """
 
 import json
@@ -23,222 +23,316 @@
 
 from thistleline.handover.serving import read_owner
 from thistleline.lab.caller import Caller
-from thistleline.lab.farm import FarmStandIn
-from thistleline.lab.harness import free_port, run_folder
-from thistleline.lab.ledger import SETTINGS, judge
+from thistleline.lab.farm import FakeFarmAgent
+from thistleline.lab.harness import RunTimeoutError, free_port, read_events, run_folder
+from thistleline.lab.ledger import SETTINGS, deploy_config, judge
+from thistleline.transport.address import Address
 
-STOP = 1500  # ms
+STOP_MS = 1500  # the server's time to stop
 RATE = 60.0  # bookings a second, and as many lookups
-OLDER, NEWER = "elder", "heir"
-POINTS = (
-    *((OLDER, point) for point in ("in:heir_ready", "before:hand", "after:hand", "before:forward")),
-    *((NEWER, point) for point in ("in:recovered", "in:inherited", "in:agent_up", "before:elder_told")),
-    *((OLDER, point) for point in ("in:away_over", "after:heir_ended", "in:run_over")),
-    *((NEWER, point) for point in ("in:forwarded", "in:lodge", "in:elder_ended", "before:write")),
+START_TIMEOUT = 15.0  # s for a new server to serve
+MAX_START_ATTEMPTS = 8
+POLL_INTERVAL = 0.005  # s between two looks at a process
+BOOKING_TIMEOUT = 8.0  # s that a caller retries a booking
+LOOKUP_TIMEOUT = 6.0  # s that a caller retries a lookup
+REPEAT_SHARE = 0.3  # of bookings that are asked for again after their end
+OLD, NEW = "elder", "heir"  # the sides of a handover
+KILL_POINTS = (  # (side, where lab/server.py kills itself)
+    *((OLD, point) for point in ("in:heir_ready", "before:hand", "after:hand", "before:forward")),
+    *((NEW, point) for point in ("in:recovered", "in:inherited", "in:agent_up", "before:elder_told")),
+    *((OLD, point) for point in ("in:away_over", "after:heir_ended", "in:run_over")),
+    *((NEW, point) for point in ("in:forwarded", "in:lodge", "in:elder_ended", "before:write")),
+)
+POINTS_PASSED_ONCE = (
+    "in:heir_ready",
+    "before:hand",
+    "after:hand",
+    "in:recovered",
+    "in:inherited",
+    "in:agent_up",
 )
-ONCE = ("in:heir_ready", "before:hand", "after:hand", "in:recovered", "in:inherited", "in:agent_up")
 LOOKUP = {"name": "lookup", "effect": "read_like", "credit": 1.0, "promise": 1.0, "deadline": 3.0}
-TOLD = {**SETTINGS, "classes": [*SETTINGS["classes"], LOOKUP]}
+HANDOVER_SETTINGS = {**SETTINGS, "classes": [*SETTINGS["classes"], LOOKUP]}
 
 
-class Lives:
-    """One machine's servers, each beside the one before it."""
+class ServerIncarnations:
+    """The servers of one machine, numbered from 1; each takes over from the one before it."""
 
-    def __init__(self, folder: Path, agent: int) -> None:
-        self.folder, self.port = folder, free_port()
-        told = {"name": "n1", "listen": f"127.0.0.1:{self.port}", "agent": f"127.0.0.1:{agent}",
-                "announce": "127.0.0.1:9", "seed": "1f", "stop_ms": STOP, "settings": TOLD,
-                "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 512}}  # fmt: skip
-        (folder / "plate.json").write_text(json.dumps(told))
+    def __init__(self, folder: Path, agent_port: int) -> None:
+        """Write the deploy and program settings that the servers share."""
+        self.folder = folder
+        self.port = free_port()
+        config = deploy_config("n1", self.port, agent_port, STOP_MS, HANDOVER_SETTINGS)
+        (folder / "plate.json").write_text(json.dumps(config))
         (folder / "lab.conf").write_text(
             f"ledger folder {folder}/kept\nledger disk 64M\nhandover folder {folder}/handover\n"
         )
         self.processes: dict[int, subprocess.Popen[bytes]] = {}
         self.count = 0
 
-    def start(self, fault: dict[str, Any], settings: dict[str, Any] | None = None) -> int:
+    def start(self, fault_plan: dict[str, Any], settings: dict[str, Any] | None = None) -> int:
+        """Start the next incarnation, with other settings if given, and return its number."""
         self.count += 1
-        plate = self.folder / "plate.json"
+        config = self.folder / "plate.json"
         if settings is not None:
-            told = {**json.loads(plate.read_bytes()), "settings": settings}
-            plate = self.folder / f"plate-{self.count}.json"
-            plate.write_text(json.dumps(told))
-        env = {**os.environ, "ROUTER_CONFIG": str(plate), "THISTLELINE_CONF": str(self.folder / "lab.conf"),
-               "ROUTER_LIFE": str(self.count), "LAB_FAULT": json.dumps(fault)}  # fmt: skip
+            changed = {**json.loads(config.read_bytes()), "settings": settings}
+            config = self.folder / f"plate-{self.count}.json"
+            config.write_text(json.dumps(changed))
+        env = {
+            **os.environ,
+            "ROUTER_CONFIG": str(config),
+            "THISTLELINE_CONF": str(self.folder / "lab.conf"),
+            "ROUTER_LIFE": str(self.count),
+            "LAB_FAULT": json.dumps(fault_plan),
+        }
         command = [sys.executable, "-m", "thistleline.lab.server"]
         with (self.folder / f"{self.count}.log").open("wb") as log:
             self.processes[self.count] = subprocess.Popen(command, env=env, stdout=log, stderr=log)
         return self.count
 
-    def lives(self, life: int) -> bool:
-        return life in self.processes and self.processes[life].poll() is None
+    def is_running(self, incarnation: int) -> bool:
+        """Whether the incarnation was started and has not ended."""
+        return incarnation in self.processes and self.processes[incarnation].poll() is None
 
     @property
     def owner(self) -> int:
+        """The incarnation that has the right to serve, by the handover folder; 0: none."""
         return (read_owner(self.folder / "handover") or (0, 0))[0]
 
-    async def serves(self, life: int, span: float) -> bool:
-        """Whether it came to serve in time, and lives."""
-        until = time.monotonic() + span
-        while time.monotonic() < until and self.lives(life):
-            if self.owner == life:
+    async def wait_until_serving(self, incarnation: int, timeout: float) -> bool:
+        """Return whether it became the owner in `timeout` seconds, and runs."""
+        deadline = time.monotonic() + timeout
+        while time.monotonic() < deadline and self.is_running(incarnation):
+            if self.owner == incarnation:
                 return True
-            await anyio.sleep(0.005)
+            await anyio.sleep(POLL_INTERVAL)
         return False
 
-    async def gone(self, life: int, span: float) -> bool:
-        until = time.monotonic() + span
-        while time.monotonic() < until and self.lives(life):
-            await anyio.sleep(0.005)
-        return not self.lives(life)
+    async def wait_for_exit(self, incarnation: int, timeout: float) -> bool:
+        """Return whether it ended in `timeout` seconds."""
+        deadline = time.monotonic() + timeout
+        while time.monotonic() < deadline and self.is_running(incarnation):
+            await anyio.sleep(POLL_INTERVAL)
+        return not self.is_running(incarnation)
 
-    def signal(self, life: int, number: int) -> None:
-        if self.lives(life):
-            self.processes[life].send_signal(number)
+    def signal(self, incarnation: int, number: int) -> None:
+        """Send a signal to an incarnation if it runs."""
+        if self.is_running(incarnation):
+            self.processes[incarnation].send_signal(number)
 
-    def events(self, life: int) -> list[dict[str, Any]]:
-        lines = (self.folder / f"{life}.log").read_bytes().splitlines()
-        return [json.loads(line) for line in lines if line.startswith(b"{") and line.endswith(b"}")]
+    def events(self, incarnation: int) -> list[dict[str, Any]]:
+        """Return the JSON events of an incarnation's log."""
+        return read_events(self.folder / f"{incarnation}.log")
 
     def close(self) -> None:
+        """Kill all incarnations and wait for their ends."""
         for process in self.processes.values():
             process.kill()
             process.wait()
 
 
 class Load:
-    """Bookings with repeats, and lookups, at times fixed before; and what the oracle says of them."""
+    """An open-loop load of bookings with repeats, and of lookups; and the oracle's judgement of both."""
 
-    def __init__(self, farm: FarmStandIn, address: Callable[[], tuple[str, int]], seed: int) -> None:
-        self.farm, self.chance = farm, random.Random(seed)
+    def __init__(self, farm: FakeFarmAgent, address: Callable[[], Address], seed: int) -> None:
+        """Make a load that begins with `generate`."""
+        self.farm = farm
+        self.rng = random.Random(seed)
         self.bookings = Caller(address, seed, 6, "booking", "studio")
         self.lookups = Caller(address, seed + 1, 3, "lookup", "studio")
-        self.going = True
+        self.is_running = True
         self.done = anyio.Event()
 
-    async def call(self, rate: float, group: TaskGroup) -> None:
-        at, number = time.monotonic(), 0
-        async with anyio.create_task_group() as each:
-            while self.going:
-                at += self.chance.expovariate(rate)
+    async def generate(self, rate: float, group: TaskGroup) -> None:
+        """Send `rate` bookings and as many lookups a second until `end`; `group` runs the readers."""
+        start_at, number = time.monotonic(), 0
+        async with anyio.create_task_group() as callers:
+            while self.is_running:
+                start_at += self.rng.expovariate(rate)
                 number += 1
-                await anyio.sleep(max(0.0, at - time.monotonic()))
-                each.start_soon(self.bookings.booking, number, at, 8.0, 0.3, group)
-                mark, body = f"{number:032x}", b"lookup %d" % number
-                until = time.monotonic() + 6.0
-                each.start_soon(self.lookups.until_told, mark, body, False, until, group)
+                await anyio.sleep(max(0.0, start_at - time.monotonic()))
+                callers.start_soon(self.bookings.book, number, start_at, BOOKING_TIMEOUT, REPEAT_SHARE, group)
+                key, body = f"{number:032x}", b"lookup %d" % number
+                deadline = time.monotonic() + LOOKUP_TIMEOUT
+                callers.start_soon(self.lookups.retry_until_final, key, body, False, deadline, group)
         self.done.set()
 
     async def end(self) -> None:
-        """Nothing new is asked; returns once all is answered, or nobody asks any more."""
-        self.going = False
+        """Send nothing new, and wait until all is answered, or no caller retries any more."""
+        self.is_running = False
         with anyio.move_on_after(20.0):
             await self.done.wait()
 
-    def judged(self) -> dict[str, int]:
-        looked = {body: self.farm.ran.pop(body) for body in list(self.farm.ran) if body.startswith(b"lookup")}
-        figures = judge(self.farm, self.bookings)
-        self.farm.ran |= looked
-        answered = {one.mark for one in self.lookups.told if one.kind in ("finished", "abandoned")}
-        asked = {one.mark for one in self.lookups.told}
-        figures["lookups"], figures["lookups_unanswered"] = len(asked), len(asked - answered)
-        figures["lookups_finished"] = len({one.mark for one in self.lookups.told if one.kind == "finished"})
-        figures["lost_tries"] = sum(one.kind == "lost" for one in self.lookups.told) + figures.get("lost", 0)
-        return figures
+    def judge(self) -> dict[str, int]:
+        """Return the oracle's counts; the agent's record is left as it was."""
+        lookup_runs = {
+            body: self.farm.runs.pop(body) for body in list(self.farm.runs) if body.startswith(b"lookup")
+        }
+        counts = judge(self.farm, self.bookings)
+        self.farm.runs |= lookup_runs
+        outcomes = self.lookups.outcomes
+        answered = {one.key for one in outcomes if one.kind in ("finished", "abandoned")}
+        asked = {one.key for one in outcomes}
+        counts["lookups"] = len(asked)
+        counts["lookups_unanswered"] = len(asked - answered)
+        counts["lookups_finished"] = len({one.key for one in outcomes if one.kind == "finished"})
+        counts["lost_tries"] = sum(one.kind == "lost" for one in outcomes) + counts.get("lost", 0)
+        return counts
+
+
+def slowest_answer_ms(load: Load) -> float:
+    """Return the latency of the slowest attempt that was answered, in ms."""
+    outcomes = [*load.bookings.outcomes, *load.lookups.outcomes]
+    latencies = (one.answered_at - one.sent_at for one in outcomes if one.kind != "lost")
+    return round(max(latencies, default=0.0) * 1000, 1)
+
+
+def _fault_plan(rng: random.Random, handover: int, faults: bool, keeps: bool) -> dict[str, Any]:
+    """Return the faults of the server that takes over in a handover.
+
+    A kill of the old side is given to a server at its start, so it shows at the handover after.
+    """
+    side, point = KILL_POINTS[handover % len(KILL_POINTS)]
+    next_side, next_point = KILL_POINTS[(handover + 1) % len(KILL_POINTS)]
+    plan: dict[str, Any] = {"keeps": keeps}
+    if faults and side == NEW:
+        plan["kill"] = [point, 1 if point in POINTS_PASSED_ONCE else rng.randint(1, 3)]
+    elif faults and next_side == OLD:
+        plan["kill"] = [next_point, 1 if next_point in POINTS_PASSED_ONCE else rng.randint(1, 3)]
+    return plan
+
+
+class HandoverRun:
+    """One run: handovers of the servers, one after another, under load."""
 
+    def __init__(self, servers: ServerIncarnations, seed: int, faults: bool, keeps: bool) -> None:
+        """Make a run.
 
-def slowest(load: Load) -> float:
-    """ms, of the tries that came to an end by themselves."""
-    told = [*load.bookings.told, *load.lookups.told]
-    return round(max((one.at - one.sent for one in told if one.kind != "lost"), default=0.0) * 1000, 1)
+        Args:
+            servers: The machine's servers.
+            seed: Of the fault plan.
+            faults: Whether each handover has a fault on one side or the other.
+            keeps: Whether servers wrongly go on starting effects after they handed over.
+        """
+        self.servers = servers
+        self.rng = random.Random(seed)
+        self.faults = faults
+        self.keeps = keeps
+        self.current = 0  # the incarnation that should serve
+        self.counts: Counter[str] = Counter()
 
+    async def start_first(self) -> None:
+        """Start the first server.
 
-async def changes(
+        Raises:
+            RunTimeoutError: It does not serve.
+        """
+        self.current = self.servers.start({"keeps": self.keeps})
+        if not await self.servers.wait_until_serving(self.current, 20):
+            raise RunTimeoutError("the first server does not serve in 20 s")
+
+    async def hand_over(self, handover: int) -> None:
+        """Start a server that takes over; see that one serves and that the old one ends.
+
+        Raises:
+            RunTimeoutError: No server comes to serve.
+        """
+        servers = self.servers
+        await anyio.sleep(self.rng.uniform(0.3, 1.0))
+        plan = _fault_plan(self.rng, handover, self.faults, self.keeps)
+        previous = self.current
+        self.current = servers.start(plan)
+        if self.faults and handover % 5 == 4:
+            await self._pause_one(previous)
+        await self._start_until_serving()
+        self.counts["changes"] += 1
+        if not servers.is_running(previous):
+            self.counts["elder died or was done at once"] += 1
+        elif not await servers.wait_for_exit(previous, STOP_MS / 1000 + 2.0):
+            self.counts["elder did not end"] += 1
+            servers.signal(previous, signal.SIGKILL)
+
+    async def _pause_one(self, previous: int) -> None:
+        await anyio.sleep(self.rng.uniform(0.2, 0.9))
+        paused = self.rng.choice((previous, self.current))
+        self.servers.signal(paused, signal.SIGSTOP)
+        await anyio.sleep(self.rng.uniform(0.1, 1.0))
+        self.servers.signal(paused, signal.SIGCONT)
+        self.counts["stood still"] += 1
+
+    async def _start_until_serving(self) -> None:
+        attempts = 1
+        while not await self.servers.wait_until_serving(self.current, START_TIMEOUT):
+            self.counts["heir died or did not come"] += 1
+            self.servers.signal(self.current, signal.SIGKILL)
+            attempts += 1
+            if attempts > MAX_START_ATTEMPTS:
+                raise RunTimeoutError(
+                    f"no server comes to serve in {MAX_START_ATTEMPTS} attempts, the last one {self.current}"
+                )
+            self.current = self.servers.start({"keeps": self.keeps})
+
+
+async def run_handovers(
     folder: Path, seed: int, count: int, faults: bool, keeps: bool, tell: Callable[[str], None]
 ) -> dict[str, Any]:
-    """So many changes of the server, each under load; with faults, each with one on one side or the other."""
-    chance = random.Random(seed)
-    farm = FarmStandIn(seed, (0.005, 0.4))
-    came: Counter[str] = Counter()
-    begun = time.monotonic()
+    """Hand over `count` times under load; see `HandoverRun` for the arguments.
+
+    Returns:
+        The oracle's counts, those of the run, and times in ms.
+    """
+    farm = FakeFarmAgent(seed, (0.005, 0.4))
+    started_at = time.monotonic()
     async with anyio.create_task_group() as group:
         await farm.serve(group)
-        lives = Lives(folder, farm.port)
-        load = Load(farm, lambda: ("127.0.0.1", lives.port), seed)
+        servers = ServerIncarnations(folder, farm.port)
+        load = Load(farm, lambda: ("127.0.0.1", servers.port), seed)
+        run = HandoverRun(servers, seed, faults, keeps)
         try:
-            current = lives.start({"keeps": keeps})
-            if not await lives.serves(current, 20):
-                raise RuntimeError("the first server does not come up")
-            group.start_soon(load.call, RATE, group)
-            for change in range(count):
-                await anyio.sleep(chance.uniform(0.3, 1.0))
-                side, point = POINTS[change % len(POINTS)]
-                # Of an elder its fault is told at its start, so it shows at the change after.
-                following = POINTS[(change + 1) % len(POINTS)]
-                fault: dict[str, Any] = {"keeps": keeps}
-                if faults and side == NEWER:
-                    fault["kill"] = [point, 1 if point in ONCE else chance.randint(1, 3)]
-                elif faults and following[0] == OLDER:
-                    fault["kill"] = [following[1], 1 if following[1] in ONCE else chance.randint(1, 3)]
-                before, current = current, lives.start(fault)
-                if faults and change % 5 == 4:  # one of the two stands still for a while
-                    await anyio.sleep(chance.uniform(0.2, 0.9))
-                    stopped = chance.choice((before, current))
-                    lives.signal(stopped, signal.SIGSTOP)
-                    await anyio.sleep(chance.uniform(0.1, 1.0))
-                    lives.signal(stopped, signal.SIGCONT)
-                    came["stood still"] += 1
-                tries = 1
-                while not await lives.serves(current, 15):
-                    came["heir died or did not come"] += 1
-                    lives.signal(current, signal.SIGKILL)
-                    tries += 1
-                    if tries > 8:
-                        raise RuntimeError(f"no server comes up after life {current}")
-                    current = lives.start({"keeps": keeps})
-                came["changes"] += 1
-                if not lives.lives(before):
-                    came["elder died or was done at once"] += 1
-                elif not await lives.gone(before, STOP / 1000 + 2.0):
-                    came["elder did not end"] += 1
-                    lives.signal(before, signal.SIGKILL)
-                if change % 10 == 9:
-                    tell(f"{change + 1} changes, {len(farm.ran)} runs")
+            await run.start_first()
+            group.start_soon(load.generate, RATE, group)
+            for handover in range(count):
+                await run.hand_over(handover)
+                if handover % 10 == 9:
+                    tell(f"{handover + 1} changes, {len(farm.runs)} runs")
             await load.end()
         finally:
-            lives.close()
+            servers.close()
             group.cancel_scope.cancel()
-    events = [event for life in lives.processes for event in lives.events(life)]
-    froze = [
-        one["froze_us"] / 1000 for one in events if one.get("state") == "handed over" and not one["again"]
+    events = [event for incarnation in servers.processes for event in servers.events(incarnation)]
+    frozen_ms = [
+        event["froze_us"] / 1000
+        for event in events
+        if event.get("state") == "handed over" and not event["again"]
     ]
     return {
-        **load.judged(),
-        **came,
-        "handed_over": len(froze),
-        "froze_ms_p50": round(statistics.median(froze), 2) if froze else None,
-        "froze_ms_most": round(max(froze), 2) if froze else None,
-        "slowest_answer_ms": slowest(load),
-        "faults_logged": sum(one["event"] == "fault" for one in events),
-        "seconds": round(time.monotonic() - begun, 1),
+        **load.judge(),
+        **run.counts,
+        "handed_over": len(frozen_ms),
+        "froze_ms_p50": round(statistics.median(frozen_ms), 2) if frozen_ms else None,
+        "froze_ms_most": round(max(frozen_ms), 2) if frozen_ms else None,
+        "slowest_answer_ms": slowest_answer_ms(load),
+        "faults_logged": sum(event["event"] == "fault" for event in events),
+        "seconds": round(time.monotonic() - started_at, 1),
     }
 
 
-def in_folder(
+def _run_in_folder(
     seed: int, count: int, faults: bool, keeps: bool, tell: Callable[[str], None]
 ) -> dict[str, Any]:
+    """Run handovers in a folder of their own, left in place where the oracle found a run twice."""
     with run_folder("handover", f"thistleline lab handover --seed {seed}") as folder:
-        found = anyio.run(changes, folder, seed, count, faults, keeps, tell)
-        if found["run_twice"] and not keeps:
+        figures = anyio.run(run_handovers, folder, seed, count, faults, keeps, tell)
+        if figures["run_twice"] and not keeps:
             (folder / "keep").touch()
-        return found
+        return figures
 
 
 def run(quick: bool, seed: int, tell: Callable[[str], None]) -> dict[str, Any]:
-    """All figures, bars and whether they held."""
-    calm = in_folder(seed, 5 if quick else 30, False, False, tell)
-    storm = in_folder(seed + 1, 9 if quick else 120, True, False, tell)
-    broken = in_folder(seed + 2, 3 if quick else 10, False, True, tell)
+    """Run all parts; return the figures, the criteria and whether all held."""
+    calm = _run_in_folder(seed, 5 if quick else 30, False, False, tell)
+    storm = _run_in_folder(seed + 1, 9 if quick else 120, True, False, tell)
+    broken = _run_in_folder(seed + 2, 3 if quick else 10, False, True, tell)
     bars = {"a server that keeps its right is found": broken["run_twice"] > 0}
     for name, found in (("calm", calm), ("with faults", storm)):
         for what in ("run_twice", "rejected_after_run", "acknowledged_and_lost", "another_result"):
--- a/thistleline/lab/harness.py
+++ b/thistleline/lab/harness.py
@@ -75,6 +75,12 @@
     raise RunTimeoutError(f"no port from {PORTS.start} to {PORTS.stop - 1} is free")
 
 
+def read_events(log: Path) -> list[dict[str, Any]]:
+    """Return the JSON objects of a log, one a line; other lines and torn ones are left out."""
+    lines = log.read_bytes().splitlines()
+    return [json.loads(line) for line in lines if line.startswith(b"{") and line.endswith(b"}")]
+
+
 class Process:
     """One process of the program, through all its incarnations; they append to the same log."""
 
@@ -138,8 +144,7 @@
 
     def events(self) -> list[dict[str, Any]]:
         """Return the JSON events of the log, of all incarnations."""
-        lines = (self.folder / f"{self.name}.log").read_bytes().splitlines()
-        return [json.loads(line) for line in lines if line.startswith(b"{") and line.endswith(b"}")]
+        return read_events(self.folder / f"{self.name}.log")
 
     def close(self) -> None:
         """Kill the process and close its log."""
--- a/thistleline/lab/ledger.py
+++ b/thistleline/lab/ledger.py
@@ -1,7 +1,8 @@
 """Bookings while the server is killed and its disk fails: does any run twice, is any lost after it ran?
 
-Real processes and sockets. The farm agent lives in this process, outlives every server and keeps the record
-that the oracle judges by; the oracle reads nothing of the server's.
+Real processes and sockets. The fake farm agent (lab/farm.py) runs in this process, outlives every server and
+records every run. The oracle, `judge`, compares that record with what callers were answered (lab/caller.py);
+it reads nothing of the server's. The verdict rests on its counts and on the bounds of disk use.
 """
 
 import json
@@ -21,9 +22,9 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from thistleline.lab.caller import Caller, Told
-from thistleline.lab.farm import FarmStandIn, Ran
-from thistleline.lab.harness import free_port
+from thistleline.lab.caller import AttemptOutcome, Caller
+from thistleline.lab.farm import FakeFarmAgent, RunRecord
+from thistleline.lab.harness import free_port, read_events
 from thistleline.ledger import format as ledger_format
 from thistleline.ledger.format import Intent, Outcome
 from thistleline.ledger.state import LedgerState
@@ -31,18 +32,22 @@
 from thistleline.store.clock import boot_now
 from thistleline.store.disk import Disk
 
-WINDOW, LIMIT, DUE = 9.0, 4.0, 2.0  # seconds
-LIFE_TAKES = 0.75  # seconds, about, with its start
-LIFE = (0.2, 1.0)  # seconds of a server between its first task and its kill
-POINTS = (
+# Of the class `booking`, in seconds: idempotency window, deadline, promised answer.
+WINDOW, DEADLINE, PROMISE = 9.0, 4.0, 2.0
+INCARNATION_SECONDS = 0.75  # about, of a server with its start; sets the rate of bookings
+SERVING_SECONDS = (0.2, 1.0)  # of a server between its first connection and its kill
+POLL_INTERVAL = 0.005  # s between two looks at a process
+BOOKING_TIMEOUT = 8.0  # s that a caller retries a booking
+REPEAT_SHARE = 0.3  # of bookings that are asked for again after their end
+KILL_POINTS = (  # lab/server.py kills itself there
     *("in:task", "in:run_over", "in:recorded", "in:round", "in:agent_up", "in:recovered"),
     *("before:write", "after:write", "before:start", "after:start", "before:finished", "after:finished"),
 )
-DISKS = ("once", "slow", "full", "read-only")
+DISK_FAULTS = ("once", "slow", "full", "read-only")
 SETTINGS: dict[str, Any] = {
     "allowed": {"maxRetryAfter": 1.0, "retryAfter": True},
-    "classes": [{"name": "booking", "effect": "idempotency_key", "credit": 2.0, "promise": DUE,
-                 "deadline": LIMIT, "window": WINDOW}],
+    "classes": [{"name": "booking", "effect": "idempotency_key", "credit": 2.0, "promise": PROMISE,
+                 "deadline": DEADLINE, "window": WINDOW}],
     "clientHabits": {"marksRetry": True},
     "familyInfo": {"blowup": 1.0, "callsOut": 0.0, "cpus": 64, "dependsOn": "none", "freshStart": False,
                    "gauges": ["core_use", "on_cores", "heap_share", "links"], "halt": "abort", "keyKb": 0.001,
@@ -56,47 +61,63 @@
 }  # fmt: skip
 
 
-class Server:
-    """One life after another of the program, each with its fault."""
+def deploy_config(
+    name: str, port: int, agent_port: int, stop_ms: int, settings: dict[str, Any]
+) -> dict[str, Any]:
+    """Return the deploy file of a server on loopback, as JSON values."""
+    return {
+        "name": name,
+        "listen": f"127.0.0.1:{port}",
+        "agent": f"127.0.0.1:{agent_port}",
+        "announce": "127.0.0.1:9",
+        "seed": "1f",
+        "stop_ms": stop_ms,
+        "settings": settings,
+        "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 512},
+    }
+
+
+class ServerProcess:
+    """The server under test, one incarnation after another, each with its own fault plan (lab/server.py)."""
 
     def __init__(self, folder: Path, agent_port: int, port: int, ledger: bool) -> None:
-        self.folder, self.port = folder, port
-        told = {"name": "n1", "listen": f"127.0.0.1:{port}", "agent": f"127.0.0.1:{agent_port}",
-                "announce": "127.0.0.1:9", "seed": "1f", "stop_ms": 1000, "settings": SETTINGS,
-                "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 512}}  # fmt: skip
-        (folder / "config.json").write_text(json.dumps(told))
-        self.env = {**os.environ, "ROUTER_CONFIG": str(folder / "config.json")}
+        """Write the server's files; `ledger`: whether it has one."""
+        self.folder = folder
+        self.port = port
+        config = folder / "config.json"
+        config.write_text(json.dumps(deploy_config("n1", port, agent_port, 1000, SETTINGS)))
+        self.env = {**os.environ, "ROUTER_CONFIG": str(config)}
         self.env.pop("THISTLELINE_CONF", None)
         if ledger:
             (folder / "lab.conf").write_text(f"ledger folder {folder}/kept\nledger disk 64M\n")
             self.env["THISTLELINE_CONF"] = str(folder / "lab.conf")
         self.process: subprocess.Popen[bytes] | None = None
         self.log = (folder / "server.log").open("ab")
-        self.lives = 0
 
-    def start(self, fault: dict[str, Any]) -> None:
-        self.lives += 1
+    def start(self, fault_plan: dict[str, Any]) -> None:
+        """Start the next incarnation."""
         command = [sys.executable, "-m", "thistleline.lab.server"]
-        env = {**self.env, "LAB_FAULT": json.dumps(fault)}
+        env = {**self.env, "LAB_FAULT": json.dumps(fault_plan)}
         self.process = subprocess.Popen(command, env=env, stdout=self.log, stderr=self.log)
 
     def kill(self) -> None:
+        """Kill the process (SIGKILL) and wait for its end."""
         if self.process is not None:
             self.process.kill()
             self.process.wait()
 
-    async def ended(self, patience: float) -> bool:
-        """Whether it ended by itself in time."""
+    async def wait_for_exit(self, timeout: float) -> bool:
+        """Return whether the process ended by itself in `timeout` seconds."""
         assert self.process is not None
-        due = time.monotonic() + patience
-        while time.monotonic() < due:
+        deadline = time.monotonic() + timeout
+        while time.monotonic() < deadline:
             if self.process.poll() is not None:
                 return True
-            await anyio.sleep(0.005)
+            await anyio.sleep(POLL_INTERVAL)
         return False
 
-    async def listens(self) -> bool:
-        """Waits for its first connection; false if it ended before."""
+    async def wait_until_listening(self) -> bool:
+        """Wait until a connection succeeds; return False if the process ended before."""
         assert self.process is not None
         while self.process.poll() is None:
             try:
@@ -107,24 +128,34 @@
         return False
 
     def events(self) -> list[dict[str, Any]]:
+        """Return the JSON events of all incarnations."""
         self.log.flush()
-        lines = (self.folder / "server.log").read_bytes().splitlines()
-        return [json.loads(line) for line in lines if line.startswith(b"{") and line.endswith(b"}")]
+        return read_events(self.folder / "server.log")
 
 
-def _story(wrong: Told, caller: Caller, runs: list[Ran]) -> str:
-    """All that is known of a booking that ended wrongly."""
-    tries = [f"{one.kind} {one.sent:.3f}-{one.at:.3f}" for one in caller.told if one.mark == wrong.mark]
-    ran = [f"began {run.began:.3f}, its try made {caller.since.get(run.id, 0.0):.3f}" for run in runs]
-    return f"wrong: {wrong.body!r}: tries {tries}; runs {ran}"
+# ---- the oracle
 
 
-def judge(farm: FarmStandIn, caller: Caller) -> dict[str, int]:
-    """The oracle: the agent's record against what callers were told. A window counts from the time of the try
-    that ran, as the agent's pages have it, and not from the run's begin, which may be much later where this
-    process or the agent stood still."""
-    told = caller.told
-    figures: Counter[str] = Counter(
+def _describe_violation(outcome: AttemptOutcome, caller: Caller, runs: list[RunRecord]) -> str:
+    """Return all that is known of a booking whose outcome breaks an invariant."""
+    attempts = [
+        f"{one.kind} {one.sent_at:.3f}-{one.answered_at:.3f}"
+        for one in caller.outcomes
+        if one.key == outcome.key
+    ]
+    ran = [
+        f"began {run.started_at:.3f}, its try made {caller.created_at.get(run.id, 0.0):.3f}" for run in runs
+    ]
+    return f"wrong: {outcome.body!r}: tries {attempts}; runs {ran}"
+
+
+def judge(farm: FakeFarmAgent, caller: Caller) -> dict[str, int]:
+    """Compare the agent's record of runs with what callers were answered, and count violations.
+
+    The idempotency window counts from the creation of the attempt that ran, as the agent's pages have it, and
+    not from the start of the run, which may be much later where this process or the agent was paused.
+    """
+    counts: Counter[str] = Counter(
         {
             "run_twice": 0,
             "rejected_after_run": 0,
@@ -133,250 +164,320 @@
             "unanswered": 0,
         }
     )
-    for runs in farm.ran.values():
-        runs = sorted(runs, key=lambda run: run.began)
-        figures["run_twice"] += sum(1 for one, other in pairwise(runs) if other.began - one.began < WINDOW)
-    finished: dict[str, bytes] = {}
-    for one in sorted(told, key=lambda told: told.at):
-        figures[one.kind] += 1
-        runs = farm.ran.get(one.body, [])
-        if one.kind == "rejected" and any(
-            run.began < one.sent < caller.since.get(run.id, run.began) + WINDOW for run in runs
+    for runs in farm.runs.values():
+        starts = sorted(run.started_at for run in runs)
+        counts["run_twice"] += sum(1 for first, second in pairwise(starts) if second - first < WINDOW)
+    results: dict[str, bytes] = {}  # the first one that a caller was given, by key
+    for outcome in sorted(caller.outcomes, key=lambda outcome: outcome.answered_at):
+        counts[outcome.kind] += 1
+        runs = farm.runs.get(outcome.body, [])
+        if outcome.kind == "rejected" and any(
+            run.started_at < outcome.sent_at < caller.created_at.get(run.id, run.started_at) + WINDOW
+            for run in runs
         ):
-            print(_story(one, caller, runs), file=sys.stderr)
-            figures["rejected_after_run"] += 1
-        if one.kind == "finished":
-            if not any(run.result == one.value for run in runs):
-                figures["acknowledged_and_lost" if not runs else "another_result"] += 1
-            elif one.mark in finished and finished[one.mark] != one.value:
-                figures["another_result"] += 1
-            if one.mark in finished:
-                figures["repeats_given_the_result"] += 1
-            finished.setdefault(one.mark, one.value)
-        if one.kind == "abandoned":
-            ran = any(run.began < one.at for run in runs)
-            figures["abandoned_after_a_run" if ran else "abandoned_unrun"] += 1
-    # Each booking, by the best that its callers ever heard; those that never ran, by why.
-    heard: dict[str, set[str]] = {}
-    for one in told:
-        heard.setdefault(one.mark, set()).add(one.kind)
-    bodies = {one.mark: one.body for one in told}
-    for mark, kinds in heard.items():
+            print(_describe_violation(outcome, caller, runs), file=sys.stderr)
+            counts["rejected_after_run"] += 1
+        if outcome.kind == "finished":
+            _judge_result(outcome, runs, results, counts)
+        if outcome.kind == "abandoned":
+            ran = any(run.started_at < outcome.answered_at for run in runs)
+            counts["abandoned_after_a_run" if ran else "abandoned_unrun"] += 1
+    _judge_bookings(farm, caller, counts)
+    counts["bookings_run"] = len(farm.runs)
+    counts["bookings_finished"] = len(results)
+    return dict(counts)
+
+
+def _judge_result(
+    outcome: AttemptOutcome, runs: list[RunRecord], results: dict[str, bytes], counts: Counter[str]
+) -> None:
+    """Check one result against the runs and against the first result given for the same key."""
+    if not any(run.result == outcome.value for run in runs):
+        counts["acknowledged_and_lost" if not runs else "another_result"] += 1
+    elif outcome.key in results and results[outcome.key] != outcome.value:
+        counts["another_result"] += 1
+    if outcome.key in results:
+        counts["repeats_given_the_result"] += 1
+    results.setdefault(outcome.key, outcome.value)
+
+
+def _judge_bookings(farm: FakeFarmAgent, caller: Caller, counts: Counter[str]) -> None:
+    """Count bookings by the best answer of all their attempts; those that never ran, by that answer."""
+    kinds_of: dict[str, set[str]] = {}
+    for outcome in caller.outcomes:
+        kinds_of.setdefault(outcome.key, set()).add(outcome.kind)
+    bodies = {outcome.key: outcome.body for outcome in caller.outcomes}
+    for key, kinds in kinds_of.items():
         best = next((kind for kind in ("finished", "abandoned", "rejected") if kind in kinds), "unanswered")
-        figures["unanswered"] += best == "unanswered"
-        if bodies[mark] not in farm.ran:
-            figures[f"never_run_{best}"] += 1
-    figures["bookings_run"] = len(farm.ran)
-    figures["bookings_finished"] = len(finished)
-    return dict(figures)
+        counts["unanswered"] += best == "unanswered"
+        if bodies[key] not in farm.runs:
+            counts[f"never_run_{best}"] += 1
+
+
+# ---- the runs
+
+
+def _fault_plan(rng: random.Random, incarnation: int, kills: int, sync: bool) -> dict[str, Any]:
+    """Return the faults of one incarnation: every second one is killed, every fifth has a disk fault."""
+    plan: dict[str, Any] = {"sync": sync}
+    if incarnation <= kills and incarnation % 2:
+        point = KILL_POINTS[incarnation // 2 % len(KILL_POINTS)]
+        happens_once = point.startswith(("in:agent", "in:rec"))
+        plan["kill"] = [point, 1 if happens_once else rng.randint(1, 60)]
+    if incarnation % 5 == 2:
+        plan |= {"disk": DISK_FAULTS[incarnation // 5 % len(DISK_FAULTS)], "at": rng.randint(1, 12)}
+    return plan
+
+
+async def _serve_until_killed(server: ServerProcess, plan: dict[str, Any], rng: random.Random) -> str:
+    """Wait until the server is killed, by itself or by us; return the point of the kill."""
+    await server.wait_until_listening()
+    point = "at random"
+    if "kill" in plan:
+        if await server.wait_for_exit(rng.uniform(*SERVING_SECONDS)):
+            point = plan["kill"][0]
+    else:
+        await anyio.sleep(rng.uniform(*SERVING_SECONDS))
+    server.kill()
+    return point
 
 
 async def storm(
     folder: Path, seed: int, bookings: int, kills: int, sync: bool, tell: Callable[[str], None]
 ) -> dict[str, Any]:
-    """The bookings under kills and failing disks; the oracle's figures."""
-    chance = random.Random(seed)
-    farm = FarmStandIn(seed, (0.002, 0.15))
-    begun = time.monotonic()
-    points: Counter[str] = Counter()
+    """Send bookings while servers are killed and disks fail.
+
+    Args:
+        folder: Of the run.
+        seed: Of the fault plan and the load.
+        bookings: How many, spread over the expected time of the kills.
+        kills: How many incarnations are killed; the last one serves the rest.
+        sync: Whether the ledger syncs its files; without, the oracle has to find violations.
+        tell: Called with lines of progress.
+
+    Returns:
+        The oracle's counts, and figures of the run.
+    """
+    rng = random.Random(seed)
+    farm = FakeFarmAgent(seed, (0.002, 0.15))
+    started_at = time.monotonic()
+    kill_points: Counter[str] = Counter()
     done = anyio.Event()
     async with anyio.create_task_group() as group:
         await farm.serve(group)
         port = free_port()
-        server = Server(folder, farm.port, port, True)
+        server = ServerProcess(folder, farm.port, port, True)
         caller = Caller(lambda: ("127.0.0.1", port), seed, 8, "booking", "studio")
 
-        async def all_bookings(inner: TaskGroup) -> None:
-            async with anyio.create_task_group() as each:
-                at = time.monotonic() + 0.5
+        async def send_bookings(readers: TaskGroup) -> None:
+            async with anyio.create_task_group() as callers:
+                start_at = time.monotonic() + 0.5
                 for number in range(bookings):
-                    at += chance.expovariate(bookings / (kills * LIFE_TAKES))
-                    each.start_soon(caller.booking, number, at, 8.0, 0.3, inner)
+                    start_at += rng.expovariate(bookings / (kills * INCARNATION_SECONDS))
+                    callers.start_soon(caller.book, number, start_at, BOOKING_TIMEOUT, REPEAT_SHARE, readers)
             done.set()
 
         server.start({"sync": sync})
-        await server.listens()
-        group.start_soon(all_bookings, group)
-        life = 0
-        while not done.is_set() and life < 20 * kills + 100:
-            life += 1
-            fault: dict[str, Any] = {"sync": sync}
-            if life <= kills and life % 2:
-                point = POINTS[life // 2 % len(POINTS)]
-                fault["kill"] = [
-                    point,
-                    1 if point.startswith(("in:agent", "in:rec")) else chance.randint(1, 60),
-                ]
-            if life % 5 == 2:
-                fault |= {"disk": DISKS[life // 5 % len(DISKS)], "at": chance.randint(1, 12)}
-            if life > 1:
-                server.start(fault)
-            if life > kills:
+        await server.wait_until_listening()
+        group.start_soon(send_bookings, group)
+        incarnation = 0
+        while not done.is_set() and incarnation < 20 * kills + 100:
+            incarnation += 1
+            plan = _fault_plan(rng, incarnation, kills, sync)
+            if incarnation > 1:
+                server.start(plan)
+            if incarnation > kills:
                 with anyio.move_on_after(60):
                     await done.wait()
                 break
-            await server.listens()
-            if "kill" in fault:
-                by_itself = await server.ended(chance.uniform(*LIFE))
-                points[fault["kill"][0] if by_itself else "at random"] += 1
-            else:
-                await anyio.sleep(chance.uniform(*LIFE))
-                points["at random"] += 1
-            server.kill()
-            if life % max(1, kills // 10) == 0:
-                tell(f"{life} of {kills} kills, {len(farm.ran)} bookings run, {len(caller.told)} tries")
+            kill_points[await _serve_until_killed(server, plan, rng)] += 1
+            if incarnation % max(1, kills // 10) == 0:
+                tell(
+                    f"{incarnation} of {kills} kills, {len(farm.runs)} bookings run, "
+                    f"{len(caller.outcomes)} tries"
+                )
         server.kill()
         group.cancel_scope.cancel()
     events = server.events()
-    figures = judge(farm, caller)
     return {
-        **figures,
+        **judge(farm, caller),
         "bookings": bookings,
-        "kills": sum(points.values()),
-        "kill_points": dict(sorted(points.items())),
+        "kills": sum(kill_points.values()),
+        "kill_points": dict(sorted(kill_points.items())),
         "disk_failures": sum(
-            1 for one in events if one["event"] == "ledger" and one.get("state") == "failing"
+            1 for event in events if event["event"] == "ledger" and event.get("state") == "failing"
         ),
-        "faults": sum(1 for one in events if one["event"] == "fault"),
+        "faults": sum(1 for event in events if event["event"] == "fault"),
         "answered_all": done.is_set(),
-        "late_ms": round(caller.late * 1000, 1),
-        "seconds": round(time.monotonic() - begun, 1),
+        "late_ms": round(caller.max_delay * 1000, 1),
+        "seconds": round(time.monotonic() - started_at, 1),
     }
 
 
+def _cpu_seconds_of_children() -> float:
+    usage = resource.getrusage(resource.RUSAGE_CHILDREN)
+    return usage.ru_utime + usage.ru_stime
+
+
 async def speed(folder: Path, ledger: bool, each: bool, seconds: float, callers: int) -> dict[str, Any]:
-    """Bookings a second of one server with so many callers that ask one after another."""
-    farm = FarmStandIn(1, (0.0, 0.001))
-    times: list[float] = []
+    """Measure the throughput of one server under a closed loop of callers.
+
+    Args:
+        folder: Of the run.
+        ledger: Whether the server has one.
+        each: Whether every record is written by itself instead of in groups.
+        seconds: Of load.
+        callers: How many, each with one request at a time.
+
+    Returns:
+        Bookings a second, latency quantiles in ms, and the server's CPU time for each booking in us.
+    """
+    farm = FakeFarmAgent(1, (0.0, 0.001))
+    latencies: list[float] = []  # s
     async with anyio.create_task_group() as group:
         await farm.serve(group)
         port = free_port()
-        server = Server(folder, farm.port, port, ledger)
+        server = ServerProcess(folder, farm.port, port, ledger)
         server.start({"each": each})
-        await server.listens()
+        await server.wait_until_listening()
         await anyio.sleep(0.3)
         caller = Caller(lambda: ("127.0.0.1", port), 1, 4, "booking", "studio")
-        until = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
 
-        async def one(place: int) -> None:
-            number = place
-            while time.monotonic() < until:
+        async def call(number: int) -> None:
+            while time.monotonic() < deadline:
                 number += callers
-                told = await caller.ask(f"{number:032x}", b"booking %d" % number, False, group)
-                if told.kind == "finished":
-                    times.append(told.at - told.sent)
+                outcome = await caller.attempt(f"{number:032x}", b"booking %d" % number, False, group)
+                if outcome.kind == "finished":
+                    latencies.append(outcome.answered_at - outcome.sent_at)
 
         async with anyio.create_task_group() as asking:
-            for place in range(callers):
-                asking.start_soon(one, place)
-        usage = resource.getrusage(resource.RUSAGE_CHILDREN)
-        before = usage.ru_utime + usage.ru_stime
+            for first in range(callers):
+                asking.start_soon(call, first)
+        cpu_before = _cpu_seconds_of_children()
         server.kill()
-        usage = resource.getrusage(resource.RUSAGE_CHILDREN)
+        cpu_seconds = _cpu_seconds_of_children() - cpu_before
         group.cancel_scope.cancel()
-    times.sort()
+    latencies.sort()
     return {
-        "a_second": round(len(times) / seconds, 1),
-        "p50_ms": round(times[len(times) // 2] * 1000, 2),
-        "p99_ms": round(times[len(times) * 99 // 100] * 1000, 2),
-        "cpu_us_each": round((usage.ru_utime + usage.ru_stime - before) / len(times) * 1e6),
+        "a_second": round(len(latencies) / seconds, 1),
+        "p50_ms": round(latencies[len(latencies) // 2] * 1000, 2),
+        "p99_ms": round(latencies[len(latencies) * 99 // 100] * 1000, 2),
+        "cpu_us_each": round(cpu_seconds / len(latencies) * 1e6),
     }
 
 
 def recovery(folder: Path, entries: int) -> dict[str, Any]:
-    """Time, memory and bytes of so many entries with results of 64 bytes."""
+    """Measure time (s), memory and disk bytes of recovering `entries` entries with results of 64 bytes."""
     disk = Disk(folder)
     disk.acquire()
     store = LedgerStore(disk, ("booking",))
-    now, span = boot_now(), 3600 * 1_000_000_000
+    now = boot_now()
+    window = 3600 * 1_000_000_000  # ns
     disk.begin(1)
     disk.append(ledger_format.encode_header(store.stages, store.boot))
     for first in range(0, entries, 1000):
         numbers = range(first + 1, min(first + 1000, entries) + 1)
-        intents = [Intent(n, 0, n.to_bytes(16, "big"), now + span, span, b"%016x" % n) for n in numbers]
+        intents = [Intent(n, 0, n.to_bytes(16, "big"), now + window, window, b"%016x" % n) for n in numbers]
         disk.append(ledger_format.encode_frame(intents, [Outcome(n, 0, b"r" * 64) for n in numbers]))
     size = disk.segments()[0][1]
-    before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
+    memory_before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss  # kB
     ledger = LedgerState(1 << 40, 1 << 40, now, lambda number: None)
-    begun = time.perf_counter()
-    found = store.recover(ledger)
-    took = time.perf_counter() - begun
+    started_at = time.perf_counter()
+    recovered = store.recover(ledger)
+    seconds = time.perf_counter() - started_at
     disk.release()
     return {
-        "entries": len(found),
-        "seconds": round(took, 3),
+        "entries": len(recovered),
+        "seconds": round(seconds, 3),
         "disk_bytes_each": round(size / entries),
         "memory_bytes_each": round(
-            (resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before) * 1024 / entries
+            (resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - memory_before) * 1024 / entries
         ),
     }
 
 
-def steady(folder: Path, seconds: int, rate: int, window: float, result: int, bound: int) -> dict[str, Any]:
-    """Bookings at one rate in virtual time, real files: the most bytes that the folder ever held. Each ends
-    50 ms after its start; a group goes out every 10 ms; there is no sync, as nobody is killed here."""
+def steady(
+    folder: Path, seconds: int, rate: int, window: float, result: int, max_bytes: int
+) -> dict[str, Any]:
+    """Write bookings at a steady rate in virtual time to real files, and find the folder's greatest size.
+
+    Each booking ends 50 ms after its start; a group is written every 10 ms; without sync, as
+    nothing is killed.
+
+    Args:
+        folder: Of the ledger.
+        seconds: Of virtual time.
+        rate: Bookings a second.
+        window: Idempotency window, seconds.
+        result: Bytes of a result.
+        max_bytes: The ledger's limit on disk.
+    """
     disk = Disk(folder)
     disk.acquire()
     store, now = LedgerStore(disk, ("booking",), sync=False), boot_now()
-    ledger = LedgerState(bound, 1 << 20, now, lambda number: b"r" * result)
-    span, step = int(window * 1e9), 10_000_000
-    running: deque[tuple[int, int]] = deque()
-    started = most = refused = 0
+    ledger = LedgerState(max_bytes, 1 << 20, now, lambda number: b"r" * result)
+    window_ns = int(window * 1e9)
+    step = 10_000_000  # ns
+    running: deque[tuple[int, int]] = deque()  # (end in ns, number)
+    started = refused = greatest_size = 0
     for turn in range(seconds * 100):
         now += step
         while running and running[0][0] <= now:
             ledger.record_outcome(now, running.popleft()[1], "finished", b"r" * result)
         while started + refused < rate * turn // 100:
-            number = ledger.record_intent(now, 0, started.to_bytes(16, "big"), span, b"")
+            number = ledger.record_intent(now, 0, started.to_bytes(16, "big"), window_ns, b"")
             if number is None:
                 refused += 1
             else:
                 started += 1
                 running.append((now + 5 * step, number))
-        work = ledger.next_write(now)
-        if work is not None:
-            store.write(work)
+        write = ledger.next_write(now)
+        if write is not None:
+            store.write(write)
             ledger.write_completed(now)
         if turn % 100 == 0:
-            most = max(most, sum(size for _, size in disk.segments()))
+            greatest_size = max(greatest_size, sum(size for _, size in disk.segments()))
     disk.release()
     return {
         "bookings": started,
         "refused": refused,
         "results_left_out": ledger.dropped_results,
-        "most_bytes": most,
-        "bound": bound,
+        "most_bytes": greatest_size,
+        "bound": max_bytes,
         "effects_at_the_end": len(ledger.effects),
     }
 
 
 def run(quick: bool, seed: int, tell: Callable[[str], None]) -> dict[str, Any]:
-    """All figures, bars and whether they held."""
+    """Run all parts; return the figures, the criteria and whether all held."""
     bookings, kills = (1000, 20) if quick else (10_000, 200)
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
 
-        def place(word: str) -> Path:
-            (folder / word).mkdir()
-            return folder / word
+        def subfolder(part: str) -> Path:
+            (folder / part).mkdir()
+            return folder / part
 
         tell(f"{bookings} bookings, {kills} kills")
         figures: dict[str, Any] = {
-            "storm": anyio.run(storm, place("storm"), seed, bookings, kills, True, tell)
+            "storm": anyio.run(storm, subfolder("storm"), seed, bookings, kills, True, tell)
         }
         tell("the same with the sync left out: the oracle has to find it")
-        blind = anyio.run(storm, place("blind"), seed, bookings // 4, max(10, kills // 4), False, tell)
-        figures["sync_left_out"] = {"run_twice": blind["run_twice"], "kills": blind["kills"]}
-        for word, ledger, each in (("off", False, False), ("on", True, False), ("each", True, True)):
-            tell(f"speed, ledger {word}")
-            figures[f"speed_{word}"] = anyio.run(speed, place(word), ledger, each, 2.0 if quick else 6.0, 64)
+        unsynced = anyio.run(storm, subfolder("blind"), seed, bookings // 4, max(10, kills // 4), False, tell)
+        figures["sync_left_out"] = {"run_twice": unsynced["run_twice"], "kills": unsynced["kills"]}
+        for mode, ledger, each in (("off", False, False), ("on", True, False), ("each", True, True)):
+            tell(f"speed, ledger {mode}")
+            figures[f"speed_{mode}"] = anyio.run(
+                speed, subfolder(mode), ledger, each, 2.0 if quick else 6.0, 64
+            )
         for entries in (10_000, 100_000) if quick else (10_000, 100_000, 1_000_000):
             tell(f"recovery of {entries} entries")
-            figures[f"recovery_{entries}"] = recovery(place(f"r{entries}"), entries)
+            figures[f"recovery_{entries}"] = recovery(subfolder(f"r{entries}"), entries)
         tell("ten minutes of bookings, in virtual time")
         seconds = 60 if quick else 600
-        figures["steady"] = steady(place("steady"), seconds, 2300, 23.0, 64, 64 << 20)
-        figures["steady_over_bound"] = steady(place("over"), seconds, 2300, 23.0, 64, 4 << 20)
+        figures["steady"] = steady(subfolder("steady"), seconds, 2300, 23.0, 64, 64 << 20)
+        figures["steady_over_bound"] = steady(subfolder("over"), seconds, 2300, 23.0, 64, 4 << 20)
     storm_figures = figures["storm"]
     bars = {
         name: storm_figures[name] == 0
--- a/thistleline/lab/roll.py
+++ b/thistleline/lab/roll.py
@@ -19,7 +19,7 @@
 import anyio
 
 from thistleline.lab.harness import Fleet, run_folder
-from thistleline.lab.machines import HARMFUL, HARMLESS, ROOT, Machines
+from thistleline.lab.machines import HARMFUL, HARMLESS, ROOT, SupervisedFleet
 from thistleline.rollout.canary import CanaryAnalysis, Judgement, Verdict
 from thistleline.rollout.controller import RolloutController
 from thistleline.rollout.effects import SetDesiredVersion, StoreRecord
@@ -328,14 +328,14 @@
     told: list[dict[str, Any]] = []
     failed = ""
     async with anyio.create_task_group() as group:
-        machines = Machines(folder, group, seed, 9, 3, not revisions, revisions=revisions)
+        machines = SupervisedFleet(folder, group, seed, 9, 3, not revisions, revisions=revisions)
         fleet = machines.fleet
         try:
             await machines.start()
             base = revisions[0] if revisions else "base"
-            await machines.order(base, "", ("all",))
-            await machines.through(120, 1)
-            group.start_soon(machines.call)
+            await machines.order_rollout(base, "", ("all",))
+            await machines.wait_for_rollout(120, 1)
+            group.start_soon(machines.generate_load)
             await anyio.sleep(2)
             faults = [
                 _kill_conductors,
@@ -352,14 +352,15 @@
                     continue  # one before it was taken back
                 number += 1
                 fault = faults[chance.randrange(len(faults))]
-                await machines.order(release, base, ("one", "one a zone", "all"))
-                roll = await machines.through(180, number, partial(fault, fleet, chance))
+                await machines.order_rollout(release, base, ("one", "one a zone", "all"))
+                roll = await machines.wait_for_rollout(180, number, partial(fault, fleet, chance))
+                reached = machines.machines_reached(release)
                 told.append({"release": release, "fault": fault.__name__.strip("_"), "phase": roll.phase,
-                             "why": roll.reason, "reached": len(machines.reached(release))})  # fmt: skip
+                             "why": roll.reason, "reached": len(reached)})  # fmt: skip
                 tell(str(told[-1]))
                 if roll.phase == "asking":
-                    await machines.back()
-                    await machines.through(120, number, asks=False)
+                    await machines.order_rollback()
+                    await machines.wait_for_rollout(120, number, stop_at_asking=False)
                 base = release if roll.phase == "done" else base
                 fleet.heal()
             await anyio.sleep(8)  # what was asked last is answered
@@ -368,8 +369,8 @@
             tell(failed)
             (folder / "keep").touch()
         finally:
-            machines.calling.cancel()
-            judged = machines.judged()
+            machines.load_scope.cancel()
+            judged = machines.judge()
             machines.close()
             group.cancel_scope.cancel()
     return {"changes": told, "callers": judged, "failed": failed}
--- a/thistleline/lab/scale/added.py
+++ b/thistleline/lab/scale/added.py
@@ -65,11 +65,13 @@
     async def one(number: int, due: float, counted: bool, group: anyio.abc.TaskGroup) -> None:
         if counted:
             late.record_value(max(1, int((time.monotonic() - due) * 1e6)))
-        told = await caller.ask(f"{number:032x}", b"request %d" % number, False, group)
+        told = await caller.attempt(f"{number:032x}", b"request %d" % number, False, group)
         if counted:
             ends[told.kind] += 1
             if told.kind == "finished":
-                added.record_value(max(1, int((told.at - told.sent) * 1e6 - int(told.value) / 1e3)))
+                added.record_value(
+                    max(1, int((told.answered_at - told.sent_at) * 1e6 - int(told.value) / 1e3))
+                )
 
     async with anyio.create_task_group() as group:
         with anyio.move_on_after(WARM + seconds + SETTLED + 5.0):
--- a/thistleline/lab/scale/agent.py
+++ b/thistleline/lab/scale/agent.py
@@ -11,10 +11,10 @@
 import anyio
 import anyio.to_thread
 
-from thistleline.lab.farm import FarmStandIn
+from thistleline.lab.farm import FakeFarmAgent
 
 
-class TimedFarm(FarmStandIn):
+class TimedFarm(FakeFarmAgent):
     """Keeps no record of its runs: it is for long loads."""
 
     def _launch(self, id: str, body: bytes) -> None:
@@ -23,21 +23,9 @@
             self.group.start_soon(self._timed, id, time.monotonic_ns())
 
     async def _timed(self, id: str, begun: int) -> None:
-        await anyio.sleep(self.takes[0] - (time.monotonic_ns() - begun) / 1e9)
-        del self.running[id]
-        self.number += 1
+        await anyio.sleep(self.run_seconds[0] - (time.monotonic_ns() - begun) / 1e9)
         took = time.monotonic_ns() - begun
-        result = b"%d" % took
-        head = f"outcome {self.number} {id} good {took / 1e6:.3f} {len(result)}\r\n".encode()
-        notice = head + result + b"\r\n"
-        self.notices.append(notice)
-        link = self.link
-        if link is not None:
-            try:
-                async with self.sending:
-                    await link.send(notice)
-            except (anyio.BrokenResourceError, anyio.ClosedResourceError):
-                self.link = None if self.link is link else self.link
+        await self._finish(id, f"{took / 1e6:.3f}", b"%d" % took)
 
 
 async def serve(ms: float) -> None:
--- a/thistleline/lab/scale/control.py
+++ b/thistleline/lab/scale/control.py
@@ -22,7 +22,7 @@
 
 from thistleline.config.schema import Conductor, check
 from thistleline.lab.harness import Fleet, Process, run_folder
-from thistleline.lab.machines import ROOT, Machines
+from thistleline.lab.machines import ROOT, SupervisedFleet
 from thistleline.lab.scale import slopes
 from thistleline.lab.scale.instance import cpu_seconds, machine, resident
 from thistleline.lab.scale.members import hollow, word_bytes
@@ -615,7 +615,7 @@
 async def processes(folder: Path, seed: int) -> dict[str, list[tuple[float, int]]]:
     """Cores and resident bytes of each process by what it is, over CALM seconds in which nothing changes."""
     async with anyio.create_task_group() as group:
-        machines = Machines(folder, group, seed, MACHINES, MACHINES)
+        machines = SupervisedFleet(folder, group, seed, MACHINES, MACHINES)
         fleet, names = machines.fleet, [one.name for one in machines.machines]
         try:
             await machines.start()
@@ -632,11 +632,11 @@
             (source / RUN).write_text("\n".join(lines) + "\n")
             (source / RUN).chmod(0o755)
             machines.digests[PROGRAM] = machines.releases.add(PROGRAM, source)
-            await machines.order(PROGRAM, "", ("all",))
-            await machines.through(60, 1)
+            await machines.order_rollout(PROGRAM, "", ("all",))
+            await machines.wait_for_rollout(60, 1)
             # Whom the conductor did not know yet as the stage began is brought along once it is over.
-            await machines.until("all are good", partial(_good, fleet, names))
-            serving = {name: machines.serving(name)[1] for name in names}
+            await machines.wait_until("all are good", partial(_good, fleet, names))
+            serving = {name: machines.serving(name).incarnation for name in names}
             await anyio.sleep(SETTLE)
             pids = {"steward": [_pid(fleet.processes[one]) for one in names],
                     "its server": [int((folder / name / "lives" / f"{life}.pid").read_text())
