--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -27,7 +27,7 @@
 from thistleline.lab.leasecost import one_way
 from thistleline.lab.leaseworld import begin, following
 from thistleline.lab.mutants import MUTANTS, SCENARIOS, without
-from thistleline.lab.virtual import MS, VirtualCouncil
+from thistleline.lab.virtual import MS, SimulatedCluster
 from thistleline.lease.events import Event, RequestReceived
 from thistleline.lease.protocol import Acquire, ChangeMembership, Denied, Done, Granted, Release, Unavailable
 from thistleline.lease.server import LeaseServer
@@ -41,16 +41,16 @@
 SPANS = RaftTiming(50 * MS, 500 * MS, 1000 * MS)
 
 
-def council(voters: int, seed: int = 1, delay: int = 5) -> VirtualCouncil:
-    made = VirtualCouncil(voters, SPANS, seed, lambda chance: int(delay * MS * chance.uniform(0.5, 1.5)))
+def council(voters: int, seed: int = 1, delay: int = 5) -> SimulatedCluster:
+    made = SimulatedCluster(voters, SPANS, seed, lambda chance: int(delay * MS * chance.uniform(0.5, 1.5)))
     assert made.run(10 * SECOND, lambda: bool(made.leader()))
     made.run(made.now + SECOND)
     return made
 
 
-def ask(made: VirtualCouncil, id: str, op: Any) -> Any:
+def ask(made: SimulatedCluster, id: str, op: Any) -> Any:
     count = len(made.answers)
-    made.put(id, RequestReceived(count, op))
+    made.handle(id, RequestReceived(count, op))
     made.run(made.now + 3 * SECOND, lambda: len(made.answers) > count)
     return made.answers[count][2] if len(made.answers) > count else None
 
@@ -65,7 +65,7 @@
     assert isinstance(ask(made, first, Acquire("n", "x", SECOND)), Granted)
     if voters == 1:
         return
-    made.dead.add(first)
+    made.crashed.add(first)
     assert made.run(made.now + 5 * SECOND, lambda: bool(made.leader()))
     made.run(made.now + SECOND)
     assert made.servers[made.leader()].table.status_of("n", "x") == Granted(1, SECOND)
@@ -76,12 +76,12 @@
     made = council(5)
     leader = made.leader()
     cut = next(id for id in made.servers if id != leader)
-    made.swallows = lambda source, to: cut == (source if hears else to)
+    made.is_lost = lambda source, to: cut == (source if hears else to)
     before = made.servers[leader].replica.state.term
     made.run(made.now + 60 * SECOND)
     assert made.leader() == leader
     assert made.servers[leader].replica.state.term == before
-    made.swallows = lambda source, to: False
+    made.is_lost = lambda source, to: False
     made.run(made.now + 5 * SECOND)
     assert made.servers[leader].replica.state.term == before
 
@@ -90,7 +90,7 @@
 def test_a_leader_cut_one_way_gives_way(hears: bool) -> None:
     made = council(5)
     first = made.leader()
-    made.swallows = lambda source, to: first == (source if hears else to)
+    made.is_lost = lambda source, to: first == (source if hears else to)
     made.run(made.now + 10 * SECOND)
     assert made.leader() not in ("", first)
     assert made.servers[first].replica.state.phase != "leading"
@@ -101,13 +101,13 @@
     first = made.leader()
     other = next(id for id in made.servers if id != first)
     inside = {first, other}
-    made.swallows = lambda source, to: (source in inside) != (to in inside)
+    made.is_lost = lambda source, to: (source in inside) != (to in inside)
     assert isinstance(ask(made, first, Acquire("n", "x", SECOND)), Unavailable)
     made.run(made.now + 3 * SECOND)
     new = made.leader()
     assert new not in inside
     assert isinstance(ask(made, new, Acquire("n", "y", 100 * SECOND)), Granted)
-    made.swallows = lambda source, to: False
+    made.is_lost = lambda source, to: False
     made.run(made.now + 3 * SECOND)
     assert {server.table.state.leases["n"].holder for server in made.servers.values()} == {"y"}
 
@@ -117,11 +117,11 @@
     made = council(3)
     leader = made.leader()
     late = next(id for id in made.servers if id != leader)
-    made.swallows = lambda source, to: late in (source, to)
+    made.is_lost = lambda source, to: late in (source, to)
     for place in range(100):
         assert isinstance(ask(made, leader, Acquire(f"n{place}", "x", 100 * SECOND)), Granted)
     assert made.servers[leader].replica.state.log.snapshot_index > 50
-    made.swallows = lambda source, to: False
+    made.is_lost = lambda source, to: False
     made.run(made.now + 5 * SECOND)
     assert made.servers[late].table.state.leases.keys() == made.servers[leader].table.state.leases.keys()
 
@@ -133,7 +133,7 @@
     made = council(3)
     leader = made.leader()
     rest = sorted(set(made.servers) - {leader})
-    made.swallows = lambda source, to: leader in (source, to)
+    made.is_lost = lambda source, to: leader in (source, to)
     assert isinstance(
         ask(made, leader, ChangeMembership("remove", rest[0])), Unavailable
     )  # it comes to nothing there
@@ -141,14 +141,14 @@
     new = made.leader()
     assert new != leader
     assert ask(made, new, ChangeMembership("remove", leader)) == Done("changed")
-    made.swallows = lambda source, to: False
+    made.is_lost = lambda source, to: False
     made.run(made.now + 5 * SECOND)
     assert {one.id for one in made.servers[made.leader()].replica.state.members} == set(rest)
     assert made.servers[leader].replica.state.phase != "leading"
     assert isinstance(
         ask(made, made.leader(), ChangeMembership("remove", leader)), Done
     )  # it is gone already
-    made.dead.add(leader)
+    made.crashed.add(leader)
     before = made.servers[made.leader()].replica.state.term
     made.run(made.now + 10 * SECOND)
     assert made.servers[made.leader()].replica.state.term == before
@@ -160,15 +160,15 @@
     lost = next(id for id in made.servers if id != leader)
     ask(made, leader, Acquire("n", "x", 100 * SECOND))
     del made.servers[lost]
-    made.dead.add(lost)
-    empty = Replica("w0", LeaseTable(), made.now, SPANS, lambda span: made.chance.randrange(span))
+    made.crashed.add(lost)
+    empty = Replica("w0", LeaseTable(), made.now, SPANS, lambda span: made.rng.randrange(span))
     made.servers["w0"] = LeaseServer(empty, lambda: 0)
     made.run(made.now + 3 * SECOND)
     assert empty.state.phase == "unformed"
     assert ask(made, leader, ChangeMembership("remove", lost)) == Done("changed")
     assert ask(made, leader, ChangeMembership("add", "w0", "w0")) == Done("changed")
     assert "n" in made.servers["w0"].table.state.leases
-    made.dead.add(leader)
+    made.crashed.add(leader)
     made.run(made.now + 5 * SECOND)
     assert made.leader() not in ("", leader)
 
@@ -181,7 +181,7 @@
     for place in range(40):
         cut = set(chance.sample(sorted(made.servers), chance.randint(0, 2)))
         ways = chance.choice([(True, True), (True, False), (False, True)])
-        made.swallows = lambda source, to, cut=cut, ways=ways: (  # type: ignore[misc]
+        made.is_lost = lambda source, to, cut=cut, ways=ways: (  # type: ignore[misc]
             (source in cut and ways[0]) or (to in cut and ways[1]) or chance.random() < 0.05
         )
         made.run(made.now + chance.randrange(3 * SECOND))
@@ -190,7 +190,7 @@
             if isinstance(answer, Granted):
                 assert answer.epoch not in granted.values()
                 granted[f"n{place}"] = answer.epoch
-    made.swallows = lambda source, to: False
+    made.is_lost = lambda source, to: False
     made.run(made.now + 10 * SECOND)
     for server in made.servers.values():
         found = {name: lease.epoch for name, lease in server.table.state.leases.items()}
@@ -236,11 +236,11 @@
     with without(((Elections, "start_pre_vote", stand),)):
         made = council(5)
         deaf = next(id for id in made.servers if id != made.leader())
-        made.swallows = lambda source, to: to == deaf
+        made.is_lost = lambda source, to: to == deaf
         made.run(made.now + 20 * SECOND)
         leader, terms = made.leader(), made.servers[made.leader()].replica.state.term
         assert made.servers[deaf].replica.state.term > terms + 10
-        made.swallows = lambda source, to: False
+        made.is_lost = lambda source, to: False
         made.run(made.now + 2 * SECOND)
         assert made.servers[leader].replica.state.term > terms  # healed, it throws the leader over
 
@@ -254,9 +254,9 @@
     for effect in server.handle(made.now, *both):
         match effect:
             case SendMessage(to, message):
-                made.at(made.now + MS, made._arrives(to, leader, message))
+                made.schedule(made.now + MS, made._deliver(to, leader, message))
             case WriteRecords():
-                made.at(made.now + MS, made._written(leader))
+                made.schedule(made.now + MS, made._complete_write(leader))
     made.run(made.now + SECOND)
     told = {ticket: answer for _, ticket, answer in made.answers if ticket in ("r", "t")}
     assert told == {"r": Done("released"), "t": Granted(2, 100 * SECOND)}
@@ -351,15 +351,15 @@
     made = council(3)
     first = made.leader()
     ask(made, first, Acquire("n", "x", 100 * SECOND))
-    server, put = made.servers[first], made.put
+    server, put = made.servers[first], made.handle
     failing = [True]
 
     def troubled(id: str, event: Event) -> None:
         fails = id == first and event == WriteCompleted() and failing[0]
         put(id, WriteFailed("no space") if fails else event)
 
-    made.put = troubled  # type: ignore[method-assign]
-    made.put(first, RequestReceived("z", Acquire("m", "x", 100 * SECOND)))
+    made.handle = troubled  # type: ignore[method-assign]
+    made.handle(first, RequestReceived("z", Acquire("m", "x", 100 * SECOND)))
     made.run(made.now + 5 * SECOND)
     assert made.leader() not in ("", first)
     assert server.replica.state.writes.failing
--- a/thistleline/lab/explore.py
+++ b/thistleline/lab/explore.py
@@ -1,29 +1,42 @@
-"""Breadth-first exploration of all that reducers can come to; the first way found to a broken invariant is a
-shortest one. What is explored are the reducers that run, copied; a world says what may happen to them."""
+"""Breadth-first exploration of the states that reducers can reach.
+
+What is explored are the reducers that run in production, copied; a world says which events may happen to them
+and which invariants hold. The first path found to a violation is a shortest one.
+"""
 
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any, NamedTuple, Protocol, TypeVar
 
 
 class World(Protocol):
-    """A state; never changed once made."""
+    """A state of all reducers together; never changed once made."""
 
     def key(self) -> Any:
-        """The same for states from which the same can follow."""
+        """Return a value that is the same for states from which the same can follow."""
 
     def wrong(self) -> str:
-        """Which invariant is broken; nothing if all hold."""
+        """Return which invariant is violated; "" if all hold."""
 
 
 W = TypeVar("W", bound=World)
 
 
 class Explored(NamedTuple):
+    """The result of an exploration.
+
+    Attributes:
+        states: How many different ones were seen.
+        depth: Up to which all states were seen.
+        wrong: The invariant that is violated; "" if none.
+        trace: The events, in order, that lead to the violation.
+        whole: Whether no state was left to see.
+    """
+
     states: int
-    depth: int  # up to which all was seen
+    depth: int
     wrong: str
-    trace: list[str]  # what happened, in order, to come to what is wrong
-    whole: bool  # nothing was left to see
+    trace: list[str]
+    whole: bool
 
 
 def explore(
@@ -33,33 +46,43 @@
     states: int,
     tell: Callable[[str], None] = lambda _: None,
 ) -> Explored:
-    """All states up to a depth, or up to so many states."""
-    seen: dict[Any, tuple[Any, str] | None] = {root.key(): None}
-    level: list[tuple[Any, W]] = [(root.key(), root)]
+    """Explore all states up to a depth or a number of states, or to the first violation.
+
+    Args:
+        root: The first state.
+        following: Yields (event, next state) for each event that may happen in a state.
+        depth: Most events from the root.
+        states: Exploration ends after the world with which so many states are seen.
+        tell: Called with a line of progress for each depth.
+    """
+    parents: dict[Any, tuple[Any, str] | None] = {root.key(): None}  # by key: the parent's key, the event
+    frontier: list[tuple[Any, W]] = [(root.key(), root)]
     for reached in range(depth):
-        further: list[tuple[Any, W]] = []
-        for key, world in level:
-            for what, after in following(world):
-                known = after.key()
-                if known in seen:
+        next_frontier: list[tuple[Any, W]] = []
+        for key, world in frontier:
+            for event, successor in following(world):
+                successor_key = successor.key()
+                if successor_key in parents:
                     continue
-                seen[known] = key, what
-                wrong = after.wrong()
+                parents[successor_key] = key, event
+                wrong = successor.wrong()
                 if wrong:
-                    return Explored(len(seen), reached + 1, wrong, list(_trace(seen, known)), False)
-                further.append((known, after))
-            if len(seen) >= states:
-                return Explored(len(seen), reached, "", [], False)
-        tell(f"depth {reached + 1}: {len(seen)} states")
-        level = further
-        if not level:
-            return Explored(len(seen), reached + 1, "", [], True)
-    return Explored(len(seen), depth, "", [], False)
-
-
-def _trace(seen: dict[Any, tuple[Any, str] | None], key: Any) -> Iterable[str]:
-    told: list[str] = []
-    while (step := seen[key]) is not None:
-        key, what = step
-        told.append(what)
-    return reversed(told)
+                    trace = list(_trace(parents, successor_key))
+                    return Explored(len(parents), reached + 1, wrong, trace, False)
+                next_frontier.append((successor_key, successor))
+            if len(parents) >= states:
+                return Explored(len(parents), reached, "", [], False)
+        tell(f"depth {reached + 1}: {len(parents)} states")
+        frontier = next_frontier
+        if not frontier:
+            return Explored(len(parents), reached + 1, "", [], True)
+    return Explored(len(parents), depth, "", [], False)
+
+
+def _trace(parents: dict[Any, tuple[Any, str] | None], key: Any) -> Iterable[str]:
+    """Return the events from the root to a state."""
+    events: list[str] = []
+    while (step := parents[key]) is not None:
+        key, event = step
+        events.append(event)
+    return reversed(events)
--- a/thistleline/lab/leasecost.py
+++ b/thistleline/lab/leasecost.py
@@ -15,7 +15,7 @@
 from thistleline.consensus.replica import Replica
 from thistleline.consensus.state import RaftTiming
 from thistleline.consensus.store import ReplicaStore
-from thistleline.lab.virtual import MS, VirtualCouncil
+from thistleline.lab.virtual import MS, SimulatedCluster
 from thistleline.lease.effects import SendAnswer
 from thistleline.lease.events import Event, RequestReceived
 from thistleline.lease.protocol import Acquire, Granted, Op, Release, Renew, Renewed
@@ -113,12 +113,12 @@
         def delay(chance: Random) -> int:
             return int(delay_ms * MS * chance.uniform(0.5, 1.5))
 
-        council = VirtualCouncil(5, spans, seed, delay)
+        council = SimulatedCluster(5, spans, seed, delay)
         council.run(20 * span, lambda council=council: bool(council.leader()))  # type: ignore[misc]
         council.run(council.now + span)
         first = council.leader()
         before = council.servers[first].replica.state.term
-        council.dead.add(first)
+        council.crashed.add(first)
         died = council.now
         council.run(died + 40 * span, lambda council=council: bool(council.leader()))  # type: ignore[misc]
         took.append((council.now - died) / MS)
@@ -134,12 +134,12 @@
 
 def one_way(seconds: int) -> dict[str, int]:
     """Terms that pass while one of five voters hears nobody and is heard by all."""
-    council = VirtualCouncil(5, SPANS, 1, lambda chance: 5 * MS)
+    council = SimulatedCluster(5, SPANS, 1, lambda chance: 5 * MS)
     council.run(5 * SECOND)
     leader = council.leader()
     deaf = next(id for id in council.servers if id != leader)
     before = council.servers[leader].replica.state.term
-    council.swallows = lambda source, to: to == deaf
+    council.is_lost = lambda source, to: to == deaf
     council.run(council.now + seconds * SECOND)
     return {"terms": council.servers[council.leader() or leader].replica.state.term - before}
 
--- a/thistleline/lab/scale/council.py
+++ b/thistleline/lab/scale/council.py
@@ -26,7 +26,7 @@
 from thistleline.lab.scale.instance import cpu_seconds, machine
 from thistleline.lab.scale.size import size
 from thistleline.lab.scale.slopes import Part, Row, Shape, cpu_of, judge, loop_cpu, memory_of
-from thistleline.lab.virtual import MS, VirtualCouncil
+from thistleline.lab.virtual import MS, SentAnswer, SimulatedCluster
 from thistleline.lease.client import LeaseClient
 from thistleline.lease.effects import SendAnswer
 from thistleline.lease.events import Event, RequestReceived
@@ -71,7 +71,7 @@
 WANT = msgspec.msgpack.encode(DesiredVersion(7, 1182, Version("2.31.4", DIGEST, 118, DIGEST, (3, 4), 4), 2))
 
 
-class CountedCouncil(VirtualCouncil):
+class CountedCouncil(SimulatedCluster):
     """Counts what voters send each other, as it goes over a link."""
 
     def __init__(self, voters: int, seed: int) -> None:
@@ -83,14 +83,14 @@
         self.run(self.now + SECOND)
         self.led = self.leader()
 
-    def _arrives(self, to: str, source: str, message: Any) -> Callable[[], None]:
+    def _deliver(self, to: str, source: str, message: Any) -> Callable[[], None]:
         self.sent[type(message).__name__] += 1
         self.bytes += len(encode_frame(encode(message)))
-        return super()._arrives(to, source, message)
+        return super()._deliver(to, source, message)
 
-    def _written(self, id: str) -> Callable[[], None]:
+    def _complete_write(self, id: str) -> Callable[[], None]:
         self.writes += 1
-        return super()._written(id)
+        return super()._complete_write(id)
 
     def server(self) -> LeaseServer:
         return self.servers[self.led]
@@ -112,19 +112,21 @@
         return Round(*spent, told)
 
     def _put_all(self, inputs: list[Event]) -> None:
-        """As `put`, with more than one input at once."""
+        """As `handle`, with more than one input at once."""
         server = self.server()
         for effect in server.handle(self.now, *inputs):
             match effect:
                 case SendMessage(to, message):
-                    self.at(self.now + self.delay(self.chance), self._arrives(to, self.led, message))
+                    self.schedule(
+                        self.now + self.message_delay(self.rng), self._deliver(to, self.led, message)
+                    )
                 case WriteRecords():
-                    self.at(self.now + self.sync, self._written(self.led))
+                    self.schedule(self.now + self.write_duration, self._complete_write(self.led))
                 case SendAnswer(ticket, answer):
-                    self.answers.append((self.now, ticket, answer))
+                    self.answers.append(SentAnswer(self.now, ticket, answer))
         due = max(server.next_deadline(), self.now + 1)
-        self.wakes[self.led] = due
-        self.at(due, self._wakes(self.led, due))
+        self.timers[self.led] = due
+        self.schedule(due, self._fire_timer(self.led, due))
 
 
 class Round(NamedTuple):
--- a/thistleline/lab/virtual.py
+++ b/thistleline/lab/virtual.py
@@ -1,9 +1,14 @@
-"""Voters in virtual time: messages with delays, faults of ways, clocks of their own rate. No I/O."""
+"""A replicated cluster in virtual time: the replicas that run in production, without I/O.
+
+A discrete-event simulation: a queue of events ordered by time, messages with random delays, message loss and
+partitions by a predicate, writes that take a fixed time, crashes. Times are in nanoseconds of a simulated
+clock that all replicas share.
+"""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
 from thistleline.consensus.effects import SendMessage, WriteRecords
 from thistleline.consensus.events import FormCluster, MessageReceived, TimerFired, WriteCompleted
@@ -15,76 +20,112 @@
 from thistleline.lease.server import LeaseServer
 from thistleline.lease.table import LeaseTable
 
-MS = 1_000_000
+MS = 1_000_000  # ns
+
+
+class ScheduledAction(NamedTuple):
+    """An entry of the event queue; entries of the same time run in the order they were scheduled."""
+
+    time: int  # ns
+    sequence: int
+    action: Callable[[], None]
+
+
+class SentAnswer(NamedTuple):
+    """An answer that a replica sent to a client."""
 
+    time: int  # ns
+    ticket: Any
+    answer: Any
+
+
+class SimulatedCluster:
+    """Replicas v0, v1, ... with a lease table each, and the event queue that drives them."""
 
-class VirtualCouncil:
     def __init__(
-        self, voters: int, timing: RaftTiming, seed: int, delay: Callable[[Random], int], sync: int = MS
+        self,
+        replicas: int,
+        timing: RaftTiming,
+        seed: int,
+        message_delay: Callable[[Random], int],
+        write_duration: int = MS,
     ) -> None:
-        """`delay` and `sync` in ns: of a message, and of a write."""
-        self.chance, self.delay, self.sync = Random(seed), delay, sync
+        """Form a cluster of all replicas at time 0.
+
+        Args:
+            replicas: How many.
+            timing: Their election timeout and heartbeat interval.
+            seed: Of all random draws.
+            message_delay: Draws a message's delay, ns.
+            write_duration: Of a write to disk, ns.
+        """
+        self.rng = Random(seed)
+        self.message_delay = message_delay
+        self.write_duration = write_duration
         self.now = 0
-        self.queue: list[tuple[int, int, Callable[[], None]]] = []
-        self.count = 0
+        self.queue: list[ScheduledAction] = []
+        self.scheduled = 0
         self.servers: dict[str, LeaseServer] = {}
-        self.dead: set[str] = set()
-        self.swallows: Callable[[str, str], bool] = lambda source, to: False
-        self.answers: list[tuple[int, Any, Any]] = []
-        self.wakes: dict[str, int] = {}
-        members = tuple(Member(f"v{place}", f"v{place}") for place in range(voters))
-        for one in members:
-            replica = Replica(one.id, LeaseTable(), 0, timing, lambda span: self.chance.randrange(span))
-            self.servers[one.id] = LeaseServer(replica, lambda: self.now // MS)
-        for one in members:
-            self.put(one.id, FormCluster("c", members))
-
-    def at(self, when: int, do: Callable[[], None]) -> None:
-        self.count += 1
-        heappush(self.queue, (when, self.count, do))
-
-    def put(self, id: str, event: Event) -> None:
-        if id in self.dead:
+        self.crashed: set[str] = set()
+        self.is_lost: Callable[[str, str], bool] = lambda source, target: False
+        self.answers: list[SentAnswer] = []
+        self.timers: dict[str, int] = {}  # the deadline that each replica is woken for, ns
+        members = tuple(Member(f"v{index}", f"v{index}") for index in range(replicas))
+        for member in members:
+            replica = Replica(member.id, LeaseTable(), 0, timing, lambda limit: self.rng.randrange(limit))
+            self.servers[member.id] = LeaseServer(replica, lambda: self.now // MS)
+        for member in members:
+            self.handle(member.id, FormCluster("c", members))
+
+    def schedule(self, time: int, action: Callable[[], None]) -> None:
+        """Run an action at a time, ns."""
+        self.scheduled += 1
+        heappush(self.queue, ScheduledAction(time, self.scheduled, action))
+
+    def handle(self, id: str, event: Event) -> None:
+        """Let a replica handle an event now; a crashed one does nothing."""
+        if id in self.crashed:
             return
         server = self.servers[id]
         for effect in server.handle(self.now, event):
             match effect:
                 case SendMessage(to, message):
-                    if not self.swallows(id, to):
-                        self.at(self.now + self.delay(self.chance), self._arrives(to, id, message))
+                    if not self.is_lost(id, to):
+                        arrival = self.now + self.message_delay(self.rng)
+                        self.schedule(arrival, self._deliver(to, id, message))
                 case WriteRecords():
-                    self.at(self.now + self.sync, self._written(id))
+                    self.schedule(self.now + self.write_duration, self._complete_write(id))
                 case SendAnswer(ticket, answer):
-                    self.answers.append((self.now, ticket, answer))
-        due = max(server.next_deadline(), self.now + 1)
-        if self.wakes.get(id) != due:
-            self.wakes[id] = due
-            self.at(due, self._wakes(id, due))
+                    self.answers.append(SentAnswer(self.now, ticket, answer))
+        deadline = max(server.next_deadline(), self.now + 1)
+        if self.timers.get(id) != deadline:
+            self.timers[id] = deadline
+            self.schedule(deadline, self._fire_timer(id, deadline))
 
-    def _arrives(self, to: str, source: str, message: Any) -> Callable[[], None]:
-        return lambda: self.put(to, MessageReceived(source, message))
+    def _deliver(self, target: str, source: str, message: Any) -> Callable[[], None]:
+        return lambda: self.handle(target, MessageReceived(source, message))
 
-    def _written(self, id: str) -> Callable[[], None]:
-        return lambda: self.put(id, WriteCompleted())
+    def _complete_write(self, id: str) -> Callable[[], None]:
+        return lambda: self.handle(id, WriteCompleted())
 
-    def _wakes(self, id: str, due: int) -> Callable[[], None]:
-        return lambda: self.put(id, TimerFired()) if self.wakes.get(id) == due else None
+    def _fire_timer(self, id: str, deadline: int) -> Callable[[], None]:
+        return lambda: self.handle(id, TimerFired()) if self.timers.get(id) == deadline else None
 
-    def run(self, until: int, over: Callable[[], bool] = lambda: False) -> bool:
-        """Whether it was `over` by then."""
-        while self.queue and self.queue[0][0] <= until:
-            if over():
+    def run(self, until: int, is_over: Callable[[], bool] = lambda: False) -> bool:
+        """Run the queue to a time (ns), or until a condition holds; return whether it holds."""
+        while self.queue and self.queue[0].time <= until:
+            if is_over():
                 return True
-            self.now, _, do = heappop(self.queue)
-            do()
+            self.now, _, action = heappop(self.queue)
+            action()
         self.now = max(self.now, until)
-        return over()
+        return is_over()
 
     def leader(self) -> str:
-        """Of the latest term, among those alive."""
-        leading = [
-            one.replica.state
-            for id, one in self.servers.items()
-            if id not in self.dead and one.replica.state.phase is Phase.LEADER
+        """Return the leader of the latest term among the replicas that run; "" if there is none."""
+        leaders = [
+            server.replica.state
+            for id, server in self.servers.items()
+            if id not in self.crashed and server.replica.state.phase is Phase.LEADER
         ]
-        return max(leading, key=lambda one: one.term).id if leading else ""
+        return max(leaders, key=lambda state: state.term).id if leaders else ""
