--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from thistleline.lab.harness import free_port
-from thistleline.lab.members import SPANS, VirtualFleet, death, split
+from thistleline.lab.members import SPANS, SimulatedMembership, detect_crash, partition
 from thistleline.membership.gossip import SECOND, Gossip
 from thistleline.membership.messages import (
     ALIVE,
@@ -71,58 +71,58 @@
 
 
 def test_a_death_is_known_to_all_in_bounded_time() -> None:
-    assert 0 < death(40, 1)["all"] < 40
+    assert 0 < detect_crash(40, 1)["all"] < 40
 
 
 def test_a_stalled_member_convinces_nobody_that_others_are_dead() -> None:
-    fleet = VirtualFleet(30, 1)
+    fleet = SimulatedMembership(30, 1)
     for _ in range(30):
         fleet.stalled["m3"] = fleet.now + 2 * SECOND
         fleet.run(fleet.now + 3 * SECOND)
-    assert not fleet.known.keys() - {"m3"}
+    assert not fleet.declared_dead.keys() - {"m3"}
 
 
 def test_loss_alone_kills_few() -> None:
-    fleet = VirtualFleet(30, 2, loss=0.1)
+    fleet = SimulatedMembership(30, 2, loss=0.1)
     fleet.run(60 * SECOND)
-    assert len(fleet.known) <= 1
+    assert len(fleet.declared_dead) <= 1
 
 
 def test_after_a_split_all_know_all_again() -> None:
-    told = split(30, 1, 40)
+    told = partition(30, 1, 40)
     assert told["parted"] == 1.0
     assert 0 <= told["healed_after"] < 60
 
 
 def test_islands_that_came_up_at_the_same_time_hear_of_each_other() -> None:
     """Two and two know each other and nobody else; the seeds of each are all four."""
-    fleet = VirtualFleet(0, 1)
+    fleet = SimulatedMembership(0, 1)
     seeds = ("m0", "m1", "m2", "m3")
     for id in seeds:
         fleet.add(id, 1, FACTS, seeds)
     half = ("m0", "m1")
-    fleet.cut = lambda source, to: (source in half) != (to in half)
+    fleet.is_partitioned = lambda source, to: (source in half) != (to in half)
     fleet.run(5 * SECOND)
     assert set(fleet.members["m0"].view.words) == {"m0", "m1"}
-    fleet.cut = lambda source, to: False
+    fleet.is_partitioned = lambda source, to: False
     fleet.run(25 * SECOND)
     assert all(set(one.view.words) == set(seeds) for one in fleet.members.values())
 
 
 def test_one_cut_one_way_is_found_and_comes_back() -> None:
-    fleet = VirtualFleet(20, 1)
-    fleet.cut = lambda source, to: source == "m0"
+    fleet = SimulatedMembership(20, 1)
+    fleet.is_partitioned = lambda source, to: source == "m0"
     fleet.run(60 * SECOND)
-    assert len(fleet.takes_for_dead("m0")) == 19
-    fleet.cut = lambda source, to: False
+    assert len(fleet.believing_dead("m0")) == 19
+    fleet.is_partitioned = lambda source, to: False
     fleet.run(fleet.now + 60 * SECOND)
-    assert not fleet.takes_for_dead("m0")
+    assert not fleet.believing_dead("m0")
 
 
 def test_who_starts_anew_is_known_by_its_new_incarnation_and_what_it_runs() -> None:
-    fleet = VirtualFleet(20, 1)
+    fleet = SimulatedMembership(20, 1)
     fleet.run(5 * SECOND)
-    fleet.silent.add("m0")
+    fleet.crashed.add("m0")
     fleet.run(fleet.now + 3 * SECOND)
     fleet.add("m0", 2, Facts("2", 7, "z"), ("m1", "m2"))
     fleet.run(fleet.now + 20 * SECOND)
@@ -132,17 +132,17 @@
 
 
 def test_one_that_leaves_is_not_taken_for_dead() -> None:
-    fleet = VirtualFleet(20, 1)
-    fleet.put("m0", "leave")
-    fleet.silent.add("m0")
+    fleet = SimulatedMembership(20, 1)
+    fleet.handle("m0", "leave")
+    fleet.crashed.add("m0")
     fleet.run(10 * SECOND)
     told = {fleet.members[by].view.words["m0"].status for by in fleet.alive()}
     assert told == {LEFT}
 
 
 def test_new_facts_reach_all() -> None:
-    fleet = VirtualFleet(50, 1)
-    fleet.put("m0", "tell", Facts("2", 9, "z", taking=False))
+    fleet = SimulatedMembership(50, 1)
+    fleet.handle("m0", "tell", Facts("2", 9, "z", taking=False))
     fleet.run(15 * SECOND)
     assert {one.view.words["m0"].facts.settings for one in fleet.members.values()} == {9}
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from thistleline.lab.zones import Fault, play
+from thistleline.lab.zones import Fault, simulate
 from thistleline.zones.decision import BACK_STEP, RESERVE, STEP, Deciding, Rules, Share, Table
 from thistleline.zones.status import FRESH_SPAN, KEEP_SPAN, SECOND, Look, Picture, Pictures, Report, Zone
 
@@ -205,7 +205,7 @@
     faults: tuple[Fault, ...], better: bool
 ) -> None:
     pytest.importorskip("highspy")
-    told = play(4, 40, 0.6, faults, 1, 150)
+    told = simulate(4, 40, 0.6, faults, 1, 150)
     assert told.kept >= 0.95
     assert told.toppled == 0
     if better:
--- a/thistleline/lab/members.py
+++ b/thistleline/lab/members.py
@@ -1,12 +1,16 @@
-"""Members in virtual time: how soon a death is known, how often a living one is taken for dead, what a split
-leaves behind, and what it costs. The reducers that run, datagrams with delay and loss, stalls, no I/O."""
+"""Membership in virtual time: how soon deaths are detected, false positives, healing of partitions, traffic.
+
+A discrete-event simulation of the gossip reducers that run in production, without I/O: datagrams with delay
+and loss, stalled members, crashes, partitions. The oracle is the simulation itself: it knows who is alive.
+Times are in nanoseconds of a simulated clock; the figures count gossip periods.
+"""
 
 import statistics
 from collections import Counter
 from collections.abc import Callable
 from heapq import heappop, heappush
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
 from thistleline.membership.gossip import MS, SECOND, Gossip, Spans
 from thistleline.membership.messages import DEAD, Facts, Word
@@ -14,22 +18,42 @@
 SPANS = Spans(period=500 * MS, answer=150 * MS)
 
 
-class VirtualFleet:
+class ScheduledEvent(NamedTuple):
+    """An entry of the event queue; entries of the same time are handled in the order they were scheduled."""
+
+    time: int  # ns
+    sequence: int
+    id: str
+    event: tuple[Any, ...]
+
+
+class SimulatedMembership:
+    """Members m0, m1, ... that all know each other at the start, and the event queue that drives them."""
+
     def __init__(self, members: int, seed: int, loss: float = 0.0, delay: tuple[int, int] = (1, 10)) -> None:
-        """`delay` in ms, least and most of a datagram. All know of all at the start."""
-        self.chance, self.loss, self.delay = Random(seed), loss, delay
+        """Make the members.
+
+        Args:
+            members: How many.
+            seed: Of all random draws.
+            loss: Probability that a datagram is lost.
+            delay: Least and most of a datagram, ms.
+        """
+        self.rng = Random(seed)
+        self.loss = loss
+        self.delay = delay
         self.now = 0
-        self.queue: list[tuple[int, int, str, tuple[Any, ...]]] = []
-        self.count = 0
+        self.queue: list[ScheduledEvent] = []
+        self.scheduled = 0
         self.members: dict[str, Gossip] = {}
-        self.silent: set[str] = set()
-        self.stalled: dict[str, int] = {}  # who stands still, until when
-        self.cut: Callable[[str, str], bool] = lambda source, to: False
-        self.known: dict[str, dict[str, int]] = {}  # by who was taken for dead: who took it so, when
-        self.returned: dict[str, dict[str, int]] = {}
+        self.crashed: set[str] = set()
+        self.stalled: dict[str, int] = {}  # until when a member handles nothing, ns
+        self.is_partitioned: Callable[[str, str], bool] = lambda source, target: False
+        self.declared_dead: dict[str, dict[str, int]] = {}  # by member: who holds it for dead, since when
+        self.returned: dict[str, dict[str, int]] = {}  # by member: who sees it alive again, since when
         facts = Facts("1", 1, "z", 0, True, True, (1, 2, 3))
-        for place in range(members):
-            self.add(f"m{place}", 1, facts)
+        for index in range(members):
+            self.add(f"m{index}", 1, facts)
         words = [one.own for one in self.members.values()]
         for one in self.members.values():
             for word in words:
@@ -39,131 +63,156 @@
                 one.view._sent_enough(word.id)  # nothing of it is news
 
     def add(self, id: str, incarnation: int, facts: Facts, seeds: tuple[str, ...] = ()) -> Gossip:
+        """Add a member, or the next incarnation of one that crashed."""
         one = self.members[id] = Gossip(
-            id, id, incarnation, facts, seeds, self.now, SPANS, Random(self.chance.getrandbits(64))
+            id, id, incarnation, facts, seeds, self.now, SPANS, Random(self.rng.getrandbits(64))
         )
-        self.silent.discard(id)
-        self._at(one.due(), id, ("elapsed",))
+        self.crashed.discard(id)
+        self._schedule(one.due(), id, ("elapsed",))
         return one
 
-    def _at(self, when: int, id: str, told: tuple[Any, ...]) -> None:
-        self.count += 1
-        heappush(self.queue, (when, self.count, id, told))
+    def _schedule(self, time: int, id: str, event: tuple[Any, ...]) -> None:
+        self.scheduled += 1
+        heappush(self.queue, ScheduledEvent(time, self.scheduled, id, event))
 
-    def put(self, id: str, *told: Any) -> None:
-        one = self.members[id]
-        for effect in one.take(self.now, *told):
+    def handle(self, id: str, *event: Any) -> None:
+        """Let a member handle an event now."""
+        for effect in self.members[id].take(self.now, *event):
             if effect[0] == "send":
-                lost = self.chance.random() < self.loss or self.cut(id, effect[1])
+                lost = self.rng.random() < self.loss or self.is_partitioned(id, effect[1])
                 if not lost and effect[1] in self.members:
-                    due = self.now + self.chance.randint(*self.delay) * MS
-                    self._at(due, effect[1], ("heard", id, effect[2]))
+                    arrival = self.now + self.rng.randint(*self.delay) * MS
+                    self._schedule(arrival, effect[1], ("heard", id, effect[2]))
             elif effect[0] == "changed":
                 self._changed(id, effect[1], effect[2])
 
     def _changed(self, by: str, word: Word, before: Word | None) -> None:
         was = before is not None and before.status >= DEAD
         if word.status >= DEAD and not was:
-            self.known.setdefault(word.id, {}).setdefault(by, self.now)
+            self.declared_dead.setdefault(word.id, {}).setdefault(by, self.now)
             self.returned.get(word.id, {}).pop(by, None)
         elif word.status < DEAD and was:
             self.returned.setdefault(word.id, {})[by] = self.now
 
-    def run(self, until: int, over: Callable[[], bool] = lambda: False) -> bool:
-        turns = 0
-        while self.queue and self.queue[0][0] <= until:
-            turns += 1
-            if turns % 256 == 0 and over():
+    def run(self, until: int, is_over: Callable[[], bool] = lambda: False) -> bool:
+        """Run the queue to a time (ns), or until a condition holds; return whether it holds.
+
+        The condition is checked at every 256th event.
+        """
+        handled = 0
+        while self.queue and self.queue[0].time <= until:
+            handled += 1
+            if handled % 256 == 0 and is_over():
                 return True
-            self.now, _, id, told = heappop(self.queue)
-            if id in self.silent:
-                continue
-            until_then = self.stalled.get(id, 0)
-            if until_then > self.now:
-                self._at(until_then + 1, id, told)  # read once it goes on, in order
-                continue
-            if told[0] == "elapsed":
-                one = self.members[id]
-                if self.now >= one.due():
-                    self.put(id, "elapsed")
-                self._at(max(one.due(), self.now + MS), id, told)
-            else:
-                self.put(id, *told)
+            self.now, _, id, event = heappop(self.queue)
+            if id not in self.crashed:
+                self._dispatch(id, event)
         self.now = max(self.now, until)
-        return over()
+        return is_over()
+
+    def _dispatch(self, id: str, event: tuple[Any, ...]) -> None:
+        """Let a member handle an event of the queue, once it is no longer stalled."""
+        stalled_until = self.stalled.get(id, 0)
+        if stalled_until > self.now:
+            self._schedule(stalled_until + 1, id, event)
+        elif event[0] == "elapsed":
+            member = self.members[id]
+            if self.now >= member.due():
+                self.handle(id, "elapsed")
+            self._schedule(max(member.due(), self.now + MS), id, event)
+        else:
+            self.handle(id, *event)
 
     def alive(self) -> list[str]:
-        return [id for id in self.members if id not in self.silent]
+        """Return the members that have not crashed."""
+        return [id for id in self.members if id not in self.crashed]
 
-    def takes_for_dead(self, id: str) -> set[str]:
+    def believing_dead(self, id: str) -> set[str]:
+        """Return the living members that hold a member for dead."""
         return {by for by in self.alive() if by != id and self.members[by].view.words[id].status >= DEAD}
 
 
-def death(members: int, seed: int) -> dict[str, float]:
-    """Periods from a death till the first knows, half, and all."""
-    fleet = VirtualFleet(members, seed)
+def detect_crash(members: int, seed: int) -> dict[str, float]:
+    """Return the periods from a crash until the first member, half and all know; all: -1 if never."""
+    fleet = SimulatedMembership(members, seed)
     fleet.run(5 * SECOND)
-    fleet.silent.add("m0")
-    died = fleet.now
-    fleet.run(died + 120 * SECOND, lambda: len(fleet.known.get("m0", {})) == members - 1)
-    times = sorted((at - died) / SPANS.period for at in fleet.known.get("m0", {}).values())
+    fleet.crashed.add("m0")
+    crashed_at = fleet.now
+    fleet.run(crashed_at + 120 * SECOND, lambda: len(fleet.declared_dead.get("m0", {})) == members - 1)
+    times = sorted((at - crashed_at) / SPANS.period for at in fleet.declared_dead.get("m0", {}).values())
     all_know = len(times) == members - 1
     return {"first": times[0], "half": times[len(times) // 2], "all": times[-1] if all_know else -1.0}
 
 
-def false_deaths(members: int, seed: int, loss: float, stalls: bool, seconds: int) -> dict[str, float]:
-    """Living members that anybody took for dead, under loss, with a tenth that stands still now and then."""
-    fleet = VirtualFleet(members, seed, loss)
-    slow = fleet.chance.sample(sorted(fleet.members), members // 10) if stalls else []
+def count_false_deaths(members: int, seed: int, loss: float, stalls: bool, seconds: int) -> dict[str, float]:
+    """Count living members that anybody held for dead, and traffic.
+
+    Args:
+        members: How many.
+        seed: Of all random draws.
+        loss: Probability that a datagram is lost.
+        stalls: Whether a tenth of the members stalls now and then.
+        seconds: Of virtual time.
+    """
+    fleet = SimulatedMembership(members, seed, loss)
+    slow = fleet.rng.sample(sorted(fleet.members), members // 10) if stalls else []
     before = sum(one.bytes_sent for one in fleet.members.values())
     for _ in range(seconds):
         for id in slow:
-            if fleet.chance.random() < 0.3:
-                fleet.stalled[id] = fleet.now + fleet.chance.randrange(2 * SECOND)
+            if fleet.rng.random() < 0.3:
+                fleet.stalled[id] = fleet.now + fleet.rng.randrange(2 * SECOND)
         fleet.run(fleet.now + SECOND)
     sent = sum(one.bytes_sent for one in fleet.members.values()) - before
-    well = [id for id in fleet.known if id not in slow]
+    well = [id for id in fleet.declared_dead if id not in slow]
     return {
-        "taken_for_dead": len(fleet.known),
+        "taken_for_dead": len(fleet.declared_dead),
         "of_these_well": len(well),
         "bytes_a_member_a_second": round(sent / members / seconds),
     }
 
 
-def split(members: int, seed: int, seconds: int) -> dict[str, float]:
-    """Two halves that don't hear each other; how long after it heals all know all again, in periods."""
-    fleet = VirtualFleet(members, seed)
-    half = {f"m{place}" for place in range(members // 2)}
-    fleet.cut = lambda source, to: (source in half) != (to in half)
+def partition(members: int, seed: int, seconds: int) -> dict[str, float]:
+    """Partition the members into halves, heal, and measure the recovery.
+
+    Returns:
+        parted: The share of pairs across the partition in which one holds the other for dead. healed_after:
+        periods from healing until nobody is held for dead; -1 if never.
+    """
+    fleet = SimulatedMembership(members, seed)
+    half = {f"m{index}" for index in range(members // 2)}
+    fleet.is_partitioned = lambda source, target: (source in half) != (target in half)
     fleet.run(seconds * SECOND)
-    parted = sum(len(fleet.takes_for_dead(id)) for id in fleet.members) / members / (members - len(half))
-    fleet.cut = lambda source, to: False
-    healed = fleet.now
+    parted = sum(len(fleet.believing_dead(id)) for id in fleet.members) / members / (members - len(half))
+    fleet.is_partitioned = lambda source, target: False
+    healed_at = fleet.now
 
-    def whole() -> bool:
-        return all(not fleet.takes_for_dead(id) for id in fleet.members)
+    def is_healed() -> bool:
+        return all(not fleet.believing_dead(id) for id in fleet.members)
 
-    came = False
-    while not came and fleet.now < healed + 300 * SECOND:
-        came = fleet.run(fleet.now + SECOND, lambda: False) or whole()
-    return {"parted": round(parted, 2), "healed_after": (fleet.now - healed) / SPANS.period if came else -1}
+    recovered = False
+    while not recovered and fleet.now < healed_at + 300 * SECOND:
+        recovered = fleet.run(fleet.now + SECOND, lambda: False) or is_healed()
+    healed_after = (fleet.now - healed_at) / SPANS.period if recovered else -1
+    return {"parted": round(parted, 2), "healed_after": healed_after}
 
 
-def spread_of(times: list[float]) -> dict[str, float]:
+def summarize(times: list[float]) -> dict[str, float]:
+    """Return the median, least and most."""
     times = sorted(times)
     least, most = round(times[0], 1), round(times[-1], 1)
     return {"p50": round(statistics.median(times), 1), "least": least, "most": most}
 
 
 def figures(quick: bool, seed: int, tell: Callable[[str], None]) -> dict[str, Any]:
+    """Return the figures by fleet size."""
     found: dict[str, Any] = {}
     for members in (30, 100) if quick else (30, 300, 1000):
         runs = 3 if quick else (20 if members < 1000 else 5)
         tell(f"{members} members: deaths")
-        deaths = [death(members, seed + run) for run in range(runs)]
-        told: dict[str, Any] = {
-            f"death, {word} know, periods": spread_of([one[word] for one in deaths])
-            for word in ("first", "half", "all")
+        deaths = [detect_crash(members, seed + run) for run in range(runs)]
+        size_figures: dict[str, Any] = {
+            f"death, {part} know, periods": summarize([one[part] for one in deaths])
+            for part in ("first", "half", "all")
         }
         tell(f"{members} members: loss and stalls")
         seconds = 20 if quick else 60
@@ -171,22 +220,22 @@
             name = f"loss {loss:.0%}" + (", a tenth stalls" if stalls else "")
             sums: Counter[str] = Counter()
             for run in range(max(1, runs // 5)):
-                sums.update(false_deaths(members, seed + run, loss, stalls, seconds))
-            told[name] = {word: round(value / max(1, runs // 5), 1) for word, value in sums.items()}
+                sums.update(count_false_deaths(members, seed + run, loss, stalls, seconds))
+            size_figures[name] = {what: round(value / max(1, runs // 5), 1) for what, value in sums.items()}
         tell(f"{members} members: a split")
-        told["a split"] = split(members, seed, 30 if quick else 60)
-        found[f"{members} members"] = told
+        size_figures["a split"] = partition(members, seed, 30 if quick else 60)
+        found[f"{members} members"] = size_figures
     return found
 
 
 def run(quick: bool, seed: int, tell: Callable[[str], None]) -> dict[str, Any]:
-    """All figures, bars and whether they held."""
+    """Run all sizes; return the figures, the criteria and whether all held."""
     found = figures(quick, seed, tell)
     bars: dict[str, bool] = {}
-    for name, told in found.items():
-        bars[f"{name}: every death known to all"] = told["death, all know, periods"]["least"] > 0
-        bars[f"{name}: none taken for dead without loss"] = told["loss 0%"]["taken_for_dead"] == 0
-        bars[f"{name}: a split heals"] = told["a split"]["healed_after"] >= 0
-    sizes = [told["loss 0%"]["bytes_a_member_a_second"] for told in found.values()]
+    for name, size_figures in found.items():
+        bars[f"{name}: every death known to all"] = size_figures["death, all know, periods"]["least"] > 0
+        bars[f"{name}: none taken for dead without loss"] = size_figures["loss 0%"]["taken_for_dead"] == 0
+        bars[f"{name}: a split heals"] = size_figures["a split"]["healed_after"] >= 0
+    sizes = [size_figures["loss 0%"]["bytes_a_member_a_second"] for size_figures in found.values()]
     bars["bytes a member flat in the fleet's size, within a half"] = max(sizes) <= 1.5 * min(sizes)
     return {"figures": found, "bars": bars, "held": all(bars.values())}
--- a/thistleline/lab/scale/members.py
+++ b/thistleline/lab/scale/members.py
@@ -17,7 +17,7 @@
 
 from thistleline.config.schema import Members
 from thistleline.lab.members import SPANS as FLEET_SPANS
-from thistleline.lab.members import VirtualFleet
+from thistleline.lab.members import SimulatedMembership
 from thistleline.lab.scale import slopes
 from thistleline.lab.scale.size import size
 from thistleline.lab.scale.slopes import Kind, Part, Row, Shape, cpu_of, judge, loop_cpu, memory_of
@@ -250,7 +250,7 @@
 # ---- whole fleets in virtual time
 
 
-class HollowFleet(VirtualFleet):
+class HollowFleet(SimulatedMembership):
     """As the one of `lab members`; its views are copied from one, so that thousands can be had."""
 
     def __init__(self, members: int, seed: int, view: Callable[[], View] = View) -> None:
@@ -291,10 +291,12 @@
             at = fleet.now
             if changes:
                 id = name_of(turn)
-                fleet.put(id, "tell", facts_of(turn, 1))
+                fleet.handle(id, "tell", facts_of(turn, 1))
                 version = fleet.members[id].own.version
 
-                def all_know(fleet: VirtualFleet = fleet, id: str = id, version: int = version) -> bool:
+                def all_know(
+                    fleet: SimulatedMembership = fleet, id: str = id, version: int = version
+                ) -> bool:
                     return all(one.view.words[id].version >= version for one in fleet.members.values())
 
                 known = fleet.run(at + periods * FLEET_SPANS.period, all_know)
@@ -314,11 +316,11 @@
     fleet = HollowFleet(members, seed)
     fleet.run(5 * FLEET_SPANS.period)
     gone = [name_of(place) for place in range(deaths)]
-    fleet.silent.update(gone)
+    fleet.crashed.update(gone)
     died, before, living = fleet.now, fleet.bytes_sent(), members - deaths
 
     def all_know() -> bool:
-        return all(len(fleet.known.get(id, ())) >= living for id in gone)
+        return all(len(fleet.declared_dead.get(id, ())) >= living for id in gone)
 
     known = fleet.run(died + DEATHS_PATIENCE * FLEET_SPANS.period, all_know)
     periods = (fleet.now - died) / FLEET_SPANS.period
@@ -337,9 +339,9 @@
     if seeds:
         for one in fleet.members.values():
             one.seeds = name_of(0), name_of(members - 1)
-    fleet.cut = lambda source, to: (source in few) != (to in few)
+    fleet.is_partitioned = lambda source, to: (source in few) != (to in few)
     fleet.run(int(apart * SECOND))
-    fleet.cut = lambda source, to: False
+    fleet.is_partitioned = lambda source, to: False
     begun, before, period = fleet.now, fleet.bytes_sent(), FLEET_SPANS.period
 
     def whole() -> bool:
@@ -364,7 +366,7 @@
         for place in range(members):
             if place % steps == turn % steps:
                 id = name_of(place)
-                fleet.put(id, "tell", facts_of(place, turn + 1))
+                fleet.handle(id, "tell", facts_of(place, turn + 1))
                 told[id][fleet.members[id].own.version] = fleet.now
         fleet.run(fleet.now + step)
     chance, found = Random(seed), list[int]()
--- a/thistleline/lab/zones.py
+++ b/thistleline/lab/zones.py
@@ -1,8 +1,10 @@
-"""Zones in virtual time: the picture and the decision as they run, against a solver that sees all, each zone
-alone, and all spread over all. No I/O.
+"""Zones in virtual time: fleet status and routing decisions as they run, without I/O, against baselines.
 
-A step is a second. Work is cores; what a zone is offered beyond its capacity is shed, the least worth first,
-and costs capacity itself. Servers report with noise, hear of a table some steps late, one by one.
+A discrete-time simulation; a step is a second. Work is measured in cores. What a zone is offered beyond its
+capacity is shed, the least valuable first, and overload costs capacity itself. Servers report with noise and
+follow a new routing table one by one, some steps late. The baselines are a solver that sees everything (a
+linear program), each zone by itself, and all work spread over all zones. The verdict rests on the utility
+compared with the solver's, and on calm runs in which nothing may be moved.
 """
 
 import statistics
@@ -15,256 +17,335 @@
 from thistleline.zones.decision import Deciding, Rules, Table
 from thistleline.zones.status import SECOND, Look, Pictures, Report
 
-WORTH = {0: 1.0, 1: 3.0}  # stages: lookups, bookings
-EVERY = 2  # steps between two decisions
-LAG = 3  # steps, at the most, until a server follows a table
-WASTE = 0.3  # of the capacity, for each capacity's worth beyond it, that overload costs
-BEGIN = 20  # steps without a fault
+VALUE = {0: 1.0, 1: 3.0}  # utility of a unit of work, by stage: lookups, bookings
+DECISION_INTERVAL = 2  # steps
+MAX_TABLE_LAG = 3  # steps until every server follows a new table
+OVERLOAD_COST = 0.3  # share of the capacity lost for each multiple of it that is offered beyond it
+FIRST_FAULT = 20  # steps without a fault
+
+
+CAPACITY_LEFT = {"lost": 0.0, "flaps": 0.0, "half": 0.5, "sick": 0.4, "grey": 0.3, "common": 0.6}
+
+Demand = dict[tuple[str, int], float]  # cores of work, by zone of origin and stage
 
 
 class Fault(NamedTuple):
-    """Of a zone or some of its servers, from a step to another."""
+    """A fault of a zone or of some of its servers.
 
-    what: str  # lost, half, sick, grey, liar, stuck, burst, common, flaps
+    Attributes:
+        what: lost, half, sick, grey, liar, stuck, burst, common or flaps.
+        zone: Where; "" for all zones.
+        since: First step.
+        until: First step without it.
+    """
+
+    what: str
     zone: str
     since: int
     until: int
 
-    def acts(self, step: int) -> bool:
+    def is_active(self, step: int) -> bool:
+        """Whether it acts in a step; a zone that flaps is lost for seven steps of fourteen."""
         return self.since <= step < self.until and (self.what != "flaps" or (step - self.since) // 7 % 2 == 0)
 
 
-class Fleet:
+class SimulatedFleet:
+    """Zones with their servers, their demand, and the routing tables that were made."""
+
     def __init__(self, zones: int, servers: int, load: float, faults: tuple[Fault, ...], seed: int) -> None:
-        """`load`: what comes, as a part of all capacity."""
-        self.chance = Random(seed)
-        self.names = tuple(f"z{place}" for place in range(zones))
-        self.region = {name: f"r{place * 2 // zones}" for place, name in enumerate(self.names)}
+        """Make zones z0, z1, ... in two regions.
+
+        Args:
+            zones: How many.
+            servers: Of all zones together.
+            load: Demand as a share of all capacity.
+            faults: That act during the run.
+            seed: Of all random draws.
+        """
+        self.rng = Random(seed)
+        self.names = tuple(f"z{index}" for index in range(zones))
+        self.region = {name: f"r{index * 2 // zones}" for index, name in enumerate(self.names)}
         self.faults = faults
-        self.each = 10.0  # cores of a server
+        self.cores_per_server = 10.0
         self.servers = {name: servers // zones for name in self.names}
-        base = [self.chance.uniform(0.8, 1.2) for _ in self.names]
-        self.base = {
-            name: load * self.each * self.servers[name] * part * zones / sum(base)
-            for name, part in zip(self.names, base, strict=True)
+        shares = [self.rng.uniform(0.8, 1.2) for _ in self.names]
+        self.mean_demand = {
+            name: load * self.cores_per_server * self.servers[name] * share * zones / sum(shares)
+            for name, share in zip(self.names, shares, strict=True)
         }
         price = {
             (one, other): 1.0 + (3.0 if self.region[one] != self.region[other] else 0.0)
             + abs(self.names.index(one) - self.names.index(other)) / 100
             for one in self.names for other in self.names if one != other
         }  # fmt: skip
-        self.rules = Rules(price, WORTH)
+        self.rules = Rules(price, VALUE)
         self.finished = dict.fromkeys((f"{name}.{k}" for name in self.names for k in range(servers)), 0)
         self.table = Table()
-        self.tables: list[tuple[int, Table]] = [(0, self.table)]
+        self.tables: list[tuple[int, Table]] = [(0, self.table)]  # (step, table)
 
-    def acting(self, step: int, zone: str) -> set[str]:
-        return {one.what for one in self.faults if one.acts(step) and one.zone in (zone, "")}
+    def active_faults(self, step: int, zone: str) -> set[str]:
+        """Return the kinds of faults that act on a zone in a step."""
+        return {fault.what for fault in self.faults if fault.is_active(step) and fault.zone in (zone, "")}
 
     def capacity(self, step: int, zone: str) -> float:
-        what, whole = self.acting(step, zone), self.each * self.servers[zone]
-        for name, part in (("lost", 0.0), ("flaps", 0.0), ("half", 0.5), ("sick", 0.4), ("grey", 0.3),
-                           ("common", 0.6)):  # fmt: skip
-            if name in what:
-                whole *= part
-        return whole
-
-    def demand(self, step: int) -> dict[tuple[str, int], float]:
+        """Return the cores of a zone in a step."""
+        faults = self.active_faults(step, zone)
+        cores = self.cores_per_server * self.servers[zone]
+        for what, share in CAPACITY_LEFT.items():
+            if what in faults:
+                cores *= share
+        return cores
+
+    def demand(self, step: int) -> Demand:
+        """Draw the work that comes to all zones in a step."""
         found = {}
         for name in self.names:
-            burst = 2.0 if "burst" in self.acting(step, name) else 1.0
-            whole = self.base[name] * burst * (1 + 0.05 * self.chance.gauss(0, 1))
+            burst = 2.0 if "burst" in self.active_faults(step, name) else 1.0
+            whole = self.mean_demand[name] * burst * (1 + 0.05 * self.rng.gauss(0, 1))
             found[name, 0], found[name, 1] = 0.6 * whole, 0.4 * whole
         return {key: max(0.0, work) for key, work in found.items()}
 
-    def offered(
-        self, step: int, demand: dict[tuple[str, int], float]
-    ) -> dict[str, dict[tuple[str, int], float]]:
-        """By zone, what comes to it by origin and stage: servers and callers follow a table one by one."""
-        found: dict[str, dict[tuple[str, int], float]] = {name: {} for name in self.names}
+    def offered(self, step: int, demand: Demand) -> dict[str, Demand]:
+        """Return the work that reaches each zone, while servers change to the newest table one by one."""
+        found: dict[str, Demand] = {name: {} for name in self.names}
         since, newest = self.tables[-1]
-        follow = min(1.0, (step - since) / LAG)
-        before = self.tables[-2][1] if len(self.tables) > 1 else newest
+        following = min(1.0, (step - since) / MAX_TABLE_LAG)  # share of servers that follow the newest
+        previous = self.tables[-2][1] if len(self.tables) > 1 else newest
         for (origin, stage), work in demand.items():
-            stays = 1.0
-            parts: dict[str, float] = {}
-            for table, weight in ((newest, follow), (before, 1 - follow)):
-                for to, part in table.away(origin, stage).items():
-                    parts[to] = parts.get(to, 0.0) + weight * part
-            for to, part in parts.items():
-                found[to][origin, stage] = found[to].get((origin, stage), 0.0) + part * work
-                stays -= part
-            found[origin][origin, stage] = found[origin].get((origin, stage), 0.0) + max(0.0, stays) * work
+            staying = 1.0
+            shares: dict[str, float] = {}
+            for table, weight in ((newest, following), (previous, 1 - following)):
+                for target, share in table.away(origin, stage).items():
+                    shares[target] = shares.get(target, 0.0) + weight * share
+            for target, share in shares.items():
+                found[target][origin, stage] = found[target].get((origin, stage), 0.0) + share * work
+                staying -= share
+            found[origin][origin, stage] = found[origin].get((origin, stage), 0.0) + max(0.0, staying) * work
         return found
 
 
-def served(capacity: float, offered: dict[tuple[str, int], float]) -> dict[int, float]:
-    """Work that is finished in time, by stage: the worthiest first, less what overload costs."""
-    whole = sum(offered.values())
+def served(capacity: float, offered: Demand) -> dict[int, float]:
+    """Return the work that a zone finishes in time, by stage: the most valuable first."""
+    total = sum(offered.values())
     left = capacity
-    if whole > capacity > 0:
-        left = capacity * max(0.5, 1 - WASTE * (whole / capacity - 1))
+    if total > capacity > 0:
+        left = capacity * max(0.5, 1 - OVERLOAD_COST * (total / capacity - 1))
     found: dict[int, float] = {}
-    for stage in sorted(WORTH, key=lambda stage: -WORTH[stage]):
+    for stage in sorted(VALUE, key=lambda stage: -VALUE[stage]):
         wanted = sum(work for (_, at), work in offered.items() if at == stage)
         found[stage] = min(left, wanted)
         left -= found[stage]
     return found
 
 
-def worth_of(done: dict[int, float]) -> float:
-    return sum(WORTH[stage] * work for stage, work in done.items())
+def utility_of(finished: dict[int, float]) -> float:
+    """Return the utility of finished work by stage."""
+    return sum(VALUE[stage] * work for stage, work in finished.items())
 
 
-def best(fleet: Fleet, demand: dict[tuple[str, int], float], room: dict[str, float]) -> float:
-    """The most utility that any flows could bring, by a linear program."""
+def best_utility(fleet: SimulatedFleet, demand: Demand, capacity: dict[str, float]) -> float:
+    """Return the most utility that any routing could bring, by a linear program."""
     import highspy
 
     solver = highspy.Highs()  # type: ignore[no-untyped-call]
     solver.silent()
-    places = []
+    flows = []  # a column each: (zone of origin and stage, target)
     for key in demand:
-        for to in fleet.names:
-            if to == key[0] or (key[0], to) in fleet.rules.price:
-                places.append((key, to))
+        for target in fleet.names:
+            if target == key[0] or (key[0], target) in fleet.rules.price:
+                flows.append((key, target))
     infinite = highspy.kHighsInf
-    for key, _ in places:
+    for key, _ in flows:
         solver.addVar(0.0, infinite)
-        solver.changeColCost(solver.getNumCol() - 1, -WORTH[key[1]])
+        solver.changeColCost(solver.getNumCol() - 1, -VALUE[key[1]])
     for key, work in demand.items():
-        columns = [place for place, (other, _) in enumerate(places) if other == key]
+        columns = [column for column, (other, _) in enumerate(flows) if other == key]
         solver.addRow(-infinite, work, len(columns), columns, [1.0] * len(columns))
-    for to in fleet.names:
-        columns = [place for place, (_, other) in enumerate(places) if other == to]
-        solver.addRow(-infinite, room[to], len(columns), columns, [1.0] * len(columns))
+    for target in fleet.names:
+        columns = [column for column, (_, other) in enumerate(flows) if other == target]
+        solver.addRow(-infinite, capacity[target], len(columns), columns, [1.0] * len(columns))
     solver.run()
     return -float(solver.getObjectiveValue())
 
 
-class Played(NamedTuple):
-    kept: float  # utility, of what the solver that sees all gets
-    alone: float  # and each zone by itself
-    spread: float  # and all spread over all by capacity
-    near: float  # part of the work that was served in its own zone
-    moves: int  # tables that were made
-    toppled: int  # steps in which a receiver was over its capacity by what was moved to it
-    longest_overload: int  # steps in a row in which somebody was over it though there was room for all
-
-
-def play(
+class SimulationResult(NamedTuple):
+    """What came of one run; utilities are shares of the solver's.
+
+    Attributes:
+        kept: Utility of the routing under test.
+        alone: Utility of each zone by itself.
+        spread: Utility of all work spread over all zones by capacity.
+        near: Share of the work that was served in its own zone.
+        moves: Routing tables that were made.
+        toppled: Steps (over all zones) in which a zone was overloaded by work moved to it.
+        longest_overload: Steps in a row in which some zone was overloaded though there was room for all.
+    """
+
+    kept: float
+    alone: float
+    spread: float
+    near: float
+    moves: int
+    toppled: int
+    longest_overload: int
+
+
+class Tally:
+    """The sums of one run, from which its result is made."""
+
+    def __init__(self) -> None:
+        """Start with nothing."""
+        self.utility: Counter[str] = Counter()  # in thousandths, by what is compared
+        self.toppled = 0
+        self.overload = 0  # steps in a row, up to now
+        self.longest_overload = 0
+        self.work_near = 0.0
+        self.work_total = 0.0
+
+    def add_utility(self, name: str, utility: float) -> None:
+        """Add the utility of a step."""
+        self.utility[name] += round(1000 * utility)
+
+    def add_step(
+        self, step: int, demand: Demand, capacity: dict[str, float], offered: dict[str, Demand]
+    ) -> None:
+        """Add what the routing under test did in a step."""
+        any_overload = False
+        for name, work in offered.items():
+            self.add_utility("kept", utility_of(served(capacity[name], work)))
+            near = sum(amount for (origin, _), amount in work.items() if origin == name)
+            total = sum(work.values())
+            self.toppled += step > FIRST_FAULT and near <= capacity[name] < 0.999 * total
+            any_overload = any_overload or total > 1.02 * capacity[name]
+            self.work_near += near
+            self.work_total += total
+        has_room = sum(demand.values()) < 0.8 * sum(capacity.values())
+        self.overload = self.overload + 1 if any_overload and has_room else 0
+        self.longest_overload = max(self.longest_overload, self.overload)
+
+    def add_baselines(self, fleet: SimulatedFleet, demand: Demand, capacity: dict[str, float]) -> None:
+        """Add what the solver, zones by themselves and an even spread would get in a step."""
+        self.add_utility("best", best_utility(fleet, demand, capacity))
+        for name in fleet.names:
+            own = {key: work for key, work in demand.items() if key[0] == name}
+            self.add_utility("alone", utility_of(served(capacity[name], own)))
+            share = fleet.servers[name] / sum(fleet.servers.values())
+            spread = {key: work * share for key, work in demand.items()}
+            self.add_utility("spread", utility_of(served(capacity[name], spread)))
+
+    def result(self, moves: int) -> SimulationResult:
+        """Return the result of a run that made so many routing tables."""
+        best = max(1, self.utility["best"])
+        return SimulationResult(
+            kept=self.utility["kept"] / best,
+            alone=self.utility["alone"] / best,
+            spread=self.utility["spread"] / best,
+            near=self.work_near / self.work_total,
+            moves=moves,
+            toppled=self.toppled,
+            longest_overload=self.longest_overload,
+        )
+
+
+def simulate(
     zones: int, servers: int, load: float, faults: tuple[Fault, ...], seed: int, steps: int = 180
-) -> Played:
-    fleet = Fleet(zones, servers, load, faults, seed)
+) -> SimulationResult:
+    """Simulate a fleet for some steps; see `SimulatedFleet` for the arguments."""
+    fleet = SimulatedFleet(zones, servers, load, faults, seed)
     pictures, deciding = Pictures(fleet.names), Deciding(fleet.rules, Table())
-    sums: Counter[str] = Counter()
-    toppled = overload = longest = 0
-    work_near = work_all = 0.0
+    tally = Tally()
     for step in range(1, steps + 1):
         demand = fleet.demand(step)
-        room = {name: fleet.capacity(step, name) for name in fleet.names}
+        capacity = {name: fleet.capacity(step, name) for name in fleet.names}
         offered = fleet.offered(step, demand)
-        over = False
-        for name in fleet.names:
-            done = served(room[name], offered[name])
-            sums["kept"] += round(1000 * worth_of(done))
-            own = sum(work for (origin, _), work in offered[name].items() if origin == name)
-            all_here = sum(offered[name].values())
-            toppled += step > BEGIN and own <= room[name] < 0.999 * all_here
-            over = over or all_here > 1.02 * room[name]
-            work_near += own
-            work_all += all_here
-        overload = overload + 1 if over and sum(demand.values()) < 0.8 * sum(room.values()) else 0
-        longest = max(longest, overload)
-        sums["best"] += round(1000 * best(fleet, demand, room))
-        for name in fleet.names:
-            alone = {key: work for key, work in demand.items() if key[0] == name}
-            sums["alone"] += round(1000 * worth_of(served(room[name], alone)))
-            part = fleet.servers[name] / sum(fleet.servers.values())
-            spread = {key: work * part for key, work in demand.items()}
-            sums["spread"] += round(1000 * worth_of(served(room[name], spread)))
-        report(fleet, pictures, step, room, offered)
-        if step % EVERY == 0:
+        tally.add_step(step, demand, capacity, offered)
+        tally.add_baselines(fleet, demand, capacity)
+        report(fleet, pictures, step, capacity, offered)
+        if step % DECISION_INTERVAL == 0:
             table = deciding.decide(pictures.picture(step * SECOND))
             if table.number != fleet.table.number:
                 fleet.table = table
                 fleet.tables.append((step, table))
-    whole = max(1, sums["best"])
-    return Played(
-        kept=sums["kept"] / whole,
-        alone=sums["alone"] / whole,
-        spread=sums["spread"] / whole,
-        near=work_near / work_all,
-        moves=fleet.table.number,
-        toppled=toppled,
-        longest_overload=longest,
-    )
+    return tally.result(fleet.table.number)
 
 
 def report(
-    fleet: Fleet,
+    fleet: SimulatedFleet,
     pictures: Pictures,
     step: int,
-    room: dict[str, float],
-    offered: dict[str, dict[tuple[str, int], float]],
+    capacity: dict[str, float],
+    offered: dict[str, Demand],
 ) -> None:
-    """What servers say, and what zones see of each other."""
+    """Report what servers say of themselves, and what zones observe of each other."""
     for name in fleet.names:
-        what, count = fleet.acting(step, name), fleet.servers[name]
-        whole = sum(offered[name].values())
-        good = min(1.0, room[name] / whole) if whole > 0 else 1.0
-        if not {"lost", "flaps"} & what:
-            for place in range(count):
-                id = f"{name}.{place}"
-                capacity = room[name] / count * max(0.1, fleet.chance.gauss(1.0, 0.05))
-                inside = 1.0
-                if "grey" in what:
-                    capacity, inside = fleet.each, 1.0  # it takes itself for well
-                if "liar" in what and place == 0:
-                    capacity = 1e6
-                if "stuck" not in what or place != 0:
-                    fleet.finished[id] += 1 + int(good * whole / count)
-                came = tuple((origin, stage, work / count) for (origin, stage), work in offered[name].items())
-                pictures.take(Report(id, name, step * SECOND, capacity, fleet.finished[id], inside, came))
+        faults = fleet.active_faults(step, name)
+        total = sum(offered[name].values())
+        good = min(1.0, capacity[name] / total) if total > 0 else 1.0
+        if not {"lost", "flaps"} & faults:
+            for index in range(fleet.servers[name]):
+                pictures.take(_server_report(fleet, step, name, index, capacity[name], offered[name]))
         for other in fleet.names:
             if other != name:
-                pictures.look(Look(other, name, 100, round(100 * (good if "grey" in what else 1.0))))
+                pictures.look(Look(other, name, 100, round(100 * (good if "grey" in faults else 1.0))))
+
+
+def _server_report(
+    fleet: SimulatedFleet, step: int, zone: str, index: int, zone_capacity: float, offered: Demand
+) -> Report:
+    """Return one server's report; a grey one believes that it is well, a liar's capacity is absurd."""
+    faults = fleet.active_faults(step, zone)
+    count = fleet.servers[zone]
+    id = f"{zone}.{index}"
+    total = sum(offered.values())
+    good = min(1.0, zone_capacity / total) if total > 0 else 1.0
+    capacity = zone_capacity / count * max(0.1, fleet.rng.gauss(1.0, 0.05))
+    if "grey" in faults:
+        capacity = fleet.cores_per_server
+    if "liar" in faults and index == 0:
+        capacity = 1e6
+    if "stuck" not in faults or index != 0:
+        fleet.finished[id] += 1 + int(good * total / count)
+    came = tuple((origin, stage, work / count) for (origin, stage), work in offered.items())
+    return Report(id, zone, step * SECOND, capacity, fleet.finished[id], 1.0, came)
 
 
-KINDS = ("lost", "half", "sick", "grey", "liar", "stuck", "burst", "common", "flaps")
+FAULT_KINDS = ("lost", "half", "sick", "grey", "liar", "stuck", "burst", "common", "flaps")
 
 
 def scenario(seed: int) -> tuple[int, int, float, tuple[Fault, ...]]:
-    """Zones, servers, load and one or two faults, by the seed."""
-    chance = Random(seed)
-    zones = chance.choice((3, 4, 6, 12))
-    servers = zones * chance.choice((10, 25, 80) if zones < 12 else (10, 25))
-    names = [f"z{place}" for place in range(zones)]
+    """Draw zones, servers, load and one or two faults by a seed."""
+    rng = Random(seed)
+    zones = rng.choice((3, 4, 6, 12))
+    servers = zones * rng.choice((10, 25, 80) if zones < 12 else (10, 25))
+    names = [f"z{index}" for index in range(zones)]
     faults = []
-    for _ in range(chance.choice((1, 2))):
-        what = chance.choice(KINDS)
-        since = BEGIN + chance.randrange(20)
-        where = "" if what == "common" else chance.choice(names)
-        faults.append(Fault(what, where, since, since + chance.randint(30, 90)))
-    return zones, servers, chance.choice((0.45, 0.6, 0.7)), tuple(faults)
+    for _ in range(rng.choice((1, 2))):
+        what = rng.choice(FAULT_KINDS)
+        since = FIRST_FAULT + rng.randrange(20)
+        where = "" if what == "common" else rng.choice(names)
+        faults.append(Fault(what, where, since, since + rng.randint(30, 90)))
+    return zones, servers, rng.choice((0.45, 0.6, 0.7)), tuple(faults)
 
 
-def of_seed(seed: int) -> Played:
-    return play(*scenario(seed), seed)
+def simulate_seed(seed: int) -> SimulationResult:
+    """Simulate the scenario of a seed."""
+    return simulate(*scenario(seed), seed)
 
 
-def calm(seed: int) -> Played:
+def simulate_calm(seed: int) -> SimulationResult:
+    """Simulate the scenario of a seed without its faults, for 600 steps."""
     zones, servers, load, _ = scenario(seed)
-    return play(zones, servers, load, (), seed, 600)
+    return simulate(zones, servers, load, (), seed, 600)
 
 
 def run(quick: bool, seed: int, tell: Callable[[str], None]) -> dict[str, Any]:
-    """All figures, bars and whether they held."""
+    """Run all seeds; return the figures, the criteria and whether all held."""
     count = 16 if quick else 200
     seeds = range(seed, seed + count)
     with ProcessPoolExecutor() as pool:
-        faulty = list(pool.map(of_seed, seeds))
+        faulty = list(pool.map(simulate_seed, seeds))
         tell(f"{count} seeds with faults")
-        quiet = list(pool.map(calm, seeds[: max(4, count // 5)]))
+        quiet = list(pool.map(simulate_calm, seeds[: max(4, count // 5)]))
     kept = sorted(one.kept for one in faulty)
     tenth = kept[: max(1, count // 10)]
     found = {
