--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -20,7 +20,7 @@
 from thistleline.lab.ledger import SETTINGS
 from thistleline.lab.machines import SupervisedFleet
 from thistleline.lab.mutants import without
-from thistleline.lab.roll import HARMS, Harm, roll
+from thistleline.lab.roll import HARMS, Harm, simulate_rollout
 from thistleline.lab.stewardworld import BesideWorld, StewardWorld, following, following_beside, wander
 from thistleline.lease.protocol import MAX_VALUE_SIZE, Put
 from thistleline.lease.table import validate
@@ -319,7 +319,7 @@
 
 @pytest.mark.parametrize("harm", [Harm(), *HARMS[2:]], ids=lambda harm: harm.what)
 def test_rolls_in_virtual_time_end_as_they_should_through_successions(harm: Harm) -> None:
-    told = roll(30, 3, harm, 2, steps=1200, successions=0.004)
+    told = simulate_rollout(30, 3, harm, 2, steps=1200, successions=0.004)
     if harm.what == "none":
         assert told.phase in ("done", "asking")
     elif harm.cold_only:
--- a/thistleline/lab/roll.py
+++ b/thistleline/lab/roll.py
@@ -1,8 +1,13 @@
-"""Rolls in virtual time: the conductor and its judge as they run, servers by their figures alone.
+"""Rollouts: the controller and its canary analysis in virtual time, and whole fleets as real processes.
 
-What a server does in a slot is drawn: a base that all of a zone share (bursts, shifts of traffic), its own
-neighbour's trouble now and then, being cold, what the release does, and noise. The conductor hears figures as
-members' facts bring them, and nothing else.
+In virtual time a server is its metrics alone. What it does in a step is drawn: a base that all servers of a
+zone share (bursts, shifts of traffic), a noisy neighbour now and then, a cold start, what the release does,
+and noise. The controller sees the metrics that membership gossip brings, and nothing else. The oracle is the
+simulation, which knows what the release does (`Harm`).
+
+With real processes (lab/machines.py) releases are rolled out while controllers, supervisors and replicas are
+killed, paused and cut off. The verdict rests on what became of harmful and harmless releases, and on the
+ledger's oracle over all callers.
 """
 
 import statistics
@@ -11,6 +16,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterable
 from concurrent.futures import ProcessPoolExecutor
+from dataclasses import dataclass
 from functools import partial
 from pathlib import Path
 from random import Random
@@ -32,143 +38,233 @@
 from thistleline.rollout.timing import SECOND, RolloutTiming
 from thistleline.supervisor.model import Version
 
-OLD, NEW = Version("1", "d1", 1, "s1"), Version("2", "d2", 1, "s1")
+OLD_VERSION = Version("1", "d1", 1, "s1")
+NEW_VERSION = Version("2", "d2", 1, "s1")
 TIMING = RolloutTiming()
-STEP = 5 * SECOND
-RESTART, COLD = 4, 6  # steps down, and cold, after a change
+STEP_NS = 5 * SECOND
+RESTART_STEPS = 4  # down after a change
+COLD_STEPS = 6  # cold after a start
 RATE = 80  # tasks of a server in a step
+FIRST_ORDER_STEP = 20
+INITIAL_MEMORY = 100_000  # kB
 
 
 class Harm(NamedTuple):
-    """What the new release does. `served`: part of the utility that it costs."""
+    """What the new release does.
+
+    Attributes:
+        what: Name of the harm, in the figures.
+        served: Share of the utility that is lost.
+        zone: Where alone it harms; "" for everywhere.
+        cold_only: Whether it harms cold servers alone.
+        slow: Added to the share of tasks that are slow.
+        leak: Memory lost, kB a step.
+        crash_after: Steps until a server crashes; 0: never.
+        silent: Whether servers run but report nothing.
+        starts: Whether it starts at all.
+        dear: Share of the utility of finished tasks that is lost, with as many tasks finished as before.
+    """
 
     what: str = "none"
     served: float = 0.0
-    zone: str = ""  # there alone
+    zone: str = ""
     cold_only: bool = False
     slow: float = 0.0
-    leak: int = 0  # kB a step
-    crash_after: int = 0  # steps; 0: never
-    silent: bool = False  # runs, and says nothing of itself
+    leak: int = 0
+    crash_after: int = 0
+    silent: bool = False
     starts: bool = True
-    dear: float = 0.0  # part of the utility that it drops beside, with as many tasks finished as before
+    dear: float = 0.0
+
+
+@dataclass(slots=True)
+class Metrics:
+    """What a server reports of itself, summed since its start."""
+
+    tasks: int = 0
+    finished: int = 0
+    rejected: int = 0
+    abandoned: int = 0
+    slow: int = 0
+    memory: int = INITIAL_MEMORY  # kB
+    failed_starts: int = 0  # and crashes; never reset
+    starts: int = 1  # never reset
+    offered_utility: int = 0  # thousandths
+    served_utility: int = 0  # thousandths
+
+    def reset(self) -> None:
+        """Forget what a restarted server forgets; memory is reset by a change of the version alone."""
+        self.tasks = 0
+        self.finished = 0
+        self.rejected = 0
+        self.abandoned = 0
+        self.slow = 0
+        self.offered_utility = 0
+        self.served_utility = 0
+
+    def reported(self) -> tuple[int, ...]:
+        """Return the metrics in the order in which membership gossip carries them."""
+        return (
+            self.tasks,
+            self.finished,
+            self.rejected,
+            self.abandoned,
+            self.slow,
+            self.memory,
+            self.failed_starts,
+            self.starts,
+        )
+
+
+class StepResult(NamedTuple):
+    """What one server did in a step: the utility it lost to the release, and the tasks that came."""
+
+    lost: float
+    tasks: int
+
 
+IDLE = StepResult(0.0, 0)
 
-class Server:
-    def __init__(self, id: str, zone: str, chance: Random) -> None:
-        self.id, self.zone, self.chance = id, zone, chance
-        self.runs, self.should = OLD, OLD
+
+class SimulatedServer:
+    """A server and its supervisor: it restarts into the desired version and reports metrics."""
+
+    def __init__(self, id: str, zone: str, rng: Random) -> None:
+        """Make a warm server of the old version."""
+        self.id = id
+        self.zone = zone
+        self.rng = rng
+        self.version = OLD_VERSION
+        self.desired = OLD_VERSION
         self.down = 0  # steps left
-        self.turn, self.again = 0, False
-        self.age = 1000
-        self.figures = [0, 0, 0, 0, 0, 100_000, 0, 1]
-        self.worth = [0, 0]
-        self.trouble = 0  # steps left of a neighbour's
-
-    def want(self, version: Version, turn: int) -> None:
-        self.should = version
-        self.again = turn != 0 and turn != self.turn
-        self.turn = turn
-
-    def step(self, burst: float, harm: Harm, down_by_itself: bool) -> tuple[float, int]:
-        """Utility lost to the release, and tasks, of this step."""
-        chance = self.chance
-        stuck = self.runs == NEW and not harm.starts
-        if (self.should != self.runs and (not self.down or stuck)) or (self.again and not self.down):
-            self.again = False
-            self.down = RESTART
-            self.runs = self.should
-            self.age = 0
-            self.figures[7] += 1
-            self.figures[:5], self.worth[:] = [0] * 5, [0, 0]
-            self.figures[5] = 100_000
+        self.restart_token = 0
+        self.restart_due = False
+        self.age = 1000  # steps since the start
+        self.metrics = Metrics()
+        self.noisy_neighbour = 0  # steps left
+
+    def set_desired(self, version: Version, restart_token: int) -> None:
+        """Set the version to run; a new token, other than 0, restarts the server in any case."""
+        self.desired = version
+        self.restart_due = restart_token != 0 and restart_token != self.restart_token
+        self.restart_token = restart_token
+
+    def step(self, burst: float, harm: Harm, crashes: bool) -> StepResult:
+        """Do one step.
+
+        Args:
+            burst: Share of traffic beyond the normal.
+            harm: Of the new release.
+            crashes: Whether the server crashes by itself, whatever its version.
+        """
+        is_new = self.version == NEW_VERSION
+        cannot_start = is_new and not harm.starts
+        has_change = self.desired != self.version and (not self.down or cannot_start)
+        if has_change or (self.restart_due and not self.down):
+            self._change_version()
         if self.down:
-            if self.runs == NEW and not harm.starts:
-                self.figures[6] += 1
-                return 0.0, 0
-            self.down -= 1
-            return 0.0, 0
-        if down_by_itself:
-            self.down = RESTART
-            self.figures[7] += 1
-            self.figures[:5], self.worth[:] = [0] * 5, [0, 0]
-            self.age = 0
-            return 0.0, 0
+            if self.version == NEW_VERSION and not harm.starts:
+                self.metrics.failed_starts += 1
+            else:
+                self.down -= 1
+            return IDLE
+        if crashes:
+            self._restart(RESTART_STEPS)
+            return IDLE
         self.age += 1
-        if self.trouble:
-            self.trouble -= 1
-        elif chance.random() < 0.004:
-            self.trouble = chance.randint(4, 40)
-        new = self.runs == NEW
-        cold = self.age <= COLD
-        hit = new and (not harm.zone or harm.zone == self.zone) and (cold or not harm.cold_only)
-        if new and harm.crash_after and self.age >= harm.crash_after:
-            self.figures[6] += 1
-            self.figures[7] += 1
-            self.figures[:5], self.worth[:] = [0] * 5, [0, 0]
-            self.age = 0
-            self.down = 1
-            return 0.0, 0
-        tasks = max(0, round(chance.gauss(RATE * (1 + burst), 8)))
-        lost = harm.served if hit else 0.0
-        served = 0.94 - burst * 0.5 - (0.15 if self.trouble else 0) - (0.1 if cold else 0) - lost
-        served = min(1.0, max(0.0, chance.gauss(served, 0.03)))
+        if self.noisy_neighbour:
+            self.noisy_neighbour -= 1
+        elif self.rng.random() < 0.004:
+            self.noisy_neighbour = self.rng.randint(4, 40)
+        if is_new and harm.crash_after and self.age >= harm.crash_after:
+            self.metrics.failed_starts += 1
+            self._restart(1)
+            return IDLE
+        return self._serve(burst, harm)
+
+    def _change_version(self) -> None:
+        self.restart_due = False
+        self.version = self.desired
+        self._restart(RESTART_STEPS)
+        self.metrics.memory = INITIAL_MEMORY
+
+    def _restart(self, down: int) -> None:
+        self.down = down
+        self.age = 0
+        self.metrics.starts += 1
+        self.metrics.reset()
+
+    def _serve(self, burst: float, harm: Harm) -> StepResult:
+        """Draw what a running server does with its tasks in a step."""
+        rng, metrics = self.rng, self.metrics
+        is_cold = self.age <= COLD_STEPS
+        in_zone = not harm.zone or harm.zone == self.zone
+        is_harmed = self.version == NEW_VERSION and in_zone and (is_cold or not harm.cold_only)
+        tasks = max(0, round(rng.gauss(RATE * (1 + burst), 8)))
+        lost = harm.served if is_harmed else 0.0
+        served = 0.94 - burst * 0.5 - (0.15 if self.noisy_neighbour else 0) - (0.1 if is_cold else 0) - lost
+        served = min(1.0, max(0.0, rng.gauss(served, 0.03)))
         finished = round(tasks * served)
         slow = (
             0.05
             + burst * 0.3
-            + (0.2 if self.trouble else 0)
-            + (0.1 if cold else 0)
-            + (harm.slow if hit else 0)
+            + (0.2 if self.noisy_neighbour else 0)
+            + (0.1 if is_cold else 0)
+            + (harm.slow if is_harmed else 0)
         )
-        rest = tasks - finished
-        rejected = round(rest * 0.6)
-        more = (
-            tasks,
-            finished,
-            rejected,
-            rest - rejected,
-            round(finished * min(1.0, max(0.0, chance.gauss(slow, 0.03)))),
+        unfinished = tasks - finished
+        rejected = round(unfinished * 0.6)
+        metrics.tasks += tasks
+        metrics.finished += finished
+        metrics.rejected += rejected
+        metrics.abandoned += unfinished - rejected
+        metrics.slow += round(finished * min(1.0, max(0.0, rng.gauss(slow, 0.03))))
+        metrics.memory += harm.leak if is_harmed else 0
+        dear = harm.dear if is_harmed else 0.0
+        metrics.offered_utility += 1000 * tasks
+        metrics.served_utility += round(1000 * finished * (1 - dear))
+        return StepResult(lost * tasks + dear * finished, tasks)
+
+    def status(self, harm: Harm) -> ServerStatus:
+        """Return what the controller sees of the server."""
+        is_up = not self.down
+        is_silent = is_up and self.version == NEW_VERSION and harm.silent
+        metrics = () if is_silent else self.metrics.reported()
+        version = (self.version.release, self.version.settings) if is_up else ("", 0)
+        utility = (self.metrics.offered_utility, self.metrics.served_utility)
+        return ServerStatus(
+            self.id, self.zone, True, *version, is_up, self.age > COLD_STEPS, metrics, utility
         )
-        for place, value in enumerate(more):
-            self.figures[place] += value
-        self.figures[5] += harm.leak if hit else 0
-        dear = harm.dear if hit else 0.0
-        self.worth[0] += 1000 * tasks
-        self.worth[1] += round(1000 * finished * (1 - dear))
-        return lost * tasks + dear * finished, tasks
-
-    def seen(self, harm: Harm) -> ServerStatus:
-        up = not self.down
-        mute = up and self.runs == NEW and harm.silent
-        figures = () if mute else tuple(self.figures)
-        runs = (self.runs.release, self.runs.settings) if up else ("", 0)
-        worth = (self.worth[0], self.worth[1])
-        return ServerStatus(self.id, self.zone, True, *runs, up, self.age > COLD, figures, worth)
-
-
-class Threshold(CanaryAnalysis):
-    """For comparison: worse by so much in so many slots in a row, new ones against old ones over all zones,
-    or against what old ones did last where none are left."""
-
-    LIMIT, IN_A_ROW = 0.02, 3
-
-    def __init__(self, *told: Any) -> None:
-        super().__init__(*told)
-        self.in_a_row = 0
-        self.old = 0.0
+
+
+class ThresholdAnalysis(CanaryAnalysis):
+    """A baseline: worse by a margin in some slots in a row is a failure.
+
+    New servers are compared with old ones over all zones, or with what old ones did last if none are left.
+    """
+
+    MARGIN = 0.02  # of the share served
+    MAX_WORSE_SLOTS = 3  # in a row
+
+    def __init__(self, *arguments: Any) -> None:
+        """Make an analysis; the arguments are those of `CanaryAnalysis`."""
+        super().__init__(*arguments)
+        self.worse_slots = 0  # in a row
+        self.old_served = 0.0
 
     def add_slot(self, samples: Iterable[SlotSample], expected: Iterable[str]) -> None:
-        told = list(samples)
-        super().add_slot(told, expected)
-        new = [one.served for one in told if one.new and one.tasks]
-        old = [one.served for one in told if not one.new and one.tasks]
-        self.old = statistics.fmean(old) if old else self.old
-        worse = bool(new) and self.old - statistics.fmean(new) > self.LIMIT
-        self.in_a_row = self.in_a_row + 1 if worse else 0
+        """Compare the means of a slot's samples."""
+        sample_list = list(samples)
+        super().add_slot(sample_list, expected)
+        new = [sample.served for sample in sample_list if sample.new and sample.tasks]
+        old = [sample.served for sample in sample_list if not sample.new and sample.tasks]
+        self.old_served = statistics.fmean(old) if old else self.old_served
+        is_worse = bool(new) and self.old_served - statistics.fmean(new) > self.MARGIN
+        self.worse_slots = self.worse_slots + 1 if is_worse else 0
 
     def judge(self, zone_of: dict[str, str]) -> Judgement:
-        if self.health.fault or self.in_a_row >= self.IN_A_ROW:
+        """Return the verdict; zones make no difference."""
+        if self.health.fault or self.worse_slots >= self.MAX_WORSE_SLOTS:
             return Judgement("worse", [], self.health.fault or "the threshold")
         verdict: Verdict = "not worse" if self.slots >= self.min_slots else "can't tell"
         return Judgement(verdict, [], "the threshold")
@@ -176,84 +272,131 @@
 
 RULES: dict[str, tuple[Callable[..., CanaryAnalysis], tuple[str, ...]]] = {
     "judge": (CanaryAnalysis, STAGES),
-    "threshold": (Threshold, STAGES),
-    "all at once": (Threshold, ("all",)),
+    "threshold": (ThresholdAnalysis, STAGES),
+    "all at once": (ThresholdAnalysis, ("all",)),
 }
 
 
-class Rolled(NamedTuple):
+class SimulationResult(NamedTuple):
+    """What came of one simulated rollout.
+
+    Attributes:
+        phase: The record's last one.
+        steps: That it took.
+        most_new: Servers that ever ran the new version.
+        lost: Share of the utility offered that the release lost.
+        why: The record's reason.
+        most_down: Most servers down in one step.
+    """
+
     phase: str
     steps: int
-    most_new: int  # servers that ever ran the new one
-    lost: float  # of the utility of what came, to the release
+    most_new: int
+    lost: float
     why: str
     most_down: int
 
 
-def roll(
+class RolloutSimulation:
+    """One rollout over simulated servers, with crashes, bursts and successions of controllers."""
+
+    def __init__(
+        self, servers: int, zones: int, harm: Harm, seed: int, successions: float, rule: str
+    ) -> None:
+        """Make the servers and the first controller; see `simulate_rollout` for the arguments."""
+        self.rng = Random(seed)
+        self.harm = harm
+        self.successions = successions
+        self.servers = [
+            SimulatedServer(f"s{index:04}", f"z{index % zones}", Random(self.rng.getrandbits(64)))
+            for index in range(servers)
+        ]
+        self.by_id = {server.id: server for server in self.servers}
+        self.burst = {f"z{zone}": 0.0 for zone in range(zones)}
+        self.now = 0  # ns
+        self.analysis, stages = RULES[rule]
+        self.record: RolloutRecord | None = None  # all that a succeeding controller knows
+        self.controller = self._new_controller()
+        down = servers if len(stages) == 1 else max(1, servers // 10)
+        self.order = Order(1, "start", "", NEW_VERSION, OLD_VERSION, stages, down, max(1, down // 2))
+        self.reached: set[str] = set()
+        self.lost = 0.0
+        self.offered = 0.0
+        self.most_down = 0
+
+    def _new_controller(self) -> RolloutController:
+        return RolloutController(self.now, lambda: self.now // 1_000_000, self.record, TIMING, self.analysis)
+
+    def run(self, steps: int, crashes: float) -> SimulationResult:
+        """Run until the rollout is over or asks a person, or for so many steps."""
+        for step in range(1, steps + 1):
+            self.now += STEP_NS
+            self._step_servers(crashes)
+            self._step_controller(may_order=step >= FIRST_ORDER_STEP)
+            if self.record is not None and (self.record.is_over or self.record.phase == "asking"):
+                break
+        why = self.record.reason if self.record is not None else ""
+        phase = self.record.phase if self.record else "none"
+        lost = self.lost / max(1.0, self.offered)
+        return SimulationResult(phase, step, len(self.reached), lost, why, self.most_down)
+
+    def _step_servers(self, crashes: float) -> None:
+        for zone in self.burst:  # bursts last, and traffic shifts from one zone to another
+            if self.rng.random() < 0.03:
+                self.burst[zone] = self.rng.choice((0.0, 0.0, 0.1, 0.3))
+        for server in self.servers:
+            result = server.step(self.burst[server.zone], self.harm, self.rng.random() < crashes)
+            self.lost += result.lost
+            self.offered += result.tasks
+            if server.version == NEW_VERSION:
+                self.reached.add(server.id)
+        self.most_down = max(self.most_down, sum(1 for server in self.servers if server.down))
+
+    def _step_controller(self, may_order: bool) -> None:
+        if self.rng.random() < self.successions:
+            self.controller = self._new_controller()
+        statuses = [server.status(self.harm) for server in self.servers]
+        effects = self.controller.handle(self.now, ServersObserved(statuses))
+        if may_order and self.record is None:
+            effects += self.controller.handle(self.now, OrderReceived(self.order))
+        effects += self.controller.handle(self.now, TimerExpired())
+        while effects:
+            effect = effects.pop(0)
+            if self.rng.random() < self.successions:  # the controller dies between two effects
+                self.controller = self._new_controller()
+                break
+            match effect:
+                case StoreRecord(record):
+                    self.record = record
+                    effects += self.controller.handle(self.now, RecordStored())
+                case SetDesiredVersion(id, version, restart_token):
+                    self.by_id[id].set_desired(version, restart_token)
+
+
+def simulate_rollout(
     servers: int,
     zones: int,
     harm: Harm,
     seed: int,
     steps: int = 3000,
-    deaths: float = 0.0002,
+    crashes: float = 0.0002,
     successions: float = 0.0,
     rule: str = "judge",
-) -> Rolled:
-    """One change under bursts, shifts, neighbours and deaths, till it is done or back. `successions`: of
-    conductors, a step and an effect; each knows what was recorded and nothing else. `rule`: of RULES."""
-    chance = Random(seed)
-    fleet = [
-        Server(f"s{place:04}", f"z{place % zones}", Random(chance.getrandbits(64)))
-        for place in range(servers)
-    ]
-    now = 0
-
-    def wall() -> int:
-        return now // 1_000_000
-
-    judge, stages = RULES[rule]
-    controller = RolloutController(now, wall, None, TIMING, judge)
-    down = servers if len(stages) == 1 else max(1, servers // 10)
-    order = Order(1, "start", "", NEW, OLD, stages, down, max(1, down // 2))
-    record: RolloutRecord | None = None
-    burst = {f"z{zone}": 0.0 for zone in range(zones)}
-    ever: set[str] = set()
-    lost = came = 0.0
-    most_down = 0
-    for step in range(1, steps + 1):
-        now += STEP
-        for zone in burst:  # bursts that last, and traffic that shifts from one zone to another
-            if chance.random() < 0.03:
-                burst[zone] = chance.choice((0.0, 0.0, 0.1, 0.3))
-        for server in fleet:
-            cost, tasks = server.step(burst[server.zone], harm, chance.random() < deaths)
-            lost, came = lost + cost, came + tasks
-            if server.runs == NEW:
-                ever.add(server.id)
-        most_down = max(most_down, sum(1 for one in fleet if one.down))
-        if chance.random() < successions:
-            controller = RolloutController(now, wall, record, TIMING, judge)
-        effects = controller.handle(now, ServersObserved([one.seen(harm) for one in fleet]))
-        if step >= 20 and record is None:
-            effects += controller.handle(now, OrderReceived(order))
-        effects += controller.handle(now, TimerExpired())
-        by_id = {one.id: one for one in fleet}
-        while effects:
-            effect = effects.pop(0)
-            if chance.random() < successions:  # it dies between two effects
-                controller = RolloutController(now, wall, record, TIMING, judge)
-                break
-            match effect:
-                case StoreRecord(stored):
-                    record = stored
-                    effects += controller.handle(now, RecordStored())
-                case SetDesiredVersion(id, version, restart_token):
-                    by_id[id].want(version, restart_token)
-        if record is not None and (record.is_over or record.phase == "asking"):
-            break
-    why = record.reason if record is not None else ""
-    return Rolled(record.phase if record else "none", step, len(ever), lost / max(1.0, came), why, most_down)
+) -> SimulationResult:
+    """Simulate one rollout until it is done or rolled back.
+
+    Args:
+        servers: How many.
+        zones: Servers are spread over them in turn.
+        harm: What the new release does.
+        seed: Of all random draws.
+        steps: Most of them.
+        crashes: Probability that a server crashes in a step.
+        successions: Probability, in each step and before each effect, that another controller takes over; it
+            knows the stored record and nothing else.
+        rule: How canaries are judged, of `RULES`.
+    """
+    return RolloutSimulation(servers, zones, harm, seed, successions, rule).run(steps, crashes)
 
 
 HARMS = (
@@ -266,24 +409,25 @@
 )  # fmt: skip
 
 
-def interval(hits: int, count: int) -> tuple[float, float]:
-    """Wilson's, 95%."""
+def wilson_interval(hits: int, count: int) -> tuple[float, float]:
+    """Return the 95% confidence interval of a proportion (Wilson's score interval)."""
     if not count:
         return 0.0, 1.0
-    z, part = 1.96, hits / count
-    middle = (part + z * z / (2 * count)) / (1 + z * z / count)
-    width = z * (part * (1 - part) / count + z * z / (4 * count * count)) ** 0.5 / (1 + z * z / count)
+    z, share = 1.96, hits / count
+    middle = (share + z * z / (2 * count)) / (1 + z * z / count)
+    width = z * (share * (1 - share) / count + z * z / (4 * count * count)) ** 0.5 / (1 + z * z / count)
     return round(max(0.0, middle - width), 4), round(min(1.0, middle + width), 4)
 
 
-def figures_of(runs: list[Rolled], servers: int) -> dict[str, Any]:
+def summarize(runs: list[SimulationResult], servers: int) -> dict[str, Any]:
+    """Return the figures of the runs of one case."""
     phases = Counter(one.phase for one in runs)
     stopped = phases["back"] + phases["backing"]
     return {
         "done": phases["done"],
         "stopped": stopped,
         "asked": phases["asking"],
-        "stopped_interval": interval(stopped, len(runs)),
+        "stopped_interval": wilson_interval(stopped, len(runs)),
         "part_reached_p50": round(statistics.median(one.most_new for one in runs) / servers, 3),
         "part_reached_most": round(max(one.most_new for one in runs) / servers, 3),
         "utility_lost": round(statistics.fmean(one.lost for one in runs), 5),
@@ -293,22 +437,23 @@
 
 
 def figures(quick: bool, seed: int, tell: Callable[[str], None]) -> dict[str, Any]:
-    """By servers, harm and rule; runs are shared out over the cores, the figures are the same in any number
-    of processes."""
-    asked: dict[str, tuple[int, Harm, str, int]] = {}
+    """Return figures by servers, harm and rule; they don't depend on the number of worker processes."""
+    cases: dict[str, tuple[int, Harm, str, int]] = {}
     for servers, count in ((30, 6),) if quick else ((30, 200), (300, 200), (1000, 200)):
         for harm in (Harm(), *HARMS) if servers <= 300 else (Harm(), *HARMS[:4]):
             for rule in RULES if servers == 300 and harm in (Harm(), *HARMS[:4]) else ("judge",):
                 name = f"{servers} servers, {harm.what}" + (f", {rule}" if rule != "judge" else "")
-                asked[name] = servers, harm, rule, count
+                cases[name] = servers, harm, rule, count
     found: dict[str, Any] = {}
     with ProcessPoolExecutor() as pool:
         runs = {
-            name: [pool.submit(roll, servers, 3, harm, seed + run, rule=rule) for run in range(count)]
-            for name, (servers, harm, rule, count) in asked.items()
+            name: [
+                pool.submit(simulate_rollout, servers, 3, harm, seed + run, rule=rule) for run in range(count)
+            ]
+            for name, (servers, harm, rule, count) in cases.items()
         }
-        for name, under_way in runs.items():
-            found[name] = figures_of([one.result() for one in under_way], asked[name][0])
+        for name, pending in runs.items():
+            found[name] = summarize([future.result() for future in pending], cases[name][0])
             tell(f"{name}: {found[name]}")
     return found
 
@@ -316,20 +461,33 @@
 # ---- real processes
 
 
-async def _real(
+class RealResult(NamedTuple):
+    """What came of the rollouts of one fleet of real processes.
+
+    Attributes:
+        changes: Release, fault, phase, reason and reach of each.
+        callers: The ledger's oracle over all machines.
+        failed: The traceback that ended the fleet early; "" if none.
+    """
+
+    changes: list[dict[str, Any]]
+    callers: dict[str, int]
+    failed: str
+
+
+async def _run_real(
     folder: Path,
     seed: int,
     plan: tuple[str, ...],
     tell: Callable[[str], None],
     revisions: tuple[str, ...] = (),
-) -> dict[str, Any]:
-    """Changes one after another, each with a fault in its course; what came of each, and what callers saw."""
-    chance = Random(seed)
-    told: list[dict[str, Any]] = []
+) -> RealResult:
+    """Roll out one release after another under load, each with a fault in its course."""
+    rng = Random(seed)
+    changes: list[dict[str, Any]] = []
     failed = ""
     async with anyio.create_task_group() as group:
         machines = SupervisedFleet(folder, group, seed, 9, 3, not revisions, revisions=revisions)
-        fleet = machines.fleet
         try:
             await machines.start()
             base = revisions[0] if revisions else "base"
@@ -337,35 +495,21 @@
             await machines.wait_for_rollout(120, 1)
             group.start_soon(machines.generate_load)
             await anyio.sleep(2)
-            faults = [
-                _kill_conductors,
-                _pause_conductors,
-                _kill_leader,
-                _kill_stewards,
-                _no_majority,
-                _cut_half,
-                _nothing,
-            ]
-            number = 1
             for release in plan:
                 if release == base:
-                    continue  # one before it was taken back
-                number += 1
-                fault = faults[chance.randrange(len(faults))]
-                await machines.order_rollout(release, base, ("one", "one a zone", "all"))
-                roll = await machines.wait_for_rollout(180, number, partial(fault, fleet, chance))
-                reached = machines.machines_reached(release)
-                told.append({"release": release, "fault": fault.__name__.strip("_"), "phase": roll.phase,
-                             "why": roll.reason, "reached": len(reached)})  # fmt: skip
-                tell(str(told[-1]))
-                if roll.phase == "asking":
+                    continue  # the one before it was rolled back
+                number = len(changes) + 2  # the first rollout was that of the base
+                change = await _roll_out(machines, number, release, base, rng)
+                changes.append(change)
+                tell(str(change))
+                if change["phase"] == "asking":
                     await machines.order_rollback()
                     await machines.wait_for_rollout(120, number, stop_at_asking=False)
-                base = release if roll.phase == "done" else base
-                fleet.heal()
-            await anyio.sleep(8)  # what was asked last is answered
+                base = release if change["phase"] == "done" else base
+                machines.fleet.heal()
+            await anyio.sleep(8)  # the last requests are answered
         except Exception:
-            failed = traceback.format_exc()[-2000:]  # what came before it is told all the same
+            failed = traceback.format_exc()[-2000:]  # the changes before it are reported all the same
             tell(failed)
             (folder / "keep").touch()
         finally:
@@ -373,44 +517,64 @@
             judged = machines.judge()
             machines.close()
             group.cancel_scope.cancel()
-    return {"changes": told, "callers": judged, "failed": failed}
+    return RealResult(changes, judged, failed)
+
+
+async def _roll_out(
+    machines: SupervisedFleet, number: int, release: str, base: str, rng: Random
+) -> dict[str, Any]:
+    """Roll out one release with a random fault, and return what came of it."""
+    fault = FAULTS[rng.randrange(len(FAULTS))]
+    await machines.order_rollout(release, base, ("one", "one a zone", "all"))
+    inject = partial(fault, machines.fleet, rng)
+    record = await machines.wait_for_rollout(180, number, inject)
+    return {
+        "release": release,
+        "fault": fault.__name__.strip("_"),
+        "phase": record.phase,
+        "why": record.reason,
+        "reached": len(machines.machines_reached(release)),
+    }
 
 
-async def _nothing(fleet: Fleet, chance: Random) -> None:
-    return None
+async def _nothing(fleet: Fleet, rng: Random) -> None:
+    """Inject no fault."""
 
 
-async def _kill_conductors(fleet: Fleet, chance: Random) -> None:
+async def _kill_conductors(fleet: Fleet, rng: Random) -> None:
+    """Kill one rollout controller after the other."""
     for name in ("c0", "c1"):
         fleet.processes[name].kill()
-        await anyio.sleep(chance.uniform(0.0, 3.0))
+        await anyio.sleep(rng.uniform(0.0, 3.0))
         fleet.processes[name].start()
 
 
-async def _pause_conductors(fleet: Fleet, chance: Random) -> None:
-    """Past their lease, one after the other: the first goes on as one that conducts no more."""
+async def _pause_conductors(fleet: Fleet, rng: Random) -> None:
+    """Pause one rollout controller after the other, past its lease: the first resumes without the lead."""
     for name in ("c0", "c1"):
         fleet.processes[name].pause()
         await anyio.sleep(3.0)
         fleet.processes[name].resume()
 
 
-async def _kill_leader(fleet: Fleet, chance: Random) -> None:
+async def _kill_leader(fleet: Fleet, rng: Random) -> None:
+    """Kill the leading replica."""
     name = await fleet.leader()
     fleet.processes[name].kill()
     await anyio.sleep(1.0)
     fleet.processes[name].start()
 
 
-async def _kill_stewards(fleet: Fleet, chance: Random) -> None:
+async def _kill_stewards(fleet: Fleet, rng: Random) -> None:
+    """Kill four supervisors; their servers go on."""
     names = [name for name in fleet.processes if name.startswith("m")]
-    for name in chance.sample(names, 4):
+    for name in rng.sample(names, 4):
         fleet.processes[name].kill()
         fleet.processes[name].start()
 
 
-async def _no_majority(fleet: Fleet, chance: Random) -> None:
-    """Nothing moves, and servers serve on."""
+async def _no_majority(fleet: Fleet, rng: Random) -> None:
+    """Pause a majority of replicas: nothing is decided, and servers go on."""
     for name in fleet.names[:2]:
         fleet.processes[name].pause()
     await anyio.sleep(4.0)
@@ -418,88 +582,107 @@
         fleet.processes[name].resume()
 
 
-async def _cut_half(fleet: Fleet, chance: Random) -> None:
-    """Half of the machines, new ones and old ones among them, and a conductor, from the council."""
+async def _cut_half(fleet: Fleet, rng: Random) -> None:
+    """Cut half of the machines and a rollout controller off from the replicas."""
     names = [name for name in fleet.processes if name.startswith("m")]
-    away = {*chance.sample(names, len(names) // 2), chance.choice(("c0", "c1"))}
+    cut_off = {*rng.sample(names, len(names) // 2), rng.choice(("c0", "c1"))}
     for (source, _), relay in fleet.relays.items():
-        if source in away:
+        if source in cut_off:
             relay.disconnect()
     await anyio.sleep(4.0)
     fleet.heal()
 
 
-def real(
+FAULTS = (
+    _kill_conductors,
+    _pause_conductors,
+    _kill_leader,
+    _kill_stewards,
+    _no_majority,
+    _cut_half,
+    _nothing,
+)
+
+
+def run_real(
     seed: int,
     plan: tuple[str, ...],
     tell: Callable[[str], None] = print,
     revisions: tuple[str, ...] = (),
-) -> dict[str, Any]:
+) -> RealResult:
+    """Run the rollouts of one fleet in a folder of its own."""
     with run_folder("roll", f"thistleline lab roll --seed {seed}") as folder:
-        return anyio.run(_real, folder, seed, plan, tell, revisions)
+        return anyio.run(_run_real, folder, seed, plan, tell, revisions)
 
 
-def earlier() -> tuple[str, ...]:
-    """Two earlier revisions of this repository that bring a server of the laboratory and write the ledger in
-    the present form; none where it has no history here."""
-    told = subprocess.run(
+def earlier_revisions() -> tuple[str, ...]:
+    """Return two earlier revisions that have the lab's server and the present ledger format.
+
+    Returns:
+        Their hashes; none where the repository has no history.
+    """
+    hashes = subprocess.run(
         ["git", "-C", str(ROOT), "log", "--format=%h", "-n", "60", "--", "thistleline/keeping"],
         capture_output=True, text=True, check=False,
     ).stdout.split()  # fmt: skip
-    return tuple(told[-3:-1]) if len(told) > 2 else ()
+    return tuple(hashes[-3:-1]) if len(hashes) > 2 else ()
 
 
 def plans(quick: bool, seed: int) -> list[tuple[str, ...]]:
-    """Changes of each fleet, one after another. In the long form 40 over four fleets, a third of them
-    harmful, each of the ten ways at least once, the harmless ones between them."""
+    """Return the releases of each fleet, in order.
+
+    The long form has 40 over four fleets, a third of them harmful, each kind at least once, the harmless ones
+    between them.
+    """
     if quick:
         return [("no-start",)]
-    chance = Random(seed)
-    harmful = [*HARMFUL, *chance.sample(HARMFUL, 4)]
-    chance.shuffle(harmful)
+    rng = Random(seed)
+    harmful = [*HARMFUL, *rng.sample(HARMFUL, 4)]
+    rng.shuffle(harmful)
     made = []
     for fleet in range(4):
-        ways = harmful[fleet::4]
+        harmful_left = harmful[fleet::4]
         plan: list[str] = []
         base = "base"
         for place in range(10):
-            if ways and (place % 3 == 1 or (place % 3 == 2 and len(ways) > (10 - place) // 3)):
-                plan.append(ways.pop())
+            is_due = place % 3 == 1 or (place % 3 == 2 and len(harmful_left) > (10 - place) // 3)
+            if harmful_left and is_due:
+                plan.append(harmful_left.pop())
             else:
-                base = chance.choice([one for one in HARMLESS if one != base])
+                base = rng.choice([one for one in HARMLESS if one != base])
                 plan.append(base)
         made.append(tuple(plan))
     return made
 
 
 def real_fleets(quick: bool, seed: int, tell: Callable[[str], None]) -> dict[str, Any]:
-    """What came of the changes of all fleets, which run beside each other."""
+    """Run all fleets of real processes side by side, and return what came of their rollouts."""
     changes: list[dict[str, Any]] = []
     callers: Counter[str] = Counter()
     failed = 0
     with ProcessPoolExecutor(3) as pool:  # a fleet takes more than a core
-        under_way = [pool.submit(real, seed + place, plan) for place, plan in enumerate(plans(quick, seed))]
-        before = () if quick else earlier()
-        if before:  # the present one beside each of them, there and back
-            plan = ("good", before[1], "stalls", "better", before[0])
-            under_way.append(pool.submit(real, seed + 9, plan, print, before))
-        for one in under_way:
-            told = one.result()
-            changes += told["changes"]
-            callers.update(told["callers"])
-            failed += bool(told["failed"])
+        pending = [pool.submit(run_real, seed + index, plan) for index, plan in enumerate(plans(quick, seed))]
+        revisions = () if quick else earlier_revisions()
+        if revisions:  # the present program beside each of them, there and back
+            plan = ("good", revisions[1], "stalls", "better", revisions[0])
+            pending.append(pool.submit(run_real, seed + 9, plan, print, revisions))
+        for future in pending:
+            result = future.result()
+            changes += result.changes
+            callers.update(result.callers)
+            failed += bool(result.failed)
             tell(f"{len(changes)} changes")
     return {"changes": changes, "callers": dict(callers), "fleets_failed": failed}
 
 
 def run(quick: bool, seed: int, tell: Callable[[str], None]) -> dict[str, Any]:
-    """All figures, bars and whether they held."""
-    told = real_fleets(quick, seed, tell)
-    found: dict[str, Any] = {"real processes": told}
+    """Run all parts; return the figures, the criteria and whether all held."""
+    real = real_fleets(quick, seed, tell)
+    found: dict[str, Any] = {"real processes": real}
     found |= figures(quick, seed, tell)
-    changes, callers = told["changes"], told["callers"]
+    changes, callers = real["changes"], real["callers"]
     bars = {
-        "harmful ones taken back, or asked about": all(
+        "harmful ones taken back, or cases about": all(
             one["phase"] in ("back", "asking") for one in changes if one["release"] in HARMFUL
         ),
         "harmful ones reached a third at the most": all(
@@ -508,7 +691,7 @@
         "harmless ones not taken back": all(
             one["phase"] in ("done", "asking") for one in changes if one["release"] not in HARMFUL
         ),
-        "every fleet came to its end": told["fleets_failed"] == 0,
+        "every fleet came to its end": real["fleets_failed"] == 0,
         "no booking twice": callers["run_twice"] == 0,
         "none rejected after it ran": callers["rejected_after_run"] == 0,
         "none acknowledged and lost": callers["acknowledged_and_lost"] == 0,
