--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 
 from thistleline.lab.harness import Fleet
-from thistleline.lab.leases import Storm, Wrote, judge
+from thistleline.lab.leases import LeaseStorm, ResourceWrite, judge
 from thistleline.lease.client import LeaseClient
 from thistleline.lease.errors import LeaseLostError, LeaseTimeoutError
 from thistleline.lease.fencing import FencingGuard
@@ -275,7 +275,7 @@
 
 @pytest.mark.parametrize(("fenced", "pauses"), [(True, True), (False, False)])
 def test_under_faults_no_two_holders_act_at_once(tmp_path: Path, fenced: bool, pauses: bool) -> None:
-    storm = Storm(tmp_path, 3, 3, 4, fenced, pauses)
+    storm = LeaseStorm(tmp_path, 3, 3, 4, fenced, pauses)
     figures = anyio.run(storm.run, 60, 8.0, lambda _: None)
     assert figures["overlaps"] == 0
     assert figures["crashes"] == 0
@@ -283,13 +283,15 @@
 
 
 @pytest.mark.parametrize(("wrote", "fenced", "overlaps"), [
-    ([Wrote(1, "x", 1, 1, "begin", True), Wrote(2, "y", 2, 2, "begin", True)], False, 1),
-    ([Wrote(1, "x", 1, 1, "begin", True), Wrote(2, "x", 1, 1, "end", True),
-      Wrote(3, "y", 2, 2, "begin", True)], False, 0),
-    ([Wrote(1, "y", 2, 2, "begin", True), Wrote(2, "x", 1, 1, "step", True)], True, 1),
-    ([Wrote(1, "y", 2, 2, "begin", True), Wrote(2, "x", 1, 1, "step", False)], True, 0),
+    ([ResourceWrite(1, "x", 1, 1, "begin", True), ResourceWrite(2, "y", 2, 2, "begin", True)], False, 1),
+    ([ResourceWrite(1, "x", 1, 1, "begin", True), ResourceWrite(2, "x", 1, 1, "end", True),
+      ResourceWrite(3, "y", 2, 2, "begin", True)], False, 0),
+    ([ResourceWrite(1, "y", 2, 2, "begin", True), ResourceWrite(2, "x", 1, 1, "step", True)], True, 1),
+    ([ResourceWrite(1, "y", 2, 2, "begin", True), ResourceWrite(2, "x", 1, 1, "step", False)], True, 0),
 ])  # fmt: skip
-def test_the_oracle_of_the_laboratory_can_fail(wrote: list[Wrote], fenced: bool, overlaps: int) -> None:
+def test_the_oracle_of_the_laboratory_can_fail(
+    wrote: list[ResourceWrite], fenced: bool, overlaps: int
+) -> None:
     assert judge(wrote, fenced)["overlaps"] == overlaps
 
 
--- a/thistleline/lab/leases.py
+++ b/thistleline/lab/leases.py
@@ -1,14 +1,16 @@
-"""Leases under faults: do two holders ever act at once, and how long is there none?
+"""Leases under faults: do two holders ever act at the same time, and how long is there none?
 
-Voters and contenders are processes of the program; relays, the recording resource and the plan of faults are
-here. The oracle reads what reached the resource, by the resource's own clock, and nothing of the program's.
+Replicas and contenders are processes of the program (lab/contender.py); relays, the recording resource and
+the fault plan are in this process. The oracle, `judge`, reads what reached the resource, by the resource's
+own clock, and nothing of the program's. The verdict rests on its counts, on an exploration of the reducers
+(lab/mutants.py), and on the times without a holder.
 """
 
 import json
 import statistics
 import time
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Coroutine
 from functools import partial
 from pathlib import Path
 from random import Random
@@ -23,134 +25,176 @@
 from thistleline.lease.fencing import FencingGuard
 from thistleline.transport.disconnects import DISCONNECT_ERRORS
 
-LENGTH, LONGEST, NAME = 1.0, 0.12, "kiln"
-CLOCKS = {"b": {"rate": 1.2}, "c": {"wall_ahead_s": 3600}, "d": {"rate": 0.85}}  # voters
+LEASE_SECONDS = 1.0  # length of the lease
+MAX_STEP_SECONDS = 0.12  # longest step of an act
+LEASE_NAME = "kiln"
+REPLICA_CLOCKS = {"b": {"rate": 1.2}, "c": {"wall_ahead_s": 3600}, "d": {"rate": 0.85}}
 CONTENDER_CLOCKS = {0: {"rate": 0.8}, 1: {"rate": 1.15}, 2: {"wall_ahead_s": -3600}}
 CALM = 1.0  # s between two faults
-PATIENCE = 20.0  # s without any act; then the run has hung
+ACT_TIMEOUT = 20.0  # s without any act; then the run has stalled
 
+Fault = Callable[[], Coroutine[Any, Any, None]]  # injects it; named in the figures by its __name__
 
-class Wrote(NamedTuple):
-    """What reached the resource."""
+
+class ResourceWrite(NamedTuple):
+    """What reached the resource.
+
+    Attributes:
+        at: Seconds of the resource's monotonic clock.
+        who: The contender.
+        act: Number of the contender's act.
+        epoch: Its fencing token.
+        what: begin, step or end of an act; gone: its connection ended.
+        good: Whether the fencing guard admitted it.
+    """
 
     at: float
     who: str
     act: int
     epoch: int
-    what: str  # begin, step, end; gone: its connection ended
-    good: bool  # the guard let it in
+    what: str
+    good: bool
 
 
-class Recorder:
-    """The resource: writes down all that reaches it; with a guard, refuses what is older than it has seen."""
+class RecordingResource:
+    """The protected resource: records every write; with a guard, refuses tokens older than it has seen."""
 
     def __init__(self, folder: Path, fenced: bool) -> None:
+        """Make the resource, with a fencing guard if `fenced`."""
         self.guard = FencingGuard(folder / "guard") if fenced else None
-        self.wrote: list[Wrote] = []
+        self.writes: list[ResourceWrite] = []
         self.port = 0
 
     async def serve(self, group: TaskGroup) -> None:
+        """Listen on a free port, named by `port`, for as long as `group` runs."""
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         self.port = listener.extra(anyio.abc.SocketAttribute.local_port)
-        group.start_soon(listener.serve, self._hear)
+        group.start_soon(listener.serve, self._serve_connection)
 
-    async def _hear(self, stream: SocketStream) -> None:
+    async def _serve_connection(self, stream: SocketStream) -> None:
         source = BufferedByteReceiveStream(stream)
-        last: Wrote | None = None
+        last: ResourceWrite | None = None
         try:
             async with stream:
                 while True:
-                    told = json.loads(await source.receive_until(b"\n", 1000))
-                    good = self.guard is None or self.guard.admit(NAME, told["epoch"])
-                    last = Wrote(
-                        time.monotonic(), told["who"], told["act"], told["epoch"], told["what"], good
+                    request = json.loads(await source.receive_until(b"\n", 1000))
+                    epoch = request["epoch"]
+                    good = self.guard is None or self.guard.admit(LEASE_NAME, epoch)
+                    last = ResourceWrite(
+                        time.monotonic(), request["who"], request["act"], epoch, request["what"], good
                     )
-                    self.wrote.append(last)
+                    self.writes.append(last)
                     await stream.send(b"ok\n" if good else b"no\n")
         except DISCONNECT_ERRORS:
             pass
         finally:
             if last is not None and last.what != "end":
-                self.wrote.append(last._replace(at=time.monotonic(), what="gone"))
+                self.writes.append(last._replace(at=time.monotonic(), what="gone"))
 
     def close(self, folder: Path) -> None:
-        (folder / "wrote.jsonl").write_text("".join(json.dumps(one) + "\n" for one in self.wrote))
+        """Write the record to a file and close the guard."""
+        (folder / "wrote.jsonl").write_text("".join(json.dumps(write) + "\n" for write in self.writes))
         if self.guard is not None:
             self.guard.close()
 
 
-def judge(wrote: list[Wrote], fenced: bool) -> dict[str, int]:
-    """The oracle. With a guard: what was let in of an older epoch after a newer one. Without: acts of two
-    holders that overlap in time, an act lasting till its last write or till its connection ended."""
-    figures = Counter({"overlaps": 0, "refused": 0, "acts": 0, "holders": 0})
-    newest, open_acts = 0, dict[tuple[str, int], int]()
-    for one in wrote:
-        if not one.good:
-            figures["refused"] += 1
-            open_acts.pop((one.who, one.act), None)
+def judge(writes: list[ResourceWrite], fenced: bool) -> dict[str, int]:
+    """Count overlaps of holders in the resource's record.
+
+    With a guard an overlap is a write of an older epoch that was admitted after one of a newer epoch. Without
+    one it is two holders' acts that overlap in time; an act lasts until its last write or the
+    end of its connection.
+    """
+    counts = Counter({"overlaps": 0, "refused": 0, "acts": 0, "holders": 0})
+    newest_epoch = 0
+    open_acts = dict[tuple[str, int], int]()  # epoch by contender and act
+    for write in writes:
+        act = write.who, write.act
+        if not write.good:
+            counts["refused"] += 1
+            open_acts.pop(act, None)
             continue
-        if one.what == "begin":
-            figures["acts"] += 1
-        if one.epoch > newest:
-            figures["holders"] += 1
+        if write.what == "begin":
+            counts["acts"] += 1
+        if write.epoch > newest_epoch:
+            counts["holders"] += 1
         if fenced:
-            if one.what != "gone" and one.epoch < newest:
-                figures["overlaps"] += 1
-        elif one.what in ("end", "gone"):
-            open_acts.pop((one.who, one.act), None)
+            if write.what != "gone" and write.epoch < newest_epoch:
+                counts["overlaps"] += 1
+        elif write.what in ("end", "gone"):
+            open_acts.pop(act, None)
         else:
-            if one.what == "begin" and any(epoch != one.epoch for epoch in open_acts.values()):
-                figures["overlaps"] += 1
-            open_acts[one.who, one.act] = one.epoch
-        newest = max(newest, one.epoch)
-    return dict(figures)
+            if write.what == "begin" and any(epoch != write.epoch for epoch in open_acts.values()):
+                counts["overlaps"] += 1
+            open_acts[act] = write.epoch
+        newest_epoch = max(newest_epoch, write.epoch)
+    return dict(counts)
+
 
+class LeaseStorm:
+    """One run: replicas, contenders, a resource, and faults by a seeded plan.
 
-class Storm:
-    """One arm: a fleet, its contenders, a resource, and faults by a seeded plan."""
+    Public methods named after a fault inject it; their names are printed with the figures.
+    """
 
     def __init__(
         self,
         folder: Path,
         seed: int,
-        voters: int,
+        replicas: int,
         contenders: int,
         fenced: bool,
         pauses: bool,
         without: str = "",
-        only: bool = False,
+        delay_only: bool = False,
     ) -> None:
-        """`only`: no fault but bursts of delay."""
-        self.only = only
-        self.folder, self.seed, self.chance = folder, seed, Random(seed)
-        self.counts = voters, contenders
-        self.fenced, self.pauses, self.without = fenced, pauses, without
+        """Make a run.
+
+        Args:
+            folder: Of the run.
+            seed: Of the fault plan.
+            replicas: How many.
+            contenders: How many.
+            fenced: Whether the resource has a fencing guard.
+            pauses: Whether processes are paused too.
+            without: The protection that is left out (lab/member.py).
+            delay_only: Whether bursts of delay are the only fault.
+        """
+        self.folder = folder
+        self.seed = seed
+        self.rng = Random(seed)
+        self.replicas = replicas
+        self.contenders = contenders
+        self.fenced = fenced
+        self.pauses = pauses
+        self.without = without
+        self.delay_only = delay_only
         self.faults: Counter[str] = Counter()
-        self.gaps: list[float] = []  # s without a holder after its death
-        self.minority_gaps: list[float] = []  # of these: with a minority of voters dead or cut
-        self.hurt: set[str] = set()
+        self.gaps: list[float] = []  # s without a holder after a holder's death
+        self.minority_gaps: list[float] = []  # of these: with a minority of replicas dead or cut off
 
     async def run(self, changes: int, seconds: float, tell: Callable[[str], None]) -> dict[str, Any]:
+        """Inject faults until so many changes of holder or seconds; return the counts and figures."""
         async with anyio.create_task_group() as group:
-            fleet = self.fleet = Fleet(self.folder, group, self.seed, self.counts[0])
-            recorder = self.recorder = Recorder(self.folder, self.fenced)
+            fleet = self.fleet = Fleet(self.folder, group, self.seed, self.replicas)
+            resource = self.resource = RecordingResource(self.folder, self.fenced)
             try:
-                await recorder.serve(group)
-                clocks = {name: {"LAB_CLOCK": json.dumps(clock)} for name, clock in CLOCKS.items()}
+                await resource.serve(group)
+                clocks = {name: {"LAB_CLOCK": json.dumps(clock)} for name, clock in REPLICA_CLOCKS.items()}
                 await fleet.start_replicas(clocks)
                 await fleet.form()
-                await self._contenders()
-                await self._storm(changes, seconds, tell)
-                figures = judge(recorder.wrote, self.fenced)
+                await self._start_contenders()
+                await self._inject_faults(changes, seconds, tell)
+                counts = judge(resource.writes, self.fenced)
                 terms = (await fleet.status(await fleet.leader())).term
             finally:
                 fleet.close()
-                recorder.close(self.folder)
+                resource.close(self.folder)
                 group.cancel_scope.cancel()
         crashes = sum(b"Traceback" in path.read_bytes() for path in self.folder.glob("*.log"))
         lost = sum(path.read_bytes().count(b'"lost"') for path in self.folder.glob("x*.log"))
         return {
-            **figures,
+            **counts,
             "faults": dict(sorted(self.faults.items())),
             "gaps": self.gaps,
             "minority_gaps": self.minority_gaps,
@@ -159,208 +203,259 @@
             "leases_lost_to_their_holder": lost,
         }
 
-    async def _contenders(self) -> None:
-        for place in range(self.counts[1]):
-            name = f"x{place}"
-            told = {"voters": await self.fleet.open_relays(name),
-                    "resource": ("127.0.0.1", self.recorder.port),
-                    "who": name, "name": NAME, "length": LENGTH, "longest": LONGEST,
-                    "acts": 40 if place % 4 == 0 else 3,  # a quarter works longer than a lease lasts
-                    "pause": 0.05, "seed": self.seed * 100 + place}  # fmt: skip
-            env = {"LAB_CLOCK": json.dumps(CONTENDER_CLOCKS.get(place, {})), "LAB_WITHOUT": self.without}
-            process = Process(name, ["contender", json.dumps(told)], env, self.folder)
+    async def _start_contenders(self) -> None:
+        for index in range(self.contenders):
+            name = f"x{index}"
+            plan = {
+                "voters": await self.fleet.open_relays(name),
+                "resource": ("127.0.0.1", self.resource.port),
+                "who": name,
+                "name": LEASE_NAME,
+                "length": LEASE_SECONDS,
+                "longest": MAX_STEP_SECONDS,
+                "acts": 40 if index % 4 == 0 else 3,  # a quarter works longer than a lease lasts
+                "pause": 0.05,
+                "seed": self.seed * 100 + index,
+            }
+            env = {"LAB_CLOCK": json.dumps(CONTENDER_CLOCKS.get(index, {})), "LAB_WITHOUT": self.without}
+            process = Process(name, ["contender", json.dumps(plan)], env, self.folder)
             self.fleet.processes[name] = process
             process.start()
 
-    # ---- faults
-
-    async def _storm(self, changes: int, seconds: float, tell: Callable[[str], None]) -> None:
-        begun = told = time.monotonic()
-        kinds = [
-            *(self.kill_holder, self.kill_leader, self.kill_voter, self.cut_leader, self.one_way),
-            *(self.slow_net, self.overtake, self.drip, self.half_close, self.cut_holder, self.bad_disk),
-            self.slow_disk,
-        ]
-        rare = [self.kill_all, self.lose_disk]
-        if self.pauses:
-            kinds += [self.pause_holder, self.pause_holder, self.pause_leader]
-        if self.only:
-            kinds, rare = [self.slow_net], [self.slow_net]
-        place = 0
-        while time.monotonic() - begun < seconds and self._changes() < changes:
-            if place % len(kinds) == 0:
-                self.chance.shuffle(kinds)
-            fault = rare[place // 8 % len(rare)] if place % 8 == 7 else kinds[place % len(kinds)]
-            place += 1
+    # ---- fault injection
+
+    async def _inject_faults(self, changes: int, seconds: float, tell: Callable[[str], None]) -> None:
+        """Inject one fault after another; after each all is restored and somebody acts."""
+        started_at = told_at = time.monotonic()
+        common, rare = self._fault_kinds()
+        count = 0
+        while time.monotonic() - started_at < seconds and self._changes() < changes:
+            if count % len(common) == 0:
+                self.rng.shuffle(common)
+            fault = rare[count // 8 % len(rare)] if count % 8 == 7 else common[count % len(common)]
+            count += 1
             self.fleet.record(fault.__name__)
             self.faults[fault.__name__] += 1
             await fault()
-            await self._healed()
+            self.fleet.restore()
+            await self._wait_for_act()
             await anyio.sleep(CALM)
-            if time.monotonic() - told > 10:
-                told = time.monotonic()
-                tell(f"{self._changes()} holders, {len(self.recorder.wrote)} writes, {place} faults")
+            if time.monotonic() - told_at > 10:
+                told_at = time.monotonic()
+                tell(f"{self._changes()} holders, {len(self.resource.writes)} writes, {count} faults")
+
+    def _fault_kinds(self) -> tuple[list[Fault], list[Fault]]:
+        """Return the common faults, in turns of a shuffled order, and the rare ones, each eighth."""
+        if self.delay_only:
+            return [self.slow_net], [self.slow_net]
+        common: list[Fault] = [
+            self.kill_holder,
+            self.kill_leader,
+            self.kill_voter,
+            self.cut_leader,
+            self.one_way,
+            self.slow_net,
+            self.overtake,
+            self.drip,
+            self.half_close,
+            self.cut_holder,
+            self.bad_disk,
+            self.slow_disk,
+        ]
+        if self.pauses:
+            common += [self.pause_holder, self.pause_holder, self.pause_leader]
+        return common, [self.kill_all, self.lose_disk]
 
     def _changes(self) -> int:
-        return len({one.epoch for one in self.recorder.wrote})
-
-    async def _healed(self) -> None:
-        """All is well again, and somebody acts."""
-        self.fleet.heal()
-        for name, process in self.fleet.processes.items():
-            self.fleet.set_disk_fault(name, "")
-            if process.is_paused:
-                process.resume()
-            if not process.is_running:
-                process.start()
-        self.hurt = set()
-        await self._acts()
-
-    async def _acts(self) -> None:
-        """Till the next act is begun."""
-        count = len(self.recorder.wrote)
-        until = time.monotonic() + PATIENCE
-        while not any(one.what == "begin" for one in self.recorder.wrote[count:]):
-            if time.monotonic() > until:
-                raise RunTimeoutError(f"nobody acts in {PATIENCE} s")
+        return len({write.epoch for write in self.resource.writes})
+
+    async def _wait_for_act(self) -> None:
+        """Wait until an act begins.
+
+        Raises:
+            RunTimeoutError: None begins.
+        """
+        count = len(self.resource.writes)
+        deadline = time.monotonic() + ACT_TIMEOUT
+        while not any(write.what == "begin" for write in self.resource.writes[count:]):
+            if time.monotonic() > deadline:
+                raise RunTimeoutError(f"nobody acts in {ACT_TIMEOUT} s")
             await anyio.sleep(0.005)
 
     async def _holder(self) -> str:
-        await self._acts()
-        return self.recorder.wrote[-1].who
-
-    async def _death(self, name: str, minority: bool = False) -> None:
-        """Kills a holder in its act and sees how long nobody acts."""
-        process, wrote = self.fleet.processes[name], self.recorder.wrote
-        until = time.monotonic() + 2.0
-        while time.monotonic() < until:  # till it is the one that acts, and in the middle of it
-            if wrote[-1].who == name and wrote[-1].what in ("begin", "step"):
+        await self._wait_for_act()
+        return self.resource.writes[-1].who
+
+    async def _kill_in_act(self, name: str) -> None:
+        """Kill a holder in the middle of an act and measure how long nobody acts.
+
+        Raises:
+            RunTimeoutError: Nobody acts after it.
+        """
+        process, writes = self.fleet.processes[name], self.resource.writes
+        deadline = time.monotonic() + 2.0
+        while time.monotonic() < deadline:
+            if writes[-1].who == name and writes[-1].what in ("begin", "step"):
                 break
             await anyio.sleep(0)
         else:
             return
-        epoch, died = wrote[-1].epoch, time.monotonic()
+        epoch, killed_at = writes[-1].epoch, time.monotonic()
         process.kill()
-        while not any(one.epoch > epoch for one in wrote[-4:]):
-            if time.monotonic() - died > PATIENCE:
-                raise RunTimeoutError(f"nobody acts in {PATIENCE} s after a holder's death")
+        while not any(write.epoch > epoch for write in writes[-4:]):
+            if time.monotonic() - killed_at > ACT_TIMEOUT:
+                raise RunTimeoutError(f"nobody acts in {ACT_TIMEOUT} s after a holder's death")
             await anyio.sleep(0.002)
-        gap = time.monotonic() - died
-        self.gaps.append(round(gap, 3))
-        if minority:
-            self.minority_gaps.append(round(gap, 3))
+        gap = round(time.monotonic() - killed_at, 3)
+        self.gaps.append(gap)
+        self.minority_gaps.append(gap)
 
     async def kill_holder(self) -> None:
-        await self._death(await self._holder(), True)
+        """Kill the holder in its act."""
+        await self._kill_in_act(await self._holder())
 
-    def _voters(self, count: int) -> list[str]:
-        return self.chance.sample(self.fleet.names, count)
+    def _sample_replicas(self, count: int) -> list[str]:
+        return self.rng.sample(self.fleet.names, count)
 
     async def kill_leader(self) -> None:
+        """Kill the leader."""
         self.fleet.processes[await self.fleet.leader()].kill()
-        await self._acts()
+        await self._wait_for_act()
 
     async def kill_voter(self) -> None:
-        """A minority is dead while a holder dies."""
-        for name in self._voters((self.counts[0] - 1) // 2):
+        """Kill a minority of replicas, then the holder in its act."""
+        for name in self._sample_replicas((self.replicas - 1) // 2):
             self.fleet.processes[name].kill()
-        await self._death(await self._holder(), True)
+        await self._kill_in_act(await self._holder())
 
     async def kill_all(self) -> None:
+        """Kill all replicas and start them after a while."""
         for name in self.fleet.names:
             self.fleet.processes[name].kill()
-        await anyio.sleep(self.chance.uniform(0.0, 2 * LENGTH))
+        await anyio.sleep(self.rng.uniform(0.0, 2 * LEASE_SECONDS))
         for name in self.fleet.names:
             self.fleet.processes[name].start()
-        await self._acts()
+        await self._wait_for_act()
 
     async def cut_leader(self) -> None:
-        """With one voter more, so that it goes on believing for a while."""
+        """Cut the leader off with one other replica, so that it believes in its lead for a while."""
         leader = await self.fleet.leader()
-        other = self.chance.choice([name for name in self.fleet.names if name != leader])
-        for (source, to), relay in self.fleet.relays.items():
-            inside = {source, to} <= {leader, other}
-            if not inside and source in self.fleet.names and {source, to} & {leader, other}:
+        other = self.rng.choice([name for name in self.fleet.names if name != leader])
+        for (source, target), relay in self.fleet.relays.items():
+            inside = {source, target} <= {leader, other}
+            if not inside and source in self.fleet.names and {source, target} & {leader, other}:
                 relay.disconnect()
-        await anyio.sleep(self.chance.uniform(0.2, 2 * LENGTH))
+        await anyio.sleep(self.rng.uniform(0.2, 2 * LEASE_SECONDS))
 
     async def one_way(self) -> None:
-        name = self._voters(1)[0]
-        hears = self.chance.random() < 0.5
-        self.fleet.partition(name, outgoing=not hears, incoming=hears)
-        await anyio.sleep(self.chance.uniform(0.2, 2 * LENGTH))
+        """Lose one replica's messages in one direction."""
+        name = self._sample_replicas(1)[0]
+        incoming = self.rng.random() < 0.5
+        self.fleet.partition(name, outgoing=not incoming, incoming=incoming)
+        await anyio.sleep(self.rng.uniform(0.2, 2 * LEASE_SECONDS))
 
     async def slow_net(self) -> None:
+        """Delay all relays by different times."""
         for relay in self.fleet.relays.values():
-            relay.forward = LinkFault(self.chance.uniform(0.0, 0.08), 0.03)
-            relay.backward = LinkFault(self.chance.uniform(0.0, 0.08), 0.03)
-        await anyio.sleep(self.chance.uniform(0.2, LENGTH))
+            relay.forward = LinkFault(self.rng.uniform(0.0, 0.08), 0.03)
+            relay.backward = LinkFault(self.rng.uniform(0.0, 0.08), 0.03)
+        await anyio.sleep(self.rng.uniform(0.2, LEASE_SECONDS))
 
     async def overtake(self) -> None:
-        for relay in self.chance.sample(list(self.fleet.relays.values()), len(self.fleet.relays) // 2):
-            relay.delay_in_flight(self.chance.uniform(0.05, 1.5 * LENGTH))
+        """End half of the connections and delay what was sent on them."""
+        for relay in self.rng.sample(list(self.fleet.relays.values()), len(self.fleet.relays) // 2):
+            relay.delay_in_flight(self.rng.uniform(0.05, 1.5 * LEASE_SECONDS))
         await anyio.sleep(0.1)
 
     async def drip(self) -> None:
-        for relay in self.chance.sample(list(self.fleet.relays.values()), len(self.fleet.relays) // 3):
+        """Trickle bytes on a third of the relays."""
+        for relay in self.rng.sample(list(self.fleet.relays.values()), len(self.fleet.relays) // 3):
             relay.forward = LinkFault(trickle=True)
-        await anyio.sleep(self.chance.uniform(0.2, LENGTH))
+        await anyio.sleep(self.rng.uniform(0.2, LEASE_SECONDS))
 
     async def half_close(self) -> None:
-        for relay in self.chance.sample(list(self.fleet.relays.values()), len(self.fleet.relays) // 3):
+        """Half-close a third of the relays."""
+        for relay in self.rng.sample(list(self.fleet.relays.values()), len(self.fleet.relays) // 3):
             relay.half_close()
         await anyio.sleep(0.1)
 
     async def cut_holder(self) -> None:
-        """From the council, not from the resource."""
+        """Cut the holder off from the replicas, not from the resource."""
         name = await self._holder()
         for (source, _), relay in self.fleet.relays.items():
             if source == name:
                 relay.disconnect()
-        await anyio.sleep(self.chance.uniform(0.5, 1.5) * LENGTH)
+        await anyio.sleep(self.rng.uniform(0.5, 1.5) * LEASE_SECONDS)
 
     async def bad_disk(self) -> None:
+        """Fail the leader's disk."""
         name = await self.fleet.leader()
         self.fleet.set_disk_fault(name, "fail")
-        await anyio.sleep(self.chance.uniform(0.2, LENGTH))
+        await anyio.sleep(self.rng.uniform(0.2, LEASE_SECONDS))
 
     async def slow_disk(self) -> None:
-        for name in self._voters(2):
+        """Slow the disks of two replicas."""
+        for name in self._sample_replicas(2):
             self.fleet.set_disk_fault(name, "slow")
-        await anyio.sleep(self.chance.uniform(0.2, LENGTH))
+        await anyio.sleep(self.rng.uniform(0.2, LEASE_SECONDS))
 
     async def lose_disk(self) -> None:
-        await self.fleet.replace_replica(self._voters(1)[0])
+        """Lose the disk of a replica, which is replaced."""
+        await self.fleet.replace_replica(self._sample_replicas(1)[0])
 
     async def pause_holder(self) -> None:
-        """In an act, past its lease or not; then it goes on where it was."""
+        """Pause the holder in an act, past its lease or not; it resumes where it was."""
         name = await self._holder()
         self.fleet.processes[name].pause()
-        await anyio.sleep(self.chance.uniform(0.2, 2.0) * LENGTH)
+        await anyio.sleep(self.rng.uniform(0.2, 2.0) * LEASE_SECONDS)
         self.fleet.processes[name].resume()
 
     async def pause_leader(self) -> None:
+        """Pause the leader, longer than its lease of leadership or not."""
         name = await self.fleet.leader()
         self.fleet.processes[name].pause()
-        await anyio.sleep(self.chance.uniform(0.2, 1.5) * LENGTH)
+        await anyio.sleep(self.rng.uniform(0.2, 1.5) * LEASE_SECONDS)
         self.fleet.processes[name].resume()
 
 
 def storm(
-    word: str, seed: int, voters: int, contenders: int, changes: int, seconds: float,
-    tell: Callable[[str], None], fenced: bool = True, pauses: bool = False, without: str = "",
-    only: bool = False,
-) -> dict[str, Any]:  # fmt: skip
-    with run_folder(word, f"thistleline lab leases --seed {seed}") as folder:
-        one = Storm(folder, seed, voters, contenders, fenced, pauses, without, only)
-        figures = anyio.run(partial(one.run, changes, seconds, tell))
+    purpose: str,
+    seed: int,
+    replicas: int,
+    contenders: int,
+    changes: int,
+    seconds: float,
+    tell: Callable[[str], None],
+    fenced: bool = True,
+    pauses: bool = False,
+    without: str = "",
+    delay_only: bool = False,
+) -> dict[str, Any]:
+    """Run a storm in a folder of its own, left in place where it found something unexpected.
+
+    Args:
+        purpose: Part of the folder's name.
+        seed: See `LeaseStorm`, as the other arguments.
+        replicas: How many.
+        contenders: How many.
+        changes: Of holder; the run ends after so many,
+        seconds: or after so long.
+        tell: Called with lines of progress.
+        fenced: Whether the resource has a fencing guard.
+        pauses: Whether processes are paused too.
+        without: The protection that is left out.
+        delay_only: Whether bursts of delay are the only fault.
+    """
+    with run_folder(purpose, f"thistleline lab leases --seed {seed}") as folder:
+        lease_storm = LeaseStorm(folder, seed, replicas, contenders, fenced, pauses, without, delay_only)
+        figures = anyio.run(partial(lease_storm.run, changes, seconds, tell))
         if figures["crashes"] or (figures["overlaps"] and not without and (fenced or not pauses)):
             (folder / "keep").touch()
         return figures
 
 
-def spread(gaps: list[float]) -> dict[str, Any]:
-    """A histogram by halves of a second, and what 50 and 99 in a hundred stay under."""
+def summarize_gaps(gaps: list[float]) -> dict[str, Any]:
+    """Return quantiles and a histogram, in bins of half a second, of times without a holder (s)."""
     if not gaps:
         return {"deaths": 0}
     ordered = sorted(gaps)
@@ -374,7 +469,7 @@
 
 
 def run(quick: bool, seed: int, tell: Callable[[str], None]) -> dict[str, Any]:
-    """All figures, bars and whether they held."""
+    """Run all parts; return the figures, the criteria and whether all held."""
     from thistleline.lab.leasecost import cost
     from thistleline.lab.mutants import prove
 
@@ -385,15 +480,15 @@
         ("no fence, pauses", False, True, 300, 6.0 if quick else 120.0),
     )
     gaps: list[float] = []
-    for word, fenced, pauses, changes, seconds in arms:
-        tell(word)
+    for name, fenced, pauses, changes, seconds in arms:
+        tell(name)
         arm = storm("leases", seed, 5, 8, changes, seconds, tell, fenced, pauses)
         gaps += arm.pop("minority_gaps")
-        arm["after_a_death"] = spread(arm.pop("gaps"))
-        figures[word] = arm
-    figures["new holder, a minority dead"] = spread(gaps)
+        arm["after_a_death"] = summarize_gaps(arm.pop("gaps"))
+        figures[name] = arm
+    figures["new holder, a minority dead"] = summarize_gaps(gaps)
     tell("bare bursts of delay")
-    calm = storm("delay", seed, 5, 8, 10_000, 6.0 if quick else 60.0, tell, False, only=True)
+    calm = storm("delay", seed, 5, 8, 10_000, 6.0 if quick else 60.0, tell, False, delay_only=True)
     figures["bare bursts of delay"] = {
         name: calm[name] for name in ("holders", "acts", "overlaps", "leases_lost_to_their_holder", "faults")
     }
@@ -404,16 +499,16 @@
     tell("exploration")
     figures["exploration"], found = prove(2_000 if quick else 200_000, tell)
     figures["cost"] = cost(quick, tell)
-    within = sum(1 for gap in gaps if gap <= LENGTH + 1.0)
+    within = sum(1 for gap in gaps if gap <= LEASE_SECONDS + 1.0)
     figures["within the length and a second"] = round(within / max(1, len(gaps)), 4)
     bars = {
         "no overlap with a fence": figures["fenced, all faults"]["overlaps"] == 0,
         "no overlap without pauses": figures["no fence, no pauses"]["overlaps"] == 0,
-        "no program ended by itself": not any(figures[word]["crashes"] for word, *_ in arms),
+        "no program ended by itself": not any(figures[name]["crashes"] for name, *_ in arms),
         "exploration holds, each mutant is found": found,
     }
     if not quick:
-        changes = sum(figures[word]["holders"] for word, *_ in arms)
+        changes = sum(figures[name]["holders"] for name, *_ in arms)
         figures["changes of holder"] = changes
         bars |= {
             "at least 2,000 changes of holder": changes >= 2000,
--- a/thistleline/lab/member.py
+++ b/thistleline/lab/member.py
@@ -1,12 +1,15 @@
-"""The program as its users start it, with a clock and a disk of the laboratory: `python -m
-thistleline.lab.member SUB ...`, told by the environment.
+"""The program as its users start it, with the lab's clock and disk: `python -m thistleline.lab.member SUB`.
 
-    LAB_CLOCK   {"rate": 1.2, "wall_ahead_s": 3600}: its clocks go so fast, and its wall clock is so far ahead
-    LAB_DISK    a file; what stands in it holds from the next sync on: "fail", "slow" (each takes 0.7 s), or
+Environment variables inject the faults:
+
+    LAB_CLOCK   {"rate": 1.2, "wall_ahead_s": 3600}: how fast its clocks go, how far its wall clock is ahead
+    LAB_DISK    a file whose content holds from the next sync on: "fail", "slow" (each sync takes 0.7 s), or
                 nothing
-    LAB_WITHOUT a protection that is left out: "pre-vote", "drift", "clock" (the holder's own); of the feed
-                "majority" (a group goes before a majority of keepers has it), "newer" (who is behind serves,
-                and an older snapshot is taken)
+    LAB_WITHOUT a protection that is left out, so that an oracle has something to find: "pre-vote", "drift",
+                "clock" (the lease holder's own); of the feed "majority" (a group goes out before a majority
+                of keepers has it), "newer" (a source that is behind serves, and an older snapshot is taken)
+
+The process ends when its standard input does, so that it never outlives its harness.
 """
 
 import errno
@@ -17,49 +20,53 @@
 import time
 from pathlib import Path
 
-SLOW = 0.7  # s
+SLOW_SYNC_SECONDS = 0.7
 
 
-def tell_clock() -> None:
-    """Before anything else imports the clocks by name."""
+def inject_clock_faults() -> None:
+    """Replace the clocks; to be called before anything else imports them by name."""
     from thistleline.store import clock
 
-    told = json.loads(os.environ.get("LAB_CLOCK", "{}"))
-    rate, ahead = float(told.get("rate", 1.0)), int(told.get("wall_ahead_s", 0)) * 1000
-    begun, boot_now, wall_ms = clock.boot_now(), clock.boot_now, clock.wall_ms
-    setattr(clock, "boot_now", lambda: begun + int((boot_now() - begun) * rate))  # noqa: B010
-    setattr(clock, "wall_ms", lambda: wall_ms() + ahead)  # noqa: B010
+    fault = json.loads(os.environ.get("LAB_CLOCK", "{}"))
+    rate = float(fault.get("rate", 1.0))
+    ahead_ms = int(fault.get("wall_ahead_s", 0)) * 1000
+    boot_now, wall_ms = clock.boot_now, clock.wall_ms
+    started_at = boot_now()
+    setattr(clock, "boot_now", lambda: started_at + int((boot_now() - started_at) * rate))  # noqa: B010
+    setattr(clock, "wall_ms", lambda: wall_ms() + ahead_ms)  # noqa: B010
 
 
-def tell_disk() -> None:
+def inject_disk_faults() -> None:
+    """Let each sync do what the file named by LAB_DISK says."""
     from thistleline.store import disk
 
-    told = os.environ.get("LAB_DISK")
-    if told is None:
+    name = os.environ.get("LAB_DISK")
+    if name is None:
         return
-    path, sync = Path(told), disk.Disk.sync
+    path, sync = Path(name), disk.Disk.sync
 
     def faulty(self: disk.Disk) -> None:
-        how = path.read_text() if path.exists() else ""
-        if how == "fail":
+        fault = path.read_text() if path.exists() else ""
+        if fault == "fail":
             raise OSError(errno.EIO, os.strerror(errno.EIO))
-        if how == "slow":
-            time.sleep(SLOW)
+        if fault == "slow":
+            time.sleep(SLOW_SYNC_SECONDS)
         sync(self)
 
     setattr(disk.Disk, "sync", faulty)  # noqa: B010
 
 
-def leave_out() -> None:
+def leave_out_protection() -> None:
+    """Leave out the protection named by LAB_WITHOUT."""
     left_out = os.environ.get("LAB_WITHOUT", "")
     if left_out == "pre-vote":
         from thistleline.consensus.elections import Elections
 
-        def stand(self: Elections) -> None:
+        def start_election(self: Elections) -> None:
             self.state.leader = ""
             self.start_election()
 
-        setattr(Elections, "start_pre_vote", stand)  # noqa: B010
+        setattr(Elections, "start_pre_vote", start_election)  # noqa: B010
     elif left_out == "drift":
         from thistleline.lease import holder
 
@@ -73,10 +80,11 @@
 
         setattr(Writer, "_free", lambda self: True)  # noqa: B010
     elif left_out == "newer":
-        leave_out_newer()
+        leave_out_feed_order()
 
 
-def leave_out_newer() -> None:
+def leave_out_feed_order() -> None:
+    """Let a source that is behind serve, and a follower take an older snapshot."""
     from thistleline.config_feed.follower import Follower
     from thistleline.config_feed.messages import Follow, Welcome
     from thistleline.config_feed.source import Served, Source
@@ -99,6 +107,8 @@
 
 
 def end_with_parent() -> None:
+    """End this process at the end of its standard input, from a thread."""
+
     def wait() -> None:
         while os.read(0, 1):
             pass
@@ -108,10 +118,11 @@
 
 
 def main() -> int:
+    """Inject the faults, then run a subcommand of the lab's or the program's."""
     end_with_parent()
-    tell_clock()
-    tell_disk()
-    leave_out()
+    inject_clock_faults()
+    inject_disk_faults()
+    leave_out_protection()
     if sys.argv[1:2] == ["contender"]:
         from thistleline.lab.contender import main as contend
 
