--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,57 +14,66 @@
 
 from thistleline.lab.harness import free_port
 from thistleline.lab.members import SPANS, VirtualFleet, death, split
+from thistleline.membership.events import FactsChanged, LeaveRequested, MessageReceived
 from thistleline.membership.gossip import SECOND, Gossip
 from thistleline.membership.messages import (
     ALIVE,
     DEAD,
     LEFT,
-    SIZE_BOUND,
+    MAX_DATAGRAM_SIZE,
     SUSPECT,
     Ack,
-    Facts,
+    MemberFacts,
+    MemberRecord,
     Ping,
-    Word,
     encode,
 )
-from thistleline.membership.view import View, merged
+from thistleline.membership.view import MembershipView, merge_records
 
-FACTS = Facts("1", 1, "z")
+FACTS = MemberFacts("1", 1, "z")
 WORDS = st.builds(
-    Word, st.just("m"), st.just("a"), st.integers(0, 3), st.integers(0, 3), st.integers(0, 3), st.just(FACTS)
+    MemberRecord,
+    st.just("m"),
+    st.just("a"),
+    st.integers(0, 3),
+    st.integers(0, 3),
+    st.integers(0, 3),
+    st.just(FACTS),
 )
 
 
 @given(st.lists(WORDS, min_size=1, max_size=6), st.randoms(use_true_random=False))
 @settings(derandomize=True, database=None)
-def test_in_whatever_order_words_come_all_end_with_the_same(words: list[Word], chance: Random) -> None:
+def test_in_whatever_order_words_come_all_end_with_the_same(
+    words: list[MemberRecord], chance: Random
+) -> None:
     ends = []
     for _ in range(3):
         chance.shuffle(words)
         known = words[0]
         for word in [*words, *words]:
-            known = merged(known, word)
+            known = merge_records(known, word)
         ends.append((known.incarnation, known.status, known.version))
     assert len(set(ends)) == 1
 
 
 def test_a_digest_tells_views_that_differ_and_no_others() -> None:
-    one, other = View(), View()
+    one, other = MembershipView(), MembershipView()
     for place in range(50):
-        one.put(Word(f"m{place}", "a", 1, ALIVE, 1, FACTS))
-        other.put(Word(f"m{49 - place}", "a", 1, ALIVE, 1, FACTS))
+        one.put(MemberRecord(f"m{place}", "a", 1, ALIVE, 1, FACTS))
+        other.put(MemberRecord(f"m{49 - place}", "a", 1, ALIVE, 1, FACTS))
     assert one.digests == other.digests
-    one.put(Word("m7", "a", 1, ALIVE, 2, FACTS))
+    one.put(MemberRecord("m7", "a", 1, ALIVE, 2, FACTS))
     assert one.digests != other.digests
 
 
 def test_no_datagram_is_larger_than_a_packet_whatever_is_to_be_told() -> None:
-    view = View()
+    view = MembershipView()
     for place in range(500):
-        view.put(Word(f"member-with-a-long-name-{place}", "127.0.0.1:10000", 1, ALIVE, 1, FACTS))
+        view.put(MemberRecord(f"member-with-a-long-name-{place}", "127.0.0.1:10000", 1, ALIVE, 1, FACTS))
     often: dict[str, int] = {}
-    while words := view.news(SIZE_BOUND - 32, 4):
-        assert len(encode(Ping(1 << 60, tuple(words)))) <= SIZE_BOUND
+    while words := view.select_updates(MAX_DATAGRAM_SIZE - 32, 4):
+        assert len(encode(Ping(1 << 60, tuple(words)))) <= MAX_DATAGRAM_SIZE
         for word in words:
             often[word.id] = often.get(word.id, 0) + 1
     assert set(often.values()) == {4}
@@ -103,10 +112,10 @@
     half = ("m0", "m1")
     fleet.cut = lambda source, to: (source in half) != (to in half)
     fleet.run(5 * SECOND)
-    assert set(fleet.members["m0"].view.words) == {"m0", "m1"}
+    assert set(fleet.members["m0"].view.records) == {"m0", "m1"}
     fleet.cut = lambda source, to: False
     fleet.run(25 * SECOND)
-    assert all(set(one.view.words) == set(seeds) for one in fleet.members.values())
+    assert all(set(one.view.records) == set(seeds) for one in fleet.members.values())
 
 
 def test_one_cut_one_way_is_found_and_comes_back() -> None:
@@ -124,27 +133,27 @@
     fleet.run(5 * SECOND)
     fleet.silent.add("m0")
     fleet.run(fleet.now + 3 * SECOND)
-    fleet.add("m0", 2, Facts("2", 7, "z"), ("m1", "m2"))
+    fleet.add("m0", 2, MemberFacts("2", 7, "z"), ("m1", "m2"))
     fleet.run(fleet.now + 20 * SECOND)
-    seen = {fleet.members[by].view.words["m0"] for by in fleet.alive() if by != "m0"}
+    seen = {fleet.members[by].view.records["m0"] for by in fleet.alive() if by != "m0"}
     assert {(word.incarnation >= 2, word.status, word.facts.release) for word in seen} == {(True, ALIVE, "2")}
-    assert len(fleet.members["m0"].view.words) == 20
+    assert len(fleet.members["m0"].view.records) == 20
 
 
 def test_one_that_leaves_is_not_taken_for_dead() -> None:
     fleet = VirtualFleet(20, 1)
-    fleet.put("m0", "leave")
+    fleet.put("m0", LeaveRequested())
     fleet.silent.add("m0")
     fleet.run(10 * SECOND)
-    told = {fleet.members[by].view.words["m0"].status for by in fleet.alive()}
+    told = {fleet.members[by].view.records["m0"].status for by in fleet.alive()}
     assert told == {LEFT}
 
 
 def test_new_facts_reach_all() -> None:
     fleet = VirtualFleet(50, 1)
-    fleet.put("m0", "tell", Facts("2", 9, "z", taking=False))
+    fleet.put("m0", FactsChanged(MemberFacts("2", 9, "z", accepting=False)))
     fleet.run(15 * SECOND)
-    assert {one.view.words["m0"].facts.settings for one in fleet.members.values()} == {9}
+    assert {one.view.records["m0"].facts.settings for one in fleet.members.values()} == {9}
 
 
 def member(now: int = 0) -> Gossip:
@@ -154,22 +163,22 @@
 @pytest.mark.parametrize("status", [SUSPECT, DEAD, LEFT])
 def test_told_that_it_is_dead_it_says_that_it_lives(status: int) -> None:
     one = member()
-    one.take(1, "heard", "there", Ping(1, (Word("me", "here", 5, status, 1, FACTS),)))
-    assert (one.own.status, one.own.incarnation) == (ALIVE, 6)
+    one.handle(1, MessageReceived("there", Ping(1, (MemberRecord("me", "here", 5, status, 1, FACTS),))))
+    assert (one.own_record.status, one.own_record.incarnation) == (ALIVE, 6)
 
 
 def test_an_older_life_of_its_own_says_nothing() -> None:
     one = member()
-    one.take(1, "heard", "there", Ping(1, (Word("me", "here", 4, DEAD, 1, FACTS),)))
-    assert one.own.incarnation == 5
+    one.handle(1, MessageReceived("there", Ping(1, (MemberRecord("me", "here", 4, DEAD, 1, FACTS),))))
+    assert one.own_record.incarnation == 5
 
 
 def test_what_strangers_say_is_bounded() -> None:
     one = member()
-    one.take(1, "heard", "there", Ack(77, ()))  # of nothing asked
-    words = (Word("x" * 65, "a", 1, 0, 1, FACTS), Word("y", "a", 1, 9, 1, FACTS))
-    one.take(1, "heard", "there", Ping(1, words))
-    assert set(one.view.words) == {"me"}
+    one.handle(1, MessageReceived("there", Ack(77, ())))  # of nothing asked
+    words = (MemberRecord("x" * 65, "a", 1, 0, 1, FACTS), MemberRecord("y", "a", 1, 9, 1, FACTS))
+    one.handle(1, MessageReceived("there", Ping(1, words)))
+    assert set(one.view.records) == {"me"}
 
 
 def test_members_as_programs_see_each_other_and_a_kill(tmp_path: Path) -> None:
--- a/tests/test_scale_parts.py
+++ b/tests/test_scale_parts.py
@@ -14,8 +14,8 @@
 from thistleline.lab.scale.slopes import judge, row
 from thistleline.membership import gossip, view
 from thistleline.membership.gossip import Gossip
-from thistleline.membership.messages import Word, encode
-from thistleline.membership.view import View
+from thistleline.membership.messages import MemberRecord, encode
+from thistleline.membership.view import MembershipView
 
 SIZES = [100, 200, 400, 1000]  # from where a tenth of them fills a datagram
 
@@ -62,52 +62,56 @@
 
 
 def test_news_that_are_looked_for_among_all_are_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    had = View.news
+    had = MembershipView.select_updates
 
-    def among_all(self: View, size: int, often: int, first: str = "") -> list[Word]:
-        for word in self.words.values():
+    def among_all(
+        self: MembershipView, max_size: int, max_transmits: int, first: str = ""
+    ) -> list[MemberRecord]:
+        for word in self.records.values():
             vars(view)["encode"](word)
-        return had(self, size, often, first)
+        return had(self, max_size, max_transmits, first)
 
-    monkeypatch.setattr(View, "news", among_all)
+    monkeypatch.setattr(MembershipView, "select_updates", among_all)
     bars = judge(members.hollow_counts(SIZES, 1), members.PROMISED)
     assert "member: words encoded in a quiet period: flat" in missed(bars)
 
 
 def test_a_pass_over_all_for_each_of_them_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    had = Gossip._compare
+    had = Gossip._send_digest
 
     def for_each(self: Gossip) -> None:
-        for _ in range(len(self.view.words) // 10):
-            self.view.living()
+        for _ in range(len(self.view.records) // 10):
+            self.view.live_members()
         had(self)
 
-    monkeypatch.setattr(Gossip, "_compare", for_each)
+    monkeypatch.setattr(Gossip, "_send_digest", for_each)
     bars = judge(members.hollow_counts(SIZES, 1), members.PROMISED)
     assert missed(bars) == ["member: words looked through in a quiet period: linear"]
 
 
 def test_a_probe_of_more_the_more_there_are_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    had = Gossip._period
+    had = Gossip._run_period
 
     def more(self: Gossip) -> None:
         had(self)
-        for _ in range(len(self.view.words) // 20):
-            word = self._next()
+        for _ in range(len(self.view.records) // 20):
+            word = self.order.next_target(self.view)
             assert word is not None
             self._probe(word)
 
-    monkeypatch.setattr(Gossip, "_period", more)
+    monkeypatch.setattr(Gossip, "_run_period", more)
     bars = judge(members.hollow_counts(SIZES, 1), members.PROMISED)
     assert "member: bytes sent in a quiet period: flat" in missed(bars)
     assert "member: messages sent in a quiet period: flat" in missed(bars)
 
 
 def test_a_fleet_that_does_not_pass_words_on_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    def first_alone(self: View, size: int, often: int, first: str = "") -> list[Word]:
-        return [self.words[first]] if first in self.words else []
+    def first_alone(
+        self: MembershipView, max_size: int, max_transmits: int, first: str = ""
+    ) -> list[MemberRecord]:
+        return [self.records[first]] if first in self.records else []
 
-    monkeypatch.setattr(View, "news", first_alone)
+    monkeypatch.setattr(MembershipView, "select_updates", first_alone)
     told = [members.one_word(size, 1, 1) for size in (40, 80)]
     assert min(one.periods for one in told) == -1
 
--- a/thistleline/cli/members.py
+++ b/thistleline/cli/members.py
@@ -2,10 +2,9 @@
 
 import anyio
 import click
-import msgspec
 
 from thistleline.cli.fleet import Unusable, conf_of, logger, tell
-from thistleline.membership.messages import STATUS, Facts
+from thistleline.membership.messages import STATUS_NAMES, MemberFacts
 from thistleline.transport.address import parse_address
 
 
@@ -26,7 +25,7 @@
     from thistleline.store.clock import wall_ms
 
     try:
-        run(told, Facts(release, 0, told.zone, wall_ms()), logger(told.name))
+        run(told, MemberFacts(release, 0, told.zone, wall_ms()), logger(told.name))
     except OSError as error:
         raise click.ClickException(f"{told.listen}: {error.strerror or error}") from error
 
@@ -37,19 +36,26 @@
 @click.option("--span", default=0.3, show_default=True, help="Seconds to listen for its answers.")
 def list_all(at: str, as_json: bool, span: float) -> None:
     """All members as the one at an address knows them; exit code 1 if nothing came."""
-    from thistleline.membership.service import ask
+    from thistleline.membership.service import fetch_records
 
     try:
-        words = anyio.run(ask, parse_address(at), span)
+        words = anyio.run(fetch_records, parse_address(at), span)
     except ValueError as error:
         raise Unusable(str(error)) from error
     for word in words:
         told = {
             "id": word.id,
-            "status": STATUS[word.status],
+            "status": STATUS_NAMES[word.status],
             "incarnation": word.incarnation,
             "address": word.address,
-            **msgspec.structs.asdict(word.facts),
+            "release": word.facts.release,
+            "settings": word.facts.settings,
+            "zone": word.facts.zone,
+            "born": word.facts.started_wall_ms,
+            "warm": word.facts.warm,
+            "taking": word.facts.accepting,
+            "figures": word.facts.figures,
+            "worth": word.facts.utility,
         }
         tell(told, as_json, lambda one: "  ".join(f"{name} {value}" for name, value in one.items()))
     if not words:
--- a/thistleline/lab/members.py
+++ b/thistleline/lab/members.py
@@ -8,10 +8,12 @@
 from random import Random
 from typing import Any
 
-from thistleline.membership.gossip import MS, SECOND, Gossip, Spans
-from thistleline.membership.messages import DEAD, Facts, Word
+from thistleline.membership.effects import MemberChanged, SendMessage
+from thistleline.membership.events import DeadlineReached, GossipEvent, MessageReceived
+from thistleline.membership.gossip import MS, SECOND, Gossip, GossipTiming
+from thistleline.membership.messages import DEAD, MemberFacts, MemberRecord
 
-SPANS = Spans(period=500 * MS, answer=150 * MS)
+SPANS = GossipTiming(period=500 * MS, ack_timeout=150 * MS)
 
 
 class VirtualFleet:
@@ -19,7 +21,7 @@
         """`delay` in ms, least and most of a datagram. All know of all at the start."""
         self.chance, self.loss, self.delay = Random(seed), loss, delay
         self.now = 0
-        self.queue: list[tuple[int, int, str, tuple[Any, ...]]] = []
+        self.queue: list[tuple[int, int, str, GossipEvent]] = []
         self.count = 0
         self.members: dict[str, Gossip] = {}
         self.silent: set[str] = set()
@@ -27,41 +29,41 @@
         self.cut: Callable[[str, str], bool] = lambda source, to: False
         self.known: dict[str, dict[str, int]] = {}  # by who was taken for dead: who took it so, when
         self.returned: dict[str, dict[str, int]] = {}
-        facts = Facts("1", 1, "z", 0, True, True, (1, 2, 3))
+        facts = MemberFacts("1", 1, "z", 0, True, True, (1, 2, 3))
         for place in range(members):
             self.add(f"m{place}", 1, facts)
-        words = [one.own for one in self.members.values()]
+        words = [one.own_record for one in self.members.values()]
         for one in self.members.values():
             for word in words:
                 if word.id != one.id:
                     one.view.put(word)
             for word in words:
-                one.view._sent_enough(word.id)  # nothing of it is news
+                one.view.stop_spreading(word.id)  # nothing of it is news
 
-    def add(self, id: str, incarnation: int, facts: Facts, seeds: tuple[str, ...] = ()) -> Gossip:
+    def add(self, id: str, incarnation: int, facts: MemberFacts, seeds: tuple[str, ...] = ()) -> Gossip:
         one = self.members[id] = Gossip(
             id, id, incarnation, facts, seeds, self.now, SPANS, Random(self.chance.getrandbits(64))
         )
         self.silent.discard(id)
-        self._at(one.due(), id, ("elapsed",))
+        self._at(one.next_deadline(), id, DeadlineReached())
         return one
 
-    def _at(self, when: int, id: str, told: tuple[Any, ...]) -> None:
+    def _at(self, when: int, id: str, event: GossipEvent) -> None:
         self.count += 1
-        heappush(self.queue, (when, self.count, id, told))
+        heappush(self.queue, (when, self.count, id, event))
 
-    def put(self, id: str, *told: Any) -> None:
+    def put(self, id: str, event: GossipEvent) -> None:
         one = self.members[id]
-        for effect in one.take(self.now, *told):
-            if effect[0] == "send":
-                lost = self.chance.random() < self.loss or self.cut(id, effect[1])
-                if not lost and effect[1] in self.members:
+        for effect in one.handle(self.now, event):
+            if isinstance(effect, SendMessage):
+                lost = self.chance.random() < self.loss or self.cut(id, effect.address)
+                if not lost and effect.address in self.members:
                     due = self.now + self.chance.randint(*self.delay) * MS
-                    self._at(due, effect[1], ("heard", id, effect[2]))
-            elif effect[0] == "changed":
-                self._changed(id, effect[1], effect[2])
+                    self._at(due, effect.address, MessageReceived(id, effect.message))
+            elif isinstance(effect, MemberChanged):
+                self._changed(id, effect.record, effect.previous)
 
-    def _changed(self, by: str, word: Word, before: Word | None) -> None:
+    def _changed(self, by: str, word: MemberRecord, before: MemberRecord | None) -> None:
         was = before is not None and before.status >= DEAD
         if word.status >= DEAD and not was:
             self.known.setdefault(word.id, {}).setdefault(by, self.now)
@@ -75,20 +77,20 @@
             turns += 1
             if turns % 256 == 0 and over():
                 return True
-            self.now, _, id, told = heappop(self.queue)
+            self.now, _, id, event = heappop(self.queue)
             if id in self.silent:
                 continue
             until_then = self.stalled.get(id, 0)
             if until_then > self.now:
-                self._at(until_then + 1, id, told)  # read once it goes on, in order
+                self._at(until_then + 1, id, event)  # read once it goes on, in order
                 continue
-            if told[0] == "elapsed":
+            if isinstance(event, DeadlineReached):
                 one = self.members[id]
-                if self.now >= one.due():
-                    self.put(id, "elapsed")
-                self._at(max(one.due(), self.now + MS), id, told)
+                if self.now >= one.next_deadline():
+                    self.put(id, event)
+                self._at(max(one.next_deadline(), self.now + MS), id, event)
             else:
-                self.put(id, *told)
+                self.put(id, event)
         self.now = max(self.now, until)
         return over()
 
@@ -96,7 +98,7 @@
         return [id for id in self.members if id not in self.silent]
 
     def takes_for_dead(self, id: str) -> set[str]:
-        return {by for by in self.alive() if by != id and self.members[by].view.words[id].status >= DEAD}
+        return {by for by in self.alive() if by != id and self.members[by].view.records[id].status >= DEAD}
 
 
 def death(members: int, seed: int) -> dict[str, float]:
--- a/thistleline/lab/scale/members.py
+++ b/thistleline/lab/scale/members.py
@@ -22,29 +22,31 @@
 from thistleline.lab.scale.size import size
 from thistleline.lab.scale.slopes import Kind, Part, Row, Shape, cpu_of, judge, loop_cpu, memory_of
 from thistleline.membership import view as view_module
+from thistleline.membership.effects import GossipEffect, SendMessage
+from thistleline.membership.events import DeadlineReached, FactsChanged, MessageReceived
 from thistleline.membership.gossip import (
     FORGET_AFTER,
-    HEAD,
-    JOIN_PAUSE,
+    HEADER_SIZE,
+    JOIN_INTERVAL,
     MS,
     SECOND,
-    SPREAD_TIMES,
+    TRANSMITS_FACTOR,
     Gossip,
-    Spans,
+    GossipTiming,
 )
 from thistleline.membership.messages import (
     ALIVE,
-    SIZE_BOUND,
+    MAX_DATAGRAM_SIZE,
     Ack,
-    Facts,
+    BucketRecords,
     Join,
+    MemberFacts,
+    MemberRecord,
     Message,
     Ping,
-    Share,
-    Word,
     encode,
 )
-from thistleline.membership.view import BUCKETS, MEMBERS_BOUND, View
+from thistleline.membership.view import BUCKETS, MAX_MEMBERS, MembershipView
 from thistleline.server.service import FIGURES_EVERY
 
 NAME = "members"
@@ -55,14 +57,14 @@
 DEATHS_PATIENCE = 400  # periods
 
 PERIOD = int(next(one.default for one in msgspec.structs.fields(Members) if one.name == "period"))
-HOLLOW_SPANS = Spans(PERIOD, PERIOD * 3 // 10)  # as members/service.py has them
-_word = msgspec.msgpack.Decoder(Word).decode
+HOLLOW_SPANS = GossipTiming(PERIOD, PERIOD * 3 // 10)  # as members/service.py has them
+_word = msgspec.msgpack.Decoder(MemberRecord).decode
 
 
 # ---- one hollow member
 
 
-class LookedThrough(View):
+class LookedThrough(MembershipView):
     """Counts the words that passes over the whole view go through."""
 
     __slots__ = ("looked",)
@@ -71,31 +73,37 @@
         super().__init__()
         self.looked = 0
 
-    def living(self) -> list[Word]:
-        self.looked += len(self.words)
-        return super().living()
+    def live_members(self) -> list[MemberRecord]:
+        self.looked += len(self.records)
+        return super().live_members()
 
-    def gone(self) -> list[Word]:
-        self.looked += len(self.words)
-        return super().gone()
+    def dead_members(self) -> list[MemberRecord]:
+        self.looked += len(self.records)
+        return super().dead_members()
 
 
 def name_of(place: int) -> str:
     return f"i{place:05}.zone-{place % size('zones'):02}"
 
 
-def facts_of(place: int, turn: int = 0) -> Facts:
+def facts_of(place: int, turn: int = 0) -> MemberFacts:
     """As a steward tells them of a server that works; `turn` changes its figures."""
     figures = (90_000 + turn * 1500, 88_000 + turn, 1200, 40, 300 + turn, 96_000, 1, 12)
-    return Facts(
+    return MemberFacts(
         "2.31.4", 118, f"zone-{place % size('zones'):02}", 1_790_000_000_000, True, True, figures, (912, 897)
     )
 
 
-def word_of(place: int, version: int = 1) -> Word:
+def word_of(place: int, version: int = 1) -> MemberRecord:
     """As it came in: with strings of its own."""
-    made = Word(name_of(place), f"10.{place >> 8 & 255}.{place & 255}.7:7946", 1_790_000_000_000, ALIVE,
-                version, facts_of(place, version))  # fmt: skip
+    made = MemberRecord(
+        name_of(place),
+        f"10.{place >> 8 & 255}.{place & 255}.7:7946",
+        1_790_000_000_000,
+        ALIVE,
+        version,
+        facts_of(place, version),
+    )
     return _word(encode(made))
 
 
@@ -106,12 +114,12 @@
     )
     if counted:
         view = LookedThrough()
-        view.put(made.own)
+        view.put(made.own_record)
         made.view = view
     for place in range(1, members):
         made.view.put(word_of(place))
-    for id in list(made.view.sent):
-        made.view._sent_enough(id)
+    for id in list(made.view.transmits):
+        made.view.stop_spreading(id)
     return made
 
 
@@ -126,7 +134,7 @@
         self.versions: Counter[int] = Counter()
         self.turn = 0
         self.sent: Counter[str] = Counter()
-        self.made: list[tuple[Share, ...]] = []
+        self.made: list[tuple[BucketRecords, ...]] = []
 
     def prepare(self, periods: int) -> None:
         """Makes the news beforehand, so that no time of the member's is spent on it."""
@@ -142,30 +150,33 @@
         one = self.one
         now = one.next_period
         for share in self.made.pop(0) if self.made else ():
-            self._note(one.take(now, "heard", "10.9.9.9:7946", share))
+            self._note(one.handle(now, MessageReceived("10.9.9.9:7946", share)))
         place = self.chance.randrange(1, self.members)
-        told = one.view.words[name_of(place)]
-        self._note(one.take(now, "heard", told.address, Ping(one.periods + 1, (told,))))
-        for effect in self._note(one.take(now, "elapsed")):
-            if effect[0] == "send" and isinstance(effect[2], Ping) and effect[2].number:
-                self._note(one.take(now + MS, "heard", effect[1], Ack(effect[2].number, ())))
-
-    def _note(self, effects: list[tuple[Any, ...]]) -> list[tuple[Any, ...]]:
-        self.sent.update(type(effect[2]).__name__ for effect in effects if effect[0] == "send")
+        told = one.view.records[name_of(place)]
+        self._note(one.handle(now, MessageReceived(told.address, Ping(one.periods + 1, (told,)))))
+        for effect in self._note(one.handle(now, DeadlineReached())):
+            if isinstance(effect, SendMessage) and isinstance(effect.message, Ping) and effect.message.number:
+                answer = MessageReceived(effect.address, Ack(effect.message.number, ()))
+                self._note(one.handle(now + MS, answer))
+
+    def _note(self, effects: list[GossipEffect]) -> list[GossipEffect]:
+        self.sent.update(
+            type(effect.message).__name__ for effect in effects if isinstance(effect, SendMessage)
+        )
         return effects
 
 
-def packed(words: list[Word]) -> tuple[Share, ...]:
+def packed(words: list[MemberRecord]) -> tuple[BucketRecords, ...]:
     """In as few datagrams as hold them."""
-    found, part, taken = list[Share](), list[Word](), HEAD
+    found, part, taken = list[BucketRecords](), list[MemberRecord](), HEADER_SIZE
     for word in words:
         cost = len(encode(word))
-        if taken + cost > SIZE_BOUND:
-            found.append(Share(0, False, tuple(part)))
-            part, taken = [], HEAD
+        if taken + cost > MAX_DATAGRAM_SIZE:
+            found.append(BucketRecords(0, False, tuple(part)))
+            part, taken = [], HEADER_SIZE
         part.append(word)
         taken += cost
-    return (*found, Share(0, False, tuple(part))) if part else tuple(found)
+    return (*found, BucketRecords(0, False, tuple(part))) if part else tuple(found)
 
 
 @contextmanager
@@ -238,8 +249,8 @@
 
     def answer() -> None:
         one.next_join = one.now
-        told = one.take(one.now, "heard", "10.9.9.9:7946", Join(()))
-        shares[:] = [effect[2] for effect in told if effect[0] == "send"]
+        told = one.handle(one.now, MessageReceived("10.9.9.9:7946", Join(())))
+        shares[:] = [effect.message for effect in told if isinstance(effect, SendMessage)]
 
     cpu = cpu_of(answer, 3)
     return Joined(len(shares), sum(len(encode(share)) for share in shares), cpu)
@@ -251,18 +262,18 @@
 class HollowFleet(VirtualFleet):
     """As the one of `lab members`; its views are copied from one, so that thousands can be had."""
 
-    def __init__(self, members: int, seed: int, view: Callable[[], View] = View) -> None:
+    def __init__(self, members: int, seed: int, view: Callable[[], MembershipView] = MembershipView) -> None:
         super().__init__(0, seed)
         for place in range(members):
             self.add(name_of(place), 1, facts_of(place))
         whole = view()
         for one in self.members.values():
-            whole.put(one.own)
-        for id in list(whole.sent):
-            whole._sent_enough(id)
+            whole.put(one.own_record)
+        for id in list(whole.transmits):
+            whole.stop_spreading(id)
         for one in self.members.values():
             one.view = view()
-            one.view.words = dict(whole.words)
+            one.view.records = dict(whole.records)
             one.view.buckets = [set(bucket) for bucket in whole.buckets]
             one.view.digests = list(whole.digests)
 
@@ -276,7 +287,9 @@
     quiet: float  # bytes that each sends in a period with nothing new
 
 
-def one_word(members: int, seed: int, words: int = 4, view: Callable[[], View] = View) -> Told:
+def one_word(
+    members: int, seed: int, words: int = 4, view: Callable[[], MembershipView] = MembershipView
+) -> Told:
     """So many words change one after another, each once the one before it is no news any more."""
     periods = 40  # for a word: till none sends it on any more
     fleets = [HollowFleet(members, seed, view) for _ in range(2)]
@@ -289,11 +302,11 @@
             at = fleet.now
             if changes:
                 id = name_of(turn)
-                fleet.put(id, "tell", facts_of(turn, 1))
-                version = fleet.members[id].own.version
+                fleet.put(id, FactsChanged(facts_of(turn, 1)))
+                version = fleet.members[id].own_record.version
 
                 def all_know(fleet: VirtualFleet = fleet, id: str = id, version: int = version) -> bool:
-                    return all(one.view.words[id].version >= version for one in fleet.members.values())
+                    return all(one.view.records[id].version >= version for one in fleet.members.values())
 
                 known = fleet.run(at + periods * FLEET_SPANS.period, all_know)
                 took.append((fleet.now - at) / FLEET_SPANS.period if known else -1.0)
@@ -342,7 +355,7 @@
 
     def whole() -> bool:
         views = [one.view for one in fleet.members.values()]
-        return all(len(view.words) == members and not view.gone() for view in views)
+        return all(len(view.records) == members and not view.dead_members() for view in views)
 
     while not whole() and fleet.now < begun + patience * period:
         fleet.run(fleet.now + period)
@@ -356,19 +369,19 @@
     ones as often as a server does (FIGURES_EVERY)."""
     fleet = HollowFleet(members, seed)
     every, step = int(FIGURES_EVERY * SECOND), FLEET_SPANS.period
-    told: dict[str, dict[int, int]] = {id: {fleet.members[id].own.version: 0} for id in fleet.members}
+    told: dict[str, dict[int, int]] = {id: {fleet.members[id].own_record.version: 0} for id in fleet.members}
     steps = every // step
     for turn in range(steps * spans):
         for place in range(members):
             if place % steps == turn % steps:
                 id = name_of(place)
-                fleet.put(id, "tell", facts_of(place, turn + 1))
-                told[id][fleet.members[id].own.version] = fleet.now
+                fleet.put(id, FactsChanged(facts_of(place, turn + 1)))
+                told[id][fleet.members[id].own_record.version] = fleet.now
         fleet.run(fleet.now + step)
     chance, found = Random(seed), list[int]()
     for _ in range(4000):
         by, of = chance.sample(range(members), 2)
-        known = fleet.members[name_of(by)].view.words[name_of(of)]
+        known = fleet.members[name_of(by)].view.records[name_of(of)]
         found.append(fleet.now - told[name_of(of)][known.version])
     return sum(found) / len(found) / SECOND
 
@@ -470,7 +483,7 @@
         note = "a tenth cut off; -1: not whole again in the time"
         return slopes.row(name, "count", unit, FLEET, apart, values, size("instances"), 1, note)
 
-    steps = f"sent on {SPREAD_TIMES} times the logarithm of the fleet, rounded up: a step each tenfold"
+    steps = f"sent on {TRANSMITS_FACTOR} times the logarithm of the fleet, rounded up: a step each tenfold"
     every = (
         f"each tells new ones every {FIGURES_EVERY:g} s, periods of {FLEET_SPANS.period / SECOND:g} s; "
         f"runs of {spans * FIGURES_EVERY:g} s, so that an age near it is one at the least"
@@ -506,11 +519,11 @@
     """What an ordinary day tells all, by the reducer's own constants; nothing of it is measured here."""
     instances, restarts, deaths = size("instances"), size("restarts_day"), size("machines_fail_day")
     words = restarts * WORDS_A_RESTART + deaths * WORDS_A_DEATH
-    sends = SPREAD_TIMES * max(1, ceil(log(instances + 1, 10)))
+    sends = TRANSMITS_FACTOR * max(1, ceil(log(instances + 1, 10)))
     word = word_bytes()
     figures = instances / FIGURES_EVERY
     # What a period brings: the ping of another and the answer to the own one, as full as they may be.
-    room = 2 * ((SIZE_BOUND - 64) // word)
+    room = 2 * ((MAX_DATAGRAM_SIZE - 64) // word)
     needed = figures * PERIOD / SECOND
     return {
         "words_a_second_of_failures": round(words / DAY, 2),
@@ -523,12 +536,12 @@
         "words_of_figures_in_a_period": round(needed),
         "figures_beyond_two_datagrams_a_period": round(needed / room, 1),
         "period_s": PERIOD / SECOND,
-        "bytes_a_second_of_full_datagrams": round(2 * SIZE_BOUND * SECOND / PERIOD),
-        "members_bound": MEMBERS_BOUND,
+        "bytes_a_second_of_full_datagrams": round(2 * MAX_DATAGRAM_SIZE * SECOND / PERIOD),
+        "members_bound": MAX_MEMBERS,
         "ids_if_each_restart_brings_another": round(
             instances + (restarts + deaths) / DAY * FORGET_AFTER / SECOND
         ),
-        "joins_a_second_that_one_member_answers": round(SECOND / JOIN_PAUSE),
+        "joins_a_second_that_one_member_answers": round(SECOND / JOIN_INTERVAL),
         "buckets": BUCKETS,
     }
 
@@ -538,8 +551,8 @@
     return {
         f"{what} joins cold: megabytes": round(size(what) * join_bytes / 1e6, 1) for what in ("rack", "zone")
     } | {
-        "a zone joins cold: seconds at one seed": round(size("zone") * JOIN_PAUSE / SECOND, 1),
-        "a seed that answers as often as it may: bytes a second": round(join_bytes * SECOND / JOIN_PAUSE),
+        "a zone joins cold: seconds at one seed": round(size("zone") * JOIN_INTERVAL / SECOND, 1),
+        "a seed that answers as often as it may: bytes a second": round(join_bytes * SECOND / JOIN_INTERVAL),
     }
 
 
--- a/thistleline/membership/__init__.py
+++ b/thistleline/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is in the fleet, seen by all without a centre: gossip with probes and suspicion."""
+"""Fleet membership by gossip (SWIM with Lifeguard): who is a member, is it alive, what does it run."""
--- a/thistleline/membership/gossip.py
+++ b/thistleline/membership/gossip.py
@@ -1,10 +1,8 @@
-"""One member: every change of what it knows and does. No I/O, no clock; docs/design/members.md weighs it.
+"""One member's protocol as a state machine: failure detection, dissemination and anti-entropy.
 
-Inputs:  heard address Message | elapsed | tell Facts | leave
-Effects: (send address Message)  (changed Word before)  (log event facts)
-
-SWIM (Das, Gupta, Motivala 2002) with suspicion and round-robin probes, and the local health of Lifeguard
-(Dadgar, Phillips, Currey 2018): who misses answers of many takes itself for the slow one and waits longer.
+No I/O and no clock; docs/design/members.md weighs the design. It is SWIM (Das, Gupta, Motivala 2002) with
+suspicion and round-robin probes, Lifeguard's local health and confirmations (Dadgar, Phillips, Currey 2018),
+and digests that two members compare now and then, so that lost updates are found.
 """
 
 from collections.abc import Callable
@@ -12,402 +10,442 @@
 from random import Random
 from typing import Any, NamedTuple
 
+from thistleline.membership.effects import GossipEffect, MemberChanged, SendMessage, WriteLog
+from thistleline.membership.events import (
+    DeadlineReached,
+    FactsChanged,
+    GossipEvent,
+    LeaveRequested,
+    MessageReceived,
+)
 from thistleline.membership.messages import (
     ALIVE,
     DEAD,
     LEFT,
-    SIZE_BOUND,
-    STATUS,
+    MAX_DATAGRAM_SIZE,
+    STATUS_NAMES,
     SUSPECT,
     Ack,
-    Ask,
-    Compare,
-    Facts,
+    BucketDigest,
+    BucketRecords,
     Join,
+    MemberFacts,
+    MemberRecord,
     Message,
     Nack,
     Ping,
-    Share,
-    Word,
+    PingRequest,
     encode,
 )
-from thistleline.membership.view import BUCKETS, MEMBERS_BOUND, View, merged, sane
-
-MS, SECOND = 1_000_000, 1_000_000_000
-HELPERS = 3  # asked to ping one that does not answer
-HEALTH_MOST = 8  # how often a span may be taken at the most, less one
-SPREAD_TIMES = 4  # a word is sent on so often, times the logarithm of the fleet
-SUSPICION_LEAST, SUSPICION_MOST = 4, 6  # periods a logarithm; and so many times that without confirmation
-CONFIRMATIONS = 3  # independent ones that bring a suspicion down to its least span
-DEAD_PING_EVERY, COMPARE_EVERY = 4, 5  # periods
-SEED_EVERY = 10  # periods, in which one of the seeds that are not known to live is told of oneself
-FORGET_AFTER = 3600 * SECOND  # a dead member; till then it is tried now and then, as a split may heal
-HEAD = 32  # bytes of a message beside its words
-PROBES_BOUND = 256
-JOIN_PAUSE = 20 * MS
+from thistleline.membership.probes import LocalHealth, Probe, ProbeOrder
+from thistleline.membership.suspicion import SuspicionTable
+from thistleline.membership.view import BUCKETS, MAX_MEMBERS, MembershipView, is_valid, merge_records
 
+MS = 1_000_000  # ns
+SECOND = 1_000_000_000  # ns
+HELPERS = 3  # members asked to ping one that does not answer
+TRANSMITS_FACTOR = 4  # an update is sent so often, times the logarithm of the fleet's size
+DEAD_PING_EVERY = 4  # periods
+DIGEST_EVERY = 5  # periods
+SEED_EVERY = 10  # periods, after which one of the seeds that are not known to be alive is told of this member
+FORGET_AFTER = 3600 * SECOND  # until then a dead member is pinged now and then, as a partition may heal
+HEADER_SIZE = 32  # bytes of a message beside its records
+MAX_PROBES = 256
+JOIN_INTERVAL = 20 * MS  # between two Joins that are answered
 
-class Probe:
-    """A ping of this member's own, or one for another that asked."""
 
-    __slots__ = ("asked_at", "due", "for_address", "for_number", "helped", "id", "nacks", "over")
+class GossipTiming(NamedTuple):
+    """Durations of the failure detector, ns."""
 
-    def __init__(self, id: str, due: int, over: int) -> None:
-        self.id, self.due, self.over = id, due, over
-        self.helped = 0  # helpers asked,
-        self.nacks = 0  # and those of them that said that they live
-        self.for_address, self.for_number = "", 0
-        self.asked_at = 0
+    period: int  # between two probes
+    ack_timeout: int  # for an Ack, before others are asked to ping the target
 
 
-class Suspicion(NamedTuple):
-    since: int
-    by: frozenset[str]  # who confirmed it
-
-
-class Spans(NamedTuple):
-    period: int  # ns; a probe each
-    answer: int  # ns for an answer, before others are asked
+class Gossip:
+    """All that one member knows and does.
 
+    Attributes:
+        view: What is known of all members.
+        own_record: What this member says of itself.
+        next_period: When the next probe period begins, ns.
+        periods: How many have begun.
+        bytes_sent: Of all messages.
+    """
 
-class Gossip:
     def __init__(
         self,
         id: str,
         address: str,
         incarnation: int,
-        facts: Facts,
+        facts: MemberFacts,
         seeds: tuple[str, ...],
         now: int,
-        spans: Spans,
-        chance: Random,
+        timing: GossipTiming,
+        rng: Random,
     ) -> None:
-        """`incarnation`: greater than in every earlier life, such as the wall clock's ms at its start."""
-        self.id, self.address, self.now, self.spans, self.chance = id, address, now, spans, chance
+        """Start as a member that knows nobody else.
+
+        Args:
+            id: Unique in the fleet, and the same after a restart.
+            address: Where this member listens.
+            incarnation: Greater than any before under this id, such as the wall clock's ms at the start.
+            facts: What it says of itself.
+            seeds: Addresses of some members to join by.
+            now: Current time, ns.
+            timing: Durations of the failure detector.
+            rng: Source of all random choices.
+        """
+        self.id = id
+        self.address = address
         self.seeds = tuple(seed for seed in seeds if seed != address)
-        self.view = View()
-        self.effects: list[tuple[Any, ...]] = []
+        self.now = now
+        self.timing = timing
+        self.rng = rng
+        self.view = MembershipView()
+        self.health = LocalHealth()
+        self.order = ProbeOrder(id, rng)
+        self.suspicions = SuspicionTable(timing.period)
+        self.effects: list[GossipEffect] = []
         self.leaving = False
-        self.number = 0
+        self.last_number = 0
         self.probes: dict[int, Probe] = {}
-        self.order: list[str] = []  # who is probed next, from its end
-        self.suspicions: dict[str, Suspicion] = {}
-        self.died: dict[str, int] = {}  # when it was known
-        self.health = 0  # 0: well; spans are taken once more for each
+        self.died_at: dict[str, int] = {}  # when it was known, by id of the dead
         self.periods = 0
-        self.next_period = now + self._spread(spans.period)
-        self.next_join = now
+        self.next_period = now + self.rng.randrange(timing.period)
+        self.next_join = now  # earliest time at which a Join is answered
         self.bytes_sent = 0
-        self.view.put(Word(id, address, incarnation, ALIVE, 1, facts))
+        self.view.put(MemberRecord(id, address, incarnation, ALIVE, 1, facts))
+
+    @property
+    def own_record(self) -> MemberRecord:
+        """What this member says of itself."""
+        return self.view.records[self.id]
 
-    # ---- from outside
+    # ---- events
 
-    def take(self, now: int, kind: str, *told: Any) -> list[tuple[Any, ...]]:
+    def handle(self, now: int, event: GossipEvent) -> list[GossipEffect]:
+        """Handle one event at time `now` (ns) and return what is to be done."""
         self.now = max(self.now, now)
-        getattr(self, f"_{kind}")(*told)
+        match event:
+            case MessageReceived(address, message):
+                self._on_message(address, message)
+            case DeadlineReached():
+                self._on_deadline()
+            case FactsChanged(facts):
+                self._on_facts(facts)
+            case LeaveRequested():
+                self._on_leave()
         effects, self.effects = self.effects, []
         return effects
 
-    def due(self) -> int:
-        due = self.next_period
+    def next_deadline(self) -> int:
+        """Return when `DeadlineReached` is to be handled, ns."""
+        deadline = self.next_period
         for probe in self.probes.values():
-            due = min(due, probe.due)
-        return due
+            deadline = min(deadline, probe.deadline)
+        return deadline
 
-    @property
-    def own(self) -> Word:
-        return self.view.words[self.id]
+    def _on_deadline(self) -> None:
+        for number, probe in list(self.probes.items()):
+            if self.now >= probe.deadline:
+                self._on_probe_timeout(number, probe)
+        if self.now >= self.next_period:
+            self.next_period = self.now + self.timing.period * self.health.multiplier
+            self.periods += 1
+            self._run_period()
+
+    def _on_facts(self, facts: MemberFacts) -> None:
+        own = self.own_record
+        if facts != own.facts and not self.leaving:
+            self.view.put(
+                MemberRecord(self.id, self.address, own.incarnation, own.status, own.version + 1, facts)
+            )
 
-    def _spread(self, span: int) -> int:
-        return self.chance.randrange(span)
+    def _on_leave(self) -> None:
+        """Tell a few members at once, who tell all: no probe has to find it out."""
+        own = self.own_record
+        self.leaving = True
+        self.view.put(MemberRecord(self.id, self.address, own.incarnation, LEFT, own.version, own.facts))
+        others = [record for record in self.view.live_members() if record.id != self.id]
+        for record in self.rng.sample(others, min(2 * HELPERS, len(others))):
+            self._send(record.address, lambda records: Ping(0, records), self.id)
 
-    def _logarithm(self) -> int:
-        return max(1, ceil(log(len(self.view.words) + 1, 10)))
+    # ---- sending
 
-    def _send(self, address: str, make: Callable[[tuple[Word, ...]], Message], first: str = "") -> None:
-        words = tuple(self.view.news(SIZE_BOUND - HEAD, SPREAD_TIMES * self._logarithm(), first))
-        self._put(address, make(words))
+    def _send(
+        self, address: str, make: Callable[[tuple[MemberRecord, ...]], Message], first: str = ""
+    ) -> None:
+        """Send a message with as many updates as fit; that of member `first` comes first."""
+        max_transmits = TRANSMITS_FACTOR * self._fleet_logarithm()
+        updates = self.view.select_updates(MAX_DATAGRAM_SIZE - HEADER_SIZE, max_transmits, first)
+        self._send_message(address, make(tuple(updates)))
 
-    def _put(self, address: str, message: Message) -> None:
+    def _send_message(self, address: str, message: Message) -> None:
         self.bytes_sent += len(encode(message))
-        self.effects.append(("send", address, message))
+        self.effects.append(SendMessage(address, message))
 
-    def _log(self, event: str, **facts: Any) -> None:
-        self.effects.append(("log", event, facts))
+    def _fleet_logarithm(self) -> int:
+        return max(1, ceil(log(len(self.view.records) + 1, 10)))
 
-    # ---- what the clock brings
+    # ---- periods
 
-    def _elapsed(self) -> None:
-        for number, probe in list(self.probes.items()):
-            if self.now >= probe.due:
-                self._unanswered(number, probe)
-        if self.now >= self.next_period:
-            self.next_period = self.now + self.spans.period * (self.health + 1)
-            self.periods += 1
-            self._period()
-
-    def _period(self) -> None:
+    def _run_period(self) -> None:
         self._end_suspicions()
         if self.leaving:
             return
-        if len(self.view.words) == 1:
+        if len(self.view.records) == 1:
             if self.seeds:
-                seed = self.seeds[self.chance.randrange(len(self.seeds))]
-                self._send(seed, Join, self.id)
+                self._send_join(self.seeds)
             return
-        word = self._next()
-        if word is not None:
-            self._probe(word)
+        target = self.order.next_target(self.view)
+        if target is not None:
+            self._probe(target)
         if self.periods % DEAD_PING_EVERY == 0:
-            self._try_dead()
-        if self.periods % COMPARE_EVERY == 0:
-            self._compare()
+            self._ping_dead()
+        if self.periods % DIGEST_EVERY == 0:
+            self._send_digest()
         if self.periods % SEED_EVERY == 0:
-            self._try_seed()
+            self._join_unknown_seed()
+
+    def _send_join(self, seeds: tuple[str, ...] | list[str]) -> None:
+        seed = seeds[self.rng.randrange(len(seeds))]
+        self._send(seed, Join, self.id)
 
-    def _try_seed(self) -> None:
-        """Guards against islands that never hear of each other: who came up at the same time knows somebody
-        before all seeds are there, and nobody probes whom he never knew."""
-        living = {word.address for word in self.view.living()}
-        unknown = [seed for seed in self.seeds if seed not in living]
+    def _join_unknown_seed(self) -> None:
+        """Prevent islands that never hear of each other.
+
+        Members that start at the same time may know some others before all seeds are up, and nobody probes a
+        member that it never knew.
+        """
+        live = {record.address for record in self.view.live_members()}
+        unknown = [seed for seed in self.seeds if seed not in live]
         if unknown:
-            self._send(unknown[self.chance.randrange(len(unknown))], Join, self.id)
-
-    def _next(self) -> Word | None:
-        """Round robin in a random order: each member is probed once in so many periods as there are
-        members, so that a death is noticed in bounded time."""
-        for _ in range(len(self.order) + 1):
-            if not self.order:
-                self.order = [word.id for word in self.view.living() if word.id != self.id]
-                self.chance.shuffle(self.order)
-                if not self.order:
-                    return None
-            word = self.view.words.get(self.order.pop())
-            if word is not None and word.status < DEAD:
-                return word
-        return None
-
-    def _probe(self, word: Word) -> None:
-        self.number += 1
-        answer = self.spans.answer * (self.health + 1)
-        over = self.now + self.spans.period * (self.health + 1)
-        self.probes[self.number] = Probe(word.id, self.now + answer, over)
-        number = self.number
-        self._send(word.address, lambda words: Ping(number, words), word.id)
-
-    def _unanswered(self, number: int, probe: Probe) -> None:
-        """First others are asked: the way to it may be at fault. Then it is suspected."""
-        word = self.view.words.get(probe.id)
-        if probe.for_address:
+            self._send_join(unknown)
+
+    def _ping_dead(self) -> None:
+        """Ping one of the dead, as a partition may have healed; forget those dead for long."""
+        dead = [record for record in self.view.dead_members() if record.status == DEAD]
+        for record in dead:
+            if self.now - self.died_at.get(record.id, self.now) > FORGET_AFTER:
+                self.view.remove(record.id)
+                self.died_at.pop(record.id, None)
+        dead = [record for record in dead if record.id in self.view.records]
+        if dead:
+            record = self.rng.choice(dead)
+            self._send(record.address, lambda records: Ping(0, records), record.id)
+
+    # ---- failure detection
+
+    def _probe(self, target: MemberRecord) -> None:
+        multiplier = self.health.multiplier
+        deadline = self.now + self.timing.ack_timeout * multiplier
+        period_end = self.now + self.timing.period * multiplier
+        self._send_ping(target, Probe(target.id, deadline, period_end))
+
+    def _send_ping(self, target: MemberRecord, probe: Probe) -> None:
+        self.last_number += 1
+        number = self.last_number
+        self.probes[number] = probe
+        self._send(target.address, lambda records: Ping(number, records), target.id)
+
+    def _on_probe_timeout(self, number: int, probe: Probe) -> None:
+        """Ask others first, as the network between may be at fault; then suspect the target."""
+        if probe.requester:
             del self.probes[number]
-            self._send(probe.for_address, lambda words: Nack(probe.for_number, words))
+            self._send(probe.requester, lambda records: Nack(probe.requester_number, records))
             return
-        if word is None or word.status >= DEAD:
+        target = self.view.records.get(probe.target)
+        if target is None or target.status >= DEAD:
             del self.probes[number]
             return
-        if not probe.helped and probe.due < probe.over:
-            probe.due = probe.over
-            others = [one for one in self.view.living() if one.id not in (self.id, probe.id)]
-            helpers = self.chance.sample(others, min(HELPERS, len(others)))
-            probe.helped = len(helpers)
-            for helper in helpers:
-                self._send(helper.address, lambda words: Ask(number, probe.id, words))
-            if helpers:
+        if not probe.helpers and probe.deadline < probe.period_end:
+            self._probe_indirectly(number, probe)
+            if probe.helpers:
                 return
         del self.probes[number]
-        # Who hears not even those that were asked to help may be the one that is slow.
-        self._worse(max(1, probe.helped - probe.nacks) if probe.helped else 1)
-        self._suspect(word, self.id)
-
-    def _worse(self, by: int) -> None:
-        self.health = min(HEALTH_MOST, self.health + by)
-
-    def _better(self) -> None:
-        self.health = max(0, self.health - 1)
-
-    def _try_dead(self) -> None:
-        gone = [word for word in self.view.gone() if word.status == DEAD]
-        for word in gone:
-            if self.now - self.died.get(word.id, self.now) > FORGET_AFTER:
-                self.view.drop(word.id)
-                self.died.pop(word.id, None)
-        gone = [word for word in gone if word.id in self.view.words]
-        if gone:
-            word = self.chance.choice(gone)
-            self._send(word.address, lambda words: Ping(0, words), word.id)
-
-    def _compare(self) -> None:
-        living = [word for word in self.view.living() if word.id != self.id]
-        if living:
-            bucket = self.chance.randrange(BUCKETS)
-            digest = self.view.digests[bucket]
-            self._send(self.chance.choice(living).address, lambda words: Compare(bucket, digest, words))
-
-    # ---- suspicion
-
-    def _suspect(self, word: Word, by: str) -> None:
-        if word.status == ALIVE:
-            rest = (word.version, word.facts, by)
-            self._learn(Word(word.id, word.address, word.incarnation, SUSPECT, *rest))
-        elif word.status == SUSPECT and word.id in self.suspicions:
-            self._confirmed(word.id, by)
-
-    def _confirmed(self, id: str, by: str) -> None:
-        known = self.suspicions[id]
-        if by not in known.by and len(known.by) <= CONFIRMATIONS:
-            self.suspicions[id] = Suspicion(known.since, known.by | {by})
-            word = self.view.words[id]
-            if word.by != by:  # a further witness is news
-                rest = (word.version, word.facts, by)
-                self.view.put(Word(id, word.address, word.incarnation, SUSPECT, *rest))
-
-    def _span_of(self, suspicion: Suspicion) -> int:
-        """Long while one alone suspects, short once others do: one that is slow itself convinces nobody."""
-        least = SUSPICION_LEAST * self._logarithm() * self.spans.period
-        most = SUSPICION_MOST * least
-        confirmed = min(CONFIRMATIONS, len(suspicion.by) - 1)
-        part = log(confirmed + 1) / log(CONFIRMATIONS + 1)
-        return int(max(least, most - (most - least) * part)) * (1 if confirmed else self.health + 1)
+        # A member that does not even hear from its helpers may be the slow one itself.
+        self.health.worsen(max(1, probe.helpers - probe.nacks) if probe.helpers else 1)
+        self._suspect(target, self.id)
+
+    def _probe_indirectly(self, number: int, probe: Probe) -> None:
+        probe.deadline = probe.period_end
+        others = [record for record in self.view.live_members() if record.id not in (self.id, probe.target)]
+        helpers = self.rng.sample(others, min(HELPERS, len(others)))
+        probe.helpers = len(helpers)
+        for helper in helpers:
+            self._send(helper.address, lambda records: PingRequest(number, probe.target, records))
+
+    def _suspect(self, target: MemberRecord, suspected_by: str) -> None:
+        if target.status == ALIVE:
+            self._learn(_with_status(target, SUSPECT, suspected_by))
+        elif target.status == SUSPECT and target.id in self.suspicions:
+            self._confirm_suspicion(target.id, suspected_by)
+
+    def _confirm_suspicion(self, id: str, suspected_by: str) -> None:
+        if self.suspicions.confirm(id, suspected_by):
+            record = self.view.records[id]
+            if record.suspected_by != suspected_by:  # a further witness is to be spread
+                self.view.put(_with_status(record, SUSPECT, suspected_by))
 
     def _end_suspicions(self) -> None:
-        for id, suspicion in list(self.suspicions.items()):
-            word = self.view.words.get(id)
-            if word is None or word.status != SUSPECT:
-                del self.suspicions[id]
-            elif self.now - suspicion.since >= self._span_of(suspicion):
-                dead = Word(id, word.address, word.incarnation, DEAD, word.version, word.facts)
-                self._learn(dead)
+        for id in list(self.suspicions.suspicions):
+            record = self.view.records.get(id)
+            if record is None or record.status != SUSPECT:
+                self.suspicions.clear(id)
+            elif self.suspicions.is_expired(id, self.now, self._fleet_logarithm(), self.health.multiplier):
+                self._learn(_with_status(record, DEAD))
 
     # ---- what is learned
 
-    def _learn(self, told: Word) -> None:
-        if not sane(told):
+    def _learn(self, received: MemberRecord) -> None:
+        if not is_valid(received):
             return
-        if told.id == self.id:
-            self._of_myself(told)
+        if received.id == self.id:
+            self._learn_of_itself(received)
             return
-        known = self.view.words.get(told.id)
+        known = self.view.records.get(received.id)
         if known is None:
-            if len(self.view.words) >= MEMBERS_BOUND:
-                return
-            if told.status >= DEAD:
-                self.died[told.id] = self.now
-            self.view.put(told)
-            if told.status == SUSPECT:
-                self.suspicions[told.id] = Suspicion(self.now, frozenset((told.by,)))
-            if told.status < DEAD:
-                self.order.insert(self.chance.randrange(len(self.order) + 1), told.id)
-            self.effects.append(("changed", told, None))
+            self._add_member(received)
             return
-        word = merged(known, told)
-        if word is known:
-            if told.status == SUSPECT == known.status and told.incarnation == known.incarnation:
-                self._confirmed(told.id, told.by)
+        merged = merge_records(known, received)
+        if merged is not known:
+            self._update_member(known, merged)
+        elif received.status == SUSPECT == known.status and received.incarnation == known.incarnation:
+            self._confirm_suspicion(received.id, received.suspected_by)
+
+    def _add_member(self, record: MemberRecord) -> None:
+        if len(self.view.records) >= MAX_MEMBERS:
             return
-        self.view.put(word)
-        if word.status == SUSPECT and (known.status != SUSPECT or known.incarnation != word.incarnation):
-            self.suspicions[word.id] = Suspicion(self.now, frozenset((word.by,)))
-        elif word.status != SUSPECT:
-            self.suspicions.pop(word.id, None)
-        if word.status >= DEAD > known.status:
-            self.died[word.id] = self.now
-        elif word.status < DEAD <= known.status:
-            self.died.pop(word.id, None)
-            self.order.insert(self.chance.randrange(len(self.order) + 1), word.id)
-        if (word.status, word.incarnation) != (known.status, known.incarnation):
-            told_of = {"id": word.id, "status": STATUS[word.status], "incarnation": word.incarnation}
-            self._log("member", **told_of, by=word.by)
-        self.effects.append(("changed", word, known))
-
-    def _of_myself(self, told: Word) -> None:
-        """Others take this one for dead or suspect it, or know of an earlier life: it says that it lives."""
-        own = self.own
-        if self.leaving or told.incarnation < own.incarnation:
+        if record.status >= DEAD:
+            self.died_at[record.id] = self.now
+        self.view.put(record)
+        if record.status == SUSPECT:
+            self.suspicions.start(record.id, self.now, record.suspected_by)
+        if record.status < DEAD:
+            self.order.insert(record.id)
+        self.effects.append(MemberChanged(record, None))
+
+    def _update_member(self, known: MemberRecord, record: MemberRecord) -> None:
+        self.view.put(record)
+        if record.status != SUSPECT:
+            self.suspicions.clear(record.id)
+        elif known.status != SUSPECT or known.incarnation != record.incarnation:
+            self.suspicions.start(record.id, self.now, record.suspected_by)
+        if record.status >= DEAD > known.status:
+            self.died_at[record.id] = self.now
+        elif record.status < DEAD <= known.status:
+            self.died_at.pop(record.id, None)
+            self.order.insert(record.id)
+        if (record.status, record.incarnation) != (known.status, known.incarnation):
+            fields: dict[str, Any] = {
+                "id": record.id,
+                "status": STATUS_NAMES[record.status],
+                "incarnation": record.incarnation,
+                "by": record.suspected_by,
+            }
+            self.effects.append(WriteLog("member", fields))
+        self.effects.append(MemberChanged(record, known))
+
+    def _learn_of_itself(self, received: MemberRecord) -> None:
+        """Refute that this member is suspect or dead, and outdo an earlier incarnation of itself."""
+        own = self.own_record
+        if self.leaving or received.incarnation < own.incarnation:
             return
-        if told.status != ALIVE or told.incarnation > own.incarnation:
-            if told.status == SUSPECT:
-                self._worse(1)
-            self.view.put(
-                Word(self.id, self.address, told.incarnation + 1, ALIVE, own.version + 1, own.facts)
-            )
-
-    def _tell(self, facts: Facts) -> None:
-        own = self.own
-        if facts != own.facts and not self.leaving:
-            self.view.put(Word(self.id, self.address, own.incarnation, own.status, own.version + 1, facts))
-
-    def _leave(self) -> None:
-        """Told to a few at once, and by them to all: no probe has to find it out."""
-        own = self.own
-        self.leaving = True
-        self.view.put(Word(self.id, self.address, own.incarnation, LEFT, own.version, own.facts))
-        others = [one for one in self.view.living() if one.id != self.id]
-        for one in self.chance.sample(others, min(2 * HELPERS, len(others))):
-            self._send(one.address, lambda words: Ping(0, words), self.id)
+        if received.status != ALIVE or received.incarnation > own.incarnation:
+            if received.status == SUSPECT:
+                self.health.worsen(1)
+            incarnation = received.incarnation + 1
+            self.view.put(MemberRecord(self.id, self.address, incarnation, ALIVE, own.version + 1, own.facts))
 
     # ---- messages
 
-    def _heard(self, address: str, message: Message) -> None:
-        for word in message.words:
-            self._learn(word)
+    def _on_message(self, address: str, message: Message) -> None:
+        for record in message.records:
+            self._learn(record)
         if self.leaving:
             return
-        if isinstance(message, Ping):
-            self._send(address, lambda words: Ack(message.number, words), self.id)
-        elif isinstance(message, Ack):
-            self._acked(message.number)
-        elif isinstance(message, Ask):
-            self._asked(address, message)
-        elif isinstance(message, Nack):
-            probe = self.probes.get(message.number)
-            if probe is not None:
-                probe.nacks += 1
-        elif isinstance(message, Compare):
-            self._compared(address, message)
-        elif isinstance(message, Share):
-            if message.more:
-                self._share(address, message.bucket, False)
-        elif self.now >= self.next_join:
-            # Guards the net: the answer is much larger than the question, and its sender anybody.
-            self.next_join = self.now + JOIN_PAUSE
-            for bucket in range(BUCKETS):
-                self._share(address, bucket, False)
-
-    def _acked(self, number: int) -> None:
+        match message:
+            case Ping(number):
+                self._send(address, lambda records: Ack(number, records), self.id)
+            case Ack(number):
+                self._on_ack(number)
+            case PingRequest():
+                self._on_ping_request(address, message)
+            case Nack(number):
+                probe = self.probes.get(number)
+                if probe is not None:
+                    probe.nacks += 1
+            case BucketDigest():
+                self._on_digest(address, message)
+            case BucketRecords():
+                if message.reply_wanted:
+                    self._send_bucket(address, message.bucket, reply_wanted=False)
+            case Join():
+                self._on_join(address)
+
+    def _on_ack(self, number: int) -> None:
         probe = self.probes.pop(number, None)
         if probe is None:
             return
-        if probe.for_address:
-            self._send(probe.for_address, lambda words: Ack(probe.for_number, words))
+        if probe.requester:
+            self._send(probe.requester, lambda records: Ack(probe.requester_number, records))
         else:
-            self._better()
+            self.health.improve()
 
-    def _asked(self, address: str, message: Ask) -> None:
-        word = self.view.words.get(message.target)
-        if word is None or len(self.probes) >= PROBES_BOUND:
+    def _on_ping_request(self, address: str, request: PingRequest) -> None:
+        target = self.view.records.get(request.target)
+        if target is None or len(self.probes) >= MAX_PROBES:
             return
-        self.number += 1
-        probe = self.probes[self.number] = Probe(word.id, self.now + self.spans.answer, self.now)
-        probe.for_address, probe.for_number = address, message.number
-        number = self.number
-        self._send(word.address, lambda words: Ping(number, words), word.id)
-
-    def _compared(self, address: str, message: Compare) -> None:
-        if 0 <= message.bucket < BUCKETS and self.view.digests[message.bucket] != message.digest:
-            self._share(address, message.bucket, True)
-
-    def _share(self, address: str, bucket: int, more: bool) -> None:
-        """All of a bucket, in as many datagrams as it takes; the last one asks for the other's words."""
+        deadline = self.now + self.timing.ack_timeout
+        probe = Probe(target.id, deadline, self.now, requester=address, requester_number=request.number)
+        self._send_ping(target, probe)
+
+    def _on_join(self, address: str) -> None:
+        # Limited in rate, as the answer is much larger than the question, whose sender may be forged.
+        if self.now >= self.next_join:
+            self.next_join = self.now + JOIN_INTERVAL
+            for bucket in range(BUCKETS):
+                self._send_bucket(address, bucket, reply_wanted=False)
+
+    # ---- anti-entropy
+
+    def _send_digest(self) -> None:
+        others = [record for record in self.view.live_members() if record.id != self.id]
+        if others:
+            bucket = self.rng.randrange(BUCKETS)
+            digest = self.view.digests[bucket]
+            address = self.rng.choice(others).address
+            self._send(address, lambda records: BucketDigest(bucket, digest, records))
+
+    def _on_digest(self, address: str, message: BucketDigest) -> None:
+        bucket = message.bucket
+        if 0 <= bucket < BUCKETS and self.view.digests[bucket] != message.digest:
+            self._send_bucket(address, bucket, reply_wanted=True)
+
+    def _send_bucket(self, address: str, bucket: int, reply_wanted: bool) -> None:
+        """Send all records of a bucket, in as many datagrams as it takes; the last one may want a reply."""
         if not 0 <= bucket < BUCKETS:
             return
-        part: list[Word] = []
-        size = HEAD
-        for word in self.view.of_bucket(bucket):
-            cost = len(encode(word))
-            if size + cost > SIZE_BOUND:
-                self._put(address, Share(bucket, False, tuple(part)))
-                part, size = [], HEAD
-            part.append(word)
-            size += cost
-        if part or more:
-            self._put(address, Share(bucket, more, tuple(part)))
+        part: list[MemberRecord] = []
+        size = HEADER_SIZE
+        for record in self.view.bucket_records(bucket):
+            record_size = len(encode(record))
+            if size + record_size > MAX_DATAGRAM_SIZE:
+                self._send_message(address, BucketRecords(bucket, False, tuple(part)))
+                part, size = [], HEADER_SIZE
+            part.append(record)
+            size += record_size
+        if part or reply_wanted:
+            self._send_message(address, BucketRecords(bucket, reply_wanted, tuple(part)))
+
+
+def _with_status(record: MemberRecord, status: int, suspected_by: str = "") -> MemberRecord:
+    return MemberRecord(
+        record.id,
+        record.address,
+        record.incarnation,
+        status,
+        record.version,
+        record.facts,
+        suspected_by,
+    )
--- a/thistleline/membership/messages.py
+++ b/thistleline/membership/messages.py
@@ -1,86 +1,118 @@
-"""What members say to each other, a datagram each. A message with all its words fits `SIZE_BOUND`."""
+"""The datagrams that members send each other; a message with all its records fits `MAX_DATAGRAM_SIZE`.
+
+Every message carries `records` piggybacked: updates about members that are still to be spread. All structs
+are encoded as arrays, so the order of their fields is part of the protocol, and their names are not.
+"""
 
 import msgspec
 
-SIZE_BOUND = 1400  # bytes; one packet on any way
-ID_BOUND, TEXT_BOUND = 64, 64
-ALIVE, SUSPECT, DEAD, LEFT = 0, 1, 2, 3
-STATUS = ("alive", "suspect", "dead", "left")
+MAX_DATAGRAM_SIZE = 1400  # bytes; fits one packet on any network
+MAX_ID_LENGTH = 64  # characters
+MAX_TEXT_LENGTH = 64  # characters
+ALIVE, SUSPECT, DEAD, LEFT = 0, 1, 2, 3  # a greater status overrides a lesser one
+STATUS_NAMES = ("alive", "suspect", "dead", "left")
+
 
+class MemberFacts(msgspec.Struct, frozen=True, array_like=True):
+    """What a member says of itself.
 
-class Facts(msgspec.Struct, frozen=True, array_like=True):
-    """What a member runs, and a small digest of how it does."""
+    Attributes:
+        release: The release that it runs.
+        settings: Number of the settings that it runs with.
+        zone: Where it is.
+        started_wall_ms: Wall clock time of its start, for people to read and for telling which are cold.
+        warm: Whether it has warmed up.
+        accepting: Whether it accepts work.
+        figures: Counters, as agreed with the part that reads them; 8 at most.
+        utility: Of the work that arrived and of what was finished in time, thousandths.
+    """
 
     release: str = ""
-    settings: int = 0  # number
+    settings: int = 0
     zone: str = ""
-    born: int = 0  # wall ms of its start, for people and for telling the cold
+    started_wall_ms: int = 0
     warm: bool = False
-    taking: bool = True
-    figures: tuple[int, ...] = ()  # as the part that reads them has agreed, 8 at most
-    worth: tuple[int, int] = (0, 0)  # of what came and of what was finished in time, thousandths of utility
+    accepting: bool = True
+    figures: tuple[int, ...] = ()
+    utility: tuple[int, int] = (0, 0)
+
+
+class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
+    """What one member knows of another.
 
+    Of two records the one with the greater incarnation is right; within an incarnation the graver status and
+    the facts of the greater version are.
 
-class Word(msgspec.Struct, frozen=True, array_like=True):
-    """What somebody knows of a member. Of two the greater incarnation is right; of the same one the graver
-    status, and the newer facts by their version."""
+    Attributes:
+        id: The member's id.
+        address: Where it listens.
+        incarnation: Raised by the member itself, to refute a suspicion or as it starts anew.
+        status: ALIVE, SUSPECT, DEAD or LEFT.
+        version: Counts the changes of its facts.
+        facts: What it says of itself.
+        suspected_by: Id of the member that suspects it, if any.
+    """
 
     id: str
     address: str
     incarnation: int
-    status: int  # place in STATUS
+    status: int
     version: int
-    facts: Facts
-    by: str = ""  # who suspects it
+    facts: MemberFacts
+    suspected_by: str = ""
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    number: int  # of the sender
-    words: tuple[Word, ...]
+    """Asks the receiver for an Ack of the same number; 0 if none is expected."""
+
+    number: int
+    records: tuple[MemberRecord, ...]
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    number: int  # of the ping that is answered
-    words: tuple[Word, ...]
+    """Answers the Ping of this number."""
+
+    number: int
+    records: tuple[MemberRecord, ...]
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Asks the receiver to ping `target`, and to hand its answer on."""
+class PingRequest(msgspec.Struct, frozen=True, array_like=True, tag=3):
+    """Asks the receiver to ping `target` and to pass its Ack on (SWIM's indirect probe, ping-req)."""
 
     number: int
     target: str
-    words: tuple[Word, ...]
+    records: tuple[MemberRecord, ...]
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """Of one that was asked to ping another: it lives, the other has not answered yet."""
+    """Answers a PingRequest: the helper is alive, its target has not answered yet (Lifeguard)."""
 
     number: int
-    words: tuple[Word, ...]
+    records: tuple[MemberRecord, ...]
 
 
-class Compare(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """A digest of what the sender knows of the members in one bucket, by their ids."""
+class BucketDigest(msgspec.Struct, frozen=True, array_like=True, tag=5):
+    """Anti-entropy: a digest of what the sender knows of the members in one bucket."""
 
     bucket: int
     digest: int
-    words: tuple[Word, ...]
+    records: tuple[MemberRecord, ...]
 
 
-class Share(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Some of a bucket. `more`: the receiver is to say in turn what it knows newer."""
+class BucketRecords(msgspec.Struct, frozen=True, array_like=True, tag=6):
+    """Anti-entropy: records of a bucket; with `reply_wanted` the receiver sends its own in turn."""
 
     bucket: int
-    more: bool
-    words: tuple[Word, ...]
+    reply_wanted: bool
+    records: tuple[MemberRecord, ...]
 
 
 class Join(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Of one that knows nobody; answered with Shares of all buckets."""
+    """Of a member that knows no other; answered with BucketRecords of all buckets."""
 
-    words: tuple[Word, ...]
+    records: tuple[MemberRecord, ...]
 
 
-Message = Ping | Ack | Ask | Nack | Compare | Share | Join
+Message = Ping | Ack | PingRequest | Nack | BucketDigest | BucketRecords | Join
 encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(Message).decode
--- a/thistleline/membership/service.py
+++ b/thistleline/membership/service.py
@@ -1,103 +1,134 @@
-"""A member as a program, or as a part of one: its datagrams and its clock around the gossip."""
+"""A member as a program, or as a part of one: a UDP socket and a clock around the gossip state machine."""
 
 import os
 import signal
 from collections.abc import Callable
 from contextlib import suppress
 from random import Random
-from typing import Any
 
 import anyio
 import msgspec
 from anyio.abc import UDPSocket
 
 from thistleline.config.schema import Members
-from thistleline.membership.gossip import Gossip, Spans
-from thistleline.membership.messages import Facts, Message, Word, decode, encode
+from thistleline.membership.effects import GossipEffect, SendMessage, WriteLog
+from thistleline.membership.events import DeadlineReached, LeaveRequested, MessageReceived
+from thistleline.membership.gossip import Gossip, GossipTiming
+from thistleline.membership.messages import (
+    BucketRecords,
+    Join,
+    MemberFacts,
+    MemberRecord,
+    Message,
+    decode,
+    encode,
+)
 from thistleline.store.clock import boot_now, wall_ms
-from thistleline.transport.address import parse_address
+from thistleline.transport.address import Address, format_address, parse_address
 
-STANDSTILL = 200_000_000  # ns; after one as long all that lies unread is read first
-READ_FIRST = 8  # turns of the loop
+STALL = 200_000_000  # ns; after a longer one the datagrams that wait are read before the clock is heeded
+READ_TURNS = 8  # of the event loop, to read them
+LEAVE_TIMEOUT = 1.0  # s
 
 
 class MemberService:
-    def __init__(self, conf: Members, facts: Facts, log: Callable[..., None]) -> None:
-        """`log` hears of each change."""
-        self.conf, self.log = conf, log
-        self.chance = Random(os.urandom(8))
-        seeds = tuple(text_of(address) for address in conf.seed.values())
-        spans = Spans(conf.period, conf.period * 3 // 10)
+    """Runs one member."""
+
+    def __init__(self, config: Members, facts: MemberFacts, log: Callable[..., None]) -> None:
+        """Describe the member; `run` opens its socket.
+
+        Args:
+            config: Its name, address, seeds and period.
+            facts: What it says of itself at first.
+            log: Called with an event and its fields.
+        """
+        self.config = config
+        self.log = log
+        self.rng = Random(os.urandom(8))
         self.gossip = Gossip(
-            conf.name, text_of(conf.listen), wall_ms(), facts, seeds, boot_now(), spans, self.chance
+            id=config.name,
+            address=format_address(config.listen),
+            incarnation=wall_ms(),
+            facts=facts,
+            seeds=tuple(format_address(address) for address in config.seed.values()),
+            now=boot_now(),
+            timing=GossipTiming(period=config.period, ack_timeout=config.period * 3 // 10),
+            rng=self.rng,
         )
-        self.heard: list[tuple[str, Message]] = []
+        self.received: list[MessageReceived] = []
         self.woken = anyio.Event()
         self.socket: UDPSocket | None = None
 
-    def words(self) -> list[Word]:
-        return list(self.gossip.view.words.values())
+    def records(self) -> list[MemberRecord]:
+        """Return what is known of all members."""
+        return list(self.gossip.view.records.values())
 
     async def run(self) -> None:
-        """Until it is cancelled; then it leaves aloud. Raises OSError where it can't listen."""
-        socket = await anyio.create_udp_socket(local_host=self.conf.listen[0], local_port=self.conf.listen[1])
+        """Run until cancelled, then tell others that this member leaves.
+
+        Raises:
+            OSError: The address can't be listened on.
+        """
+        host, port = self.config.listen
+        socket = await anyio.create_udp_socket(local_host=host, local_port=port)
         async with socket, anyio.create_task_group() as group:
             self.socket = socket
             group.start_soon(self._read, socket)
-            self.log("started", id=self.conf.name, listen=text_of(self.conf.listen))
+            self.log("started", id=self.config.name, listen=format_address(self.config.listen))
             try:
-                await self._pump(socket)
+                await self._run_gossip(socket)
             finally:
-                with anyio.CancelScope(shield=True), anyio.move_on_after(1.0):
-                    await self._carry_out(socket, self.gossip.take(boot_now(), "leave"))
-                    self.log("left", id=self.conf.name)
+                with anyio.CancelScope(shield=True), anyio.move_on_after(LEAVE_TIMEOUT):
+                    await self._carry_out(socket, self.gossip.handle(boot_now(), LeaveRequested()))
+                    self.log("left", id=self.config.name)
 
     async def _read(self, socket: UDPSocket) -> None:
-        async for data, (host, port) in socket:
-            # Whatever comes from strangers is no message, and nothing ends by it.
+        async for data, sender in socket:
+            # A datagram of a stranger may be anything; what is no message is ignored.
             with suppress(msgspec.MsgspecError):
-                self.heard.append((text_of((host, port)), decode(data)))
+                self.received.append(MessageReceived(format_address(sender), decode(data)))
                 self.woken.set()
 
-    async def _pump(self, socket: UDPSocket) -> None:
-        seen = boot_now()
+    async def _run_gossip(self, socket: UDPSocket) -> None:
+        last_turn = boot_now()
         while True:
-            if not self.heard:
-                self.woken = anyio.Event()
-                with anyio.move_on_after(max(0.0, (self.gossip.due() - boot_now()) / 1e9)):
-                    await self.woken.wait()
-            turns = READ_FIRST if boot_now() - seen > STANDSTILL + self.conf.period else 1
-            for _ in range(turns):
+            await self._wait()
+            stalled = boot_now() - last_turn > STALL + self.config.period
+            for _ in range(READ_TURNS if stalled else 1):
                 await anyio.lowlevel.checkpoint()
-            seen = now = boot_now()
-            heard, self.heard = self.heard, []
-            effects: list[tuple[Any, ...]] = []
-            for address, message in heard:
-                effects += self.gossip.take(now, "heard", address, message)
-            if self.gossip.due() <= boot_now():
-                effects += self.gossip.take(boot_now(), "elapsed")
+            last_turn = now = boot_now()
+            received, self.received = self.received, []
+            effects: list[GossipEffect] = []
+            for event in received:
+                effects += self.gossip.handle(now, event)
+            if self.gossip.next_deadline() <= boot_now():
+                effects += self.gossip.handle(boot_now(), DeadlineReached())
             await self._carry_out(socket, effects)
 
-    async def _carry_out(self, socket: UDPSocket, effects: list[tuple[Any, ...]]) -> None:
-        for effect in effects:
-            if effect[0] == "send":
-                # No way there just now, or no such address: as if it was lost.
-                with suppress(OSError, ValueError):
-                    await socket.sendto(encode(effect[2]), *parse_address(effect[1]))
-            elif effect[0] == "log":
-                self.log(effect[1], **effect[2])
-
+    async def _wait(self) -> None:
+        """Wait for a datagram or the next deadline."""
+        if self.received:
+            return
+        self.woken = anyio.Event()
+        with anyio.move_on_after(max(0.0, (self.gossip.next_deadline() - boot_now()) / 1e9)):
+            await self.woken.wait()
 
-def text_of(address: tuple[Any, ...]) -> str:
-    host, port = address[0], address[1]
-    return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
+    async def _carry_out(self, socket: UDPSocket, effects: list[GossipEffect]) -> None:
+        for effect in effects:
+            match effect:
+                case SendMessage(address, message):
+                    # An unreachable or invalid address counts as a lost datagram.
+                    with suppress(OSError, ValueError):
+                        await socket.sendto(encode(message), *parse_address(address))
+                case WriteLog(event, fields):
+                    self.log(event, **fields)
 
 
-def run(conf: Members, facts: Facts, log: Callable[..., None]) -> None:
-    """A member alone, in the foreground, until SIGTERM or SIGINT."""
+def run(config: Members, facts: MemberFacts, log: Callable[..., None]) -> None:
+    """Run a member by itself, in the foreground, until SIGTERM or SIGINT."""
 
     async def main() -> None:
-        service = MemberService(conf, facts, log)
+        service = MemberService(config, facts, log)
         async with anyio.create_task_group() as group:
             group.start_soon(service.run)
             with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
@@ -107,16 +138,14 @@
     anyio.run(main)
 
 
-async def ask(address: tuple[str, int], span: float) -> list[Word]:
-    """All that the member at this address knows; what came within the span."""
-    from thistleline.membership.messages import Join, Share
-
-    found: dict[str, Word] = {}
+async def fetch_records(address: Address, timeout: float) -> list[MemberRecord]:
+    """Return what the member at this address knows of all, as far as it arrives within `timeout` seconds."""
+    found: dict[str, MemberRecord] = {}
     async with await anyio.create_connected_udp_socket(*address) as socket:
-        with anyio.move_on_after(span), suppress(OSError):
+        with anyio.move_on_after(timeout), suppress(OSError):
             await socket.send(encode(Join(())))
             while True:
-                message = decode(await socket.receive())
-                if isinstance(message, Share):
-                    found |= {word.id: word for word in message.words}
-    return sorted(found.values(), key=lambda word: word.id)
+                message: Message = decode(await socket.receive())
+                if isinstance(message, BucketRecords):
+                    found |= {record.id: record for record in message.records}
+    return sorted(found.values(), key=lambda record: record.id)
--- a/thistleline/membership/view.py
+++ b/thistleline/membership/view.py
@@ -1,121 +1,166 @@
-"""What one member knows of all: words by id, and which of them are still to be spread. No I/O, no clock."""
+"""What one member knows of all: records by id, and which of them are still to be spread.
+
+No I/O and no clock.
+"""
 
 from hashlib import blake2b
 
-from thistleline.membership.messages import DEAD, ID_BOUND, LEFT, TEXT_BOUND, Word, encode
+from thistleline.membership.messages import (
+    DEAD,
+    LEFT,
+    MAX_ID_LENGTH,
+    MAX_TEXT_LENGTH,
+    MemberRecord,
+    encode,
+)
 
-MEMBERS_BOUND = 10_000
-BUCKETS = 64
+MAX_MEMBERS = 10_000
+MAX_FIGURES = 8
+BUCKETS = 64  # into which members are divided for anti-entropy
 
 
 def bucket_of(id: str) -> int:
+    """Return the bucket of a member; the same at every member."""
     return blake2b(id.encode(), digest_size=1).digest()[0] % BUCKETS
 
 
-def sane(word: Word) -> bool:
-    """Guards against what a stranger says: lengths that no member has."""
-    facts = word.facts
+def is_valid(record: MemberRecord) -> bool:
+    """Return whether a received record has only lengths and values that a member can have."""
+    facts = record.facts
     return (
-        0 < len(word.id) <= ID_BOUND
-        and len(word.address) <= TEXT_BOUND
-        and len(word.by) <= ID_BOUND
-        and len(facts.release) <= TEXT_BOUND
-        and len(facts.zone) <= TEXT_BOUND
-        and len(facts.figures) <= 8
-        and word.incarnation >= 0
-        and 0 <= word.status <= LEFT
+        0 < len(record.id) <= MAX_ID_LENGTH
+        and len(record.address) <= MAX_TEXT_LENGTH
+        and len(record.suspected_by) <= MAX_ID_LENGTH
+        and len(facts.release) <= MAX_TEXT_LENGTH
+        and len(facts.zone) <= MAX_TEXT_LENGTH
+        and len(facts.figures) <= MAX_FIGURES
+        and record.incarnation >= 0
+        and 0 <= record.status <= LEFT
     )
 
 
-def merged(known: Word, told: Word) -> Word:
-    """What both together say; `known` itself where `told` says nothing new."""
-    if told.incarnation != known.incarnation:
-        return told if told.incarnation > known.incarnation else known
-    if told.status <= known.status and told.version <= known.version:
+def merge_records(known: MemberRecord, received: MemberRecord) -> MemberRecord:
+    """Return what both together say; `known` itself where `received` says nothing new.
+
+    The result depends on neither the order nor the number of merges (it is a join of a semilattice).
+    """
+    if received.incarnation != known.incarnation:
+        return received if received.incarnation > known.incarnation else known
+    if received.status <= known.status and received.version <= known.version:
         return known
-    newer = told if told.version > known.version else known
-    graver = told if told.status > known.status else known
-    rest = (newer.version, newer.facts, graver.by)
-    return Word(known.id, newer.address, known.incarnation, graver.status, *rest)
+    newer = received if received.version > known.version else known
+    graver = received if received.status > known.status else known
+    return MemberRecord(
+        id=known.id,
+        address=newer.address,
+        incarnation=known.incarnation,
+        status=graver.status,
+        version=newer.version,
+        facts=newer.facts,
+        suspected_by=graver.suspected_by,
+    )
+
 
+class MembershipView:
+    """The records of all members, with a digest of each bucket and a queue of updates to spread.
 
-class View:
-    __slots__ = ("buckets", "digests", "levels", "sent", "words")
+    Attributes:
+        records: By member id, the member's own among them.
+        buckets: Ids of the members in each bucket.
+        digests: Of each bucket: the exclusive or of its records' digests.
+        transmits: How often an update that is still to be spread was sent, by id.
+        by_transmits: The same ids by that count; in each the oldest update first.
+    """
+
+    __slots__ = ("buckets", "by_transmits", "digests", "records", "transmits")
 
     def __init__(self) -> None:
-        self.words: dict[str, Word] = {}
+        """Start without members."""
+        self.records: dict[str, MemberRecord] = {}
         self.buckets: list[set[str]] = [set() for _ in range(BUCKETS)]
-        self.digests = [0] * BUCKETS  # xor over the words of a bucket
-        self.sent: dict[str, int] = {}  # how often a word that is new was sent on,
-        self.levels: list[dict[str, None]] = [{}]  # and which were sent so often, the oldest first
-
-    def put(self, word: Word) -> None:
-        known = self.words.get(word.id)
-        bucket = bucket_of(word.id)
+        self.digests = [0] * BUCKETS
+        self.transmits: dict[str, int] = {}
+        self.by_transmits: list[dict[str, None]] = [{}]
+
+    def put(self, record: MemberRecord) -> None:
+        """Add a record or replace the one of the same id; it is then to be spread."""
+        known = self.records.get(record.id)
+        bucket = bucket_of(record.id)
         if known is not None:
             self.digests[bucket] ^= _digest(known)
-        self.words[word.id] = word
-        self.buckets[bucket].add(word.id)
-        self.digests[bucket] ^= _digest(word)
-        self.anew(word.id)
-
-    def drop(self, id: str) -> None:
-        word = self.words.pop(id)
+        self.records[record.id] = record
+        self.buckets[bucket].add(record.id)
+        self.digests[bucket] ^= _digest(record)
+        self.spread(record.id)
+
+    def remove(self, id: str) -> None:
+        """Forget a member."""
+        record = self.records.pop(id)
         bucket = bucket_of(id)
-        self.digests[bucket] ^= _digest(word)
+        self.digests[bucket] ^= _digest(record)
         self.buckets[bucket].discard(id)
-        self._sent_enough(id)
+        self.stop_spreading(id)
 
-    def anew(self, id: str) -> None:
-        """This word is to be spread from the beginning."""
-        self._sent_enough(id)
-        self.sent[id] = 0
-        self.levels[0][id] = None
+    def spread(self, id: str) -> None:
+        """Spread this member's record from the beginning."""
+        self.stop_spreading(id)
+        self.transmits[id] = 0
+        self.by_transmits[0][id] = None
 
-    def _sent_enough(self, id: str) -> None:
-        count = self.sent.pop(id, None)
+    def stop_spreading(self, id: str) -> None:
+        """Spread this member's record no more, if it was to be spread."""
+        count = self.transmits.pop(id, None)
         if count is not None:
-            del self.levels[count][id]
-
-    def news(self, size: int, often: int, first: str = "") -> list[Word]:
-        """Words that were sent on least, so many bytes of them, each so `often` in all; `first` before all,
-        new or not."""
-        found: list[Word] = []
-        if first in self.words:
-            found.append(self.words[first])
-            size -= len(encode(found[0]))
-        going: list[tuple[str, int]] = []
-        for count, level in enumerate(self.levels):
-            for id in level:
-                cost = len(encode(self.words[id]))
-                if size < cost:
-                    break
-                size -= cost
-                going.append((id, count))
-                if id != first:
-                    found.append(self.words[id])
-            else:
-                continue
-            break
-        for id, count in going:
-            self._sent_enough(id)
-            if count + 1 < often:
-                while len(self.levels) <= count + 1:
-                    self.levels.append({})
-                self.sent[id] = count + 1
-                self.levels[count + 1][id] = None
-        return found
-
-    def of_bucket(self, bucket: int) -> list[Word]:
-        return [self.words[id] for id in sorted(self.buckets[bucket])]
-
-    def living(self) -> list[Word]:
-        return [word for word in self.words.values() if word.status < DEAD]
-
-    def gone(self) -> list[Word]:
-        return [word for word in self.words.values() if word.status >= DEAD]
-
-
-def _digest(word: Word) -> int:
-    told = f"{word.id} {word.incarnation} {word.status} {word.version}".encode()
-    return int.from_bytes(blake2b(told, digest_size=8).digest(), "big")
+            del self.by_transmits[count][id]
+
+    def select_updates(self, max_size: int, max_transmits: int, first: str = "") -> list[MemberRecord]:
+        """Return the updates to piggyback on the next message, those that were sent least first.
+
+        Args:
+            max_size: Bytes that the records may take together.
+            max_transmits: After so many times an update is spread no more.
+            first: Id of a member whose record comes first, whether or not it is new.
+        """
+        selected: list[MemberRecord] = []
+        if first in self.records:
+            selected.append(self.records[first])
+            max_size -= len(encode(selected[0]))
+        sent = self._select_queued(max_size)
+        selected += [self.records[id] for id, _ in sent if id != first]
+        for id, count in sent:
+            self.stop_spreading(id)
+            if count + 1 < max_transmits:
+                while len(self.by_transmits) <= count + 1:
+                    self.by_transmits.append({})
+                self.transmits[id] = count + 1
+                self.by_transmits[count + 1][id] = None
+        return selected
+
+    def _select_queued(self, max_size: int) -> list[tuple[str, int]]:
+        """Return the ids and counts of the updates that fit, up to the first that does not."""
+        selected: list[tuple[str, int]] = []
+        for count, ids in enumerate(self.by_transmits):
+            for id in ids:
+                size = len(encode(self.records[id]))
+                if max_size < size:
+                    return selected
+                max_size -= size
+                selected.append((id, count))
+        return selected
+
+    def bucket_records(self, bucket: int) -> list[MemberRecord]:
+        """Return the records of a bucket, by id."""
+        return [self.records[id] for id in sorted(self.buckets[bucket])]
+
+    def live_members(self) -> list[MemberRecord]:
+        """Return the records of members that are alive or suspect."""
+        return [record for record in self.records.values() if record.status < DEAD]
+
+    def dead_members(self) -> list[MemberRecord]:
+        """Return the records of members that are dead or have left."""
+        return [record for record in self.records.values() if record.status >= DEAD]
+
+
+def _digest(record: MemberRecord) -> int:
+    text = f"{record.id} {record.incarnation} {record.status} {record.version}"
+    return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
--- a/thistleline/rollout/service.py
+++ b/thistleline/rollout/service.py
@@ -11,7 +11,7 @@
 from thistleline.lease.errors import LeaseLostError, LeaseRefusedError
 from thistleline.lease.protocol import Denied, Done, Get, Got, Put, Unavailable
 from thistleline.lease.session import HeldLease, lease
-from thistleline.membership.messages import ALIVE, DEAD, Facts
+from thistleline.membership.messages import ALIVE, DEAD, MemberFacts
 from thistleline.membership.service import MemberService
 from thistleline.rollout.controller import Conducting, Spans
 from thistleline.rollout.record import KEY, LEASE, ORDER_KEY, Order, Roll, Seen
@@ -71,7 +71,7 @@
         self.length = told.lease / 1e9
         self.conf, self.log = conf, log
         self.name = conf.members.name
-        self.member = MemberService(conf.members, Facts("conductor", 0, "", wall_ms()), log)
+        self.member = MemberService(conf.members, MemberFacts("conductor", 0, "", wall_ms()), log)
 
     async def run(self) -> None:
         """Until it is cancelled. Raises OSError where it can't listen."""
@@ -131,12 +131,12 @@
     def seen(self) -> list[Seen]:
         """Servers; whoever says that it runs none, and never did, is none."""
         found = []
-        for word in self.member.words():
+        for word in self.member.records():
             facts = word.facts
             if word.id != self.name and facts.release != "conductor":
-                alive = word.status < DEAD and (word.status == ALIVE or facts.taking)
+                alive = word.status < DEAD and (word.status == ALIVE or facts.accepting)
                 found.append(
-                    Seen(word.id, facts.zone, alive, facts.release, facts.settings, facts.taking and alive,
-                         facts.warm, facts.figures, facts.worth)
+                    Seen(word.id, facts.zone, alive, facts.release, facts.settings, facts.accepting and alive,
+                         facts.warm, facts.figures, facts.utility)
                 )  # fmt: skip
         return found
--- a/thistleline/supervisor/service.py
+++ b/thistleline/supervisor/service.py
@@ -18,7 +18,9 @@
 from thistleline.handover.serving import read_owner
 from thistleline.lease.client import LeaseClient
 from thistleline.lease.protocol import Get, Got
-from thistleline.membership.messages import Facts
+from thistleline.membership.effects import WriteLog
+from thistleline.membership.events import FactsChanged
+from thistleline.membership.messages import MemberFacts
 from thistleline.membership.service import MemberService
 from thistleline.store.clock import boot_now, wall_ms
 from thistleline.store.latest import LatestValueStore
@@ -66,7 +68,7 @@
         self.keeping = Keeping(conf.steward.stop, boot_now(), self.handover is not None)
         self.name = conf.members.name
         self.born = wall_ms()
-        self.member = MemberService(conf.members, Facts("", 0, conf.members.zone, self.born), log)
+        self.member = MemberService(conf.members, MemberFacts("", 0, conf.members.zone, self.born), log)
         self.pids: dict[int, int] = {}  # of lives that run
         self.up_at = 0
         self.told_life = 0  # whose figures these are
@@ -345,19 +347,19 @@
         up = keeping.serves and keeping.state.life in self.pids
         known = self.told_life == keeping.state.life
         figures = (*self.figures, self.memory) if known else (0,) * (len(FIGURES) + 1)
-        facts = Facts(
+        facts = MemberFacts(
             running.release if up else "",
             running.settings if up else 0,
-            self.member.conf.zone,
+            self.member.config.zone,
             self.born,
             up and boot_now() - self.up_at >= self.conf.warm,
             up,
             (*figures, keeping.crashed_in_all, keeping.state.life),
             self.worth if known else (0, 0),
         )
-        for effect in self.member.gossip.take(boot_now(), "tell", facts):
-            if effect[0] == "log":
-                self.log(effect[1], **effect[2])
+        for effect in self.member.gossip.handle(boot_now(), FactsChanged(facts)):
+            if isinstance(effect, WriteLog):
+                self.log(effect.event, **effect.fields)
 
 
 def run(conf: Conf, log: Callable[..., None]) -> None:
--- a/thistleline/transport/address.py
+++ b/thistleline/transport/address.py
@@ -27,3 +27,9 @@
     if not 0 < port <= MAX_PORT:
         raise ValueError(f"{text!r} has no port from 1 to 65535")
     return str(ip), port
+
+
+def format_address(address: Address) -> str:
+    """Return the text of an address, as `parse_address` reads it."""
+    host, port = address
+    return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
