--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -15,8 +15,8 @@
 from thistleline.supervisor.decisions import Keeping, Want
 from thistleline.supervisor.releases import Releases
 from thistleline.supervisor.service import POLL
-from thistleline.zones.decision import Deciding
-from thistleline.zones.status import Pictures
+from thistleline.zones.decision import ZoneDecider
+from thistleline.zones.status import FleetStatusTracker
 
 SIZES = [30, 60, 120, 300]
 
@@ -200,26 +200,26 @@
 
 
 def test_a_decision_that_compares_stages_with_each_other_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    had = Deciding._fit
+    had = ZoneDecider._limit_receivers
 
-    def each(self: Deciding, picture: Any, demand: Any, away: Any) -> None:
+    def each(self: ZoneDecider, picture: Any, demand: Any, away: Any) -> None:
         for _ in picture.demand:
             sum(picture.demand.values()) + sum(1 for _ in picture.demand)
         had(self, picture, demand, away)
 
-    monkeypatch.setattr(Deciding, "_fit", each)
+    monkeypatch.setattr(ZoneDecider, "_limit_receivers", each)
     assert of(CALM, [3, 10, 30, 60], lambda n: control.decided(54, n).decide) == [f"{CALM}: linear"]
 
 
 def test_a_picture_that_passes_over_all_reports_for_each_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    had = Pictures._zone
+    had = FleetStatusTracker._zone_status
 
-    def each(self: Pictures, name: str, here: Any, believed: Any) -> Any:
+    def each(self: FleetStatusTracker, name: str, here: Any, believed: Any) -> Any:
         for _ in believed:
             sum(1 for _ in self.reports)
         return had(self, name, here, believed)
 
-    monkeypatch.setattr(Pictures, "_zone", each)
+    monkeypatch.setattr(FleetStatusTracker, "_zone_status", each)
     what = "decider: steps of a picture by instance"
     assert of(what, SIZES, lambda n: control.decided(n, 2).picture) == [f"{what}: linear"]
 
--- a/thistleline/lab/scale/control.py
+++ b/thistleline/lab/scale/control.py
@@ -51,8 +51,9 @@
 from thistleline.supervisor.releases import RUN, Releases
 from thistleline.supervisor.service import POLL, StewardService, want_key
 from thistleline.transport.codec import encode_frame
-from thistleline.zones.decision import Deciding, Rules, Table
-from thistleline.zones.status import FRESH_SPAN, Pictures, Report
+from thistleline.zones.decision import ZoneDecider
+from thistleline.zones.routing import RoutingRules, RoutingTable
+from thistleline.zones.status import REPORT_TTL, FleetStatusTracker, ServerReport
 
 NAME = "control"
 DIGESTS = ["5f" * 32, "a0" * 32]
@@ -382,18 +383,18 @@
 
     def __init__(self, instances: int, zones: int, stages: int, lost: bool = False) -> None:
         self.names = [f"z{place:02}" for place in range(zones)]
-        self.pictures = Pictures(self.names)
+        self.pictures = FleetStatusTracker(self.names)
         self.now, self.turn = SECOND, 0
         self.reports = [(f"i{place:05}", self.names[place % zones]) for place in range(instances)]
         self.stages = stages
         self.report()
         price = {(one, other): 1.0 + abs(at - to) / 100 for at, one in enumerate(self.names)
                  for to, other in enumerate(self.names) if at != to}  # fmt: skip
-        self.rules = Rules(price, {stage: 1.0 + stage for stage in range(stages)})
-        self.deciding = Deciding(self.rules, Table())
+        self.rules = RoutingRules(price, {stage: 1.0 + stage for stage in range(stages)})
+        self.deciding = ZoneDecider(self.rules, RoutingTable())
         self.deciding.decide(self.picture())
         if lost:
-            self.now += 2 * FRESH_SPAN
+            self.now += 2 * REPORT_TTL
             self.report(self.names[0])
         self.known = self.picture()
 
@@ -402,14 +403,14 @@
         for id, zone in self.reports:
             if zone != without:
                 came = tuple((zone, stage, 6.0 / self.stages) for stage in range(self.stages))
-                self.pictures.take(Report(id, zone, self.now, 10.0, self.turn, 1.0, came))
+                self.pictures.add_report(ServerReport(id, zone, self.now, 10.0, self.turn, 1.0, came))
 
     def picture(self) -> Any:
-        return self.pictures.picture(self.now)
+        return self.pictures.status(self.now)
 
-    def decide(self) -> Table:
+    def decide(self) -> RoutingTable:
         """The same each time: of the table that holds before."""
-        return Deciding(self.rules, self.deciding.table).decide(self.known)
+        return ZoneDecider(self.rules, self.deciding.table).decide(self.known)
 
 
 # ---- what is measured
--- a/thistleline/lab/zones.py
+++ b/thistleline/lab/zones.py
@@ -12,8 +12,9 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from thistleline.zones.decision import Deciding, Rules, Table
-from thistleline.zones.status import SECOND, Look, Pictures, Report
+from thistleline.zones.decision import ZoneDecider
+from thistleline.zones.routing import RoutingRules, RoutingTable
+from thistleline.zones.status import SECOND, FleetStatusTracker, ServerReport, StatusObservation
 
 WORTH = {0: 1.0, 1: 3.0}  # stages: lookups, bookings
 EVERY = 2  # steps between two decisions
@@ -53,10 +54,10 @@
             + abs(self.names.index(one) - self.names.index(other)) / 100
             for one in self.names for other in self.names if one != other
         }  # fmt: skip
-        self.rules = Rules(price, WORTH)
+        self.rules = RoutingRules(price, WORTH)
         self.finished = dict.fromkeys((f"{name}.{k}" for name in self.names for k in range(servers)), 0)
-        self.table = Table()
-        self.tables: list[tuple[int, Table]] = [(0, self.table)]
+        self.table = RoutingTable()
+        self.tables: list[tuple[int, RoutingTable]] = [(0, self.table)]
 
     def acting(self, step: int, zone: str) -> set[str]:
         return {one.what for one in self.faults if one.acts(step) and one.zone in (zone, "")}
@@ -89,7 +90,7 @@
             stays = 1.0
             parts: dict[str, float] = {}
             for table, weight in ((newest, follow), (before, 1 - follow)):
-                for to, part in table.away(origin, stage).items():
+                for to, part in table.shares_from(origin, stage).items():
                     parts[to] = parts.get(to, 0.0) + weight * part
             for to, part in parts.items():
                 found[to][origin, stage] = found[to].get((origin, stage), 0.0) + part * work
@@ -125,7 +126,7 @@
     places = []
     for key in demand:
         for to in fleet.names:
-            if to == key[0] or (key[0], to) in fleet.rules.price:
+            if to == key[0] or (key[0], to) in fleet.rules.cost:
                 places.append((key, to))
     infinite = highspy.kHighsInf
     for key, _ in places:
@@ -155,7 +156,7 @@
     zones: int, servers: int, load: float, faults: tuple[Fault, ...], seed: int, steps: int = 180
 ) -> Played:
     fleet = Fleet(zones, servers, load, faults, seed)
-    pictures, deciding = Pictures(fleet.names), Deciding(fleet.rules, Table())
+    pictures, deciding = FleetStatusTracker(fleet.names), ZoneDecider(fleet.rules, RoutingTable())
     sums: Counter[str] = Counter()
     toppled = overload = longest = 0
     work_near = work_all = 0.0
@@ -184,7 +185,7 @@
             sums["spread"] += round(1000 * worth_of(served(room[name], spread)))
         report(fleet, pictures, step, room, offered)
         if step % EVERY == 0:
-            table = deciding.decide(pictures.picture(step * SECOND))
+            table = deciding.decide(pictures.status(step * SECOND))
             if table.number != fleet.table.number:
                 fleet.table = table
                 fleet.tables.append((step, table))
@@ -202,7 +203,7 @@
 
 def report(
     fleet: Fleet,
-    pictures: Pictures,
+    pictures: FleetStatusTracker,
     step: int,
     room: dict[str, float],
     offered: dict[str, dict[tuple[str, int], float]],
@@ -224,10 +225,14 @@
                 if "stuck" not in what or place != 0:
                     fleet.finished[id] += 1 + int(good * whole / count)
                 came = tuple((origin, stage, work / count) for (origin, stage), work in offered[name].items())
-                pictures.take(Report(id, name, step * SECOND, capacity, fleet.finished[id], inside, came))
+                pictures.add_report(
+                    ServerReport(id, name, step * SECOND, capacity, fleet.finished[id], inside, came)
+                )
         for other in fleet.names:
             if other != name:
-                pictures.look(Look(other, name, 100, round(100 * (good if "grey" in what else 1.0))))
+                pictures.add_observation(
+                    StatusObservation(other, name, 100, round(100 * (good if "grey" in what else 1.0)))
+                )
 
 
 KINDS = ("lost", "half", "sick", "grey", "liar", "stuck", "burst", "common", "flaps")
--- a/thistleline/zones/__init__.py
+++ b/thistleline/zones/__init__.py
@@ -1,1 +1,1 @@
-"""Where the fleet's traffic goes, decided once for all: the picture of zones, the table of shares."""
+"""Routing of traffic between zones: the status of each zone, and a table of the traffic shares that move."""
--- a/thistleline/zones/status.py
+++ b/thistleline/zones/status.py
@@ -1,128 +1,161 @@
-"""What is known of each zone, summed up from what its servers and others say: bounded, and robust to those
-that lie or are stuck. No I/O, no clock.
+"""The status of each zone, aggregated from reports of its servers and observations of others.
 
-Work is counted in cores: core-seconds a second. Of a figure's middle more is held than of its ends: a server
-that reports endless room gets little over the median's, one that says the same while others move gets none.
+Bounded in memory, robust to servers that report wrong or unchanging figures; no I/O and no clock. Medians
+limit what one server can claim: one that reports an endless capacity counts little more than the median's,
+and one whose counters stand still while others of its zone move does not count at all.
+
+Work is counted in cores: core-seconds a second.
 """
 
 from collections.abc import Iterable
 from statistics import median
 from typing import NamedTuple
 
-SECOND = 1_000_000_000
-FRESH_SPAN = 10 * SECOND  # a report is believed for so long
-STUCK_SPAN = 10 * SECOND  # a count that stands still for so long, while its zone's others move, is stuck
-KEEP_SPAN = 600 * SECOND  # so long what came to a zone that is lost is still taken to come
-LIAR = 1.5  # times the median of its zone; what is said beyond is cut off there
-OBSERVERS_LEAST = 2  # zones that have to see a zone ill, before that counts against its own word
-LOOKS_LEAST = 20  # tries that an observer has to have seen
-SERVERS_BOUND = 10_000
+SECOND = 1_000_000_000  # ns
+REPORT_TTL = 10 * SECOND  # for so long a report counts
+STUCK_TIMEOUT = 10 * SECOND  # a counter that stands still so long, while its zone's others move, is stuck
+DEMAND_TTL = 600 * SECOND  # for so long the demand of a lost zone is still assumed
+MAX_CAPACITY_FACTOR = 1.5  # times the median of its zone; what a server reports beyond is cut off
+MIN_OBSERVERS = 2  # zones that have to see a zone as unhealthy before that overrides its own reports
+MIN_ATTEMPTS = 20  # that an observer has to have made
+GRAY_FAILURE_GAP = 0.2  # by which others see a zone worse than it says, if it is a gray failure
+MAX_SERVERS = 10_000
 
 
-class Report(NamedTuple):
+class ServerReport(NamedTuple):
     """What a server says of itself."""
 
     id: str
     zone: str
-    at: int  # when it was said, ns
-    capacity: float  # cores' worth of work that it finishes when busy, as measured
-    finished: int  # tasks, since it started
-    inside: float  # part of what it took that it finished in time, by itself
-    came: tuple[tuple[str, int, float], ...]  # origin zone, stage, work that came: cores
+    at: int  # when it was made, ns
+    capacity: float  # cores of work that it finishes when busy, as measured
+    finished_count: int  # tasks, since it started
+    success_ratio: float  # of the tasks that it took, finished in time; by its own account
+    arrivals: tuple[tuple[str, int, float], ...]  # origin zone, stage, cores of work that arrived
+
 
+class StatusObservation(NamedTuple):
+    """What the servers and callers of one zone saw of another."""
 
-class Look(NamedTuple):
-    """What one zone's servers and callers saw of another's."""
+    observer: str  # zone
+    target: str  # zone
+    attempts: int
+    successes: int
 
-    by: str  # zone
-    of: str
-    tries: int
-    good: int
 
+class ZoneStatus(NamedTuple):
+    """The status of one zone."""
 
-class Zone(NamedTuple):
     name: str
-    room: float  # cores of work that it can finish in time
+    capacity: float  # cores of work that it can finish in time
     servers: int  # that count
-    doubt: float  # part of its servers that are not heard of, or not believed
-    health: float  # the lower of what insiders say and others see
-    grey: bool  # others see it much worse than it says
+    uncertainty: float  # fraction of its servers that do not report, or whose reports do not count
+    health: float  # the lower of what its servers say and what others see, 0 to 1
+    gray_failure: bool  # others see it much worse than it says
 
 
-class Picture(NamedTuple):
-    zones: dict[str, Zone]
-    demand: dict[tuple[str, int], float]  # by origin and stage: cores
+class FleetStatus(NamedTuple):
+    """The status of all zones, and the demand."""
+
+    zones: dict[str, ZoneStatus]
+    demand: dict[tuple[str, int], float]  # cores, by origin zone and stage
 
     @property
-    def room(self) -> float:
-        return sum(zone.room for zone in self.zones.values())
+    def capacity(self) -> float:
+        """Cores of work that all zones can finish in time."""
+        return sum(zone.capacity for zone in self.zones.values())
 
 
-class Pictures:
-    """Keeps the last word of each server."""
+class FleetStatusTracker:
+    """Stores the latest report of each server and the latest observation of each pair of zones."""
 
     def __init__(self, zones: Iterable[str]) -> None:
+        """Track the zones of these names and no others."""
         self.names = tuple(zones)
-        self.reports: dict[str, Report] = {}
-        self.moved: dict[str, int] = {}  # when a server's count last moved
-        self.looks: dict[tuple[str, str], Look] = {}
-        self.last: dict[tuple[str, int], tuple[float, int]] = {}  # demand, and when it was whole
+        self.reports: dict[str, ServerReport] = {}  # by server id
+        self.progressed_at: dict[str, int] = {}  # when a server's counter last moved, ns
+        self.observations: dict[tuple[str, str], StatusObservation] = {}  # by observer and target
+        self.last_demand: dict[tuple[str, int], tuple[float, int]] = {}  # and when its zone was there, ns
 
-    def take(self, report: Report) -> None:
+    def add_report(self, report: ServerReport) -> None:
+        """Take in a server's report; one of an unknown zone is ignored."""
         known = self.reports.get(report.id)
-        if report.zone not in self.names or (known is None and len(self.reports) >= SERVERS_BOUND):
+        if report.zone not in self.names or (known is None and len(self.reports) >= MAX_SERVERS):
             return
-        if known is None or report.finished != known.finished:
-            self.moved[report.id] = report.at
+        if known is None or report.finished_count != known.finished_count:
+            self.progressed_at[report.id] = report.at
         if known is None or report.at >= known.at:
             self.reports[report.id] = report
 
-    def look(self, look: Look) -> None:
-        if look.by in self.names and look.of in self.names and look.by != look.of:
-            self.looks[look.by, look.of] = look
+    def add_observation(self, observation: StatusObservation) -> None:
+        """Take in what one zone saw of another."""
+        observer, target = observation.observer, observation.target
+        if observer in self.names and target in self.names and observer != target:
+            self.observations[observer, target] = observation
 
-    def picture(self, now: int) -> Picture:
-        zones: dict[str, Zone] = {}
+    def status(self, now: int) -> FleetStatus:
+        """Return the status of all zones at time `now` (ns)."""
+        zones: dict[str, ZoneStatus] = {}
         demand: dict[tuple[str, int], float] = {}
         for name in self.names:
-            here = [one for one in self.reports.values() if one.zone == name]
-            fresh = [one for one in here if now - one.at <= FRESH_SPAN]
-            moving = [one for one in fresh if now - self.moved[one.id] <= STUCK_SPAN]
-            # Where nobody moves nobody is stuck: nothing comes.
-            believed = moving or fresh
-            zones[name] = self._zone(name, here, believed)
-            for one in believed:
-                for origin, stage, work in one.came:
+            reports = [report for report in self.reports.values() if report.zone == name]
+            credible = self._credible(reports, now)
+            zones[name] = self._zone_status(name, reports, credible)
+            for report in credible:
+                for origin, stage, work in report.arrivals:
                     if origin in self.names and work > 0:
                         demand[origin, stage] = demand.get((origin, stage), 0.0) + work
+        self._assume_demand_of_lost_zones(zones, demand, now)
+        return FleetStatus(zones, demand)
+
+    def _credible(self, reports: list[ServerReport], now: int) -> list[ServerReport]:
+        """Return the reports of a zone that are neither too old nor stuck."""
+        fresh = [report for report in reports if now - report.at <= REPORT_TTL]
+        moving = [report for report in fresh if now - self.progressed_at[report.id] <= STUCK_TIMEOUT]
+        # Where no counter moves none is stuck: there is no traffic.
+        return moving or fresh
+
+    def _assume_demand_of_lost_zones(
+        self, zones: dict[str, ZoneStatus], demand: dict[tuple[str, int], float], now: int
+    ) -> None:
+        """Prevent a lost zone from being taken for one without demand.
+
+        Nobody reports what arrived at a zone that is gone, and what others receive of it is only a part.
+        """
         for (origin, stage), work in demand.items():
             if zones[origin].servers:
-                self.last[origin, stage] = work, now
-        for (origin, stage), (work, at) in self.last.items():
-            # What came to a zone that is gone tells nobody any more; what others get of it is a part. Guards
-            # against a lost zone being taken for one that wants nothing.
-            if not zones[origin].servers and now - at <= KEEP_SPAN:
+                self.last_demand[origin, stage] = work, now
+        for (origin, stage), (work, at) in self.last_demand.items():
+            if not zones[origin].servers and now - at <= DEMAND_TTL:
                 demand[origin, stage] = max(work, demand.get((origin, stage), 0.0))
-        return Picture(zones, demand)
-
-    def _zone(self, name: str, here: list[Report], believed: list[Report]) -> Zone:
-        if not believed:
-            return Zone(name, 0.0, 0, 1.0, 0.0, False)
-        middle = median(one.capacity for one in believed)
-        capacity = sum(min(max(0.0, one.capacity), LIAR * middle) for one in believed)
-        inside = median(min(1.0, max(0.0, one.inside)) for one in believed)
-        outside = self._seen(name)
-        health = inside if outside is None else min(inside, outside)
-        grey = outside is not None and outside < inside - 0.2
-        doubt = 1.0 - len(believed) / len(here)
-        return Zone(name, capacity * health, len(believed), doubt, health, grey)
-
-    def _seen(self, name: str) -> float | None:
-        """By the median of the zones that saw enough; none where too few did: one that sees a zone ill alone
-        may be ill itself, or cut off."""
-        parts = [
-            look.good / look.tries
-            for (_, of), look in self.looks.items()
-            if of == name and look.tries >= LOOKS_LEAST
+
+    def _zone_status(
+        self, name: str, reports: list[ServerReport], credible: list[ServerReport]
+    ) -> ZoneStatus:
+        if not credible:
+            return ZoneStatus(name, capacity=0.0, servers=0, uncertainty=1.0, health=0.0, gray_failure=False)
+        max_capacity = MAX_CAPACITY_FACTOR * median(report.capacity for report in credible)
+        capacity = sum(min(max(0.0, report.capacity), max_capacity) for report in credible)
+        reported_health = median(min(1.0, max(0.0, report.success_ratio)) for report in credible)
+        observed_health = self._observed_health(name)
+        health = reported_health if observed_health is None else min(reported_health, observed_health)
+        return ZoneStatus(
+            name=name,
+            capacity=capacity * health,
+            servers=len(credible),
+            uncertainty=1.0 - len(credible) / len(reports),
+            health=health,
+            gray_failure=observed_health is not None and observed_health < reported_health - GRAY_FAILURE_GAP,
+        )
+
+    def _observed_health(self, name: str) -> float | None:
+        """Return the median of the observers' success ratios, None if too few have seen enough.
+
+        A zone that alone sees another as unhealthy may be unhealthy itself, or cut off.
+        """
+        ratios = [
+            observation.successes / observation.attempts
+            for (_, target), observation in self.observations.items()
+            if target == name and observation.attempts >= MIN_ATTEMPTS
         ]
-        return median(parts) if len(parts) >= OBSERVERS_LEAST else None
+        return median(ratios) if len(ratios) >= MIN_OBSERVERS else None
