--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -14,7 +14,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from thistleline.config.schema import Faulty, check
+from thistleline.config.loader import ConfigError, parse_config
 from thistleline.consensus.messages import Ballot, Base, Entry, Member, Record, Tail
 from thistleline.consensus.replica import Spans, Voter, Work
 from thistleline.consensus.store import CouncilStore
@@ -434,11 +434,11 @@
 def test_settings_of_the_council_are_checked_with_all_faults_at_once() -> None:
     text = ("council name A\ncouncil listen 0.0.0.0:7\ncouncil heartbeat 5\ncouncil voter a\n"
             "council voter b=127.0.0.1:1\ncouncil voter b=127.0.0.1:2\ncouncil via c=host:1\n")  # fmt: skip
-    with pytest.raises(Faulty) as caught:
-        check("t.conf", text)
+    with pytest.raises(ConfigError) as caught:
+        parse_config("t.conf", text)
     assert [line.split(": ")[0] for line in caught.value.lines] == [f"t.conf:{n}" for n in (1, 2, 3, 4, 6, 7)]
     text = "council listen 127.0.0.1:7001\ncouncil election 2s\ncouncil voter a=[::1]:7\n"
-    conf = check("t.conf", text).council
+    conf = parse_config("t.conf", text).council
     assert conf is not None
     assert (conf.listen, conf.election, conf.voter) == (("127.0.0.1", 7001), 2 * SECOND, {"a": ("::1", 7)})
 
--- a/tests/test_feed_service.py
+++ b/tests/test_feed_service.py
@@ -20,7 +20,8 @@
 import anyio
 import pytest
 
-from thistleline.config.schema import Faulty, Feed, check
+from thistleline.config.loader import ConfigError, parse_config
+from thistleline.config.schema import FeedConfig
 from thistleline.config_feed import connections as link
 from thistleline.config_feed import service
 from thistleline.config_feed.archive_writer import Persist
@@ -169,10 +170,10 @@
     ("feed role relay\nfeed level 99\n", ["'feed name'", "'feed listen'", "'feed up'", "<= 15"]),
 ])  # fmt: skip
 def test_what_a_part_misses_is_told_at_once(text: str, words: list[str]) -> None:
-    with pytest.raises(Faulty) as found:
-        check("x", text)
+    with pytest.raises(ConfigError) as found:
+        parse_config("x", text)
     assert all(word in str(found.value) for word in words), str(found.value)
-    assert check("x", "feed keeper k1=127.0.0.1:1\n").feed is not None  # enough for commands
+    assert parse_config("x", "feed keeper k1=127.0.0.1:1\n").feed is not None  # enough for commands
 
 
 # ---- faults of keepers
@@ -415,7 +416,7 @@
     """A relay in this process that holds these entries and has nobody above it; what it logged."""
     logged: list[tuple[str, Any]] = []
     at, nowhere = ("127.0.0.1", free_port()), ("127.0.0.1", free_port())
-    conf = Feed(name="r", listen=at, role="relay", level=1, up={"k": nowhere}, followers=2)
+    conf = FeedConfig(name="r", listen=at, role="relay", level=1, up={"k": nowhere}, followers=2)
 
     async def run() -> None:
         relay = FeedService(conf, None, lambda event, **facts: logged.append((event, facts)))
@@ -664,7 +665,7 @@
     persist.close()
     assert told == [0, 3]
     at, nowhere = ("127.0.0.1", free_port()), ("127.0.0.1", free_port())
-    conf = Feed(name="r", listen=at, role="relay", level=1, up={"k": nowhere}, folder=tmp_path / "two")
+    conf = FeedConfig(name="r", listen=at, role="relay", level=1, up={"k": nowhere}, folder=tmp_path / "two")
     relay = FeedService(conf, None, lambda *_, **__: None)
     assert relay.persist is not None
     relay.station.follower.table = loaded
--- a/tests/test_feed_worlds.py
+++ b/tests/test_feed_worlds.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from thistleline.config.schema import Feed
+from thistleline.config.schema import FeedConfig
 from thistleline.config_feed.limits import MS, SECOND
 from thistleline.config_feed.messages import Propose, Proposed
 from thistleline.config_feed.table import Table
@@ -192,7 +192,7 @@
 
 
 def test_the_lease_is_as_long_as_a_keeper_s_where_nothing_is_said() -> None:
-    (lease,) = (one for one in msgspec.structs.fields(Feed) if one.name == "lease")
+    (lease,) = (one for one in msgspec.structs.fields(FeedConfig) if one.name == "lease")
     assert lease.default == LENGTH
 
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -26,7 +26,7 @@
 )
 from thistleline.cli.ledger import look, rewrite
 from thistleline.cli.main import entry
-from thistleline.config.schema import Faulty, check
+from thistleline.config.loader import ConfigError, parse_config
 from thistleline.durable.reducer import KeepingReducer
 from thistleline.lab.caller import Caller, Told
 from thistleline.lab.farm import FarmStandIn, Ran
@@ -477,20 +477,20 @@
 
 def test_all_faults_of_a_file_are_told_at_once_with_their_lines() -> None:
     text = "ledger folder relative\nledger disk 9X\nledger disk 1M\nkiln heat 3\nledger colour red\nledger\n'"
-    with pytest.raises(Faulty) as caught:
-        check("t.conf", text)
+    with pytest.raises(ConfigError) as caught:
+        parse_config("t.conf", text)
     assert [line.split(": ")[0] for line in caught.value.lines] == [
         f"t.conf:{number}" for number in (1, 2, 3, 4, 5, 6, 7)
     ]
-    with pytest.raises(Faulty, match=r"t\.conf:1: ledger folder is missing"):
-        check("t.conf", "ledger disk 64M")
+    with pytest.raises(ConfigError, match=r"t\.conf:1: ledger folder is missing"):
+        parse_config("t.conf", "ledger disk 64M")
 
 
 def test_a_file_is_read() -> None:
-    conf = check("t.conf", "# new parts\nledger folder '/var/lib/a b'  # here\nledger disk 8M\n")
+    conf = parse_config("t.conf", "# new parts\nledger folder '/var/lib/a b'  # here\nledger disk 8M\n")
     assert conf.ledger is not None
     assert (str(conf.ledger.folder), conf.ledger.disk, conf.ledger.results) == ("/var/lib/a b", 8 << 20, None)
-    assert check("t.conf", "").ledger is None
+    assert parse_config("t.conf", "").ledger is None
 
 
 # ---- the program
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -13,7 +13,7 @@
 import msgspec
 import pytest
 
-from thistleline.config.schema import check
+from thistleline.config.loader import parse_config
 from thistleline.lab.explore import explore
 from thistleline.lab.harness import free_port
 from thistleline.lab.ledger import SETTINGS
@@ -633,7 +633,7 @@
     told = (f"members name m\nmembers listen 127.0.0.1:{free_port()}\ncouncil voter a=127.0.0.1:9\n"
             f"steward folder {tmp_path}/s\nsteward plate {tmp_path}/plate.json\n"
             f"steward releases {tmp_path}/releases\n")  # fmt: skip
-    service = StewardService(check("conf", told), lambda *_, **__: None)
+    service = StewardService(parse_config("conf", told), lambda *_, **__: None)
     async with anyio.create_task_group() as group:
         service.group, keeping = group, service.keeping
         keeping.phase, keeping.state = "spawning", State(None, Version("bad", digest), 1)
--- a/thistleline/__main__.py
+++ b/thistleline/__main__.py
@@ -30,11 +30,11 @@
         return 2
     conf = None
     if os.environ.get("THISTLELINE_CONF"):
-        from thistleline.config.schema import Faulty, read_conf
+        from thistleline.config.loader import ConfigError, read_config
 
         try:
-            conf = read_conf(os.environ["THISTLELINE_CONF"])
-        except Faulty as faulty:
+            conf = read_config(os.environ["THISTLELINE_CONF"])
+        except ConfigError as faulty:
             for line in faulty.lines:
                 complain(line)
             return 2
--- a/thistleline/cli/fleet.py
+++ b/thistleline/cli/fleet.py
@@ -10,7 +10,8 @@
 import msgspec
 import structlog
 
-from thistleline.config.schema import Conf, Faulty, read_conf
+from thistleline.config.loader import ConfigError, read_config
+from thistleline.config.schema import ProgramConfig
 from thistleline.lease.client import LeaseClient
 from thistleline.lease.protocol import Answer, Denied, GetStatus, Op, Unavailable
 from thistleline.transport.address import Address, parse_address
@@ -25,10 +26,10 @@
     exit_code = 2
 
 
-def conf_of(path: str) -> Conf:
+def conf_of(path: str) -> ProgramConfig:
     try:
-        return read_conf(path)
-    except Faulty as faulty:
+        return read_config(path)
+    except ConfigError as faulty:
         raise Unusable("\n".join(faulty.lines)) from faulty
 
 
--- a/thistleline/cli/main.py
+++ b/thistleline/cli/main.py
@@ -9,7 +9,7 @@
 
 import click
 
-from thistleline.config.schema import Faulty, read_conf
+from thistleline.config.loader import ConfigError, read_config
 
 LABS = ("ledger", "leases", "members", "roll", "handover", "zones", "scale", "feeds")
 
@@ -35,8 +35,8 @@
 def check_config(file: str) -> None:
     """Check a file of settings; every fault with its line, exit code 2 if there are any."""
     try:
-        conf = read_conf(file)
-    except Faulty as faulty:
+        conf = read_config(file)
+    except ConfigError as faulty:
         for line in faulty.lines:
             click.echo(line, err=True)
         raise SystemExit(2) from faulty
--- a/thistleline/config/__init__.py
+++ b/thistleline/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of the new parts: one line-based file, checked whole before use."""
+"""The settings of a program: one line-based file, validated as a whole before use."""
--- a/thistleline/config/parser.py
+++ b/thistleline/config/parser.py
@@ -1,46 +1,53 @@
-"""Lines of words: `part name value`, `#` begins a remark, quotes hold blanks together. Nothing nests.
+"""Splits a settings file into lines of three words: `section name value`.
 
-ledger folder /var/lib/thistleline/n1     # one folder a server
-ledger disk   64M
+A `#` begins a comment, and quotes hold words with blanks together. Nothing nests.
+
+    ledger folder /var/lib/thistleline/n1     # one folder a server
+    ledger disk   64M
 """
 
 import shlex
 from typing import NamedTuple
 
-LINES_BOUND, LINE_BOUND = 10_000, 4096
+MAX_LINES = 10_000
+MAX_LINE_LENGTH = 4096  # characters
+
 
+class SettingLine(NamedTuple):
+    """One setting, with the number of its line in the file."""
 
-class Line(NamedTuple):
     number: int
-    part: str
+    section: str
     name: str
     value: str
 
 
-class Fault(NamedTuple):
-    """What is wrong at a line; 0 where no line is at fault."""
+class ConfigFault(NamedTuple):
+    """What is wrong with a line; number 0 where no line is at fault."""
 
     number: int
     reason: str
 
 
-def read_lines(text: str) -> tuple[list[Line], list[Fault]]:
-    lines, faults = [], []
+def parse_lines(text: str) -> tuple[list[SettingLine], list[ConfigFault]]:
+    """Return the settings of a file and what is wrong with its lines."""
+    lines: list[SettingLine] = []
+    faults: list[ConfigFault] = []
     for number, raw in enumerate(text.splitlines(), 1):
-        if number > LINES_BOUND:
-            faults.append(Fault(number, f"there are more than {LINES_BOUND} lines"))
+        if number > MAX_LINES:
+            faults.append(ConfigFault(number, f"there are more than {MAX_LINES} lines"))
             break
+        if len(raw) > MAX_LINE_LENGTH:
+            faults.append(ConfigFault(number, f"the line is longer than {MAX_LINE_LENGTH} characters"))
+            continue
         try:
-            words = shlex.split(raw[: LINE_BOUND + 1], comments=True) if len(raw) <= LINE_BOUND else []
+            words = shlex.split(raw, comments=True)
         except ValueError as error:
-            faults.append(Fault(number, str(error).lower()))
+            faults.append(ConfigFault(number, str(error).lower()))
             continue
-        if len(raw) > LINE_BOUND:
-            faults.append(Fault(number, f"the line is longer than {LINE_BOUND} characters"))
-        elif len(words) == 3:
-            lines.append(Line(number, *words))
+        if len(words) == 3:
+            lines.append(SettingLine(number, *words))
         elif words:
-            faults.append(
-                Fault(number, f"a part, a name and a value are wanted, here are {len(words)} words")
-            )
+            reason = f"a part, a name and a value are wanted, here are {len(words)} words"
+            faults.append(ConfigFault(number, reason))
     return lines, faults
--- a/thistleline/config_feed/service.py
+++ b/thistleline/config_feed/service.py
@@ -16,8 +16,8 @@
 import msgspec
 from anyio.abc import Listener, SocketStream
 
-from thistleline.config.schema import Council as CouncilConf
-from thistleline.config.schema import Feed
+from thistleline.config.schema import ConsensusConfig as CouncilConf
+from thistleline.config.schema import FeedConfig
 from thistleline.config_feed.archive_writer import Persist
 from thistleline.config_feed.connections import PIECE, Encoder, Peer, Rounds, Up, each_look
 from thistleline.config_feed.limits import ID_BOUND, MADE_SLOTS, MESSAGE_BOUND, SECOND
@@ -49,7 +49,11 @@
 
 class FeedService:
     def __init__(
-        self, conf: Feed, council: CouncilConf | None, log: Callable[..., None], chance: Random | None = None
+        self,
+        conf: FeedConfig,
+        council: CouncilConf | None,
+        log: Callable[..., None],
+        chance: Random | None = None,
     ) -> None:
         """Takes the folder and reads it; blocks. Raises DiskLockedError, CorruptFrameError, OSError."""
         assert conf.name is not None
@@ -386,13 +390,13 @@
                 await peer.out.flows()
 
 
-def sources_of(conf: Feed) -> dict[str, Address]:
+def sources_of(conf: FeedConfig) -> dict[str, Address]:
     """Whom this one may follow, in the order of the lines: of a keeper the others, by the ways told."""
     if conf.role != "keeper":
         return dict(conf.up)
     return {name: conf.up.get(name, at) for name, at in conf.keeper.items() if name != conf.name}
 
 
-def run(conf: Feed, council: CouncilConf | None, log: Callable[..., None]) -> None:
+def run(conf: FeedConfig, council: CouncilConf | None, log: Callable[..., None]) -> None:
     with suppress(KeyboardInterrupt):
         anyio.run(FeedService(conf, council, log).run)
--- a/thistleline/durable/writer.py
+++ b/thistleline/durable/writer.py
@@ -7,7 +7,7 @@
 import anyio.to_thread
 from anyio.abc import TaskGroup
 
-from thistleline.config.schema import Ledger
+from thistleline.config.schema import LedgerConfig
 from thistleline.durable.reducer import KeepingReducer
 from thistleline.durable.served_value import Worth
 from thistleline.ledger.state import Book, Found, Work
@@ -76,7 +76,7 @@
 
 
 def furnish(
-    conf: Ledger, told: tuple[Any, ...], take: Callable[..., None], tell: Callable[..., None]
+    conf: LedgerConfig, told: tuple[Any, ...], take: Callable[..., None], tell: Callable[..., None]
 ) -> tuple[KeepingReducer, Callable[[], list[Found]], Callable[[TaskGroup], dict[str, Callable[..., None]]]]:
     """Takes the folder: the reducer, what recovers it, and what makes the writer's effects in a task group.
     `told` is what any reducer is told, its bench first and the time seventh. Raises Unusable."""
@@ -90,7 +90,7 @@
     )
 
 
-def store_of(conf: Ledger, told: tuple[Any, ...]) -> Store:
+def store_of(conf: LedgerConfig, told: tuple[Any, ...]) -> Store:
     return Store(Disk(conf.folder), tuple(stage.name for stage in told[0].stages))
 
 
--- a/thistleline/handover/service.py
+++ b/thistleline/handover/service.py
@@ -17,7 +17,7 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from thistleline.config.schema import Conf
+from thistleline.config.schema import ProgramConfig
 from thistleline.durable import writer as ledger_writer
 from thistleline.durable.writer import hold, store_of
 from thistleline.handover import channel as lines
@@ -61,7 +61,7 @@
 class AttendedService(Service):
     reducer: Succeeding
 
-    def furnish(self, conf: Conf | None, told: tuple[Any, ...]) -> Reducer:
+    def furnish(self, conf: ProgramConfig | None, told: tuple[Any, ...]) -> Reducer:
         assert conf is not None
         assert conf.handover is not None
         if told[0].below != "none":
--- a/thistleline/lab/scale/control.py
+++ b/thistleline/lab/scale/control.py
@@ -20,7 +20,8 @@
 import anyio
 import msgspec
 
-from thistleline.config.schema import Conductor, check
+from thistleline.config.loader import parse_config
+from thistleline.config.schema import RolloutConfig
 from thistleline.lab.harness import Fleet, Process, folder_of
 from thistleline.lab.machines import ROOT, Machines
 from thistleline.lab.scale import slopes
@@ -177,7 +178,7 @@
 
 
 def service_conf(folder: Path, more: str) -> Any:
-    return check("conf", f"members name i00000\nmembers listen 127.0.0.1:9\nmembers zone z00\n"
+    return parse_config("conf", f"members name i00000\nmembers listen 127.0.0.1:9\nmembers zone z00\n"
                          f"council voter a=127.0.0.1:9\n{more}\n".replace("FOLDER", str(folder)))  # fmt: skip
 
 
@@ -693,7 +694,7 @@
         "a restart": a_restart(),
         "a day": {"restarts of an instance": size("restarts_day") / size("instances"),
                   "restarts a second, of all": round(size("restarts_day") / size("day_s"), 3)},
-        "slots a second": SECOND / Conductor().slot,
+        "slots a second": SECOND / RolloutConfig().slot,
     }  # fmt: skip
     if not quick:
         more, seconds = costs(seed, tell)
--- a/thistleline/lab/scale/members.py
+++ b/thistleline/lab/scale/members.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from thistleline.config.schema import Members
+from thistleline.config.schema import MembershipConfig
 from thistleline.lab.members import SPANS as FLEET_SPANS
 from thistleline.lab.members import VirtualFleet
 from thistleline.lab.scale import slopes
@@ -56,7 +56,7 @@
 WORDS_A_DEATH = 3  # suspected, dead, and another one in its place
 DEATHS_PATIENCE = 400  # periods
 
-PERIOD = int(next(one.default for one in msgspec.structs.fields(Members) if one.name == "period"))
+PERIOD = int(next(one.default for one in msgspec.structs.fields(MembershipConfig) if one.name == "period"))
 HOLLOW_SPANS = GossipTiming(PERIOD, PERIOD * 3 // 10)  # as members/service.py has them
 _word = msgspec.msgpack.Decoder(MemberRecord).decode
 
--- a/thistleline/lab/server.py
+++ b/thistleline/lab/server.py
@@ -28,7 +28,7 @@
 
 import anyio
 
-from thistleline.config.schema import read_conf
+from thistleline.config.loader import read_config
 from thistleline.durable import writer as ledger_writer
 from thistleline.handover.service import AttendedService
 from thistleline.ledger import store
@@ -161,7 +161,7 @@
 
         book.GROUP_BOUND = 1
     named = os.environ.get("THISTLELINE_CONF")
-    conf = read_conf(named) if named else None
+    conf = read_config(named) if named else None
     serves = LabAttended if conf is not None and conf.handover is not None else Faults
     try:
         anyio.run(serves(configuration, conf).run)
--- a/thistleline/lease/service.py
+++ b/thistleline/lease/service.py
@@ -13,7 +13,7 @@
 import anyio.to_thread
 from anyio.abc import ByteStream, SocketStream, TaskGroup
 
-from thistleline.config.schema import Council
+from thistleline.config.schema import ConsensusConfig
 from thistleline.consensus.messages import Append, Base
 from thistleline.consensus.replica import Spans, Voter, Work
 from thistleline.consensus.store import CouncilStore
@@ -66,7 +66,7 @@
 
 
 class VoterService:
-    def __init__(self, conf: Council, log: Callable[..., None], chance: Random | None = None) -> None:
+    def __init__(self, conf: ConsensusConfig, log: Callable[..., None], chance: Random | None = None) -> None:
         """Takes the folder and reads it; blocks. Raises CorruptFrameError, DiskLockedError, OSError."""
         assert conf.folder is not None
         assert conf.listen is not None
@@ -308,6 +308,6 @@
             await guest.more.wait()
 
 
-def run(conf: Council, log: Callable[..., None]) -> None:
+def run(conf: ConsensusConfig, log: Callable[..., None]) -> None:
     with suppress(KeyboardInterrupt):
         anyio.run(VoterService(conf, log).run)
--- a/thistleline/membership/service.py
+++ b/thistleline/membership/service.py
@@ -10,7 +10,7 @@
 import msgspec
 from anyio.abc import UDPSocket
 
-from thistleline.config.schema import Members
+from thistleline.config.schema import MembershipConfig
 from thistleline.membership.effects import GossipEffect, SendMessage, WriteLog
 from thistleline.membership.events import DeadlineReached, LeaveRequested, MessageReceived
 from thistleline.membership.gossip import Gossip, GossipTiming
@@ -34,7 +34,7 @@
 class MemberService:
     """Runs one member."""
 
-    def __init__(self, config: Members, facts: MemberFacts, log: Callable[..., None]) -> None:
+    def __init__(self, config: MembershipConfig, facts: MemberFacts, log: Callable[..., None]) -> None:
         """Describe the member; `run` opens its socket.
 
         Args:
@@ -124,7 +124,7 @@
                     self.log(event, **fields)
 
 
-def run(config: Members, facts: MemberFacts, log: Callable[..., None]) -> None:
+def run(config: MembershipConfig, facts: MemberFacts, log: Callable[..., None]) -> None:
     """Run a member by itself, in the foreground, until SIGTERM or SIGINT."""
 
     async def main() -> None:
--- a/thistleline/rollout/service.py
+++ b/thistleline/rollout/service.py
@@ -6,7 +6,7 @@
 import anyio
 import msgspec
 
-from thistleline.config.schema import Conductor, Conf
+from thistleline.config.schema import ProgramConfig, RolloutConfig
 from thistleline.lease.client import LeaseClient
 from thistleline.lease.errors import LeaseLostError, LeaseRefusedError
 from thistleline.lease.protocol import Denied, Done, Get, Got, Put, Unavailable
@@ -63,10 +63,10 @@
 
 
 class ConductorService:
-    def __init__(self, conf: Conf, log: Callable[..., None]) -> None:
+    def __init__(self, conf: ProgramConfig, log: Callable[..., None]) -> None:
         assert conf.members is not None
         assert conf.council is not None
-        told = conf.conductor or Conductor()
+        told = conf.conductor or RolloutConfig()
         self.spans = Spans(told.slot, told.change, told.enough, told.patience)
         self.length = told.lease / 1e9
         self.conf, self.log = conf, log
--- a/thistleline/server/service.py
+++ b/thistleline/server/service.py
@@ -28,7 +28,7 @@
 from thistleline.wire.thrift import Stubs
 
 if TYPE_CHECKING:
-    from thistleline.config.schema import Conf
+    from thistleline.config.schema import ProgramConfig
 
 MS, SECOND = 1_000_000, 1_000_000_000
 RESERVE = 24  # descriptors that are no client stub's: listener, links, log, the loop's own
@@ -43,7 +43,7 @@
 
 
 class Service:
-    def __init__(self, configuration: Configuration, conf: "Conf | None" = None) -> None:
+    def __init__(self, configuration: Configuration, conf: "ProgramConfig | None" = None) -> None:
         self.configuration = configuration
         self.clock = Clock()
         self.log = Log(configuration.name)
@@ -71,7 +71,7 @@
         self.read_at = 0  # when the first task was read that no round has seen
         self.late = self.longest = self.delay = 0  # the worst since the last figures
 
-    def furnish(self, conf: "Conf | None", told: tuple[Any, ...]) -> Reducer:
+    def furnish(self, conf: "ProgramConfig | None", told: tuple[Any, ...]) -> Reducer:
         """Its reducer, of what any is told. Raises Unusable."""
         if conf is None or conf.ledger is None:
             return Reducer(*told)
--- a/thistleline/supervisor/service.py
+++ b/thistleline/supervisor/service.py
@@ -14,7 +14,7 @@
 import msgspec
 import orjson
 
-from thistleline.config.schema import Conf
+from thistleline.config.schema import ProgramConfig
 from thistleline.handover.serving import read_owner
 from thistleline.lease.client import LeaseClient
 from thistleline.lease.protocol import Get, Got
@@ -54,7 +54,7 @@
 
 
 class StewardService:
-    def __init__(self, conf: Conf, log: Callable[..., None]) -> None:
+    def __init__(self, conf: ProgramConfig, log: Callable[..., None]) -> None:
         """Takes the folder. Raises DiskLockedError, OSError."""
         assert conf.steward is not None
         assert conf.members is not None
@@ -362,5 +362,5 @@
                 self.log(effect.event, **effect.fields)
 
 
-def run(conf: Conf, log: Callable[..., None]) -> None:
+def run(conf: ProgramConfig, log: Callable[..., None]) -> None:
     anyio.run(StewardService(conf, log).run)
