--- a/thistleline/lab/scale/members.py
+++ b/thistleline/lab/scale/members.py
@@ -22,11 +22,11 @@
 from thistleline.lab.scale.size import size
 from thistleline.lab.scale.slopes import Kind, Part, Row, Shape, cpu_of, judge, loop_cpu, memory_of
 from thistleline.membership import view as view_module
+from thistleline.membership.anti_entropy import HEADER_SIZE
 from thistleline.membership.effects import GossipEffect, SendMessage
 from thistleline.membership.events import DeadlineReached, FactsChanged, MessageReceived
 from thistleline.membership.gossip import (
     FORGET_AFTER,
-    HEADER_SIZE,
     JOIN_INTERVAL,
     MS,
     SECOND,
--- a/thistleline/membership/gossip.py
+++ b/thistleline/membership/gossip.py
@@ -10,6 +10,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
+from thistleline.membership.anti_entropy import HEADER_SIZE, bucket_messages
 from thistleline.membership.effects import GossipEffect, MemberChanged, SendMessage, WriteLog
 from thistleline.membership.events import (
     DeadlineReached,
@@ -49,7 +50,6 @@
 DIGEST_EVERY = 5  # periods
 SEED_EVERY = 10  # periods, after which one of the seeds that are not known to be alive is told of this member
 FORGET_AFTER = 3600 * SECOND  # until then a dead member is pinged now and then, as a partition may heal
-HEADER_SIZE = 32  # bytes of a message beside its records
 MAX_PROBES = 256
 JOIN_INTERVAL = 20 * MS  # between two Joins that are answered
 
@@ -114,7 +114,7 @@
         self.next_period = now + self.rng.randrange(timing.period)
         self.next_join = now  # earliest time at which a Join is answered
         self.bytes_sent = 0
-        self.view.put(MemberRecord(id, address, incarnation, ALIVE, 1, facts))
+        self._put_own(incarnation, ALIVE, 1, facts)
 
     @property
     def own_record(self) -> MemberRecord:
@@ -157,15 +157,13 @@
     def _on_facts(self, facts: MemberFacts) -> None:
         own = self.own_record
         if facts != own.facts and not self.leaving:
-            self.view.put(
-                MemberRecord(self.id, self.address, own.incarnation, own.status, own.version + 1, facts)
-            )
+            self._put_own(own.incarnation, own.status, own.version + 1, facts)
 
     def _on_leave(self) -> None:
         """Tell a few members at once, who tell all: no probe has to find it out."""
         own = self.own_record
         self.leaving = True
-        self.view.put(MemberRecord(self.id, self.address, own.incarnation, LEFT, own.version, own.facts))
+        self._put_own(own.incarnation, LEFT, own.version, own.facts)
         others = [record for record in self.view.live_members() if record.id != self.id]
         for record in self.rng.sample(others, min(2 * HELPERS, len(others))):
             self._send(record.address, lambda records: Ping(0, records), self.id)
@@ -277,7 +275,7 @@
 
     def _suspect(self, target: MemberRecord, suspected_by: str) -> None:
         if target.status == ALIVE:
-            self._learn(_with_status(target, SUSPECT, suspected_by))
+            self._learn(target.with_status(SUSPECT, suspected_by))
         elif target.status == SUSPECT and target.id in self.suspicions:
             self._confirm_suspicion(target.id, suspected_by)
 
@@ -285,7 +283,7 @@
         if self.suspicions.confirm(id, suspected_by):
             record = self.view.records[id]
             if record.suspected_by != suspected_by:  # a further witness is to be spread
-                self.view.put(_with_status(record, SUSPECT, suspected_by))
+                self.view.put(record.with_status(SUSPECT, suspected_by))
 
     def _end_suspicions(self) -> None:
         for id in list(self.suspicions.suspicions):
@@ -293,7 +291,7 @@
             if record is None or record.status != SUSPECT:
                 self.suspicions.clear(id)
             elif self.suspicions.is_expired(id, self.now, self._fleet_logarithm(), self.health.multiplier):
-                self._learn(_with_status(record, DEAD))
+                self._learn(record.with_status(DEAD))
 
     # ---- what is learned
 
@@ -354,8 +352,10 @@
         if received.status != ALIVE or received.incarnation > own.incarnation:
             if received.status == SUSPECT:
                 self.health.worsen(1)
-            incarnation = received.incarnation + 1
-            self.view.put(MemberRecord(self.id, self.address, incarnation, ALIVE, own.version + 1, own.facts))
+            self._put_own(received.incarnation + 1, ALIVE, own.version + 1, own.facts)
+
+    def _put_own(self, incarnation: int, status: int, version: int, facts: MemberFacts) -> None:
+        self.view.put(MemberRecord(self.id, self.address, incarnation, status, version, facts))
 
     # ---- messages
 
@@ -426,26 +426,5 @@
         """Send all records of a bucket, in as many datagrams as it takes; the last one may want a reply."""
         if not 0 <= bucket < BUCKETS:
             return
-        part: list[MemberRecord] = []
-        size = HEADER_SIZE
-        for record in self.view.bucket_records(bucket):
-            record_size = len(encode(record))
-            if size + record_size > MAX_DATAGRAM_SIZE:
-                self._send_message(address, BucketRecords(bucket, False, tuple(part)))
-                part, size = [], HEADER_SIZE
-            part.append(record)
-            size += record_size
-        if part or reply_wanted:
-            self._send_message(address, BucketRecords(bucket, reply_wanted, tuple(part)))
-
-
-def _with_status(record: MemberRecord, status: int, suspected_by: str = "") -> MemberRecord:
-    return MemberRecord(
-        record.id,
-        record.address,
-        record.incarnation,
-        status,
-        record.version,
-        record.facts,
-        suspected_by,
-    )
+        for message in bucket_messages(bucket, self.view.bucket_records(bucket), reply_wanted):
+            self._send_message(address, message)
--- a/thistleline/membership/messages.py
+++ b/thistleline/membership/messages.py
@@ -61,6 +61,12 @@
     facts: MemberFacts
     suspected_by: str = ""
 
+    def with_status(self, status: int, suspected_by: str = "") -> "MemberRecord":
+        """Return the same record with another status."""
+        return MemberRecord(
+            self.id, self.address, self.incarnation, status, self.version, self.facts, suspected_by
+        )
+
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1):
     """Asks the receiver for an Ack of the same number; 0 if none is expected."""
