--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -23,7 +23,7 @@
 from thistleline.lab.leaseworld import begin, following
 from thistleline.lab.mutants import MUTANTS, SCENARIOS, without
 from thistleline.lab.virtual import MS, VirtualCouncil
-from thistleline.lease.protocol import Acquire, ChangeMembership, Denied, Done, Granted, Release, Unavailable
+from thistleline.lease.protocol import Acquire, ChangeReplicas, Denied, Done, Granted, Release, Unavailable
 from thistleline.lease.server import Office
 from thistleline.lease.table import LeaseTable
 from thistleline.store.disk import Disk
@@ -129,19 +129,17 @@
     rest = sorted(set(made.offices) - {leader})
     made.swallows = lambda source, to: leader in (source, to)
     assert isinstance(
-        ask(made, leader, ChangeMembership("remove", rest[0])), Unavailable
+        ask(made, leader, ChangeReplicas("remove", rest[0])), Unavailable
     )  # it comes to nothing there
     made.run(made.now + 3 * SECOND)
     new = made.leader()
     assert new != leader
-    assert ask(made, new, ChangeMembership("remove", leader)) == Done("changed")
+    assert ask(made, new, ChangeReplicas("remove", leader)) == Done("changed")
     made.swallows = lambda source, to: False
     made.run(made.now + 5 * SECOND)
     assert {one.id for one in made.offices[made.leader()].voter.members} == set(rest)
     assert made.offices[leader].voter.phase != "leading"
-    assert isinstance(
-        ask(made, made.leader(), ChangeMembership("remove", leader)), Done
-    )  # it is gone already
+    assert isinstance(ask(made, made.leader(), ChangeReplicas("remove", leader)), Done)  # it is gone already
     made.dead.add(leader)
     before = made.offices[made.leader()].voter.term
     made.run(made.now + 10 * SECOND)
@@ -159,8 +157,8 @@
     made.offices["w0"] = Office(empty, lambda: 0)
     made.run(made.now + 3 * SECOND)
     assert empty.phase == "unformed"
-    assert ask(made, leader, ChangeMembership("remove", lost)) == Done("changed")
-    assert ask(made, leader, ChangeMembership("add", "w0", "w0")) == Done("changed")
+    assert ask(made, leader, ChangeReplicas("remove", lost)) == Done("changed")
+    assert ask(made, leader, ChangeReplicas("add", "w0", "w0")) == Done("changed")
     assert "n" in made.offices["w0"].table.state.leases
     made.dead.add(leader)
     made.run(made.now + 5 * SECOND)
--- a/thistleline/cli/council.py
+++ b/thistleline/cli/council.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from thistleline.cli.fleet import Unusable, ask, ask_each, conf_of, logger, tell, voters_of, where
-from thistleline.lease.protocol import ChangeMembership, Done, FormCluster, ReplicaStatus, Unavailable
+from thistleline.lease.protocol import ChangeReplicas, CreateCluster, Done, ReplicaStatus, Unavailable
 from thistleline.transport.address import parse_address
 
 
@@ -50,7 +50,7 @@
     if formed:
         raise click.ClickException(f"{', '.join(sorted(formed))} has a council already")
     members = tuple(sorted((one.id, _text(known[name])) for name, one in stands.items()))
-    told = FormCluster(os.urandom(8).hex(), members)
+    told = CreateCluster(os.urandom(8).hex(), members)
     for name in known:
         ask({name: known[name]}, told)
     click.echo(f"council {told.cluster}: {', '.join(id for id, _ in members)}")
@@ -96,7 +96,7 @@
         there = _all_stand({"it": parse_address(address)})["it"]
     except ValueError as error:
         raise Unusable(str(error)) from error
-    _changed(ask(known, ChangeMembership("add", there.id, address), 40.0), there.id)
+    _changed(ask(known, ChangeReplicas("add", there.id, address), 40.0), there.id)
 
 
 @council.command()
@@ -104,7 +104,7 @@
 @click.argument("id")
 def remove(conf: str | None, voters: tuple[str, ...], id: str) -> None:
     """Let the voter ID vote no more."""
-    _changed(ask(voters_of(conf, voters), ChangeMembership("remove", id)), id)
+    _changed(ask(voters_of(conf, voters), ChangeReplicas("remove", id)), id)
 
 
 def _changed(answer: Any, id: str) -> None:
--- a/thistleline/lab/harness.py
+++ b/thistleline/lab/harness.py
@@ -27,9 +27,9 @@
 from thistleline.lease.client import LeaseClient
 from thistleline.lease.protocol import (
     Answer,
-    ChangeMembership,
+    ChangeReplicas,
+    CreateCluster,
     Done,
-    FormCluster,
     GetStatus,
     Op,
     ReplicaStatus,
@@ -176,7 +176,7 @@
         for name in self.names:
             members.append((await self.stands(name)).id)
         known = tuple((id, f"127.0.0.1:{self.ports[id.partition('.')[0]]}") for id in sorted(members))
-        told = FormCluster(self.chance.randbytes(8).hex(), known)
+        told = CreateCluster(self.chance.randbytes(8).hex(), known)
         for name in self.names:
             await self.ask(told, {name: self.address(name)})
         await self.leader()
@@ -218,8 +218,8 @@
         new = (await self.stands(name)).id
         rest = {one: self.address(one) for one in self.names if one != name}
         for change in (
-            ChangeMembership("remove", old),
-            ChangeMembership("add", new, f"127.0.0.1:{self.ports[name]}"),
+            ChangeReplicas("remove", old),
+            ChangeReplicas("add", new, f"127.0.0.1:{self.ports[name]}"),
         ):
             answer = await self.ask(change, rest, 20.0)
             self.note("changed", what_of=str(change), answer=str(answer))
--- a/thistleline/lease/protocol.py
+++ b/thistleline/lease/protocol.py
@@ -122,7 +122,7 @@
     """Asks the replica that receives this for its own view of the cluster."""
 
 
-class ChangeMembership(msgspec.Struct, frozen=True, tag="change"):
+class ChangeReplicas(msgspec.Struct, frozen=True, tag="change"):
     """Adds a replica to the cluster, or removes one."""
 
     action: Literal["add", "remove"] = msgspec.field(name="what")
@@ -130,7 +130,7 @@
     address: str = ""
 
 
-class FormCluster(msgspec.Struct, frozen=True, tag="form"):
+class CreateCluster(msgspec.Struct, frozen=True, tag="form"):
     """Makes a cluster of replicas that belong to none yet."""
 
     cluster: str = msgspec.field(name="council")
@@ -139,7 +139,7 @@
 
 Decision = Acquire | Release | Expire | Break | Put
 Question = Renew | Describe | Get
-Op = Decision | Question | GetStatus | ChangeMembership | FormCluster
+Op = Decision | Question | GetStatus | ChangeReplicas | CreateCluster
 DECISIONS = (Acquire, Release, Expire, Break, Put)
 
 
--- a/thistleline/lease/server.py
+++ b/thistleline/lease/server.py
@@ -13,11 +13,11 @@
 from thistleline.lease.liveness import LivenessTracker
 from thistleline.lease.protocol import (
     DECISIONS,
-    ChangeMembership,
+    ChangeReplicas,
+    CreateCluster,
     Denied,
     Describe,
     Done,
-    FormCluster,
     Get,
     GetStatus,
     LeaseList,
@@ -87,7 +87,7 @@
             known = tuple((one.id, one.address) for one in voter.members)
             leases = len(self.table.state.leases)
             effects.append(("answer", ticket, ReplicaStatus(*told, *rest, known, leases, voter.failing)))
-        elif isinstance(op, FormCluster):
+        elif isinstance(op, CreateCluster):
             if voter.phase == "unformed":
                 members = tuple(sorted(Member(*one) for one in op.members))
                 self._voter(now, effects, "form", op.cluster, members)
@@ -95,7 +95,7 @@
             effects.append(
                 ("answer", ticket, Done("formed") if formed else Denied("it has a council already"))
             )
-        elif isinstance(op, ChangeMembership):
+        elif isinstance(op, ChangeReplicas):
             self._voter(now, effects, "change", (ticket, op), op.action, Member(op.id, op.address))
         elif isinstance(op, DECISIONS):
             wrong = validate(op)
