--- a/thistleline/lease/wire.py
+++ b/thistleline/lease/wire.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from thistleline.consensus.messages import Append, Appended, Ask, Install, Vote
+from thistleline.consensus.messages import Message
 from thistleline.lease.protocol import Answer, Op
 
 
@@ -28,6 +28,6 @@
 
 
 encode = msgspec.msgpack.Encoder().encode
-decode_replica_message = msgspec.msgpack.Decoder(Ask | Vote | Append | Install | Appended).decode
+decode_replica_message = msgspec.msgpack.Decoder(Message).decode
 decode_request = msgspec.msgpack.Decoder(Request).decode
 decode_reply = msgspec.msgpack.Decoder(Reply | GrantHint).decode
--- a/thistleline/server/service.py
+++ b/thistleline/server/service.py
@@ -53,7 +53,7 @@
             1, min(configuration.descriptors - RESERVE, configuration.memory // 4 // CONNECTION_COST)
         )
         told = (
-            configuration.bench,
+            configuration.settings,
             configuration.gauges,
             configuration.granularity,
             self.connections_bound,
@@ -141,7 +141,7 @@
     def _serve(self, group: TaskGroup, found: Any, listener: socket.socket) -> None:
         self.serves = True
         front = self.front = Front(
-            listener, Stubs(self.configuration.bench), self.take_task, group, self.connections_bound
+            listener, Stubs(self.configuration.settings), self.take_task, group, self.connections_bound
         )
         agent = self.agent = AgentLink(self.configuration.agent, self.take, group)
         backend = self.backend = BackendLink(self.configuration.backend, self.take, group)
@@ -228,7 +228,7 @@
             connection, seq, task, word, body = told
             skew = self.clock.skew()
             if abs(skew) > MS:
-                task = replace(task, reached=task.reached + skew)
+                task = replace(task, arrived_at=task.arrived_at + skew)
             told = connection, seq, task, word, body
         self.take(kind, *told)
 
--- a/thistleline/wire/thrift.py
+++ b/thistleline/wire/thrift.py
@@ -11,7 +11,7 @@
 from struct import Struct
 from typing import Any
 
-from thistleline.interface import Bench, Task
+from thistleline.interface import ServerSettings, Task
 from thistleline.wire.buffer import Buffer
 from thistleline.wire.settings import Malformed
 
@@ -107,10 +107,10 @@
 class Stubs:
     """Reads and writes for one server, whose stages and owners the messages name."""
 
-    def __init__(self, bench: Bench) -> None:
-        self.stages = {stage.name: place for place, stage in enumerate(bench.stages)}
-        self.marked = [stage.effect == "fingerprinted" for stage in bench.stages]
-        self.owners = {owner.name: place for place, owner in enumerate(bench.owners)}
+    def __init__(self, settings: ServerSettings) -> None:
+        self.stages = {stage.name: place for place, stage in enumerate(settings.stages)}
+        self.marked = [stage.effect == "keyed" for stage in settings.stages]
+        self.owners = {owner.name: place for place, owner in enumerate(settings.tenants)}
 
     def messages(self, buffer: Buffer) -> Iterator[tuple[Any, ...]]:
         """Takes every whole frame out of the buffer."""
@@ -181,16 +181,18 @@
             task = Task(
                 id=ref,
                 stage=stage,
-                owner=self.owners[words["project"]] if self.owners else 0,
-                caller=_whole(words["sender"]),
-                rank=_number(words["class_rank"], 1.0),
+                tenant=self.owners[words["project"]] if self.owners else 0,
+                client=_whole(words["sender"]),
+                priority_rank=_number(words["class_rank"], 1.0),
                 user=None if subject is None else _whole(subject, 16),
-                work=None if effort is None else int(_number(effort, WORK_BOUND) * 1_000_000) or None,
-                held_kb=_number(words["room"], 2000.0),
-                reached=_whole(words["since"]) * 1_000_000,
-                limit=None,
-                again="dup" in words,
-                repeats=None,
+                estimated_work=None
+                if effort is None
+                else int(_number(effort, WORK_BOUND) * 1_000_000) or None,
+                queued_memory_kb=_number(words["room"], 2000.0),
+                arrived_at=_whole(words["since"]) * 1_000_000,
+                deadline=None,
+                is_retry="dup" in words,
+                duplicate_of=None,
             )
         except KeyError as error:
             raise Malformed(f"{error.args[0]!s:.40} is missing or unknown") from error
