--- a/thistleline/lab/scale/control.py
+++ b/thistleline/lab/scale/control.py
@@ -45,12 +45,34 @@
 from thistleline.lease.protocol import Answer, Get, Got, Op
 from thistleline.lease.wire import Reply, Request
 from thistleline.lease.wire import encode as encode_client
-from thistleline.rollout.controller import SECOND, Conducting, Spans
-from thistleline.rollout.record import KEY, ORDER_KEY, STAGES, Roll, Seen
-from thistleline.rollout.service import ConductorService, encode
-from thistleline.supervisor.decisions import GOOD_SPAN, Keeping, State, Version, Want
+from thistleline.rollout.controller import RolloutController
+from thistleline.rollout.events import ServersObserved
+from thistleline.rollout.events import TimerExpired as RolloutTimerExpired
+from thistleline.rollout.order import ORDER_KEY
+from thistleline.rollout.record import RECORD_KEY, RolloutRecord
+from thistleline.rollout.server_status import ServerStatus
+from thistleline.rollout.service import RolloutService, encode
+from thistleline.rollout.stages import STAGES
+from thistleline.rollout.timing import SECOND, RolloutTiming
+from thistleline.supervisor.effects import Effect, PersistState, SpawnServer, TerminateServer, VerifyVersion
+from thistleline.supervisor.events import (
+    ConsensusPolled,
+    DesiredVersionReceived,
+    Event,
+    ServerExited,
+    ServerReady,
+    ServerSpawned,
+    StatePersisted,
+    StateRecovered,
+    TimerExpired,
+    VersionVerified,
+)
+from thistleline.supervisor.model import DesiredVersion, SupervisorState, Version
+from thistleline.supervisor.records import desired_version_key
 from thistleline.supervisor.releases import RUN, Releases
-from thistleline.supervisor.service import POLL, StewardService, want_key
+from thistleline.supervisor.service import POLL, SupervisorService
+from thistleline.supervisor.state_machine import Supervisor
+from thistleline.supervisor.timing import GOOD_AFTER
 from thistleline.transport.codec import encode_frame
 from thistleline.zones.decision import ZoneDecider
 from thistleline.zones.routing import RoutingRules, RoutingTable
@@ -85,64 +107,65 @@
 
     def __init__(self, beside: bool) -> None:
         self.now, self.life, self.beside = SECOND, 0, beside
-        self.keeping = Keeping(SECOND, self.now, beside)
+        self.supervisor = Supervisor(SECOND, self.now, beside)
         self.spent: Counter[str] = Counter()
         self.told: tuple[Any, ...] = ()
-        self.take("recovered", State(life=1000), False)
+        self.handle(StateRecovered(SupervisorState(incarnation=1000), False))
 
-    def take(self, kind: str, *told: Any) -> None:
-        effects: list[tuple[Any, ...]] = []
-        taken = partial(self.keeping.take, self.now, kind, *told)
+    def handle(self, event: Event) -> None:
+        effects: list[Effect] = []
+        taken = partial(self.supervisor.handle, self.now, event)
         self.spent["steps"] += steps_of(lambda: effects.extend(taken()))
         self.spent["inputs"] += 1
         self._count_words()
         for effect in effects:
-            self._carry_out(*effect)
+            self._carry_out(effect)
 
     def _count_words(self) -> None:
-        """Of what members hear of it that was not so before (steward/service.py, _tell)."""
-        keeping, state = self.keeping, self.keeping.state
-        serves = keeping.serves and state.running
-        told = (serves, state.life, keeping.crashed_in_all)
+        """Of what members hear of it that was not so before (supervisor/service.py, _publish)."""
+        supervisor, state = self.supervisor, self.supervisor.state
+        serves = supervisor.serves and state.running
+        told = (serves, state.incarnation, supervisor.crashes.total)
         self.spent[WORDS] += told != self.told
         self.told = told
 
-    def _carry_out(self, kind: str, *told: Any) -> None:
-        if kind == "note":
-            self.spent["notes to disk"] += 1
-            self.spent["bytes to disk"] += self.state_bytes()
-            self.take("noted")
-        elif kind == "verify":
-            self.spent["checks of a release"] += 1
-            self.take("verified", "")
-        elif kind == "spawn":
-            elder, self.life = self.life, told[0]
-            self.take("spawned", 1)
-            if self.keeping.phase == "succeeding":
-                self.take("served", self.life)
-                self.take("exited", 0, elder)
-        elif kind == "term":
-            self.take("exited", 0, self.life)
+    def _carry_out(self, effect: Effect) -> None:
+        match effect:
+            case PersistState():
+                self.spent["notes to disk"] += 1
+                self.spent["bytes to disk"] += self.state_bytes()
+                self.handle(StatePersisted())
+            case VerifyVersion():
+                self.spent["checks of a release"] += 1
+                self.handle(VersionVerified(""))
+            case SpawnServer(incarnation):
+                elder, self.life = self.life, incarnation
+                self.handle(ServerSpawned(1))
+                if self.supervisor.phase == "succeeding":
+                    self.handle(ServerReady(self.life))
+                    self.handle(ServerExited(0, elder))
+            case TerminateServer(incarnation):
+                self.handle(ServerExited(0, incarnation))
 
     def want(self, number: int, turn: int = 0) -> None:
         """Followed, and its server taken for good."""
-        self.take("want", Want(7, number, version(number), turn))
+        self.handle(DesiredVersionReceived(DesiredVersion(7, number, version(number), turn)))
         self.settle()
 
     def settle(self) -> None:
         for _ in range(2):
-            self.now = max(self.now + GOOD_SPAN, self.keeping.due())
-            self.take("elapsed")
+            self.now = max(self.now + GOOD_AFTER, self.supervisor.next_deadline())
+            self.handle(TimerExpired())
 
     def state_bytes(self) -> int:
-        return len(msgspec.json.encode(self.keeping.state))
+        return len(msgspec.json.encode(self.supervisor.state))
 
     def look(self) -> None:
         """What comes of an answer of the council that says nothing new, and of the clock."""
-        assert self.keeping.state.want is not None
-        self.keeping.take(self.now, "reached", True)
-        self.keeping.take(self.now, "want", self.keeping.state.want)
-        self.keeping.take(self.now, "elapsed")
+        assert self.supervisor.state.desired is not None
+        self.supervisor.handle(self.now, ConsensusPolled(True))
+        self.supervisor.handle(self.now, DesiredVersionReceived(self.supervisor.state.desired))
+        self.supervisor.handle(self.now, TimerExpired())
 
 
 def followed(wants: int, beside: bool = True) -> Kept:
@@ -160,7 +183,7 @@
         kept = followed(1, beside)
         kept.spent.clear()
         if name == "crash":
-            kept.take("exited", 1, kept.life)
+            kept.handle(ServerExited(1, kept.life))
             kept.settle()
         else:
             kept.want(1000 + ("settings" in name), 1)
@@ -182,10 +205,10 @@
                          f"council voter a=127.0.0.1:9\n{more}\n".replace("FOLDER", str(folder)))  # fmt: skip
 
 
-def steward_of(known: int, folder: Path) -> StewardService:
+def steward_of(known: int, folder: Path) -> SupervisorService:
     """Whose member knows so many."""
     conf = service_conf(folder, "steward folder FOLDER/s\nsteward plate FOLDER/p\nsteward releases FOLDER/r")
-    service = StewardService(conf, _log)
+    service = SupervisorService(conf, _log)
     service.member.gossip = hollow(known, 1)
     return service
 
@@ -195,9 +218,9 @@
     with TemporaryDirectory() as folder:
         service = steward_of(known, Path(folder))
     kept = followed(1)
-    service.keeping, service.pids = kept.keeping, {kept.life: 1}
-    service._tell()
-    return service._tell
+    service.supervisor, service.servers.pids = kept.supervisor, {kept.life: 1}
+    service._publish()
+    return service._publish
 
 
 def steps_of_verify(releases: int) -> int:
@@ -214,8 +237,8 @@
 def calm_hour() -> dict[str, Any]:
     """What a steward and the council say to each other where nothing changes, by POLL and the program's own
     encoding; on TCP, whose acknowledgements are not in it."""
-    want = encode(Want(7, 1182, version(118), 2))
-    question = encode_frame(encode_client(Request(100_000, Get(want_key("i00000.zone-01")))))
+    want = encode(DesiredVersion(7, 1182, version(118), 2))
+    question = encode_frame(encode_client(Request(100_000, Get(desired_version_key("i00000.zone-01")))))
     answer = encode_frame(encode_client(Reply(100_000, Got(want, 5_000_000))))
     questions = round(3600 / POLL)
     each = len(question) + len(answer)
@@ -241,8 +264,9 @@
         self.old, self.new = version(117), version(118)
         self.figures = [[0, 0, 0, 0, 0] for _ in self.places]
         all_of_them = tuple(id for id, _, _ in self.places)
-        roll = Roll(1, self.new, self.old, STAGES, 1, 1, stage=len(STAGES) - 1, targets=all_of_them)
-        self.conducting = Conducting(self.now, lambda: 1_790_000_000_000, roll, Spans())
+        last = len(STAGES) - 1
+        roll = RolloutRecord(1, self.new, self.old, STAGES, 1, 1, stage_index=last, targets=all_of_them)
+        self.controller = RolloutController(self.now, lambda: 1_790_000_000_000, roll, RolloutTiming())
         self.pass_time()
         self.look()
         for _ in range(4):
@@ -252,7 +276,7 @@
 
     def pass_time(self) -> None:
         """A slot in which all of them worked; the conductor sees it, with ids that came in anew."""
-        self.now += self.conducting.spans.slot
+        self.now += self.controller.timing.slot
         found = []
         for place, (id, zone, new) in enumerate(self.places):
             tasks = self.chance.randint(1400, 1600)
@@ -262,24 +286,24 @@
                 counts[at] += more
             runs = self.new if new else self.old
             found.append(
-                Seen(self.id_of(id), zone, True, runs.release, runs.settings, True,
+                ServerStatus(self.id_of(id), zone, True, runs.release, runs.settings, True,
                      place % 100 >= self.cold, (*counts, 96_000 + self.chance.randint(0, 999), 0, 12))
             )  # fmt: skip
-        self.conducting.take(self.now, "seen", found)
-        self.seen, self.before = found, dict(self.conducting.before)
+        self.controller.handle(self.now, ServersObserved(found))
+        self.seen, self.before = found, dict(self.controller.sampler.previous)
 
     def id_of(self, id: str) -> str:
         return str(id.encode(), "ascii")
 
     def slot(self) -> None:
         """The last one that passed; the same work each time."""
-        self.conducting.before = dict(self.before)
-        self.conducting._slot()
+        self.controller.sampler.previous = dict(self.before)
+        self.controller._end_slot()
 
     def look(self) -> None:
-        self.conducting.next_slot = self.now + SECOND
-        self.conducting.take(self.now, "seen", self.seen)
-        self.conducting.take(self.now, "elapsed")
+        self.controller.next_slot = self.now + SECOND
+        self.controller.handle(self.now, ServersObserved(self.seen))
+        self.controller.handle(self.now, RolloutTimerExpired())
 
 
 class Id(str):
@@ -314,14 +338,14 @@
 class Answering:
     """A council that answers at once, and how much it was asked by the end of each look's questions."""
 
-    def __init__(self, looks: int, roll: Roll) -> None:
+    def __init__(self, looks: int, roll: RolloutRecord) -> None:
         self.looks, self.roll = looks, roll
         self.reads = self.bytes = 0
         self.by_look: list[tuple[int, int]] = []
 
     async def request_until_decided(self, op: Op, timeout: float) -> Answer:
         assert isinstance(op, Get), op
-        value = encode(self.roll) if op.key == KEY else encode(Want(7, 1, self.roll.base))
+        value = encode(self.roll) if op.key == RECORD_KEY else encode(DesiredVersion(7, 1, self.roll.base))
         answer = Got(b"", 0) if op.key == ORDER_KEY else Got(value, 7)
         self.reads += 1
         self.bytes += len(encode_frame(encode_client(Request(self.reads, op))))
@@ -337,12 +361,12 @@
     """Reads of the council and their bytes until the first look, and until the second one, of a conductor
     that takes over a fleet at rest."""
     base = Version("2.31.4", DIGESTS[0], 118, DIGESTS[0], (3, 4), 4)
-    service = ConductorService(service_conf(Path(), ""), _log)
+    service = RolloutService(service_conf(Path(), ""), _log)
     service.member.gossip = hollow(instances, 1)
-    council: Any = Answering(2, Roll(1, version(119), base, STAGES, 1, 1, "back"))
+    council: Any = Answering(2, RolloutRecord(1, version(119), base, STAGES, 1, 1, "back"))
     held: Any = None  # it writes nothing
     try:
-        anyio.run(service._conduct, council, held)
+        anyio.run(service._lead, council, held)
     except Enough:
         return list(council.by_look)
     raise AssertionError("it asks no more")
@@ -350,9 +374,9 @@
 
 def picturing(instances: int) -> Callable[[], Any]:
     """The picture that is made of members for each look."""
-    service = ConductorService(service_conf(Path(), ""), _log)
+    service = RolloutService(service_conf(Path(), ""), _log)
     service.member.gossip = hollow(instances, 1)
-    return service.seen
+    return service.server_statuses
 
 
 def resting(instances: int) -> Callable[[], Any]:
@@ -361,17 +385,17 @@
     seen = carried.seen()
 
     def look() -> None:
-        carried.tell("seen", seen)
-        carried.tell("elapsed")
+        carried.tell(ServersObserved(seen))
+        carried.tell(RolloutTimerExpired())
 
     return look
 
 
 def resting_slot(made: Conducted) -> Callable[[], Any]:
     """Its change is over: nothing is judged any more."""
-    assert made.conducting.roll is not None
-    made.conducting.roll = msgspec.structs.replace(made.conducting.roll, phase="done")
-    made.conducting.judge = None
+    assert made.controller.record is not None
+    made.controller.record = msgspec.structs.replace(made.controller.record, phase="done")
+    made.controller.analysis = None
     return made.slot
 
 
@@ -543,7 +567,7 @@
     rolled = {n: conducted(n, 0, seed) for n in fleets}
     held = [
         Case("conductor: memory of what it sees and judges by instance", fleets,
-             lambda n: conducted(n, 0, seed).conducting),
+             lambda n: conducted(n, 0, seed).controller),
         Case("decider: memory of reports by entry", entries, lambda n: entered(n).pictures, ENTRY),
     ]  # fmt: skip
     timed = [
@@ -627,10 +651,10 @@
             told = {what: [((cpu_seconds(pid) - before[pid]) / span, resident(pid)) for pid in found]
                     for what, found in pids.items()}  # fmt: skip
             client = LeaseClient({name: fleet.address(name) for name in fleet.names}, group, fleet.chance)
-            await client.request_until_decided(Get(KEY), 10.0)
+            await client.request_until_decided(Get(RECORD_KEY), 10.0)
             begun = time.monotonic()
             for _ in range(TRIPS):
-                await client.request_until_decided(Get(KEY), 10.0)
+                await client.request_until_decided(Get(RECORD_KEY), 10.0)
             told["a read of the council"] = [((time.monotonic() - begun) / TRIPS, 0)]
         finally:
             machines.close()
--- a/thistleline/lab/scale/council.py
+++ b/thistleline/lab/scale/council.py
@@ -53,9 +53,10 @@
     validate,
 )
 from thistleline.lease.wire import Reply, Request, decode_replica_message, decode_request, encode
-from thistleline.supervisor.decisions import Version, Want
-from thistleline.supervisor.service import POLL, want_key
-from thistleline.supervisor.settings import SIZE_BOUND
+from thistleline.supervisor.model import DesiredVersion, Version
+from thistleline.supervisor.records import desired_version_key
+from thistleline.supervisor.service import POLL
+from thistleline.supervisor.settings import SETTINGS_SIZE_LIMIT
 from thistleline.transport.codec import encode_frame
 
 NAME = "council"
@@ -67,7 +68,7 @@
 KEEPS = 200
 SECONDS = 6.0  # of a rate, in the long run
 DIGEST = "5f" * 32
-WANT = msgspec.msgpack.encode(Want(7, 1182, Version("2.31.4", DIGEST, 118, DIGEST, (3, 4), 4), 2))
+WANT = msgspec.msgpack.encode(DesiredVersion(7, 1182, Version("2.31.4", DIGEST, 118, DIGEST, (3, 4), 4), 2))
 
 
 class CountedCouncil(VirtualCouncil):
@@ -134,11 +135,11 @@
 
 
 def reads(council: CountedCouncil, count: int) -> Round:
-    return council.ask_together([Get(want_key(f"i{place:05}.zone-01")) for place in range(count)])
+    return council.ask_together([Get(desired_version_key(f"i{place:05}.zone-01")) for place in range(count)])
 
 
 def writes(council: CountedCouncil, count: int, first: int = 0) -> Round:
-    keys = [want_key(f"i{place:05}.zone-01") for place in range(first, first + count)]
+    keys = [desired_version_key(f"i{place:05}.zone-01") for place in range(first, first + count)]
     return council.ask_together([Put(key, WANT, 0) for key in keys])
 
 
@@ -243,7 +244,9 @@
 
 def read_time(leader: Leader, count: int) -> float:
     """CPU seconds of a round of so many reads."""
-    asked = [encode(Request(number, Get(want_key(f"i{number:05}.zone-01")))) for number in range(count)]
+    asked = [
+        encode(Request(number, Get(desired_version_key(f"i{number:05}.zone-01")))) for number in range(count)
+    ]
     rounds = max(1, 1000 // count)
 
     def all_rounds() -> None:
@@ -267,7 +270,9 @@
 def filled(records: int) -> LeaseTable:
     table = LeaseTable()
     for place in range(records):
-        told = table.apply(place + 1, encode_decision(Put(want_key(f"i{place:05}.zone-01"), WANT, 0)))
+        told = table.apply(
+            place + 1, encode_decision(Put(desired_version_key(f"i{place:05}.zone-01"), WANT, 0))
+        )
         assert isinstance(told, Done), told
     return table
 
@@ -385,7 +390,7 @@
 def bounds() -> dict[str, Any]:
     """What the table may hold, against a want for each instance and the settings."""
     instances = size("instances")
-    key = len(want_key(f"i{instances:05}.zone-01"))
+    key = len(desired_version_key(f"i{instances:05}.zone-01"))
     refused = [kb for kb in (128, 256, 257, 512) if validate(Put("settings/1", b"x" * (kb << 10), 0))]
     write = len(encode_decision(Put("w" * key, WANT, 0)))
     return {
@@ -396,7 +401,7 @@
         "records_bound": MAX_RECORDS,
         "names_bound": MAX_LEASES,
         "value_bound": MAX_VALUE_SIZE,
-        "settings_size_bound": SIZE_BOUND,
+        "settings_size_bound": SETTINGS_SIZE_LIMIT,
         "settings_kb_refused": refused,
         "versions_of_settings_that_fit_beside_wants": (MAX_RECORDS_SIZE - instances * len(WANT))
         // MAX_VALUE_SIZE,
