--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -14,7 +14,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from thistleline.config.schema import Faulty, check
+from thistleline.config.loader import ConfigError, parse_config
 from thistleline.consensus.effects import SendMessage, WriteRecords
 from thistleline.consensus.elections import Elections
 from thistleline.consensus.events import WriteCompleted, WriteFailed
@@ -29,7 +29,7 @@
 from thistleline.lab.mutants import MUTANTS, SCENARIOS, without
 from thistleline.lab.virtual import MS, VirtualCouncil
 from thistleline.lease.events import Event, RequestReceived
-from thistleline.lease.protocol import Acquire, ChangeMembership, Denied, Done, Granted, Release, Unavailable
+from thistleline.lease.protocol import Acquire, ChangeReplicas, Denied, Done, Granted, Release, Unavailable
 from thistleline.lease.server import LeaseServer
 from thistleline.lease.table import LeaseTable
 from thistleline.store.disk import Disk
@@ -135,19 +135,17 @@
     rest = sorted(set(made.servers) - {leader})
     made.swallows = lambda source, to: leader in (source, to)
     assert isinstance(
-        ask(made, leader, ChangeMembership("remove", rest[0])), Unavailable
+        ask(made, leader, ChangeReplicas("remove", rest[0])), Unavailable
     )  # it comes to nothing there
     made.run(made.now + 3 * SECOND)
     new = made.leader()
     assert new != leader
-    assert ask(made, new, ChangeMembership("remove", leader)) == Done("changed")
+    assert ask(made, new, ChangeReplicas("remove", leader)) == Done("changed")
     made.swallows = lambda source, to: False
     made.run(made.now + 5 * SECOND)
     assert {one.id for one in made.servers[made.leader()].replica.state.members} == set(rest)
     assert made.servers[leader].replica.state.phase != "leading"
-    assert isinstance(
-        ask(made, made.leader(), ChangeMembership("remove", leader)), Done
-    )  # it is gone already
+    assert isinstance(ask(made, made.leader(), ChangeReplicas("remove", leader)), Done)  # it is gone already
     made.dead.add(leader)
     before = made.servers[made.leader()].replica.state.term
     made.run(made.now + 10 * SECOND)
@@ -165,8 +163,8 @@
     made.servers["w0"] = LeaseServer(empty, lambda: 0)
     made.run(made.now + 3 * SECOND)
     assert empty.state.phase == "unformed"
-    assert ask(made, leader, ChangeMembership("remove", lost)) == Done("changed")
-    assert ask(made, leader, ChangeMembership("add", "w0", "w0")) == Done("changed")
+    assert ask(made, leader, ChangeReplicas("remove", lost)) == Done("changed")
+    assert ask(made, leader, ChangeReplicas("add", "w0", "w0")) == Done("changed")
     assert "n" in made.servers["w0"].table.state.leases
     made.dead.add(leader)
     made.run(made.now + 5 * SECOND)
@@ -446,11 +444,11 @@
 def test_settings_of_the_council_are_checked_with_all_faults_at_once() -> None:
     text = ("council name A\ncouncil listen 0.0.0.0:7\ncouncil heartbeat 5\ncouncil voter a\n"
             "council voter b=127.0.0.1:1\ncouncil voter b=127.0.0.1:2\ncouncil via c=host:1\n")  # fmt: skip
-    with pytest.raises(Faulty) as caught:
-        check("t.conf", text)
+    with pytest.raises(ConfigError) as caught:
+        parse_config("t.conf", text)
     assert [line.split(": ")[0] for line in caught.value.lines] == [f"t.conf:{n}" for n in (1, 2, 3, 4, 6, 7)]
     text = "council listen 127.0.0.1:7001\ncouncil election 2s\ncouncil voter a=[::1]:7\n"
-    conf = check("t.conf", text).council
+    conf = parse_config("t.conf", text).council
     assert conf is not None
     assert (conf.listen, conf.election, conf.voter) == (("127.0.0.1", 7001), 2 * SECOND, {"a": ("::1", 7)})
 
--- a/thistleline/lease/peer_links.py
+++ b/thistleline/lease/peer_links.py
@@ -7,7 +7,7 @@
 import anyio
 from anyio.abc import ByteStream, TaskGroup
 
-from thistleline.config.schema import Council
+from thistleline.config.schema import ConsensusConfig
 from thistleline.consensus.messages import AppendRequest, Message
 from thistleline.lease.wire import encode
 from thistleline.transport.address import parse_address
@@ -20,7 +20,11 @@
     """One outgoing link to each wanted peer; each is made again when it ends."""
 
     def __init__(
-        self, config: Council, chance: Random, log: Callable[..., None], own_hello: Callable[[], Hello]
+        self,
+        config: ConsensusConfig,
+        chance: Random,
+        log: Callable[..., None],
+        own_hello: Callable[[], Hello],
     ) -> None:
         """Create it without links.
 
--- a/thistleline/lease/server.py
+++ b/thistleline/lease/server.py
@@ -15,7 +15,7 @@
     ReadReady,
     RequestRefused,
 )
-from thistleline.consensus.events import Propose, RequestRead
+from thistleline.consensus.events import ChangeMembership, FormCluster, Propose, RequestRead
 from thistleline.consensus.messages import Member
 from thistleline.consensus.replica import Replica
 from thistleline.consensus.state import NO_NAMES, Phase
@@ -25,12 +25,12 @@
 from thistleline.lease.protocol import (
     DECISIONS,
     Answer,
-    ChangeMembership,
+    ChangeReplicas,
+    CreateCluster,
     Decision,
     Denied,
     Describe,
     Done,
-    FormCluster,
     Get,
     GetStatus,
     LeaseList,
@@ -138,12 +138,11 @@
     def _handle_request(self, now: int, ticket: Any, op: Op, effects: list[Effect]) -> None:
         if isinstance(op, GetStatus):
             effects.append(SendAnswer(ticket, self._status()))
-        elif isinstance(op, FormCluster):
+        elif isinstance(op, CreateCluster):
             effects.append(SendAnswer(ticket, self._form_cluster(now, op, effects)))
-        elif isinstance(op, ChangeMembership):
+        elif isinstance(op, ChangeReplicas):
             member = Member(op.id, op.address)
-            pending = PendingRequest(ticket, op)
-            change = consensus_events.ChangeMembership(pending, op.action, member)
+            change = ChangeMembership(PendingRequest(ticket, op), op.action, member)
             self._drive_replica(now, change, effects)
         elif isinstance(op, DECISIONS):
             self._handle_command(ticket, op, effects)
@@ -167,11 +166,11 @@
             failing=state.writes.failing,
         )
 
-    def _form_cluster(self, now: int, op: FormCluster, effects: list[Effect]) -> Answer:
+    def _form_cluster(self, now: int, op: CreateCluster, effects: list[Effect]) -> Answer:
         state = self.replica.state
         if state.phase is Phase.UNFORMED:
             members = tuple(sorted(Member(id, address) for id, address in op.members))
-            self._drive_replica(now, consensus_events.FormCluster(op.cluster, members), effects)
+            self._drive_replica(now, FormCluster(op.cluster, members), effects)
         if state.cluster_id == op.cluster:
             return Done("formed")
         return Denied("it has a council already")
@@ -186,14 +185,14 @@
 
     def _handle_question(self, now: int, ticket: Any, question: Question) -> None:
         if isinstance(question, Renew) and self.is_leader:
-            for name, asker in question.leases:
-                self.liveness.renew(now, name, asker, self.table)
+            for name, holder_id in question.leases:
+                self.liveness.renew(now, name, holder_id, self.table)
         self._questions.append(PendingRequest(ticket, question))
 
     def _answer_question(self, question: Any) -> Answer:
         table = self.table
         if isinstance(question, Renew):
-            return Renewed(tuple(table.status_of(name, asker) for name, asker in question.leases))
+            return Renewed(tuple(table.status_of(name, holder_id) for name, holder_id in question.leases))
         if isinstance(question, Get):
             return table.get(question.key)
         assert isinstance(question, Describe)
