--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -21,7 +21,7 @@
     TimerFired,
 )
 from thistleline.policy import BUCKETS, MS, SECOND
-from thistleline.wire.settings import nanos
+from thistleline.wire.durations import parse_seconds
 
 FINAL = {"reject", "abandon"}
 
@@ -530,8 +530,8 @@
 
 @pytest.mark.parametrize(("text", "whole"), [("8.41225", 8_412_250_000), ("0", 0), ("1", SECOND)])
 def test_times_are_exact(text: str, whole: int) -> None:
-    assert nanos(text) == whole
-    assert nanos(format_seconds(whole)) == whole
+    assert parse_seconds(text) == whole
+    assert parse_seconds(format_seconds(whole)) == whole
 
 
 @pytest.mark.parametrize(
--- a/thistleline/bench_adapter/events.py
+++ b/thistleline/bench_adapter/events.py
@@ -13,7 +13,7 @@
     TaskArrived,
     TimerFired,
 )
-from thistleline.wire.settings import nanos
+from thistleline.wire.durations import parse_seconds
 
 RUN_OUTCOMES: dict[str, RunOutcome] = {
     "OK": "finished",
@@ -68,7 +68,7 @@
         case "DEP_REPLY":
             return CallEnded(parts[2], CALL_OUTCOMES[parts[3]], _parse_duration(parts[4]))
         case "TERMINATE_SOON":
-            return DrainRequested(nanos(parts[2]))
+            return DrainRequested(parse_seconds(parts[2]))
         case _:
             return None
 
@@ -99,10 +99,10 @@
         client=0 if _is_absent(client) else int(client),
         priority_rank=0.0 if _is_absent(priority_rank) else float(priority_rank),
         user=None if user in ("-", "") else int(user),
-        estimated_work=nanos(work) if has_work_hint else None,
+        estimated_work=parse_seconds(work) if has_work_hint else None,
         queued_memory_kb=float(memory_kb),
         arrived_at=now - _parse_duration(waited),
-        deadline=None if _is_absent(deadline) else nanos(deadline) or None,
+        deadline=None if _is_absent(deadline) else parse_seconds(deadline) or None,
         is_retry=bool(flags & IS_RETRY),
         duplicate_of=None if _is_absent(duplicate_of) else duplicate_of,
     )
@@ -115,7 +115,7 @@
 
 
 def _parse_duration(text: str) -> int:
-    return 0 if _is_absent(text) else nanos(text)
+    return 0 if _is_absent(text) else parse_seconds(text)
 
 
 def _is_absent(text: str) -> bool:
--- a/thistleline/lab/scale/settings_costs.py
+++ b/thistleline/lab/scale/settings_costs.py
@@ -144,7 +144,7 @@
     by_tenant = (100, 300, 600, 1000) if quick else (100, 1000, 10_000, 100_000)
     for per, sizes, at in (("stage", by_stage, routes), ("tenant", by_tenant, tenants)):
         texts = [text_of(n, 3, seed) if per == "stage" else text_of(3, n, seed) for n in sizes]
-        bounds = f"{SETTINGS_SIZE_LIMIT} at most by SETTINGS_SIZE_LIMIT, the council's VALUE_BOUND"
+        bounds = f"{SETTINGS_SIZE_LIMIT} at most by SETTINGS_SIZE_LIMIT, the council's MAX_VALUE_SIZE"
         found.append(row(f"text by {per}: bytes", "count", "bytes", per, sizes,
                          [len(one) for one in texts], at, note=bounds))  # fmt: skip
         told = [msgspec.json.decode(one) for one in texts]
--- a/thistleline/supervisor/settings.py
+++ b/thistleline/supervisor/settings.py
@@ -8,7 +8,12 @@
 
 from thistleline.lease.protocol import MAX_VALUE_SIZE
 from thistleline.server.service import CONNECTION_COST, RESERVE
-from thistleline.wire.settings import Malformed, read_gauges, read_granularity, read_server_settings
+from thistleline.wire.settings import (
+    SettingsError,
+    read_gauge_names,
+    read_round_interval,
+    read_server_settings,
+)
 
 SETTINGS_SIZE_LIMIT = MAX_VALUE_SIZE  # bytes of a version: it goes through the replicated log in one record
 MEGABYTE = 1 << 20  # bytes
@@ -28,11 +33,18 @@
     try:
         raw = msgspec.json.decode(content)
         settings = read_server_settings(raw)
-        read_gauges(raw)
-        read_granularity(raw)
+        read_gauge_names(raw)
+        read_round_interval(raw)
     except KeyError as error:
         return f"{error.args[0]!r} is missing or unknown"
-    except (msgspec.MsgspecError, Malformed, TypeError, LookupError, ValueError, ArithmeticError) as error:
+    except (
+        msgspec.MsgspecError,
+        SettingsError,
+        TypeError,
+        LookupError,
+        ValueError,
+        ArithmeticError,
+    ) as error:
         return f"{type(error).__name__}: {' '.join(str(error).split())}"
     repeated = [name for name, count in Counter(stage.name for stage in settings.stages).items() if count > 1]
     if repeated:
