--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -79,6 +79,19 @@
     )
 
 
+async def until_listening(fleet: Fleet) -> None:
+    """Waits for each voter to listen; a started process needs a while until it does."""
+    for name in fleet.names:
+        while True:
+            try:
+                stream = await anyio.connect_tcp("127.0.0.1", fleet.ports[name])
+            except OSError:
+                await anyio.sleep(0.02)
+            else:
+                await stream.aclose()
+                break
+
+
 # ---- as an operator meets it
 
 
@@ -87,6 +100,7 @@
         async def run(*words: str) -> subprocess.CompletedProcess[str]:
             return await anyio.to_thread.run_sync(partial(command, fleet, *words))
 
+        await until_listening(fleet)
         assert (await run("council", "status")).returncode == 1  # nobody leads
         assert "council" in (await run("council", "form")).stdout
         await fleet.leader()
