--- a/thistleline/lab/harness.py
+++ b/thistleline/lab/harness.py
@@ -27,9 +27,9 @@
 from thistleline.lease.client import LeaseClient
 from thistleline.lease.protocol import (
     Answer,
-    ChangeMembership,
+    ChangeReplicas,
+    CreateCluster,
     Done,
-    FormCluster,
     GetStatus,
     Op,
     ReplicaStatus,
@@ -229,7 +229,7 @@
         for name in self.names:
             ids.append((await self.status(name)).id)
         members = tuple((id, f"127.0.0.1:{self.ports[id.partition('.')[0]]}") for id in sorted(ids))
-        form = FormCluster(self.rng.randbytes(8).hex(), members)
+        form = CreateCluster(self.rng.randbytes(8).hex(), members)
         for name in self.names:
             await self.request(form, {name: self.address(name)})
         await self.leader()
@@ -288,8 +288,8 @@
         new = (await self.status(name)).id
         others = {other: self.address(other) for other in self.names if other != name}
         for change in (
-            ChangeMembership("remove", old),
-            ChangeMembership("add", new, f"127.0.0.1:{self.ports[name]}"),
+            ChangeReplicas("remove", old),
+            ChangeReplicas("add", new, f"127.0.0.1:{self.ports[name]}"),
         ):
             answer = await self.request(change, others, 20.0)
             self.record("changed", what_of=str(change), answer=str(answer))
--- a/thistleline/lab/members.py
+++ b/thistleline/lab/members.py
@@ -12,10 +12,12 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from thistleline.membership.gossip import MS, SECOND, Gossip, Spans
-from thistleline.membership.messages import DEAD, Facts, Word
+from thistleline.membership.effects import MemberChanged, SendMessage
+from thistleline.membership.events import DeadlineReached, GossipEvent, MessageReceived
+from thistleline.membership.gossip import MS, SECOND, Gossip, GossipTiming
+from thistleline.membership.messages import DEAD, MemberFacts, MemberRecord
 
-SPANS = Spans(period=500 * MS, answer=150 * MS)
+TIMING = GossipTiming(period=500 * MS, ack_timeout=150 * MS)
 
 
 class ScheduledEvent(NamedTuple):
@@ -24,7 +26,7 @@
     time: int  # ns
     sequence: int
     id: str
-    event: tuple[Any, ...]
+    event: GossipEvent
 
 
 class SimulatedMembership:
@@ -51,48 +53,49 @@
         self.is_partitioned: Callable[[str, str], bool] = lambda source, target: False
         self.declared_dead: dict[str, dict[str, int]] = {}  # by member: who holds it for dead, since when
         self.returned: dict[str, dict[str, int]] = {}  # by member: who sees it alive again, since when
-        facts = Facts("1", 1, "z", 0, True, True, (1, 2, 3))
+        facts = MemberFacts("1", 1, "z", 0, True, True, (1, 2, 3))
         for index in range(members):
             self.add(f"m{index}", 1, facts)
-        words = [one.own for one in self.members.values()]
-        for one in self.members.values():
-            for word in words:
-                if word.id != one.id:
-                    one.view.put(word)
-            for word in words:
-                one.view._sent_enough(word.id)  # nothing of it is news
-
-    def add(self, id: str, incarnation: int, facts: Facts, seeds: tuple[str, ...] = ()) -> Gossip:
+        records = [member.own_record for member in self.members.values()]
+        for member in self.members.values():
+            for record in records:
+                if record.id != member.id:
+                    member.view.put(record)
+            for record in records:
+                member.view.stop_spreading(record.id)  # nothing of it is news
+
+    def add(self, id: str, incarnation: int, facts: MemberFacts, seeds: tuple[str, ...] = ()) -> Gossip:
         """Add a member, or the next incarnation of one that crashed."""
-        one = self.members[id] = Gossip(
-            id, id, incarnation, facts, seeds, self.now, SPANS, Random(self.rng.getrandbits(64))
+        member = self.members[id] = Gossip(
+            id, id, incarnation, facts, seeds, self.now, TIMING, Random(self.rng.getrandbits(64))
         )
         self.crashed.discard(id)
-        self._schedule(one.due(), id, ("elapsed",))
-        return one
+        self._schedule(member.next_deadline(), id, DeadlineReached())
+        return member
 
-    def _schedule(self, time: int, id: str, event: tuple[Any, ...]) -> None:
+    def _schedule(self, time: int, id: str, event: GossipEvent) -> None:
         self.scheduled += 1
         heappush(self.queue, ScheduledEvent(time, self.scheduled, id, event))
 
-    def handle(self, id: str, *event: Any) -> None:
+    def handle(self, id: str, event: GossipEvent) -> None:
         """Let a member handle an event now."""
-        for effect in self.members[id].take(self.now, *event):
-            if effect[0] == "send":
-                lost = self.rng.random() < self.loss or self.is_partitioned(id, effect[1])
-                if not lost and effect[1] in self.members:
-                    arrival = self.now + self.rng.randint(*self.delay) * MS
-                    self._schedule(arrival, effect[1], ("heard", id, effect[2]))
-            elif effect[0] == "changed":
-                self._changed(id, effect[1], effect[2])
-
-    def _changed(self, by: str, word: Word, before: Word | None) -> None:
-        was = before is not None and before.status >= DEAD
-        if word.status >= DEAD and not was:
-            self.declared_dead.setdefault(word.id, {}).setdefault(by, self.now)
-            self.returned.get(word.id, {}).pop(by, None)
-        elif word.status < DEAD and was:
-            self.returned.setdefault(word.id, {})[by] = self.now
+        for effect in self.members[id].handle(self.now, event):
+            match effect:
+                case SendMessage():
+                    lost = self.rng.random() < self.loss or self.is_partitioned(id, effect.address)
+                    if not lost and effect.address in self.members:
+                        arrival = self.now + self.rng.randint(*self.delay) * MS
+                        self._schedule(arrival, effect.address, MessageReceived(id, effect.message))
+                case MemberChanged():
+                    self._record_change(id, effect.record, effect.previous)
+
+    def _record_change(self, by: str, record: MemberRecord, previous: MemberRecord | None) -> None:
+        was_dead = previous is not None and previous.status >= DEAD
+        if record.status >= DEAD and not was_dead:
+            self.declared_dead.setdefault(record.id, {}).setdefault(by, self.now)
+            self.returned.get(record.id, {}).pop(by, None)
+        elif record.status < DEAD and was_dead:
+            self.returned.setdefault(record.id, {})[by] = self.now
 
     def run(self, until: int, is_over: Callable[[], bool] = lambda: False) -> bool:
         """Run the queue to a time (ns), or until a condition holds; return whether it holds.
@@ -110,18 +113,18 @@
         self.now = max(self.now, until)
         return is_over()
 
-    def _dispatch(self, id: str, event: tuple[Any, ...]) -> None:
+    def _dispatch(self, id: str, event: GossipEvent) -> None:
         """Let a member handle an event of the queue, once it is no longer stalled."""
         stalled_until = self.stalled.get(id, 0)
         if stalled_until > self.now:
             self._schedule(stalled_until + 1, id, event)
-        elif event[0] == "elapsed":
+        elif isinstance(event, DeadlineReached):
             member = self.members[id]
-            if self.now >= member.due():
-                self.handle(id, "elapsed")
-            self._schedule(max(member.due(), self.now + MS), id, event)
+            if self.now >= member.next_deadline():
+                self.handle(id, event)
+            self._schedule(max(member.next_deadline(), self.now + MS), id, event)
         else:
-            self.handle(id, *event)
+            self.handle(id, event)
 
     def alive(self) -> list[str]:
         """Return the members that have not crashed."""
@@ -129,7 +132,7 @@
 
     def believing_dead(self, id: str) -> set[str]:
         """Return the living members that hold a member for dead."""
-        return {by for by in self.alive() if by != id and self.members[by].view.words[id].status >= DEAD}
+        return {by for by in self.alive() if by != id and self.members[by].view.records[id].status >= DEAD}
 
 
 def detect_crash(members: int, seed: int) -> dict[str, float]:
@@ -139,7 +142,7 @@
     fleet.crashed.add("m0")
     crashed_at = fleet.now
     fleet.run(crashed_at + 120 * SECOND, lambda: len(fleet.declared_dead.get("m0", {})) == members - 1)
-    times = sorted((at - crashed_at) / SPANS.period for at in fleet.declared_dead.get("m0", {}).values())
+    times = sorted((at - crashed_at) / TIMING.period for at in fleet.declared_dead.get("m0", {}).values())
     all_know = len(times) == members - 1
     return {"first": times[0], "half": times[len(times) // 2], "all": times[-1] if all_know else -1.0}
 
@@ -192,7 +195,7 @@
     recovered = False
     while not recovered and fleet.now < healed_at + 300 * SECOND:
         recovered = fleet.run(fleet.now + SECOND, lambda: False) or is_healed()
-    healed_after = (fleet.now - healed_at) / SPANS.period if recovered else -1
+    healed_after = (fleet.now - healed_at) / TIMING.period if recovered else -1
     return {"parted": round(parted, 2), "healed_after": healed_after}
 
 
--- a/thistleline/lab/zones.py
+++ b/thistleline/lab/zones.py
@@ -14,8 +14,9 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from thistleline.zones.decision import Deciding, Rules, Table
-from thistleline.zones.status import SECOND, Look, Pictures, Report
+from thistleline.zones.decision import ZoneDecider
+from thistleline.zones.routing import RoutingRules, RoutingTable
+from thistleline.zones.status import SECOND, FleetStatusTracker, ServerReport, StatusObservation
 
 VALUE = {0: 1.0, 1: 3.0}  # utility of a unit of work, by stage: lookups, bookings
 DECISION_INTERVAL = 2  # steps
@@ -73,15 +74,15 @@
             name: load * self.cores_per_server * self.servers[name] * share * zones / sum(shares)
             for name, share in zip(self.names, shares, strict=True)
         }
-        price = {
+        cost = {
             (one, other): 1.0 + (3.0 if self.region[one] != self.region[other] else 0.0)
             + abs(self.names.index(one) - self.names.index(other)) / 100
             for one in self.names for other in self.names if one != other
         }  # fmt: skip
-        self.rules = Rules(price, VALUE)
+        self.rules = RoutingRules(cost, VALUE)
         self.finished = dict.fromkeys((f"{name}.{k}" for name in self.names for k in range(servers)), 0)
-        self.table = Table()
-        self.tables: list[tuple[int, Table]] = [(0, self.table)]  # (step, table)
+        self.table = RoutingTable()
+        self.tables: list[tuple[int, RoutingTable]] = [(0, self.table)]  # (step, table)
 
     def active_faults(self, step: int, zone: str) -> set[str]:
         """Return the kinds of faults that act on a zone in a step."""
@@ -115,7 +116,7 @@
             staying = 1.0
             shares: dict[str, float] = {}
             for table, weight in ((newest, following), (previous, 1 - following)):
-                for target, share in table.away(origin, stage).items():
+                for target, share in table.shares_from(origin, stage).items():
                     shares[target] = shares.get(target, 0.0) + weight * share
             for target, share in shares.items():
                 found[target][origin, stage] = found[target].get((origin, stage), 0.0) + share * work
@@ -152,7 +153,7 @@
     flows = []  # a column each: (zone of origin and stage, target)
     for key in demand:
         for target in fleet.names:
-            if target == key[0] or (key[0], target) in fleet.rules.price:
+            if target == key[0] or (key[0], target) in fleet.rules.cost:
                 flows.append((key, target))
     infinite = highspy.kHighsInf
     for key, _ in flows:
@@ -252,7 +253,8 @@
 ) -> SimulationResult:
     """Simulate a fleet for some steps; see `SimulatedFleet` for the arguments."""
     fleet = SimulatedFleet(zones, servers, load, faults, seed)
-    pictures, deciding = Pictures(fleet.names), Deciding(fleet.rules, Table())
+    tracker = FleetStatusTracker(fleet.names)
+    decider = ZoneDecider(fleet.rules, RoutingTable())
     tally = Tally()
     for step in range(1, steps + 1):
         demand = fleet.demand(step)
@@ -260,9 +262,9 @@
         offered = fleet.offered(step, demand)
         tally.add_step(step, demand, capacity, offered)
         tally.add_baselines(fleet, demand, capacity)
-        report(fleet, pictures, step, capacity, offered)
+        report(fleet, tracker, step, capacity, offered)
         if step % DECISION_INTERVAL == 0:
-            table = deciding.decide(pictures.picture(step * SECOND))
+            table = decider.decide(tracker.status(step * SECOND))
             if table.number != fleet.table.number:
                 fleet.table = table
                 fleet.tables.append((step, table))
@@ -271,7 +273,7 @@
 
 def report(
     fleet: SimulatedFleet,
-    pictures: Pictures,
+    tracker: FleetStatusTracker,
     step: int,
     capacity: dict[str, float],
     offered: dict[str, Demand],
@@ -283,15 +285,17 @@
         good = min(1.0, capacity[name] / total) if total > 0 else 1.0
         if not {"lost", "flaps"} & faults:
             for index in range(fleet.servers[name]):
-                pictures.take(_server_report(fleet, step, name, index, capacity[name], offered[name]))
+                tracker.add_report(_server_report(fleet, step, name, index, capacity[name], offered[name]))
         for other in fleet.names:
             if other != name:
-                pictures.look(Look(other, name, 100, round(100 * (good if "grey" in faults else 1.0))))
+                tracker.add_observation(
+                    StatusObservation(other, name, 100, round(100 * (good if "grey" in faults else 1.0)))
+                )
 
 
 def _server_report(
     fleet: SimulatedFleet, step: int, zone: str, index: int, zone_capacity: float, offered: Demand
-) -> Report:
+) -> ServerReport:
     """Return one server's report; a grey one believes that it is well, a liar's capacity is absurd."""
     faults = fleet.active_faults(step, zone)
     count = fleet.servers[zone]
@@ -306,7 +310,7 @@
     if "stuck" not in faults or index != 0:
         fleet.finished[id] += 1 + int(good * total / count)
     came = tuple((origin, stage, work / count) for (origin, stage), work in offered.items())
-    return Report(id, zone, step * SECOND, capacity, fleet.finished[id], 1.0, came)
+    return ServerReport(id, zone, step * SECOND, capacity, fleet.finished[id], 1.0, came)
 
 
 FAULT_KINDS = ("lost", "half", "sick", "grey", "liar", "stuck", "burst", "common", "flaps")
--- a/thistleline/rollout/service.py
+++ b/thistleline/rollout/service.py
@@ -6,11 +6,11 @@
 import anyio
 import msgspec
 
-from thistleline.config.schema import Conductor, Conf
+from thistleline.config.schema import ProgramConfig, RolloutConfig
 from thistleline.lease.client import LeaseClient
 from thistleline.lease.errors import LeaseLostError, LeaseRefusedError
 from thistleline.lease.session import HeldLease, lease
-from thistleline.membership.messages import ALIVE, DEAD, Facts
+from thistleline.membership.messages import ALIVE, DEAD, MemberFacts
 from thistleline.membership.service import MemberService
 from thistleline.rollout import effects, events
 from thistleline.rollout.controller import RolloutController
@@ -36,17 +36,17 @@
 class RolloutService:
     """Leads changes whenever no other controller does."""
 
-    def __init__(self, conf: Conf, log: Callable[..., None]) -> None:
+    def __init__(self, conf: ProgramConfig, log: Callable[..., None]) -> None:
         """Read the settings; nothing runs yet."""
         assert conf.members is not None
         assert conf.council is not None
-        settings = conf.conductor or Conductor()
+        settings = conf.conductor or RolloutConfig()
         self.timing = RolloutTiming(settings.slot, settings.change, settings.enough, settings.patience)
         self.lease_length = settings.lease / SECOND  # s
         self.conf = conf
         self.log = log
         self.name = conf.members.name
-        self.member = MemberService(conf.members, Facts(CONTROLLER_RELEASE, 0, "", wall_ms()), log)
+        self.member = MemberService(conf.members, MemberFacts(CONTROLLER_RELEASE, 0, "", wall_ms()), log)
 
     async def run(self) -> None:
         """Run until cancelled.
@@ -85,11 +85,11 @@
     def server_statuses(self) -> list[ServerStatus]:
         """Return the servers of the fleet; whoever says that it runs none, and never did, is none."""
         found = []
-        for word in self.member.words():
+        for word in self.member.records():
             facts = word.facts
             if word.id == self.name or facts.release == CONTROLLER_RELEASE:
                 continue
-            alive = word.status < DEAD and (word.status == ALIVE or facts.taking)
+            alive = word.status < DEAD and (word.status == ALIVE or facts.accepting)
             found.append(
                 ServerStatus(
                     word.id,
@@ -97,10 +97,10 @@
                     alive,
                     facts.release,
                     facts.settings,
-                    facts.taking and alive,
+                    facts.accepting and alive,
                     facts.warm,
                     facts.figures,
-                    facts.worth,
+                    facts.utility,
                 )
             )
         return found
