--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -20,7 +20,7 @@
 from thistleline.lab.ledger import SETTINGS
 from thistleline.lab.machines import SupervisedFleet
 from thistleline.lab.mutants import without
-from thistleline.lab.roll import HARMS, Harm, simulate_rollout
+from thistleline.lab.rollsim import HARMS, Harm, simulate_rollout
 from thistleline.lab.stewardworld import BesideWorld, StewardWorld, following, following_beside, wander
 from thistleline.lease.protocol import MAX_VALUE_SIZE, Put
 from thistleline.lease.table import validate
