--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -35,22 +35,22 @@
 )
 from thistleline.config_feed.lookups import ABSENT, UNKNOWN, Found, Lookups
 from thistleline.config_feed.messages import (
-    AskTenants,
-    Beat,
+    Acknowledge,
     Change,
     Delta,
+    FetchPart,
+    FetchTenants,
     Follow,
-    FromFollower,
-    FromSource,
-    Have,
+    FollowAccepted,
+    FollowerMessage,
+    FollowRejected,
+    Heartbeat,
     Kind,
-    Look,
-    Part,
     Propose,
-    Refused,
-    Tenants,
-    Want,
-    Welcome,
+    ReadRequest,
+    SnapshotPart,
+    SourceMessage,
+    TenantEntries,
     decode_follower,
     decode_source,
     encode,
@@ -99,12 +99,12 @@
         return made
 
     def bring(self, history: History, last: int | None = None) -> None:
-        for number in range(history.table.number + 1, (self.number if last is None else last) + 1):
+        for number in range(history.table.sequence + 1, (self.number if last is None else last) + 1):
             history.move(number, tuple((key, value, number) for key, value in self.changes[number]))
 
     def check(self, table: Table, kind: Kind) -> None:
         held = {key: (value, version) for key, value, version in table.entries(kind)}
-        state = self.states[table.number]
+        state = self.states[table.sequence]
         apart = () if kind == "all" else ("tenant/", "made/")
         assert held == {key: entry for key, entry in state.items() if not key.startswith(apart)}
 
@@ -118,8 +118,8 @@
 
     def __init__(self, peer: int, server: str) -> None:
         self.peer, self.server = peer, server
-        self.up: deque[FromFollower] = deque()
-        self.down: deque[FromSource | Closed] = deque()
+        self.up: deque[FollowerMessage] = deque()
+        self.down: deque[SourceMessage | Closed] = deque()
         self.held: set[Literal["up", "down"]] = set()
         self.most = 0  # Deltas and parts that lay in `down` at once
 
@@ -138,8 +138,8 @@
         self.relays: dict[str, str] = {}  # a follower, and the source that serves what it holds
         self.paused: set[str] = set()  # followers that do nothing
         self.numbers: dict[str, int] = {}  # the newest that each has held
-        self.sent: list[tuple[str, FromSource]] = []
-        self.asked: list[tuple[str, FromFollower]] = []
+        self.sent: list[tuple[str, SourceMessage]] = []
+        self.asked: list[tuple[str, FollowerMessage]] = []
         self.drops: list[tuple[str, str]] = []
         self.closed: list[tuple[str, str]] = []
         self.durable: list[tuple[str, int]] = []
@@ -166,7 +166,7 @@
     ) -> Follower:
         made = Follower(id, kind, table or Table(), names, self.now, spread or self.spread, level)
         self.followers[id] = made
-        self.numbers[id] = made.table.number
+        self.numbers[id] = made.table.sequence
         return made
 
     def relay(self, id: str, *names: str, level: int, table: Table | None = None) -> Follower:
@@ -211,8 +211,8 @@
 
     def saw(self, id: str, delta: Delta | None) -> None:
         table, kind = self.follower(id).table, self.follower(id).kind
-        assert table.number >= self.numbers[id], "an older state after a newer one"
-        self.numbers[id] = table.number
+        assert table.sequence >= self.numbers[id], "an older state after a newer one"
+        self.numbers[id] = table.sequence
         self.written.check(table, kind)
         if id in self.relays:
             history = self.sources[self.relays[id]].history
@@ -241,7 +241,7 @@
             data = encode(rest[1])
             assert len(data) <= MESSAGE_BOUND
             link.down.append(decode_source(data))
-            link.most = max(link.most, sum(isinstance(one, Delta | Part) for one in link.down))
+            link.most = max(link.most, sum(isinstance(one, Delta | SnapshotPart) for one in link.down))
 
     # ---- links
 
@@ -336,7 +336,7 @@
     def settled(self) -> None:
         newest = self.written.number
         for id in self.followers:
-            assert (id, self.follower(id).table.number) == (id, newest)
+            assert (id, self.follower(id).table.sequence) == (id, newest)
             self.written.check(self.follower(id).table, self.follower(id).kind)
 
 
@@ -383,7 +383,7 @@
     net.sent.clear()
     net.run(2 * SPREAD)
     net.settled()
-    assert [one.load for one in told(net, "x", Welcome)] == [False]
+    assert [one.load_snapshot for one in told(net, "x", FollowAccepted)] == [False]
     assert [(one.first, one.last) for one in told(net, "x", Delta)] == [(20, 25)]
 
 
@@ -399,8 +399,8 @@
         net.sent.clear()
         net.run(2 * SPREAD)
         net.settled()
-    assert [one.load for one in told(net, "x", Welcome)] == [True]
-    assert len(told(net, "x", Part)) > 1
+    assert [one.load_snapshot for one in told(net, "x", FollowAccepted)] == [True]
+    assert len(told(net, "x", SnapshotPart)) > 1
 
 
 @pytest.mark.parametrize("kind", ["wide", "all"])
@@ -418,7 +418,7 @@
         net.run()
         net.settled()
         found = told(net, "x", Delta)
-        assert not told(net, "x", Welcome)
+        assert not told(net, "x", FollowAccepted)
         assert len(found) > 3
         assert [one.first for one in found[1:]] == [one.last for one in found[:-1]]
         for one in found:
@@ -439,7 +439,7 @@
         net.links["x"].held.clear()
         net.run()
         net.settled()
-    assert [one.load for one in told(net, "x", Welcome)] == [True]
+    assert [one.load_snapshot for one in told(net, "x", FollowAccepted)] == [True]
 
 
 def test_a_tenant_asked_for_on_the_way_is_told_once_that_way_is_gone() -> None:
@@ -455,12 +455,12 @@
         net.pump()
         net.bring("a")
         net.sent.clear()
-        asked = net.sources["a"].take(net.now, "heard", net.links["x"].peer, AskTenants(("tenant/a",)))
+        asked = net.sources["a"].take(net.now, "heard", net.links["x"].peer, FetchTenants(("tenant/a",)))
         assert not asked
         net.links["x"].held.clear()
         net.run()
         net.settled()
-    assert [(one.number, one.items) for one in told(net, "x", Tenants)] == [
+    assert [(one.sequence, one.items) for one in told(net, "x", TenantEntries)] == [
         (written.number, (("tenant/a", b"2", written.number),))
     ]
 
@@ -487,7 +487,7 @@
     net.follow("x", "a", table=other)
     net.run(2 * SPREAD)
     net.settled()
-    assert [one.load for one in told(net, "x", Welcome)] == [True]
+    assert [one.load_snapshot for one in told(net, "x", FollowAccepted)] == [True]
 
 
 def test_a_state_that_went_wrong_under_way_is_noticed_by_a_beat() -> None:
@@ -501,7 +501,7 @@
     net.run(BEAT + 2 * SPREAD)
     net.settled()
     assert ("x", "another digest") in net.drops
-    assert [one.load for one in told(net, "x", Welcome)] == [True]
+    assert [one.load_snapshot for one in told(net, "x", FollowAccepted)] == [True]
 
 
 def test_a_delta_that_does_not_come_to_its_digest_is_not_taken_and_the_state_is_loaded() -> None:
@@ -550,8 +550,8 @@
     net.serve("behind", written.history(0, 4))
     net.follow("x", "behind", table=written.tables[9])
     net.run(5 * SECOND)
-    assert net.follower("x").table.number == 9
-    assert {type(one) for _, one in net.sent} == {Refused}
+    assert net.follower("x").table.sequence == 9
+    assert {type(one) for _, one in net.sent} == {FollowRejected}
     assert ("x", "refused: behind") in net.drops
     net.bring("behind")
     net.run(3 * SECOND)
@@ -601,7 +601,7 @@
             net.links["x"].held.add("down")
             net.pump()
             written.check(net.follower("x").table, "wide")
-            assert net.follower("x").table.number == 7
+            assert net.follower("x").table.sequence == 7
         net.links["x"].held.clear()
         net.run()
         net.settled()
@@ -616,11 +616,11 @@
         written.write(("route/1", b"later"), ("route/2", None))
         net.serve("b", written.history(written.number))
         net.kill("a")
-        assert net.follower("x").table.number == 7
+        assert net.follower("x").table.sequence == 7
         net.run(3 * SPREAD)
         net.settled()
     assert net.steps["loaded"] == 1
-    assert {one.number for one in told(net, "x", Part)} == {60, 61}
+    assert {one.sequence for one in told(net, "x", SnapshotPart)} == {60, 61}
 
 
 def test_the_next_source_has_an_older_snapshot_than_the_last_and_both_are_whole() -> None:
@@ -632,20 +632,20 @@
         net.serve("b", written.history(40, 40))
         net.kill("a")
         net.run(3 * SPREAD)
-        assert net.follower("x").table.number == 40
+        assert net.follower("x").table.sequence == 40
         net.kill("b")
         net.serve("b", written.history(30, 30))
         net.run(3 * SPREAD)
-        assert net.follower("x").table.number == 40
+        assert net.follower("x").table.sequence == 40
 
 
 def test_a_snapshot_older_than_what_is_held_is_not_taken() -> None:
     written = Written()
     written.some(10)
     net = following(written, "x")
-    net.tell("x", "heard", "a", Welcome(4, True, 1, 0, 0, False))
+    net.tell("x", "heard", "a", FollowAccepted(4, True, 1, 0, 0, False))
     assert ("x", "its snapshot is older") in net.drops
-    assert net.follower("x").table.number == 10
+    assert net.follower("x").table.sequence == 10
 
 
 def test_parts_of_an_older_snapshot_after_a_newer_state_change_nothing() -> None:
@@ -671,7 +671,11 @@
         link = net.links["x"]
         link.held.add("down")
         net.pump()
-        assert [one.number for one in link.down if isinstance(one, Part)] == [60] * len(link.down) != []
+        assert (
+            [one.sequence for one in link.down if isinstance(one, SnapshotPart)]
+            == [60] * len(link.down)
+            != []
+        )
         written.some(3)
         net.sources["a"].history.anew(written.tables[-1])
         net.serving("a", "anew")
@@ -707,16 +711,16 @@
             net.follow("y", "a")
         net.run(SPREAD)
         assert net.sources["a"].snapshots["wide"].number == written.number > old.number
-        assert net.follower("y").table.number == written.number
+        assert net.follower("y").table.sequence == written.number
         net.links["x"].held.clear()
         net.run(4 * SPREAD)
         net.settled()
     assert net.steps["loaded"] == 2
-    assert {one.number for one in told(net, "y", Part)} == {written.number}
+    assert {one.sequence for one in told(net, "y", SnapshotPart)} == {written.number}
 
 
 def test_who_has_loaded_all_is_not_begun_anew_by_a_part_asked_for_too_much() -> None:
-    """It asks ahead, past the end too. Is the snapshot replaced by then, its Have is on the way, and true."""
+    """It asks ahead, past the end too. Is the snapshot replaced, its acknowledgement is still true."""
     written = Written()
     written.some(60)
     with small(PART_SIZE=300):
@@ -727,7 +731,7 @@
                 net.arrive("x", link)
             else:
                 net.reach(link)
-        assert [type(one) for one in link.up] == [Want] * (len(link.up) - 1) + [Have]
+        assert [type(one) for one in link.up] == [FetchPart] * (len(link.up) - 1) + [Acknowledge]
         assert len(link.up) > 1
         written.some(3)
         net.sources["a"].history.anew(written.tables[-1])
@@ -745,7 +749,7 @@
         one = net.follower("x")
         frozen = one.frozen()
         for number in (8, 59, 61):
-            part = Part(number, one.part, one.part + 1, (), bytes(16))
+            part = SnapshotPart(number, one.part, one.part + 1, (), bytes(16))
             assert one.take(net.now, "heard", "a", part) == []
         assert one.frozen() == frozen
         net.run()
@@ -767,7 +771,7 @@
                 net.reach(link)
             else:
                 net.arrive("x", link)
-        assert (one.table.number, one.phase) == (7, "waiting")
+        assert (one.table.sequence, one.phase) == (7, "waiting")
         net.run(4 * SPREAD)
         net.settled()
 
@@ -789,7 +793,7 @@
         for id in "xyz":
             net.reach(net.links[id])
         made = source.snapshots["wide"]
-        assert made.parts == []  # a Welcome costs nothing
+        assert made.parts == []  # a FollowAccepted costs nothing
         net.written.write(("route/1", b"meanwhile"))
         net.bring("a")
         net.run()
@@ -809,9 +813,9 @@
         source.take(0, "joined", 1)
         source.take(0, "heard", 1, Follow("x", "wide", 0, b""))
         for index in range(5):
-            source.take(0, "heard", 1, Want(400, index))
+            source.take(0, "heard", 1, FetchPart(400, index))
             assert len(source.snapshots["wide"].parts) == index + 1
-        assert source.take(0, "heard", 1, Want(400, 300)) == [("close", 1, "a part out of turn")]
+        assert source.take(0, "heard", 1, FetchPart(400, 300)) == [("close", 1, "a part out of turn")]
         assert len(source.snapshots["wide"].parts) == 5
 
 
@@ -823,7 +827,7 @@
     sizes = [len(encode(part)) for part in parts if part is not None]
     assert all(size < PART_SIZE + VALUE_BOUND + KEY_BOUND for size in sizes)
     assert [part.parts for part in parts if part is not None] == [0] * (len(sizes) - 1) + [len(sizes)]
-    assert Snapshot(Table(), "all").part(0) == Part(0, 0, 1, (), bytes(16))
+    assert Snapshot(Table(), "all").part(0) == SnapshotPart(0, 0, 1, (), bytes(16))
     assert Snapshot(Table(), "all").part(1) is None
 
 
@@ -852,7 +856,7 @@
             net.written.write((f"route/{number % 50}", str(net.written.number).encode()))
             net.bring("a")
             net.pump()
-            assert net.follower("quick").table.number == net.written.number
+            assert net.follower("quick").table.sequence == net.written.number
     assert net.links["slow"].most == 1
     assert len(told(net, "slow", Delta)) == 1
     net.links["slow"].held.clear()
@@ -874,7 +878,7 @@
     assert (link.most, len(link.down)) == (1, 1 + (STALL - 1) // BEAT + 1)  # a Delta, its Beats, the end
     assert ("dead", "silent") in net.closed
     assert len(net.sources["a"].peers) == 1
-    assert net.follower("quick").table.number == 1000
+    assert net.follower("quick").table.sequence == 1000
 
 
 def test_who_says_nothing_at_all_is_let_go() -> None:
@@ -961,7 +965,7 @@
 def test_beats_are_sent_only_where_nothing_else_was() -> None:
     net = following(Written(), "x", "y")
     net.run(BEAT)
-    assert {type(one) for _, one in net.sent} == {Beat}
+    assert {type(one) for _, one in net.sent} == {Heartbeat}
     net.sent.clear()
     for _ in range(10):
         net.write(("route/1", str(net.written.number).encode()))
@@ -975,8 +979,8 @@
     net.sent.clear()
     net.asked.clear()
     net.run(10 * SECOND)
-    assert Counter(type(one) for _, one in net.sent) == {Beat: 20}
-    assert Counter(type(one) for _, one in net.asked) == {Have: 20}
+    assert Counter(type(one) for _, one in net.sent) == {Heartbeat: 20}
+    assert Counter(type(one) for _, one in net.asked) == {Acknowledge: 20}
 
 
 def test_what_a_push_does_not_touch_costs_nothing() -> None:
@@ -1016,8 +1020,8 @@
         net.pump()
         net.settled()
     last = told(net, "x", Delta)[-1]
-    assert (last.forget, [key for key, _, _ in last.items]) == (True, ["route/1"])
-    assert not told(net, "x", Welcome)
+    assert (last.evict_tenants, [key for key, _, _ in last.items]) == (True, ["route/1"])
+    assert not told(net, "x", FollowAccepted)
 
 
 # ---- relays and keepers
@@ -1057,7 +1061,7 @@
     net.write(("route/2", b"4"))
     net.links["r2"].held.clear()
     net.pump()
-    assert net.follower("x").table.number == written.number - 1
+    assert net.follower("x").table.sequence == written.number - 1
     assert written.number - 1 not in {last for _, last, _, _ in net.sources["r2"].history.steps}
     net.sent.clear()
     net.end("r1")
@@ -1065,7 +1069,7 @@
     net.kill("r1")
     net.run(3 * SECOND)
     net.settled()
-    assert [one.load for one in told(net, "x", Welcome)] == [False]
+    assert [one.load_snapshot for one in told(net, "x", FollowAccepted)] == [False]
 
 
 def test_who_stands_inside_a_step_with_another_state_loads_anew() -> None:
@@ -1084,7 +1088,7 @@
     net.run(6 * SECOND)
     assert [why for _, why in net.drops] == ["another digest"]
     table = net.follower("x").table
-    assert (table.number, table.digest("wide")) == (5, history.table.digest("wide"))
+    assert (table.sequence, table.digest("wide")) == (5, history.table.digest("wide"))
 
 
 def test_a_relay_that_loads_anew_has_its_followers_follow_suit() -> None:
@@ -1102,7 +1106,7 @@
         net.bring("a")
         net.run(3 * SECOND)
         net.settled()
-    assert [one.load for one in told(net, "x", Welcome)][-1]
+    assert [one.load_snapshot for one in told(net, "x", FollowAccepted)][-1]
 
 
 def test_no_ring_of_relays_feeds_itself() -> None:
@@ -1124,7 +1128,9 @@
     one = Follower("r", "all", Table(), ("s",), 0, lambda span: 0, level=1)
     one.take(0, "elapsed")
     one.take(0, "connected", "s")
-    assert one.take(0, "heard", "s", Welcome(0, False, 0, 1, 0, False)) == [("drop", "s", "not above it")]
+    assert one.take(0, "heard", "s", FollowAccepted(0, False, 0, 1, 0, False)) == [
+        ("drop", "s", "not above it")
+    ]
 
 
 def test_a_keeper_follows_only_who_writes_under_the_highest_epoch_it_has_seen() -> None:
@@ -1160,7 +1166,7 @@
         connects = one.take(now, "elapsed")
         at = connects[0][1]
         one.take(now, "connected", at)
-        assert one.take(now, "heard", at, Welcome(0, False, 0, 0, 1, False, leader))[0][0] == "drop"
+        assert one.take(now, "heard", at, FollowAccepted(0, False, 0, 0, 1, False, leader))[0][0] == "drop"
         return one.sources[one.place] if one.due() == now else ""
 
     assert asks("") == ""
@@ -1182,11 +1188,11 @@
     net.run(3 * SECOND)
     keepers = [net.follow(f"k{place}", "a", kind="all") for place in range(8)]
     net.run(3 * SECOND)
-    assert [one.table.number for one in keepers] == [3] * 8
-    assert Counter(net.follower(id).table.number for id in ("x", "y", "z", "r")) == {3: 2, 0: 2}
+    assert [one.table.sequence for one in keepers] == [3] * 8
+    assert Counter(net.follower(id).table.sequence for id in ("x", "y", "z", "r")) == {3: 2, 0: 2}
     net.follow("k", "a", kind="all")
     net.run(3 * SECOND)
-    assert net.follower("k").table.number == 0
+    assert net.follower("k").table.sequence == 0
     assert len(net.sources["a"].peers) <= 2 + 8
 
 
@@ -1199,7 +1205,7 @@
     cold = net.follow("cold", "a", "b", kind="all")
     with small(DELTA_BOUND=1):  # a change each
         net.run(3 * SPREAD)
-    assert (late.table.number, cold.table.number) == (5, 0)  # nobody says that a snapshot is of this feed
+    assert (late.table.sequence, cold.table.sequence) == (5, 0)  # nobody says that a snapshot is of this feed
     assert len(told(net, "late", Delta)) == 3
     assert {why for _, why in net.drops} == {"it does not write"}
     net.serve("b", written.history())
@@ -1219,7 +1225,7 @@
     net.tell("late", "elapsed")
     net.opened("late", "a")
     with small(DELTA_BOUND=1):  # a change each
-        net.reach(net.links["late"])  # the Welcome and the first Delta are on their way
+        net.reach(net.links["late"])  # the FollowAccepted and the first Delta are on their way
         net.serving("a", "writes", 1, True, 0)
         net.run(SECOND)
     net.write(("route/x", b"x"))
@@ -1236,7 +1242,7 @@
     net.serve("b", written.history(2))
     one = net.follow("k", "b", kind="all")
     net.run(3 * SPREAD)
-    assert one.table.number == 0
+    assert one.table.sequence == 0
     net.tell("k", "go", True)
     net.run(3 * SPREAD)
     net.settled()
@@ -1246,7 +1252,7 @@
     net.run(10 * SECOND)
     assert one.phase == "quiet"
     net.tell("k", "go", False, written.tables[7])  # what it wrote itself
-    assert (one.phase, one.table.number, one.any) == ("waiting", 7, False)
+    assert (one.phase, one.table.sequence, one.any) == ("waiting", 7, False)
 
 
 def test_what_is_durable_is_told_as_it_moves_on_and_once() -> None:
@@ -1284,7 +1290,7 @@
 
 FOLLOW = Follow("x", "wide", 0, bytes(16))
 HUGE = 1 << 63
-NONSENSE: list[tuple[str, FromFollower]] = [
+NONSENSE: list[tuple[str, FollowerMessage]] = [
     ("new", Follow("", "wide", 0, b"")),
     ("new", Follow("x" * (ID_BOUND + 1), "wide", 0, b"")),
     ("new", Follow("x", "wide", -1, b"")),
@@ -1292,31 +1298,31 @@
     ("new", Follow("x", "wide", 0, b"", -1)),
     ("new", Follow("x", "all", 0, b"", HUGE)),
     ("new", Follow("x", "all", HUGE, b"")),
-    ("new", Have(0)),
-    ("new", Want(0, 0)),
-    ("new", AskTenants(("tenant/1",))),
+    ("new", Acknowledge(0)),
+    ("new", FetchPart(0, 0)),
+    ("new", FetchTenants(("tenant/1",))),
     ("following", FOLLOW),
-    ("following", Have(-1)),
-    ("following", Have(HUGE)),
-    ("following", Have(1)),
-    ("following", Have(3, 4)),
-    ("following", Have(3, -1)),
-    ("following", AskTenants(("route/1",))),
-    ("following", AskTenants(("tenant/" + "x" * KEY_BOUND,))),
-    ("following", AskTenants(tuple(f"tenant/{number}" for number in range(ASKED_BOUND + 1)))),
-    ("following", Look()),
+    ("following", Acknowledge(-1)),
+    ("following", Acknowledge(HUGE)),
+    ("following", Acknowledge(1)),
+    ("following", Acknowledge(3, 4)),
+    ("following", Acknowledge(3, -1)),
+    ("following", FetchTenants(("route/1",))),
+    ("following", FetchTenants(("tenant/" + "x" * KEY_BOUND,))),
+    ("following", FetchTenants(tuple(f"tenant/{number}" for number in range(ASKED_BOUND + 1)))),
+    ("following", ReadRequest()),
     ("following", Propose("r", ())),
     ("loading", FOLLOW),
-    ("loading", Want(3, -1)),
-    ("loading", Want(3, 1)),
-    ("loading", Want(3, HUGE)),
-    ("loading", Have(3)),
-    ("loading", Have(HUGE)),
+    ("loading", FetchPart(3, -1)),
+    ("loading", FetchPart(3, 1)),
+    ("loading", FetchPart(3, HUGE)),
+    ("loading", Acknowledge(3)),
+    ("loading", Acknowledge(HUGE)),
 ]
 
 
 @pytest.mark.parametrize(("phase", "message"), NONSENSE)
-def test_nonsense_ends_its_connection_and_no_other(phase: str, message: FromFollower) -> None:
+def test_nonsense_ends_its_connection_and_no_other(phase: str, message: FollowerMessage) -> None:
     written = Written()
     written.some(3)
     source = Source(written.history(1), 0, 0)
@@ -1343,39 +1349,39 @@
     source.take(0, "heard", 1, FOLLOW)
     frozen = source.frozen()
     for number in (-1, 0, 2, HUGE):
-        assert source.take(0, "heard", 1, Want(number, 0)) == []  # of no load of now
-    assert source.take(0, "heard", 1, Have(0)) == []  # it lives
+        assert source.take(0, "heard", 1, FetchPart(number, 0)) == []  # of no load of now
+    assert source.take(0, "heard", 1, Acknowledge(0)) == []  # it lives
     assert source.frozen() == frozen
-    assert source.take(0, "heard", 99, Have(0)) == []
+    assert source.take(0, "heard", 99, Acknowledge(0)) == []
     assert source.take(0, "left", 99) == []
     assert list(source.peers) == [1]
 
 
-BAD: list[FromSource] = [
-    Welcome(-1, True, 0, 0, 0, False),
-    Welcome(0, True, 0, -1, 0, False),
-    Welcome(0, False, 0, 0, -1, False),
+BAD: list[SourceMessage] = [
+    FollowAccepted(-1, True, 0, 0, 0, False),
+    FollowAccepted(0, True, 0, -1, 0, False),
+    FollowAccepted(0, False, 0, 0, -1, False),
     Delta(-1, 5, (), bytes(16)),
     Delta(0, HUGE, (("tenant/1", b"", 0),), b""),
-    Refused("x" * 10_000),
-    Beat(-1, b""),
+    FollowRejected("x" * 10_000),
+    Heartbeat(-1, b""),
 ]
 
 
 @pytest.mark.parametrize("message", BAD)
 @pytest.mark.parametrize("phase", ["greeting", "loading", "following"])
-def test_nonsense_from_a_source_has_it_left_and_the_state_stands(phase: str, message: FromSource) -> None:
+def test_nonsense_from_a_source_has_it_left_and_the_state_stands(phase: str, message: SourceMessage) -> None:
     written = Written()
     written.some(3)
     one = Follower("x", "wide", written.tables[3], ("a", "b"), 0, lambda span: 0)
     one.take(0, "elapsed")
     one.take(0, "connected", "a")
     if phase != "greeting":
-        one.take(0, "heard", "a", Welcome(3, phase == "loading", 0, 0, 0, False))
+        one.take(0, "heard", "a", FollowAccepted(3, phase == "loading", 0, 0, 0, False))
     assert one.phase == phase
     effects = one.take(0, "heard", "a", message)
     assert one.table is written.tables[3]
-    if phase == "loading" and isinstance(message, Beat):
+    if phase == "loading" and isinstance(message, Heartbeat):
         assert [effect[0] for effect in effects] == ["send"]
     else:
         assert [effect[0] for effect in effects] == ["drop"]
@@ -1388,8 +1394,8 @@
     one = Follower("x", "wide", Table(), ("a",), 0, lambda span: 0)
     one.take(0, "elapsed")
     one.take(0, "connected", "a")
-    one.take(0, "heard", "a", Welcome(3, True, 0, 0, 0, False))
-    effects = one.take(0, "heard", "a", Part(3, index, 0, (), b""))
+    one.take(0, "heard", "a", FollowAccepted(3, True, 0, 0, 0, False))
+    effects = one.take(0, "heard", "a", SnapshotPart(3, index, 0, (), b""))
     assert effects == [("drop", "a", "a part out of turn")]
     assert one.load is None
 
@@ -1403,16 +1409,16 @@
     assert (one.at, one.phase) == ("b", "connecting")
     frozen = one.frozen()
     for input in (
-        ("heard", "a", Welcome(0, False, 0, 0, 0, False)),
+        ("heard", "a", FollowAccepted(0, False, 0, 0, 0, False)),
         ("lost", "a", "again"),
         ("connected", "a"),
-        ("heard", "b", Beat(0, bytes(16))),
+        ("heard", "b", Heartbeat(0, bytes(16))),
     ):
         assert one.take(0, *input) == []
     assert one.frozen() == frozen
     one.take(0, "connected", "b")
     frozen = one.frozen()
-    for late in (Welcome(0, False, 0, 0, 0, False), Refused("full"), Beat(0, bytes(16))):
+    for late in (FollowAccepted(0, False, 0, 0, 0, False), FollowRejected("full"), Heartbeat(0, bytes(16))):
         assert one.take(0, "heard", "a", late) == []
     assert one.frozen() == frozen
 
@@ -1472,7 +1478,9 @@
     for _ in range(1000):
         assert view.look("tenant/nobody") == ABSENT
     net.run()
-    assert [one for _, one in net.asked if isinstance(one, AskTenants)] == [AskTenants(("tenant/nobody",))]
+    assert [one for _, one in net.asked if isinstance(one, FetchTenants)] == [
+        FetchTenants(("tenant/nobody",))
+    ]
     net.write(("tenant/nobody", b"here"))
     net.pump()
     assert view.look("tenant/nobody") == Found(b"here", 1, True)
@@ -1489,7 +1497,7 @@
     for number in range(1000):
         view.look(f"tenant/{number}")
     net.run(0)
-    batches = [len(one.keys) for _, one in net.asked if isinstance(one, AskTenants)]
+    batches = [len(one.keys) for _, one in net.asked if isinstance(one, FetchTenants)]
     assert (max(batches), sum(batches)) == (ASKED_BOUND, 1000)
     assert all(view.look(f"tenant/{number}").known for number in range(1000))
 
@@ -1518,7 +1526,7 @@
     net, view = looking(Written())
     assert view.look(key) == ABSENT
     net.run(0)
-    assert not [one for _, one in net.asked if isinstance(one, AskTenants)]
+    assert not [one for _, one in net.asked if isinstance(one, FetchTenants)]
 
 
 def test_a_tenant_and_a_route_of_one_change_are_seen_together() -> None:
@@ -1548,10 +1556,12 @@
     net.write(("tenant/1", b"3"))
     view.look("tenant/1")
     net.run(0)
-    assert not told(net, "x", Tenants)
+    assert not told(net, "x", TenantEntries)
     net.links["x"].held.clear()
     net.run(0)
-    assert [(one.number, one.items) for one in told(net, "x", Tenants)] == [(3, (("tenant/1", b"3", 3),))]
+    assert [(one.sequence, one.items) for one in told(net, "x", TenantEntries)] == [
+        (3, (("tenant/1", b"3", 3),))
+    ]
     assert view.look("tenant/1") == Found(b"3", 3, True)
 
 
@@ -1562,17 +1572,17 @@
     net, view = looking(written)
     view.look("tenant/1")
     net.tell("x", "elapsed")
-    net.tell("x", "heard", "a", Tenants(number, (("tenant/1", b"of another state", number),)))
+    net.tell("x", "heard", "a", TenantEntries(number, (("tenant/1", b"of another state", number),)))
     assert view.look("tenant/1") == UNKNOWN
     net.run(0)
     assert view.look("tenant/1") == Found(b"1", 1, True)
-    assert len([one for _, one in net.asked if isinstance(one, AskTenants)]) == 2
+    assert len([one for _, one in net.asked if isinstance(one, FetchTenants)]) == 2
 
 
 def test_answers_that_nobody_asked_for_are_not_held() -> None:
     net, view = looking(Written())
-    net.tell("x", "heard", "a", Tenants(0, tuple((f"tenant/{n}", b"", 0) for n in range(500))))
-    net.tell("x", "heard", "elsewhere", Tenants(0, (("tenant/1", b"", 0),)))
+    net.tell("x", "heard", "a", TenantEntries(0, tuple((f"tenant/{n}", b"", 0) for n in range(500))))
+    net.tell("x", "heard", "elsewhere", TenantEntries(0, (("tenant/1", b"", 0),)))
     assert not view.tenants
 
 
@@ -1670,7 +1680,7 @@
         there = there.moved(0, [(key, value, version)])
     for key in ("route/gone", "tenant/gone"):
         there = there.moved(0, [(key, b"x", 1)]).moved(0, [(key, None, 2)])
-    assert there._replace(number=table.number) == table
+    assert there._replace(sequence=table.sequence) == table
     assert {k: (v, n) for k, v, n in table.entries("all")} == written.states[-1]
     assert table.count("all") == len(written.states[-1])
     assert table.count("wide") == len(list(table.entries("wide")))
@@ -1692,10 +1702,10 @@
     for items in changes:
         written.write(*items)
     history = History()
-    while history.table.number < written.number:  # in steps of one change or of several, as a relay's are
-        last = data.draw(st.integers(history.table.number + 1, written.number))
+    while history.table.sequence < written.number:  # in steps of one change or of several, as a relay's are
+        last = data.draw(st.integers(history.table.sequence + 1, written.number))
         merged: dict[str, tuple[str, bytes | None, int]] = {}
-        for number in range(history.table.number + 1, last + 1):
+        for number in range(history.table.sequence + 1, last + 1):
             merged |= {key: (key, value, number) for key, value in written.changes[number]}
         history.move(last, tuple(merged.values()))
     assert history.table == written.tables[-1]
@@ -1778,7 +1788,7 @@
             assert delta is not None
             assert histories.size_of(delta.items) <= DELTA_BOUND
             at = delta.last
-            way.append((at, delta.forget))
+            way.append((at, delta.evict_tenants))
         ways.append(way)
     assert ways == [
         [(0, False), (3, True), (4, False)],
@@ -1832,13 +1842,13 @@
 
         def look() -> None:
             """What is known is of one state, the one that the table says."""
-            state = written.states[view.follower.table.number]
+            state = written.states[view.follower.table.sequence]
             for key in ("route/1", "tenant/1", "tenant/2", "tenant/absent", "common/tenant"):
                 found = view.look(key)
                 if found.known:
                     assert (found.value, found.version) == state.get(key, (None, 0))
-                    assert view.follower.table.number >= seen.get(key, 0)
-                    seen[key] = view.follower.table.number
+                    assert view.follower.table.sequence >= seen.get(key, 0)
+                    seen[key] = view.follower.table.sequence
 
         for act in chance.choices(ACTS, k=count):
             id = chance.choice(["r", "x", "y", "z"])
@@ -1849,7 +1859,7 @@
                 if "a" in net.sources:
                     net.bring("a")
             elif act == "lag" and "b" in net.sources:
-                net.bring("b", chance.randint(net.sources["b"].history.table.number, written.number))
+                net.bring("b", chance.randint(net.sources["b"].history.table.sequence, written.number))
             elif act == "cut":
                 net.cut(id)
             elif act == "vanish":
@@ -1865,7 +1875,7 @@
             elif act == "die":
                 name = chance.choice("ab")
                 if name in net.sources:
-                    number = net.sources[name].history.table.number
+                    number = net.sources[name].history.table.sequence
                     net.kill(name)
                     net.serve(name, written.history(max(0, number - chance.randint(0, 9)), number))
             elif act == "restart" and id in durable:
@@ -1919,10 +1929,10 @@
             inputs.append(
                 chance.choice(
                     [
-                        ("heard", peer, Follow(f"x{peer}", "wide", now.number, now.digest("wide"))),
-                        ("heard", peer, Have(chance.randint(8, 12))),
-                        ("heard", peer, Want(10, chance.randint(0, 2))),
-                        ("heard", peer, AskTenants(("tenant/1",))),
+                        ("heard", peer, Follow(f"x{peer}", "wide", now.sequence, now.digest("wide"))),
+                        ("heard", peer, Acknowledge(chance.randint(8, 12))),
+                        ("heard", peer, FetchPart(10, chance.randint(0, 2))),
+                        ("heard", peer, FetchTenants(("tenant/1",))),
                         ("elapsed",),
                         ("joined", peer),
                         ("left", peer),
@@ -1962,7 +1972,7 @@
     "message",
     [
         encode(Delta(1, 2, (("route/x", b"{}", -1),), bytes(16))),
-        encode(Part(1, 0, 1, (("route/x", b"{}", -1),), bytes(16))),
+        encode(SnapshotPart(1, 0, 1, (("route/x", b"{}", -1),), bytes(16))),
         b"\x82\xa4type\xa4beat\xa1x" + b"\x91" * 3000 + b"\x01",  # a list in a list in a list
     ],
     ids=("delta", "part", "deep"),
--- a/tests/test_feed_service.py
+++ b/tests/test_feed_service.py
@@ -29,14 +29,14 @@
 from thistleline.config_feed.history import Items
 from thistleline.config_feed.limits import MESSAGE_BOUND, MS, RING, SECOND
 from thistleline.config_feed.messages import (
-    AskTenants,
+    Acknowledge,
     Delta,
+    FetchPart,
+    FetchTenants,
     Follow,
-    Have,
-    Look,
+    FollowRejected,
     Propose,
-    Refused,
-    Want,
+    ReadRequest,
     decode_source,
     encode,
 )
@@ -349,9 +349,13 @@
     words = [
         *(b"GET / HTTP/1.1\r\n\r\n", b"\xff\xff\xff\xff", sealed(b"\x00"), hello + b"\x7f\xff\xff\xff"),
         *(sealed(encode(Hello("voter", "a"))), sealed(encode(Hello("follower", "x", least=9, most=9)))),
-        *(hello + sealed(b"{}"), hello + sealed(encode(Have(1))), hello + sealed(encode(Want(-1, 1 << 40)))),
+        *(
+            hello + sealed(b"{}"),
+            hello + sealed(encode(Acknowledge(1))),
+            hello + sealed(encode(FetchPart(-1, 1 << 40))),
+        ),
         hello + sealed(encode(Follow("x" * 500, "wide", -1, b"", 99))),
-        follow + sealed(encode(AskTenants(("tenant/x",) * 500))),
+        follow + sealed(encode(FetchTenants(("tenant/x",) * 500))),
         *(sealed(b"\x82\xa4type\xa5hello\xa1x" + deep), hello + sealed(b"\x82\xa4type\xa4have\xa1x" + deep)),
     ]
 
@@ -375,7 +379,7 @@
             assert len(found.items) == LOOK_BOUND
             refused = Propose("x", (("common/x", b"{}"),))
             answer = await propose({"r": ("127.0.0.1", port)}, refused, 0.3)
-            assert (answer.unknown, answer.why) == (True, "a relay writes nothing")
+            assert (answer.unknown, answer.reason) == (True, "a relay writes nothing")
             # Of three followers the third is told that there is no place.
             open_ones, told = [], None
             for _ in range(3):
@@ -385,7 +389,7 @@
                 while len(heard) < 2:
                     heard += unpacker.take(await open_ones[-1].receive())
                 told = decode_source(heard[1])
-            assert told == Refused("full")
+            assert told == FollowRejected("full")
             for stream in open_ones:
                 await stream.aclose()
 
@@ -428,7 +432,7 @@
 ) -> None:
     """50 MB of answers, if all were made; between two turns of the loop one of them at the most."""
     keys = tuple(f"common/{place}" for place in range(LOOK_BOUND))
-    asks = sealed(encode(Hello("follower", "x"))) + 100 * sealed(encode(Look(keys)))
+    asks = sealed(encode(Hello("follower", "x"))) + 100 * sealed(encode(ReadRequest(keys)))
     rounds: list[int] = []
     waits: list[int] = []
 
@@ -476,7 +480,7 @@
                 await anyio.sleep(0)
             began = time.monotonic()
             while left == 2 or time.monotonic() < began + 2:
-                await speaks.send(sealed(encode(Look(()))))
+                await speaks.send(sealed(encode(ReadRequest(()))))
                 await anyio.sleep(0.05)
                 left = sum(peer.id == "quiet" for peer in relay.peers.values())
             assert left == 1
@@ -580,7 +584,9 @@
     async def story(relay: FeedService) -> None:
         for place in range(100):
             async with await anyio.connect_tcp(*relay.listen) as stream:
-                await stream.send(sealed(encode(Hello("follower", f"x{place}"))) + sealed(encode(Have(1))))
+                await stream.send(
+                    sealed(encode(Hello("follower", f"x{place}"))) + sealed(encode(Acknowledge(1)))
+                )
                 with suppress(*ENDS):
                     while True:
                         await stream.receive()
@@ -600,7 +606,7 @@
             relay.station.history.move(place + 1, ((f"common/{place}", bytes(4000), place + 1),))
         table = await snapshot({"r": relay.listen}, 10.0)
         assert table is not None
-        assert (table.number, len(table.wide)) == (200, 200)
+        assert (table.sequence, len(table.wide)) == (200, 200)
 
     in_process(story)
 
@@ -705,11 +711,11 @@
         for name in fleet.names[:2]:
             fleet.processes[name].kill()
         (answer,) = await feed.pairs(1, 1.5)
-        assert answer.number == 0
+        assert answer.sequence == 0
         for name in feed.relays:
             found = await feed.looked(name)
             assert found is not None
-            assert found.number == feed.oracle.newest
+            assert found.sequence == feed.oracle.newest
         feed.processes["s1"].kill()
         feed.processes["s1"].start()
         await feed.reaches("s1", feed.oracle.newest)
--- a/tests/test_feed_sockets.py
+++ b/tests/test_feed_sockets.py
@@ -113,8 +113,8 @@
     table = Archive(disk, "all").recover()
     assert table is not None
     group = decode_group(record)
-    assert (table.number, group.changes[-1].number) == (number, number)
-    assert table.digest("all") == group.after
+    assert (table.sequence, group.changes[-1].sequence) == (number, number)
+    assert table.digest("all") == group.digest_after
     assert held == {key: (value, version) for key, value, version in table.entries("wide")}
     assert (len(table.tenants), stored > 70 * 20) == (70, True)
 
--- a/tests/test_feed_worlds.py
+++ b/tests/test_feed_worlds.py
@@ -8,7 +8,7 @@
 
 from thistleline.config.schema import Feed
 from thistleline.config_feed.limits import MS, SECOND
-from thistleline.config_feed.messages import Propose, Proposed
+from thistleline.config_feed.messages import Propose, ProposeResult
 from thistleline.config_feed.table import Table
 from thistleline.lab import feedmutants
 from thistleline.lab.feedmutants import MUTANTS, SCENARIOS, explored
@@ -157,7 +157,7 @@
     older = fleet.wide
     place.durable = older
     fleet.restart("i1", False)
-    assert place.number == older.number
+    assert place.number == older.sequence
     fleet.run(fleet.now + 3 * SECOND, lambda: not fleet.behind())
     fleet.settle()
     assert not fleet.behind()
@@ -242,7 +242,7 @@
     fleet.run(fleet.now + 15 * SECOND)
     fleet.settle()
     assert sorted(fleet.made, key=fleet.made.__getitem__) == ["once", "after"]
-    assert fleet.oracle.last == fleet.start.number + 2
+    assert fleet.oracle.last == fleet.start.sequence + 2
     assert not fleet.faults()
 
 
@@ -251,11 +251,11 @@
     keeper = fleet.places[fleet.kept[0]]
     for number in (1, 2):
         fleet.propose(Propose("twice", ()))
-        fleet._answer(keeper, fleet.tickets, Proposed("twice", fleet.oracle.last + number))
+        fleet._answer(keeper, fleet.tickets, ProposeResult("twice", fleet.oracle.last + number))
     assert "twice is" in fleet.faults()[0]
     fleet = small()
     fleet.propose(Propose("later", ()))
-    fleet._answer(keeper, fleet.tickets, Proposed("later", fleet.oracle.last + 2))
+    fleet._answer(keeper, fleet.tickets, ProposeResult("later", fleet.oracle.last + 2))
     assert "nobody who asked knows it" in fleet.faults()[-1]
 
 
--- a/tests/test_feed_writer.py
+++ b/tests/test_feed_writer.py
@@ -29,7 +29,15 @@
     STALL,
     VALUE_BOUND,
 )
-from thistleline.config_feed.messages import Change, Follow, Group, Propose, Proposed, decode_group, encode
+from thistleline.config_feed.messages import (
+    Change,
+    Follow,
+    Group,
+    Propose,
+    ProposeResult,
+    decode_group,
+    encode,
+)
 from thistleline.config_feed.relay import Station
 from thistleline.config_feed.table import Table
 from thistleline.config_feed.validation import fault
@@ -94,7 +102,7 @@
         self.history = History(table)
         self.writer = Writer(id, self.history, KEEPERS, 0)
         self.out: list[tuple[Any, ...]] = []  # get and put that the council has not seen yet
-        self.answers: dict[Any, Proposed] = {}
+        self.answers: dict[Any, ProposeResult] = {}
         self.seen: list[tuple[Any, ...]] = []
 
     @property
@@ -142,12 +150,12 @@
 
     def all_durable(self) -> None:
         for id in KEEPERS:
-            self.tell("durable", id, self.history.table.number)
+            self.tell("durable", id, self.history.table.sequence)
 
     def write(self, count: int, durable: bool = True) -> None:
         """So many changes, a group each."""
         for _ in range(count):
-            number = self.history.table.number + 1
+            number = self.history.table.sequence + 1
             self.propose(f"r{number}", f"tenant/{number % 7}", share(number))
             self.serve()
             if durable:
@@ -156,10 +164,10 @@
     def follow(self, above: "Keeper") -> None:
         """As a follower would, at once to the newest there."""
         table = self.history.table
-        if table.number < above.history.table.number:
+        if table.sequence < above.history.table.sequence:
             delta = None
-            if above.history.knows(table.number, table.digest("all"), "all"):
-                delta = above.history.delta(table.number, "all")
+            if above.history.knows(table.sequence, table.digest("all"), "all"):
+                delta = above.history.delta(table.sequence, "all")
             if delta is None:
                 self.history.anew(above.history.table)
             else:
@@ -173,7 +181,7 @@
     """What the table is at each number, by the oracle's own fold."""
     found = [Table()]
     for place, change in enumerate(changes):
-        assert change.number == place + 1, "a gap, or a number used twice"
+        assert change.sequence == place + 1, "a gap, or a number used twice"
         found.append(found[-1].applied(change))
     return found
 
@@ -189,9 +197,9 @@
     one = leading()
     one.propose("r", "route/x", b'{"limit_ms":100,"effect":"restartable"}')
     assert one.answers == {}
-    assert one.history.table.number == 0
+    assert one.history.table.sequence == 0
     one.serve()
-    assert one.answers["r"] == Proposed("r", 1)
+    assert one.answers["r"] == ProposeResult("r", 1)
     assert one.history.table.get("route/x") == (b'{"limit_ms":100,"effect":"restartable"}', 1)
 
 
@@ -200,9 +208,9 @@
     one.propose("bad", "tenant/x", b'{"share":2,"colour":"red"}')
     one.propose("good")
     one.serve()
-    assert one.answers["good"].number == 1
-    assert "'colour'" in one.answers["bad"].why
-    assert "share" in one.answers["bad"].why
+    assert one.answers["good"].sequence == 1
+    assert "'colour'" in one.answers["bad"].reason
+    assert "share" in one.answers["bad"].reason
 
 
 def test_expected_versions_count_what_waits_in_front() -> None:
@@ -213,8 +221,8 @@
     one.propose("4", expected=(("tenant/x", 1),))  # 3 waits in front
     one.propose("5", expected=(("tenant/x", 2),))
     one.serve()
-    assert [one.answers[str(each)].number for each in range(1, 6)] == [1, 0, 2, 0, 3]
-    assert "has version 1, 0 was expected" in one.answers["2"].why
+    assert [one.answers[str(each)].sequence for each in range(1, 6)] == [1, 0, 2, 0, 3]
+    assert "has version 1, 0 was expected" in one.answers["2"].reason
 
 
 def test_the_same_request_gets_one_number_out_waiting_and_done() -> None:
@@ -225,14 +233,14 @@
     one.propose("s", ticket="while it waits")
     one.serve()
     one.propose("r", ticket="later")
-    assert {ticket: told.number for ticket, told in one.answers.items()} == {
+    assert {ticket: told.sequence for ticket, told in one.answers.items()} == {
         "first": 1,
         "while it is out": 1,
         "s": 2,
         "while it waits": 2,
         "later": 1,
     }
-    assert one.history.table.number == 2
+    assert one.history.table.sequence == 2
 
 
 def test_the_same_request_after_two_takeovers_gets_its_number_however_many_groups_ago() -> None:
@@ -245,7 +253,7 @@
     for request in ("r4", "r1"):
         three.propose(request)
     three.serve()
-    assert [three.answers[request].number for request in ("r4", "r1")] == [4, 1]
+    assert [three.answers[request].sequence for request in ("r4", "r1")] == [4, 1]
     assert len(one.voters.sequence()) == 24
 
 
@@ -266,7 +274,7 @@
         while one.out:
             one.carry(one.out.pop(0))
             one.all_durable()
-    assert [one.answers[f"r{number}"].number for number in range(10_000)] == list(range(1, 10_001))
+    assert [one.answers[f"r{number}"].sequence for number in range(10_000)] == list(range(1, 10_001))
     assert len(one.voters.groups) < 40
     assert all(len(encode(group)) <= GROUP_BOUND for group in one.voters.groups)
     assert max(len(encode(group)) for group in one.voters.groups) > GROUP_BOUND // 2
@@ -276,16 +284,16 @@
     one = leading()
     for number in range(PROPOSED_BOUND + 1):
         one.propose(f"r{number}", f"tenant/{number}")
-    assert "wait already" in one.answers[f"r{PROPOSED_BOUND}"].why
+    assert "wait already" in one.answers[f"r{PROPOSED_BOUND}"].reason
     one.propose("r5", ticket="again")
-    assert "wait already" in one.answers["again"].why  # tickets are bounded too
+    assert "wait already" in one.answers["again"].reason  # tickets are bounded too
     while one.out:
         one.carry(one.out.pop(0))
         one.all_durable()
     assert len(one.voters.sequence()) == PROPOSED_BOUND
     one.propose("after")
     one.serve()
-    assert one.answers["after"].number == PROPOSED_BOUND + 1
+    assert one.answers["after"].sequence == PROPOSED_BOUND + 1
 
 
 def test_the_line_is_bounded_in_bytes_too() -> None:
@@ -296,17 +304,17 @@
         if number in one.answers:
             break
     assert one.writer.line_size < LINE_SIZE + CHANGE_BOUND
-    assert "bytes of changes wait already" in one.answers[number].why
+    assert "bytes of changes wait already" in one.answers[number].reason
     assert number < PROPOSED_BOUND // 8
 
 
 def test_who_does_not_write_refuses_and_says_so() -> None:
     one = Keeper(Voters(), "a")
     one.propose("r")
-    assert one.answers["r"] == Proposed("r", why="a does not write")
+    assert one.answers["r"] == ProposeResult("r", reason="a does not write")
     one.hold()
     one.propose("s")
-    assert "reading" in one.answers["s"].why
+    assert "reading" in one.answers["s"].reason
 
 
 # ---- the fence
@@ -329,13 +337,13 @@
             old.serve()
     assert old.phase == "standby"
     assert old.answers["late"].unknown
-    assert old.answers["late"].number == 0
-    assert old.answers["waits"].number == 0
+    assert old.answers["late"].sequence == 0
+    assert old.answers["waits"].sequence == 0
     assert not old.answers["waits"].unknown
     assert any(effect[0] == "release" for effect in old.seen)
-    assert new.answers["n"].number == 4
+    assert new.answers["n"].sequence == 4
     new.write(2)
-    assert [change.number for change in old.voters.sequence()] == [1, 2, 3, 4, 5, 6]
+    assert [change.sequence for change in old.voters.sequence()] == [1, 2, 3, 4, 5, 6]
 
 
 def test_a_put_that_was_decided_just_before_the_newer_lease_counts_there() -> None:
@@ -348,7 +356,7 @@
     new.propose("r", ticket="again")
     new.propose("s")
     new.serve()
-    assert (new.answers["again"].number, new.answers["s"].number) == (1, 2)
+    assert (new.answers["again"].sequence, new.answers["s"].sequence) == (1, 2)
 
 
 def test_an_answer_to_an_earlier_holds_put_is_not_taken_for_this_ones() -> None:
@@ -367,9 +375,9 @@
     one.tell("put_done", 0, 1)
     assert "s" not in one.answers
     one.serve()
-    assert one.answers["s"].number == 0
-    assert one.history.table.number == 0
-    assert [change.request for change in one.voters.sequence()] == ["r"]
+    assert one.answers["s"].sequence == 0
+    assert one.history.table.sequence == 0
+    assert [change.request_id for change in one.voters.sequence()] == ["r"]
 
 
 # ---- answers that are lost
@@ -384,9 +392,9 @@
         one.tell("elapsed", after=6 * SECOND)
     assert one.phase == "settling"
     one.serve()
-    assert one.answers["r"] == Proposed("r", 1)
+    assert one.answers["r"] == ProposeResult("r", 1)
     one.write(1)
-    assert one.history.table.number == 2
+    assert one.history.table.sequence == 2
     assert len(one.voters.groups) == 2
 
 
@@ -401,7 +409,7 @@
     one.carry(lost, answered=False)  # it was only held up
     one.carry(again)  # refused by its version: the first one stands there
     one.serve()
-    assert one.answers["r"] == Proposed("r", 1)
+    assert one.answers["r"] == ProposeResult("r", 1)
     assert len(one.voters.groups) == 1
 
 
@@ -423,7 +431,7 @@
     while not one.answers:
         one.serve()
         one.tell("elapsed", after=SECOND // 20)
-    assert one.answers["r"].number == 1
+    assert one.answers["r"].sequence == 1
 
 
 def test_a_record_written_by_a_newer_epoch_ends_this_one() -> None:
@@ -437,7 +445,7 @@
     old.serve()
     assert old.phase == "standby"
     assert old.answers["r"].unknown
-    assert old.history.table.number == 0
+    assert old.history.table.sequence == 0
     assert "written by another" in old.kinds("release")[0][1]
 
 
@@ -448,7 +456,7 @@
     one.tell("put_denied", 0, "the records are too large together")
     one.serve()
     assert one.answers["r"].unknown
-    assert "too large together" in one.answers["r"].why
+    assert "too large together" in one.answers["r"].reason
     assert one.phase == "standby"
 
 
@@ -487,20 +495,20 @@
     assert two.phase == "catching_up"
     assert len(two.kinds("follow")) == 1
     two.propose("r")
-    assert "catching up" in two.answers["r"].why
+    assert "catching up" in two.answers["r"].reason
     third = Keeper(one.voters, "c", behind)
     third.history.anew(states(one.voters.sequence())[10])
     two.follow(third)  # nearer, but not there
     two.tell("caught_up")
     assert two.phase == "catching_up"
-    assert two.history.table.number == 10
+    assert two.history.table.sequence == 10
     two.follow(one)
     two.tell("caught_up")
     assert two.phase == "writing"
     assert two.history.table == one.history.table
     two.all_durable()
     two.write(1)
-    assert two.answers["r34"].number == 34
+    assert two.answers["r34"].sequence == 34
 
 
 def test_who_finds_nobody_to_catch_up_from_gives_the_lease_back() -> None:
@@ -530,27 +538,30 @@
     "a gap": (
         lambda group: Group(
             group.epoch,
-            tuple(Change(one.number + 1, one.request, one.items) for one in group.changes),
-            group.before,
-            group.after,
+            tuple(Change(one.sequence + 1, one.request_id, one.items) for one in group.changes),
+            group.digest_before,
+            group.digest_after,
         ),
         "does not follow",
     ),
-    "no change": (lambda group: Group(group.epoch, (), group.before, group.after), "holds no change"),
+    "no change": (
+        lambda group: Group(group.epoch, (), group.digest_before, group.digest_after),
+        "holds no change",
+    ),
     "a later epoch": (
-        lambda group: Group(99, group.changes, group.before, group.after),
+        lambda group: Group(99, group.changes, group.digest_before, group.digest_after),
         "does not follow",
     ),
     "another value": (
         lambda group: Group(
             group.epoch,
-            tuple(Change(one.number, one.request, (("tenant/y", b"{}"),)) for one in group.changes),
-            group.before,
-            group.after,
+            tuple(Change(one.sequence, one.request_id, (("tenant/y", b"{}"),)) for one in group.changes),
+            group.digest_before,
+            group.digest_after,
         ),
         "not the one it was written for",
     ),
-    "a digest": (lambda group: Group(group.epoch, group.changes, b"", group.after), "does not follow"),
+    "a digest": (lambda group: Group(group.epoch, group.changes, b"", group.digest_after), "does not follow"),
 }
 
 
@@ -562,11 +573,11 @@
     spoiled(one.voters, 2, spoil)
     two = leading(one.voters, "b")
     assert two.phase == "standby"
-    assert two.history.table.number == 0
+    assert two.history.table.sequence == 0
     assert why in two.kinds("release")[0][1]
     two.propose("r")
     two.serve()
-    assert two.answers["r"].number == 0
+    assert two.answers["r"].sequence == 0
 
 
 def test_a_missing_record_in_the_middle_is_a_gap() -> None:
@@ -628,7 +639,7 @@
     one.tell("durable", "b", 1)  # has what stands in the oldest slot
     assert [request[0] for request in one.out] == ["put"]
     one.serve()
-    assert one.answers["r"].number == RING + 1
+    assert one.answers["r"].sequence == RING + 1
     one.propose("s", "tenant/s")
     assert one.out == []  # the next slot holds change 2
 
@@ -641,17 +652,17 @@
     one.tell("elapsed", after=STALL - 1)
     assert "r" not in one.answers  # keepers may just be slow
     one.tell("elapsed", after=1)
-    assert "change 1 is on the disks of 1 of 3 keepers" in one.answers["r"].why
+    assert "change 1 is on the disks of 1 of 3 keepers" in one.answers["r"].reason
     one.propose("s")
-    assert "1 of 3 keepers" in one.answers["s"].why
+    assert "1 of 3 keepers" in one.answers["s"].reason
     one.propose("r7", ticket="known")
-    assert one.answers["known"].number == 7
+    assert one.answers["known"].sequence == 7
     assert one.writer.facts()["stopped"] == 1
     assert one.writer.due() > 1 << 60
     one.tell("durable", "c", RING)
     one.propose("t")
     one.serve()
-    assert one.answers["t"].number == RING + 1
+    assert one.answers["t"].sequence == RING + 1
     assert one.writer.facts()["stopped"] == 0
 
 
@@ -721,7 +732,7 @@
     assert one.out == []
     one.tell("durable", "c", RING)
     one.serve()
-    assert one.answers["r"].number == RING + 1
+    assert one.answers["r"].sequence == RING + 1
 
 
 # ---- all of it by chance
@@ -811,8 +822,8 @@
         one = self.keepers[who]
         self.disks[who] = one.history.table
         for other in self.keepers.values():
-            other.tell("durable", who, one.history.table.number)
-        if who == self.lost_disk and self.disks[who].number >= self.lost_at:
+            other.tell("durable", who, one.history.table.sequence)
+        if who == self.lost_disk and self.disks[who].sequence >= self.lost_at:
             self.lost_disk = ""
 
     @rule(who=who, count=st.integers(1, 2 * RING), kept=st.integers(0, 3), then=st.sampled_from(["", "gone"]))
@@ -883,12 +894,12 @@
         self.late += [(self.keepers[who], request) for request in self.keepers[who].out]
         self.keepers[who] = Keeper(self.voters, who, self.disks[who])
         self.keepers[who].now = now
-        self.keepers[who].tell("durable", who, self.disks[who].number)
+        self.keepers[who].tell("durable", who, self.disks[who].sequence)
 
     def _look(self, one: Keeper) -> None:
         for (request, *_), told in ((t, told) for t, told in one.answers.items() if isinstance(t, tuple)):
-            if told.number:
-                assert self.made.setdefault(request, told.number) == told.number
+            if told.sequence:
+                assert self.made.setdefault(request, told.sequence) == told.sequence
 
     @invariant()
     def what_was_told_stands(self) -> None:
@@ -898,16 +909,16 @@
         for one in self.keepers.values():
             self._look(one)
             table = one.history.table
-            assert table == self.folded[table.number] or (
-                table.digest("all") == self.folded[table.number].digest("all")
+            assert table == self.folded[table.sequence] or (
+                table.digest("all") == self.folded[table.sequence].digest("all")
             )
             for request, told in one.answers.items():
-                if told.number and isinstance(request, str):
-                    assert self.made.setdefault(request, told.number) == told.number
+                if told.sequence and isinstance(request, str):
+                    assert self.made.setdefault(request, told.sequence) == told.sequence
             if one.phase == "writing" and not one.writer.out and one.writer.epoch == self.voters.epoch:
-                assert table.number == len(changes), "a writer that does not know what was made"
+                assert table.sequence == len(changes), "a writer that does not know what was made"
         for request, number in self.made.items():
-            assert changes[number - 1].request == request
+            assert changes[number - 1].request_id == request
 
     def teardown(self) -> None:
         """All is well again: any keeper can lead, with all that was ever told."""
@@ -917,7 +928,7 @@
             self.what_was_told_stands()
             one.all_durable()
             one.write(1)
-            assert one.history.table.number == len(self.voters.sequence())
+            assert one.history.table.sequence == len(self.voters.sequence())
 
 
 Fleet.TestCase.settings = settings(
@@ -936,11 +947,11 @@
     assert copied.frozen() == before
     copied.take(one.now, "put_done", 2, 1)
     copied.take(one.now, "proposed", "t", wish("s"))
-    assert copied.history.table.number == 3
+    assert copied.history.table.sequence == 3
     assert one.writer.frozen() == before
-    assert one.history.table.number == 2
+    assert one.history.table.sequence == 2
     one.serve()
-    assert one.answers["r"].number == 3
+    assert one.answers["r"].sequence == 3
 
 
 # ---- what a change may say
@@ -1067,16 +1078,16 @@
 def tables(count: int, first: Table | None = None) -> list[Table]:
     found = [first or Table()]
     for _ in range(count):
-        number = found[-1].number + 1
+        number = found[-1].sequence + 1
         items = (f"tenant/{number}", share(number)), (f"route/{number % 3}", b"%d" % number)
         found.append(found[-1].applied(Change(number, f"r{number}", items)))
     return found
 
 
 def step(before: Table, after: Table) -> tuple[int, int, Any]:
-    number = after.number
+    number = after.sequence
     keys = (f"tenant/{number}", f"route/{number % 3}")
-    return before.number, number, tuple((key, *(after.get(key) or (None, 0))) for key in keys)
+    return before.sequence, number, tuple((key, *(after.get(key) or (None, 0))) for key in keys)
 
 
 class Troubled(Disk):
@@ -1131,7 +1142,7 @@
     assert archive.recover() is None
     archive.write(many[0])
     for before, after in pairwise(many):
-        assert archive.write(after, [step(before, after)]) == after.number
+        assert archive.write(after, [step(before, after)]) == after.sequence
     archive.disk.release()
     return archive
 
@@ -1172,7 +1183,7 @@
     disk = Disk(tmp_path, "feed")
     disk.hold()
     archive = Archive(disk, "wide")
-    wide = [Table().moved(one.number, one.entries("wide"), "wide") for one in many]
+    wide = [Table().moved(one.sequence, one.entries("wide"), "wide") for one in many]
     archive.write(wide[1])
     archive.write(wide[2], [step(many[1], many[2])])
     table, _ = found(tmp_path, "wide")
@@ -1306,8 +1317,8 @@
             disk.release()
             table, told = found(folder)
             assert table is not None, told
-            assert table.number >= durable
-            assert same(table, many[table.number])
+            assert table.sequence >= durable
+            assert same(table, many[table.sequence])
 
 
 def test_older_segments_go_once_the_new_one_and_its_name_are_durable(tmp_path: Path) -> None:
@@ -1349,7 +1360,7 @@
     for number in range(1, 1500):
         items = ((f"tenant/{number % 5}", share(number), number),)
         after = table.moved(number, items)
-        archive.write(after, [(table.number, number, items)])
+        archive.write(after, [(table.sequence, number, items)])
         table = after
         if number % 50 == 0:
             most = max(most, sum(size for _, size in disk.segments()))
@@ -1374,11 +1385,11 @@
 # ---- who asks for a change
 
 
-def asked_of(monkeypatch: pytest.MonkeyPatch, answers: Mapping[str, Proposed | None]) -> list[str]:
+def asked_of(monkeypatch: pytest.MonkeyPatch, answers: Mapping[str, ProposeResult | None]) -> list[str]:
     """Whom it asks, k0 first, till one answers with a number."""
     asked: list[str] = []
 
-    async def ask(address: tuple[str, int], *told: Any) -> Proposed | None:
+    async def ask(address: tuple[str, int], *told: Any) -> ProposeResult | None:
         asked.append(address[0])
         return answers[address[0]]
 
@@ -1391,20 +1402,20 @@
     return asked
 
 
-def elsewhere(leader: str) -> Proposed:
-    return Proposed("x", why="it does not write", unknown=True, leader=leader)
+def elsewhere(leader: str) -> ProposeResult:
+    return ProposeResult("x", reason="it does not write", unknown=True, leader=leader)
 
 
 def test_who_asks_for_a_change_is_not_sent_back_to_the_silent(monkeypatch: pytest.MonkeyPatch) -> None:
-    answers = {"k0": None, "k1": elsewhere("k0"), "k2": Proposed("x", 7)}
+    answers = {"k0": None, "k1": elsewhere("k0"), "k2": ProposeResult("x", 7)}
     assert asked_of(monkeypatch, answers) == ["k0", "k1", "k2"]
 
 
 def test_two_that_name_each_other_don_t_keep_who_asks_for_a_change(monkeypatch: pytest.MonkeyPatch) -> None:
-    answers = {"k0": elsewhere("k1"), "k1": elsewhere("k0"), "k2": Proposed("x", 7)}
+    answers = {"k0": elsewhere("k1"), "k1": elsewhere("k0"), "k2": ProposeResult("x", 7)}
     assert asked_of(monkeypatch, answers) == ["k0", "k1", "k2"]
 
 
 def test_who_asks_for_a_change_goes_at_once_to_who_is_said_to_write(monkeypatch: pytest.MonkeyPatch) -> None:
-    answers = {"k0": elsewhere("k2"), "k1": elsewhere("k2"), "k2": Proposed("x", 7)}
+    answers = {"k0": elsewhere("k2"), "k1": elsewhere("k2"), "k2": ProposeResult("x", 7)}
     assert asked_of(monkeypatch, answers) == ["k0", "k2"]
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -224,7 +224,7 @@
     table = archive.recover()
     disk.release()
     assert table is not None
-    assert (table.number, archive.durable, archive.why, archive.segment, archive.old) == (7, 7, "", 1, [1])
+    assert (table.sequence, archive.durable, archive.why, archive.segment, archive.old) == (7, 7, "", 1, [1])
     assert sorted(table.entries("all")) == sorted(FEED_ENTRIES)
     assert dict(table.wide) == {"route/checkout": (b"pool-c", 4), "route/cart": (b"pool-a", 7)}
     assert dict(table.tenants) == {
--- a/thistleline/cli/feed.py
+++ b/thistleline/cli/feed.py
@@ -16,7 +16,7 @@
 from thistleline.config_feed.client import FeedClient, look_each, propose, snapshot
 from thistleline.config_feed.limits import CHANGE_BOUND, ITEMS_BOUND
 from thistleline.config_feed.lookups import written
-from thistleline.config_feed.messages import Item, Looked, Propose
+from thistleline.config_feed.messages import Item, Propose, ReadResult
 from thistleline.config_feed.table import MADE
 from thistleline.transport.address import Address
 
@@ -137,15 +137,15 @@
     for place, part in enumerate(parts):
         name = f"{request}.{place}" if in_parts else request
         answer = anyio.run(propose, keepers, Propose(name, part, tuple(expected)), span)
-        if as_json or answer.number:
-            tell(answer, as_json, lambda told: f"change {told.number}")
+        if as_json or answer.sequence:
+            tell(answer, as_json, lambda told: f"change {told.sequence}")
         if answer.unknown:
             raise click.ClickException(
-                f"it is not known whether it was made: {answer.why}\n"
+                f"it is not known whether it was made: {answer.reason}\n"
                 f"the same again with --request {request} finds out"
             )
-        if not answer.number:
-            raise click.ClickException(answer.why)
+        if not answer.sequence:
+            raise click.ClickException(answer.reason)
 
 
 def _no_text(words: tuple[str, ...]) -> list[str]:
@@ -222,17 +222,17 @@
             for key, value, version in found.items:
                 missing += value is None
                 told = value and (value.decode() if key.startswith(MADE) else msgspec.json.decode(value))
-                facts = {"key": key, "version": version, "number": found.number, "value": told}
+                facts = {"key": key, "version": version, "number": found.sequence, "value": told}
                 tell(facts, as_json, _words)
             asked = asked[len(found.items) :]
     if missing:
         raise SystemExit(1)
 
 
-def _newest(servers: dict[str, Address], keys: tuple[str, ...] = ()) -> tuple[str, Looked]:
+def _newest(servers: dict[str, Address], keys: tuple[str, ...] = ()) -> tuple[str, ReadResult]:
     """All are asked, lest one that was cut off answers for the rest."""
     answers = anyio.run(look_each, servers, keys)
-    known = [(one.number, name, one) for name, one in answers.items() if one is not None]
+    known = [(one.sequence, name, one) for name, one in answers.items() if one is not None]
     if not known:
         raise click.ClickException(f"none of {', '.join(servers)} answers")
     return max(known, key=lambda one: one[:2])[1:]
@@ -255,12 +255,12 @@
         if one is None:
             tell({"name": name, "why": "no answer"}, as_json, lambda told: f"{told['name']}  no answer")
             continue
-        facts = {"name": name, "number": one.number, "digest": one.digest.hex(), "phase": one.phase,
-                 "epoch": one.epoch, "holds": one.holds, **one.facts}  # fmt: skip
+        facts = {"name": name, "number": one.sequence, "digest": one.digest.hex(), "phase": one.phase,
+                 "epoch": one.epoch, "holds": one.is_writer, **one.counters}  # fmt: skip
         tell(facts, as_json, lambda told: "  ".join(f"{word} {value}" for word, value in told.items()))
     known = [one for one in answers.values() if one is not None]
-    keepers = len(known) < len(servers) or any(one.facts.get("level") == 0 for one in known)
-    if keepers and not any(one.holds for one in known):
+    keepers = len(known) < len(servers) or any(one.counters.get("level") == 0 for one in known)
+    if keepers and not any(one.is_writer for one in known):
         raise SystemExit(1)
 
 
@@ -280,7 +280,7 @@
             continue  # what the writer keeps of requests is nothing to put
         head = orjson.dumps({"key": key, "version": version})[:-1]
         out.write(head + b',"value":' + value + b"}\n")
-    click.echo(f"number {table.number}, digest {table.digest('all').hex()}", err=True)
+    click.echo(f"number {table.sequence}, digest {table.digest('all').hex()}", err=True)
 
 
 @feed.command()
@@ -299,7 +299,7 @@
     def seen(table: Any, items: Any) -> None:
         touched = None if items is None else [key for key, _, _ in items]
         words = "all" if touched is None else " ".join(touched) or "-"
-        facts = {"number": table.number, "digest": table.digest("wide").hex(), "touched": touched}
+        facts = {"number": table.sequence, "digest": table.digest("wide").hex(), "touched": touched}
         tell(facts, as_json, lambda told: f"{told['number']}  {told['digest']}  {words}")
 
     async def run() -> None:
--- a/thistleline/config_feed/archive.py
+++ b/thistleline/config_feed/archive.py
@@ -75,7 +75,7 @@
             except (Damaged, msgspec.DecodeError, ValueError) as error:
                 self.why = str(error)
                 return None
-            self.durable, self.digest, self.why = table.number, table.digest(self.kind), ""
+            self.durable, self.digest, self.why = table.sequence, table.digest(self.kind), ""
             return table
         return None
 
@@ -137,7 +137,7 @@
         where the log is long, or after trouble, all of the table is written. Raises OSError where it can't be
         said what is durable beyond `durable`; the next write goes to a new segment."""
         digest = table.digest(self.kind)
-        if not self.fresh and (table.number, digest) == (self.durable, self.digest):
+        if not self.fresh and (table.sequence, digest) == (self.durable, self.digest):
             return self.durable
         data = b"" if self.fresh else self._log(table, steps)
         try:
@@ -150,7 +150,7 @@
         except OSError:
             self.fresh = True
             raise
-        self.durable, self.digest = table.number, digest
+        self.durable, self.digest = table.sequence, digest
         return self.durable
 
     def _log(self, table: Table, steps: Sequence[Step]) -> bytes:
@@ -160,7 +160,7 @@
             if first != at or last <= first:
                 return b""
             at = last
-        if not steps or at != table.number:
+        if not steps or at != table.sequence:
             return b""
         size = 0
         for _, _, items in steps:
@@ -207,7 +207,7 @@
                 part, size = [], 0
         if part:
             yield self._sealed(b"P", part)
-        yield self._sealed(b"E", (table.number, table.digest(self.kind), entries))
+        yield self._sealed(b"E", (table.sequence, table.digest(self.kind), entries))
 
     def _sealed(self, letter: bytes, told: Any) -> bytes:
         self.frame += 1
--- a/thistleline/config_feed/archive_writer.py
+++ b/thistleline/config_feed/archive_writer.py
@@ -47,7 +47,7 @@
     def step(self, table: Table, first: int, items: Items) -> None:
         self.table = table
         if len(self.steps) < WAITING_BOUND:
-            self.steps.append((first, table.number, items))
+            self.steps.append((first, table.sequence, items))
         self._wake()
 
     def anew(self, table: Table) -> None:
--- a/thistleline/config_feed/client.py
+++ b/thistleline/config_feed/client.py
@@ -21,7 +21,7 @@
 from thistleline.config_feed.connections import Rounds, Up, ask
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.lookups import Found, Lookups
-from thistleline.config_feed.messages import Delta, Kind, Look, Looked, Propose, Proposed
+from thistleline.config_feed.messages import Delta, Kind, Propose, ProposeResult, ReadRequest, ReadResult
 from thistleline.config_feed.table import Table
 from thistleline.store.clock import boot_now
 from thistleline.transport.address import Address
@@ -78,7 +78,7 @@
 
     async def run(self) -> None:
         """Until it is cancelled. What was taken last may not be in the folder then; it comes again."""
-        self.log("started", id=self.id, number=self.table.number, digest=self.table.digest(self.kind).hex())
+        self.log("started", id=self.id, number=self.table.sequence, digest=self.table.digest(self.kind).hex())
         try:
             async with anyio.create_task_group() as group:
                 self.up = Up(self.id, self.sources, group, self.rounds)
@@ -88,7 +88,7 @@
         finally:
             if self.persist is not None:
                 self.persist.close()
-            self.log("left", number=self.table.number)
+            self.log("left", number=self.table.sequence)
 
     async def _pump(self) -> None:
         while True:
@@ -117,7 +117,7 @@
             else:
                 self.persist.step(self.table, delta.first, delta.items)
         if delta is None:
-            self.log("loaded", number=self.table.number, digest=self.table.digest(self.kind).hex(),
+            self.log("loaded", number=self.table.sequence, digest=self.table.digest(self.kind).hex(),
                      by=self.follower.at)  # fmt: skip
         if self.seen is not None:
             self.seen(self.table, None if delta is None else delta.items)
@@ -126,7 +126,7 @@
 
     async def beyond(self, number: int) -> Table:
         """The state at that number or after it, once it is here."""
-        while self.table.number < number:
+        while self.table.sequence < number:
             await self.moved.wait()
         return self.table
 
@@ -158,14 +158,14 @@
 # ---- what commands ask
 
 
-async def look(address: Address, keys: tuple[str, ...] = (), span: float = ASK_SPAN) -> Looked | None:
+async def look(address: Address, keys: tuple[str, ...] = (), span: float = ASK_SPAN) -> ReadResult | None:
     """How one that serves stands and what it holds of the keys; None if it does not say."""
-    found: Looked | None = await ask(address, Look(keys), Looked, span)
+    found: ReadResult | None = await ask(address, ReadRequest(keys), ReadResult, span)
     return found
 
 
-async def look_each(servers: dict[str, Address], keys: tuple[str, ...] = ()) -> dict[str, Looked | None]:
-    found: dict[str, Looked | None] = {}
+async def look_each(servers: dict[str, Address], keys: tuple[str, ...] = ()) -> dict[str, ReadResult | None]:
+    found: dict[str, ReadResult | None] = {}
 
     async def one(name: str) -> None:
         found[name] = await look(servers[name], keys)
@@ -197,20 +197,22 @@
 
 async def propose(
     keepers: dict[str, Address], told: Propose, span: float = 10.0, chance: Random | None = None
-) -> Proposed:
+) -> ProposeResult:
     """Asks till it is made or refused, for so many seconds at most. The same request is one change."""
     chance = chance or Random(os.urandom(8))
     names, until, why = sorted(keepers), anyio.current_time() + span, "no keeper answers"
     asking = Asking(names, chance.choice(names))
     while True:
         left = until - anyio.current_time()
-        answer = await ask(keepers[asking.at], told, Proposed, min(left, PROPOSE_SPAN)) if left > 0 else None
+        answer = (
+            await ask(keepers[asking.at], told, ProposeResult, min(left, PROPOSE_SPAN)) if left > 0 else None
+        )
         if answer is not None:
-            if answer.number or not answer.unknown:
+            if answer.sequence or not answer.unknown:
                 return answer  # type: ignore[no-any-return]
-            why = answer.why
+            why = answer.reason
         if anyio.current_time() >= until:
-            return Proposed(told.request, why=why, unknown=True)
+            return ProposeResult(told.request_id, reason=why, unknown=True)
         if not asking.on(answer is not None, answer.leader if answer is not None else ""):
             await anyio.sleep(min(PAUSE * chance.uniform(0.5, 1.5), max(0.0, until - anyio.current_time())))
 
@@ -226,7 +228,7 @@
                 await anyio.sleep(0.02)
             welcome = following.follower.welcome
             # Guards against a state on the way there: changes may lead to it, in several steps.
-            await following.beyond(max(welcome.number, welcome.newest) if welcome is not None else 0)
+            await following.beyond(max(welcome.sequence, welcome.newest) if welcome is not None else 0)
             done = True
             group.cancel_scope.cancel()
     return following.table if done else None
--- a/thistleline/config_feed/connections.py
+++ b/thistleline/config_feed/connections.py
@@ -15,7 +15,7 @@
 from anyio.abc import ByteStream, SocketStream, TaskGroup
 
 from thistleline.config_feed.limits import BEAT, MESSAGE_BOUND, MS, SECOND, STALL
-from thistleline.config_feed.messages import Delta, Part, decode_source, encode
+from thistleline.config_feed.messages import Delta, SnapshotPart, decode_source, encode
 from thistleline.store.clock import boot_now
 from thistleline.transport.address import Address
 from thistleline.transport.codec import Hello, Unpacker, common_form, sealed
@@ -82,7 +82,7 @@
         self.made: OrderedDict[int, tuple[Any, bytes]] = OrderedDict()  # the object too: its id is its own
 
     def frame(self, message: Any) -> bytes:
-        if not isinstance(message, Delta | Part):
+        if not isinstance(message, Delta | SnapshotPart):
             return sealed(encode(message))
         known = self.made.get(id(message))
         if known is not None:
--- a/thistleline/config_feed/follower.py
+++ b/thistleline/config_feed/follower.py
@@ -16,17 +16,17 @@
 
 from thistleline.config_feed.limits import ENTRIES_BOUND, SILENT, SPREAD
 from thistleline.config_feed.messages import (
-    Beat,
+    Acknowledge,
     Delta,
+    FetchPart,
     Follow,
-    FromFollower,
-    FromSource,
-    Have,
+    FollowAccepted,
+    FollowerMessage,
+    FollowRejected,
+    Heartbeat,
     Kind,
-    Part,
-    Refused,
-    Want,
-    Welcome,
+    SnapshotPart,
+    SourceMessage,
 )
 from thistleline.config_feed.table import Table
 
@@ -61,7 +61,7 @@
         self.place = 0  # in `sources`, of the next to try
         self.wait_until = now + spread(SPREAD)
         self.heard_at = now
-        self.welcome: Welcome | None = None  # the last one
+        self.welcome: FollowAccepted | None = None  # the last one
         self.epoch = 0  # the highest seen
         self.any = False
         self.durable = 0
@@ -83,9 +83,16 @@
         """All that what it does can depend on; tables by number and digest, times from now."""
         load = self.load
         return (
-            *(self.id, self.kind, self.level, self.table.number, self.table.digest(self.kind), self.sources),
+            *(
+                self.id,
+                self.kind,
+                self.level,
+                self.table.sequence,
+                self.table.digest(self.kind),
+                self.sources,
+            ),
             *(self.phase, self.at, self.place, self.welcome, self.epoch, self.any, self.durable, self.unsure),
-            *(load and (load.number, load.digest(self.kind)), self.part, self.wanted),
+            *(load and (load.sequence, load.digest(self.kind)), self.part, self.wanted),
             *(self.straight, self.until),
             *(self.wait_until - self.now if self.phase == "waiting" else 0,),
             *(self.heard_at - self.now if self.at else 0,),
@@ -121,7 +128,7 @@
 
     def _go(self, any: bool = False, table: Table | None = None) -> None:
         self.any = any
-        if table is not None and self.phase == "quiet" and table.number >= self.table.number:
+        if table is not None and self.phase == "quiet" and table.sequence >= self.table.sequence:
             self.table = table
         if self.phase == "quiet":
             self._wait()
@@ -130,7 +137,7 @@
 
     def _durable(self, number: int) -> None:
         if self.phase != "quiet":  # there `go` brings the table that this counts for
-            number = min(number, self.table.number)
+            number = min(number, self.table.sequence)
         if number > self.durable:
             self.durable = number
             if self.kind == "all" and self.phase in ("loading", "following"):
@@ -150,37 +157,37 @@
         if name == self.at and self.phase == "connecting":
             self.phase, self.heard_at = "greeting", self.now
             digest = b"" if self.unsure else self.table.digest(self.kind)
-            self._send(Follow(self.id, self.kind, self.table.number, digest, self.level))
+            self._send(Follow(self.id, self.kind, self.table.sequence, digest, self.level))
 
     def _lost(self, name: str, why: str) -> None:
         if self.at and name == self.at:
             self._wait()
 
-    def _heard(self, name: str, message: FromSource) -> None:
+    def _heard(self, name: str, message: SourceMessage) -> None:
         if name != self.at or self.phase not in ("greeting", "loading", "following"):
             return
         self.heard_at = self.now
         match message:
-            case Refused():
-                self._leave(f"refused: {message.why}"[:100])
-            case Welcome():
+            case FollowRejected():
+                self._leave(f"refused: {message.reason}"[:100])
+            case FollowAccepted():
                 self._welcomed(message)
             case _ if self.phase == "greeting":
-                self._leave("no Welcome")
-            case Beat():
+                self._leave("no FollowAccepted")
+            case Heartbeat():
                 self._beat(message)
             case Delta():
                 self._delta(message)
-            case Part():
+            case SnapshotPart():
                 self._part(message)
 
     # ---- to a source
 
-    def _send(self, message: FromFollower) -> None:
+    def _send(self, message: FollowerMessage) -> None:
         self.effects.append(("send", self.at, message))
 
     def _have(self) -> None:
-        self._send(Have(self.table.number, self.durable))
+        self._send(Acknowledge(self.table.sequence, self.durable))
 
     def _leave(self, why: str) -> None:
         self.effects.append(("drop", self.at, why))
@@ -201,17 +208,17 @@
 
     # ---- from a source
 
-    def _fits(self, told: Welcome) -> bool:
+    def _fits(self, told: FollowAccepted) -> bool:
         if self.level:
             return told.level < self.level
         if self.kind == "wide":
             return True
         if told.level:
             return False
-        return self.any or (told.holds and told.epoch >= self.epoch)
+        return self.any or (told.is_writer and told.epoch >= self.epoch)
 
-    def _welcomed(self, told: Welcome) -> None:
-        if min(told.number, told.epoch, told.level) < 0:
+    def _welcomed(self, told: FollowAccepted) -> None:
+        if min(told.sequence, told.epoch, told.level) < 0:
             self._leave("out of bounds")
             return
         self.welcome = told
@@ -227,37 +234,37 @@
                 self.wait_until = self.now
             return
         self.epoch, self.until = max(self.epoch, told.epoch), 0
-        if told.load:
-            if told.number < self.table.number:
+        if told.load_snapshot:
+            if told.sequence < self.table.sequence:
                 self._leave("its snapshot is older")
                 return
             self.phase, self.load = "loading", Table()
             self.part = self.wanted = 0
             while self.wanted < WINDOW:
                 self._want()
-        elif self.phase == "greeting" and told.number == self.table.number and not self.unsure:
+        elif self.phase == "greeting" and told.sequence == self.table.sequence and not self.unsure:
             self.phase = "following"
             if self.durable:
                 self._have()
         elif self.phase != "following":  # there it only tells anew who writes
             self._leave("out of turn")
 
-    def _lends(self, told: Welcome) -> bool:
+    def _lends(self, told: FollowAccepted) -> bool:
         """Whether a keeper that finds nobody who writes takes from this one what leads on from its own
         state: no more than that was ever decided. No snapshot, as nobody says that it is of this feed."""
         return (
             (self.kind, self.level, told.level, self.phase) == ("all", 0, 0, "greeting")
-            and not (self._fits(told) or told.leader or told.load or self.unsure)
-            and told.number == self.table.number < told.newest
+            and not (self._fits(told) or told.leader or told.load_snapshot or self.unsure)
+            and told.sequence == self.table.sequence < told.newest
         )
 
     def _want(self) -> None:
         assert self.welcome is not None
-        self._send(Want(self.welcome.number, self.wanted))
+        self._send(FetchPart(self.welcome.sequence, self.wanted))
         self.wanted += 1
 
     def _delta(self, told: Delta) -> None:
-        if self.phase != "following" or told.first != self.table.number or told.last <= told.first:
+        if self.phase != "following" or told.first != self.table.sequence or told.last <= told.first:
             self._leave("what it sends does not lead from here")
             return
         table = self.table.moved(told.last, told.items, self.kind)
@@ -273,15 +280,15 @@
             else:
                 self._have()
 
-    def _part(self, told: Part) -> None:
+    def _part(self, told: SnapshotPart) -> None:
         if self.phase != "loading" or self.load is None or self.welcome is None:
             return
-        if told.number != self.welcome.number:
+        if told.sequence != self.welcome.sequence:
             return  # of a load that its source began anew since
         if told.index != self.part:
             self._leave("a part out of turn")
             return
-        self.load = self.load.moved(told.number, told.items, self.kind)
+        self.load = self.load.moved(told.sequence, told.items, self.kind)
         self.part += 1
         if self.load.count(self.kind) > ENTRIES_BOUND:
             self._leave("too many entries")
@@ -295,12 +302,12 @@
             self.effects.append(("loaded",))
             self._have()
 
-    def _beat(self, told: Beat) -> None:
-        if self.phase == "following" and told.number < self.table.number:
+    def _beat(self, told: Heartbeat) -> None:
+        if self.phase == "following" and told.sequence < self.table.sequence:
             self._leave("behind")
         elif (
             self.phase == "following"
-            and told.number == self.table.number
+            and told.sequence == self.table.sequence
             and told.digest != self.table.digest(self.kind)
         ):
             self._doubt()
--- a/thistleline/config_feed/history.py
+++ b/thistleline/config_feed/history.py
@@ -33,24 +33,24 @@
         return made
 
     def _note(self) -> None:
-        self._digests[self.table.number] = self.table.digest("wide"), self.table.digest("all")
+        self._digests[self.table.sequence] = self.table.digest("wide"), self.table.digest("all")
         self._cached.clear()
 
     @property
     def base(self) -> int:
         """The least number that can be gone on from."""
-        return self.steps[0][0] if self.steps else self.table.number
+        return self.steps[0][0] if self.steps else self.table.sequence
 
     def move(self, last: int, items: Items, kind: Kind = "all") -> None:
         """To the state `last`, by what was touched since the newest. Raises ValueError for no newer one."""
-        if last <= self.table.number:
-            raise ValueError(f"{last} does not follow {self.table.number}")
+        if last <= self.table.sequence:
+            raise ValueError(f"{last} does not follow {self.table.sequence}")
         self.take(self.table.moved(last, items, kind), items)
 
     def take(self, table: Table, items: Items) -> None:
         """The same, with the state made already."""
         size = size_of(items)
-        self.steps.append((self.table.number, table.number, items, size))
+        self.steps.append((self.table.sequence, table.sequence, items, size))
         self.size += size
         self.table = table
         self._note()
@@ -74,7 +74,7 @@
         one comes with no digest then, and is known nowhere."""
         known = self._digests.get(number)
         if known is None:
-            return bool(digest) and self.base < number < self.table.number
+            return bool(digest) and self.base < number < self.table.sequence
         return known[int(kind == "all")] == digest
 
     def digest(self, number: int, kind: Kind) -> bytes | None:
@@ -103,7 +103,7 @@
             ahead.append(step)
         ahead.reverse()
         found = self._leading(number, ahead, kind, False)
-        if kind == "wide" and found.last < self.table.number:
+        if kind == "wide" and found.last < self.table.sequence:
             # Guards against a load of tenants that would hold up the routes at every instance.
             found = self._leading(number, ahead, kind, True)
         return found
--- a/thistleline/config_feed/lookups.py
+++ b/thistleline/config_feed/lookups.py
@@ -1,6 +1,6 @@
 """An instance's view of the configuration: look-ups that never wait. No I/O, no clock.
 
-Inputs and effects are those of its Follower (feed/follower.py), and (send name AskTenants). All sections
+Inputs and effects are those of its Follower (feed/follower.py), and (send name FetchTenants). All sections
 but the tenants' are the follower's table; of the tenants those that were looked up are held, at most
 `bound`, the least lately used go first. What is held counts at the table's number, always: a Delta is
 applied to both in one input, and an answer of another number is dropped and asked anew. So nobody sees half
@@ -14,7 +14,7 @@
 
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.limits import ASKED_BOUND, KEY_BOUND, STALL, TENANTS_CACHE
-from thistleline.config_feed.messages import AskTenants, Delta, Tenants
+from thistleline.config_feed.messages import Delta, FetchTenants, TenantEntries
 from thistleline.config_feed.table import TENANT
 
 
@@ -58,7 +58,7 @@
         if not key.startswith(TENANT):
             entry = self.follower.table.wide.get(key)
             if entry is None:
-                return ABSENT if self.follower.table.number else UNKNOWN
+                return ABSENT if self.follower.table.sequence else UNKNOWN
             return Found(*entry, True)
         found = self.tenants.get(key)
         if found is not None:
@@ -75,7 +75,7 @@
     def take(self, now: int, kind: str, *told: Any) -> list[tuple[Any, ...]]:
         follower = self.follower
         effects = follower.take(now, kind, *told)
-        if kind == "heard" and isinstance(told[1], Tenants) and told[0] == follower.at:
+        if kind == "heard" and isinstance(told[1], TenantEntries) and told[0] == follower.at:
             self._told(told[1])
         for name, *rest in effects:
             if name == "took":
@@ -90,7 +90,7 @@
                 del self.wanted[key]
                 self.asked[key] = None
             self.asked_at = follower.now
-            effects.append(("send", follower.at, AskTenants(asked)))
+            effects.append(("send", follower.at, FetchTenants(asked)))
         return effects
 
     def due(self) -> int:
@@ -108,8 +108,8 @@
             self.wanted.move_to_end(key, last=False)
         self.asked = {}
 
-    def _told(self, told: Tenants) -> None:
-        current = told.number == self.follower.table.number
+    def _told(self, told: TenantEntries) -> None:
+        current = told.sequence == self.follower.table.sequence
         for key, value, version in told.items:
             if key not in self.asked:
                 continue
@@ -125,7 +125,7 @@
             self.tenants.popitem(last=False)
 
     def _took(self, delta: Delta) -> None:
-        if delta.forget:
+        if delta.evict_tenants:
             self.tenants.clear()
         for key, value, version in delta.items:
             if key in self.tenants:
--- a/thistleline/config_feed/messages.py
+++ b/thistleline/config_feed/messages.py
@@ -1,164 +1,201 @@
-"""What goes over a link of the feed, both ways, as msgspec messages in the frames of links/codec.py.
+"""The messages of the config feed, as msgspec structs in the frames of `transport/codec.py`.
 
-A number counts the changes of the whole feed, 1 the first; 0 is the empty table. A digest tells one state of
-a table (feed/table.py). Of what comes from strangers every length is bounded by `config_feed/bounds.py`.
+A sequence number counts the changes of the whole feed: 1 is the first change, 0 the empty table. A digest
+identifies one state of a table (`config_feed/table.py`). Whatever comes from a peer is bounded in length by
+`config_feed/limits.py`.
+
+The encoded names of classes and fields are the protocol and never change: where the Python name differs, the
+class gives the encoded one by `tag` and `rename`.
 """
 
 from typing import Annotated, Literal
 
 import msgspec
 
-Kind = Literal["wide", "all"]  # what a follower holds: without the tenants, which are told on demand; or all
-Item = tuple[str, bytes | None]  # key and value; None takes the key away
-Version = Annotated[int, msgspec.Meta(ge=0)]  # of an entry: the number of the change that set it
+Kind = Literal[
+    "wide", "all"
+]  # what a follower holds: "wide" is without the tenants, which it fetches on demand
+Item = tuple[str, bytes | None]  # key and value; None deletes the key
+Version = Annotated[int, msgspec.Meta(ge=0)]  # of an entry: sequence number of the change that set it
+ReadItem = tuple[str, bytes | None, int]  # key, value, version; None and 0 for a key that does not exist
+
+# Python names of fields -> their encoded names.
+_ENCODED_NAMES = {
+    "sequence": "number",
+    "request_id": "request",
+    "reason": "why",
+    "load_snapshot": "load",
+    "is_writer": "holds",
+    "evict_tenants": "forget",
+    "counters": "facts",
+}
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """Some entries that count from one moment on, all or none. The version of each is the change's number."""
+    """Some entries that take effect together or not at all; each gets the change's number as its version."""
 
-    number: int
-    request: str  # of who asked for it: the same again is the same change
+    sequence: int
+    request_id: str  # idempotency key of the proposal: the same key again is the same change
     items: tuple[Item, ...]
 
 
 class Group(msgspec.Struct, frozen=True, array_like=True):
-    """Changes that follow each other, written to the council in one record."""
+    """Consecutive changes that were committed together, in one record of the consensus cluster."""
 
-    epoch: int  # of the lease under which it was written
+    epoch: int  # fencing epoch of the lease under which it was written
     changes: tuple[Change, ...]
-    before: bytes  # digest of the whole table before the first,
-    after: bytes  # and after the last
+    digest_before: bytes  # of the whole table before the first change
+    digest_after: bytes  # of the whole table after the last change
 
 
 # ---- from a follower
 
 
-class Follow(msgspec.Struct, frozen=True, tag="follow"):
-    """I hold the state `number` with this digest (of my kind); go on from there."""
+class Follow(msgspec.Struct, frozen=True, tag="follow", rename=_ENCODED_NAMES):
+    """Asks to follow, starting from the state `sequence`, whose digest (of this kind) is `digest`."""
 
     id: str
     kind: Kind
-    number: int
+    sequence: int
     digest: bytes
-    level: int = 0  # mine, when I serve others too; who serves takes only followers below its own
+    level: int = 0  # of a follower that serves others too; a source takes only followers below its own level
+
 
+class Acknowledge(msgspec.Struct, frozen=True, tag="have", rename=_ENCODED_NAMES):
+    """Says that the follower holds `sequence` now, and asks for what follows.
 
-class Have(msgspec.Struct, frozen=True, tag="have"):
-    """I hold `number` now; `durable`: the number that a restart of mine would find. Asks for the next."""
+    `durable` is the sequence number that a restart of the follower would find on its disk.
+    """
 
-    number: int
+    sequence: int
     durable: int = 0
 
 
-class Want(msgspec.Struct, frozen=True, tag="want"):
-    """The part `index` of the snapshot `number`."""
+class FetchPart(msgspec.Struct, frozen=True, tag="want", rename=_ENCODED_NAMES):
+    """Asks for the part `index` of the snapshot at `sequence`."""
 
-    number: int
+    sequence: int
     index: int
 
 
-class AskTenants(msgspec.Struct, frozen=True, tag="tenants"):
+class FetchTenants(msgspec.Struct, frozen=True, tag="tenants"):
+    """Asks for the entries of some tenants."""
+
     keys: tuple[str, ...]
 
 
-class Propose(msgspec.Struct, frozen=True, tag="propose"):
-    """A change to be made. `expected`: versions that these keys must have, 0 for none there."""
+class Propose(msgspec.Struct, frozen=True, tag="propose", rename=_ENCODED_NAMES):
+    """Asks for a change. `expected`: versions that these keys must have, 0 for a key that must not exist."""
 
-    request: str
+    request_id: str
     items: tuple[Item, ...]
     expected: tuple[tuple[str, int], ...] = ()
 
 
-class Look(msgspec.Struct, frozen=True, tag="look"):
-    """Values of keys as this one holds them; and how it stands."""
+class ReadRequest(msgspec.Struct, frozen=True, tag="look"):
+    """Asks for the values of keys as the server holds them, and for the server's status."""
 
     keys: tuple[str, ...] = ()
 
 
-# ---- from who serves
+# ---- from a source
 
 
-class Welcome(msgspec.Struct, frozen=True, tag="welcome"):
-    """How it goes on: with changes, or `load` with the snapshot `number` in `parts` parts. `epoch`: of who
-    writes, as far as known; `holds`: it is the one that writes; else a keeper names that one as `leader`.
-    `newest`: where this one stands."""
+class FollowAccepted(msgspec.Struct, frozen=True, tag="welcome", rename=_ENCODED_NAMES):
+    """Says how it goes on: with deltas, or with the snapshot at `sequence` in `parts` parts."""
 
-    number: int
-    load: bool
+    sequence: int
+    load_snapshot: bool
     parts: int
     level: int
-    epoch: int
-    holds: bool
-    leader: str = ""
-    newest: int = 0
+    epoch: int  # of the writer's lease, as far as known
+    is_writer: bool  # the sender is the writer
+    leader: str = ""  # a keeper that is not the writer names the writer here
+    newest: int = 0  # sequence number of the sender's own state
+
 
+class FollowRejected(msgspec.Struct, frozen=True, tag="refused", rename=_ENCODED_NAMES):
+    """Rejects a follower: the source is full, not above it, or behind what the follower has."""
 
-class Refused(msgspec.Struct, frozen=True, tag="refused"):
-    """No follower of mine: it is full, not below me, or behind what the follower has."""
+    reason: str
 
-    why: str
 
+class Delta(msgspec.Struct, frozen=True, tag="delta", rename=_ENCODED_NAMES):
+    """Leads from the state `first` to the state `last`, and is applied whole or not at all.
 
-class Delta(msgspec.Struct, frozen=True, tag="delta"):
-    """What brings the state `first` to the state `last`: of each key touched between, the newest value and
-    its version. `digest`: of the follower's kind, at `last`. Taken whole or not at all. `forget`: more
-    tenants were touched than are told here, so those held on demand go with it."""
+    Of each key that was written between, it has the newest value and its version. `digest` is that of the
+    follower's kind at `last`. `evict_tenants`: more tenants were written than are listed here, so the
+    follower evicts those that it fetched on demand.
+    """
 
     first: int
     last: int
     items: tuple[tuple[str, bytes | None, Version], ...]
     digest: bytes
-    forget: bool = False
+    evict_tenants: bool = False
 
 
-class Part(msgspec.Struct, frozen=True, tag="part"):
-    """A part of the snapshot `number`; nothing of it counts before the last, and the digest, are there."""
+class SnapshotPart(msgspec.Struct, frozen=True, tag="part", rename=_ENCODED_NAMES):
+    """One part of the snapshot at `sequence`, of which nothing is visible before all parts and the digest."""
 
-    number: int
+    sequence: int
     index: int
     parts: int
     items: tuple[tuple[str, bytes, Version], ...]
     digest: bytes
 
 
-class Beat(msgspec.Struct, frozen=True, tag="beat"):
-    """I live; this is where I stand, with the digest of the follower's kind."""
+class Heartbeat(msgspec.Struct, frozen=True, tag="beat", rename=_ENCODED_NAMES):
+    """Says that the source lives, its sequence number, and the digest of the follower's kind there."""
 
-    number: int
+    sequence: int
     digest: bytes
 
 
-class Tenants(msgspec.Struct, frozen=True, tag="told"):
-    """Entries on demand, as of `number`; None and 0 for one that is not there."""
+class TenantEntries(msgspec.Struct, frozen=True, tag="told", rename=_ENCODED_NAMES):
+    """Answers `FetchTenants` as of `sequence`."""
 
-    number: int
-    items: tuple[tuple[str, bytes | None, int], ...]
+    sequence: int
+    items: tuple[ReadItem, ...]
 
 
-class Proposed(msgspec.Struct, frozen=True, tag="proposed"):
-    """`number` if it was made and can't be lost; else why not. `leader`: who writes, if not this one.
-    `unknown`: it may have been made; the same request again finds out."""
+class ProposeResult(msgspec.Struct, frozen=True, tag="proposed", rename=_ENCODED_NAMES):
+    """Answers `Propose`: `sequence` if the change is committed, else the reason why not.
 
-    request: str
-    number: int = 0
-    why: str = ""
-    leader: str = ""
+    `unknown`: it may be committed; proposing again with the same request id finds out.
+    """
+
+    request_id: str
+    sequence: int = 0
+    reason: str = ""
+    leader: str = ""  # the writer, if it is another one
     unknown: bool = False
 
 
-class Looked(msgspec.Struct, frozen=True, tag="looked"):
-    number: int
+class ReadResult(msgspec.Struct, frozen=True, tag="looked", rename=_ENCODED_NAMES):
+    """Answers `ReadRequest`: the server's state, its status and the values asked for."""
+
+    sequence: int
     digest: bytes
     epoch: int
     phase: str
-    holds: bool
-    items: tuple[tuple[str, bytes | None, int], ...] = ()
-    facts: dict[str, int] = {}
-
-
-FromFollower = Follow | Have | Want | AskTenants | Propose | Look
-FromSource = Welcome | Refused | Delta | Part | Beat | Tenants | Proposed | Looked
+    is_writer: bool
+    items: tuple[ReadItem, ...] = ()
+    counters: dict[str, int] = {}
+
+
+FollowerMessage = Follow | Acknowledge | FetchPart | FetchTenants | Propose | ReadRequest
+SourceMessage = (
+    FollowAccepted
+    | FollowRejected
+    | Delta
+    | SnapshotPart
+    | Heartbeat
+    | TenantEntries
+    | ProposeResult
+    | ReadResult
+)
 encode = msgspec.msgpack.Encoder().encode
-decode_follower = msgspec.msgpack.Decoder(FromFollower).decode
-decode_source = msgspec.msgpack.Decoder(FromSource).decode
+decode_follower = msgspec.msgpack.Decoder(FollowerMessage).decode
+decode_source = msgspec.msgpack.Decoder(SourceMessage).decode
 decode_group = msgspec.msgpack.Decoder(Group).decode
--- a/thistleline/config_feed/relay.py
+++ b/thistleline/config_feed/relay.py
@@ -4,7 +4,7 @@
          durable number (its disk has the state so far)  elapsed
 Effects: (connect name)  (drop name why)  (up name Message)  (down peer Message)  (close peer why)
          (step Table first items)  (anew Table)
-         (get slot key)  (put slot Put)  (answer ticket Proposed)  (release why)  (log event facts)
+         (get slot key)  (put slot Put)  (answer ticket ProposeResult)  (release why)  (log event facts)
 
 `step` and `anew` say what is to be kept on disk: the state now, and what was touched since the state `first`.
 """
@@ -17,7 +17,7 @@
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.history import History, Items
 from thistleline.config_feed.limits import FOLLOWERS_BOUND
-from thistleline.config_feed.messages import Follow, Propose, Proposed
+from thistleline.config_feed.messages import Follow, Propose, ProposeResult
 from thistleline.config_feed.source import Source
 from thistleline.config_feed.table import Table
 from thistleline.config_feed.writer import Writer
@@ -53,7 +53,7 @@
         self.told = (0, False, "")  # the epoch of who writes, whether it is this one, and else who
         self.peers: dict[str, int] = {}  # by which connection a keeper came last
         self.hearing = 0
-        self.kept = table.number  # what `step` and `anew` have told
+        self.kept = table.sequence  # what `step` and `anew` have told
         self.out: Effects = []
 
     def copy(self) -> "Station":
@@ -84,7 +84,7 @@
     def leader(self) -> str:
         """Which other keeper writes, as far as this one knows."""
         follower, welcome = self.follower, self.follower.welcome
-        known = welcome is not None and welcome.holds and follower.phase in ("loading", "following")
+        known = welcome is not None and welcome.is_writer and follower.phase in ("loading", "following")
         return follower.at if known and self.writer is not None else ""
 
     @property
@@ -170,9 +170,9 @@
             elif kind != "follow":  # what it is told by `_tell`
                 self.out.append(effect)
 
-    def _answer(self, told: Proposed) -> Proposed:
+    def _answer(self, told: ProposeResult) -> ProposeResult:
         """Who does not write can't say whether a request was made before: it says who may."""
-        if told.number or self.holds:
+        if told.sequence or self.holds:
             return told
         return msgspec.structs.replace(told, unknown=True, leader=self.leader)
 
@@ -181,7 +181,7 @@
             self.out.append(("anew", self.history.table))
         else:
             self.out.append(("step", self.history.table, self.kept, self._since(self.kept)))
-        self.kept = self.history.table.number
+        self.kept = self.history.table.sequence
         self._down(now, how)
         if self.writer is not None and self.writer.phase == "catching_up":
             self._write(now, "caught_up")
@@ -219,4 +219,4 @@
         if self.writer is not None:
             return self.take(now, "writer", "proposed", ticket, told)
         why = "a relay writes nothing"
-        return [("answer", ticket, Proposed(told.request[:64], why=why, unknown=True))]
+        return [("answer", ticket, ProposeResult(told.request_id[:64], reason=why, unknown=True))]
--- a/thistleline/config_feed/service.py
+++ b/thistleline/config_feed/service.py
@@ -21,7 +21,7 @@
 from thistleline.config_feed.archive_writer import Persist
 from thistleline.config_feed.connections import PIECE, Encoder, Peer, Rounds, Up, each_look
 from thistleline.config_feed.limits import ID_BOUND, MADE_SLOTS, MESSAGE_BOUND, SECOND
-from thistleline.config_feed.messages import Look, Looked, Propose, Proposed, decode_follower
+from thistleline.config_feed.messages import Propose, ProposeResult, ReadRequest, ReadResult, decode_follower
 from thistleline.config_feed.relay import Station
 from thistleline.config_feed.table import Table
 from thistleline.lease.client import Council
@@ -101,7 +101,7 @@
     async def _run(self, signals: AsyncIterator[signal.Signals]) -> None:
         listener = await anyio.create_tcp_listener(local_host=self.listen[0], local_port=self.listen[1])
         table = self.station.table
-        self.log("started", id=self.name, role=self.conf.role, level=self.conf.level, number=table.number,
+        self.log("started", id=self.name, role=self.conf.role, level=self.conf.level, number=table.sequence,
                  digest=table.digest("all").hex(), listen=f"{self.listen[0]}:{self.listen[1]}",
                  connections=self.peers_bound)  # fmt: skip
         self._freeze(table)
@@ -120,12 +120,12 @@
                 group.start_soon(self._hold)
         if self.persist is not None:
             self.persist.close()
-        self.log("left", number=self.station.table.number)
+        self.log("left", number=self.station.table.sequence)
 
     async def _until_told(self, signals: AsyncIterator[signal.Signals], scope: anyio.CancelScope) -> None:
         async for _ in signals:
             break
-        self.log("leaving", number=self.station.table.number)
+        self.log("leaving", number=self.station.table.sequence)
         self.leaving = True
         with anyio.move_on_after(LEAVE_SPAN):
             if self.holding is not None and self.holding.hold.phase != "ended":
@@ -139,7 +139,7 @@
         """Leaves what is held now to itself, as it stays for long. Guards against collections that go through
         a whole table: at 1.3 million tenants one stands still for longer than followers wait (`SILENT`). What
         lives now and later dies as a cycle stays, so it is done seldom."""
-        self.frozen = table.number
+        self.frozen = table.sequence
         gc.collect(1)
         gc.freeze()
 
@@ -168,7 +168,7 @@
         if isinstance(message, Propose):
             for effect in self.station.propose(boot_now(), number, message):
                 self._carry_out(*effect)
-        elif isinstance(message, Look):
+        elif isinstance(message, ReadRequest):
             self._look(peer, message)
         else:
             if not peer.follows:
@@ -234,14 +234,14 @@
         elif kind == "step":
             if self.persist is not None:
                 self.persist.step(*told)
-            if told[0].number >= self.frozen + FREEZE_EVERY:
+            if told[0].sequence >= self.frozen + FREEZE_EVERY:
                 self._freeze(told[0])
         elif kind == "anew":
             table = told[0]
             if self.persist is not None:
                 self.persist.anew(table)
             self._freeze(table)
-            self.log("loaded", number=table.number, digest=table.digest("all").hex())
+            self.log("loaded", number=table.sequence, digest=table.digest("all").hex())
         elif kind == "get":
             self.group.start_soon(self._get, self.epoch, *told)
         elif kind == "put":
@@ -260,14 +260,14 @@
         phase = station.phase, station.follower.at
         if phase != self.phase and phase[0] in ("following", "writing"):
             self.phase = phase
-            self.log(phase[0], at=phase[1], number=station.table.number, epoch=station.told[0])
+            self.log(phase[0], at=phase[1], number=station.table.sequence, epoch=station.told[0])
 
-    def _answer(self, number: int, told: Proposed) -> None:
+    def _answer(self, number: int, told: ProposeResult) -> None:
         peer = self.peers.get(number)
         if peer is not None:
             peer.out.put(self.encoder.frame(told))
 
-    def _look(self, peer: Peer, told: Look) -> None:
+    def _look(self, peer: Peer, told: ReadRequest) -> None:
         station, size = self.station, 0
         items: list[tuple[str, bytes | None, int]] = []
         for key in told.keys[:LOOK_BOUND]:
@@ -277,7 +277,7 @@
                 break
             items.append((key, value, version))
         epoch, holds, _ = station.told
-        answer = Looked(station.table.number, station.table.digest("all"), epoch, station.phase, holds,
+        answer = ReadResult(station.table.sequence, station.table.digest("all"), epoch, station.phase, holds,
                         tuple(items), self._facts())  # fmt: skip
         peer.out.put(self.encoder.frame(answer))
 
@@ -288,7 +288,7 @@
             "level": self.conf.level,
             "followers": len(station.source.peers),
             "wide": len(table.wide),
-            "tenants": max(0, len(table.tenants) - min(table.number, MADE_SLOTS)),
+            "tenants": max(0, len(table.tenants) - min(table.sequence, MADE_SLOTS)),
             "base": station.history.base,
             "durable": self.persist.durable if self.persist is not None else 0,
             **(station.writer.facts() if station.writer is not None and station.holds else {}),
--- a/thistleline/config_feed/source.py
+++ b/thistleline/config_feed/source.py
@@ -27,18 +27,18 @@
     STALL,
 )
 from thistleline.config_feed.messages import (
-    AskTenants,
-    Beat,
+    Acknowledge,
+    FetchPart,
+    FetchTenants,
     Follow,
-    FromFollower,
-    FromSource,
-    Have,
+    FollowAccepted,
+    FollowerMessage,
+    FollowRejected,
+    Heartbeat,
     Kind,
-    Part,
-    Refused,
-    Tenants,
-    Want,
-    Welcome,
+    SnapshotPart,
+    SourceMessage,
+    TenantEntries,
 )
 from thistleline.config_feed.table import TENANT, Table
 
@@ -57,12 +57,12 @@
     __slots__ = ("_ahead", "_rest", "digest", "kind", "number", "parts")
 
     def __init__(self, table: Table, kind: Kind) -> None:
-        self.number, self.digest, self.kind = table.number, table.digest(kind), kind
+        self.number, self.digest, self.kind = table.sequence, table.digest(kind), kind
         self.parts: list[tuple[tuple[str, bytes, int], ...]] = []
         self._rest = table.entries(kind)
         self._ahead = next(self._rest, None)
 
-    def part(self, index: int) -> Part | None:
+    def part(self, index: int) -> SnapshotPart | None:
         """`index` is a part cut already, or the next; None past the last. Its `parts` is 0, and in the last
         one how many there are."""
         if index == len(self.parts) and (self._ahead is not None or not index):
@@ -70,7 +70,7 @@
         if index >= len(self.parts):
             return None
         last = self._ahead is None and index == len(self.parts) - 1
-        return Part(self.number, index, index + 1 if last else 0, self.parts[index], self.digest)
+        return SnapshotPart(self.number, index, index + 1 if last else 0, self.parts[index], self.digest)
 
     def _cut(self) -> None:
         size, items = 0, []
@@ -122,7 +122,7 @@
         self.leader = ""  # or who does
         self.peers: dict[int, Served] = {}
         self.ready: dict[int, None] = {}  # who stands at the newest, with nothing out to it
-        # The longest silent first, and of who has its Welcome who was sent to longest ago. Ordered ones: the
+        # The longest silent first, and of who was accepted who was sent to longest ago. Ordered ones: the
         # first of a plain dict is found past all that was taken out before it.
         self.heard_at: OrderedDict[int, int] = OrderedDict()
         self.sent_at: OrderedDict[int, int] = OrderedDict()
@@ -146,7 +146,7 @@
         """All that what it does can depend on; tables by number and digest, times from now."""
         table = self.history.table
         return (
-            *(table.number, table.digest("all"), tuple(step[:2] for step in self.history.steps)),
+            *(table.sequence, table.digest("all"), tuple(step[:2] for step in self.history.steps)),
             *(self.level, self.epoch, self.holds, self.leader, tuple(self.ready)),
             tuple((peer, served.frozen()) for peer, served in self.peers.items()),
             tuple((peer, at - self.now) for peer, at in self.heard_at.items()),
@@ -182,7 +182,7 @@
         for one in (self.ready, self.heard_at, self.sent_at):
             one.pop(peer, None)
 
-    def _heard(self, peer: int, message: FromFollower) -> None:
+    def _heard(self, peer: int, message: FollowerMessage) -> None:
         served = self.peers.get(peer)
         if served is None:
             return
@@ -193,11 +193,11 @@
                 why = self._follow(peer, served, message)
             case _ if served.phase == "new":
                 why = "it does not follow yet"
-            case Have():
+            case Acknowledge():
                 why = self._have(peer, served, message)
-            case Want():
+            case FetchPart():
                 why = self._want(peer, served, message)
-            case AskTenants():
+            case FetchTenants():
                 why = self._ask(peer, served, message)
             case _:
                 why = "no word of a follower"
@@ -238,19 +238,19 @@
             if self.now < self.sent_at[peer] + BEAT:
                 break
             table = self.history.table
-            self._send(peer, Beat(table.number, table.digest(self.peers[peer].kind)))
+            self._send(peer, Heartbeat(table.sequence, table.digest(self.peers[peer].kind)))
         if self.snapshots and self.now >= self.used_at + SNAPSHOT_KEPT:
             self.snapshots.clear()
 
     # ---- to a follower
 
-    def _send(self, peer: int, message: FromSource) -> None:
+    def _send(self, peer: int, message: SourceMessage) -> None:
         self.sent_at[peer] = self.now
         self.sent_at.move_to_end(peer)
         self.effects.append(("send", peer, message))
 
     def _refuse(self, peer: int, why: str) -> None:
-        self.effects.append(("send", peer, Refused(why)))
+        self.effects.append(("send", peer, FollowRejected(why)))
         self._close(peer, why)
 
     def _close(self, peer: int, why: str) -> None:
@@ -260,8 +260,10 @@
     def _welcome(self, peer: int, served: Served) -> None:
         load = served.phase == "loading"
         number = served.load[0] if served.load else served.number
-        newest = self.history.table.number
-        self._send(peer, Welcome(number, load, 0, self.level, self.epoch, self.holds, self.leader, newest))
+        newest = self.history.table.sequence
+        self._send(
+            peer, FollowAccepted(number, load, 0, self.level, self.epoch, self.holds, self.leader, newest)
+        )
 
     def _next(self, peer: int, served: Served) -> None:
         """With nothing out to it: what it misses, and behind that what it asked for, as new as that."""
@@ -269,7 +271,7 @@
         if not self.history.knows(served.number, served.digest, served.kind):
             self._load(peer, served)
             return
-        if served.number < table.number:
+        if served.number < table.sequence:
             delta = self.history.delta(served.number, served.kind)
             if delta is None:
                 self._load(peer, served)
@@ -310,10 +312,10 @@
             items.append((key, value, version))
             size += cost_of(key, value)
             if size >= PART_SIZE:
-                self._send(peer, Tenants(table.number, tuple(items)))
+                self._send(peer, TenantEntries(table.sequence, tuple(items)))
                 items, size = [], 0
         if items:
-            self._send(peer, Tenants(table.number, tuple(items)))
+            self._send(peer, TenantEntries(table.sequence, tuple(items)))
         served.asked = {}
 
     # ---- from a follower: why it is let go, or ""
@@ -329,7 +331,7 @@
         if (
             not 0 < len(told.id) <= ID_BOUND
             or not 0 <= told.level <= LEVEL_BOUND
-            or told.number < 0
+            or told.sequence < 0
             or len(told.digest) > DIGEST_SIZE
         ):
             return "out of bounds"
@@ -338,11 +340,11 @@
             self._refuse(peer, "full")
         elif not self._below(told.kind, told.level):
             self._refuse(peer, "not below")
-        elif told.number > self.history.table.number:
+        elif told.sequence > self.history.table.sequence:
             self._refuse(peer, "behind")
         else:
             served.phase, served.id, served.kind, served.level = "following", told.id, told.kind, told.level
-            served.number, served.digest = told.number, told.digest
+            served.number, served.digest = told.sequence, told.digest
             if self._leads(served):
                 self._welcome(peer, served)
             self._next(peer, served)
@@ -352,11 +354,11 @@
         known = self.history.knows(served.number, served.digest, served.kind)
         return known and self.history.delta(served.number, served.kind) is not None
 
-    def _have(self, peer: int, served: Served, told: Have) -> str:
-        if not 0 <= told.durable <= told.number:
+    def _have(self, peer: int, served: Served, told: Acknowledge) -> str:
+        if not 0 <= told.durable <= told.sequence:
             return "out of bounds"
         if served.phase == "loading":
-            if served.load and served.sent and told.number == served.load[0]:
+            if served.load and served.sent and told.sequence == served.load[0]:
                 served.phase = "following"
                 (served.number, served.digest), served.load = served.load, None
                 if served.kind == "all":
@@ -364,13 +366,13 @@
                 self._durable(served, told.durable)
                 self._next(peer, served)
                 return ""
-            return "" if told.number == served.number else "it has what was not sent"
-        if served.out and told.number == served.out[0]:
+            return "" if told.sequence == served.number else "it has what was not sent"
+        if served.out and told.sequence == served.out[0]:
             (served.number, served.digest), served.out = served.out, None
             self._durable(served, told.durable)
             self._next(peer, served)
             return ""
-        if told.number != served.number:
+        if told.sequence != served.number:
             return "it has what was not sent"
         self._durable(served, told.durable)
         return ""
@@ -380,8 +382,8 @@
             served.durable = number
             self.effects.append(("durable", served.id, number))
 
-    def _want(self, peer: int, served: Served, told: Want) -> str:
-        if served.phase != "loading" or served.load is None or told.number != served.load[0] or served.sent:
+    def _want(self, peer: int, served: Served, told: FetchPart) -> str:
+        if served.phase != "loading" or served.load is None or told.sequence != served.load[0] or served.sent:
             return ""  # of a load that is over, or was begun anew meanwhile; or past the last part
         made = self.snapshots.get(served.kind)
         if told.index != served.part:
@@ -397,7 +399,7 @@
             self._send(peer, part)
         return ""
 
-    def _ask(self, peer: int, served: Served, told: AskTenants) -> str:
+    def _ask(self, peer: int, served: Served, told: FetchTenants) -> str:
         """Told behind a Delta to the newest, so that the answer is as new as what is held there then."""
         if len(served.asked) + len(told.keys) > ASKED_BOUND:
             return "it asks for too much"
@@ -411,4 +413,4 @@
 
     def _newest(self, served: Served) -> bool:
         """Whether all up to the newest is held there or on its way."""
-        return (served.out[0] if served.out else served.number) == self.history.table.number
+        return (served.out[0] if served.out else served.number) == self.history.table.sequence
--- a/thistleline/config_feed/table.py
+++ b/thistleline/config_feed/table.py
@@ -33,7 +33,7 @@
 
 
 class Table(NamedTuple):
-    number: int = 0
+    sequence: int = 0
     wide: Entries = Map()
     tenants: Entries = Map()
     wide_sum: int = 0
@@ -62,9 +62,9 @@
 
     def applied(self, change: Change) -> "Table":
         """The state after the change. Raises ValueError where it is not the next."""
-        if change.number != self.number + 1:
-            raise ValueError(f"change {change.number} does not follow {self.number}")
-        return self.moved(change.number, ((key, value, change.number) for key, value in change.items))
+        if change.sequence != self.sequence + 1:
+            raise ValueError(f"change {change.sequence} does not follow {self.sequence}")
+        return self.moved(change.sequence, ((key, value, change.sequence) for key, value in change.items))
 
     def moved(
         self, number: int, items: Iterable[tuple[str, bytes | None, int]], kind: Kind = "all"
--- a/thistleline/config_feed/validation.py
+++ b/thistleline/config_feed/validation.py
@@ -75,7 +75,7 @@
 
 def _faults(propose: Propose, table: Table) -> Iterator[str]:
     items, expected = propose.items, propose.expected
-    if not 0 < len(propose.request) <= REQUEST_BOUND or not propose.request.isprintable():
+    if not 0 < len(propose.request_id) <= REQUEST_BOUND or not propose.request_id.isprintable():
         yield f"a request is named by 1 to {REQUEST_BOUND} printable characters"
     if not 0 < len(items) <= ITEMS_BOUND:
         yield f"{len(items)} entries, 1 to {ITEMS_BOUND} are allowed"
--- a/thistleline/config_feed/writer.py
+++ b/thistleline/config_feed/writer.py
@@ -2,7 +2,7 @@
 
 Inputs:  held epoch | lost why | got slot value version | put_done slot version | put_denied slot why |
          put_unknown slot | durable keeper number | caught_up | proposed ticket Propose | elapsed
-Effects: (get slot key)  (put slot Put)  (answer ticket Proposed)  (moved)  (follow)  (release why)
+Effects: (get slot key)  (put slot Put)  (answer ticket ProposeResult)  (moved)  (follow)  (release why)
          (log event facts)
 
 `put_done` tells the version that was written. `caught_up` says that `history` was moved by following
@@ -31,7 +31,7 @@
     SECOND,
     STALL,
 )
-from thistleline.config_feed.messages import Change, Group, Propose, Proposed, decode_group, encode
+from thistleline.config_feed.messages import Change, Group, Propose, ProposeResult, decode_group, encode
 from thistleline.config_feed.table import MADE, Table
 from thistleline.config_feed.validation import fault
 from thistleline.lease.protocol import Put
@@ -114,7 +114,7 @@
     def frozen(self) -> tuple[Any, ...]:
         table = self.history.table
         return (
-            *(self.id, self.phase, self.epoch, table.number, table.digest("all"), self.history.base),
+            *(self.id, self.phase, self.epoch, table.sequence, table.digest("all"), self.history.base),
             *(tuple(sorted(self.durable.items())), tuple(self.requests.items()), tuple(self.strays)),
             *(tuple(one.change for one in self.line), tuple(one.change for one in self.out)),
             *(tuple(self.tickets.items()), self.put, self.slot, self.tries, self.denied),
@@ -186,7 +186,7 @@
             while len(self.strays) > 4 * RING:
                 del self.strays[next(iter(self.strays))]
         for one in self.out:
-            self._answer(one.change.request, unknown=True, why=why)
+            self._answer(one.change.request_id, unknown=True, why=why)
         self.out, self.put, self.tries, self.denied = (), None, 0, ""
         self._drop_line(why)
         self.phase, self.chain = "standby", ()
@@ -227,15 +227,15 @@
             if why:
                 self._give_up(f"the record {key_of(slot)} {why}")
                 return
-            self.lasts[slot] = group.changes[-1].number
-            found.append((group.changes[0].number, slot, group))
+            self.lasts[slot] = group.changes[-1].sequence
+            found.append((group.changes[0].sequence, slot, group))
         self.read.clear()
         found.sort(key=lambda one: one[0])
         for (_, slot, one), (first, then, other) in pairwise(found):
             if (
-                first != one.changes[-1].number + 1
+                first != one.changes[-1].sequence + 1
                 or then != (slot + 1) % RING
-                or other.before != one.after
+                or other.digest_before != one.digest_after
                 or other.epoch < one.epoch
             ):
                 self._give_up(f"the record {key_of(then)} does not follow {key_of(slot)}")
@@ -250,18 +250,18 @@
     def _enter(self) -> None:
         """Goes on from the own table, if it reaches to what was read."""
         table, chain = self.history.table, self.chain
-        first = chain[0].changes[0].number if chain else 1
-        last = chain[-1].changes[-1].number if chain else 0
-        if table.number > last:
-            self._give_up(f"this table stands at {table.number}, the council's records end at {last}")
-        elif table.number < first - 1:
-            if self.phase != "catching_up" or table.number != self.nearest:
+        first = chain[0].changes[0].sequence if chain else 1
+        last = chain[-1].changes[-1].sequence if chain else 0
+        if table.sequence > last:
+            self._give_up(f"this table stands at {table.sequence}, the council's records end at {last}")
+        elif table.sequence < first - 1:
+            if self.phase != "catching_up" or table.sequence != self.nearest:
                 self.ask_at = self.now + CATCH_UP_SPAN
             if self.phase != "catching_up":
                 self.phase = "catching_up"
-                self._log("catches_up", number=table.number, oldest=first)
+                self._log("catches_up", number=table.sequence, oldest=first)
                 self.effects.append(("follow",))
-            self.nearest = table.number
+            self.nearest = table.sequence
         else:
             self._go_on()
 
@@ -272,18 +272,18 @@
     def _go_on(self) -> None:
         table, steps = self.history.table, []
         for group in self.chain:
-            first, last = group.changes[0].number, group.changes[-1].number
-            if last < table.number:
+            first, last = group.changes[0].sequence, group.changes[-1].sequence
+            if last < table.sequence:
                 continue
-            if table.number == first - 1 and table.digest("all") != group.before:
+            if table.sequence == first - 1 and table.digest("all") != group.digest_before:
                 self._give_up(
-                    f"this table at {table.number} is not the one that group {first} was written on"
+                    f"this table at {table.sequence} is not the one that group {first} was written on"
                 )
                 return
-            changes = [change for change in group.changes if change.number > table.number]
+            changes = [change for change in group.changes if change.sequence > table.sequence]
             for change in changes:
                 table = table.applied(change)
-            if table.digest("all") != group.after:
+            if table.digest("all") != group.digest_after:
                 self._give_up(f"with group {first} this table at {last} is not the one it was written for")
                 return
             if changes:
@@ -293,7 +293,7 @@
         self._recall()
         self.chain, self.ahead = (), self.history.table
         self.phase, self.ask_at = "writing", FAR
-        self._log("writes", number=table.number, steps=len(steps))
+        self._log("writes", number=table.sequence, steps=len(steps))
         if steps:
             self.effects.append(("moved",))
         self._look_at_ring()
@@ -306,19 +306,19 @@
         self.requests = {request: number for number, request in known}
 
     def _remember(self, change: Change) -> None:
-        self.requests.pop(change.request, None)
-        self.requests[change.request] = change.number
+        self.requests.pop(change.request_id, None)
+        self.requests[change.request_id] = change.sequence
         while len(self.requests) > MADE_SLOTS:
             del self.requests[next(iter(self.requests))]
 
     # ---- proposals
 
     def _proposed(self, ticket: Any, propose: Propose) -> None:
-        request = propose.request
+        request = propose.request_id
         why = self._why_not(propose)
         if not why and (self.phase in ("settling", "writing")):
             if request in self.requests:
-                self.effects.append(("answer", ticket, Proposed(request, self.requests[request])))
+                self.effects.append(("answer", ticket, ProposeResult(request, self.requests[request])))
                 return
             if request not in self.tickets:
                 why = self._refusal(propose)
@@ -326,7 +326,7 @@
                 self._line_up(ticket, propose)
                 return
         self.refused += 1
-        self.effects.append(("answer", ticket, Proposed(request[:REQUEST_BOUND], why=why)))
+        self.effects.append(("answer", ticket, ProposeResult(request[:REQUEST_BOUND], reason=why)))
 
     def _why_not(self, propose: Propose) -> str:
         """What stands in the way of any proposal."""
@@ -334,9 +334,9 @@
             return f"{self.id} does not write"
         if self.phase in ("reading", "catching_up"):
             return f"{self.id} does not write yet: it is {self.phase.replace('_', ' ')}"
-        if self.asked >= PROPOSED_BOUND and propose.request not in self.requests:
+        if self.asked >= PROPOSED_BOUND and propose.request_id not in self.requests:
             return f"{PROPOSED_BOUND} proposals wait already"
-        if self.line_size >= LINE_SIZE and propose.request not in self.requests:
+        if self.line_size >= LINE_SIZE and propose.request_id not in self.requests:
             return f"{self.line_size} bytes of changes wait already"
         return ""
 
@@ -346,13 +346,13 @@
         return fault(propose, self.ahead)
 
     def _line_up(self, ticket: Any, propose: Propose) -> None:
-        request = propose.request
+        request = propose.request_id
         self.asked += 1
         if request in self.tickets:
             self.tickets[request] += (ticket,)
             return
         self.tickets[request] = (ticket,)
-        number = self.ahead.number + 1
+        number = self.ahead.sequence + 1
         change = Change(number, request, (*propose.items, (made_key(number), request.encode())))
         self.ahead = self.ahead.applied(change)
         size = len(encode(change))
@@ -361,7 +361,7 @@
         self._write()
 
     def _answer(self, request: str, number: int = 0, why: str = "", unknown: bool = False) -> None:
-        told = Proposed(request, number, why, unknown=unknown)
+        told = ProposeResult(request, number, why, unknown=unknown)
         for ticket in self.tickets.pop(request, ()):
             self.asked -= 1
             self.effects.append(("answer", ticket, told))
@@ -370,7 +370,7 @@
         """What only waits was written nowhere."""
         for one in self.line:
             self.refused += 1
-            self._answer(one.change.request, why=why)
+            self._answer(one.change.request_id, why=why)
         self.line.clear()
         self.line_size = 0
         self.ahead = self.out[-1].table if self.out else self.history.table
@@ -477,27 +477,27 @@
         out, self.out, self.put = self.out, (), None
         self.history.take(out[-1].table, _touched([one.change for one in out]))
         self.versions[self.slot] += 1
-        self.lasts[self.slot] = out[-1].change.number
+        self.lasts[self.slot] = out[-1].change.sequence
         self.slot = (self.slot + 1) % RING
         self.phase, self.tries, self.denied, self.ask_at = "writing", 0, "", FAR
         self.groups += 1
         self.effects.append(("moved",))
         for one in out:
             self._remember(one.change)
-            self._answer(one.change.request, one.change.number)
+            self._answer(one.change.request_id, one.change.sequence)
         self._look_at_ring()
 
 
 def _form_fault(group: Group) -> str:
     if not group.changes:
         return "holds no change"
-    first = group.changes[0].number
-    if first < 1 or any(change.number != first + place for place, change in enumerate(group.changes)):
+    first = group.changes[0].sequence
+    if first < 1 or any(change.sequence != first + place for place, change in enumerate(group.changes)):
         return "holds changes that do not follow each other"
     return ""
 
 
 def _touched(changes: list[Change]) -> Items:
     """Of each key the newest, as a step of the history wants it."""
-    newest = {key: (value, change.number) for change in changes for key, value in change.items}
+    newest = {key: (value, change.sequence) for change in changes for key, value in change.items}
     return tuple((key, value, version) for key, (value, version) in newest.items())
--- a/thistleline/lab/feedfleet.py
+++ b/thistleline/lab/feedfleet.py
@@ -15,7 +15,7 @@
 
 from thistleline.config_feed.client import Following, look, propose, snapshot
 from thistleline.config_feed.limits import MADE_SLOTS
-from thistleline.config_feed.messages import Item, Looked, Propose, Proposed
+from thistleline.config_feed.messages import Item, Propose, ProposeResult, ReadResult
 from thistleline.config_feed.table import Table
 from thistleline.lab.harness import Fleet, Hung, Process, free_port
 from thistleline.transport.address import Address
@@ -42,20 +42,20 @@
         self.refused: list[str] = []
         self.wrong: list[str] = []
 
-    def told(self, asked: Propose, answer: Proposed) -> None:
-        if answer.number:
-            self.open.pop(asked.request, None)
-            known = self.made.setdefault(answer.number, (asked.request, asked.items))
-            if known[0] != asked.request:
-                self.wrong.append(f"number {answer.number} is of {known[0]} and of {asked.request}")
-            first = self.numbers.setdefault(asked.request, answer.number)
-            if first != answer.number:
-                self.wrong.append(f"{asked.request} was made twice, as {first} and as {answer.number}")
+    def told(self, asked: Propose, answer: ProposeResult) -> None:
+        if answer.sequence:
+            self.open.pop(asked.request_id, None)
+            known = self.made.setdefault(answer.sequence, (asked.request_id, asked.items))
+            if known[0] != asked.request_id:
+                self.wrong.append(f"number {answer.sequence} is of {known[0]} and of {asked.request_id}")
+            first = self.numbers.setdefault(asked.request_id, answer.sequence)
+            if first != answer.sequence:
+                self.wrong.append(f"{asked.request_id} was made twice, as {first} and as {answer.sequence}")
         elif answer.unknown:
-            self.open[asked.request] = asked
+            self.open[asked.request_id] = asked
         else:
-            self.open.pop(asked.request, None)
-            self.refused.append(answer.why)
+            self.open.pop(asked.request_id, None)
+            self.refused.append(answer.reason)
 
     @property
     def newest(self) -> int:
@@ -73,12 +73,12 @@
 
     def judge_table(self, name: str, table: Table) -> None:
         """Nothing acknowledged is lost there, and nothing is there that nobody asked for."""
-        missing = sorted(set(range(1, table.number + 1)) - self.made.keys())
+        missing = sorted(set(range(1, table.sequence + 1)) - self.made.keys())
         if missing:
             self.wrong.append(f"{name}: nobody was told of the changes {missing[:5]}")
         held = {key: (value, version) for key, value, version in table.entries("all")}
-        if table.number < self.newest:
-            self.wrong.append(f"{name} stands at {table.number}, {self.newest} was acknowledged: lost")
+        if table.sequence < self.newest:
+            self.wrong.append(f"{name} stands at {table.sequence}, {self.newest} was acknowledged: lost")
         elif held != self.entries():
             keys = [key for key in held.keys() | self.entries() if held.get(key) != self.entries().get(key)]
             self.wrong.append(f"{name}: {sorted(keys)[:5]} are not what was acknowledged")
@@ -197,7 +197,7 @@
 
     # ---- what is awaited
 
-    async def looked(self, name: str) -> Looked | None:
+    async def looked(self, name: str) -> ReadResult | None:
         process = self.processes[name]
         return await look(self.address(name), (), 0.5) if process.runs and not process.stopped else None
 
@@ -206,7 +206,7 @@
         until = time.monotonic() + span
         while time.monotonic() < until:
             stands = {name: await self.looked(name) for name in self.keepers}
-            found = [(one.epoch, name) for name, one in stands.items() if one is not None and one.holds]
+            found = [(one.epoch, name) for name, one in stands.items() if one is not None and one.is_writer]
             if found and max(found)[1] != other_than:
                 return max(found)[1]
             await anyio.sleep(0.02)
@@ -220,7 +220,7 @@
                 at = max((one["number"] for one in self.seen(name)[-1:]), default=0)
             else:
                 found = await self.looked(name)
-                at = found.number if found is not None else 0
+                at = found.sequence if found is not None else 0
             if at >= number:
                 return
             await anyio.sleep(0.02)
@@ -231,7 +231,7 @@
         until = time.monotonic() + span
         while time.monotonic() < until:
             found = await self.looked(writer)
-            if found is not None and found.facts.get("kept", 0) >= number:
+            if found is not None and found.counters.get("kept", 0) >= number:
                 return
             await anyio.sleep(0.02)
         raise Hung(f"{writer} does not know in {span} s that {number} is kept")
@@ -269,16 +269,16 @@
 
     # ---- changes
 
-    async def change(self, items: tuple[Item, ...], span: float = 15.0) -> Proposed:
+    async def change(self, items: tuple[Item, ...], span: float = 15.0) -> ProposeResult:
         self.count += 1
         return await self.ask(Propose(f"w{self.count}", items), span)
 
-    async def ask(self, told: Propose, span: float) -> Proposed:
+    async def ask(self, told: Propose, span: float) -> ProposeResult:
         answer = await propose({name: self.to_keepers[name] for name in self.asked}, told, span, self.chance)
         self.oracle.told(told, answer)
         return answer
 
-    async def pairs(self, count: int, span: float = 15.0) -> list[Proposed]:
+    async def pairs(self, count: int, span: float = 15.0) -> list[ProposeResult]:
         """So many changes of two entries each, one after another."""
         found = []
         for _ in range(count):
@@ -311,13 +311,13 @@
 
         async def judge_one(name: str) -> None:
             found = await self.looked(name)
-            number = found.number if found is not None else oracle.newest
+            number = found.sequence if found is not None else oracle.newest
             told = await snapshot({name: self.address(name)}, 10.0)
             if told is None:
                 oracle.wrong.append(f"{name} gives no snapshot")
                 return
-            if told.number < number:
-                oracle.wrong.append(f"{name} stands at {number}, a snapshot of it is of {told.number}")
+            if told.sequence < number:
+                oracle.wrong.append(f"{name} stands at {number}, a snapshot of it is of {told.sequence}")
             table = await self.table(name, number)
             oracle.judge_table(name, table)
             wide.add(table.digest("wide").hex())
--- a/thistleline/lab/feedmutants.py
+++ b/thistleline/lab/feedmutants.py
@@ -11,7 +11,7 @@
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.history import History
 from thistleline.config_feed.lookups import Lookups
-from thistleline.config_feed.messages import Have, Kind, Part, Welcome
+from thistleline.config_feed.messages import Acknowledge, FollowAccepted, Kind, SnapshotPart
 from thistleline.config_feed.source import Source
 from thistleline.config_feed.table import Table
 from thistleline.config_feed.writer import Writer
@@ -157,31 +157,31 @@
 
 
 def _taken_anyhow(self: Follower, told: Any, had: Callable[..., None] = Follower._delta) -> None:
-    if self.phase == "following" and told.first == self.table.number:
+    if self.phase == "following" and told.first == self.table.sequence:
         table = self.table.moved(told.last, told.items, self.kind)
         had(self, msgspec.structs.replace(told, digest=table.digest(self.kind)))
     else:
         had(self, told)
 
 
-def _part_taken_anyhow(self: Follower, told: Part, had: Callable[..., None] = Follower._part) -> None:
+def _part_taken_anyhow(self: Follower, told: SnapshotPart, had: Callable[..., None] = Follower._part) -> None:
     if self.phase == "loading" and self.load is not None:
-        table = self.load.moved(told.number, told.items, self.kind)
+        table = self.load.moved(told.sequence, told.items, self.kind)
         told = msgspec.structs.replace(told, digest=table.digest(self.kind))
     had(self, told)
 
 
-def _part_counts(self: Follower, told: Part, had: Callable[..., None] = Follower._part) -> None:
+def _part_counts(self: Follower, told: SnapshotPart, had: Callable[..., None] = Follower._part) -> None:
     had(self, told)
     if self.load is not None:
         self.table = self.load
         self.effects.append(("loaded",))
 
 
-def _older_too(self: Follower, told: Welcome, had: Callable[..., None] = Follower._welcomed) -> None:
+def _older_too(self: Follower, told: FollowAccepted, had: Callable[..., None] = Follower._welcomed) -> None:
     table = self.table
-    if told.load and told.number < table.number:
-        self.table = table._replace(number=told.number)
+    if told.load_snapshot and told.sequence < table.sequence:
+        self.table = table._replace(sequence=told.sequence)
         had(self, told)
         self.table = table
     else:
@@ -190,13 +190,13 @@
 
 def _serves_ahead(self: Source, peer: int, served: Any, told: Any, had: Any = Source._follow) -> str:
     """Who is ahead is not refused."""
-    newest = self.history.table.number
-    answer = had(self, peer, served, msgspec.structs.replace(told, number=min(told.number, newest)))
+    newest = self.history.table.sequence
+    answer = had(self, peer, served, msgspec.structs.replace(told, sequence=min(told.sequence, newest)))
     return str(answer)
 
 
 def _of_any_number(self: Lookups, told: Any, had: Callable[..., None] = Lookups._told) -> None:
-    had(self, msgspec.structs.replace(told, number=self.follower.table.number))
+    had(self, msgspec.structs.replace(told, sequence=self.follower.table.sequence))
 
 
 def _always(self: Any, *_: Any) -> bool:
@@ -204,7 +204,7 @@
 
 
 def _at_once_durable(self: Follower) -> None:
-    self._send(Have(self.table.number, self.table.number))
+    self._send(Acknowledge(self.table.sequence, self.table.sequence))
 
 
 def _any_epoch(self: Council, put: Any, had: Callable[..., Any] = Council._put) -> Any:
@@ -222,7 +222,7 @@
     if self.put is not None and slot == self.slot:
         out, self.out, self.put = self.out, (), None
         for one in out:
-            self._answer(one.change.request, why="no answer")
+            self._answer(one.change.request_id, why="no answer")
         self._drop_line("no answer")
 
 
--- a/thistleline/lab/feedrun.py
+++ b/thistleline/lab/feedrun.py
@@ -22,7 +22,16 @@
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.limits import MADE_SLOTS, MS, SECOND
 from thistleline.config_feed.lookups import Lookups
-from thistleline.config_feed.messages import Change, Delta, Group, Kind, Part, Propose, Proposed, encode
+from thistleline.config_feed.messages import (
+    Change,
+    Delta,
+    Group,
+    Kind,
+    Propose,
+    ProposeResult,
+    SnapshotPart,
+    encode,
+)
 from thistleline.config_feed.relay import Station
 from thistleline.config_feed.table import APART, Entries, Table
 from thistleline.config_feed.writer import LEASE, key_of
@@ -59,7 +68,7 @@
         self, number: int, items: Iterable[tuple[str, bytes | None, int]], kind: Kind = "all"
     ) -> "Shared":
         told = items if isinstance(items, tuple) else tuple(items)
-        key = (self.number, self.wide_sum, self.tenants_sum, number, kind, told)
+        key = (self.sequence, self.wide_sum, self.tenants_sum, number, kind, told)
         found = self.made.get(key)
         if found is None:
             found = self.made[key] = Shared(*Table.moved(self, number, told, kind))
@@ -120,7 +129,7 @@
     """What was acknowledged, in order: each key's values by number. Says what is wrong with a state seen."""
 
     def __init__(self, table: Table) -> None:
-        self.first = self.last = table.number
+        self.first = self.last = table.sequence
         self.base = {key: value for key, value, _ in table.entries("all")}
         self.wide = sum(not key.startswith(APART) for key in self.base)
         self.told: dict[str, tuple[list[int], list[bytes | None]]] = {}
@@ -150,27 +159,27 @@
 
     def check(self, table: Table, kind: Kind, before: int) -> None:
         """A state that somebody holds: what was touched since `before` is looked at, all else by count."""
-        mark = (table.number, table.wide_sum, table.tenants_sum)
+        mark = (table.sequence, table.wide_sum, table.tenants_sum)
         if self.seen.get(mark) is table.wide:
             return
         self.seen[mark] = table.wide
         while len(self.seen) > KEPT:
             del self.seen[next(iter(self.seen))]
-        if table.number > self.last:
+        if table.sequence > self.last:
             return  # decided, its acknowledgement is on its way: looked at in the end
-        low = bisect_right(self.touched, (min(before, table.number - 20), ""))
+        low = bisect_right(self.touched, (min(before, table.sequence - 20), ""))
         for _, key in self.touched[low:]:
             if not key.startswith(APART) or kind == "all":
                 found = table.get(key)
-                if (found[0] if found else None) != self.at(key, table.number):
-                    self.wrong = f"{key} at {table.number} is not what was acknowledged"
-        if len(table.wide) != self.counts[table.number]:
-            self.wrong = f"{len(table.wide)} entries at {table.number}, not {self.counts[table.number]}"
+                if (found[0] if found else None) != self.at(key, table.sequence):
+                    self.wrong = f"{key} at {table.sequence} is not what was acknowledged"
+        if len(table.wide) != self.counts[table.sequence]:
+            self.wrong = f"{len(table.wide)} entries at {table.sequence}, not {self.counts[table.sequence]}"
 
     def whole(self, table: Table, kind: Kind) -> str:
         """Of the newest state, all of it, against a plain dict."""
-        if table.number != self.last:
-            return f"it ends at {table.number}, not at {self.last}"
+        if table.sequence != self.last:
+            return f"it ends at {table.sequence}, not at {self.last}"
         plain = dict(self.base)
         for key, (_, values) in self.told.items():
             value = values[-1]
@@ -320,7 +329,7 @@
             zone = place * regions + region
             node = Station(name, 1, table, tuple(sources), 0, self._spread)
             self._add(Place(name, region, zone if zone < self.zones else region, node, PLENTY))
-        self.wide = Shared(*Table.moved(Table(), table.number, table.entries("wide"), "wide"))
+        self.wide = Shared(*Table.moved(Table(), table.sequence, table.entries("wide"), "wide"))
         self.instances = [f"i{place}" for place in range(instances)]
         for place, name in enumerate(self.instances):
             zone = place % self.zones
@@ -337,7 +346,7 @@
 
     def _begun(self, table: Table) -> Table:
         """One change further, which the council's first record holds: who writes goes on from there."""
-        change = Change(table.number + 1, "first", (("common/first", b"{}"),))
+        change = Change(table.sequence + 1, "first", (("common/first", b"{}"),))
         made = table.applied(change)
         value = encode(Group(0, (change,), table.digest("all"), made.digest("all")))
         self.leases.apply(0, data_of(Put(key_of(0), value, 0)))
@@ -348,7 +357,7 @@
 
     def _add(self, place: Place) -> None:
         self.places[place.name] = place
-        place.number = place.node.table.number
+        place.number = place.node.table.sequence
         place.durable = place.node.table
         self._arm(place)
 
@@ -396,18 +405,18 @@
         for effect in effects:
             getattr(self, f"_{effect[0]}")(place, *effect[1:])
         table = place.node.table
-        if table.number != place.number:
+        if table.sequence != place.number:
             self._stands(place, table)
         self._arm(place)
 
     def _stands(self, place: Place, table: Table) -> None:
-        before, place.number = place.number, table.number
-        if table.number < before:
-            self.wrong = self.wrong or f"{place.name} goes back from {before} to {table.number}"
+        before, place.number = place.number, table.sequence
+        if table.sequence < before:
+            self.wrong = self.wrong or f"{place.name} goes back from {before} to {table.sequence}"
         hollow = place.name[0] == "i"
         self.oracle.check(table, "wide" if hollow else "all", before)
         if hollow:
-            for number in range(max(before + 1, self.start.number + 1), table.number + 1):
+            for number in range(max(before + 1, self.start.sequence + 1), table.sequence + 1):
                 asked = self.asked.get(number)
                 if asked is None:  # who takes over pushes what nobody was told of yet
                     self.early[number].append((self.now, place.since))
@@ -469,7 +478,7 @@
             self._carry(link, 0, message)
 
     def _size(self, message: Any) -> int:
-        if not isinstance(message, Delta | Part):
+        if not isinstance(message, Delta | SnapshotPart):
             return len(encode(message)) + HEAD
         known = self.sizes.get(id(message))
         if known is None:
@@ -562,7 +571,7 @@
     def _written(self, place: Place, table: Table, life: int) -> None:
         if place.life == life and place.alive:
             place.durable = table
-            self.put(place, "durable", table.number)
+            self.put(place, "durable", table.sequence)
 
     # ---- the council
 
@@ -690,7 +699,7 @@
                 return place
         raise AssertionError("nobody writes")
 
-    def _answer(self, place: Place, ticket: int, answer: Proposed) -> None:
+    def _answer(self, place: Place, ticket: int, answer: ProposeResult) -> None:
         asked = self.proposals.get(ticket)
         if asked is None:
             return
@@ -699,11 +708,11 @@
             self.at(self.now + way, self._another, ticket, asked.tries, True, answer.leader)
             return
         del self.proposals[ticket]
-        if not answer.number:
-            self.refused.append(answer.why)
+        if not answer.sequence:
+            self.refused.append(answer.reason)
             return
         self.wrote = place.name
-        request, number = asked.propose.request, answer.number
+        request, number = asked.propose.request_id, answer.sequence
         if self.made.setdefault(request, number) != number or number in self.asked:
             self.wrong = self.wrong or f"{request} is {number}, which is {self.made[request]} or another's"
             return
@@ -713,7 +722,7 @@
         # One that was made and not told of is known once it is asked for again; what came after it waits.
         while (known := self.acknowledged.pop(self.oracle.last + 1, None)) is not None:
             number = self.oracle.last + 1
-            made = f"made/{number % MADE_SLOTS}", known.propose.request.encode()
+            made = f"made/{number % MADE_SLOTS}", known.propose.request_id.encode()
             self.oracle.acknowledged(number, (*known.propose.items, made))
 
     def look(self, name: str, key: str) -> None:
@@ -761,7 +770,7 @@
             self._wants(place)
         else:
             place.node = self._instance(name, place.region, table)
-        place.number = table.number
+        place.number = table.sequence
         self._arm(place)
 
     def slow(self, name: str, pace: int) -> None:
--- a/thistleline/lab/feeds.py
+++ b/thistleline/lab/feeds.py
@@ -78,7 +78,7 @@
     async def _changes(self) -> None:
         while not self.over:
             (answer,) = await self.feed.pairs(1, PATIENT)
-            if answer.number:
+            if answer.sequence:
                 self.acknowledged.append(time.monotonic())
             await anyio.sleep(0.02)
 
@@ -176,7 +176,7 @@
         until = time.monotonic() + PATIENCE
         while True:
             found = await feed.looked(name)
-            if found is not None and found.facts.get("durable", 0) >= number:
+            if found is not None and found.counters.get("durable", 0) >= number:
                 return
             if time.monotonic() > until:
                 raise Hung(f"{name} has not all on disk {PATIENCE} s after its disk was lost")
--- a/thistleline/lab/feedworld.py
+++ b/thistleline/lab/feedworld.py
@@ -16,9 +16,9 @@
     Change,
     Delta,
     Group,
-    Part,
     Propose,
-    Proposed,
+    ProposeResult,
+    SnapshotPart,
     decode_group,
     encode,
 )
@@ -133,10 +133,10 @@
         node = self.nodes[name].copy()
         self.nodes[name] = node
         self.keys.pop(name, None)
-        before = node.table.number
+        before = node.table.sequence
         effects = node.take(self.now, *told)
-        if node.table.number < before:
-            self.broken = self.broken or f"{name} goes back from {before} to {node.table.number}"
+        if node.table.sequence < before:
+            self.broken = self.broken or f"{name} goes back from {before} to {node.table.sequence}"
         for effect in effects:
             getattr(self, f"_{effect[0]}")(name, *effect[1:])
         self._check(name)
@@ -195,10 +195,12 @@
         message = link.down[0]
         if isinstance(message, Delta):
             worse: Any = Delta(
-                message.first, message.last, message.items[:-1], message.digest, message.forget
+                message.first, message.last, message.items[:-1], message.digest, message.evict_tenants
             )
         else:
-            worse = Part(message.number, message.index, message.parts, message.items[:-1], message.digest)
+            worse = SnapshotPart(
+                message.sequence, message.index, message.parts, message.items[:-1], message.digest
+            )
         self.links[name] = link._replace(down=(worse, *link.down[1:]))
 
     def _step(self, name: str, table: Table, *_: Any) -> None:
@@ -216,7 +218,7 @@
     def keep(self, name: str) -> None:
         """The disk has what it was given."""
         self.disks[name] = self.pending.pop(name)
-        self.put(name, "durable", self.disks[name].number)
+        self.put(name, "durable", self.disks[name].sequence)
 
     def restart(self, name: str) -> None:
         """It ends, and is there again with what its disk has."""
@@ -315,16 +317,16 @@
         self.made = place + 1
         self.put(name, "writer", "proposed", place, Propose(f"c{place}", CHANGES[place]))
 
-    def _answer(self, name: str, ticket: int, answer: Proposed) -> None:
-        if answer.number:
-            known = self.acked.setdefault(answer.request, answer.number)
-            here = self.sequence[answer.number - 1 : answer.number]
-            if known != answer.number or not here or here[0].request != answer.request:
-                self.broken = f"{answer.request} was acknowledged as {answer.number}, which it is not"
+    def _answer(self, name: str, ticket: int, answer: ProposeResult) -> None:
+        if answer.sequence:
+            known = self.acked.setdefault(answer.request_id, answer.sequence)
+            here = self.sequence[answer.sequence - 1 : answer.sequence]
+            if known != answer.sequence or not here or here[0].request_id != answer.request_id:
+                self.broken = f"{answer.request_id} was acknowledged as {answer.sequence}, which it is not"
         elif not answer.unknown:
-            self.refused = (*self.refused, answer.request)
-            if any(one.request == answer.request for one in self.sequence):
-                self.broken = f"{answer.request} was refused, and it was made"
+            self.refused = (*self.refused, answer.request_id)
+            if any(one.request_id == answer.request_id for one in self.sequence):
+                self.broken = f"{answer.request_id} was refused, and it was made"
 
     def look(self, name: str) -> None:
         """Of a tenant; what is known has to count at the number that is held, here and later."""
@@ -338,13 +340,13 @@
 
     def _written(self, group: Group) -> None:
         for change in group.changes:
-            if change.number != len(self.sequence) + 1:
-                self.broken = f"number {change.number} was given after {len(self.sequence)}"
+            if change.sequence != len(self.sequence) + 1:
+                self.broken = f"number {change.sequence} was given after {len(self.sequence)}"
                 return
-            if any(one.request == change.request for one in self.sequence):
-                self.broken = f"{change.request} was made twice"
-            if change.request in self.refused:
-                self.broken = f"{change.request} was refused, and is made after all"
+            if any(one.request_id == change.request_id for one in self.sequence):
+                self.broken = f"{change.request_id} was made twice"
+            if change.request_id in self.refused:
+                self.broken = f"{change.request_id} was refused, and is made after all"
             state = dict(self.states[-1])
             for key, value in change.items:
                 if value is None:
@@ -354,8 +356,8 @@
             self.sequence, self.states = (*self.sequence, change), (*self.states, state)
 
     def _cut(self, group: Group) -> None:
-        last = group.changes[-1].number
-        durable = sum(self.disks[name].number >= last for name in self.keepers)
+        last = group.changes[-1].sequence
+        durable = sum(self.disks[name].sequence >= last for name in self.keepers)
         if durable <= len(self.keepers) // 2:
             self.broken = f"{last} leaves the council and is on the disks of {durable} keepers"
 
@@ -367,23 +369,25 @@
             if isinstance(node, Instance) and node.lookups.follower.phase != "following":
                 return
             self.strange = tuple(one for one in self.strange if one != name)
-        if table.number > len(self.sequence):
-            self.broken = self.broken or f"{name} is at {table.number}, {len(self.sequence)} was decided"
+        if table.sequence > len(self.sequence):
+            self.broken = self.broken or f"{name} is at {table.sequence}, {len(self.sequence)} was decided"
             return
-        state = self.states[table.number]
+        state = self.states[table.sequence]
         if isinstance(node, Instance):
             for key, found in node.lookups.tenants.items():
                 if found.value != state.get(key):
-                    self.broken = self.broken or f"{name} says of {key} at {table.number} what does not count"
+                    self.broken = (
+                        self.broken or f"{name} says of {key} at {table.sequence} what does not count"
+                    )
         if name[0] == "i":
             state = {key: value for key, value in state.items() if not key.startswith(APART)}
         here = {key: value for key, value, _ in table.entries("all")}
         if here != state:
-            self.broken = self.broken or f"{name} holds at {table.number} what does not count there"
+            self.broken = self.broken or f"{name} holds at {table.sequence} what does not count there"
         if isinstance(node, Station) and node.holds and node.writer is not None:
             lease = self.council.state.leases.get(LEASE)
             newest = lease is not None and lease.epoch == node.writer.epoch
-            if newest and table.number < max(self.acked.values(), default=0):
+            if newest and table.sequence < max(self.acked.values(), default=0):
                 self.broken = self.broken or f"{name} writes, and misses what was acknowledged"
 
     def wrong(self) -> str:
@@ -395,7 +399,7 @@
                 pending = self.pending.get(name)
                 disk = self.disks[name]
                 self.keys[name] = hash(
-                    (node.frozen(), disk.number, disk.digest("all"), pending and pending.number)
+                    (node.frozen(), disk.sequence, disk.digest("all"), pending and pending.sequence)
                 )
         links = tuple(
             (name, link.server, link.peer, tuple(map(_told, link.up)), tuple(map(_told, link.down)))
@@ -443,7 +447,7 @@
         if link.down:
             told = type(link.down[0]).__name__
             yield from step(f"{name} hears {link.server}: {told}", "", FeedWorld.hear, name, False)
-            if left["damages"] and isinstance(link.down[0], Delta | Part) and link.down[0].items:
+            if left["damages"] and isinstance(link.down[0], Delta | SnapshotPart) and link.down[0].items:
                 yield from step(f"{told} to {name} is damaged", "damages", FeedWorld.damage, name)
         if left["ends"]:
             yield from step(f"{name} and {link.server} lose each other", "ends", FeedWorld.end, name)
--- a/thistleline/lab/member.py
+++ b/thistleline/lab/member.py
@@ -78,19 +78,19 @@
 
 def leave_out_newer() -> None:
     from thistleline.config_feed.follower import Follower
-    from thistleline.config_feed.messages import Follow, Welcome
+    from thistleline.config_feed.messages import Follow, FollowAccepted
     from thistleline.config_feed.source import Served, Source
     from thistleline.config_feed.table import Table
 
     follow, welcomed = Source._follow, Follower._welcomed
 
     def behind(self: Source, peer: int, served: Served, told: Follow) -> str:
-        if told.number > self.history.table.number:
+        if told.sequence > self.history.table.sequence:
             told = Follow(told.id, told.kind, 0, b"", told.level)
         return follow(self, peer, served, told)
 
-    def older(self: Follower, told: Welcome) -> None:
-        if told.load and told.number < self.table.number:
+    def older(self: Follower, told: FollowAccepted) -> None:
+        if told.load_snapshot and told.sequence < self.table.sequence:
             self.table = Table()
         welcomed(self, told)
 
--- a/thistleline/lab/scale/feed.py
+++ b/thistleline/lab/scale/feed.py
@@ -649,7 +649,7 @@
     one = table
     began = process_time()
     for place in range(repeats):
-        one = one.moved(one.number + 1, ((keys[place % len(keys)], b'{"limit_ms":1}', one.number + 1),))
+        one = one.moved(one.sequence + 1, ((keys[place % len(keys)], b'{"limit_ms":1}', one.sequence + 1),))
     persistent = (process_time() - began) / repeats
     plain: dict[str, tuple[bytes, int]] = dict(table.wide.items())
     copies = max(5, repeats // 100)
--- a/thistleline/lab/scale/feedsockets.py
+++ b/thistleline/lab/scale/feedsockets.py
@@ -83,7 +83,7 @@
 
     async def number(self) -> int:
         found = await self.looked(await self.writer())
-        return found.number if found is not None else 0
+        return found.sequence if found is not None else 0
 
     async def started(self, name: str) -> dict[str, Any]:
         """Its next life, by what its disk has: seconds till it answers, and its memory then."""
@@ -274,12 +274,12 @@
         asked = time.monotonic_ns()
         answer = await self.region.ask(told, 15.0)
         kept = self.kept
-        if not answer.number:
-            kept.lost.append(f"{told.request}: {answer.why}")
+        if not answer.sequence:
+            kept.lost.append(f"{told.request_id}: {answer.reason}")
             return
-        kept.asked[answer.number], kept.at[answer.number] = asked, time.monotonic_ns()
-        kept.items[answer.number] = told.items
-        kept.last = max(kept.last, answer.number)
+        kept.asked[answer.sequence], kept.at[answer.sequence] = asked, time.monotonic_ns()
+        kept.items[answer.sequence] = told.items
+        kept.last = max(kept.last, answer.sequence)
 
 
 async def phase(
@@ -437,7 +437,7 @@
     """A keeper's, by the feed's own archive: a table and one change on top, which is the council's first
     record. That record, the entries without the tenants, the number and the bytes on disk."""
     table = made_table(routes, tenants, seed)
-    change = Change(table.number + 1, "first", (("common/first", b"{}"),))
+    change = Change(table.sequence + 1, "first", (("common/first", b"{}"),))
     made = table.applied(change)
     record = encode(Group(0, (change,), table.digest("all"), made.digest("all")))
     disk = Disk(folder, "feed")
@@ -450,7 +450,7 @@
     finally:
         disk.release()
     held = {key: (value, version) for key, value, version in made.entries("wide")}
-    return record, held, made.number, stored
+    return record, held, made.sequence, stored
 
 
 # ---- the runs
--- a/thistleline/lab/scale/followers.py
+++ b/thistleline/lab/scale/followers.py
@@ -25,7 +25,7 @@
 from thistleline.config_feed.client import FeedClient
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.lookups import Lookups
-from thistleline.config_feed.messages import Kind, Part
+from thistleline.config_feed.messages import Kind, SnapshotPart
 from thistleline.config_feed.table import APART, Table
 from thistleline.lab.feedrun import Shared
 from thistleline.lab.scale.feed import HOT, LOOKS, tenant_key
@@ -78,13 +78,13 @@
     known: ClassVar[dict[Items, Items]] = {}
     made: ClassVar[dict[tuple[int, tuple[Items, ...]], Shared]] = {}
 
-    def __init__(self, number: int = 0, parts: tuple[Items, ...] = ()) -> None:
-        self.number, self.parts = number, parts
+    def __init__(self, sequence: int = 0, parts: tuple[Items, ...] = ()) -> None:
+        self.sequence, self.parts = sequence, parts
 
-    def moved(self, number: int, items: Items, kind: Kind) -> "Parts":
+    def moved(self, sequence: int, items: Items, kind: Kind) -> "Parts":
         if len(self.known) > PARTS_KEPT:
             self.known.clear()
-        return Parts(number, (*self.parts, self.known.setdefault(items, items)))
+        return Parts(sequence, (*self.parts, self.known.setdefault(items, items)))
 
     def count(self, kind: Kind) -> int:
         return sum(map(len, self.parts))
@@ -93,11 +93,11 @@
         return self.table(kind).digest(kind)
 
     def table(self, kind: Kind) -> Shared:
-        key = self.number, self.parts
+        key = self.sequence, self.parts
         found = self.made.get(key)
         if found is None:
             entries = (one for part in self.parts for one in part)
-            found = self.made[key] = Shared(*Table.moved(Table(), self.number, entries, kind))
+            found = self.made[key] = Shared(*Table.moved(Table(), self.sequence, entries, kind))
             while len(self.made) > TABLES_KEPT:
                 del self.made[next(iter(self.made))]
         return found
@@ -111,7 +111,7 @@
     """For all of this process: tables are shared, bytes of the links counted."""
     had = Follower._part
 
-    def part(self: Follower, told: Part) -> None:
+    def part(self: Follower, told: SnapshotPart) -> None:
         had(self, told)
         if isinstance(self.table, Parts):
             self.table = self.table.table(self.kind)
@@ -167,12 +167,12 @@
                 found = self.client.look(key)
                 seen.wrong += (found.value, found.version) != (value, version if value is not None else 0)
                 break
-        seen.states.append((table.number, time.monotonic_ns()))
+        seen.states.append((table.sequence, time.monotonic_ns()))
         seen.loads += items is None
 
     def tell(self) -> Seen:
         seen, client = self.seen, self.client
-        seen.at, seen.number = client.follower.at, client.table.number
+        seen.at, seen.number = client.follower.at, client.table.sequence
         seen.digest = client.table.digest("wide")
         seen.tenants = {key: one[:2] for key, one in client.lookups.tenants.items()}
         self.seen = self.timed.seen = Seen(seen.name)
@@ -200,7 +200,7 @@
         return time.monotonic_ns()
 
     def _stands(self, group: TaskGroup) -> tuple[dict[int, int], dict[str, int]]:
-        numbers = Counter(one.client.table.number for one in self.all)
+        numbers = Counter(one.client.table.sequence for one in self.all)
         return dict(numbers), dict(Counter(one.client.follower.at for one in self.all))
 
     def _tell(self, group: TaskGroup) -> Report:
--- a/thistleline/lab/subscriber.py
+++ b/thistleline/lab/subscriber.py
@@ -26,7 +26,7 @@
         looked = {key: [orjson.loads(one.value) if one.value is not None else None, one.version, one.known]
                   for key, one in found.items()}  # fmt: skip
         table = client.table
-        line = orjson.dumps({"event": "state", "number": table.number, "digest": table.digest("wide").hex(),
+        line = orjson.dumps({"event": "state", "number": table.sequence, "digest": table.digest("wide").hex(),
                              "looked": looked})  # fmt: skip
         if line != last:
             last = line
