--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -15,7 +15,36 @@
 from hypothesis import strategies as st
 
 from thistleline.config_feed import history as histories
+from thistleline.config_feed import snapshot as snapshots
 from thistleline.config_feed import source as sources
+from thistleline.config_feed.effects import (
+    CloseDownstream,
+    ConnectUpstream,
+    DeltaApplied,
+    DisconnectUpstream,
+    FollowerEffect,
+    SendUpstream,
+    SnapshotLoaded,
+    SubscriberDurable,
+)
+from thistleline.config_feed.events import (
+    FollowerEvent,
+    FollowingResumed,
+    FollowingSuspended,
+    HistoryAdvanced,
+    HistoryReplaced,
+    SourceEvent,
+    SourcesChanged,
+    StateDurable,
+    SubscriberJoined,
+    SubscriberLeft,
+    SubscriberMessage,
+    TimerExpired,
+    UpstreamConnected,
+    UpstreamLost,
+    UpstreamMessage,
+    WriterChanged,
+)
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.history import History, Items
 from thistleline.config_feed.limits import (
@@ -33,7 +62,7 @@
     STALL,
     VALUE_BOUND,
 )
-from thistleline.config_feed.lookups import ABSENT, UNKNOWN, Found, Lookups
+from thistleline.config_feed.lookups import ABSENT, UNKNOWN, LookupCache, LookupResult
 from thistleline.config_feed.messages import (
     Acknowledge,
     Change,
@@ -55,7 +84,8 @@
     decode_source,
     encode,
 )
-from thistleline.config_feed.source import SNAPSHOT_KEPT, Snapshot, Source
+from thistleline.config_feed.snapshot import SNAPSHOT_TTL, Snapshot
+from thistleline.config_feed.source import Source
 from thistleline.config_feed.table import Table
 from thistleline.transport.disconnects import ENDS
 
@@ -131,7 +161,7 @@
     def __init__(self, written: Written, seed: int = 1) -> None:
         self.written, self.chance, self.now = written, Random(seed), 0
         self.sources: dict[str, Source] = {}
-        self.followers: dict[str, Follower | Lookups] = {}
+        self.followers: dict[str, Follower | LookupCache] = {}
         self.links: dict[str, Connection] = {}  # by the follower's id
         self.peers: dict[int, str] = {}
         self.opening: list[tuple[str, str]] = []
@@ -144,7 +174,7 @@
         self.closed: list[tuple[str, str]] = []
         self.durable: list[tuple[str, int]] = []
         self.connects: list[tuple[str, str, int]] = []
-        self.steps: Counter[str] = Counter()
+        self.steps: Counter[type[FollowerEffect]] = Counter()
 
     # ---- who is there
 
@@ -177,7 +207,7 @@
 
     def follower(self, id: str) -> Follower:
         one = self.followers[id]
-        return one.follower if isinstance(one, Lookups) else one
+        return one.follower if isinstance(one, LookupCache) else one
 
     def write(self, *items: tuple[str, bytes | None], to: Iterable[str] = ("a",)) -> None:
         self.written.write(*items)
@@ -187,27 +217,28 @@
     def bring(self, name: str, last: int | None = None) -> None:
         source = self.sources[name]
         self.written.bring(source.history, last)
-        self.serving(name, "moved")
+        self.serving(name, HistoryAdvanced())
 
     # ---- what they are told
 
-    def tell(self, id: str, kind: str, *told: Any) -> None:
+    def tell(self, id: str, event: FollowerEvent) -> None:
         one = self.followers[id]
-        for name, *rest in one.take(self.now, kind, *told):
-            if name == "connect":
-                self.opening.append((id, rest[0]))
-                self.connects.append((id, rest[0], self.now))
-            elif name == "drop":
-                self.drops.append((id, rest[1]))
-                self.opening = [(other, at) for other, at in self.opening if other != id]
-                self.end(id)
-            elif name == "send":
-                assert self.links[id].server == rest[0]
-                self.asked.append((id, rest[1]))
-                self.links[id].up.append(decode_follower(encode(rest[1])))
-            else:
-                self.steps[name] += 1
-                self.saw(id, rest[0] if name == "took" else None)
+        for effect in one.handle(self.now, event):
+            match effect:
+                case ConnectUpstream(source):
+                    self.opening.append((id, source))
+                    self.connects.append((id, source, self.now))
+                case DisconnectUpstream(_, reason):
+                    self.drops.append((id, reason))
+                    self.opening = [(other, at) for other, at in self.opening if other != id]
+                    self.end(id)
+                case SendUpstream(source, message):
+                    assert self.links[id].server == source
+                    self.asked.append((id, message))
+                    self.links[id].up.append(decode_follower(encode(message)))
+                case _:
+                    self.steps[type(effect)] += 1
+                    self.saw(id, effect.delta if isinstance(effect, DeltaApplied) else None)
 
     def saw(self, id: str, delta: Delta | None) -> None:
         table, kind = self.follower(id).table, self.follower(id).kind
@@ -220,25 +251,25 @@
                 history.anew(table)
             else:
                 history.take(table, delta.items)
-            self.serving(self.relays[id], "moved" if delta else "anew")
+            self.serving(self.relays[id], HistoryAdvanced() if delta else HistoryReplaced())
 
-    def serving(self, name: str, kind: str, *told: Any) -> None:
-        for effect, *rest in self.sources[name].take(self.now, kind, *told):
-            if effect == "durable":
-                self.durable.append((rest[0], rest[1]))
+    def serving(self, name: str, event: SourceEvent) -> None:
+        for effect in self.sources[name].handle(self.now, event):
+            if isinstance(effect, SubscriberDurable):
+                self.durable.append((effect.subscriber, effect.sequence))
                 continue
-            id = self.peers.get(rest[0], "")
+            id = self.peers.get(effect.peer, "")
             link = self.links.get(id)
-            if effect == "close":
-                self.closed.append((id, rest[1]))
+            if isinstance(effect, CloseDownstream):
+                self.closed.append((id, effect.reason))
             else:
-                self.sent.append((id, rest[1]))
-            if link is None or link.peer != rest[0]:
+                self.sent.append((id, effect.message))
+            if link is None or link.peer != effect.peer:
                 continue
-            if effect == "close":
-                link.down.append(Closed(rest[1]))
+            if isinstance(effect, CloseDownstream):
+                link.down.append(Closed(effect.reason))
                 continue
-            data = encode(rest[1])
+            data = encode(effect.message)
             assert len(data) <= MESSAGE_BOUND
             link.down.append(decode_source(data))
             link.most = max(link.most, sum(isinstance(one, Delta | SnapshotPart) for one in link.down))
@@ -248,13 +279,13 @@
     def opened(self, id: str, name: str) -> None:
         self.opening.remove((id, name))
         if name not in self.sources:
-            self.tell(id, "lost", name, "nobody there")
+            self.tell(id, UpstreamLost(name, "nobody there"))
             return
         peer = len(self.peers) + 1
         self.peers[peer] = id
         self.links[id] = Connection(peer, name)
-        self.serving(name, "joined", peer)
-        self.tell(id, "connected", name)
+        self.serving(name, SubscriberJoined(peer))
+        self.tell(id, UpstreamConnected(name))
 
     def end(self, id: str) -> None:
         """The follower's end closes: some of what it sent still arrives."""
@@ -263,7 +294,7 @@
             return
         for _ in range(self.chance.randint(0, len(link.up))):
             self.reach(link)
-        self.serving(link.server, "left", link.peer)
+        self.serving(link.server, SubscriberLeft(link.peer))
 
     def cut(self, id: str, told: bool = True) -> None:
         """The net ends the link: some arrives at both ends. Not told, the follower finds out by silence."""
@@ -277,7 +308,7 @@
         if self.links.get(id) is link:
             if told:
                 self.end(id)
-                self.tell(id, "lost", link.server, "cut")
+                self.tell(id, UpstreamLost(link.server, "cut"))
             else:
                 link.held |= {"up", "down"}
 
@@ -288,15 +319,15 @@
         del self.sources[name]
 
     def reach(self, link: Connection) -> None:
-        self.serving(link.server, "heard", link.peer, link.up.popleft())
+        self.serving(link.server, SubscriberMessage(link.peer, link.up.popleft()))
 
     def arrive(self, id: str, link: Connection) -> None:
         message = link.down.popleft()
         if not isinstance(message, Closed):
-            self.tell(id, "heard", link.server, message)
+            self.tell(id, UpstreamMessage(link.server, message))
         else:
             del self.links[id]
-            self.tell(id, "lost", link.server, message.why)
+            self.tell(id, UpstreamLost(link.server, message.why))
 
     # ---- the clock
 
@@ -319,17 +350,19 @@
         until = self.now + span
         self.pump()
         while True:
-            dues = [(source.due(), 0, name) for name, source in self.sources.items()]
-            dues += [(one.due(), 1, id) for id, one in self.followers.items() if id not in self.paused]
+            dues = [(source.next_deadline(), 0, name) for name, source in self.sources.items()]
+            dues += [
+                (one.next_deadline(), 1, id) for id, one in self.followers.items() if id not in self.paused
+            ]
             due = min(dues, default=(until + 1, 0, ""))[0]
             if due > until:
                 break
             self.now = max(self.now, due)
             for at, follows, name in dues:
                 if at <= self.now and follows:
-                    self.tell(name, "elapsed")
+                    self.tell(name, TimerExpired())
                 elif at <= self.now:
-                    self.serving(name, "elapsed")
+                    self.serving(name, TimerExpired())
             self.pump()
         self.now = until
 
@@ -345,7 +378,7 @@
     """Bounds of a source and a history that a few entries reach."""
     with pytest.MonkeyPatch.context() as patch:
         for name, value in bounds.items():
-            for module in (sources, histories):
+            for module in (sources, snapshots, histories):
                 if hasattr(module, name):
                     patch.setattr(module, name, value)
         yield
@@ -359,7 +392,7 @@
     """One source `a`, and these follow it."""
     net = Net(written)
     net.serve("a", written.history())
-    net.serving("a", "writes", 1, True, 0)
+    net.serving("a", WriterChanged(1, True, 0))
     for id in ids:
         net.follow(id, "a", kind=kind)
     net.run(2 * SPREAD)
@@ -455,7 +488,9 @@
         net.pump()
         net.bring("a")
         net.sent.clear()
-        asked = net.sources["a"].take(net.now, "heard", net.links["x"].peer, FetchTenants(("tenant/a",)))
+        asked = net.sources["a"].handle(
+            net.now, SubscriberMessage(net.links["x"].peer, FetchTenants(("tenant/a",)))
+        )
         assert not asked
         net.links["x"].held.clear()
         net.run()
@@ -515,7 +550,7 @@
     net.write(("route/0", b"new"))
     net.run(2 * SPREAD)
     net.settled()
-    assert not one.unsure
+    assert not one.state_suspect
 
 
 @pytest.mark.parametrize(
@@ -537,7 +572,7 @@
     before = net.follower("x").table
     items: Items = (("route/0", b"", last),)
     after = before.moved(last, items, "wide").digest("wide")
-    net.tell("x", "heard", "a", Delta(first, last, items, after if digest is None else digest))
+    net.tell("x", UpstreamMessage("a", Delta(first, last, items, after if digest is None else digest)))
     assert (net.follower("x").table, net.follower("x").phase) == (before, "waiting")
     net.run(2 * SPREAD)
     net.settled()
@@ -567,7 +602,7 @@
     net.follow("x", "behind", "a", table=written.tables[9])
     net.run(3 * SPREAD)
     net.settled()
-    assert net.follower("x").at == "a"
+    assert net.follower("x").upstream == "a"
 
 
 # ---- snapshots
@@ -579,8 +614,8 @@
     net.serve("a", written.history(written.number))
     net.follow("x", "a", "b", table=written.tables[at], spread=spread)
     net.now = SPREAD
-    net.tell("x", "elapsed")
-    while net.follower("x").part < 3:
+    net.tell("x", TimerExpired())
+    while net.follower("x").next_part < 3:
         for one in list(net.opening):
             net.opened(*one)
         link = net.links["x"]
@@ -605,7 +640,7 @@
         net.links["x"].held.clear()
         net.run()
         net.settled()
-    assert (net.steps["loaded"], net.steps["took"]) == (1, 1)  # all that went on came as one
+    assert (net.steps[SnapshotLoaded], net.steps[DeltaApplied]) == (1, 1)  # all that went on came as one
 
 
 def test_the_source_dies_in_the_middle_of_a_snapshot_and_the_next_has_another() -> None:
@@ -619,7 +654,7 @@
         assert net.follower("x").table.sequence == 7
         net.run(3 * SPREAD)
         net.settled()
-    assert net.steps["loaded"] == 1
+    assert net.steps[SnapshotLoaded] == 1
     assert {one.sequence for one in told(net, "x", SnapshotPart)} == {60, 61}
 
 
@@ -643,7 +678,7 @@
     written = Written()
     written.some(10)
     net = following(written, "x")
-    net.tell("x", "heard", "a", FollowAccepted(4, True, 1, 0, 0, False))
+    net.tell("x", UpstreamMessage("a", FollowAccepted(4, True, 1, 0, 0, False)))
     assert ("x", "its snapshot is older") in net.drops
     assert net.follower("x").table.sequence == 10
 
@@ -657,7 +692,7 @@
     part = snapshot.part(0)
     assert part is not None
     assert part.parts == 1
-    net.tell("x", "heard", "a", part)
+    net.tell("x", UpstreamMessage("a", part))
     assert (net.follower("x").table, net.follower("x").phase) == (before, "following")
 
 
@@ -678,7 +713,7 @@
         )
         written.some(3)
         net.sources["a"].history.anew(written.tables[-1])
-        net.serving("a", "anew")
+        net.serving("a", HistoryReplaced())
         link.held = {"up"}
         net.pump()  # it asks for more of the old one
         link.held = {"down"}
@@ -686,7 +721,7 @@
         link.held.clear()
         net.run()
         net.settled()
-    assert net.steps["loaded"] == 1
+    assert net.steps[SnapshotLoaded] == 1
     assert not net.drops
     assert not net.closed
 
@@ -698,7 +733,7 @@
     written.some(60)
     with small(PART_SIZE=300, HISTORY_BOUND=10 if why == "cut" else 1000, DELTA_BOUND=2000):
         net = loading(written, 7)
-        old = net.sources["a"].snapshots["wide"]
+        old = net.sources["a"].snapshots.by_kind["wide"]
         net.links["x"].held.add("down")
         if why == "older":
             net.write(("route/1", b"1"))
@@ -710,12 +745,12 @@
             net.bring("a")
             net.follow("y", "a")
         net.run(SPREAD)
-        assert net.sources["a"].snapshots["wide"].number == written.number > old.number
+        assert net.sources["a"].snapshots.by_kind["wide"].sequence == written.number > old.sequence
         assert net.follower("y").table.sequence == written.number
         net.links["x"].held.clear()
         net.run(4 * SPREAD)
         net.settled()
-    assert net.steps["loaded"] == 2
+    assert net.steps[SnapshotLoaded] == 2
     assert {one.sequence for one in told(net, "y", SnapshotPart)} == {written.number}
 
 
@@ -735,7 +770,7 @@
         assert len(link.up) > 1
         written.some(3)
         net.sources["a"].history.anew(written.tables[-1])
-        net.serving("a", "anew")
+        net.serving("a", HistoryReplaced())
         net.run()
         net.settled()
     assert not net.closed
@@ -747,11 +782,11 @@
     with small(PART_SIZE=300):
         net = loading(written, 7)
         one = net.follower("x")
-        frozen = one.frozen()
+        frozen = one.state_key()
         for number in (8, 59, 61):
-            part = SnapshotPart(number, one.part, one.part + 1, (), bytes(16))
-            assert one.take(net.now, "heard", "a", part) == []
-        assert one.frozen() == frozen
+            part = SnapshotPart(number, one.next_part, one.next_part + 1, (), bytes(16))
+            assert one.handle(net.now, UpstreamMessage("a", part)) == []
+        assert one.state_key() == frozen
         net.run()
         net.settled()
 
@@ -762,9 +797,9 @@
     with small(PART_SIZE=300):
         net = loading(written, 7)
         one = net.follower("x")
-        assert one.load is not None
-        key, _, version = next(one.load.entries("wide"))
-        one.load = one.load.moved(60, [(key, b"rot", version)])
+        assert one.snapshot is not None
+        key, _, version = next(one.snapshot.entries("wide"))
+        one.snapshot = one.snapshot.moved(60, [(key, b"rot", version)])
         while one.phase == "loading":
             link = net.links["x"]
             if link.up:
@@ -787,21 +822,21 @@
         net.pump()
         for id in "xyz":
             net.now = SPREAD
-            net.tell(id, "elapsed")
+            net.tell(id, TimerExpired())
         for one in list(net.opening):
             net.opened(*one)
         for id in "xyz":
             net.reach(net.links[id])
-        made = source.snapshots["wide"]
+        made = source.snapshots.by_kind["wide"]
         assert made.parts == []  # a FollowAccepted costs nothing
         net.written.write(("route/1", b"meanwhile"))
         net.bring("a")
         net.run()
-        assert source.snapshots["wide"] is made  # a delta leads on from it, for who comes now too
+        assert source.snapshots.by_kind["wide"] is made  # a delta leads on from it, for who comes now too
         net.settled()
-    assert net.steps["loaded"] == 3
-    net.run(SNAPSHOT_KEPT)
-    assert not source.snapshots
+    assert net.steps[SnapshotLoaded] == 3
+    net.run(SNAPSHOT_TTL)
+    assert not source.snapshots.by_kind
 
 
 def test_each_part_asked_for_cuts_one_at_the_most() -> None:
@@ -810,13 +845,15 @@
     written.some(400)
     with small(PART_SIZE=300):
         source = Source(written.history(400), 0, 0)
-        source.take(0, "joined", 1)
-        source.take(0, "heard", 1, Follow("x", "wide", 0, b""))
+        source.handle(0, SubscriberJoined(1))
+        source.handle(0, SubscriberMessage(1, Follow("x", "wide", 0, b"")))
         for index in range(5):
-            source.take(0, "heard", 1, FetchPart(400, index))
-            assert len(source.snapshots["wide"].parts) == index + 1
-        assert source.take(0, "heard", 1, FetchPart(400, 300)) == [("close", 1, "a part out of turn")]
-        assert len(source.snapshots["wide"].parts) == 5
+            source.handle(0, SubscriberMessage(1, FetchPart(400, index)))
+            assert len(source.snapshots.by_kind["wide"].parts) == index + 1
+        assert source.handle(0, SubscriberMessage(1, FetchPart(400, 300))) == [
+            CloseDownstream(1, "a part out of turn")
+        ]
+        assert len(source.snapshots.by_kind["wide"].parts) == 5
 
 
 def test_parts_have_a_bounded_size_and_an_empty_table_is_one() -> None:
@@ -877,18 +914,18 @@
         net.run(STALL // 900)
     assert (link.most, len(link.down)) == (1, 1 + (STALL - 1) // BEAT + 1)  # a Delta, its Beats, the end
     assert ("dead", "silent") in net.closed
-    assert len(net.sources["a"].peers) == 1
+    assert len(net.sources["a"].subscribers) == 1
     assert net.follower("quick").table.sequence == 1000
 
 
 def test_who_says_nothing_at_all_is_let_go() -> None:
     source = Source(History(), 0, 0)
-    source.take(0, "joined", 1)
-    assert source.due() == STALL
-    assert source.take(STALL - 1, "elapsed") == []
-    assert source.take(STALL, "elapsed") == [("close", 1, "silent")]
-    assert not source.peers
-    assert not source.heard_at
+    source.handle(0, SubscriberJoined(1))
+    assert source.next_deadline() == STALL
+    assert source.handle(STALL - 1, TimerExpired()) == []
+    assert source.handle(STALL, TimerExpired()) == [CloseDownstream(1, "silent")]
+    assert not source.subscribers
+    assert not source.last_received_at
 
 
 def test_a_full_source_refuses_and_the_refused_goes_elsewhere() -> None:
@@ -900,7 +937,7 @@
         net.follow(id, "a", "b")
     net.run(4 * SPREAD)
     net.settled()
-    assert Counter(net.follower(id).at for id in "xyz") == {"a": 2, "b": 1}
+    assert Counter(net.follower(id).upstream for id in "xyz") == {"a": 2, "b": 1}
     assert [why for _, why in net.drops] == ["refused: full"]
 
 
@@ -912,7 +949,7 @@
     for number in range(200):
         net.follow(f"x{number}", "a", "b")
     net.run(2 * SPREAD)
-    assert len(net.sources["a"].peers) == 200
+    assert len(net.sources["a"].subscribers) == 200
     net.kill("a")
     died = net.now
     net.write(("route/1", b"new"), to=["b"])
@@ -930,24 +967,24 @@
     net.follower("x").sources = ("a", "b")
     net.serve("b", written.history())
     net.cut("x", told=False)
-    heard = net.follower("x").heard_at
+    heard = net.follower("x").last_received_at
     net.run(heard + SILENT - 1 - net.now)
-    assert net.follower("x").at == "a"
+    assert net.follower("x").upstream == "a"
     net.run(1)
     assert net.drops == [("x", "silent")]
     net.run(SPREAD)
-    assert net.follower("x").at == "b"
+    assert net.follower("x").upstream == "b"
 
 
 def test_a_source_that_does_not_answer_at_all_is_left_too() -> None:
     net = Net(Written())
     one = net.follow("x", "a", "b", spread=lambda span: 0)
-    assert one.take(0, "elapsed") == [("connect", "a")]
-    assert one.take(SILENT - 1, "elapsed") == []
-    assert one.take(SILENT, "elapsed") == [("drop", "a", "silent")]
-    assert one.take(SILENT, "elapsed") == [("connect", "b")]
-    assert [effect[0] for effect in one.take(SILENT, "connected", "b")] == ["send"]
-    assert one.take(2 * SILENT, "elapsed") == [("drop", "b", "silent")]
+    assert one.handle(0, TimerExpired()) == [ConnectUpstream("a")]
+    assert one.handle(SILENT - 1, TimerExpired()) == []
+    assert one.handle(SILENT, TimerExpired()) == [DisconnectUpstream("a", "silent")]
+    assert one.handle(SILENT, TimerExpired()) == [ConnectUpstream("b")]
+    assert [type(effect) for effect in one.handle(SILENT, UpstreamConnected("b"))] == [SendUpstream]
+    assert one.handle(2 * SILENT, TimerExpired()) == [DisconnectUpstream("b", "silent")]
 
 
 def test_after_a_pause_what_lies_unread_counts_before_the_clock() -> None:
@@ -994,7 +1031,7 @@
             return super().__getitem__(key)
 
     net = following(Written(), *(f"x{number}" for number in range(50)))
-    net.sources["a"].peers = Watched(net.sources["a"].peers)
+    net.sources["a"].subscribers = Watched(net.sources["a"].subscribers)
     for _ in range(100):
         net.write(("route/1", b"1"))
     assert Watched.touched == 50
@@ -1117,7 +1154,7 @@
     for id, names in (("r1", ("r2", "s1")), ("s1", ("r2", "r1")), ("r2", ("r1",))):
         net.relay(id, *names, level=int(id[1]), table=written.tables[5])
     net.run(5 * SECOND)
-    assert net.follower("r2").at == "r1"
+    assert net.follower("r2").upstream == "r1"
     assert (net.follower("r1").phase, net.follower("s1").phase) != ("following", "following")
     for id in ("r1", "s1"):
         assert net.follower(id).phase in ("waiting", "connecting")
@@ -1126,10 +1163,10 @@
 
 def test_a_follower_finds_out_itself_that_its_source_is_not_above_it() -> None:
     one = Follower("r", "all", Table(), ("s",), 0, lambda span: 0, level=1)
-    one.take(0, "elapsed")
-    one.take(0, "connected", "s")
-    assert one.take(0, "heard", "s", FollowAccepted(0, False, 0, 1, 0, False)) == [
-        ("drop", "s", "not above it")
+    one.handle(0, TimerExpired())
+    one.handle(0, UpstreamConnected("s"))
+    assert one.handle(0, UpstreamMessage("s", FollowAccepted(0, False, 0, 1, 0, False))) == [
+        DisconnectUpstream("s", "not above it")
     ]
 
 
@@ -1139,22 +1176,22 @@
     net = Net(written)
     for name, epoch, holds in (("a", 0, False), ("b", 3, True), ("c", 4, True)):
         net.serve(name, written.history())
-        net.serving(name, "writes", epoch, holds, 0)
+        net.serving(name, WriterChanged(epoch, holds, 0))
     net.follow("k", "a", "b", kind="all")
     net.run(4 * SPREAD)
-    assert (net.follower("k").at, net.follower("k").epoch) == ("b", 3)
-    net.tell("k", "sources", ("c", "b"))
+    assert (net.follower("k").upstream, net.follower("k").epoch) == ("b", 3)
+    net.tell("k", SourcesChanged(("c", "b")))
     net.cut("k")
     net.run(4 * SPREAD)
-    assert net.follower("k").at == "c"
-    net.serving("c", "writes", 5, False, 0)  # it lost its lease, and says so at once
+    assert net.follower("k").upstream == "c"
+    net.serving("c", WriterChanged(5, False, 0))  # it lost its lease, and says so at once
     net.pump()
     assert ("k", "it does not write") in net.drops
     net.run(6 * SPREAD)
-    assert net.follower("k").at not in ("b", "c")  # b's epoch is over
-    net.serving("b", "writes", 6, True, 0)
+    assert net.follower("k").upstream not in ("b", "c")  # b's epoch is over
+    net.serving("b", WriterChanged(6, True, 0))
     net.run(4 * SPREAD)
-    assert net.follower("k").at == "b"
+    assert net.follower("k").upstream == "b"
 
 
 def test_a_keeper_goes_straight_to_who_writes_and_is_sent_on_by_each_but_once() -> None:
@@ -1162,12 +1199,14 @@
 
     def asks(leader: str) -> str:
         """Whom it asks at once, having been told by the next that this one writes."""
-        now = one.due()
-        connects = one.take(now, "elapsed")
-        at = connects[0][1]
-        one.take(now, "connected", at)
-        assert one.take(now, "heard", at, FollowAccepted(0, False, 0, 0, 1, False, leader))[0][0] == "drop"
-        return one.sources[one.place] if one.due() == now else ""
+        now = one.next_deadline()
+        connects = one.handle(now, TimerExpired())
+        assert isinstance(connects[0], ConnectUpstream)
+        at = connects[0].source
+        one.handle(now, UpstreamConnected(at))
+        accepted = FollowAccepted(0, False, 0, 0, 1, False, leader)
+        assert isinstance(one.handle(now, UpstreamMessage(at, accepted))[0], DisconnectUpstream)
+        return one.sources[one.next_source] if one.next_deadline() == now else ""
 
     assert asks("") == ""
     assert asks("nobody") == ""
@@ -1181,7 +1220,7 @@
     written.some(3)
     net = Net(written)
     net.serve("a", written.history(), bound=2)
-    net.serving("a", "writes", 1, True, 0)
+    net.serving("a", WriterChanged(1, True, 0))
     for id in ("x", "y", "z"):
         net.follow(id, "a")
     net.relay("r", "a", level=1)
@@ -1193,7 +1232,7 @@
     net.follow("k", "a", kind="all")
     net.run(3 * SECOND)
     assert net.follower("k").table.sequence == 0
-    assert len(net.sources["a"].peers) <= 2 + 8
+    assert len(net.sources["a"].subscribers) <= 2 + 8
 
 
 def test_while_nobody_writes_a_keeper_takes_what_leads_on_from_its_state_and_goes_on_searching() -> None:
@@ -1209,10 +1248,10 @@
     assert len(told(net, "late", Delta)) == 3
     assert {why for _, why in net.drops} == {"it does not write"}
     net.serve("b", written.history())
-    net.serving("b", "writes", 1, True, 0)
+    net.serving("b", WriterChanged(1, True, 0))
     net.run(3 * SECOND)
     net.settled()
-    assert (late.at, cold.at) == ("b", "b")
+    assert (late.upstream, cold.upstream) == ("b", "b")
 
 
 def test_who_gets_the_lease_keeps_the_keeper_that_takes_from_it_meanwhile() -> None:
@@ -1221,12 +1260,12 @@
     net = Net(written)
     net.serve("a", written.history(2))
     late = net.follow("late", "a", kind="all", table=written.tables[2], spread=lambda span: 0)
-    net.tell("late", "durable", 2)
-    net.tell("late", "elapsed")
+    net.tell("late", StateDurable(2))
+    net.tell("late", TimerExpired())
     net.opened("late", "a")
     with small(DELTA_BOUND=1):  # a change each
         net.reach(net.links["late"])  # the FollowAccepted and the first Delta are on their way
-        net.serving("a", "writes", 1, True, 0)
+        net.serving("a", WriterChanged(1, True, 0))
         net.run(SECOND)
     net.write(("route/x", b"x"))
     net.run(SECOND)
@@ -1243,16 +1282,16 @@
     one = net.follow("k", "b", kind="all")
     net.run(3 * SPREAD)
     assert one.table.sequence == 0
-    net.tell("k", "go", True)
+    net.tell("k", FollowingResumed(True))
     net.run(3 * SPREAD)
     net.settled()
-    net.tell("k", "quiet")
-    assert (one.phase, one.at, "k" in net.links) == ("quiet", "", False)
+    net.tell("k", FollowingSuspended())
+    assert (one.phase, one.upstream, "k" in net.links) == ("quiet", "", False)
     written.some(2)
     net.run(10 * SECOND)
     assert one.phase == "quiet"
-    net.tell("k", "go", False, written.tables[7])  # what it wrote itself
-    assert (one.phase, one.table.sequence, one.any) == ("waiting", 7, False)
+    net.tell("k", FollowingResumed(False, written.tables[7]))  # what it wrote itself
+    assert (one.phase, one.table.sequence, one.accept_any_source) == ("waiting", 7, False)
 
 
 def test_what_is_durable_is_told_as_it_moves_on_and_once() -> None:
@@ -1260,8 +1299,8 @@
     for number in (1, 2, 3):
         net.write(("route/1", str(number).encode()))
         net.pump()
-    net.tell("k", "durable", 2)
-    net.tell("k", "durable", 9)  # more than it holds
+    net.tell("k", StateDurable(2))
+    net.tell("k", StateDurable(9))  # more than it holds
     net.run(3 * BEAT)
     assert net.durable == [("k", 2), ("k", 3)]
     net.cut("k")
@@ -1275,13 +1314,13 @@
     written.some(5)
     net = Net(written)
     net.serve("a", written.history(5))
-    net.serving("a", "writes", 1, True, 0)
+    net.serving("a", WriterChanged(1, True, 0))
     net.follow("k", "a", kind="all", table=Table().moved(4, [("route/1", b"of another line", 4)]))
-    net.tell("k", "durable", 4)
+    net.tell("k", StateDurable(4))
     net.run(4 * SPREAD)
     net.settled()
     assert not net.durable
-    net.tell("k", "durable", 5)
+    net.tell("k", StateDurable(5))
     net.pump()
     assert net.durable == [("k", 5)]
 
@@ -1327,34 +1366,41 @@
     written.some(3)
     source = Source(written.history(1), 0, 0)
     for peer in (1, 2):
-        source.take(0, "joined", peer)
-    source.take(0, "heard", 2, Follow("y", "wide", 3, written.tables[3].digest("wide")))
+        source.handle(0, SubscriberJoined(peer))
+    source.handle(0, SubscriberMessage(2, Follow("y", "wide", 3, written.tables[3].digest("wide"))))
     if phase == "loading":
-        source.take(0, "heard", 1, FOLLOW)
+        source.handle(0, SubscriberMessage(1, FOLLOW))
     elif phase == "following":
-        source.take(0, "heard", 1, Follow("x", "wide", 3, written.tables[3].digest("wide")))
-    effects = source.take(0, "heard", 1, message)
-    assert effects[-1][:2] == ("close", 1)
-    assert {effect[1] for effect in effects} == {1}
-    assert list(source.peers) == list(source.heard_at) == list(source.sent_at) == list(source.ready) == [2]
-    assert source.take(0, "heard", 1, message) == []
-    assert source.take(0, "left", 1) == []
+        source.handle(0, SubscriberMessage(1, Follow("x", "wide", 3, written.tables[3].digest("wide"))))
+    effects = source.handle(0, SubscriberMessage(1, message))
+    assert isinstance(effects[-1], CloseDownstream)
+    assert effects[-1].peer == 1
+    assert {getattr(effect, "peer", None) for effect in effects} == {1}
+    assert (
+        list(source.subscribers)
+        == list(source.last_received_at)
+        == list(source.last_sent_at)
+        == list(source.up_to_date)
+        == [2]
+    )
+    assert source.handle(0, SubscriberMessage(1, message)) == []
+    assert source.handle(0, SubscriberLeft(1)) == []
 
 
 def test_harmless_words_out_of_place_grow_nothing() -> None:
     written = Written()
     written.some(3)
     source = Source(written.history(1), 0, 0)
-    source.take(0, "joined", 1)
-    source.take(0, "heard", 1, FOLLOW)
-    frozen = source.frozen()
+    source.handle(0, SubscriberJoined(1))
+    source.handle(0, SubscriberMessage(1, FOLLOW))
+    frozen = source.state_key()
     for number in (-1, 0, 2, HUGE):
-        assert source.take(0, "heard", 1, FetchPart(number, 0)) == []  # of no load of now
-    assert source.take(0, "heard", 1, Acknowledge(0)) == []  # it lives
-    assert source.frozen() == frozen
-    assert source.take(0, "heard", 99, Acknowledge(0)) == []
-    assert source.take(0, "left", 99) == []
-    assert list(source.peers) == [1]
+        assert source.handle(0, SubscriberMessage(1, FetchPart(number, 0))) == []  # of no load of now
+    assert source.handle(0, SubscriberMessage(1, Acknowledge(0))) == []  # it lives
+    assert source.state_key() == frozen
+    assert source.handle(0, SubscriberMessage(99, Acknowledge(0))) == []
+    assert source.handle(0, SubscriberLeft(99)) == []
+    assert list(source.subscribers) == [1]
 
 
 BAD: list[SourceMessage] = [
@@ -1374,65 +1420,67 @@
     written = Written()
     written.some(3)
     one = Follower("x", "wide", written.tables[3], ("a", "b"), 0, lambda span: 0)
-    one.take(0, "elapsed")
-    one.take(0, "connected", "a")
+    one.handle(0, TimerExpired())
+    one.handle(0, UpstreamConnected("a"))
     if phase != "greeting":
-        one.take(0, "heard", "a", FollowAccepted(3, phase == "loading", 0, 0, 0, False))
+        one.handle(0, UpstreamMessage("a", FollowAccepted(3, phase == "loading", 0, 0, 0, False)))
     assert one.phase == phase
-    effects = one.take(0, "heard", "a", message)
+    effects = one.handle(0, UpstreamMessage("a", message))
     assert one.table is written.tables[3]
     if phase == "loading" and isinstance(message, Heartbeat):
-        assert [effect[0] for effect in effects] == ["send"]
+        assert [type(effect) for effect in effects] == [SendUpstream]
     else:
-        assert [effect[0] for effect in effects] == ["drop"]
-        assert len(effects[0][2]) <= 100
-    assert one.take(0, "heard", "a", message) == [] or one.phase == "loading"
+        assert [type(effect) for effect in effects] == [DisconnectUpstream]
+        assert isinstance(effects[0], DisconnectUpstream)
+        assert len(effects[0].reason) <= 100
+    assert one.handle(0, UpstreamMessage("a", message)) == [] or one.phase == "loading"
 
 
 @pytest.mark.parametrize("index", [-1, 1, HUGE])
 def test_a_part_out_of_turn_ends_the_load(index: int) -> None:
     one = Follower("x", "wide", Table(), ("a",), 0, lambda span: 0)
-    one.take(0, "elapsed")
-    one.take(0, "connected", "a")
-    one.take(0, "heard", "a", FollowAccepted(3, True, 0, 0, 0, False))
-    effects = one.take(0, "heard", "a", SnapshotPart(3, index, 0, (), b""))
-    assert effects == [("drop", "a", "a part out of turn")]
-    assert one.load is None
+    one.handle(0, TimerExpired())
+    one.handle(0, UpstreamConnected("a"))
+    one.handle(0, UpstreamMessage("a", FollowAccepted(3, True, 0, 0, 0, False)))
+    effects = one.handle(0, UpstreamMessage("a", SnapshotPart(3, index, 0, (), b"")))
+    assert effects == [DisconnectUpstream("a", "a part out of turn")]
+    assert one.snapshot is None
 
 
 def test_what_comes_late_of_another_source_is_passed_over() -> None:
     one = Follower("x", "wide", Table(), ("a", "b"), 0, lambda span: 0)
-    one.take(0, "elapsed")
-    one.take(0, "connected", "a")
-    one.take(0, "lost", "a", "cut")
-    one.take(0, "elapsed")
-    assert (one.at, one.phase) == ("b", "connecting")
-    frozen = one.frozen()
-    for input in (
-        ("heard", "a", FollowAccepted(0, False, 0, 0, 0, False)),
-        ("lost", "a", "again"),
-        ("connected", "a"),
-        ("heard", "b", Heartbeat(0, bytes(16))),
-    ):
-        assert one.take(0, *input) == []
-    assert one.frozen() == frozen
-    one.take(0, "connected", "b")
-    frozen = one.frozen()
+    one.handle(0, TimerExpired())
+    one.handle(0, UpstreamConnected("a"))
+    one.handle(0, UpstreamLost("a", "cut"))
+    one.handle(0, TimerExpired())
+    assert (one.upstream, one.phase) == ("b", "connecting")
+    frozen = one.state_key()
+    events: tuple[FollowerEvent, ...] = (
+        UpstreamMessage("a", FollowAccepted(0, False, 0, 0, 0, False)),
+        UpstreamLost("a", "again"),
+        UpstreamConnected("a"),
+        UpstreamMessage("b", Heartbeat(0, bytes(16))),
+    )
+    for event in events:
+        assert one.handle(0, event) == []
+    assert one.state_key() == frozen
+    one.handle(0, UpstreamConnected("b"))
+    frozen = one.state_key()
     for late in (FollowAccepted(0, False, 0, 0, 0, False), FollowRejected("full"), Heartbeat(0, bytes(16))):
-        assert one.take(0, "heard", "a", late) == []
-    assert one.frozen() == frozen
+        assert one.handle(0, UpstreamMessage("a", late)) == []
+    assert one.state_key() == frozen
 
 
 def test_sources_may_change_under_way() -> None:
     net = following(Written(), "x")
-    net.tell("x", "sources", ("b", "a"))
-    assert net.follower("x").at == "a"
-    net.tell("x", "sources", ("b",))
+    net.tell("x", SourcesChanged(("b", "a")))
+    assert net.follower("x").upstream == "a"
+    net.tell("x", SourcesChanged(("b",)))
     assert net.drops == [("x", "not to be followed any more")]
-    net.tell("x", "sources", ())
+    net.tell("x", SourcesChanged(()))
     net.run(10 * SECOND)
     assert net.follower("x").phase == "waiting"
-    net.tell("x", "sources", ("a",))
+    net.tell("x", SourcesChanged(("a",)))
     net.run(2 * SPREAD)
     assert net.follower("x").phase == "following"
 
@@ -1440,10 +1488,10 @@
 # ---- look-ups
 
 
-def looking(written: Written, bound: int = 100) -> tuple[Net, Lookups]:
+def looking(written: Written, bound: int = 100) -> tuple[Net, LookupCache]:
     net = Net(written)
     net.serve("a", written.history())
-    made = Lookups(net.follow("x", "a"), bound)
+    made = LookupCache(net.follow("x", "a"), bound)
     net.followers["x"] = made
     net.run(2 * SPREAD)
     net.settled()
@@ -1456,37 +1504,37 @@
     written = Written()
     written.write(("common/tenant", b"share"), ("tenant/1", b"own"))
     net, view = looking(written)
-    assert view.look("tenant/1") == UNKNOWN
-    assert view.look("common/tenant") == Found(b"share", 1, True)
-    assert view.due() <= net.now
+    assert view.lookup("tenant/1") == UNKNOWN
+    assert view.lookup("common/tenant") == LookupResult(b"share", 1, True)
+    assert view.next_deadline() <= net.now
     net.run(0)
-    assert view.look("tenant/1") == Found(b"own", 1, True)
-    assert view.due() > net.now
+    assert view.lookup("tenant/1") == LookupResult(b"own", 1, True)
+    assert view.next_deadline() > net.now
 
 
 def test_before_anything_was_held_nothing_is_known() -> None:
-    view = Lookups(Follower("x", "wide", Table(), (), 0, lambda span: 0))
-    assert view.look("route/1") == UNKNOWN
-    assert view.look("tenant/1") == UNKNOWN
+    view = LookupCache(Follower("x", "wide", Table(), (), 0, lambda span: 0))
+    assert view.lookup("route/1") == UNKNOWN
+    assert view.lookup("tenant/1") == UNKNOWN
 
 
 def test_a_thousand_look_ups_of_one_tenant_ask_once_and_one_that_is_not_there_is_held_as_such() -> None:
     net, view = looking(Written())
     for _ in range(1000):
-        assert view.look("tenant/nobody") == UNKNOWN
+        assert view.lookup("tenant/nobody") == UNKNOWN
     net.run(0)
     for _ in range(1000):
-        assert view.look("tenant/nobody") == ABSENT
+        assert view.lookup("tenant/nobody") == ABSENT
     net.run()
     assert [one for _, one in net.asked if isinstance(one, FetchTenants)] == [
         FetchTenants(("tenant/nobody",))
     ]
     net.write(("tenant/nobody", b"here"))
     net.pump()
-    assert view.look("tenant/nobody") == Found(b"here", 1, True)
+    assert view.lookup("tenant/nobody") == LookupResult(b"here", 1, True)
     net.write(("tenant/nobody", None))
     net.pump()
-    assert view.look("tenant/nobody") == ABSENT
+    assert view.lookup("tenant/nobody") == ABSENT
 
 
 def test_a_thousand_tenants_are_asked_for_in_batches_and_answered_in_bounded_messages() -> None:
@@ -1495,11 +1543,11 @@
         written.write((f"tenant/{number}", bytes(VALUE_BOUND)))
     net, view = looking(written, 2000)
     for number in range(1000):
-        view.look(f"tenant/{number}")
+        view.lookup(f"tenant/{number}")
     net.run(0)
     batches = [len(one.keys) for _, one in net.asked if isinstance(one, FetchTenants)]
     assert (max(batches), sum(batches)) == (ASKED_BOUND, 1000)
-    assert all(view.look(f"tenant/{number}").known for number in range(1000))
+    assert all(view.lookup(f"tenant/{number}").known for number in range(1000))
 
 
 def test_the_cache_is_bounded_and_the_least_lately_used_go_first() -> None:
@@ -1508,14 +1556,14 @@
         written.write((f"tenant/{number}", b"own"))
     net, view = looking(written, 4)
     for number in range(4):
-        view.look(f"tenant/{number}")
+        view.lookup(f"tenant/{number}")
     net.run(0)
-    view.look("tenant/0")
-    view.look("tenant/4")
+    view.lookup("tenant/0")
+    view.lookup("tenant/4")
     net.run(0)
     assert list(view.tenants) == ["tenant/2", "tenant/3", "tenant/0", "tenant/4"]
     for number in range(1000):
-        view.look(f"tenant/stranger{number}")
+        view.lookup(f"tenant/stranger{number}")
     assert len(view.wanted) == 4
     net.run(0)
     assert len(view.tenants) == 4
@@ -1524,7 +1572,7 @@
 @pytest.mark.parametrize("key", ["tenant/" + "x" * KEY_BOUND, "tenant/\ud800"])
 def test_a_name_that_can_t_be_set_is_not_asked_for(key: str) -> None:
     net, view = looking(Written())
-    assert view.look(key) == ABSENT
+    assert view.lookup(key) == ABSENT
     net.run(0)
     assert not [one for _, one in net.asked if isinstance(one, FetchTenants)]
 
@@ -1533,7 +1581,7 @@
     written = Written()
     written.write(("route/1", b"1"), ("tenant/1", b"1"))
     net, view = looking(written)
-    view.look("tenant/1")
+    view.lookup("tenant/1")
     net.run(0)
     for number in range(2, 40):
         net.write(("route/1", str(number).encode()), ("tenant/1", str(number).encode()))
@@ -1542,8 +1590,8 @@
                 net.arrive("x", link)
             else:
                 net.reach(link)
-            assert view.look("route/1") == view.look("tenant/1")
-    assert view.look("tenant/1") == Found(b"39", 39, True)
+            assert view.lookup("route/1") == view.lookup("tenant/1")
+    assert view.lookup("tenant/1") == LookupResult(b"39", 39, True)
 
 
 def test_an_answer_comes_behind_the_delta_it_belongs_to() -> None:
@@ -1554,7 +1602,7 @@
     net.links["x"].held.add("down")
     net.write(("route/1", b"2"))
     net.write(("tenant/1", b"3"))
-    view.look("tenant/1")
+    view.lookup("tenant/1")
     net.run(0)
     assert not told(net, "x", TenantEntries)
     net.links["x"].held.clear()
@@ -1562,7 +1610,7 @@
     assert [(one.sequence, one.items) for one in told(net, "x", TenantEntries)] == [
         (3, (("tenant/1", b"3", 3),))
     ]
-    assert view.look("tenant/1") == Found(b"3", 3, True)
+    assert view.lookup("tenant/1") == LookupResult(b"3", 3, True)
 
 
 @pytest.mark.parametrize("number", [0, 2, HUGE])
@@ -1570,19 +1618,19 @@
     written = Written()
     written.write(("tenant/1", b"1"))
     net, view = looking(written)
-    view.look("tenant/1")
-    net.tell("x", "elapsed")
-    net.tell("x", "heard", "a", TenantEntries(number, (("tenant/1", b"of another state", number),)))
-    assert view.look("tenant/1") == UNKNOWN
+    view.lookup("tenant/1")
+    net.tell("x", TimerExpired())
+    net.tell("x", UpstreamMessage("a", TenantEntries(number, (("tenant/1", b"of another state", number),))))
+    assert view.lookup("tenant/1") == UNKNOWN
     net.run(0)
-    assert view.look("tenant/1") == Found(b"1", 1, True)
+    assert view.lookup("tenant/1") == LookupResult(b"1", 1, True)
     assert len([one for _, one in net.asked if isinstance(one, FetchTenants)]) == 2
 
 
 def test_answers_that_nobody_asked_for_are_not_held() -> None:
     net, view = looking(Written())
-    net.tell("x", "heard", "a", TenantEntries(0, tuple((f"tenant/{n}", b"", 0) for n in range(500))))
-    net.tell("x", "heard", "elsewhere", TenantEntries(0, (("tenant/1", b"", 0),)))
+    net.tell("x", UpstreamMessage("a", TenantEntries(0, tuple((f"tenant/{n}", b"", 0) for n in range(500)))))
+    net.tell("x", UpstreamMessage("elsewhere", TenantEntries(0, (("tenant/1", b"", 0),))))
     assert not view.tenants
 
 
@@ -1590,25 +1638,25 @@
     written = Written()
     written.write(("tenant/1", b"1"), ("tenant/2", b"2"))
     net, view = looking(written)
-    view.look("tenant/1")
+    view.lookup("tenant/1")
     net.links["x"].held.add("up")
     net.run(0)
     net.cut("x")
-    view.look("tenant/2")
+    view.lookup("tenant/2")
     assert list(view.wanted) == ["tenant/1", "tenant/2"]
     net.run(2 * SPREAD)
-    assert (view.look("tenant/1").value, view.look("tenant/2").value) == (b"1", b"2")
+    assert (view.lookup("tenant/1").value, view.lookup("tenant/2").value) == (b"1", b"2")
 
 
 def test_a_source_that_answers_all_but_the_question_is_asked_again() -> None:
     written = Written()
     written.write(("tenant/1", b"1"))
     net, view = looking(written)
-    view.look("tenant/1")
-    net.tell("x", "elapsed")
+    view.lookup("tenant/1")
+    net.tell("x", TimerExpired())
     net.links["x"].up.clear()  # it forgot
     net.run(2 * STALL)
-    assert view.look("tenant/1") == Found(b"1", 1, True)
+    assert view.lookup("tenant/1") == LookupResult(b"1", 1, True)
 
 
 def test_what_is_held_of_tenants_stays_over_a_lost_link_and_goes_with_a_snapshot() -> None:
@@ -1616,22 +1664,22 @@
     written.write(("tenant/1", b"1"), ("route/1", b"1"))
     with small(HISTORY_BOUND=3):
         net, view = looking(written)
-        view.look("tenant/1")
+        view.lookup("tenant/1")
         net.run(0)
         net.cut("x")
-        assert view.look("tenant/1") == Found(b"1", 1, True)
+        assert view.lookup("tenant/1") == LookupResult(b"1", 1, True)
         net.write(("tenant/1", b"2"))
         net.run(2 * SPREAD)
-        assert view.look("tenant/1") == Found(b"2", 2, True)  # by the delta
+        assert view.lookup("tenant/1") == LookupResult(b"2", 2, True)  # by the delta
         net.cut("x")
         for _ in range(5):
             net.write(("tenant/1", b"3"), ("route/1", b"3"))
-        assert view.look("tenant/1") == Found(b"2", 2, True)
+        assert view.lookup("tenant/1") == LookupResult(b"2", 2, True)
         net.run(2 * SPREAD)
-        assert view.look("route/1") == Found(b"3", 7, True)
-        assert view.look("tenant/1") == UNKNOWN  # rather than of an older state than the route
+        assert view.lookup("route/1") == LookupResult(b"3", 7, True)
+        assert view.lookup("tenant/1") == UNKNOWN  # rather than of an older state than the route
         net.run(0)
-        assert view.look("tenant/1") == Found(b"3", 7, True)
+        assert view.lookup("tenant/1") == LookupResult(b"3", 7, True)
 
 
 def test_forgotten_tenants_are_asked_for_again() -> None:
@@ -1639,7 +1687,7 @@
     written.write(("tenant/1", b"1"))
     with small(DELTA_BOUND=1000):
         net, view = looking(written)
-        view.look("tenant/1")
+        view.lookup("tenant/1")
         net.run(0)
         net.links["x"].held.add("up")
         net.write(("route/1", b"2"))
@@ -1649,9 +1697,9 @@
         net.bring("a")
         net.links["x"].held.clear()
         net.pump()
-        assert view.look("tenant/1") == UNKNOWN
+        assert view.lookup("tenant/1") == UNKNOWN
         net.run(0)
-        assert view.look("tenant/1") == Found(b"new", 33, True)
+        assert view.lookup("tenant/1") == LookupResult(b"new", 33, True)
 
 
 # ---- table and history
@@ -1836,7 +1884,7 @@
         net.relay("r", "a", "b", level=1)
         net.follow("x", "a", "b")
         net.follow("y", "r", "b")
-        view = Lookups(net.follow("z", "b", "r", "a"))
+        view = LookupCache(net.follow("z", "b", "r", "a"))
         net.followers["z"] = view
         seen: dict[str, int] = {}
 
@@ -1844,7 +1892,7 @@
             """What is known is of one state, the one that the table says."""
             state = written.states[view.follower.table.sequence]
             for key in ("route/1", "tenant/1", "tenant/2", "tenant/absent", "common/tenant"):
-                found = view.look(key)
+                found = view.lookup(key)
                 if found.known:
                     assert (found.value, found.version) == state.get(key, (None, 0))
                     assert view.follower.table.sequence >= seen.get(key, 0)
@@ -1903,7 +1951,7 @@
         net.settled()
         look()
         net.run(0)
-        assert view.look("tenant/1").known
+        assert view.lookup("tenant/1").known
         assert {why for _, why in net.closed} <= {"behind", "silent"}  # nobody here talks nonsense
         assert {why for _, why in net.drops} <= {"refused: behind", "silent"}
         assert {net.follower(id).phase for id in net.followers} == {"following"}
@@ -1921,50 +1969,48 @@
     with small(PART_SIZE=200):
         source = Source(written.history(5), 0, 0)
         peers = range(1, 4)
-        inputs: list[tuple[Any, ...]] = []
+        inputs: list[SourceEvent] = []
         for peer in peers:
-            inputs.append(("joined", peer))
+            inputs.append(SubscriberJoined(peer))
         for _ in range(30):
             peer, now = chance.choice(peers), written.tables[chance.randint(0, 10)]
-            inputs.append(
-                chance.choice(
-                    [
-                        ("heard", peer, Follow(f"x{peer}", "wide", now.sequence, now.digest("wide"))),
-                        ("heard", peer, Acknowledge(chance.randint(8, 12))),
-                        ("heard", peer, FetchPart(10, chance.randint(0, 2))),
-                        ("heard", peer, FetchTenants(("tenant/1",))),
-                        ("elapsed",),
-                        ("joined", peer),
-                        ("left", peer),
-                    ]
-                )
-            )
+            choices: list[SourceEvent] = [
+                SubscriberMessage(peer, Follow(f"x{peer}", "wide", now.sequence, now.digest("wide"))),
+                SubscriberMessage(peer, Acknowledge(chance.randint(8, 12))),
+                SubscriberMessage(peer, FetchPart(10, chance.randint(0, 2))),
+                SubscriberMessage(peer, FetchTenants(("tenant/1",))),
+                TimerExpired(),
+                SubscriberJoined(peer),
+                SubscriberLeft(peer),
+            ]
+            inputs.append(chance.choice(choices))
         half = len(inputs) // 2
         for at, input in enumerate(inputs[:half]):
-            source.take(at * 300 * MS, *input)
+            source.handle(at * 300 * MS, input)
         twin = source.copy()
-        frozen = source.frozen()
-        assert (hash(twin.frozen()), twin.frozen()) == (hash(frozen), frozen)
+        frozen = source.state_key()
+        assert (hash(twin.state_key()), twin.state_key()) == (hash(frozen), frozen)
         done = []
         for at, input in enumerate(inputs[half:], half):
-            done.append(twin.take(at * 300 * MS, *input))
+            done.append(twin.handle(at * 300 * MS, input))
         twin.history.move(11, (("route/1", b"x", 11),))
-        twin.take(60 * SECOND, "moved")
-        assert source.frozen() == frozen
-        assert [source.take(at * 300 * MS, *input) for at, input in enumerate(inputs[half:], half)] == done
+        twin.handle(60 * SECOND, HistoryAdvanced())
+        assert source.state_key() == frozen
+        assert [source.handle(at * 300 * MS, input) for at, input in enumerate(inputs[half:], half)] == done
 
 
 def test_a_copy_of_look_ups_goes_its_own_way() -> None:
     written = Written()
     written.write(("tenant/1", b"1"), ("route/1", b"1"))
     net, view = looking(written)
-    view.look("tenant/1")
-    twin, frozen = view.copy(), view.frozen()
-    assert (twin.frozen(), hash(twin.frozen())) == (frozen, hash(frozen))
-    told = ("heard", "a", written.history(0).delta(0, "wide"))
-    assert twin.take(net.now, "elapsed") != []
-    assert view.frozen() == frozen != twin.frozen()
-    twin.take(net.now, *told)
+    view.lookup("tenant/1")
+    twin, frozen = view.copy(), view.state_key()
+    assert (twin.state_key(), hash(twin.state_key())) == (frozen, hash(frozen))
+    delta = written.history(0).delta(0, "wide")
+    assert delta is not None
+    assert twin.handle(net.now, TimerExpired()) != []
+    assert view.state_key() == frozen != twin.state_key()
+    twin.handle(net.now, UpstreamMessage("a", delta))
     assert (twin.follower.phase, view.follower.phase) == ("waiting", "following")
 
 
--- a/tests/test_feed_service.py
+++ b/tests/test_feed_service.py
@@ -21,12 +21,11 @@
 import pytest
 
 from thistleline.config.schema import Faulty, Feed, check
-from thistleline.config_feed import connections as link
-from thistleline.config_feed import service
+from thistleline.config_feed import downstream, heap_freezer, peer_log, send_queue
 from thistleline.config_feed.archive_writer import Persist
-from thistleline.config_feed.client import look, propose, snapshot
-from thistleline.config_feed.connections import OUT_BOUND, Encoder, Outgoing, Rounds
+from thistleline.config_feed.effects import PersistStep, PersistTable
 from thistleline.config_feed.history import Items
+from thistleline.config_feed.inbox import EventInbox
 from thistleline.config_feed.limits import MESSAGE_BOUND, MS, RING, SECOND
 from thistleline.config_feed.messages import (
     Acknowledge,
@@ -40,7 +39,10 @@
     decode_source,
     encode,
 )
-from thistleline.config_feed.service import LOOK_BOUND, FeedService
+from thistleline.config_feed.operations import export_table, propose, read
+from thistleline.config_feed.send_queue import MAX_QUEUED, FrameEncoder, SendQueue
+from thistleline.config_feed.service import FeedService
+from thistleline.config_feed.status import MAX_READ_KEYS
 from thistleline.config_feed.table import Table
 from thistleline.lab.feedfleet import FeedFleet
 from thistleline.lab.harness import Hung, Process, free_port
@@ -368,15 +370,15 @@
 
     async def story() -> None:
         with anyio.fail_after(20):
-            while await look(("127.0.0.1", port)) is None:
+            while await read(("127.0.0.1", port)) is None:
                 await anyio.sleep(0.02)
             async with anyio.create_task_group() as group:
                 for text in words:
                     group.start_soon(ends, text)
             asked = tuple(f"common/{place}" for place in range(5000))
-            found = await look(("127.0.0.1", port), asked)
+            found = await read(("127.0.0.1", port), asked)
             assert found is not None
-            assert len(found.items) == LOOK_BOUND
+            assert len(found.items) == MAX_READ_KEYS
             refused = Propose("x", (("common/x", b"{}"),))
             answer = await propose({"r": ("127.0.0.1", port)}, refused, 0.3)
             assert (answer.unknown, answer.reason) == (True, "a relay writes nothing")
@@ -414,11 +416,11 @@
     async def run() -> None:
         relay = FeedService(conf, None, lambda event, **facts: logged.append((event, facts)))
         if items:
-            relay.station.history.anew(Table().moved(1, items))
+            relay.relay.history.anew(Table().moved(1, items))
         with anyio.fail_after(20):
             async with anyio.create_task_group() as group:
                 group.start_soon(relay.run)
-                while await look(at) is None:
+                while await read(at) is None:
                     await anyio.sleep(0.02)
                 await story(relay)
                 group.cancel_scope.cancel()
@@ -431,58 +433,58 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """50 MB of answers, if all were made; between two turns of the loop one of them at the most."""
-    keys = tuple(f"common/{place}" for place in range(LOOK_BOUND))
+    keys = tuple(f"common/{place}" for place in range(MAX_READ_KEYS))
     asks = sealed(encode(Hello("follower", "x"))) + 100 * sealed(encode(ReadRequest(keys)))
     rounds: list[int] = []
     waits: list[int] = []
 
-    def counted(self: Outgoing, frame: bytes, had: Any = Outgoing.put) -> None:
+    def counted(self: SendQueue, frame: bytes, had: Any = SendQueue.put) -> None:
         had(self, frame)
         waits.append(self.size)
 
-    def taken(self: Rounds, had: Any = Rounds.take) -> Any:
+    def taken(self: EventInbox[Any], had: Any = EventInbox.drain) -> Any:
         found = had(self)
         rounds.append(len(found))
         return found
 
-    monkeypatch.setattr(Outgoing, "put", counted)
-    monkeypatch.setattr(Rounds, "take", taken)
-    monkeypatch.setattr(link, "STALL", 300 * MS)
+    monkeypatch.setattr(SendQueue, "put", counted)
+    monkeypatch.setattr(EventInbox, "drain", taken)
+    monkeypatch.setattr(send_queue, "STALL", 300 * MS)
 
     def there(relay: FeedService) -> bool:
-        return any(peer.id == "x" for peer in relay.peers.values())
+        return any(peer.id == "x" for peer in relay.listener.connections.values())
 
     async def story(relay: FeedService) -> None:
-        async with await anyio.connect_tcp(*relay.listen) as stream:
+        async with await anyio.connect_tcp(*relay.address) as stream:
             await stream.send(asks)
             while not there(relay):
                 await anyio.sleep(0)
             while there(relay):
-                assert await look(relay.listen) is not None
-        assert max(waits) <= OUT_BOUND
+                assert await read(relay.address) is not None
+        assert max(waits) <= MAX_QUEUED
         assert max(rounds) <= 3  # of both peers, and that one left
 
     in_process(story, tuple((key, bytes(4000), 1) for key in keys))
 
 
 def test_who_says_nothing_for_long_is_let_go_and_who_speaks_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(link, "IDLE", 800 * MS)
+    monkeypatch.setattr(downstream, "IDLE_TIMEOUT", 800 * MS)
     hello = Hello("follower", "quiet")
 
     async def story(relay: FeedService) -> None:
         async with (
-            await anyio.connect_tcp(*relay.listen) as quiet,
-            await anyio.connect_tcp(*relay.listen) as speaks,
+            await anyio.connect_tcp(*relay.address) as quiet,
+            await anyio.connect_tcp(*relay.address) as speaks,
         ):
             for stream in (quiet, speaks):
                 await stream.send(sealed(encode(hello)))
-            while (left := len(relay.peers)) < 2:
+            while (left := len(relay.listener.connections)) < 2:
                 await anyio.sleep(0)
             began = time.monotonic()
             while left == 2 or time.monotonic() < began + 2:
                 await speaks.send(sealed(encode(ReadRequest(()))))
                 await anyio.sleep(0.05)
-                left = sum(peer.id == "quiet" for peer in relay.peers.values())
+                left = sum(peer.id == "quiet" for peer in relay.listener.connections.values())
             assert left == 1
 
     in_process(story)
@@ -497,10 +499,10 @@
         if now[0] > 8 * SECOND:
             raise TimeoutError
 
-    monkeypatch.setattr(link, "boot_now", lambda: now[0])
+    monkeypatch.setattr(send_queue, "boot_now", lambda: now[0])
     monkeypatch.setattr(anyio, "sleep", asleep)
     with pytest.raises(TimeoutError):
-        anyio.run(link.each_look, looked.append)
+        anyio.run(send_queue.check_regularly, looked.append)
     assert looked[:2] == [SECOND // 2, 6 * SECOND]
 
 
@@ -510,14 +512,14 @@
 
     async def story(relay: FeedService) -> None:
         tracked = gc.get_freeze_count()
-        table = relay.station.table
-        relay._carry_out("step", table.moved(service.FREEZE_EVERY, ()), 1, ())
+        table = relay.relay.table
+        relay.carry_out(PersistStep(table.moved(heap_freezer.FREEZE_EVERY, ()), 1, ()))
         assert gc.get_freeze_count() == tracked  # it holds as many changes more by one
-        relay._carry_out("step", table.moved(service.FREEZE_EVERY + 1, ()), 1, ())
+        relay.carry_out(PersistStep(table.moved(heap_freezer.FREEZE_EVERY + 1, ()), 1, ()))
         assert gc.get_freeze_count() > tracked
         loaded = table.moved(9, ((f"tenant/more-{place}", b"{}", 9) for place in range(5_000)))
         tracked = gc.get_freeze_count()
-        relay._carry_out("anew", loaded)
+        relay.carry_out(PersistTable(loaded))
         assert gc.get_freeze_count() > tracked + 1_000
 
     before = gc.get_freeze_count()
@@ -536,12 +538,12 @@
         with socket.socket() as one:
             resource.setrlimit(resource.RLIMIT_NOFILE, (one.fileno(), limits[1]))
             try:
-                one.connect(relay.listen)
-                while "who comes" not in relay.told:
+                one.connect(relay.address)
+                while "who comes" not in relay.peer_log.last_reasons:
                     await anyio.sleep(0.01)
             finally:
                 resource.setrlimit(resource.RLIMIT_NOFILE, limits)
-        assert await look(relay.listen) is not None
+        assert await read(relay.address) is not None
 
     logged = in_process(story)
     assert ("refused", {"of": "who comes", "why": os.strerror(errno.EMFILE)}) in logged
@@ -579,11 +581,11 @@
 
 
 def test_strangers_with_ever_new_names_do_not_fill_the_log(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(service, "SECOND", 3600 * SECOND)  # the second is not over while this runs
+    monkeypatch.setattr(peer_log, "SECOND", 3600 * SECOND)  # the second is not over while this runs
 
     async def story(relay: FeedService) -> None:
         for place in range(100):
-            async with await anyio.connect_tcp(*relay.listen) as stream:
+            async with await anyio.connect_tcp(*relay.address) as stream:
                 await stream.send(
                     sealed(encode(Hello("follower", f"x{place}"))) + sealed(encode(Acknowledge(1)))
                 )
@@ -603,8 +605,8 @@
     async def story(relay: FeedService) -> None:
         monkeypatch.setattr(anyio, "sleep", lambda span: sleep(0))
         for place in range(200):
-            relay.station.history.move(place + 1, ((f"common/{place}", bytes(4000), place + 1),))
-        table = await snapshot({"r": relay.listen}, 10.0)
+            relay.relay.history.move(place + 1, ((f"common/{place}", bytes(4000), place + 1),))
+        table = await export_table({"r": relay.address}, 10.0)
         assert table is not None
         assert (table.sequence, len(table.wide)) == (200, 200)
 
@@ -617,17 +619,17 @@
 
     async def story(relay: FeedService) -> None:
         async with AsyncExitStack() as stack:
-            for place in range(relay.peers_bound + 10):
-                stream = await stack.enter_async_context(await anyio.connect_tcp(*relay.listen))
+            for place in range(relay.listener.max_connections + 10):
+                stream = await stack.enter_async_context(await anyio.connect_tcp(*relay.address))
                 if not place:
                     await stream.send(hello + sealed(encode(Follow("x", "wide", 0, bytes(16)))))
-                    while not relay.station.source.peers:
+                    while not relay.relay.source.subscribers:
                         await anyio.sleep(0)
                 elif place % 2:
                     await stream.send(hello)
-            assert await look(relay.listen) is not None
-            assert len(relay.peers) <= relay.peers_bound + 1
-            assert len(relay.station.source.peers) == 1
+            assert await read(relay.address) is not None
+            assert len(relay.listener.connections) <= relay.listener.max_connections + 1
+            assert len(relay.relay.source.subscribers) == 1
 
     in_process(story)
 
@@ -660,35 +662,35 @@
     at, nowhere = ("127.0.0.1", free_port()), ("127.0.0.1", free_port())
     conf = Feed(name="r", listen=at, role="relay", level=1, up={"k": nowhere}, folder=tmp_path / "two")
     relay = FeedService(conf, None, lambda *_, **__: None)
-    assert relay.persist is not None
-    relay.station.follower.table = loaded
-    relay.persist.tell(2)
-    relay.persist.anew(loaded)
-    relay.persist.tell(3)
-    for _, *rest in relay.rounds.take():
-        relay._on_durable(*rest)
-        assert relay.station.follower.durable in (0, 3)
-    assert relay.station.follower.durable == 3
-    relay.persist.close()
+    assert relay.archive is not None
+    relay.relay.follower.table = loaded
+    relay.archive.tell(2)
+    relay.archive.anew(loaded)
+    relay.archive.tell(3)
+    for event in relay.inbox.drain():
+        relay.handle(event)
+        assert relay.relay.follower.durable in (0, 3)
+    assert relay.relay.follower.durable == 3
+    relay.archive.close()
 
 
 def test_one_object_for_many_is_encoded_once_and_who_takes_nothing_is_let_go() -> None:
-    encoder = Encoder()
+    encoder = FrameEncoder()
     delta = Delta(1, 2, (("common/x", b"{}", 2),), bytes(16))
     assert encoder.frame(delta) is encoder.frame(delta)
     for place in range(100):
         encoder.frame(Delta(place, place + 1, (), bytes(16)))
-    assert len(encoder.made) <= 16
+    assert len(encoder.encoded) <= 16
 
     async def story() -> None:
         ended: list[bool] = []
-        out = Outgoing(lambda: ended.append(True))
-        out.put(bytes(OUT_BOUND))
+        out = SendQueue(lambda: ended.append(True))
+        out.put(bytes(MAX_QUEUED))
         assert not ended
         out.put(b"x")
         assert ended
         out.put(b"x")
-        assert out.size == OUT_BOUND + 1
+        assert out.size == MAX_QUEUED + 1
 
     anyio.run(story)
 
--- a/tests/test_feed_worlds.py
+++ b/tests/test_feed_worlds.py
@@ -201,13 +201,13 @@
     first = fleet.writer().name
     died = fleet.now
     feed.writer_dies(fleet)
-    fleet.run(died + 10 * SECOND, lambda: any(one.node.holds for one in keepers(fleet) if one.alive))
+    fleet.run(died + 10 * SECOND, lambda: any(one.node.is_writer for one in keepers(fleet) if one.alive))
     assert fleet.writer().name != first
     assert LENGTH // 2 < fleet.now - died < LENGTH + SECOND
     fleet.run(died + 30 * SECOND)
     old = fleet.places[first]
     assert old.alive
-    assert not old.node.holds  # type: ignore[attr-defined]
+    assert not old.node.is_writer  # type: ignore[attr-defined]
     fleet.propose(Propose("later", (("common/x", b"{}"),)))
     fleet.settle()
     assert fleet.made["later"] == fleet.oracle.last == old.number
--- a/tests/test_feed_writer.py
+++ b/tests/test_feed_writer.py
@@ -14,9 +14,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from thistleline.config_feed import client
+from thistleline.config_feed import operations
 from thistleline.config_feed import writer as writers
 from thistleline.config_feed.archive import Archive
+from thistleline.config_feed.effects import CloseDownstream, SendDownstream
+from thistleline.config_feed.events import SubscriberJoined, SubscriberMessage, TimerExpired
 from thistleline.config_feed.history import History
 from thistleline.config_feed.limits import (
     CHANGE_BOUND,
@@ -38,7 +40,7 @@
     decode_group,
     encode,
 )
-from thistleline.config_feed.relay import Station
+from thistleline.config_feed.relay import FeedRelay
 from thistleline.config_feed.table import Table
 from thistleline.config_feed.validation import fault
 from thistleline.config_feed.writer import ASK_AGAIN, CATCH_UP_SPAN, LINE_SIZE, Writer, key_of
@@ -698,14 +700,14 @@
 
 
 def test_a_keeper_that_lost_its_disk_counts_no_more_also_where_it_finds_no_place() -> None:
-    one = Station("a", 0, Table(), ("b", "c"), 0, lambda span: 0, KEEPERS, bound=0)
+    one = FeedRelay("a", 0, Table(), ("b", "c"), 0, lambda span: 0, KEEPERS, max_followers=0)
     assert one.writer is not None
-    one.take(0, "writer", "durable", "b", 5)
+    one.handle_writer(0, "durable", "b", 5)
     for peer in range(8):  # places that are for keepers alone
-        one.take(0, "down", "joined", peer)
-    effects = one.take(0, "down", "joined", 8)
-    assert [effect[0] for effect in effects] == ["down", "close"]
-    one.take(0, "down", "heard", 8, Follow("b", "all", 0, bytes(16)))
+        one.handle(0, SubscriberJoined(peer))
+    effects = one.handle(0, SubscriberJoined(8))
+    assert [type(effect) for effect in effects] == [SendDownstream, CloseDownstream]
+    one.handle(0, SubscriberMessage(8, Follow("b", "all", 0, bytes(16))))
     assert one.writer.durable == {"b": 0}
 
 
@@ -714,13 +716,13 @@
 
     def said(name: str) -> tuple[str, str]:
         node = world.nodes[name]
-        assert isinstance(node, Station)
+        assert isinstance(node, FeedRelay)
         return node.leader, node.source.leader
 
     assert [said(name) for name in ("k0", "k1", "k2")] == [("", ""), ("k0", "k0"), ("k0", "k0")]
     world.end("k1")
     assert said("k1") == ("", "")
-    world.put("k1", "elapsed")  # it asks k2, who does not write
+    world.put("k1", TimerExpired())  # it asks k2, who does not write
     assert said("k1") == ("", "")
 
 
@@ -1393,12 +1395,12 @@
         asked.append(address[0])
         return answers[address[0]]
 
-    monkeypatch.setattr(client, "ask", ask)
-    monkeypatch.setattr(client, "PAUSE", 0.001)
+    monkeypatch.setattr(operations, "request", ask)
+    monkeypatch.setattr(operations, "RETRY_DELAY", 0.001)
     keepers = {name: (name, 1) for name in answers}
     chance = next(one for one in map(Random, range(99)) if one.choice(sorted(keepers)) == "k0")
     monkeypatch.setattr(chance, "choice", min)
-    anyio.run(client.propose, keepers, Propose("x", ()), 1.0, chance)
+    anyio.run(operations.propose, keepers, Propose("x", ()), 1.0, chance)
     return asked
 
 
--- a/thistleline/cli/feed.py
+++ b/thistleline/cli/feed.py
@@ -13,10 +13,11 @@
 import orjson
 
 from thistleline.cli.fleet import Unusable, conf_of, logger, named, tell
-from thistleline.config_feed.client import FeedClient, look_each, propose, snapshot
+from thistleline.config_feed.client import FeedClient
 from thistleline.config_feed.limits import CHANGE_BOUND, ITEMS_BOUND
-from thistleline.config_feed.lookups import written
+from thistleline.config_feed.lookups import is_encodable
 from thistleline.config_feed.messages import Item, Propose, ReadResult
+from thistleline.config_feed.operations import export_table, propose, read_each
 from thistleline.config_feed.table import MADE
 from thistleline.transport.address import Address
 
@@ -150,7 +151,7 @@
 
 def _no_text(words: tuple[str, ...]) -> list[str]:
     """Of arguments whose bytes are no UTF-8: they go over no link."""
-    return [f"{word!r} is no text" for word in words if not written(word)]
+    return [f"{word!r} is no text" for word in words if not is_encodable(word)]
 
 
 def _item(key: str, value: bytes, faults: list[str]) -> list[Item]:
@@ -231,7 +232,7 @@
 
 def _newest(servers: dict[str, Address], keys: tuple[str, ...] = ()) -> tuple[str, ReadResult]:
     """All are asked, lest one that was cut off answers for the rest."""
-    answers = anyio.run(look_each, servers, keys)
+    answers = anyio.run(read_each, servers, keys)
     known = [(one.sequence, name, one) for name, one in answers.items() if one is not None]
     if not known:
         raise click.ClickException(f"none of {', '.join(servers)} answers")
@@ -249,7 +250,7 @@
 def status(conf: str | None, at: tuple[str, ...], as_json: bool) -> None:
     """How each keeper and relay stands; exit code 1 if keepers are asked and none writes."""
     servers = _servers(conf, at, "keeper", "up")
-    answers = anyio.run(look_each, servers)
+    answers = anyio.run(read_each, servers)
     for name in sorted(answers):
         one = answers[name]
         if one is None:
@@ -271,7 +272,7 @@
     """All entries of one state, a JSON line each, as `put --file` reads them."""
     servers = _servers(conf, at, "up", "keeper")
     name, _ = _newest(servers)
-    table = anyio.run(snapshot, {name: servers[name]}, span)
+    table = anyio.run(export_table, {name: servers[name]}, span)
     if table is None:
         raise click.ClickException(f"it is not here in {span:g} s")
     out = sys.stdout.buffer
@@ -303,12 +304,14 @@
         tell(facts, as_json, lambda told: f"{told['number']}  {told['digest']}  {words}")
 
     async def run() -> None:
-        client = FeedClient(f"follow-{os.urandom(4).hex()}", servers, folder=folder, seen=seen, alone=True)
+        client = FeedClient(
+            f"follow-{os.urandom(4).hex()}", servers, folder=folder, on_state=seen, immediate=True
+        )
         async with anyio.create_task_group() as group:
             group.start_soon(client.run)
             group.start_soon(_until_told, group.cancel_scope)
             if until is not None:
-                await client.beyond(until)
+                await client.wait_for(until)
                 group.cancel_scope.cancel()
 
     try:
--- a/thistleline/config_feed/follower.py
+++ b/thistleline/config_feed/follower.py
@@ -1,19 +1,36 @@
-"""Who follows: whom, from what state on, and the newest state it holds. No I/O, no clock.
+"""The follower: which source to follow, from which state on, and the newest state held. No I/O, no clock.
 
-Inputs:  connected name | lost name why | heard name Message | durable number | sources names | elapsed
-         quiet | go [any] [table]
-Effects: (connect name)  (send name Message)  (drop name why)  (took Delta)  (loaded)
-
-After `took` and `loaded` the new state is `table`. After `drop`, and after it was told of `lost`, nothing
-more of that connection is told. `quiet`: it follows nobody, as who writes does; `go` ends that, from
-`table` on where the state was moved meanwhile. `any`: a keeper that is to write catches up from keepers
-that don't write. Silence is judged by `elapsed` alone: what lies unread after a pause is told first. Times
-are ns.
+After `DeltaApplied` and `SnapshotLoaded` the new state is `table`. After `DisconnectUpstream`, and after
+`UpstreamLost` was passed in, nothing more of that connection may be passed in. Staleness is judged by
+`TimerExpired` alone: what arrived during a pause of the process and lies unread is to be passed in first.
+Times are integer nanoseconds.
 """
 
+from __future__ import annotations
+
 from collections.abc import Callable
+from copy import copy as shallow_copy
 from typing import Any, Literal
 
+from thistleline.config_feed.effects import (
+    ConnectUpstream,
+    DeltaApplied,
+    DisconnectUpstream,
+    FollowerEffect,
+    SendUpstream,
+    SnapshotLoaded,
+)
+from thistleline.config_feed.events import (
+    FollowerEvent,
+    FollowingResumed,
+    FollowingSuspended,
+    SourcesChanged,
+    StateDurable,
+    TimerExpired,
+    UpstreamConnected,
+    UpstreamLost,
+    UpstreamMessage,
+)
 from thistleline.config_feed.limits import ENTRIES_BOUND, SILENT, SPREAD
 from thistleline.config_feed.messages import (
     Acknowledge,
@@ -31,15 +48,47 @@
 from thistleline.config_feed.table import Table
 
 Phase = Literal["quiet", "waiting", "connecting", "greeting", "loading", "following"]
-WINDOW = 4  # parts asked for ahead, so that a far source's snapshot is not a round trip a part
+PART_WINDOW = 4  # parts requested ahead, so that loading from far away is not one round trip per part
+MAX_REASON_LENGTH = 100  # characters
 NEVER = 1 << 62
 
 
 class Follower:
+    """Follows one source at a time and holds the newest state that it got whole.
+
+    Attributes:
+        table: The newest state held.
+        phase: `waiting` for the next attempt, `connecting`, `greeting` until the source has answered
+            `Follow`, `loading` a snapshot, `following`; or `quiet`, following nobody.
+        upstream: The source that is followed or being connected to; empty in the phases waiting and quiet.
+        accepted: The last `FollowAccepted` received.
+        durable: The sequence number that a restart would find on the own disk.
+    """
+
     __slots__ = (
-        *("id", "kind", "table", "sources", "now", "spread", "level", "phase", "at", "place", "wait_until"),
-        *("heard_at", "welcome", "epoch", "any", "durable", "unsure", "load", "part", "wanted", "effects"),
-        *("straight", "until"),
+        "_effects",
+        "accept_any_source",
+        "accepted",
+        "durable",
+        "epoch",
+        "follow_until",
+        "id",
+        "kind",
+        "last_received_at",
+        "level",
+        "next_fetch",
+        "next_part",
+        "next_source",
+        "now",
+        "phase",
+        "random_delay",
+        "redirected",
+        "retry_at",
+        "snapshot",
+        "sources",
+        "state_suspect",
+        "table",
+        "upstream",
     )
 
     def __init__(
@@ -49,267 +98,342 @@
         table: Table,
         sources: tuple[str, ...],
         now: int,
-        spread: Callable[[int], int],
+        random_delay: Callable[[int], int],
         level: int = 0,
     ) -> None:
-        """`sources`: whom to try, in that order; `spread`: a random part of a span; `level`: 0 for a keeper
-        and for who serves nobody."""
-        self.id, self.kind, self.table, self.sources, self.now = id, kind, table, sources, now
-        self.spread, self.level = spread, level
+        """Start with the first attempt due within `SPREAD`.
+
+        Args:
+            id: The id to follow under.
+            kind: What to hold.
+            table: The state to go on from.
+            sources: Names of the sources, in order of preference.
+            now: Time in ns.
+            random_delay: Draws a random part of a duration in ns, for the backoff between attempts.
+            level: The own distance from the writer; 0 for a keeper, and for an instance, which serves nobody.
+        """
+        self.id = id
+        self.kind = kind
+        self.table = table
+        self.sources = sources
+        self.now = now
+        self.random_delay = random_delay
+        self.level = level
         self.phase: Phase = "waiting"
-        self.at = ""  # whom it follows, or is about to
-        self.place = 0  # in `sources`, of the next to try
-        self.wait_until = now + spread(SPREAD)
-        self.heard_at = now
-        self.welcome: FollowAccepted | None = None  # the last one
-        self.epoch = 0  # the highest seen
-        self.any = False
+        self.upstream = ""
+        self.next_source = 0  # index into `sources` of the next one to try
+        self.retry_at = now + random_delay(SPREAD)
+        self.last_received_at = now
+        self.accepted: FollowAccepted | None = None
+        self.epoch = 0  # the highest one seen of a writer
+        self.accept_any_source = False
         self.durable = 0
-        self.unsure = False  # its state is not what its source calls by that number: it loads anew
-        self.straight = False  # it goes where it was sent to, by one that does not write
-        self.until = 0  # the number up to which a keeper takes from one that does not write
-        self.load: Table | None = None  # as far as it came
-        self.part = self.wanted = 0  # the next to come, and to ask for
-        self.effects: list[tuple[Any, ...]] = []
-
-    def copy(self) -> "Follower":
-        made = Follower.__new__(Follower)
-        for name in self.__slots__:
-            setattr(made, name, getattr(self, name))
-        made.effects = []
+        self.state_suspect = False  # a digest differed: the next source is asked for a snapshot
+        self.redirected = False  # the next attempt goes where a source that is not the writer sent it
+        self.follow_until = 0  # sequence number up to which a keeper follows one that is not the writer
+        self.snapshot: Table | None = None  # as far as it is loaded
+        self.next_part = 0  # index of the snapshot's part that has to come next
+        self.next_fetch = 0  # index of the part to request next
+        self._effects: list[FollowerEffect] = []
+
+    def copy(self) -> Follower:
+        """Return a follower that goes its own way from here."""
+        made = shallow_copy(self)
+        made._effects = []
         return made
 
-    def frozen(self) -> tuple[Any, ...]:
-        """All that what it does can depend on; tables by number and digest, times from now."""
-        load = self.load
+    def state_key(self) -> tuple[Any, ...]:
+        """Return all that its behaviour can depend on; tables by number and digest, times relative to now."""
+        snapshot = self.snapshot
         return (
-            *(
-                self.id,
-                self.kind,
-                self.level,
-                self.table.sequence,
-                self.table.digest(self.kind),
-                self.sources,
-            ),
-            *(self.phase, self.at, self.place, self.welcome, self.epoch, self.any, self.durable, self.unsure),
-            *(load and (load.sequence, load.digest(self.kind)), self.part, self.wanted),
-            *(self.straight, self.until),
-            *(self.wait_until - self.now if self.phase == "waiting" else 0,),
-            *(self.heard_at - self.now if self.at else 0,),
+            self.id,
+            self.kind,
+            self.level,
+            self.table.sequence,
+            self.table.digest(self.kind),
+            self.sources,
+            self.phase,
+            self.upstream,
+            self.next_source,
+            self.accepted,
+            self.epoch,
+            self.accept_any_source,
+            self.durable,
+            self.state_suspect,
+            snapshot and (snapshot.sequence, snapshot.digest(self.kind)),
+            self.next_part,
+            self.next_fetch,
+            self.redirected,
+            self.follow_until,
+            self.retry_at - self.now if self.phase == "waiting" else 0,
+            self.last_received_at - self.now if self.upstream else 0,
         )
 
-    # ---- from outside
+    # ---- events
 
-    def take(self, now: int, kind: str, *told: Any) -> list[tuple[Any, ...]]:
+    def handle(self, now: int, event: FollowerEvent) -> list[FollowerEffect]:
+        """Take in one event at the time `now` and return what has to be done."""
         self.now = max(self.now, now)
-        getattr(self, f"_{kind}")(*told)
-        effects, self.effects = self.effects, []
+        match event:
+            case UpstreamMessage():
+                self._on_message(event.source, event.message)
+            case TimerExpired():
+                self._on_timer()
+            case StateDurable():
+                self._on_durable(event.sequence)
+            case UpstreamConnected():
+                self._on_connected(event.source)
+            case UpstreamLost():
+                self._on_lost(event.source)
+            case SourcesChanged():
+                self._on_sources(event.sources)
+            case FollowingSuspended():
+                self._suspend()
+            case FollowingResumed():
+                self._resume(event.any_source, event.table)
+        effects, self._effects = self._effects, []
         return effects
 
-    def due(self) -> int:
+    def next_deadline(self) -> int:
+        """Return when `TimerExpired` is to be passed in, in ns."""
         if self.phase == "quiet" or not self.sources:
             return NEVER
-        return self.wait_until if self.phase == "waiting" else self.heard_at + SILENT
-
-    def _sources(self, names: tuple[str, ...]) -> None:
-        self.sources, self.place = names, 0
-        if self.at in names:
-            self.place = names.index(self.at)
-        elif self.at:
-            self._leave("not to be followed any more")
-            self.place = 0
+        return self.retry_at if self.phase == "waiting" else self.last_received_at + SILENT
+
+    def _on_sources(self, sources: tuple[str, ...]) -> None:
+        self.sources = sources
+        self.next_source = 0
+        if self.upstream in sources:
+            self.next_source = sources.index(self.upstream)
+        elif self.upstream:
+            self._disconnect("not to be followed any more")
+            self.next_source = 0
         elif self.phase == "waiting":
-            self.wait_until = min(self.wait_until, self.now + self.spread(SPREAD))
+            self.retry_at = min(self.retry_at, self.now + self.random_delay(SPREAD))
 
-    def _quiet(self) -> None:
-        if self.at:
-            self._leave("it writes")
+    def _suspend(self) -> None:
+        if self.upstream:
+            self._disconnect("it writes")
         self.phase = "quiet"
 
-    def _go(self, any: bool = False, table: Table | None = None) -> None:
-        self.any = any
+    def _resume(self, any_source: bool, table: Table | None) -> None:
+        self.accept_any_source = any_source
         if table is not None and self.phase == "quiet" and table.sequence >= self.table.sequence:
             self.table = table
         if self.phase == "quiet":
-            self._wait()
-        elif self.phase in ("loading", "following") and self.welcome and not self._fits(self.welcome):
-            self._leave("it does not write")
-
-    def _durable(self, number: int) -> None:
-        if self.phase != "quiet":  # there `go` brings the table that this counts for
-            number = min(number, self.table.sequence)
-        if number > self.durable:
-            self.durable = number
+            self._back_off()
+        elif self.phase in ("loading", "following") and self.accepted and not self._eligible(self.accepted):
+            self._disconnect("it does not write")
+
+    def _on_durable(self, sequence: int) -> None:
+        if self.phase != "quiet":  # while suspended the table that this is about comes with the resumption
+            sequence = min(sequence, self.table.sequence)
+        if sequence > self.durable:
+            self.durable = sequence
             if self.kind == "all" and self.phase in ("loading", "following"):
-                self._have()  # of the others nobody counts it
+                self._acknowledge()  # of other kinds nobody counts it
 
-    def _elapsed(self) -> None:
-        if self.now < self.due():
+    def _on_timer(self) -> None:
+        if self.now < self.next_deadline():
             return
         if self.phase != "waiting":
-            self._leave("silent")
+            self._disconnect("silent")
             return
-        self.at = self.sources[self.place % len(self.sources)]
-        self.phase, self.heard_at = "connecting", self.now
-        self.effects.append(("connect", self.at))
-
-    def _connected(self, name: str) -> None:
-        if name == self.at and self.phase == "connecting":
-            self.phase, self.heard_at = "greeting", self.now
-            digest = b"" if self.unsure else self.table.digest(self.kind)
+        self.upstream = self.sources[self.next_source % len(self.sources)]
+        self.phase = "connecting"
+        self.last_received_at = self.now
+        self._effects.append(ConnectUpstream(self.upstream))
+
+    def _on_connected(self, source: str) -> None:
+        if source == self.upstream and self.phase == "connecting":
+            self.phase = "greeting"
+            self.last_received_at = self.now
+            digest = b"" if self.state_suspect else self.table.digest(self.kind)
             self._send(Follow(self.id, self.kind, self.table.sequence, digest, self.level))
 
-    def _lost(self, name: str, why: str) -> None:
-        if self.at and name == self.at:
-            self._wait()
+    def _on_lost(self, source: str) -> None:
+        if self.upstream and source == self.upstream:
+            self._back_off()
 
-    def _heard(self, name: str, message: SourceMessage) -> None:
-        if name != self.at or self.phase not in ("greeting", "loading", "following"):
+    def _on_message(self, source: str, message: SourceMessage) -> None:
+        if source != self.upstream or self.phase not in ("greeting", "loading", "following"):
             return
-        self.heard_at = self.now
+        self.last_received_at = self.now
         match message:
             case FollowRejected():
-                self._leave(f"refused: {message.reason}"[:100])
+                self._disconnect(f"refused: {message.reason}"[:MAX_REASON_LENGTH])
             case FollowAccepted():
-                self._welcomed(message)
+                self._on_accepted(message)
             case _ if self.phase == "greeting":
-                self._leave("no FollowAccepted")
+                self._disconnect("no Welcome")
             case Heartbeat():
-                self._beat(message)
+                self._on_heartbeat(message)
             case Delta():
-                self._delta(message)
+                self._apply_delta(message)
             case SnapshotPart():
-                self._part(message)
+                self._add_part(message)
 
-    # ---- to a source
+    # ---- to the source
 
     def _send(self, message: FollowerMessage) -> None:
-        self.effects.append(("send", self.at, message))
+        self._effects.append(SendUpstream(self.upstream, message))
 
-    def _have(self) -> None:
+    def _acknowledge(self) -> None:
         self._send(Acknowledge(self.table.sequence, self.durable))
 
-    def _leave(self, why: str) -> None:
-        self.effects.append(("drop", self.at, why))
-        self._wait()
-
-    def _wait(self) -> None:
-        """The next one, after a wait of its own: guards against all of a dead one's coming at once. Keepers
-        are few, and the relays wait for what they find."""
-        self.phase, self.at, self.load, self.straight, self.until = "waiting", "", None, False, 0
-        self.place = (self.place + 1) % max(1, len(self.sources))
-        keeper = self.kind == "all" and not self.level
-        self.wait_until = self.now + self.spread(SPREAD // 4 if keeper else SPREAD)
-
-    def _doubt(self) -> None:
-        """Its own state or the source's is not what it seems: the next one gives it all of its own."""
-        self.unsure, self.durable = True, 0
-        self._leave("another digest")
+    def _fetch_next_part(self) -> None:
+        assert self.accepted is not None
+        self._send(FetchPart(self.accepted.sequence, self.next_fetch))
+        self.next_fetch += 1
+
+    def _disconnect(self, reason: str) -> None:
+        self._effects.append(DisconnectUpstream(self.upstream, reason))
+        self._back_off()
+
+    def _back_off(self) -> None:
+        """Try the next source after a random wait.
+
+        Prevents the followers of a dead source from all arriving at the next one at once. Keepers wait for
+        less: there are few of them, and the relays wait for what they find.
+        """
+        self.phase = "waiting"
+        self.upstream = ""
+        self.snapshot = None
+        self.redirected = False
+        self.follow_until = 0
+        self.next_source = (self.next_source + 1) % max(1, len(self.sources))
+        is_keeper = self.kind == "all" and not self.level
+        self.retry_at = self.now + self.random_delay(SPREAD // 4 if is_keeper else SPREAD)
+
+    def _suspect_state(self) -> None:
+        """Reload all from the next source: either the own state or the source's is not what it should be."""
+        self.state_suspect = True
+        self.durable = 0
+        self._disconnect("another digest")
 
-    # ---- from a source
+    # ---- from the source
 
-    def _fits(self, told: FollowAccepted) -> bool:
+    def _eligible(self, accepted: FollowAccepted) -> bool:
+        """Return whether this follower may follow a source that says so of itself."""
         if self.level:
-            return told.level < self.level
+            return accepted.level < self.level
         if self.kind == "wide":
             return True
-        if told.level:
+        if accepted.level:
             return False
-        return self.any or (told.is_writer and told.epoch >= self.epoch)
+        return self.accept_any_source or (accepted.is_writer and accepted.epoch >= self.epoch)
 
-    def _welcomed(self, told: FollowAccepted) -> None:
-        if min(told.sequence, told.epoch, told.level) < 0:
-            self._leave("out of bounds")
+    def _on_accepted(self, accepted: FollowAccepted) -> None:
+        if min(accepted.sequence, accepted.epoch, accepted.level) < 0:
+            self._disconnect("out of bounds")
             return
-        self.welcome = told
-        if self._lends(told):
-            self.phase, self.until = "following", told.newest
-            return
-        if not self._fits(told):
-            # Once: guards against two that send it to each other.
-            straight = not self.level and not self.straight and told.leader in self.sources
-            self._leave("not above it" if self.level else "it does not write")
-            if straight:
-                self.straight, self.place = True, self.sources.index(told.leader)
-                self.wait_until = self.now
-            return
-        self.epoch, self.until = max(self.epoch, told.epoch), 0
-        if told.load_snapshot:
-            if told.sequence < self.table.sequence:
-                self._leave("its snapshot is older")
-                return
-            self.phase, self.load = "loading", Table()
-            self.part = self.wanted = 0
-            while self.wanted < WINDOW:
-                self._want()
-        elif self.phase == "greeting" and told.sequence == self.table.sequence and not self.unsure:
+        self.accepted = accepted
+        if self._eligible_for_now(accepted):
             self.phase = "following"
-            if self.durable:
-                self._have()
-        elif self.phase != "following":  # there it only tells anew who writes
-            self._leave("out of turn")
+            self.follow_until = accepted.newest
+        elif not self._eligible(accepted):
+            self._leave_ineligible(accepted)
+        else:
+            self.epoch = max(self.epoch, accepted.epoch)
+            self.follow_until = 0
+            self._go_on(accepted)
 
-    def _lends(self, told: FollowAccepted) -> bool:
-        """Whether a keeper that finds nobody who writes takes from this one what leads on from its own
-        state: no more than that was ever decided. No snapshot, as nobody says that it is of this feed."""
+    def _eligible_for_now(self, accepted: FollowAccepted) -> bool:
+        """Return whether a keeper that finds no writer takes from this one what leads on from its own state.
+
+        No more than that was ever decided. It takes no snapshot: nobody says that it is of this feed.
+        """
         return (
-            (self.kind, self.level, told.level, self.phase) == ("all", 0, 0, "greeting")
-            and not (self._fits(told) or told.leader or told.load_snapshot or self.unsure)
-            and told.sequence == self.table.sequence < told.newest
+            (self.kind, self.level, accepted.level, self.phase) == ("all", 0, 0, "greeting")
+            and not (
+                self._eligible(accepted) or accepted.leader or accepted.load_snapshot or self.state_suspect
+            )
+            and accepted.sequence == self.table.sequence < accepted.newest
         )
 
-    def _want(self) -> None:
-        assert self.welcome is not None
-        self._send(FetchPart(self.welcome.sequence, self.wanted))
-        self.wanted += 1
+    def _leave_ineligible(self, accepted: FollowAccepted) -> None:
+        # Once in a row: prevents two keepers from sending this one back and forth without a wait.
+        redirect = not self.level and not self.redirected and accepted.leader in self.sources
+        self._disconnect("not above it" if self.level else "it does not write")
+        if redirect:
+            self.redirected = True
+            self.next_source = self.sources.index(accepted.leader)
+            self.retry_at = self.now
+
+    def _go_on(self, accepted: FollowAccepted) -> None:
+        """Load the snapshot that the source offers, or follow on from the own state."""
+        if accepted.load_snapshot:
+            self._begin_snapshot(accepted)
+        elif self.phase == "greeting" and accepted.sequence == self.table.sequence and not self.state_suspect:
+            self.phase = "following"
+            if self.durable:
+                self._acknowledge()
+        elif self.phase != "following":  # while following it only tells anew who the writer is
+            self._disconnect("out of turn")
 
-    def _delta(self, told: Delta) -> None:
-        if self.phase != "following" or told.first != self.table.sequence or told.last <= told.first:
-            self._leave("what it sends does not lead from here")
+    def _begin_snapshot(self, accepted: FollowAccepted) -> None:
+        if accepted.sequence < self.table.sequence:
+            self._disconnect("its snapshot is older")
+            return
+        self.phase = "loading"
+        self.snapshot = Table()
+        self.next_part = 0
+        self.next_fetch = 0
+        while self.next_fetch < PART_WINDOW:
+            self._fetch_next_part()
+
+    def _apply_delta(self, delta: Delta) -> None:
+        if self.phase != "following" or delta.first != self.table.sequence or delta.last <= delta.first:
+            self._disconnect("what it sends does not lead from here")
             return
-        table = self.table.moved(told.last, told.items, self.kind)
-        if table.digest(self.kind) != told.digest:
-            self._doubt()
+        table = self.table.moved(delta.last, delta.items, self.kind)
+        if table.digest(self.kind) != delta.digest:
+            self._suspect_state()
         elif table.count(self.kind) > ENTRIES_BOUND:
-            self._leave("too many entries")
+            self._disconnect("too many entries")
         else:
             self.table = table
-            self.effects.append(("took", told))
-            if 0 < self.until <= told.last:
-                self._leave("it does not write")
+            self._effects.append(DeltaApplied(delta))
+            if 0 < self.follow_until <= delta.last:
+                self._disconnect("it does not write")
             else:
-                self._have()
+                self._acknowledge()
 
-    def _part(self, told: SnapshotPart) -> None:
-        if self.phase != "loading" or self.load is None or self.welcome is None:
+    def _add_part(self, part: SnapshotPart) -> None:
+        if self.phase != "loading" or self.snapshot is None or self.accepted is None:
             return
-        if told.sequence != self.welcome.sequence:
-            return  # of a load that its source began anew since
-        if told.index != self.part:
-            self._leave("a part out of turn")
+        if part.sequence != self.accepted.sequence:
+            return  # of a snapshot that its source has replaced since
+        if part.index != self.next_part:
+            self._disconnect("a part out of turn")
             return
-        self.load = self.load.moved(told.sequence, told.items, self.kind)
-        self.part += 1
-        if self.load.count(self.kind) > ENTRIES_BOUND:
-            self._leave("too many entries")
-        elif told.parts != self.part:
-            self._want()
-        elif self.load.digest(self.kind) != told.digest:
-            self._doubt()
+        self.snapshot = self.snapshot.moved(part.sequence, part.items, self.kind)
+        self.next_part += 1
+        if self.snapshot.count(self.kind) > ENTRIES_BOUND:
+            self._disconnect("too many entries")
+        elif part.parts != self.next_part:
+            self._fetch_next_part()
+        elif self.snapshot.digest(self.kind) != part.digest:
+            self._suspect_state()
         else:
-            self.table, self.load, self.phase, self.unsure = self.load, None, "following", False
-            self.durable = 0  # what lies there till the new state does may be of another line
-            self.effects.append(("loaded",))
-            self._have()
-
-    def _beat(self, told: Heartbeat) -> None:
-        if self.phase == "following" and told.sequence < self.table.sequence:
-            self._leave("behind")
-        elif (
-            self.phase == "following"
-            and told.sequence == self.table.sequence
-            and told.digest != self.table.digest(self.kind)
-        ):
-            self._doubt()
+            self._take_snapshot(self.snapshot)
+
+    def _take_snapshot(self, snapshot: Table) -> None:
+        """Hold the snapshot, which is whole."""
+        self.table = snapshot
+        self.snapshot = None
+        self.phase = "following"
+        self.state_suspect = False
+        self.durable = 0  # what is on disk until the new state is there may be of another history
+        self._effects.append(SnapshotLoaded())
+        self._acknowledge()
+
+    def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
+        if self.phase != "following" or heartbeat.sequence > self.table.sequence:
+            self._acknowledge()
+        elif heartbeat.sequence < self.table.sequence:
+            self._disconnect("behind")
+        elif heartbeat.digest != self.table.digest(self.kind):
+            self._suspect_state()
         else:
-            self._have()
+            self._acknowledge()
--- a/thistleline/config_feed/lookups.py
+++ b/thistleline/config_feed/lookups.py
@@ -1,139 +1,181 @@
 """An instance's view of the configuration: look-ups that never wait. No I/O, no clock.
 
-Inputs and effects are those of its Follower (feed/follower.py), and (send name FetchTenants). All sections
-but the tenants' are the follower's table; of the tenants those that were looked up are held, at most
-`bound`, the least lately used go first. What is held counts at the table's number, always: a Delta is
-applied to both in one input, and an answer of another number is dropped and asked anew. So nobody sees half
-of a change, nor an older value after a newer one; a tenant that is not known yet, or no more, is said to be
-so.
+All sections but the tenants' are the follower's table; of the tenants those that were looked up are cached,
+at most `max_tenants`, and the least recently used go first. What is cached is valid at the table's sequence
+number, always: a delta is applied to both in one event, and an answer of another number is dropped and
+fetched anew. So nobody sees half of a change, nor an older value after a newer one; a tenant that is not
+known yet, or not any more, is reported as such.
 """
 
+from __future__ import annotations
+
 from collections import OrderedDict
 from itertools import islice
 from typing import Any, NamedTuple
 
+from thistleline.config_feed.effects import DeltaApplied, FollowerEffect, SendUpstream, SnapshotLoaded
+from thistleline.config_feed.events import FollowerEvent, UpstreamMessage
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.limits import ASKED_BOUND, KEY_BOUND, STALL, TENANTS_CACHE
 from thistleline.config_feed.messages import Delta, FetchTenants, TenantEntries
 from thistleline.config_feed.table import TENANT
 
 
-class Found(NamedTuple):
-    value: bytes | None  # None: not there
-    version: int  # the number of the change that set it, 0 for what is not there
-    known: bool  # else it is asked for; till then the caller goes by the common share, `common/tenant`
+class LookupResult(NamedTuple):
+    """The answer to a look-up.
+
+    Attributes:
+        value: None for a key that does not exist.
+        version: Sequence number of the change that set the value, 0 for a key that does not exist.
+        known: Whether this is an answer; else the key is being fetched, and until then the caller uses the
+            shared default, `common/tenant`.
+    """
+
+    value: bytes | None
+    version: int
+    known: bool
+
 
+ABSENT = LookupResult(None, 0, True)
+UNKNOWN = LookupResult(None, 0, False)
 
-ABSENT, UNKNOWN = Found(None, 0, True), Found(None, 0, False)
 
+class LookupCache:
+    """A follower of the kind "wide" and a cache of tenants; events and effects are those of the follower.
 
-class Lookups:
-    __slots__ = ("asked", "asked_at", "bound", "follower", "tenants", "wanted")
+    Attributes:
+        tenants: What is cached, the least recently used first.
+        wanted: Keys that were looked up and not requested yet.
+        requested: Keys that were requested on this connection and not answered yet.
+    """
 
-    def __init__(self, follower: Follower, bound: int = TENANTS_CACHE) -> None:
-        """`follower`: of the kind "wide", and told of nothing but through this."""
-        self.follower, self.bound = follower, bound
-        self.tenants: OrderedDict[str, Found] = OrderedDict()  # the least lately used first
-        self.wanted: OrderedDict[str, None] = OrderedDict()  # looked up, not asked for yet
-        self.asked: dict[str, None] = {}  # on this link, not answered yet
-        self.asked_at = 0
+    __slots__ = ("follower", "max_tenants", "requested", "requested_at", "tenants", "wanted")
 
-    def copy(self) -> "Lookups":
-        made = Lookups(self.follower.copy(), self.bound)
-        made.tenants, made.wanted, made.asked = self.tenants.copy(), self.wanted.copy(), self.asked.copy()
-        made.asked_at = self.asked_at
+    def __init__(self, follower: Follower, max_tenants: int = TENANTS_CACHE) -> None:
+        """Begin with an empty cache; all events for `follower` have to come through `handle`."""
+        self.follower = follower
+        self.max_tenants = max_tenants
+        self.tenants: OrderedDict[str, LookupResult] = OrderedDict()
+        self.wanted: OrderedDict[str, None] = OrderedDict()
+        self.requested: dict[str, None] = {}
+        self.requested_at = 0  # ns
+
+    def copy(self) -> LookupCache:
+        """Return a cache that goes its own way from here."""
+        made = LookupCache(self.follower.copy(), self.max_tenants)
+        made.tenants = self.tenants.copy()
+        made.wanted = self.wanted.copy()
+        made.requested = self.requested.copy()
+        made.requested_at = self.requested_at
         return made
 
-    def frozen(self) -> tuple[Any, ...]:
+    def state_key(self) -> tuple[Any, ...]:
+        """Return all that its behaviour can depend on, with times relative to now."""
         return (
-            self.follower.frozen(),
-            *(tuple(self.tenants.items()), tuple(self.wanted), tuple(self.asked)),
-            self.asked_at - self.follower.now if self.asked else 0,
+            self.follower.state_key(),
+            tuple(self.tenants.items()),
+            tuple(self.wanted),
+            tuple(self.requested),
+            self.requested_at - self.follower.now if self.requested else 0,
         )
 
-    # ---- for whoever serves by it
+    def lookup(self, key: str) -> LookupResult:
+        """Return what is known of a key, at the same cost however much is held.
 
-    def look(self, key: str) -> Found:
-        """Costs the same whatever is held. After a first look at a tenant `due` is now: it is asked for."""
+        After the first look-up of a tenant `next_deadline` is now: the tenant is requested then.
+        """
         if not key.startswith(TENANT):
-            entry = self.follower.table.wide.get(key)
-            if entry is None:
-                return ABSENT if self.follower.table.sequence else UNKNOWN
-            return Found(*entry, True)
-        found = self.tenants.get(key)
-        if found is not None:
+            return self._lookup_wide(key)
+        cached = self.tenants.get(key)
+        if cached is not None:
             self.tenants.move_to_end(key)
-            return found
-        if len(key) > KEY_BOUND or not written(key):
+            return cached
+        if len(key) > KEY_BOUND or not is_encodable(key):
             return ABSENT  # no change can have set it
-        if key not in self.asked and len(self.wanted) < self.bound:
+        if key not in self.requested and len(self.wanted) < self.max_tenants:
             self.wanted[key] = None
         return UNKNOWN
 
-    # ---- from outside
+    def _lookup_wide(self, key: str) -> LookupResult:
+        entry = self.follower.table.wide.get(key)
+        if entry is None:
+            return ABSENT if self.follower.table.sequence else UNKNOWN
+        return LookupResult(*entry, True)
+
+    # ---- events
 
-    def take(self, now: int, kind: str, *told: Any) -> list[tuple[Any, ...]]:
+    def handle(self, now: int, event: FollowerEvent) -> list[FollowerEffect]:
+        """Take in one event at the time `now` and return what has to be done."""
         follower = self.follower
-        effects = follower.take(now, kind, *told)
-        if kind == "heard" and isinstance(told[1], TenantEntries) and told[0] == follower.at:
-            self._told(told[1])
-        for name, *rest in effects:
-            if name == "took":
-                self._took(rest[0])
-            elif name == "loaded":
-                self.tenants.clear()  # what changed between is not known
-        if follower.phase not in ("loading", "following") or follower.now >= self.asked_at + STALL:
-            self._again()
-        if self._asks():
-            asked = tuple(islice(self.wanted, ASKED_BOUND))
-            for key in asked:
-                del self.wanted[key]
-                self.asked[key] = None
-            self.asked_at = follower.now
-            effects.append(("send", follower.at, FetchTenants(asked)))
+        effects = follower.handle(now, event)
+        if (
+            isinstance(event, UpstreamMessage)
+            and isinstance(event.message, TenantEntries)
+            and event.source == follower.upstream
+        ):
+            self._on_tenant_entries(event.message)
+        for effect in effects:
+            if isinstance(effect, DeltaApplied):
+                self._on_delta(effect.delta)
+            elif isinstance(effect, SnapshotLoaded):
+                self.tenants.clear()  # which of them changed in between is not known
+        if follower.phase not in ("loading", "following") or follower.now >= self.requested_at + STALL:
+            self._requeue_requested()
+        if self._can_request():
+            effects.append(SendUpstream(follower.upstream, self._next_request()))
         return effects
 
-    def due(self) -> int:
-        if self._asks():
+    def next_deadline(self) -> int:
+        """Return when `TimerExpired` is to be passed in, in ns."""
+        if self._can_request():
             return self.follower.now
-        return min(self.follower.due(), self.asked_at + STALL) if self.asked else self.follower.due()
-
-    def _asks(self) -> bool:
-        return bool(self.wanted) and not self.asked and self.follower.phase == "following"
-
-    def _again(self) -> None:
-        """No answer will come to what was asked."""
-        for key in reversed(self.asked):
+        deadline = self.follower.next_deadline()
+        return min(deadline, self.requested_at + STALL) if self.requested else deadline
+
+    def _can_request(self) -> bool:
+        return bool(self.wanted) and not self.requested and self.follower.phase == "following"
+
+    def _next_request(self) -> FetchTenants:
+        keys = tuple(islice(self.wanted, ASKED_BOUND))
+        for key in keys:
+            del self.wanted[key]
+            self.requested[key] = None
+        self.requested_at = self.follower.now
+        return FetchTenants(keys)
+
+    def _requeue_requested(self) -> None:
+        """Request first of all what will not be answered any more."""
+        for key in reversed(self.requested):
             self.wanted[key] = None
             self.wanted.move_to_end(key, last=False)
-        self.asked = {}
+        self.requested = {}
 
-    def _told(self, told: TenantEntries) -> None:
-        current = told.sequence == self.follower.table.sequence
-        for key, value, version in told.items:
-            if key not in self.asked:
+    def _on_tenant_entries(self, answer: TenantEntries) -> None:
+        is_current = answer.sequence == self.follower.table.sequence
+        for key, value, version in answer.items:
+            if key not in self.requested:
                 continue
-            del self.asked[key]
-            if current:
-                self._hold(key, ABSENT if value is None else Found(value, version, True))
+            del self.requested[key]
+            if is_current:
+                self._cache(key, ABSENT if value is None else LookupResult(value, version, True))
             else:
                 self.wanted[key] = None
 
-    def _hold(self, key: str, found: Found) -> None:
-        self.tenants[key] = found
-        while len(self.tenants) > self.bound:
+    def _cache(self, key: str, result: LookupResult) -> None:
+        self.tenants[key] = result
+        while len(self.tenants) > self.max_tenants:
             self.tenants.popitem(last=False)
 
-    def _took(self, delta: Delta) -> None:
+    def _on_delta(self, delta: Delta) -> None:
         if delta.evict_tenants:
             self.tenants.clear()
         for key, value, version in delta.items:
             if key in self.tenants:
-                self.tenants[key] = ABSENT if value is None else Found(value, version, True)
+                self.tenants[key] = ABSENT if value is None else LookupResult(value, version, True)
 
 
-def written(key: str) -> bool:
-    """Whether it can go over a link."""
+def is_encodable(key: str) -> bool:
+    """Return whether the key can go over a connection, as UTF-8."""
     try:
         key.encode()
     except UnicodeEncodeError:
--- /dev/null
+++ b/thistleline/config_feed/record_client.py
@@ -0,0 +1,44 @@
+"""Requests of the writer for its records in the consensus cluster."""
+
+from __future__ import annotations
+
+from anyio.abc import TaskGroup
+
+from thistleline.config_feed.inbox import EventSink
+from thistleline.config_feed.service_events import RecordAnswered
+from thistleline.lease.client import Council
+from thistleline.lease.protocol import Denied, Done, Get, Got, Put
+
+READ_TIMEOUT = 0.8  # s; the writer asks again each second
+
+
+class RecordClient:
+    """Reads and writes records; the answers go to the inbox with the epoch of the request."""
+
+    def __init__(self, client: Council, tasks: TaskGroup, inbox: EventSink[RecordAnswered]) -> None:
+        """Send requests by this client, each in a task of its own."""
+        self._client = client
+        self._tasks = tasks
+        self._inbox = inbox
+
+    def read(self, epoch: int, slot: int, key: str) -> None:
+        """Ask once for a record; the writer asks again where no answer comes."""
+        self._tasks.start_soon(self._read, epoch, slot, key)
+
+    def write(self, epoch: int, slot: int, put: Put) -> None:
+        """Write a record."""
+        self._tasks.start_soon(self._write, epoch, slot, put)
+
+    async def _read(self, epoch: int, slot: int, key: str) -> None:
+        answer = await self._client.surely(Get(key), READ_TIMEOUT)
+        if isinstance(answer, Got):
+            self._inbox.put(RecordAnswered(epoch, ("got", slot, answer.value, answer.version)))
+
+    async def _write(self, epoch: int, slot: int, put: Put) -> None:
+        answer = await self._client.ask(put)
+        if isinstance(answer, Done):
+            self._inbox.put(RecordAnswered(epoch, ("put_done", slot, answer.number)))
+        elif isinstance(answer, Denied):
+            self._inbox.put(RecordAnswered(epoch, ("put_denied", slot, answer.why)))
+        else:
+            self._inbox.put(RecordAnswered(epoch, ("put_unknown", slot)))
--- a/thistleline/config_feed/relay.py
+++ b/thistleline/config_feed/relay.py
@@ -1,35 +1,93 @@
-"""A keeper or a relay: source, follower and writer as one reducer, as the service runs it. No I/O, no clock.
+"""A keeper or a relay: follower, source and writer as one state machine, as the service runs it.
 
-Inputs:  up KIND ... (the side that follows)  down KIND ... (the side that serves)  writer KIND ...
-         durable number (its disk has the state so far)  elapsed
-Effects: (connect name)  (drop name why)  (up name Message)  (down peer Message)  (close peer why)
-         (step Table first items)  (anew Table)
-         (get slot key)  (put slot Put)  (answer ticket ProposeResult)  (release why)  (log event facts)
-
-`step` and `anew` say what is to be kept on disk: the state now, and what was touched since the state `first`.
+No I/O, no clock. Events for one of the three are passed on to it; what one of them must know of another is
+passed on here. The effects are those of the three, but for those that only concern another one, and
+`PersistStep` and `PersistTable` for the own disk.
 """
 
+from __future__ import annotations
+
 from collections.abc import Callable
-from typing import Any
+from copy import copy as shallow_copy
+from typing import Any, Literal, NamedTuple
 
 import msgspec
 
+from thistleline.config_feed.effects import (
+    DeltaApplied,
+    PersistStep,
+    PersistTable,
+    SnapshotLoaded,
+    SubscriberDurable,
+)
+from thistleline.config_feed.events import (
+    FollowerEvent,
+    FollowingResumed,
+    FollowingSuspended,
+    HistoryAdvanced,
+    HistoryReplaced,
+    SourceEvent,
+    StateDurable,
+    SubscriberJoined,
+    SubscriberLeft,
+    SubscriberMessage,
+    TimerExpired,
+    UpstreamConnected,
+    UpstreamLost,
+    UpstreamMessage,
+    WriterChanged,
+)
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.history import History, Items
-from thistleline.config_feed.limits import FOLLOWERS_BOUND
+from thistleline.config_feed.limits import FOLLOWERS_BOUND, REQUEST_BOUND
 from thistleline.config_feed.messages import Follow, Propose, ProposeResult
 from thistleline.config_feed.source import Source
 from thistleline.config_feed.table import Table
 from thistleline.config_feed.writer import Writer
 
 NEVER = 1 << 62
-Effects = list[tuple[Any, ...]]
+RelayEvent = (
+    SubscriberMessage
+    | SubscriberJoined
+    | SubscriberLeft
+    | UpstreamMessage
+    | UpstreamConnected
+    | UpstreamLost
+    | StateDurable
+    | TimerExpired
+)
+RelayEffect = Any
+FollowMode = Literal["writer", "any", "nobody"]
+
+
+class KnownWriter(NamedTuple):
+    """What is known of the writer."""
+
+    epoch: int = 0  # fencing epoch of its lease, 0 while unknown
+    is_here: bool = False
+    leader: str = ""  # which other keeper it is, if known
 
 
-class Station:
+class FeedRelay:
+    """A keeper, or a relay, which is one without a writer.
+
+    Attributes:
+        known_writer: What the source was last told of the writer.
+    """
+
     __slots__ = (
-        *("id", "level", "history", "source", "follower", "writer", "way", "told", "peers", "hearing", "out"),
-        "kept",
+        "_effects",
+        "_follow_mode",
+        "_keeper_peers",
+        "_persisted",
+        "_sender",
+        "follower",
+        "history",
+        "id",
+        "known_writer",
+        "level",
+        "source",
+        "writer",
     )
 
     def __init__(
@@ -39,184 +97,241 @@
         table: Table,
         sources: tuple[str, ...],
         now: int,
-        spread: Callable[[int], int],
+        random_delay: Callable[[int], int],
         keepers: tuple[str, ...] = (),
-        bound: int = FOLLOWERS_BOUND,
+        max_followers: int = FOLLOWERS_BOUND,
     ) -> None:
-        """`keepers`: the ids of all, where this is one."""
-        self.id, self.level = id, level
+        """Begin with this state.
+
+        Args:
+            id: Of the keeper or relay.
+            level: Distance from the writer, 0 for a keeper.
+            table: The state to begin with.
+            sources: Whom to follow, in order of preference.
+            now: Time in ns.
+            random_delay: Draws a random part of a duration in ns, for backoff.
+            keepers: For a keeper, the ids of all of them.
+            max_followers: How many to serve, keepers aside.
+        """
+        self.id = id
+        self.level = level
         self.history = History(table)
-        self.source = Source(self.history, level, now, bound)
-        self.follower = Follower(id, "all", table, sources, now, spread, level)
+        self.source = Source(self.history, level, now, max_followers)
+        self.follower = Follower(id, "all", table, sources, now, random_delay, level)
         self.writer = Writer(id, self.history, keepers, now) if keepers else None
-        self.way = "follow"  # or "quiet", or "any" while it catches up to write
-        self.told = (0, False, "")  # the epoch of who writes, whether it is this one, and else who
-        self.peers: dict[str, int] = {}  # by which connection a keeper came last
-        self.hearing = 0
-        self.kept = table.sequence  # what `step` and `anew` have told
-        self.out: Effects = []
-
-    def copy(self) -> "Station":
-        made = Station.__new__(Station)
-        for name in self.__slots__:
-            setattr(made, name, getattr(self, name))
-        made.history, made.peers, made.out = self.history.copy(), dict(self.peers), []
-        made.source, made.follower = self.source.copy(made.history), self.follower.copy()
+        self.known_writer = KnownWriter()
+        self._follow_mode: FollowMode = "writer"
+        self._keeper_peers: dict[str, int] = {}  # the newest connection of each keeper that follows here
+        self._sender = 0  # the connection whose event is being handled
+        self._persisted = table.sequence  # up to which `PersistStep` and `PersistTable` have gone out
+        self._effects: list[Any] = []
+
+    def copy(self) -> FeedRelay:
+        """Return one that goes its own way from here."""
+        made = shallow_copy(self)
+        made.history = self.history.copy()
+        made.source = self.source.copy(made.history)
+        made.follower = self.follower.copy()
         made.writer = self.writer.copy(made.history) if self.writer is not None else None
+        made._keeper_peers = dict(self._keeper_peers)
+        made._effects = []
         return made
 
-    def frozen(self) -> tuple[Any, ...]:
-        writer = self.writer.frozen() if self.writer is not None else None
+    def state_key(self) -> tuple[Any, ...]:
+        """Return all that its behaviour can depend on, with times relative to now."""
         return (
-            *(self.source.frozen(), self.follower.frozen(), writer, self.way, self.told),
-            tuple(sorted(self.peers.items())),
+            self.source.state_key(),
+            self.follower.state_key(),
+            self.writer.frozen() if self.writer is not None else None,
+            self._follow_mode,
+            self.known_writer,
+            tuple(sorted(self._keeper_peers.items())),
         )
 
     @property
     def table(self) -> Table:
+        """The newest state held."""
         return self.history.table
 
     @property
-    def holds(self) -> bool:
+    def is_writer(self) -> bool:
+        """Whether this is the writer, with its lease and a table that is complete."""
         return self.writer is not None and self.writer.phase in ("settling", "writing")
 
     @property
     def leader(self) -> str:
-        """Which other keeper writes, as far as this one knows."""
-        follower, welcome = self.follower, self.follower.welcome
-        known = welcome is not None and welcome.is_writer and follower.phase in ("loading", "following")
-        return follower.at if known and self.writer is not None else ""
+        """Which other keeper is the writer, as far as this one knows."""
+        follower = self.follower
+        accepted = follower.accepted
+        known = accepted is not None and accepted.is_writer and follower.phase in ("loading", "following")
+        return follower.upstream if known and self.writer is not None else ""
 
     @property
     def phase(self) -> str:
+        """The writer's phase while it holds the lease, else the follower's."""
         if self.writer is not None and self.writer.phase != "standby":
             return self.writer.phase
         return self.follower.phase
 
-    def due(self) -> int:
+    # ---- events
+
+    def next_deadline(self) -> int:
+        """Return when `TimerExpired` is to be passed in, in ns."""
         writer = self.writer.due() if self.writer is not None else NEVER
-        return min(self.source.due(), self.follower.due(), writer)
-
-    def take(self, now: int, part: str, *told: Any) -> Effects:
-        if part == "up":
-            self._up(now, *told)
-        elif part == "down":
-            self._heard(now, *told)
-        elif part == "writer":
-            self._write(now, *told)
-        elif part == "durable":
-            self._up(now, "durable", *told)
-            if self.writer is not None:
-                self._write(now, "durable", self.id, *told)
-        else:
-            self._up(now, "elapsed")
-            self._down(now, "elapsed")
-            if self.writer is not None:
-                self._write(now, "elapsed")
-        self._tell(now)
-        out, self.out = self.out, []
-        return out
-
-    # ---- the three
-
-    def _up(self, now: int, *told: Any) -> None:
-        for effect in self.follower.take(now, *told):
-            kind = effect[0]
-            if kind == "send":
-                self.out.append(("up", *effect[1:]))
-            elif kind == "took":
-                self.history.take(self.follower.table, effect[1].items)
-                self._moved(now, "moved")
-            elif kind == "loaded":
-                self.history.anew(self.follower.table)
-                self._moved(now, "anew")
-            else:
-                self.out.append(effect)
-
-    def _heard(self, now: int, kind: str, peer: int, *told: Any) -> None:
-        message = told[0] if told else None
-        if self.writer is not None and isinstance(message, Follow) and self._is_keeper(message):
-            # Guards against a keeper that lost its disk and is counted for what it had; here, as one that the
-            # source refuses says so too.
-            self.peers[message.id] = peer
+        return min(self.source.next_deadline(), self.follower.next_deadline(), writer)
+
+    def handle(self, now: int, event: RelayEvent) -> list[RelayEffect]:
+        """Take in one event at the time `now` and return what has to be done."""
+        match event:
+            case SubscriberMessage():
+                self._on_subscriber_message(now, event)
+            case UpstreamMessage() | UpstreamConnected() | UpstreamLost():
+                self._follow(now, event)
+            case SubscriberJoined() | SubscriberLeft():
+                self._sender = event.peer
+                self._serve(now, event)
+            case StateDurable():
+                self._on_state_durable(now, event)
+            case TimerExpired():
+                self._on_timer(now, event)
+        return self._finish(now)
+
+    def handle_writer(self, now: int, kind: str, *args: Any) -> list[RelayEffect]:
+        """Take in an event for the writer."""
+        self._write(now, kind, *args)
+        return self._finish(now)
+
+    def _finish(self, now: int) -> list[RelayEffect]:
+        self._exchange(now)
+        effects, self._effects = self._effects, []
+        return effects
+
+    def propose(self, now: int, ticket: Any, proposal: Propose) -> list[RelayEffect]:
+        """Take in a proposal; its `AnswerProposal` has this ticket and comes now or later."""
+        if self.writer is not None:
+            return self.handle_writer(now, "proposed", ticket, proposal)
+        reason = "a relay writes nothing"
+        request_id = proposal.request_id[:REQUEST_BOUND]
+        return [("answer", ticket, ProposeResult(request_id, reason=reason, unknown=True))]
+
+    def _on_subscriber_message(self, now: int, event: SubscriberMessage) -> None:
+        message = event.message
+        if isinstance(message, Follow) and self._is_from_keeper(message):
+            # Prevents that a keeper which lost its disk still counts for what it had. Counted here, so that
+            # one which the source rejects says so too.
+            self._keeper_peers[message.id] = event.peer
             self._write(now, "durable", message.id, 0)
-        self.hearing = peer
-        self._down(now, kind, peer, *told)
-
-    def _is_keeper(self, told: Follow) -> bool:
-        known = self.writer is not None and told.id in self.writer.keepers
-        return known and told.kind == "all" and told.level == 0
-
-    def _down(self, now: int, *told: Any) -> None:
-        for effect in self.source.take(now, *told):
-            kind = effect[0]
-            if kind == "send":
-                self.out.append(("down", *effect[1:]))
-            elif kind == "durable":
-                # Only by its last connection: on one before there may still be word of a disk that is lost.
-                if self.writer is not None and self.peers.get(effect[1]) == self.hearing:
-                    self._write(now, *effect)
-            else:
-                self.out.append(effect)
-
-    def _write(self, now: int, *told: Any) -> None:
+        self._sender = event.peer
+        self._serve(now, event)
+
+    def _is_from_keeper(self, request: Follow) -> bool:
+        known = self.writer is not None and request.id in self.writer.keepers
+        return known and request.kind == "all" and request.level == 0
+
+    def _on_state_durable(self, now: int, event: StateDurable) -> None:
+        self._follow(now, event)
+        if self.writer is not None:
+            self._write(now, "durable", self.id, event.sequence)
+
+    def _on_timer(self, now: int, event: TimerExpired) -> None:
+        self._follow(now, event)
+        self._serve(now, event)
+        if self.writer is not None:
+            self._write(now, "elapsed")
+
+    # ---- the three state machines
+
+    def _follow(self, now: int, event: FollowerEvent) -> None:
+        for effect in self.follower.handle(now, event):
+            match effect:
+                case DeltaApplied():
+                    self.history.take(self.follower.table, effect.delta.items)
+                    self._on_advanced(now)
+                case SnapshotLoaded():
+                    self.history.anew(self.follower.table)
+                    self._on_replaced(now)
+                case _:
+                    self._effects.append(effect)
+
+    def _serve(self, now: int, event: SourceEvent) -> None:
+        for effect in self.source.handle(now, event):
+            if not isinstance(effect, SubscriberDurable):
+                self._effects.append(effect)
+            elif self.writer is not None and self._keeper_peers.get(effect.subscriber) == self._sender:
+                # Only by its newest connection: on an older one there may be news of a disk that is lost.
+                self._write(now, "durable", effect.subscriber, effect.sequence)
+
+    def _write(self, now: int, kind: str, *args: Any) -> None:
         assert self.writer is not None
-        for effect in self.writer.take(now, *told):
-            kind = effect[0]
-            if kind == "moved":
-                self._moved(now, "moved")
-            elif kind == "answer":
-                self.out.append(("answer", effect[1], self._answer(effect[2])))
-            elif kind != "follow":  # what it is told by `_tell`
-                self.out.append(effect)
-
-    def _answer(self, told: ProposeResult) -> ProposeResult:
-        """Who does not write can't say whether a request was made before: it says who may."""
-        if told.sequence or self.holds:
-            return told
-        return msgspec.structs.replace(told, unknown=True, leader=self.leader)
-
-    def _moved(self, now: int, how: str) -> None:
-        if how == "anew":
-            self.out.append(("anew", self.history.table))
-        else:
-            self.out.append(("step", self.history.table, self.kept, self._since(self.kept)))
-        self.kept = self.history.table.sequence
-        self._down(now, how)
+        for effect in self.writer.take(now, kind, *args):
+            match effect:
+                case ("moved",):
+                    self._on_advanced(now)
+                case ("answer", ticket, result):
+                    self._effects.append(("answer", ticket, self._with_leader(result)))
+                case ("follow",):
+                    pass  # `_exchange` sees to it
+                case _:
+                    self._effects.append(effect)
+
+    def _with_leader(self, result: ProposeResult) -> ProposeResult:
+        """Name the writer, where this is another one.
+
+        One that is not the writer cannot say whether a request was committed before.
+        """
+        if result.sequence or self.is_writer:
+            return result
+        return msgspec.structs.replace(result, unknown=True, leader=self.leader)
+
+    def _on_advanced(self, now: int) -> None:
+        items = self._items_since(self._persisted)
+        self._effects.append(PersistStep(self.table, self._persisted, items))
+        self._on_new_table(now, HistoryAdvanced())
+
+    def _on_replaced(self, now: int) -> None:
+        self._effects.append(PersistTable(self.table))
+        self._on_new_table(now, HistoryReplaced())
+
+    def _on_new_table(self, now: int, event: HistoryAdvanced | HistoryReplaced) -> None:
+        self._persisted = self.table.sequence
+        self._serve(now, event)
         if self.writer is not None and self.writer.phase == "catching_up":
             self._write(now, "caught_up")
 
-    def _since(self, number: int) -> Items:
+    def _items_since(self, sequence: int) -> Items:
+        """Return the newest item of each key that was written since a state of the history."""
         newest: dict[str, tuple[bytes | None, int]] = {}
         for first, _, items, _ in reversed(self.history.steps):
-            if first < number:
+            if first < sequence:
                 break
             for key, value, version in items:
                 newest.setdefault(key, (value, version))
         return tuple((key, value, version) for key, (value, version) in newest.items())
 
-    def _tell(self, now: int) -> None:
-        """What one of them must know of another."""
-        writer = self.writer
-        if writer is not None:
-            way = {"standby": "follow", "catching_up": "any"}.get(writer.phase, "quiet")
-            if way != self.way:
-                self.way = way
-                if way == "quiet":
-                    self._up(now, "quiet")
-                else:
-                    self._up(now, "go", way == "any", self.history.table)
-        welcome = self.follower.welcome
-        epoch = writer.epoch if writer is not None and self.holds else welcome.epoch if welcome else 0
-        told = epoch, self.holds, self.leader
-        if told != self.told:
-            self.told = told
-            self._down(now, "writes", epoch, self.holds, self.level, self.leader)
-
-    # ---- what is asked beside
-
-    def propose(self, now: int, ticket: Any, told: Propose) -> Effects:
+    def _exchange(self, now: int) -> None:
+        """Pass on what one of the three must know of another."""
         if self.writer is not None:
-            return self.take(now, "writer", "proposed", ticket, told)
-        why = "a relay writes nothing"
-        return [("answer", ticket, ProposeResult(told.request_id[:64], reason=why, unknown=True))]
+            self._update_following(now, self.writer)
+        known = KnownWriter(self._writer_epoch(), self.is_writer, self.leader)
+        if known != self.known_writer:
+            self.known_writer = known
+            self._serve(now, WriterChanged(known.epoch, known.is_here, self.level, known.leader))
+
+    def _update_following(self, now: int, writer: Writer) -> None:
+        mode: FollowMode = "nobody"
+        if writer.phase == "standby":
+            mode = "writer"
+        elif writer.phase == "catching_up":
+            mode = "any"
+        if mode == self._follow_mode:
+            return
+        self._follow_mode = mode
+        if mode == "nobody":
+            self._follow(now, FollowingSuspended())
+        else:
+            self._follow(now, FollowingResumed(mode == "any", self.table))
+
+    def _writer_epoch(self) -> int:
+        if self.writer is not None and self.is_writer:
+            return self.writer.epoch
+        return self.follower.accepted.epoch if self.follower.accepted else 0
--- /dev/null
+++ b/thistleline/config_feed/request.py
@@ -0,0 +1,54 @@
+"""Connecting to a server of the feed, and single requests on a connection of their own."""
+
+from __future__ import annotations
+
+from contextlib import suppress
+from typing import TypeVar
+
+import anyio
+from anyio.abc import ByteStream
+
+from thistleline.config_feed.limits import MESSAGE_BOUND
+from thistleline.config_feed.messages import FollowerMessage, SourceMessage, decode_source, encode
+from thistleline.config_feed.send_queue import CHUNK_SIZE
+from thistleline.transport.address import Address
+from thistleline.transport.codec import Hello, Unpacker, common_form, sealed
+from thistleline.transport.disconnects import ENDS
+from thistleline.transport.handshake import receive_hello
+
+CONNECT_TIMEOUT = 1.5  # s for a connection, and for its handshake
+
+Answer = TypeVar("Answer", bound=SourceMessage)
+
+
+async def shake_hands(stream: ByteStream, own: Hello) -> Hello:
+    """Exchange hellos as the side that connects, and return the server's.
+
+    Raises:
+        Unreadable: The other side does not speak this protocol.
+        OSError: The connection has ended; also other errors of `ENDS`.
+    """
+    await stream.send(sealed(encode(own)))
+    there = await receive_hello(stream)
+    common_form(own, there)
+    return there
+
+
+async def request(
+    address: Address, message: FollowerMessage, answer_type: type[Answer], timeout: float
+) -> Answer | None:
+    """Send one request and return its answer; None where there is none within `timeout` seconds."""
+    with anyio.move_on_after(timeout), suppress(*ENDS):
+        with anyio.fail_after(CONNECT_TIMEOUT):
+            stream = await anyio.connect_tcp(*address)
+        async with stream:
+            with anyio.fail_after(CONNECT_TIMEOUT):
+                await shake_hands(stream, Hello("follower", ""))
+            await stream.send(sealed(encode(message)))
+            decoder = Unpacker(MESSAGE_BOUND)
+            while True:
+                for payload in decoder.take(await stream.receive(CHUNK_SIZE)):
+                    answer = decode_source(payload)
+                    if isinstance(answer, answer_type):
+                        return answer
+    return None
--- a/thistleline/config_feed/service.py
+++ b/thistleline/config_feed/service.py
@@ -1,397 +1,317 @@
-"""A keeper or a relay of the feed as a program: listener, links, clock, disk, lease and council around the
-reducers. A keeper that holds the lease `feed` writes; the others follow it, relays follow what is above them.
+"""A keeper or a relay of the feed as a program: the listener, connection, disk and lease around `FeedRelay`.
+
+The keeper that holds the lease `feed` is the writer; the other keepers follow it, and relays follow what is
+above them.
 """
 
-import gc
+from __future__ import annotations
+
 import os
-import resource
 import signal
-from collections import OrderedDict
 from collections.abc import AsyncIterator, Callable
 from contextlib import suppress
 from random import Random
-from typing import Any
 
 import anyio
-import msgspec
-from anyio.abc import Listener, SocketStream
+from anyio.abc import TaskGroup
 
-from thistleline.config.schema import Council as CouncilConf
-from thistleline.config.schema import Feed
+from thistleline.config.schema import Council as ConsensusConfig
+from thistleline.config.schema import Feed as FeedConfig
 from thistleline.config_feed.archive_writer import Persist
-from thistleline.config_feed.connections import PIECE, Encoder, Peer, Rounds, Up, each_look
-from thistleline.config_feed.limits import ID_BOUND, MADE_SLOTS, MESSAGE_BOUND, SECOND
-from thistleline.config_feed.messages import Propose, ProposeResult, ReadRequest, ReadResult, decode_follower
-from thistleline.config_feed.relay import Station
+from thistleline.config_feed.effects import (
+    CloseDownstream,
+    ConnectUpstream,
+    DisconnectUpstream,
+    PersistStep,
+    PersistTable,
+    SendDownstream,
+    SendUpstream,
+)
+from thistleline.config_feed.events import (
+    StateDurable,
+    SubscriberJoined,
+    SubscriberLeft,
+    SubscriberMessage,
+    TimerExpired,
+    UpstreamConnected,
+    UpstreamLost,
+    UpstreamMessage,
+)
+from thistleline.config_feed.heap_freezer import HeapFreezer
+from thistleline.config_feed.inbox import EventInbox
+from thistleline.config_feed.listener import FeedListener
+from thistleline.config_feed.messages import Propose, ReadRequest
+from thistleline.config_feed.peer_log import PeerLog
+from thistleline.config_feed.record_client import RecordClient
+from thistleline.config_feed.relay import FeedRelay, RelayEffect, RelayEvent
+from thistleline.config_feed.send_queue import check_regularly
+from thistleline.config_feed.service_events import ArchiveDurable, LeaseChanged, RecordAnswered, ServiceEvent
+from thistleline.config_feed.status import read_result
 from thistleline.config_feed.table import Table
+from thistleline.config_feed.upstream import UpstreamConnection
+from thistleline.config_feed.writer_lease import WriterLease
 from thistleline.lease.client import Council
-from thistleline.lease.holder import Hold
-from thistleline.lease.protocol import Denied, Done, Get, Got
-from thistleline.lease.session import Keeper as Holding
 from thistleline.store.clock import boot_now
 from thistleline.transport.address import Address
-from thistleline.transport.codec import Hello, Unpacker, Unreadable, common_form, sealed
-from thistleline.transport.disconnects import ends
-from thistleline.transport.handshake import receive_hello
-
-LEASE = "feed"
-HELLO_SPAN = 2.0  # s
-GUESTS_BOUND = 64  # connections beside the followers
-SPARE_FILES = 64  # descriptors for what else there is
-LOOK_BOUND, LOOK_SIZE = 128, MESSAGE_BOUND // 2  # keys, bytes of values in one answer
-GET_SPAN = 0.8  # s; the writer asks each second
-ACCEPT_PAUSE = 0.1  # s after one that came to nothing
-SAID_BOUND = 32  # lines a second of what others do
-FREEZE_EVERY = 1 << 16  # changes
-LEAVE_SPAN = 3.0  # s to give the lease back and to write down what waits
+
+LEAVE_TIMEOUT = 3.0  # s to give the lease back and to write down what waits
 
 
 class FeedService:
+    """A keeper or a relay.
+
+    Attributes:
+        relay: The state machine.
+        listener: Connections that came in.
+        archive: The state on disk, if there is a folder.
+        peer_log: What was logged of peers.
+        address: Where it listens.
+        inbox: Events that have not been handled yet.
+    """
+
     def __init__(
-        self, conf: Feed, council: CouncilConf | None, log: Callable[..., None], chance: Random | None = None
+        self,
+        config: FeedConfig,
+        consensus: ConsensusConfig | None,
+        log: Callable[..., None],
+        random: Random | None = None,
     ) -> None:
-        """Takes the folder and reads it; blocks. Raises Held, Damaged, OSError."""
-        assert conf.name is not None
-        assert conf.listen is not None
-        self.conf, self.log, self.chance = conf, log, chance or Random(os.urandom(8))
-        self.name, self.listen = conf.name, conf.listen
-        self.voters = dict(council.voter) if council is not None and conf.role == "keeper" else {}
-        self.sources = sources_of(conf)
-        self.rounds, self.encoder = Rounds(), Encoder()
-        self.persist = Persist(conf.folder, "all", log, self._durable) if conf.folder is not None else None
-        self.station = Station(
+        """Take the folder and recover the last state from it; blocks.
+
+        Args:
+            config: Of the keeper or relay, with a name and an address to listen on.
+            consensus: Where a keeper finds the consensus cluster.
+            log: Called with an event's name and its fields.
+            random: Source of the random waits.
+
+        Raises:
+            Held: The folder is in use.
+            Damaged: The folder is of no feed.
+            OSError: The folder cannot be read.
+        """
+        assert config.name is not None
+        assert config.listen is not None
+        self.config = config
+        self.log = log
+        self.name = config.name
+        self.address = config.listen
+        self._random = random or Random(os.urandom(8))
+        is_keeper = consensus is not None and config.role == "keeper"
+        self._replicas = dict(consensus.voter) if consensus is not None and is_keeper else {}
+        self._sources = sources_of(config)
+        self.inbox: EventInbox[ServiceEvent] = EventInbox()
+        self.peer_log = PeerLog(log)
+        self.listener = FeedListener(self.name, config.followers, self.inbox, self.peer_log)
+        self.archive: Persist | None = None
+        if config.folder is not None:
+            self.archive = Persist(config.folder, "all", log, self._on_archive_written)
+        self.relay = FeedRelay(
             self.name,
-            conf.level,
-            self.persist.table if self.persist is not None else Table(),
-            tuple(self.sources),
+            config.level,
+            self.archive.table if self.archive is not None else Table(),
+            tuple(self._sources),
             boot_now(),
-            self._spread,
-            tuple(sorted(conf.keeper)) if self.voters else (),
-            conf.followers,
+            self._random_delay,
+            tuple(sorted(config.keeper)) if self._replicas else (),
+            config.followers,
         )
-        self.peers: dict[int, Peer] = {}
-        self.guests: OrderedDict[int, Peer] = OrderedDict()  # of these who does not follow, the first first
-        self.count = 0
-        files = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        self.peers_bound = max(1, min(conf.followers + GUESTS_BOUND, files - SPARE_FILES))
-        self.holding: Holding | None = None
-        self.epoch = 0  # of the lease that is held here; 0 without
-        self.leaving = False
-        self.given_back = anyio.Event()
-        self.told: dict[str, str] = {}  # what was last said of somebody
-        self.said = self.said_until = 0  # how much was said in this second, and when that is over
-        self.phase = ("", "")  # what was last said of itself
-        self.frozen = 0  # the number of the table as it was frozen last
-
-    def _spread(self, span: int) -> int:
-        return self.chance.randrange(span + 1)
-
-    def _durable(self, number: int) -> None:
-        assert self.persist is not None
-        self.rounds.put("durable", number, self.persist.line)
+        self._freezer = HeapFreezer()
+        self._writer_lease: WriterLease | None = None
+        self._epoch = 0  # of the lease that is held here; 0 without
+        self._logged_phase = ("", "")  # phase and upstream
+
+    def _random_delay(self, max_delay: int) -> int:
+        return self._random.randrange(max_delay + 1)
+
+    def _on_archive_written(self, sequence: int) -> None:
+        assert self.archive is not None
+        self.inbox.put(ArchiveDurable(sequence, self.archive.line))
 
     # ---- the program
 
     async def run(self) -> None:
-        """Until SIGTERM or SIGINT. Raises OSError where it can't listen."""
-        # Open to the very end: guards against a second notice that would end it at once, by the signal.
+        """Run until SIGTERM or SIGINT.
+
+        Raises:
+            OSError: It can not listen on its address.
+        """
+        # Open to the very end: prevents a second signal from ending the process at once.
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             await self._run(signals)
 
     async def _run(self, signals: AsyncIterator[signal.Signals]) -> None:
-        listener = await anyio.create_tcp_listener(local_host=self.listen[0], local_port=self.listen[1])
-        table = self.station.table
-        self.log("started", id=self.name, role=self.conf.role, level=self.conf.level, number=table.sequence,
-                 digest=table.digest("all").hex(), listen=f"{self.listen[0]}:{self.listen[1]}",
-                 connections=self.peers_bound)  # fmt: skip
-        self._freeze(table)
-        async with listener, anyio.create_task_group() as group:
-            self.group = group
-            self.up = Up(self.name, self.sources, group, self.rounds, lambda told: ("up", *told))
-            group.start_soon(self._until_told, signals, group.cancel_scope)
+        host, port = self.address
+        listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
+        self._log_start()
+        self._freezer.freeze(self.relay.table)
+        async with listener, anyio.create_task_group() as tasks:
+            self._upstream = UpstreamConnection(self.name, self._sources, tasks, self.inbox)
+            tasks.start_soon(self._leave_at_signal, signals, tasks.cancel_scope)
             for one in listener.listeners:
-                group.start_soon(self._accept, one)
-            group.start_soon(self._pump)
-            group.start_soon(each_look, self._look_at_peers)
-            if self.persist is not None:
-                group.start_soon(self.persist.run)
-            if self.voters:
-                self.council = Council(self.voters, group, self.chance)
-                group.start_soon(self._hold)
-        if self.persist is not None:
-            self.persist.close()
-        self.log("left", number=self.station.table.sequence)
-
-    async def _until_told(self, signals: AsyncIterator[signal.Signals], scope: anyio.CancelScope) -> None:
+                tasks.start_soon(self.listener.accept, one, tasks)
+            tasks.start_soon(self._handle_events)
+            tasks.start_soon(check_regularly, self.listener.check)
+            if self.archive is not None:
+                tasks.start_soon(self.archive.run)
+            if self._replicas:
+                self._start_wanting_lease(tasks)
+        if self.archive is not None:
+            self.archive.close()
+        self.log("left", number=self.relay.table.sequence)
+
+    def _start_wanting_lease(self, tasks: TaskGroup) -> None:
+        client = Council(self._replicas, tasks, self._random)
+        self._records = RecordClient(client, tasks, self.inbox)
+        self._writer_lease = WriterLease(
+            self.name, self.config.lease, client, self.inbox, self.log, self._random
+        )
+        tasks.start_soon(self._writer_lease.run)
+
+    async def _leave_at_signal(
+        self, signals: AsyncIterator[signal.Signals], scope: anyio.CancelScope
+    ) -> None:
         async for _ in signals:
             break
-        self.log("leaving", number=self.station.table.sequence)
-        self.leaving = True
-        with anyio.move_on_after(LEAVE_SPAN):
-            if self.holding is not None and self.holding.hold.phase != "ended":
-                self.holding.take("release")
-                await self.given_back.wait()
-            if self.persist is not None:
-                await self.persist.flushed()
+        self.log("leaving", number=self.relay.table.sequence)
+        with anyio.move_on_after(LEAVE_TIMEOUT):
+            if self._writer_lease is not None:
+                await self._writer_lease.leave()
+            if self.archive is not None:
+                await self.archive.flushed()
         scope.cancel()
 
-    def _freeze(self, table: Table) -> None:
-        """Leaves what is held now to itself, as it stays for long. Guards against collections that go through
-        a whole table: at 1.3 million tenants one stands still for longer than followers wait (`SILENT`). What
-        lives now and later dies as a cycle stays, so it is done seldom."""
-        self.frozen = table.sequence
-        gc.collect(1)
-        gc.freeze()
-
-    def _look_at_peers(self, now: int) -> None:
-        for peer in self.peers.values():
-            peer.look(now)
-
-    async def _pump(self) -> None:
+    async def _handle_events(self) -> None:
         while True:
-            for told in await self.rounds.next(self.station.due()):
-                getattr(self, f"_on_{told[0]}")(*told[1:])
-            if self.station.due() <= boot_now():
-                self._take("elapsed")
-            self._tell_phase()
-
-    def _take(self, part: str, *told: Any) -> None:
-        for effect in self.station.take(boot_now(), part, *told):
-            self._carry_out(*effect)
-
-    # ---- inputs
-
-    def _on_peer(self, number: int, message: Any) -> None:
-        peer = self.peers.get(number)
-        if peer is None:
+            for event in await self.inbox.next_batch(self.relay.next_deadline()):
+                self.handle(event)
+            if self.relay.next_deadline() <= boot_now():
+                self._pass_on(TimerExpired())
+            self._log_phase()
+
+    # ---- events
+
+    def handle(self, event: ServiceEvent) -> None:
+        """Handle one event of the inbox."""
+        match event:
+            case SubscriberMessage():
+                self._on_message(event)
+            case UpstreamMessage() | UpstreamConnected() | SubscriberLeft():
+                self._pass_on(event)
+            case UpstreamLost():
+                self.peer_log.report("lost", event.source, event.reason)
+                self._pass_on(event)
+            case ArchiveDurable():
+                # Of a state that was replaced since it counts no more.
+                if self.archive is not None and event.generation == self.archive.line:
+                    self._pass_on(StateDurable(event.sequence))
+            case LeaseChanged():
+                self._epoch = event.value if event.kind == "held" else 0
+                self._carry_out_all(self.relay.handle_writer(boot_now(), event.kind, event.value))
+            case RecordAnswered():
+                if event.epoch == self._epoch:  # an answer to an epoch that is over counts no more
+                    self._carry_out_all(self.relay.handle_writer(boot_now(), *event.answer))
+
+    def _on_message(self, event: SubscriberMessage) -> None:
+        connection = self.listener.connections.get(event.peer)
+        if connection is None:
             return
-        if isinstance(message, Propose):
-            for effect in self.station.propose(boot_now(), number, message):
-                self._carry_out(*effect)
-        elif isinstance(message, ReadRequest):
-            self._look(peer, message)
+        if isinstance(event.message, Propose):
+            self._carry_out_all(self.relay.propose(boot_now(), event.peer, event.message))
+        elif isinstance(event.message, ReadRequest):
+            durable = self.archive.durable if self.archive is not None else 0
+            self.listener.send(event.peer, read_result(self.relay, durable, event.message))
         else:
-            if not peer.follows:
-                peer.follows = True
-                self.guests.pop(number, None)
-                self._take("down", "joined", number)
-            self._take("down", "heard", number, message)
+            if not connection.follows:
+                self.listener.begin_following(connection)
+                self._pass_on(SubscriberJoined(event.peer))
+            self._pass_on(event)
 
-    def _on_left(self, number: int) -> None:
-        self._take("down", "left", number)
+    def _pass_on(self, event: RelayEvent) -> None:
+        self._carry_out_all(self.relay.handle(boot_now(), event))
 
-    def _on_up(self, *told: Any) -> None:
-        if told[0] == "lost":
-            self._say("lost", told[1], told[2])
-        self._take("up", *told)
-
-    def _on_durable(self, number: int, line: int) -> None:
-        if self.persist is not None and line == self.persist.line:
-            self._take("durable", number)
-
-    def _on_lease(self, kind: str, told: Any) -> None:
-        self.epoch = told if kind == "held" else 0
-        self._take("writer", kind, told)
+    # ---- effects
 
-    def _on_errand(self, epoch: int, *told: Any) -> None:
-        """What the council said; to an epoch that is over it says nothing."""
-        if epoch == self.epoch:
-            self._take("writer", *told)
+    def _carry_out_all(self, effects: list[RelayEffect]) -> None:
+        for effect in effects:
+            self.carry_out(effect)
+
+    def carry_out(self, effect: RelayEffect) -> None:
+        """Carry out one effect of the relay."""
+        match effect:
+            case SendDownstream():
+                self.listener.send(effect.peer, effect.message)
+            case SendUpstream():
+                self._upstream.send(effect.source, effect.message)
+            case PersistStep():
+                if self.archive is not None:
+                    self.archive.step(effect.table, effect.first, effect.items)
+                self._freezer.on_advanced(effect.table)
+            case PersistTable():
+                self._persist_table(effect.table)
+            case ConnectUpstream():
+                self._upstream.connect(effect.source)
+            case DisconnectUpstream():
+                self.peer_log.report("dropped", effect.source, effect.reason)
+                self._upstream.disconnect(effect.source)
+            case CloseDownstream():
+                self.listener.close(effect.peer, effect.reason)
+            case ("get", slot, key):
+                self._records.read(self._epoch, slot, key)
+            case ("put", slot, put):
+                self._records.write(self._epoch, slot, put)
+            case ("answer", ticket, result):
+                self.listener.send(ticket, result)
+            case ("release", _):
+                if self._writer_lease is not None:
+                    self._writer_lease.release()
+            case ("log", name, fields):
+                self.log(name, **fields)
+
+    def _persist_table(self, table: Table) -> None:
+        if self.archive is not None:
+            self.archive.anew(table)
+        self._freezer.freeze(table)
+        self.log("loaded", number=table.sequence, digest=table.digest("all").hex())
+
+    # ---- the log
+
+    def _log_start(self) -> None:
+        table = self.relay.table
+        host, port = self.address
+        self.log(
+            "started",
+            id=self.name,
+            role=self.config.role,
+            level=self.config.level,
+            number=table.sequence,
+            digest=table.digest("all").hex(),
+            listen=f"{host}:{port}",
+            connections=self.listener.max_connections,
+        )
 
-    # ---- effects
+    def _log_phase(self) -> None:
+        """Log whom it follows, or that it is the writer, once each time that this has changed."""
+        relay = self.relay
+        phase = relay.phase, relay.follower.upstream
+        if phase != self._logged_phase and relay.phase in ("following", "writing"):
+            self._logged_phase = phase
+            epoch = relay.known_writer.epoch
+            self.log(relay.phase, at=relay.follower.upstream, number=relay.table.sequence, epoch=epoch)
 
-    def _say(self, what: str, of: str, why: str) -> None:
-        """Once, till something else is to be said of the same one; so many a second at most: guards against
-        a log that is as long as strangers want, each by a name of its own."""
-        now = boot_now()
-        if now >= self.said_until:
-            self.said, self.said_until = 0, now + SECOND
-        if self.told.get(of) == why or self.said == SAID_BOUND:
-            return
-        if len(self.told) > 1024:
-            self.told.clear()
-        self.told[of] = why
-        self.said += 1
-        self.log(what, of=of, why=why)
-
-    def _carry_out(self, kind: str, *told: Any) -> None:
-        if kind == "up":
-            self.up.send(told[0], told[1])
-        elif kind == "down":
-            peer = self.peers.get(told[0])
-            if peer is not None:
-                peer.out.put(self.encoder.frame(told[1]))
-        elif kind == "connect":
-            self.up.connect(told[0])
-        elif kind == "drop":
-            self._say("dropped", told[0], told[1])
-            self.up.drop(told[0])
-        elif kind == "close":
-            peer = self.peers.get(told[0])
-            if peer is not None:
-                self._say("refused", peer.id, told[1])
-                peer.end_after_sending(told[1])
-        elif kind == "step":
-            if self.persist is not None:
-                self.persist.step(*told)
-            if told[0].sequence >= self.frozen + FREEZE_EVERY:
-                self._freeze(told[0])
-        elif kind == "anew":
-            table = told[0]
-            if self.persist is not None:
-                self.persist.anew(table)
-            self._freeze(table)
-            self.log("loaded", number=table.sequence, digest=table.digest("all").hex())
-        elif kind == "get":
-            self.group.start_soon(self._get, self.epoch, *told)
-        elif kind == "put":
-            self.group.start_soon(self._put, self.epoch, *told)
-        elif kind == "answer":
-            self._answer(*told)
-        elif kind == "release":
-            if self.holding is not None:
-                self.holding.take("release")
-        elif kind == "log":
-            self.log(told[0], **told[1])
-
-    def _tell_phase(self) -> None:
-        """Whom it follows, or that it writes: once each time that is another."""
-        station = self.station
-        phase = station.phase, station.follower.at
-        if phase != self.phase and phase[0] in ("following", "writing"):
-            self.phase = phase
-            self.log(phase[0], at=phase[1], number=station.table.sequence, epoch=station.told[0])
-
-    def _answer(self, number: int, told: ProposeResult) -> None:
-        peer = self.peers.get(number)
-        if peer is not None:
-            peer.out.put(self.encoder.frame(told))
-
-    def _look(self, peer: Peer, told: ReadRequest) -> None:
-        station, size = self.station, 0
-        items: list[tuple[str, bytes | None, int]] = []
-        for key in told.keys[:LOOK_BOUND]:
-            value, version = station.table.get(key) or (None, 0)
-            size += len(key) + len(value or b"")
-            if size > LOOK_SIZE:
-                break
-            items.append((key, value, version))
-        epoch, holds, _ = station.told
-        answer = ReadResult(station.table.sequence, station.table.digest("all"), epoch, station.phase, holds,
-                        tuple(items), self._facts())  # fmt: skip
-        peer.out.put(self.encoder.frame(answer))
-
-    def _facts(self) -> dict[str, int]:
-        station = self.station
-        table = station.table
-        return {
-            "level": self.conf.level,
-            "followers": len(station.source.peers),
-            "wide": len(table.wide),
-            "tenants": max(0, len(table.tenants) - min(table.sequence, MADE_SLOTS)),
-            "base": station.history.base,
-            "durable": self.persist.durable if self.persist is not None else 0,
-            **(station.writer.facts() if station.writer is not None and station.holds else {}),
-        }
-
-    async def _get(self, epoch: int, slot: int, key: str) -> None:
-        """One question; the writer asks again where none is answered."""
-        answer = await self.council.surely(Get(key), GET_SPAN)
-        if isinstance(answer, Got):
-            self.rounds.put("errand", epoch, "got", slot, answer.value, answer.version)
-
-    async def _put(self, epoch: int, slot: int, put: Any) -> None:
-        answer = await self.council.ask(put)
-        if isinstance(answer, Done):
-            self.rounds.put("errand", epoch, "put_done", slot, answer.number)
-        elif isinstance(answer, Denied):
-            self.rounds.put("errand", epoch, "put_denied", slot, answer.why)
-        else:
-            self.rounds.put("errand", epoch, "put_unknown", slot)
-
-    # ---- the lease
-
-    async def _hold(self) -> None:
-        """Wants the lease as long as the program runs."""
-        while not self.leaving:
-            asker = f"{self.name}.{os.getpid()}.{os.urandom(6).hex()}"
-            hold = Hold(LEASE, asker, self.conf.lease, True, boot_now(), self._spread)
-            holding = self.holding = Holding(self.council, hold)
-            async with anyio.create_task_group() as group:
-                group.start_soon(holding.run, group)
-                await holding.decided.wait()
-                if hold.phase == "held":
-                    self.log("holds", epoch=hold.epoch)
-                    self.rounds.put("lease", "held", hold.epoch)
-                    await holding.over.wait()
-                    self.log("lost", epoch=hold.epoch, why=hold.why)
-                    self.rounds.put("lease", "lost", hold.why)
-                group.cancel_scope.cancel()
-            holding.close()
-            if not self.leaving:
-                # Who gave it back lets another have it first.
-                await anyio.sleep(self.conf.lease / SECOND * self.chance.uniform(0.3, 0.6))
-        self.given_back.set()
-
-    # ---- who comes
-
-    async def _accept(self, listener: Listener[SocketStream]) -> None:
-        """Guards against the end of all by one that came to nothing, or where no descriptor is left."""
-        while True:
-            try:
-                await listener.serve(self._serve, self.group)
-            except OSError as error:
-                self._say("refused", "who comes", error.strerror or str(error))
-            await anyio.sleep(ACCEPT_PAUSE)
-
-    async def _serve(self, stream: SocketStream) -> None:
-        if len(self.peers) >= self.peers_bound:
-            self._say("refused", "who comes", "all connections are taken")
-            if not self.guests:
-                await anyio.aclose_forcefully(stream)
-                return
-            # Guards against those who only connect: who means to follow or asks something is soon done.
-            self.guests.popitem(last=False)[1].end("another came")
-        self.count += 1
-        peer = Peer(self.count, stream)
-        self.peers[peer.number] = self.guests[peer.number] = peer
-        try:
-            with peer.scope, ends(peer.note):
-                async with stream:
-                    with anyio.fail_after(HELLO_SPAN):
-                        there = await receive_hello(stream)
-                        own = Hello("follower", self.name)
-                        common_form(own, there)
-                        if there.kind != "follower":
-                            raise Unreadable(f"a {there.kind} has no business here")
-                        peer.id = there.id[:ID_BOUND]
-                        await stream.send(sealed(msgspec.msgpack.encode(own)))
-                    async with anyio.create_task_group() as group:
-                        group.start_soon(peer.out.send, stream)
-                        await self._read(peer)
-        finally:
-            del self.peers[peer.number]
-            self.guests.pop(peer.number, None)
-            if peer.follows:
-                self.rounds.put("left", peer.number)
-
-    async def _read(self, peer: Peer) -> None:
-        unpacker = Unpacker(MESSAGE_BOUND)
-        while True:
-            data = await peer.stream.receive(PIECE)
-            peer.heard_at = boot_now()
-            for one in unpacker.take(data):
-                await self.rounds.bring([("peer", peer.number, decode_follower(one))])
-                await peer.out.flows()
 
+def sources_of(config: FeedConfig) -> dict[str, Address]:
+    """Return whom a relay or keeper may follow, in the order of the settings' lines.
 
-def sources_of(conf: Feed) -> dict[str, Address]:
-    """Whom this one may follow, in the order of the lines: of a keeper the others, by the ways told."""
-    if conf.role != "keeper":
-        return dict(conf.up)
-    return {name: conf.up.get(name, at) for name, at in conf.keeper.items() if name != conf.name}
+    For a keeper these are the other keepers, by another way (`up`) where one is given.
+    """
+    if config.role != "keeper":
+        return dict(config.up)
+    return {
+        name: config.up.get(name, address) for name, address in config.keeper.items() if name != config.name
+    }
 
 
-def run(conf: Feed, council: CouncilConf | None, log: Callable[..., None]) -> None:
+def run(config: FeedConfig, consensus: ConsensusConfig | None, log: Callable[..., None]) -> None:
+    """Run a keeper or a relay until it is ended by a signal."""
     with suppress(KeyboardInterrupt):
-        anyio.run(FeedService(conf, council, log).run)
+        anyio.run(FeedService(config, consensus, log).run)
