--- a/thistleline/config_feed/source.py
+++ b/thistleline/config_feed/source.py
@@ -1,20 +1,33 @@
-"""Who serves followers: what goes to each, and when. No I/O, no clock.
+"""The source: what goes to each subscriber, and when. No I/O, no clock.
 
-Inputs:  joined peer | heard peer Message | left peer | moved | anew | writes epoch holds level leader |
-         elapsed
-Effects: (send peer Message)  (close peer why)  (durable id number)
-
-A peer is a connection that wants to follow; what was sent before a `close` goes out first. After `close`
-nothing more of that peer counts. What comes from it is to be read only while what goes to it flows: that,
-and one Delta out at the most, is why nobody needs a queue. `moved`: `history.table` is newer and its steps
-lead there; `anew`: nothing leads to it. Times are ns. An input costs what it touches; only pushing costs by
-the followers.
+What was sent to a subscriber before `CloseDownstream` still goes out; after it nothing of that subscriber may
+be passed in. Messages of a subscriber are to be read only while what is sent to it flows: together with the
+flow control window of one delta this is why nothing has to be queued. Times are integer nanoseconds. An event
+costs what it touches; only pushing a change costs by the number of subscribers.
 """
 
-from collections import OrderedDict
-from dataclasses import dataclass, field, fields
-from typing import Any, Literal
+from __future__ import annotations
 
+from collections import OrderedDict
+from copy import copy as shallow_copy
+from typing import Any
+
+from thistleline.config_feed.effects import (
+    CloseDownstream,
+    SendDownstream,
+    SourceEffect,
+    SubscriberDurable,
+)
+from thistleline.config_feed.events import (
+    HistoryAdvanced,
+    HistoryReplaced,
+    SourceEvent,
+    SubscriberJoined,
+    SubscriberLeft,
+    SubscriberMessage,
+    TimerExpired,
+    WriterChanged,
+)
 from thistleline.config_feed.history import History, cost_of
 from thistleline.config_feed.limits import (
     ASKED_BOUND,
@@ -23,7 +36,6 @@
     ID_BOUND,
     KEY_BOUND,
     PART_SIZE,
-    SECOND,
     STALL,
 )
 from thistleline.config_feed.messages import (
@@ -36,381 +48,394 @@
     FollowRejected,
     Heartbeat,
     Kind,
-    SnapshotPart,
     SourceMessage,
     TenantEntries,
 )
-from thistleline.config_feed.table import TENANT, Table
+from thistleline.config_feed.snapshot import SnapshotCache
+from thistleline.config_feed.subscriber import Subscriber
+from thistleline.config_feed.table import TENANT
 
-LEVEL_BOUND = 64
-KEEPERS_SPARE = 8  # places for keepers alone: guards against no change any more where all others are taken
+MAX_LEVEL = 64
+RESERVED_FOR_KEEPERS = 8  # places for keepers alone: else no change is committed where all others are taken
 DIGEST_SIZE = 16  # bytes
-SNAPSHOT_KEPT = 60 * SECOND  # after that long without a part asked for, a snapshot goes
 NEVER = 1 << 62
-Phase = Literal["new", "loading", "following"]
-
-
-class Snapshot:
-    """One state by parts of about PART_SIZE bytes, each cut when it is first asked for, in order, and kept
-    for all who load it: beginning one costs nothing, and a part what it holds."""
-
-    __slots__ = ("_ahead", "_rest", "digest", "kind", "number", "parts")
-
-    def __init__(self, table: Table, kind: Kind) -> None:
-        self.number, self.digest, self.kind = table.sequence, table.digest(kind), kind
-        self.parts: list[tuple[tuple[str, bytes, int], ...]] = []
-        self._rest = table.entries(kind)
-        self._ahead = next(self._rest, None)
-
-    def part(self, index: int) -> SnapshotPart | None:
-        """`index` is a part cut already, or the next; None past the last. Its `parts` is 0, and in the last
-        one how many there are."""
-        if index == len(self.parts) and (self._ahead is not None or not index):
-            self._cut()
-        if index >= len(self.parts):
-            return None
-        last = self._ahead is None and index == len(self.parts) - 1
-        return SnapshotPart(self.number, index, index + 1 if last else 0, self.parts[index], self.digest)
-
-    def _cut(self) -> None:
-        size, items = 0, []
-        while self._ahead is not None and size < PART_SIZE:
-            items.append(self._ahead)
-            size += cost_of(*self._ahead[:2])
-            self._ahead = next(self._rest, None)
-        self.parts.append(tuple(items))
-
-
-@dataclass(slots=True)
-class Served:
-    """One follower, as its source knows it."""
-
-    phase: Phase = "new"
-    id: str = ""
-    kind: Kind = "wide"
-    level: int = 0
-    number: int = 0  # the state it stands at, by its own word or by what it has answered,
-    digest: bytes = b""  # and that state's digest
-    out: tuple[int, bytes] | None = None  # where the Delta leads that is out to it
-    load: tuple[int, bytes] | None = None  # the snapshot it loads
-    part: int = 0  # it asks for next
-    sent: bool = False  # the last part
-    durable: int = 0
-    asked: dict[str, None] = field(default_factory=dict)  # tenants to tell behind the next Delta
-
-    def copy(self) -> "Served":
-        made = Served(*(getattr(self, one.name) for one in fields(self)))
-        made.asked = dict(self.asked)
-        return made
-
-    def frozen(self) -> tuple[Any, ...]:
-        return *(getattr(self, one.name) for one in fields(self) if one.name != "asked"), tuple(self.asked)
 
 
 class Source:
+    """Serves the states of a history to its subscribers: deltas, snapshots, tenants on demand, heartbeats.
+
+    Attributes:
+        history: The states to serve; advanced by others, which then pass in `HistoryAdvanced`.
+        level: The own distance from the writer: 0 for a keeper; a relay's is above that of what it follows.
+        epoch: Fencing epoch of the writer's lease, as far as known.
+        is_writer: Whether the writer is in this process.
+        leader: Else the keeper that is the writer, if known.
+        subscribers: By the number of their connection.
+        up_to_date: Subscribers that hold the newest state and have nothing in flight.
+    """
+
     __slots__ = (
-        *("history", "level", "now", "followers_bound", "epoch", "holds", "leader", "peers", "ready"),
-        *("heard_at", "sent_at", "snapshots", "used_at", "effects"),
+        "_effects",
+        "epoch",
+        "history",
+        "is_writer",
+        "last_received_at",
+        "last_sent_at",
+        "leader",
+        "level",
+        "max_followers",
+        "now",
+        "snapshots",
+        "subscribers",
+        "up_to_date",
     )
 
-    def __init__(
-        self, history: History, level: int, now: int, followers_bound: int = FOLLOWERS_BOUND
-    ) -> None:
-        """`level`: 0 a keeper; a relay's is above that of what it follows."""
-        self.history, self.level, self.now, self.followers_bound = history, level, now, followers_bound
-        self.epoch, self.holds = 0, False  # of who writes, as far as known; whether it is this one
-        self.leader = ""  # or who does
-        self.peers: dict[int, Served] = {}
-        self.ready: dict[int, None] = {}  # who stands at the newest, with nothing out to it
-        # The longest silent first, and of who was accepted who was sent to longest ago. Ordered ones: the
-        # first of a plain dict is found past all that was taken out before it.
-        self.heard_at: OrderedDict[int, int] = OrderedDict()
-        self.sent_at: OrderedDict[int, int] = OrderedDict()
-        self.snapshots: dict[Kind, Snapshot] = {}
-        self.used_at = now  # when a part was asked for
-        self.effects: list[tuple[Any, ...]] = []
-
-    def copy(self, history: History | None = None) -> "Source":
-        """One that goes its own way from here, with this copy of the history or one of its own. Snapshots are
-        shared: they only ever hold what follows from their state."""
-        made = Source.__new__(Source)
-        for name in self.__slots__:
-            value = getattr(self, name)
-            setattr(made, name, value.copy() if isinstance(value, dict) else value)
+    def __init__(self, history: History, level: int, now: int, max_followers: int = FOLLOWERS_BOUND) -> None:
+        """Begin without subscribers."""
+        self.history = history
+        self.level = level
+        self.now = now
+        self.max_followers = max_followers
+        self.epoch = 0
+        self.is_writer = False
+        self.leader = ""
+        self.subscribers: dict[int, Subscriber] = {}
+        self.up_to_date: dict[int, None] = {}
+        # Each in order of the times in it. OrderedDict, because finding the first item of a plain dict passes
+        # over all that was deleted before it.
+        self.last_received_at: OrderedDict[int, int] = OrderedDict()
+        self.last_sent_at: OrderedDict[int, int] = OrderedDict()  # only of accepted subscribers
+        self.snapshots = SnapshotCache(now)
+        self._effects: list[SourceEffect] = []
+
+    def copy(self, history: History | None = None) -> Source:
+        """Return a source that goes its own way from here, with this history or a copy of its own."""
+        made = shallow_copy(self)
         made.history = self.history.copy() if history is None else history
-        made.peers = {peer: served.copy() for peer, served in self.peers.items()}
-        made.effects = []
+        made.subscribers = {peer: one.copy() for peer, one in self.subscribers.items()}
+        made.up_to_date = self.up_to_date.copy()
+        made.last_received_at = self.last_received_at.copy()
+        made.last_sent_at = self.last_sent_at.copy()
+        made.snapshots = self.snapshots.copy()
+        made._effects = []
         return made
 
-    def frozen(self) -> tuple[Any, ...]:
-        """All that what it does can depend on; tables by number and digest, times from now."""
+    def state_key(self) -> tuple[Any, ...]:
+        """Return all that its behaviour can depend on; tables by number and digest, times relative to now."""
         table = self.history.table
         return (
-            *(table.sequence, table.digest("all"), tuple(step[:2] for step in self.history.steps)),
-            *(self.level, self.epoch, self.holds, self.leader, tuple(self.ready)),
-            tuple((peer, served.frozen()) for peer, served in self.peers.items()),
-            tuple((peer, at - self.now) for peer, at in self.heard_at.items()),
-            tuple((peer, at - self.now) for peer, at in self.sent_at.items()),
-            tuple((kind, made.number, made.digest) for kind, made in self.snapshots.items()),
-            self.used_at - self.now if self.snapshots else 0,
+            table.sequence,
+            table.digest("all"),
+            tuple(step[:2] for step in self.history.steps),
+            self.level,
+            self.epoch,
+            self.is_writer,
+            self.leader,
+            tuple(self.up_to_date),
+            tuple((peer, one.state_key()) for peer, one in self.subscribers.items()),
+            tuple((peer, at - self.now) for peer, at in self.last_received_at.items()),
+            tuple((peer, at - self.now) for peer, at in self.last_sent_at.items()),
+            self.snapshots.state_key(self.now),
         )
 
-    # ---- from outside
+    # ---- events
 
-    def take(self, now: int, kind: str, *told: Any) -> list[tuple[Any, ...]]:
+    def handle(self, now: int, event: SourceEvent) -> list[SourceEffect]:
+        """Take in one event at the time `now` and return what has to be done."""
         self.now = max(self.now, now)
-        getattr(self, f"_{kind}")(*told)
-        effects, self.effects = self.effects, []
+        match event:
+            case SubscriberMessage():
+                self._on_message(event.peer, event.message)
+            case HistoryAdvanced():
+                self._push()
+            case TimerExpired():
+                self._on_timer()
+            case SubscriberJoined():
+                self._on_joined(event.peer)
+            case SubscriberLeft():
+                self._forget(event.peer)
+            case HistoryReplaced():
+                self.snapshots.by_kind.clear()  # who loads one begins anew with the next part it asks for
+                self._push()
+            case WriterChanged():
+                self._on_writer_changed(event)
+        effects, self._effects = self._effects, []
         return effects
 
-    def due(self) -> int:
+    def next_deadline(self) -> int:
+        """Return when `TimerExpired` is to be passed in, in ns."""
         return min(
-            next(iter(self.heard_at.values()), NEVER) + STALL,
-            next(iter(self.sent_at.values()), NEVER) + BEAT,
-            self.used_at + SNAPSHOT_KEPT if self.snapshots else NEVER,
+            next(iter(self.last_received_at.values()), NEVER) + STALL,
+            next(iter(self.last_sent_at.values()), NEVER) + BEAT,
+            self.snapshots.expiry(),
         )
 
-    def _joined(self, peer: int) -> None:
-        if len(self.peers) >= self.followers_bound + KEEPERS_SPARE:
-            self._refuse(peer, "full")
+    def _on_joined(self, peer: int) -> None:
+        if len(self.subscribers) >= self.max_followers + RESERVED_FOR_KEEPERS:
+            self._reject(peer, "full")
             return
-        self.peers[peer] = Served()
-        self.heard_at[peer] = self.now
-
-    def _left(self, peer: int) -> None:
-        self.peers.pop(peer, None)
-        for one in (self.ready, self.heard_at, self.sent_at):
-            one.pop(peer, None)
-
-    def _heard(self, peer: int, message: FollowerMessage) -> None:
-        served = self.peers.get(peer)
-        if served is None:
+        self.subscribers[peer] = Subscriber()
+        self.last_received_at[peer] = self.now
+
+    def _forget(self, peer: int) -> None:
+        self.subscribers.pop(peer, None)
+        self.up_to_date.pop(peer, None)
+        self.last_received_at.pop(peer, None)
+        self.last_sent_at.pop(peer, None)
+
+    def _on_message(self, peer: int, message: FollowerMessage) -> None:
+        subscriber = self.subscribers.get(peer)
+        if subscriber is None:
             return
-        self.heard_at[peer] = self.now
-        self.heard_at.move_to_end(peer)
+        self.last_received_at[peer] = self.now
+        self.last_received_at.move_to_end(peer)
         match message:
             case Follow():
-                why = self._follow(peer, served, message)
-            case _ if served.phase == "new":
-                why = "it does not follow yet"
+                fault = self._on_follow(peer, subscriber, message)
+            case _ if subscriber.phase == "new":
+                fault = "it does not follow yet"
             case Acknowledge():
-                why = self._have(peer, served, message)
+                fault = self._on_acknowledge(peer, subscriber, message)
             case FetchPart():
-                why = self._want(peer, served, message)
+                fault = self._on_fetch_part(peer, subscriber, message)
             case FetchTenants():
-                why = self._ask(peer, served, message)
+                fault = self._on_fetch_tenants(peer, subscriber, message)
             case _:
-                why = "no word of a follower"
-        if why:
-            self._close(peer, why)
-
-    def _moved(self) -> None:
-        ready, self.ready = self.ready, {}
-        for peer in ready:
-            self._next(peer, self.peers[peer])
-
-    def _anew(self) -> None:
-        self.snapshots.clear()  # who loads begins anew with the next part it asks for
-        self._moved()
-
-    def _writes(self, epoch: int, holds: bool, level: int, leader: str = "") -> None:
-        """Who writes, as this one knows it now, and how far below it this one is."""
-        self.leader = leader
-        if (epoch, holds, level) == (self.epoch, self.holds, self.level):
+                fault = "no word of a follower"
+        if fault:
+            self._close(peer, fault)
+
+    def _push(self) -> None:
+        """Send the newest state to all who wait for it."""
+        waiting, self.up_to_date = self.up_to_date, {}
+        for peer in waiting:
+            self._send_next(peer, self.subscribers[peer])
+
+    def _on_writer_changed(self, event: WriterChanged) -> None:
+        self.leader = event.leader
+        known = (self.epoch, self.is_writer, self.level)
+        if (event.epoch, event.is_writer, event.level) == known:
             return
-        self.epoch, self.holds, self.level = epoch, holds, level
-        for peer, served in list(self.peers.items()):
-            if served.phase == "new":
+        self.epoch = event.epoch
+        self.is_writer = event.is_writer
+        self.level = event.level
+        for peer, subscriber in list(self.subscribers.items()):
+            if subscriber.phase == "new":
                 continue
-            if not self._below(served.kind, served.level):
-                self._refuse(peer, "not below")
-            elif served.kind == "all" and served.phase == "following":  # instances need not know it
-                self._welcome(peer, served)
-
-    def _elapsed(self) -> None:
-        while self.heard_at:
-            peer = next(iter(self.heard_at))
-            if self.now < self.heard_at[peer] + STALL:
+            if not self._is_above(subscriber.kind, subscriber.level):
+                self._reject(peer, "not below")
+            elif subscriber.kind == "all" and subscriber.phase == "following":
+                self._accept(peer, subscriber)  # instances need not know the writer
+
+    def _on_timer(self) -> None:
+        while self.last_received_at:
+            peer = next(iter(self.last_received_at))
+            if self.now < self.last_received_at[peer] + STALL:
                 break
             self._close(peer, "silent")
-        while self.sent_at:
-            peer = next(iter(self.sent_at))
-            if self.now < self.sent_at[peer] + BEAT:
+        while self.last_sent_at:
+            peer = next(iter(self.last_sent_at))
+            if self.now < self.last_sent_at[peer] + BEAT:
                 break
             table = self.history.table
-            self._send(peer, Heartbeat(table.sequence, table.digest(self.peers[peer].kind)))
-        if self.snapshots and self.now >= self.used_at + SNAPSHOT_KEPT:
-            self.snapshots.clear()
+            self._send(peer, Heartbeat(table.sequence, table.digest(self.subscribers[peer].kind)))
+        self.snapshots.expire(self.now)
 
-    # ---- to a follower
+    # ---- to a subscriber
 
     def _send(self, peer: int, message: SourceMessage) -> None:
-        self.sent_at[peer] = self.now
-        self.sent_at.move_to_end(peer)
-        self.effects.append(("send", peer, message))
-
-    def _refuse(self, peer: int, why: str) -> None:
-        self.effects.append(("send", peer, FollowRejected(why)))
-        self._close(peer, why)
-
-    def _close(self, peer: int, why: str) -> None:
-        self._left(peer)
-        self.effects.append(("close", peer, why))
-
-    def _welcome(self, peer: int, served: Served) -> None:
-        load = served.phase == "loading"
-        number = served.load[0] if served.load else served.number
-        newest = self.history.table.sequence
+        self.last_sent_at[peer] = self.now
+        self.last_sent_at.move_to_end(peer)
+        self._effects.append(SendDownstream(peer, message))
+
+    def _reject(self, peer: int, reason: str) -> None:
+        self._effects.append(SendDownstream(peer, FollowRejected(reason)))
+        self._close(peer, reason)
+
+    def _close(self, peer: int, reason: str) -> None:
+        self._forget(peer)
+        self._effects.append(CloseDownstream(peer, reason))
+
+    def _accept(self, peer: int, subscriber: Subscriber) -> None:
         self._send(
-            peer, FollowAccepted(number, load, 0, self.level, self.epoch, self.holds, self.leader, newest)
+            peer,
+            FollowAccepted(
+                sequence=subscriber.loading[0] if subscriber.loading else subscriber.sequence,
+                load_snapshot=subscriber.phase == "loading",
+                parts=0,
+                level=self.level,
+                epoch=self.epoch,
+                is_writer=self.is_writer,
+                leader=self.leader,
+                newest=self.history.table.sequence,
+            ),
         )
 
-    def _next(self, peer: int, served: Served) -> None:
-        """With nothing out to it: what it misses, and behind that what it asked for, as new as that."""
+    def _send_next(self, peer: int, subscriber: Subscriber) -> None:
+        """Send what a subscriber with nothing in flight lacks, and behind that the tenants it asked for."""
         table = self.history.table
-        if not self.history.knows(served.number, served.digest, served.kind):
-            self._load(peer, served)
+        if not self.history.knows(subscriber.sequence, subscriber.digest, subscriber.kind):
+            self._offer_snapshot(peer, subscriber)
             return
-        if served.number < table.sequence:
-            delta = self.history.delta(served.number, served.kind)
+        if subscriber.sequence < table.sequence:
+            delta = self.history.delta(subscriber.sequence, subscriber.kind)
             if delta is None:
-                self._load(peer, served)
+                self._offer_snapshot(peer, subscriber)
                 return
-            served.out = delta.last, delta.digest
+            subscriber.in_flight = delta.last, delta.digest
             self._send(peer, delta)
         else:
-            self.ready[peer] = None
-        if served.asked and self._newest(served):
-            self._tell(peer, served)
-
-    def _load(self, peer: int, served: Served) -> None:
-        made = self._snapshot(served.kind, served.number)
-        self.ready.pop(peer, None)
-        served.phase, served.out, served.load = "loading", None, (made.number, made.digest)
-        served.part, served.sent = 0, False
-        self._welcome(peer, served)
-
-    def _snapshot(self, kind: Kind, least: int) -> Snapshot:
-        """The one that others load, while a Delta leads on from it and it is not older than what is held."""
-        made = self.snapshots.get(kind)
-        if (
-            made is None
-            or made.number < least
-            or not self.history.knows(made.number, made.digest, kind)
-            or self.history.delta(made.number, kind) is None
-        ):
-            made = self.snapshots[kind] = Snapshot(self.history.table, kind)
-        self.used_at = self.now
-        return made
-
-    def _tell(self, peer: int, served: Served) -> None:
-        """What it asked for, in messages of bounded size."""
-        table, size = self.history.table, 0
+            self.up_to_date[peer] = None
+        self._answer_if_newest(peer, subscriber)
+
+    def _offer_snapshot(self, peer: int, subscriber: Subscriber) -> None:
+        snapshot = self.snapshots.for_loading(self.now, subscriber.kind, subscriber.sequence, self.history)
+        self.up_to_date.pop(peer, None)
+        subscriber.phase = "loading"
+        subscriber.in_flight = None
+        subscriber.loading = snapshot.sequence, snapshot.digest
+        subscriber.next_part = 0
+        subscriber.last_part_sent = False
+        self._accept(peer, subscriber)
+
+    def _answer_if_newest(self, peer: int, subscriber: Subscriber) -> None:
+        if subscriber.pending_tenants and self._has_newest(subscriber):
+            self._send_tenants(peer, subscriber)
+
+    def _has_newest(self, subscriber: Subscriber) -> bool:
+        """Return whether the newest state is held there or on its way."""
+        return subscriber.newest_sent == self.history.table.sequence
+
+    def _send_tenants(self, peer: int, subscriber: Subscriber) -> None:
+        """Send the tenants that were asked for, in messages of bounded size."""
+        table = self.history.table
+        size = 0
         items: list[tuple[str, bytes | None, int]] = []
-        for key in served.asked:
+        for key in subscriber.pending_tenants:
             value, version = table.get(key) or (None, 0)
             items.append((key, value, version))
             size += cost_of(key, value)
             if size >= PART_SIZE:
                 self._send(peer, TenantEntries(table.sequence, tuple(items)))
-                items, size = [], 0
+                items = []
+                size = 0
         if items:
             self._send(peer, TenantEntries(table.sequence, tuple(items)))
-        served.asked = {}
+        subscriber.pending_tenants = {}
+
+    # ---- from a subscriber: each returns why its connection is closed, or ""
 
-    # ---- from a follower: why it is let go, or ""
+    def _is_above(self, kind: Kind, level: int) -> bool:
+        """Return whether a follower of this kind and level may follow this source.
 
-    def _below(self, kind: Kind, level: int) -> bool:
-        """Guards against rings: who serves others follows what is above it alone; keepers are level 0 and
-        follow keepers, of which the one that writes follows nobody."""
+        Prevents rings: who serves others follows only what is above it; keepers have level 0 and follow
+        keepers, of which the writer follows nobody.
+        """
         return level > self.level or (level == 0 and (kind == "wide" or self.level == 0))
 
-    def _follow(self, peer: int, served: Served, told: Follow) -> str:
-        if served.phase != "new":
+    def _on_follow(self, peer: int, subscriber: Subscriber, request: Follow) -> str:
+        if subscriber.phase != "new":
             return "it follows already"
         if (
-            not 0 < len(told.id) <= ID_BOUND
-            or not 0 <= told.level <= LEVEL_BOUND
-            or told.sequence < 0
-            or len(told.digest) > DIGEST_SIZE
+            not 0 < len(request.id) <= ID_BOUND
+            or not 0 <= request.level <= MAX_LEVEL
+            or request.sequence < 0
+            or len(request.digest) > DIGEST_SIZE
         ):
             return "out of bounds"
-        keeper = told.kind == "all" and not told.level
-        if not keeper and len(self.peers) > self.followers_bound:
-            self._refuse(peer, "full")
-        elif not self._below(told.kind, told.level):
-            self._refuse(peer, "not below")
-        elif told.sequence > self.history.table.sequence:
-            self._refuse(peer, "behind")
+        is_keeper = request.kind == "all" and not request.level
+        if not is_keeper and len(self.subscribers) > self.max_followers:
+            self._reject(peer, "full")
+        elif not self._is_above(request.kind, request.level):
+            self._reject(peer, "not below")
+        elif request.sequence > self.history.table.sequence:
+            self._reject(peer, "behind")
         else:
-            served.phase, served.id, served.kind, served.level = "following", told.id, told.kind, told.level
-            served.number, served.digest = told.sequence, told.digest
-            if self._leads(served):
-                self._welcome(peer, served)
-            self._next(peer, served)
+            self._begin(peer, subscriber, request)
         return ""
 
-    def _leads(self, served: Served) -> bool:
-        known = self.history.knows(served.number, served.digest, served.kind)
-        return known and self.history.delta(served.number, served.kind) is not None
-
-    def _have(self, peer: int, served: Served, told: Acknowledge) -> str:
-        if not 0 <= told.durable <= told.sequence:
+    def _begin(self, peer: int, subscriber: Subscriber, request: Follow) -> None:
+        subscriber.phase = "following"
+        subscriber.id = request.id
+        subscriber.kind = request.kind
+        subscriber.level = request.level
+        subscriber.sequence = request.sequence
+        subscriber.digest = request.digest
+        if self._can_resume(subscriber):
+            self._accept(peer, subscriber)
+        self._send_next(peer, subscriber)
+
+    def _can_resume(self, subscriber: Subscriber) -> bool:
+        """Return whether a delta leads on from the state that the subscriber holds."""
+        known = self.history.knows(subscriber.sequence, subscriber.digest, subscriber.kind)
+        return known and self.history.delta(subscriber.sequence, subscriber.kind) is not None
+
+    def _on_acknowledge(self, peer: int, subscriber: Subscriber, message: Acknowledge) -> str:
+        if not 0 <= message.durable <= message.sequence:
             return "out of bounds"
-        if served.phase == "loading":
-            if served.load and served.sent and told.sequence == served.load[0]:
-                served.phase = "following"
-                (served.number, served.digest), served.load = served.load, None
-                if served.kind == "all":
-                    self._welcome(peer, served)  # who writes may have changed since the load began
-                self._durable(served, told.durable)
-                self._next(peer, served)
-                return ""
-            return "" if told.sequence == served.number else "it has what was not sent"
-        if served.out and told.sequence == served.out[0]:
-            (served.number, served.digest), served.out = served.out, None
-            self._durable(served, told.durable)
-            self._next(peer, served)
+        if subscriber.phase == "loading":
+            return self._on_loaded(peer, subscriber, message)
+        if subscriber.in_flight and message.sequence == subscriber.in_flight[0]:
+            subscriber.sequence, subscriber.digest = subscriber.in_flight
+            subscriber.in_flight = None
+            self._note_durable(subscriber, message.durable)
+            self._send_next(peer, subscriber)
             return ""
-        if told.sequence != served.number:
+        if message.sequence != subscriber.sequence:
             return "it has what was not sent"
-        self._durable(served, told.durable)
+        self._note_durable(subscriber, message.durable)
         return ""
 
-    def _durable(self, served: Served, number: int) -> None:
-        if number > served.durable:
-            served.durable = number
-            self.effects.append(("durable", served.id, number))
+    def _on_loaded(self, peer: int, subscriber: Subscriber, message: Acknowledge) -> str:
+        """Take an acknowledgement in the phase loading: of the snapshot, or a sign of life."""
+        loaded = subscriber.loading
+        if loaded and subscriber.last_part_sent and message.sequence == loaded[0]:
+            subscriber.phase = "following"
+            subscriber.sequence, subscriber.digest = loaded
+            subscriber.loading = None
+            if subscriber.kind == "all":
+                self._accept(peer, subscriber)  # the writer may have changed since the load began
+            self._note_durable(subscriber, message.durable)
+            self._send_next(peer, subscriber)
+            return ""
+        return "" if message.sequence == subscriber.sequence else "it has what was not sent"
+
+    def _note_durable(self, subscriber: Subscriber, sequence: int) -> None:
+        if sequence > subscriber.durable:
+            subscriber.durable = sequence
+            self._effects.append(SubscriberDurable(subscriber.id, sequence))
 
-    def _want(self, peer: int, served: Served, told: FetchPart) -> str:
-        if served.phase != "loading" or served.load is None or told.sequence != served.load[0] or served.sent:
-            return ""  # of a load that is over, or was begun anew meanwhile; or past the last part
-        made = self.snapshots.get(served.kind)
-        if told.index != served.part:
+    def _on_fetch_part(self, peer: int, subscriber: Subscriber, request: FetchPart) -> str:
+        loading = subscriber.loading
+        if (
+            subscriber.phase != "loading"
+            or loading is None
+            or request.sequence != loading[0]
+            or subscriber.last_part_sent
+        ):
+            return ""  # of a snapshot that is loaded, or was replaced meanwhile; or past the last part
+        if request.index != subscriber.next_part:
             return "a part out of turn"
-        if made is None or (made.number, made.digest) != served.load:
-            self._load(peer, served)
+        snapshot = self.snapshots.by_kind.get(subscriber.kind)
+        if snapshot is None or (snapshot.sequence, snapshot.digest) != loading:
+            self._offer_snapshot(peer, subscriber)
             return ""
-        served.part += 1
-        self.used_at = self.now
-        part = made.part(told.index)
+        subscriber.next_part += 1
+        self.snapshots.last_used_at = self.now
+        part = snapshot.part(request.index)
         if part is not None:
-            served.sent = part.parts > 0
+            subscriber.last_part_sent = part.parts > 0
             self._send(peer, part)
         return ""
 
-    def _ask(self, peer: int, served: Served, told: FetchTenants) -> str:
-        """Told behind a Delta to the newest, so that the answer is as new as what is held there then."""
-        if len(served.asked) + len(told.keys) > ASKED_BOUND:
+    def _on_fetch_tenants(self, peer: int, subscriber: Subscriber, request: FetchTenants) -> str:
+        """Answer behind a delta to the newest state, so that the answer is as new as what is held there."""
+        if len(subscriber.pending_tenants) + len(request.keys) > ASKED_BOUND:
             return "it asks for too much"
-        for key in told.keys:
+        for key in request.keys:
             if not key.startswith(TENANT) or len(key) > KEY_BOUND:
                 return "no key of a tenant"
-            served.asked[key] = None
-        if served.asked and served.phase == "following" and self._newest(served):
-            self._tell(peer, served)
+            subscriber.pending_tenants[key] = None
+        if subscriber.phase == "following":
+            self._answer_if_newest(peer, subscriber)
         return ""
-
-    def _newest(self, served: Served) -> bool:
-        """Whether all up to the newest is held there or on its way."""
-        return (served.out[0] if served.out else served.number) == self.history.table.sequence
--- /dev/null
+++ b/thistleline/config_feed/upstream.py
@@ -0,0 +1,109 @@
+"""The connection of a follower to its source."""
+
+from __future__ import annotations
+
+import anyio
+from anyio.abc import SocketStream, TaskGroup
+
+from thistleline.config_feed.events import UpstreamConnected, UpstreamLost, UpstreamMessage
+from thistleline.config_feed.inbox import EventSink
+from thistleline.config_feed.limits import MESSAGE_BOUND
+from thistleline.config_feed.messages import FollowerMessage, decode_source
+from thistleline.config_feed.request import CONNECT_TIMEOUT, shake_hands
+from thistleline.config_feed.send_queue import CHUNK_SIZE, SendQueue, check_regularly, to_frame
+from thistleline.transport.address import Address
+from thistleline.transport.codec import Hello, Unpacker
+from thistleline.transport.disconnects import ends
+
+UpstreamEvent = UpstreamConnected | UpstreamLost | UpstreamMessage
+
+
+class UpstreamConnection:
+    """Carries out what a follower asks for: connects, sends, disconnects. There is one connection at a time.
+
+    What happens to it goes to the inbox as events; of a connection that was given up nothing more does.
+    """
+
+    def __init__(
+        self, id: str, sources: dict[str, Address], tasks: TaskGroup, inbox: EventSink[UpstreamEvent]
+    ) -> None:
+        """Begin without a connection.
+
+        Args:
+            id: The id to follow under.
+            sources: Where each source listens.
+            tasks: Runs the connection.
+            inbox: Gets the events.
+        """
+        self._id = id
+        self._sources = sources
+        self._tasks = tasks
+        self._inbox = inbox
+        self._session: _Session | None = None
+
+    def connect(self, source: str) -> None:
+        """Connect to a source, in place of any other."""
+        self.disconnect(self._session.source if self._session is not None else "")
+        self._session = _Session(source)
+        self._tasks.start_soon(self._run, self._session)
+
+    def send(self, source: str, message: FollowerMessage) -> None:
+        """Send a message, if this is the source that is connected."""
+        if self._session is not None and self._session.source == source:
+            self._session.queue.put(to_frame(message))
+
+    def disconnect(self, source: str) -> None:
+        """End the connection to this source, if it is the one."""
+        if self._session is not None and self._session.source == source:
+            self._session.abandoned = True
+            self._session.scope.cancel()
+            self._session = None
+
+    def _emit(self, session: _Session, event: UpstreamEvent) -> None:
+        if not session.abandoned:
+            self._inbox.put(event)
+
+    async def _run(self, session: _Session) -> None:
+        source = session.source
+        with session.scope, ends(session.note):
+            with anyio.fail_after(CONNECT_TIMEOUT):
+                stream = await anyio.connect_tcp(*self._sources[source])
+            async with stream:
+                with anyio.fail_after(CONNECT_TIMEOUT):
+                    await shake_hands(stream, Hello("follower", self._id))
+                self._emit(session, UpstreamConnected(source))
+                async with anyio.create_task_group() as tasks:
+                    tasks.start_soon(session.queue.send_all, stream)
+                    tasks.start_soon(check_regularly, session.check)
+                    await self._receive(stream, session)
+        if self._session is session:
+            self._session = None
+        self._emit(session, UpstreamLost(source, session.reason or "it takes nothing"))
+
+    async def _receive(self, stream: SocketStream, session: _Session) -> None:
+        decoder = Unpacker(MESSAGE_BOUND)
+        while True:
+            payloads = decoder.take(await stream.receive(CHUNK_SIZE))
+            messages = [decode_source(payload) for payload in payloads]
+            if messages and not session.abandoned:
+                await self._inbox.put_and_wait(
+                    UpstreamMessage(session.source, message) for message in messages
+                )
+
+
+class _Session:
+    """One connection to a source, from the wish to its end."""
+
+    def __init__(self, source: str) -> None:
+        self.source = source
+        self.scope = anyio.CancelScope()
+        self.queue = SendQueue(self.scope.cancel)
+        self.abandoned = False  # the follower has given it up
+        self.reason = ""  # why it ended, the first one
+
+    def note(self, reason: str) -> None:
+        self.reason = self.reason or reason
+
+    def check(self, now: int) -> None:
+        if self.queue.is_stalled(now):
+            self.scope.cancel()
--- /dev/null
+++ b/thistleline/config_feed/writer_lease.py
@@ -0,0 +1,92 @@
+"""The writer's lease: a keeper wants it for as long as it runs."""
+
+from __future__ import annotations
+
+import os
+from collections.abc import Callable
+from random import Random
+
+import anyio
+
+from thistleline.config_feed.inbox import EventSink
+from thistleline.config_feed.limits import SECOND
+from thistleline.config_feed.service_events import LeaseChanged
+from thistleline.config_feed.writer import LEASE
+from thistleline.lease.client import Council
+from thistleline.lease.holder import Hold
+from thistleline.lease.session import Keeper
+from thistleline.store.clock import boot_now
+
+REACQUIRE_DELAY = (0.3, 0.6)  # of the lease's duration: who has lost it lets another one have it first
+
+
+class WriterLease:
+    """Acquires the writer's lease, holds it, and acquires it anew after it was lost."""
+
+    def __init__(
+        self,
+        name: str,
+        duration: int,
+        client: Council,
+        inbox: EventSink[LeaseChanged],
+        log: Callable[..., None],
+        random: Random,
+    ) -> None:
+        """Begin without the lease.
+
+        Args:
+            name: Of the keeper; each attempt has an owner id of its own that begins with it.
+            duration: Of the lease, in ns.
+            client: Where to ask for it.
+            inbox: Hears when the lease is acquired and lost.
+            log: Called with an event's name and its fields.
+            random: Source of the random waits.
+        """
+        self._name = name
+        self._duration = duration
+        self._client = client
+        self._inbox = inbox
+        self._log = log
+        self._random = random
+        self._session: Keeper | None = None
+        self._leaving = False
+        self._left = anyio.Event()
+
+    async def run(self) -> None:
+        """Want the lease until `leave` is called."""
+        while not self._leaving:
+            await self._hold_once()
+            if not self._leaving:
+                await anyio.sleep(self._duration / SECOND * self._random.uniform(*REACQUIRE_DELAY))
+        self._left.set()
+
+    def release(self) -> None:
+        """Give the lease back; it will be wanted again after a while."""
+        if self._session is not None:
+            self._session.take("release")
+
+    async def leave(self) -> None:
+        """Give the lease back for good, and return once that is done."""
+        self._leaving = True
+        if self._session is not None and self._session.hold.phase != "ended":
+            self._session.take("release")
+            await self._left.wait()
+
+    async def _hold_once(self) -> None:
+        owner = f"{self._name}.{os.getpid()}.{os.urandom(6).hex()}"
+        hold = Hold(LEASE, owner, self._duration, True, boot_now(), self._random_delay)
+        session = self._session = Keeper(self._client, hold)
+        async with anyio.create_task_group() as tasks:
+            tasks.start_soon(session.run, tasks)
+            await session.decided.wait()
+            if hold.phase == "held":
+                self._log("holds", epoch=hold.epoch)
+                self._inbox.put(LeaseChanged("held", hold.epoch))
+                await session.over.wait()
+                self._log("lost", epoch=hold.epoch, why=hold.why)
+                self._inbox.put(LeaseChanged("lost", hold.why))
+            tasks.cancel_scope.cancel()
+        session.close()
+
+    def _random_delay(self, max_delay: int) -> int:
+        return self._random.randrange(max_delay + 1)
--- a/thistleline/lab/feedfleet.py
+++ b/thistleline/lab/feedfleet.py
@@ -13,9 +13,10 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from thistleline.config_feed.client import Following, look, propose, snapshot
+from thistleline.config_feed.follower_service import FollowerService
 from thistleline.config_feed.limits import MADE_SLOTS
 from thistleline.config_feed.messages import Item, Propose, ProposeResult, ReadResult
+from thistleline.config_feed.operations import export_table, propose, read
 from thistleline.config_feed.table import Table
 from thistleline.lab.harness import Fleet, Hung, Process, free_port
 from thistleline.transport.address import Address
@@ -199,7 +200,7 @@
 
     async def looked(self, name: str) -> ReadResult | None:
         process = self.processes[name]
-        return await look(self.address(name), (), 0.5) if process.runs and not process.stopped else None
+        return await read(self.address(name), (), 0.5) if process.runs and not process.stopped else None
 
     async def writer(self, span: float = PATIENCE, other_than: str = "") -> str:
         """The keeper that writes, once there is one."""
@@ -258,10 +259,10 @@
     async def table(self, name: str, number: int, span: float = PATIENCE) -> Table:
         """All that a keeper or relay holds, at that number or after it."""
         async with anyio.create_task_group() as group:
-            following = Following("oracle", "all", {name: self.address(name)}, alone=True)
+            following = FollowerService("oracle", {name: self.address(name)}, immediate=True)
             group.start_soon(following.run)
             with anyio.move_on_after(span) as scope:
-                await following.beyond(number)
+                await following.wait_for(number)
             group.cancel_scope.cancel()
         if scope.cancelled_caught:
             raise Hung(f"{name} does not tell the state {number} in {span} s")
@@ -312,7 +313,7 @@
         async def judge_one(name: str) -> None:
             found = await self.looked(name)
             number = found.sequence if found is not None else oracle.newest
-            told = await snapshot({name: self.address(name)}, 10.0)
+            told = await export_table({name: self.address(name)}, 10.0)
             if told is None:
                 oracle.wrong.append(f"{name} gives no snapshot")
                 return
--- a/thistleline/lab/feedmutants.py
+++ b/thistleline/lab/feedmutants.py
@@ -6,11 +6,14 @@
 
 import msgspec
 
+from thistleline.config_feed import snapshot as snapshots
 from thistleline.config_feed import source as serving
 from thistleline.config_feed import writer as writing
+from thistleline.config_feed.effects import SnapshotLoaded
+from thistleline.config_feed.events import TimerExpired
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.history import History
-from thistleline.config_feed.lookups import Lookups
+from thistleline.config_feed.lookups import LookupCache
 from thistleline.config_feed.messages import Acknowledge, FollowAccepted, Kind, SnapshotPart
 from thistleline.config_feed.source import Source
 from thistleline.config_feed.table import Table
@@ -22,7 +25,11 @@
 
 DEPTH = 60
 # Small, so that a world of some steps comes to where it counts: two records in the ring, an entry a part.
-SMALL: tuple[tuple[Any, str, Any], ...] = ((writing, "RING", 2), (serving, "PART_SIZE", 1))
+SMALL: tuple[tuple[Any, str, Any], ...] = (
+    (writing, "RING", 2),
+    (serving, "PART_SIZE", 1),
+    (snapshots, "PART_SIZE", 1),
+)
 
 
 # ---- where explorations begin
@@ -105,7 +112,7 @@
     """A change is on its way to the instance, which asks for a tenant that the next one takes away."""
     world = _on_its_way(changed(fleet(keepers=1), 4))
     world.look("i0")
-    world.put("i0", "elapsed")
+    world.put("i0", TimerExpired())
     return world
 
 
@@ -126,7 +133,7 @@
     while world.links.get("i0", world.links["r0"]).server != "r1":
         if "i0" in world.links:
             world.end("i0")
-        world.put("i0", "elapsed")
+        world.put("i0", TimerExpired())
     return world
 
 
@@ -156,7 +163,7 @@
     return number in self._digests
 
 
-def _taken_anyhow(self: Follower, told: Any, had: Callable[..., None] = Follower._delta) -> None:
+def _taken_anyhow(self: Follower, told: Any, had: Callable[..., None] = Follower._apply_delta) -> None:
     if self.phase == "following" and told.first == self.table.sequence:
         table = self.table.moved(told.last, told.items, self.kind)
         had(self, msgspec.structs.replace(told, digest=table.digest(self.kind)))
@@ -164,21 +171,25 @@
         had(self, told)
 
 
-def _part_taken_anyhow(self: Follower, told: SnapshotPart, had: Callable[..., None] = Follower._part) -> None:
-    if self.phase == "loading" and self.load is not None:
-        table = self.load.moved(told.sequence, told.items, self.kind)
+def _part_taken_anyhow(
+    self: Follower, told: SnapshotPart, had: Callable[..., None] = Follower._add_part
+) -> None:
+    if self.phase == "loading" and self.snapshot is not None:
+        table = self.snapshot.moved(told.sequence, told.items, self.kind)
         told = msgspec.structs.replace(told, digest=table.digest(self.kind))
     had(self, told)
 
 
-def _part_counts(self: Follower, told: SnapshotPart, had: Callable[..., None] = Follower._part) -> None:
+def _part_counts(self: Follower, told: SnapshotPart, had: Callable[..., None] = Follower._add_part) -> None:
     had(self, told)
-    if self.load is not None:
-        self.table = self.load
-        self.effects.append(("loaded",))
+    if self.snapshot is not None:
+        self.table = self.snapshot
+        self._effects.append(SnapshotLoaded())
 
 
-def _older_too(self: Follower, told: FollowAccepted, had: Callable[..., None] = Follower._welcomed) -> None:
+def _older_too(
+    self: Follower, told: FollowAccepted, had: Callable[..., None] = Follower._on_accepted
+) -> None:
     table = self.table
     if told.load_snapshot and told.sequence < table.sequence:
         self.table = table._replace(sequence=told.sequence)
@@ -188,14 +199,16 @@
         had(self, told)
 
 
-def _serves_ahead(self: Source, peer: int, served: Any, told: Any, had: Any = Source._follow) -> str:
+def _serves_ahead(self: Source, peer: int, served: Any, told: Any, had: Any = Source._on_follow) -> str:
     """Who is ahead is not refused."""
     newest = self.history.table.sequence
     answer = had(self, peer, served, msgspec.structs.replace(told, sequence=min(told.sequence, newest)))
     return str(answer)
 
 
-def _of_any_number(self: Lookups, told: Any, had: Callable[..., None] = Lookups._told) -> None:
+def _of_any_number(
+    self: LookupCache, told: Any, had: Callable[..., None] = LookupCache._on_tenant_entries
+) -> None:
     had(self, msgspec.structs.replace(told, sequence=self.follower.table.sequence))
 
 
@@ -230,18 +243,19 @@
     mutant("resume: a state is gone on from by its digest too", "another's state",
             History, "knows", _by_number),
     mutant("a change is taken with its digest alone", "a change under way",
-            Follower, "_delta", _taken_anyhow),
+            Follower, "_apply_delta", _taken_anyhow),
     mutant("a snapshot is taken with its digest alone", "cold instance",
-            Follower, "_part", _part_taken_anyhow),
+            Follower, "_add_part", _part_taken_anyhow),
     mutant("whole changes: no part counts before the last", "cold instance",
-            Follower, "_part", _part_counts),
-    mutant("no older state is taken", "older relay", Follower, "_welcomed", _older_too,
-            Source, "_follow", _serves_ahead),
-    mutant("a tenant is told and taken at the number held", "tenants", Lookups, "_told", _of_any_number,
-            Source, "_newest", _always),
+            Follower, "_add_part", _part_counts),
+    mutant("no older state is taken", "older relay", Follower, "_on_accepted", _older_too,
+            Source, "_on_follow", _serves_ahead),
+    mutant("a tenant is told and taken at the number held", "tenants",
+            LookupCache, "_on_tenant_entries", _of_any_number,
+            Source, "_has_newest", _always),
     mutant("the fence", "deposed writer", Council, "_put", _any_epoch),
     mutant("the cut rule: a majority has it on disk first", "ring full", Writer, "_free", _always),
-    mutant("durable is what the disk has", "ring full", Follower, "_have", _at_once_durable),
+    mutant("durable is what the disk has", "ring full", Follower, "_acknowledge", _at_once_durable),
     mutant("who takes over goes on from the records", "unanswered", Writer, "_enter", _own_table),
     mutant("a Put without an answer is settled by reading", "unanswered", Writer, "_put_unknown",
             _taken_for_refused, Writer, "_put_denied", _taken_for_refused),
--- a/thistleline/lab/feedrun.py
+++ b/thistleline/lab/feedrun.py
@@ -6,7 +6,8 @@
 measured apart. An oracle that knows nothing of the reducers keeps its own list of changes and plain dicts.
 
 The council is stood in for: its table and its watch over leases are the real ones, its trips are drawn. Who
-asks for a change asks the one that wrote last, and goes on as feed/client.propose does until it is known.
+asks for a change asks the one that wrote last, and goes on as config_feed/operations.propose does until it
+is known.
 """
 
 from bisect import bisect_right
@@ -18,10 +19,30 @@
 from typing import Any, ClassVar, Protocol
 
 from thistleline.config_feed import follower as following
-from thistleline.config_feed.client import PAUSE, PROPOSE_SPAN, Asking
+from thistleline.config_feed.effects import (
+    CloseDownstream,
+    ConnectUpstream,
+    DeltaApplied,
+    DisconnectUpstream,
+    PersistStep,
+    PersistTable,
+    SendDownstream,
+    SendUpstream,
+    SnapshotLoaded,
+)
+from thistleline.config_feed.events import (
+    StateDurable,
+    SubscriberJoined,
+    SubscriberLeft,
+    SubscriberMessage,
+    TimerExpired,
+    UpstreamConnected,
+    UpstreamLost,
+    UpstreamMessage,
+)
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.limits import MADE_SLOTS, MS, SECOND
-from thistleline.config_feed.lookups import Lookups
+from thistleline.config_feed.lookups import LookupCache
 from thistleline.config_feed.messages import (
     Change,
     Delta,
@@ -32,7 +53,8 @@
     SnapshotPart,
     encode,
 )
-from thistleline.config_feed.relay import Station
+from thistleline.config_feed.operations import ATTEMPT_TIMEOUT, RETRY_DELAY, EndpointSelector
+from thistleline.config_feed.relay import FeedRelay, RelayEvent
 from thistleline.config_feed.table import APART, Entries, Table
 from thistleline.config_feed.writer import LEASE, key_of
 from thistleline.lab.mutants import without
@@ -54,7 +76,7 @@
 KEPT = 2_000  # states shared at once
 
 Spread = Callable[[int], int]
-Effects = list[tuple[Any, ...]]
+Effects = list[Any]
 Key = tuple[int, int, int, int, Kind, tuple[Any, ...]]
 
 
@@ -85,41 +107,39 @@
     @property
     def table(self) -> Table: ...
 
-    def take(self, now: int, part: str, *told: Any) -> Effects: ...
+    def handle(self, now: int, event: RelayEvent) -> Effects: ...
 
-    def due(self) -> int: ...
+    def next_deadline(self) -> int: ...
 
 
 class Instance:
-    """A hollow instance: what its look-ups answer by. Inputs and effects as of a Station."""
+    """A hollow instance: what its look-ups answer by. Inputs and effects as of a FeedRelay."""
 
     __slots__ = ("lookups",)
 
     def __init__(self, id: str, table: Table, sources: tuple[str, ...], now: int, spread: Spread) -> None:
-        self.lookups = Lookups(Follower(id, "wide", table, sources, now, spread))
+        self.lookups = LookupCache(Follower(id, "wide", table, sources, now, spread))
 
     def copy(self) -> "Instance":
         made = Instance.__new__(Instance)
         made.lookups = self.lookups.copy()
         return made
 
-    def frozen(self) -> Any:
-        return self.lookups.frozen()
+    def state_key(self) -> Any:
+        return self.lookups.state_key()
 
     @property
     def table(self) -> Table:
         return self.lookups.follower.table
 
-    def due(self) -> int:
-        return self.lookups.due()
+    def next_deadline(self) -> int:
+        return self.lookups.next_deadline()
 
-    def take(self, now: int, part: str, *told: Any) -> Effects:
+    def handle(self, now: int, event: Any) -> Effects:
         out: Effects = []
-        for effect in self.lookups.take(now, *(told if part == "up" else (part, *told))):
-            if effect[0] == "send":
-                out.append(("up", *effect[1:]))
-            elif effect[0] in ("took", "loaded"):
-                out.append(("step", self.table))
+        for effect in self.lookups.handle(now, event):
+            if isinstance(effect, DeltaApplied | SnapshotLoaded):
+                out.append(PersistTable(self.table))
             else:
                 out.append(effect)
         return out
@@ -227,7 +247,7 @@
         self.durable: Table | None = None
 
 
-class Asked(Asking):
+class Asked(EndpointSelector):
     """A change that somebody wants, until its number is known."""
 
     __slots__ = ("first", "last", "propose", "region", "tries")
@@ -319,7 +339,7 @@
         self.relays = [f"r{region}.{place}" for region in range(regions) for place in range(relays)]
         for place, name in enumerate(self.kept):
             others = tuple(one for one in self.kept if one != name)
-            node = Station(name, 0, table, others, self.now, self._spread, tuple(self.kept))
+            node = FeedRelay(name, 0, table, others, self.now, self._spread, tuple(self.kept))
             region = place * regions // keepers
             self._add(Place(name, region, region, node, PLENTY))
         for name in self.relays:
@@ -327,7 +347,7 @@
             self.chance.shuffle(sources)
             region, place = map(int, name[1:].split("."))
             zone = place * regions + region
-            node = Station(name, 1, table, tuple(sources), 0, self._spread)
+            node = FeedRelay(name, 1, table, tuple(sources), 0, self._spread)
             self._add(Place(name, region, zone if zone < self.zones else region, node, PLENTY))
         self.wide = Shared(*Table.moved(Table(), table.sequence, table.entries("wide"), "wide"))
         self.instances = [f"i{place}" for place in range(instances)]
@@ -368,7 +388,7 @@
             return super().run(until, over)
 
     def _arm(self, place: Place) -> None:
-        due = place.node.due()
+        due = place.node.next_deadline()
         if due < place.wake:
             place.wake = max(due, self.now + 1)
             # One that stood still reads first what came meanwhile, then it judges the time.
@@ -379,8 +399,8 @@
         if place.wake != when or place.life != life or not place.alive:
             return
         place.wake = NEVER
-        if place.node.due() <= self.now:
-            self.put(place, "elapsed")
+        if place.node.next_deadline() <= self.now:
+            self.put(place, TimerExpired())
         else:
             self._arm(place)
 
@@ -392,23 +412,50 @@
 
     # ---- what a process is told, and what it asks for
 
-    def put(self, place: Place, *told: Any) -> None:
+    def put(self, place: Place, event: RelayEvent) -> None:
         if not place.alive:
             return
         place.takes += 1
         if self.timed and place.name[0] == "i":
             began = perf_counter_ns()
-            effects = place.node.take(self.now, *told)
+            effects = place.node.handle(self.now, event)
             place.cpu += perf_counter_ns() - began
         else:
-            effects = place.node.take(self.now, *told)
+            effects = place.node.handle(self.now, event)
+        self._carried_out(place, effects)
+
+    def put_writer(self, place: Place, kind: str, *told: Any) -> None:
+        if not place.alive:
+            return
+        place.takes += 1
+        assert isinstance(place.node, FeedRelay)
+        self._carried_out(place, place.node.handle_writer(self.now, kind, *told))
+
+    def _carried_out(self, place: Place, effects: Effects) -> None:
         for effect in effects:
-            getattr(self, f"_{effect[0]}")(place, *effect[1:])
+            self._carry_out(place, effect)
         table = place.node.table
         if table.sequence != place.number:
             self._stands(place, table)
         self._arm(place)
 
+    def _carry_out(self, place: Place, effect: Any) -> None:
+        match effect:
+            case SendUpstream(source, message):
+                self._up(place, source, message)
+            case SendDownstream(peer, message):
+                self._down(place, peer, message)
+            case PersistStep(table) | PersistTable(table):
+                self.at(self.now + SYNC, self._written, place, table, place.life)
+            case ConnectUpstream(source):
+                self._connect(place, source)
+            case DisconnectUpstream(source):
+                self._drop(place, source)
+            case CloseDownstream(peer):
+                self._close(place, peer)
+            case _:
+                getattr(self, f"_{effect[0]}")(place, *effect[1:])
+
     def _stands(self, place: Place, table: Table) -> None:
         before, place.number = place.number, table.sequence
         if table.sequence < before:
@@ -442,7 +489,7 @@
 
     def _unheard(self, place: Place, name: str, life: int) -> None:
         if place.life == life:
-            self.put(place, "up", "lost", name, "no answer")
+            self.put(place, UpstreamLost(name, "no answer"))
 
     def _joined(self, place: Place, server: Place, life: int, server_life: int) -> None:
         if server.life != server_life or not server.alive or place.life != life or not place.alive:
@@ -454,14 +501,14 @@
         self._count(server, place, HELLO + HEAD)
         link.arrived = [self.now, self.now]
         place.link = link
-        self.put(server, "down", "joined", link.peer)
+        self.put(server, SubscriberJoined(link.peer))
         when = self._paced(place, self.now + self._way(place, server))
         link.arrived[0] = max(link.arrived[0], when)
         self.at(link.arrived[0], self._connected, link, life)
 
     def _connected(self, link: Link, life: int) -> None:
         if not link.closed[0] and link.client.life == life:
-            self.put(link.client, "up", "connected", link.server.name)
+            self.put(link.client, UpstreamConnected(link.server.name))
 
     def _way(self, one: Place, other: Place) -> int:
         least = self.apart[one.region][other.region] or MS // 2
@@ -517,9 +564,9 @@
         to.got += 1
         to.got_bytes += size
         if way:
-            self.put(to, "down", "heard", link.peer, message)
+            self.put(to, SubscriberMessage(link.peer, message))
         else:
-            self.put(to, "up", "heard", link.server.name, message)
+            self.put(to, UpstreamMessage(link.server.name, message))
 
     def _end(self, link: Link, by: int) -> None:
         """By the client, 0, or the server; the other hears of it unless the way is cut."""
@@ -540,30 +587,21 @@
         if not link.closed[0] and link.client.link is link:
             link.closed[0] = True
             link.client.link = None
-            self.put(link.client, "up", "lost", link.server.name, "it ended")
+            self.put(link.client, UpstreamLost(link.server.name, "it ended"))
 
     def _left(self, link: Link) -> None:
         if not link.closed[1] and link.server.peers.pop(link.peer, None) is not None:
             link.closed[1] = True
-            self.put(link.server, "down", "left", link.peer)
+            self.put(link.server, SubscriberLeft(link.peer))
 
-    def _drop(self, place: Place, name: str, why: str) -> None:
+    def _drop(self, place: Place, name: str) -> None:
         if place.link is not None and place.link.server.name == name:
             self._end(place.link, 0)
 
-    def _close(self, place: Place, peer: int, why: str) -> None:
+    def _close(self, place: Place, peer: int) -> None:
         if peer in place.peers:
             self._end(place.peers[peer], 1)
 
-    def _step(self, place: Place, table: Table, *_: Any) -> None:
-        self.at(self.now + SYNC, self._written, place, table, place.life)
-
-    def _anew(self, place: Place, table: Table) -> None:
-        self._step(place, table)
-
-    def _loaded(self, place: Place) -> None:
-        pass
-
     def _log(self, place: Place, event: str, facts: dict[str, Any]) -> None:
         if event == "gives_up":
             self.wrong = self.wrong or f"{place.name} gives up: {facts}"
@@ -571,7 +609,7 @@
     def _written(self, place: Place, table: Table, life: int) -> None:
         if place.life == life and place.alive:
             place.durable = table
-            self.put(place, "durable", table.sequence)
+            self.put(place, StateDurable(table.sequence))
 
     # ---- the council
 
@@ -582,7 +620,7 @@
     def _errand(self, place: Place, hold: Hold, *told: Any) -> None:
         """What the council said of the writer's records; to a hold that is over it says nothing."""
         if self.holds.get(place.name) is hold:
-            self.put(place, "writer", *told)
+            self.put_writer(place, *told)
 
     def _get(self, place: Place, slot: int, key: str) -> None:
         got, hold = self.leases.get(key), self.holds[place.name]
@@ -625,10 +663,10 @@
             if effect == "ask":
                 self.at(self.now + self._trip() // 2, self._asks, place, hold, *rest)
             elif effect == "held":
-                self.put(place, "writer", "held", *rest)
+                self.put_writer(place, "held", *rest)
             else:
                 del self.holds[place.name]
-                self.put(place, "writer", "lost", *rest)
+                self.put_writer(place, "lost", *rest)
                 self.at(self.now + LENGTH // 3 + self._spread(LENGTH // 3), self._wants, place)
                 return
         self.at(max(hold.due(), self.now + 1), self._holds_due, place, hold)
@@ -673,13 +711,13 @@
         if asked is None:
             return  # the answer came while it waited to ask again
         asked.last = self.now
-        keeper = self.places[asked.at]
+        keeper = self.places[asked.current]
         self.at(self.now + (self.apart[asked.region][keeper.region] or MS), self._proposed, keeper, ticket)
-        self.at(self.now + int(PROPOSE_SPAN * SECOND), self._another, ticket, asked.tries, False)
+        self.at(self.now + int(ATTEMPT_TIMEOUT * SECOND), self._another, ticket, asked.tries, False)
 
     def _proposed(self, keeper: Place, ticket: int) -> None:
         if ticket in self.proposals:
-            self.put(keeper, "writer", "proposed", ticket, self.proposals[ticket].propose)
+            self.put_writer(keeper, "proposed", ticket, self.proposals[ticket].propose)
 
     def _another(self, ticket: int, tries: int, answered: bool, leader: str = "") -> None:
         """The same request, of who is said to write, else of the next after a pause."""
@@ -687,15 +725,15 @@
         if asked is None or asked.tries != tries:
             return
         asked.tries += 1
-        if asked.on(answered, leader):
+        if asked.advance(answered, leader):
             self._ask(ticket)
         else:
-            self.at(self.now + int(PAUSE * SECOND * self.chance.uniform(0.5, 1.5)), self._ask, ticket)
+            self.at(self.now + int(RETRY_DELAY * SECOND * self.chance.uniform(0.5, 1.5)), self._ask, ticket)
 
     def writer(self) -> Place:
         for name in self.kept:
             place = self.places[name]
-            if place.alive and isinstance(place.node, Station) and place.node.holds:
+            if place.alive and isinstance(place.node, FeedRelay) and place.node.is_writer:
                 return place
         raise AssertionError("nobody writes")
 
@@ -730,7 +768,7 @@
         place = self.places[name]
         if not place.alive or not isinstance(place.node, Instance):
             return
-        found = place.node.lookups.look(key)
+        found = place.node.lookups.lookup(key)
         self.looked["known" if found.known else "not known yet"] += 1
         if (
             found.known
@@ -766,7 +804,7 @@
         place.alive, place.since = True, self.now
         if name in self.kept:
             others = tuple(one for one in self.kept if one != name)
-            place.node = Station(name, 0, table, others, self.now, self._spread, tuple(self.kept))
+            place.node = FeedRelay(name, 0, table, others, self.now, self._spread, tuple(self.kept))
             self._wants(place)
         else:
             place.node = self._instance(name, place.region, table)
@@ -778,7 +816,7 @@
         place = self.places[name]
         place.pace, place.phase = pace, self.chance.randrange(max(1, pace))
         # A mark of its own: what was to wake it before would come before what lies unread.
-        place.wake = max(place.node.due(), self.now) + 1
+        place.wake = max(place.node.next_deadline(), self.now) + 1
         self.at(self._paced(place, place.wake) + 1, self._wakes, place, place.wake, place.life)
 
     # ---- what came out
--- a/thistleline/lab/feedworld.py
+++ b/thistleline/lab/feedworld.py
@@ -7,10 +7,29 @@
 took and keeps plain dicts.
 """
 
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Iterator, Sequence
 from functools import partial
 from typing import Any, NamedTuple
 
+from thistleline.config_feed.effects import (
+    CloseDownstream,
+    ConnectUpstream,
+    DisconnectUpstream,
+    PersistStep,
+    PersistTable,
+    SendDownstream,
+    SendUpstream,
+)
+from thistleline.config_feed.events import (
+    StateDurable,
+    SubscriberJoined,
+    SubscriberLeft,
+    SubscriberMessage,
+    TimerExpired,
+    UpstreamConnected,
+    UpstreamLost,
+    UpstreamMessage,
+)
 from thistleline.config_feed.limits import SECOND
 from thistleline.config_feed.messages import (
     Change,
@@ -22,7 +41,7 @@
     decode_group,
     encode,
 )
-from thistleline.config_feed.relay import Station
+from thistleline.config_feed.relay import FeedRelay, RelayEvent
 from thistleline.config_feed.table import APART, Table
 from thistleline.config_feed.writer import LEASE, key_of
 from thistleline.lab.feedrun import Instance
@@ -67,7 +86,7 @@
     down: tuple[Any, ...] = ()
 
 
-Node = Station | Instance
+Node = FeedRelay | Instance
 END = "end"
 
 
@@ -125,31 +144,61 @@
         if name[0] == "i":
             return Instance(name, table, sources, self.now, _no_spread)
         level = 0 if name[0] == "k" else 1
-        return Station(name, level, table, sources, self.now, _no_spread, keepers if not level else ())
+        return FeedRelay(name, level, table, sources, self.now, _no_spread, keepers if not level else ())
 
     # ---- steps, each on a copy of its own
 
-    def put(self, name: str, *told: Any) -> None:
+    def put(self, name: str, event: RelayEvent) -> None:
+        node = self._copied(name)
+        before = node.table.sequence
+        self._carried_out(name, before, node.handle(self.now, event))
+
+    def put_writer(self, name: str, kind: str, *told: Any) -> None:
+        node = self._copied(name)
+        assert isinstance(node, FeedRelay)
+        before = node.table.sequence
+        self._carried_out(name, before, node.handle_writer(self.now, kind, *told))
+
+    def _copied(self, name: str) -> Node:
         node = self.nodes[name].copy()
         self.nodes[name] = node
         self.keys.pop(name, None)
-        before = node.table.sequence
-        effects = node.take(self.now, *told)
-        if node.table.sequence < before:
-            self.broken = self.broken or f"{name} goes back from {before} to {node.table.sequence}"
+        return node
+
+    def _carried_out(self, name: str, before: int, effects: Sequence[Any]) -> None:
+        number = self.nodes[name].table.sequence
+        if number < before:
+            self.broken = self.broken or f"{name} goes back from {before} to {number}"
         for effect in effects:
-            getattr(self, f"_{effect[0]}")(name, *effect[1:])
+            self._carry_out(name, effect)
         self._check(name)
 
+    def _carry_out(self, name: str, effect: Any) -> None:
+        match effect:
+            case SendUpstream(source, message):
+                self._up(name, source, message)
+            case SendDownstream(peer, message):
+                self._down(name, peer, message)
+            case ConnectUpstream(source):
+                self._connect(name, source)
+            case DisconnectUpstream(source):
+                self._drop(name, source)
+            case CloseDownstream(peer):
+                self._down(name, peer, END)
+            case PersistStep(table) | PersistTable(table):
+                self.pending[name] = table
+            case _:
+                getattr(self, f"_{effect[0]}")(name, *effect[1:])
+
     def _connect(self, name: str, server: str) -> None:
         old = self.links.pop(name, None)
         if old is not None:
-            self.put(old.server, "down", "left", old.peer)
+            self.put(old.server, SubscriberLeft(old.peer))
         self.count += 1
         self.links[name] = Link(server, self.count)
-        self.put(server, "down", "joined", self.count)
+        self.put(server, SubscriberJoined(self.count))
         if name in self.links:
-            self.put(name, "up", "connected", server)
+            self.put(name, UpstreamConnected(server))
 
     def _up(self, name: str, server: str, message: Any) -> None:
         link = self.links.get(name)
@@ -162,32 +211,29 @@
                 self.links[client] = link._replace(down=(*link.down, message))
                 return
 
-    def _close(self, name: str, peer: int, why: str) -> None:
-        self._down(name, peer, END)
-
-    def _drop(self, name: str, server: str, why: str) -> None:
+    def _drop(self, name: str, server: str) -> None:
         link = self.links.pop(name, None)
         if link is not None:
-            self.put(link.server, "down", "left", link.peer)
+            self.put(link.server, SubscriberLeft(link.peer))
 
     def end(self, name: str) -> None:
         """A connection breaks, and all that is under way on it is lost."""
         link = self.links.pop(name)
-        self.put(link.server, "down", "left", link.peer)
-        self.put(name, "up", "lost", link.server, "it broke")
+        self.put(link.server, SubscriberLeft(link.peer))
+        self.put(name, UpstreamLost(link.server, "it broke"))
 
     def hear(self, name: str, up: bool) -> None:
         """The next message of a connection arrives."""
         link = self.links[name]
         if up:
             self.links[name] = link._replace(up=link.up[1:])
-            self.put(link.server, "down", "heard", link.peer, link.up[0])
+            self.put(link.server, SubscriberMessage(link.peer, link.up[0]))
         else:
             self.links[name] = link._replace(down=link.down[1:])
             if link.down[0] == END:
                 self.end(name)
             else:
-                self.put(name, "up", "heard", link.server, link.down[0])
+                self.put(name, UpstreamMessage(link.server, link.down[0]))
 
     def damage(self, name: str) -> None:
         """Of the next message an entry is lost."""
@@ -203,27 +249,18 @@
             )
         self.links[name] = link._replace(down=(worse, *link.down[1:]))
 
-    def _step(self, name: str, table: Table, *_: Any) -> None:
-        self.pending[name] = table
-
-    def _anew(self, name: str, table: Table) -> None:
-        self.pending[name] = table
-
-    def _loaded(self, name: str) -> None:
-        pass
-
     def _log(self, name: str, *_: Any) -> None:
         pass
 
     def keep(self, name: str) -> None:
         """The disk has what it was given."""
         self.disks[name] = self.pending.pop(name)
-        self.put(name, "durable", self.disks[name].sequence)
+        self.put(name, StateDurable(self.disks[name].sequence))
 
     def restart(self, name: str) -> None:
         """It ends, and is there again with what its disk has."""
         node = self.nodes[name]
-        keepers = node.writer.keepers if isinstance(node, Station) and node.writer is not None else ()
+        keepers = node.writer.keepers if isinstance(node, FeedRelay) and node.writer is not None else ()
         self.nodes[name] = self._new(name, self.disks[name], keepers)
         self.keys.pop(name, None)
         self.pending.pop(name, None)
@@ -232,11 +269,11 @@
         self.answers = tuple(one for one in self.answers if one[0] != name)
         link = self.links.pop(name, None)
         if link is not None:
-            self.put(link.server, "down", "left", link.peer)
+            self.put(link.server, SubscriberLeft(link.peer))
         for client, other in list(self.links.items()):
             if other.server == name and client in self.links:
                 del self.links[client]
-                self.put(client, "up", "lost", name, "it ended")
+                self.put(client, UpstreamLost(name, "it ended"))
 
     # ---- the council
 
@@ -249,7 +286,7 @@
         for slot in slots:
             if name in self.held:
                 got = self.council.get(key_of(slot))
-                self.put(name, "writer", "got", slot, got.value, got.version)
+                self.put_writer(name, "got", slot, got.value, got.version)
 
     def _put(self, name: str, slot: int, put: Put) -> None:
         self.requests = (*self.requests, (name, self.held.get(name, 0), slot, put))
@@ -279,13 +316,13 @@
         name, epoch, told = self.answers[place]
         self.answers = (*self.answers[:place], *self.answers[place + 1 :])
         if self.held.get(name) == epoch:
-            self.put(name, "writer", *(("put_unknown", told[1]) if lost else told))
+            self.put_writer(name, *(("put_unknown", told[1]) if lost else told))
 
     def late(self, place: int) -> None:
         """Who asked is told that no answer will come; the request is still on its way."""
         name, epoch, slot, _ = self.requests[place]
         if self.held.get(name) == epoch:
-            self.put(name, "writer", "put_unknown", slot)
+            self.put_writer(name, "put_unknown", slot)
 
     def move(self, name: str) -> None:
         """The lease is another's; who held it is not told."""
@@ -295,13 +332,13 @@
         answer = self._apply(Take(LEASE, f"{name}.{self.index}", 10 * SECOND, True))
         assert isinstance(answer, Granted)
         self.held[name] = answer.epoch
-        self.put(name, "writer", "held", answer.epoch)
+        self.put_writer(name, "held", answer.epoch)
 
     def lose(self, name: str) -> None:
         """It learns that the lease is not its own any more."""
         del self.held[name]
         self.reads.pop(name, None)
-        self.put(name, "writer", "lost", "its right is over")
+        self.put_writer(name, "lost", "its right is over")
 
     def _release(self, name: str, why: str) -> None:
         lease = self.council.state.leases.get(LEASE)
@@ -315,7 +352,7 @@
     def propose(self, name: str, again: bool = False) -> None:
         place = self.made - again
         self.made = place + 1
-        self.put(name, "writer", "proposed", place, Propose(f"c{place}", CHANGES[place]))
+        self.put_writer(name, "proposed", place, Propose(f"c{place}", CHANGES[place]))
 
     def _answer(self, name: str, ticket: int, answer: ProposeResult) -> None:
         if answer.sequence:
@@ -334,7 +371,7 @@
         self.nodes[name] = node
         self.keys.pop(name, None)
         assert isinstance(node, Instance)
-        node.lookups.look("tenant/t")
+        node.lookups.lookup("tenant/t")
 
     # ---- invariants
 
@@ -384,7 +421,7 @@
         here = {key: value for key, value, _ in table.entries("all")}
         if here != state:
             self.broken = self.broken or f"{name} holds at {table.sequence} what does not count there"
-        if isinstance(node, Station) and node.holds and node.writer is not None:
+        if isinstance(node, FeedRelay) and node.is_writer and node.writer is not None:
             lease = self.council.state.leases.get(LEASE)
             newest = lease is not None and lease.epoch == node.writer.epoch
             if newest and table.sequence < max(self.acked.values(), default=0):
@@ -399,7 +436,7 @@
                 pending = self.pending.get(name)
                 disk = self.disks[name]
                 self.keys[name] = hash(
-                    (node.frozen(), disk.sequence, disk.digest("all"), pending and pending.sequence)
+                    (node.state_key(), disk.sequence, disk.digest("all"), pending and pending.sequence)
                 )
         links = tuple(
             (name, link.server, link.peer, tuple(map(_told, link.up)), tuple(map(_told, link.down)))
@@ -454,8 +491,8 @@
     for name in world.pending:
         yield from step(f"{name} has it on disk", "", FeedWorld.keep, name)
     for name, node in world.nodes.items():
-        if node.due() <= world.now:
-            yield from step(f"{name} heeds its clock", "", FeedWorld.put, name, "elapsed")
+        if node.next_deadline() <= world.now:
+            yield from step(f"{name} heeds its clock", "", FeedWorld.put, name, TimerExpired())
         if left["looks"] and isinstance(node, Instance):
             yield from step(f"{name} looks up a tenant", "looks", FeedWorld.look, name)
         if left["restarts"] and (not scenario.restarted or name in scenario.restarted):
@@ -478,9 +515,9 @@
             yield from step(f"{name} learns that it lost the lease", "", FeedWorld.lose, name)
         if not epoch and left["moves"]:
             yield from step(f"{name} gets the lease", "moves", FeedWorld.move, name)
-        if isinstance(node, Station) and node.holds and left["changes"] and world.made < len(CHANGES):
+        if isinstance(node, FeedRelay) and node.is_writer and left["changes"] and world.made < len(CHANGES):
             yield from step(f"change {world.made} is proposed to {name}", "changes", FeedWorld.propose, name)
-        if isinstance(node, Station) and node.holds and left["again"] and world.made:
+        if isinstance(node, FeedRelay) and node.is_writer and left["again"] and world.made:
             yield from step(f"{name} is asked again", "again", FeedWorld.propose, name, True)
     if left["ticks"]:
         yield from step("time passes", "ticks", _tick)
@@ -521,8 +558,8 @@
     if world.answers:
         yield partial(world.answer, 0)
     for name, node in world.nodes.items():
-        if not but(name) and node.due() <= world.now:
-            yield partial(world.put, name, "elapsed")
+        if not but(name) and node.next_deadline() <= world.now:
+            yield partial(world.put, name, TimerExpired())
 
 
 def fleet(keepers: int = 3, relays: int = 1, instances: int = 1) -> FeedWorld:
--- a/thistleline/lab/member.py
+++ b/thistleline/lab/member.py
@@ -79,23 +79,24 @@
 def leave_out_newer() -> None:
     from thistleline.config_feed.follower import Follower
     from thistleline.config_feed.messages import Follow, FollowAccepted
-    from thistleline.config_feed.source import Served, Source
+    from thistleline.config_feed.source import Source
+    from thistleline.config_feed.subscriber import Subscriber
     from thistleline.config_feed.table import Table
 
-    follow, welcomed = Source._follow, Follower._welcomed
+    follow, welcomed = Source._on_follow, Follower._on_accepted
 
-    def behind(self: Source, peer: int, served: Served, told: Follow) -> str:
+    def behind(self: Source, peer: int, subscriber: Subscriber, told: Follow) -> str:
         if told.sequence > self.history.table.sequence:
             told = Follow(told.id, told.kind, 0, b"", told.level)
-        return follow(self, peer, served, told)
+        return follow(self, peer, subscriber, told)
 
     def older(self: Follower, told: FollowAccepted) -> None:
         if told.load_snapshot and told.sequence < self.table.sequence:
             self.table = Table()
         welcomed(self, told)
 
-    setattr(Source, "_follow", behind)  # noqa: B010
-    setattr(Follower, "_welcomed", older)  # noqa: B010
+    setattr(Source, "_on_follow", behind)  # noqa: B010
+    setattr(Follower, "_on_accepted", older)  # noqa: B010
 
 
 def end_with_parent() -> None:
--- a/thistleline/lab/scale/followers.py
+++ b/thistleline/lab/scale/followers.py
@@ -19,12 +19,13 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from thistleline.config_feed import client as clients
-from thistleline.config_feed import connections as link
 from thistleline.config_feed import follower as following
+from thistleline.config_feed import follower_service, request, send_queue, upstream
 from thistleline.config_feed.client import FeedClient
+from thistleline.config_feed.effects import ConnectUpstream, FollowerEffect
+from thistleline.config_feed.events import FollowerEvent, UpstreamMessage
 from thistleline.config_feed.follower import Follower
-from thistleline.config_feed.lookups import Lookups
+from thistleline.config_feed.lookups import LookupCache
 from thistleline.config_feed.messages import Kind, SnapshotPart
 from thistleline.config_feed.table import APART, Table
 from thistleline.lab.feedrun import Shared
@@ -109,7 +110,7 @@
 
 def share() -> None:
     """For all of this process: tables are shared, bytes of the links counted."""
-    had = Follower._part
+    had = Follower._add_part
 
     def part(self: Follower, told: SnapshotPart) -> None:
         had(self, told)
@@ -126,9 +127,9 @@
         Traffic.sent += len(data)
         return data
 
-    for where, name, other in ((Follower, "_part", part), (following, "Table", Parts),
-                               (clients, "Table", Shared), (link, "Unpacker", Counted),
-                               (link, "sealed", counted)):  # fmt: skip
+    for where, name, other in ((Follower, "_add_part", part), (following, "Table", Parts),
+                               (follower_service, "Table", Shared), (upstream, "Unpacker", Counted),
+                               (send_queue, "sealed", counted), (request, "sealed", counted)):  # fmt: skip
         setattr(where, name, other)
 
 
@@ -137,18 +138,18 @@
 
     spent: ClassVar[int] = 0
 
-    def __init__(self, reducer: Lookups, seen: Seen) -> None:
-        self.due, self.inner, self.seen = reducer.due, reducer, seen
+    def __init__(self, reducer: LookupCache, seen: Seen) -> None:
+        self.next_deadline, self.inner, self.seen = reducer.next_deadline, reducer, seen
         self.heard_at = 0
 
-    def take(self, now: int, kind: str, *told: Any) -> list[tuple[Any, ...]]:
+    def handle(self, now: int, event: FollowerEvent) -> list[FollowerEffect]:
         begun = time.thread_time_ns()
-        effects = self.inner.take(now, kind, *told)
+        effects = self.inner.handle(now, event)
         Timed.spent += time.thread_time_ns() - begun
-        if kind == "heard":
+        if isinstance(event, UpstreamMessage):
             self.seen.silent = max(self.seen.silent, now - (self.heard_at or now))
             self.heard_at = now
-        elif any(effect[0] == "connect" for effect in effects):
+        elif any(isinstance(effect, ConnectUpstream) for effect in effects):
             self.seen.connects += 1
             self.heard_at = 0
         return effects
@@ -157,14 +158,14 @@
 class Hollow:
     def __init__(self, name: str, told: Told, seed: int) -> None:
         self.seen = Seen(name)
-        self.client = FeedClient(name, told.sources, chance=Random(seed), seen=self._saw)
-        self.timed = self.client.reducer = Timed(self.client.lookups, self.seen)
+        self.client = FeedClient(name, told.sources, random=Random(seed), on_state=self._saw)
+        self.timed = self.client.state_machine = Timed(self.client.lookups, self.seen)
 
     def _saw(self, table: Table, items: Any) -> None:
         seen = self.seen
         for key, value, version in items or ():
             if not key.startswith(APART):
-                found = self.client.look(key)
+                found = self.client.lookup(key)
                 seen.wrong += (found.value, found.version) != (value, version if value is not None else 0)
                 break
         seen.states.append((table.sequence, time.monotonic_ns()))
@@ -172,7 +173,7 @@
 
     def tell(self) -> Seen:
         seen, client = self.seen, self.client
-        seen.at, seen.number = client.follower.at, client.table.sequence
+        seen.at, seen.number = client.follower.upstream, client.table.sequence
         seen.digest = client.table.digest("wide")
         seen.tenants = {key: one[:2] for key, one in client.lookups.tenants.items()}
         self.seen = self.timed.seen = Seen(seen.name)
@@ -201,7 +202,7 @@
 
     def _stands(self, group: TaskGroup) -> tuple[dict[int, int], dict[str, int]]:
         numbers = Counter(one.client.table.sequence for one in self.all)
-        return dict(numbers), dict(Counter(one.client.follower.at for one in self.all))
+        return dict(numbers), dict(Counter(one.client.follower.upstream for one in self.all))
 
     def _tell(self, group: TaskGroup) -> Report:
         told = [one.tell() for one in self.all]
@@ -213,7 +214,7 @@
         while True:
             await anyio.sleep(chance.expovariate(LOOKS * len(self.all)))
             place = chance.randrange(min(many, chance.choice((HOT, many))))
-            chance.choice(self.all).client.look(tenant_key(place))
+            chance.choice(self.all).client.lookup(tenant_key(place))
 
 
 def main() -> None:
--- a/thistleline/lab/subscriber.py
+++ b/thistleline/lab/subscriber.py
@@ -22,7 +22,7 @@
 
     def say(*_: Any) -> None:
         nonlocal last
-        found = {key: client.look(key) for key in keys}
+        found = {key: client.lookup(key) for key in keys}
         looked = {key: [orjson.loads(one.value) if one.value is not None else None, one.version, one.known]
                   for key, one in found.items()}  # fmt: skip
         table = client.table
