--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -19,19 +19,19 @@
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.history import History, Items
 from thistleline.config_feed.limits import (
-    ASKED_BOUND,
-    BEAT,
-    DELTA_BOUND,
-    ID_BOUND,
-    KEY_BOUND,
-    MESSAGE_BOUND,
+    DELTA_SIZE_LIMIT,
+    FETCHED_TENANTS_LIMIT,
+    HEARTBEAT_INTERVAL_NS,
+    KEY_LENGTH_LIMIT,
+    MESSAGE_SIZE_LIMIT,
     MS,
     PART_SIZE,
+    PEER_ID_LENGTH_LIMIT,
+    RECONNECT_JITTER_NS,
     SECOND,
-    SILENT,
-    SPREAD,
-    STALL,
-    VALUE_BOUND,
+    SOURCE_TIMEOUT_NS,
+    STALL_TIMEOUT_NS,
+    VALUE_SIZE_LIMIT,
 )
 from thistleline.config_feed.lookups import ABSENT, UNKNOWN, Found, Lookups
 from thistleline.config_feed.messages import (
@@ -239,7 +239,7 @@
                 link.down.append(Closed(rest[1]))
                 continue
             data = encode(rest[1])
-            assert len(data) <= MESSAGE_BOUND
+            assert len(data) <= MESSAGE_SIZE_LIMIT
             link.down.append(decode_source(data))
             link.most = max(link.most, sum(isinstance(one, Delta | SnapshotPart) for one in link.down))
 
@@ -362,7 +362,7 @@
     net.serving("a", "writes", 1, True, 0)
     for id in ids:
         net.follow(id, "a", kind=kind)
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     net.settled()
     assert all(net.follower(id).phase == "following" for id in ids)
     net.sent.clear()
@@ -381,14 +381,14 @@
     net.written.some(5)
     net.bring("a")
     net.sent.clear()
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     net.settled()
     assert [one.load_snapshot for one in told(net, "x", FollowAccepted)] == [False]
     assert [(one.first, one.last) for one in told(net, "x", Delta)] == [(20, 25)]
 
 
 def test_who_missed_more_than_the_history_keeps_gets_the_snapshot() -> None:
-    with small(HISTORY_BOUND=10, PART_SIZE=300):
+    with small(HISTORY_STEPS_LIMIT=10, PART_SIZE=300):
         net = following(Written(), "x")
         net.written.some(5)
         net.bring("a")
@@ -397,7 +397,7 @@
         net.written.some(11)
         net.bring("a")
         net.sent.clear()
-        net.run(2 * SPREAD)
+        net.run(2 * RECONNECT_JITTER_NS)
         net.settled()
     assert [one.load_snapshot for one in told(net, "x", FollowAccepted)] == [True]
     assert len(told(net, "x", SnapshotPart)) > 1
@@ -407,7 +407,7 @@
 def test_who_missed_more_than_a_delta_holds_gets_several_one_after_the_other(kind: Kind) -> None:
     """An hour's changes are more than one delta holds, and far less than all that a relay has."""
     written = Written()
-    with small(DELTA_BOUND=2000):
+    with small(DELTA_SIZE_LIMIT=2000):
         net = following(written, "x", kind=kind)
         net.links["x"].held.add("up")
         written.some(150, 10, "route/")
@@ -428,7 +428,7 @@
 def test_who_missed_more_than_all_there_is_gets_the_snapshot_also_on_a_link_that_stands() -> None:
     """One key, changed ever again: what leads on is more than the state."""
     written = Written()
-    with small(DELTA_BOUND=200):
+    with small(DELTA_SIZE_LIMIT=200):
         net = following(written, "x")
         net.links["x"].held.add("up")
         for _ in range(60):
@@ -446,7 +446,7 @@
     """Between two deltas an answer would be newer than what is held."""
     written = Written()
     written.write(("tenant/a", b"1"))
-    with small(DELTA_BOUND=2000):
+    with small(DELTA_SIZE_LIMIT=2000):
         net = following(written, "x")
         net.links["x"].held.add("up")
         written.some(100, 10, "route/")
@@ -469,7 +469,7 @@
     written = Written()
     net = following(written, "x")
     net.follow("k", "a", kind="all", level=1)
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     net.write(("route/1", b"1"), ("made/1", b"a request"))
     net.pump()
     net.settled()
@@ -485,7 +485,7 @@
     net.serve("a", written.history())
     other = Table().moved(10, [("route/1", b"from elsewhere", 3)])
     net.follow("x", "a", table=other)
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     net.settled()
     assert [one.load_snapshot for one in told(net, "x", FollowAccepted)] == [True]
 
@@ -498,7 +498,7 @@
     one = net.follower("x")
     one.table = one.table.moved(3, [("route/0", b"flipped", 1)])
     net.sent.clear()
-    net.run(BEAT + 2 * SPREAD)
+    net.run(HEARTBEAT_INTERVAL_NS + 2 * RECONNECT_JITTER_NS)
     net.settled()
     assert ("x", "another digest") in net.drops
     assert [one.load_snapshot for one in told(net, "x", FollowAccepted)] == [True]
@@ -513,7 +513,7 @@
     one = net.follower("x")
     one.table = one.table._replace(wide=one.table.wide.delete("route/0").set("route/0", (b"rot", 1)))
     net.write(("route/0", b"new"))
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     net.settled()
     assert not one.unsure
 
@@ -539,7 +539,7 @@
     after = before.moved(last, items, "wide").digest("wide")
     net.tell("x", "heard", "a", Delta(first, last, items, after if digest is None else digest))
     assert (net.follower("x").table, net.follower("x").phase) == (before, "waiting")
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     net.settled()
 
 
@@ -565,7 +565,7 @@
     net.serve("behind", written.history(0, 4))
     net.serve("a", written.history())
     net.follow("x", "behind", "a", table=written.tables[9])
-    net.run(3 * SPREAD)
+    net.run(3 * RECONNECT_JITTER_NS)
     net.settled()
     assert net.follower("x").at == "a"
 
@@ -578,7 +578,7 @@
     net = Net(written)
     net.serve("a", written.history(written.number))
     net.follow("x", "a", "b", table=written.tables[at], spread=spread)
-    net.now = SPREAD
+    net.now = RECONNECT_JITTER_NS
     net.tell("x", "elapsed")
     while net.follower("x").part < 3:
         for one in list(net.opening):
@@ -617,7 +617,7 @@
         net.serve("b", written.history(written.number))
         net.kill("a")
         assert net.follower("x").table.sequence == 7
-        net.run(3 * SPREAD)
+        net.run(3 * RECONNECT_JITTER_NS)
         net.settled()
     assert net.steps["loaded"] == 1
     assert {one.sequence for one in told(net, "x", SnapshotPart)} == {60, 61}
@@ -631,11 +631,11 @@
         net = loading(written, 7)
         net.serve("b", written.history(40, 40))
         net.kill("a")
-        net.run(3 * SPREAD)
+        net.run(3 * RECONNECT_JITTER_NS)
         assert net.follower("x").table.sequence == 40
         net.kill("b")
         net.serve("b", written.history(30, 30))
-        net.run(3 * SPREAD)
+        net.run(3 * RECONNECT_JITTER_NS)
         assert net.follower("x").table.sequence == 40
 
 
@@ -696,7 +696,7 @@
     """One loads it meanwhile, another comes: to load the old one again would never end."""
     written = Written()
     written.some(60)
-    with small(PART_SIZE=300, HISTORY_BOUND=10 if why == "cut" else 1000, DELTA_BOUND=2000):
+    with small(PART_SIZE=300, HISTORY_STEPS_LIMIT=10 if why == "cut" else 1000, DELTA_SIZE_LIMIT=2000):
         net = loading(written, 7)
         old = net.sources["a"].snapshots["wide"]
         net.links["x"].held.add("down")
@@ -709,11 +709,11 @@
             written.some(11)
             net.bring("a")
             net.follow("y", "a")
-        net.run(SPREAD)
+        net.run(RECONNECT_JITTER_NS)
         assert net.sources["a"].snapshots["wide"].number == written.number > old.number
         assert net.follower("y").table.sequence == written.number
         net.links["x"].held.clear()
-        net.run(4 * SPREAD)
+        net.run(4 * RECONNECT_JITTER_NS)
         net.settled()
     assert net.steps["loaded"] == 2
     assert {one.sequence for one in told(net, "y", SnapshotPart)} == {written.number}
@@ -772,7 +772,7 @@
             else:
                 net.arrive("x", link)
         assert (one.table.sequence, one.phase) == (7, "waiting")
-        net.run(4 * SPREAD)
+        net.run(4 * RECONNECT_JITTER_NS)
         net.settled()
 
 
@@ -786,7 +786,7 @@
             net.follow(id, "a")
         net.pump()
         for id in "xyz":
-            net.now = SPREAD
+            net.now = RECONNECT_JITTER_NS
             net.tell(id, "elapsed")
         for one in list(net.opening):
             net.opened(*one)
@@ -821,11 +821,11 @@
 
 def test_parts_have_a_bounded_size_and_an_empty_table_is_one() -> None:
     written = Written()
-    written.some(100, VALUE_BOUND)
+    written.some(100, VALUE_SIZE_LIMIT)
     made = Snapshot(written.tables[-1], "wide")
     parts = [made.part(index) for index in range(8)]
     sizes = [len(encode(part)) for part in parts if part is not None]
-    assert all(size < PART_SIZE + VALUE_BOUND + KEY_BOUND for size in sizes)
+    assert all(size < PART_SIZE + VALUE_SIZE_LIMIT + KEY_LENGTH_LIMIT for size in sizes)
     assert [part.parts for part in parts if part is not None] == [0] * (len(sizes) - 1) + [len(sizes)]
     assert Snapshot(Table(), "all").part(0) == SnapshotPart(0, 0, 1, (), bytes(16))
     assert Snapshot(Table(), "all").part(1) is None
@@ -839,7 +839,7 @@
     net.serve("a", written.history(20))
     net.follow("w", "a")
     net.follow("k", "a", kind="all", level=1)
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     net.settled()
     assert len(net.follower("w").table.tenants) == 0
     assert len(net.follower("k").table.tenants) == 10
@@ -874,8 +874,11 @@
     net.paused.add("dead")
     for _ in range(1000):
         net.write(("route/0", str(net.written.number).encode()))
-        net.run(STALL // 900)
-    assert (link.most, len(link.down)) == (1, 1 + (STALL - 1) // BEAT + 1)  # a Delta, its Beats, the end
+        net.run(STALL_TIMEOUT_NS // 900)
+    assert (link.most, len(link.down)) == (
+        1,
+        1 + (STALL_TIMEOUT_NS - 1) // HEARTBEAT_INTERVAL_NS + 1,
+    )  # a Delta, its Beats, the end
     assert ("dead", "silent") in net.closed
     assert len(net.sources["a"].peers) == 1
     assert net.follower("quick").table.sequence == 1000
@@ -884,9 +887,9 @@
 def test_who_says_nothing_at_all_is_let_go() -> None:
     source = Source(History(), 0, 0)
     source.take(0, "joined", 1)
-    assert source.due() == STALL
-    assert source.take(STALL - 1, "elapsed") == []
-    assert source.take(STALL, "elapsed") == [("close", 1, "silent")]
+    assert source.due() == STALL_TIMEOUT_NS
+    assert source.take(STALL_TIMEOUT_NS - 1, "elapsed") == []
+    assert source.take(STALL_TIMEOUT_NS, "elapsed") == [("close", 1, "silent")]
     assert not source.peers
     assert not source.heard_at
 
@@ -898,7 +901,7 @@
     net.serve("b", written.history())
     for id in "xyz":
         net.follow(id, "a", "b")
-    net.run(4 * SPREAD)
+    net.run(4 * RECONNECT_JITTER_NS)
     net.settled()
     assert Counter(net.follower(id).at for id in "xyz") == {"a": 2, "b": 1}
     assert [why for _, why in net.drops] == ["refused: full"]
@@ -911,15 +914,15 @@
     net.serve("b", written.history())
     for number in range(200):
         net.follow(f"x{number}", "a", "b")
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     assert len(net.sources["a"].peers) == 200
     net.kill("a")
     died = net.now
     net.write(("route/1", b"new"), to=["b"])
     net.connects.clear()
-    net.run(SPREAD)
+    net.run(RECONNECT_JITTER_NS)
     net.settled()
-    came = Counter((at - died) * 10 // SPREAD for _, _, at in net.connects)
+    came = Counter((at - died) * 10 // RECONNECT_JITTER_NS for _, _, at in net.connects)
     assert len(came) == 10
     assert max(came.values()) < 50
 
@@ -931,11 +934,11 @@
     net.serve("b", written.history())
     net.cut("x", told=False)
     heard = net.follower("x").heard_at
-    net.run(heard + SILENT - 1 - net.now)
+    net.run(heard + SOURCE_TIMEOUT_NS - 1 - net.now)
     assert net.follower("x").at == "a"
     net.run(1)
     assert net.drops == [("x", "silent")]
-    net.run(SPREAD)
+    net.run(RECONNECT_JITTER_NS)
     assert net.follower("x").at == "b"
 
 
@@ -943,18 +946,18 @@
     net = Net(Written())
     one = net.follow("x", "a", "b", spread=lambda span: 0)
     assert one.take(0, "elapsed") == [("connect", "a")]
-    assert one.take(SILENT - 1, "elapsed") == []
-    assert one.take(SILENT, "elapsed") == [("drop", "a", "silent")]
-    assert one.take(SILENT, "elapsed") == [("connect", "b")]
-    assert [effect[0] for effect in one.take(SILENT, "connected", "b")] == ["send"]
-    assert one.take(2 * SILENT, "elapsed") == [("drop", "b", "silent")]
+    assert one.take(SOURCE_TIMEOUT_NS - 1, "elapsed") == []
+    assert one.take(SOURCE_TIMEOUT_NS, "elapsed") == [("drop", "a", "silent")]
+    assert one.take(SOURCE_TIMEOUT_NS, "elapsed") == [("connect", "b")]
+    assert [effect[0] for effect in one.take(SOURCE_TIMEOUT_NS, "connected", "b")] == ["send"]
+    assert one.take(2 * SOURCE_TIMEOUT_NS, "elapsed") == [("drop", "b", "silent")]
 
 
 def test_after_a_pause_what_lies_unread_counts_before_the_clock() -> None:
     net = following(Written(), "x")
     net.paused.add("x")
     for _ in range(4):
-        net.run(STALL // 5)  # beats lie unread
+        net.run(STALL_TIMEOUT_NS // 5)  # beats lie unread
     net.write(("route/1", b"1"))
     net.paused.clear()
     net.run(0)
@@ -964,18 +967,18 @@
 
 def test_beats_are_sent_only_where_nothing_else_was() -> None:
     net = following(Written(), "x", "y")
-    net.run(BEAT)
+    net.run(HEARTBEAT_INTERVAL_NS)
     assert {type(one) for _, one in net.sent} == {Heartbeat}
     net.sent.clear()
     for _ in range(10):
         net.write(("route/1", str(net.written.number).encode()))
-        net.run(BEAT // 2)
+        net.run(HEARTBEAT_INTERVAL_NS // 2)
     assert {type(one) for _, one in net.sent} == {Delta}
 
 
 def test_an_idle_second_costs_two_beats_and_two_answers() -> None:
     net = following(Written(), "x")
-    net.run(BEAT)
+    net.run(HEARTBEAT_INTERVAL_NS)
     net.sent.clear()
     net.asked.clear()
     net.run(10 * SECOND)
@@ -1008,7 +1011,7 @@
 
 def test_a_load_of_tenants_makes_instances_forget_theirs_and_not_load_anew() -> None:
     written = Written()
-    with small(DELTA_BOUND=1000):
+    with small(DELTA_SIZE_LIMIT=1000):
         net = following(written, "x")
         net.links["x"].held.add("up")
         net.write(("route/1", b"1"))
@@ -1094,7 +1097,7 @@
 def test_a_relay_that_loads_anew_has_its_followers_follow_suit() -> None:
     written = Written()
     written.some(5)
-    with small(HISTORY_BOUND=10, PART_SIZE=200):
+    with small(HISTORY_STEPS_LIMIT=10, PART_SIZE=200):
         net = Net(written)
         net.serve("a", written.history())
         net.relay("r", "a", level=1)
@@ -1141,19 +1144,19 @@
         net.serve(name, written.history())
         net.serving(name, "writes", epoch, holds, 0)
     net.follow("k", "a", "b", kind="all")
-    net.run(4 * SPREAD)
+    net.run(4 * RECONNECT_JITTER_NS)
     assert (net.follower("k").at, net.follower("k").epoch) == ("b", 3)
     net.tell("k", "sources", ("c", "b"))
     net.cut("k")
-    net.run(4 * SPREAD)
+    net.run(4 * RECONNECT_JITTER_NS)
     assert net.follower("k").at == "c"
     net.serving("c", "writes", 5, False, 0)  # it lost its lease, and says so at once
     net.pump()
     assert ("k", "it does not write") in net.drops
-    net.run(6 * SPREAD)
+    net.run(6 * RECONNECT_JITTER_NS)
     assert net.follower("k").at not in ("b", "c")  # b's epoch is over
     net.serving("b", "writes", 6, True, 0)
-    net.run(4 * SPREAD)
+    net.run(4 * RECONNECT_JITTER_NS)
     assert net.follower("k").at == "b"
 
 
@@ -1203,8 +1206,8 @@
     net.serve("a", written.history(2))
     late = net.follow("late", "a", "b", kind="all", table=written.tables[2])
     cold = net.follow("cold", "a", "b", kind="all")
-    with small(DELTA_BOUND=1):  # a change each
-        net.run(3 * SPREAD)
+    with small(DELTA_SIZE_LIMIT=1):  # a change each
+        net.run(3 * RECONNECT_JITTER_NS)
     assert (late.table.sequence, cold.table.sequence) == (5, 0)  # nobody says that a snapshot is of this feed
     assert len(told(net, "late", Delta)) == 3
     assert {why for _, why in net.drops} == {"it does not write"}
@@ -1224,7 +1227,7 @@
     net.tell("late", "durable", 2)
     net.tell("late", "elapsed")
     net.opened("late", "a")
-    with small(DELTA_BOUND=1):  # a change each
+    with small(DELTA_SIZE_LIMIT=1):  # a change each
         net.reach(net.links["late"])  # the FollowAccepted and the first Delta are on their way
         net.serving("a", "writes", 1, True, 0)
         net.run(SECOND)
@@ -1241,10 +1244,10 @@
     net = Net(written)
     net.serve("b", written.history(2))
     one = net.follow("k", "b", kind="all")
-    net.run(3 * SPREAD)
+    net.run(3 * RECONNECT_JITTER_NS)
     assert one.table.sequence == 0
     net.tell("k", "go", True)
-    net.run(3 * SPREAD)
+    net.run(3 * RECONNECT_JITTER_NS)
     net.settled()
     net.tell("k", "quiet")
     assert (one.phase, one.at, "k" in net.links) == ("quiet", "", False)
@@ -1262,10 +1265,10 @@
         net.pump()
     net.tell("k", "durable", 2)
     net.tell("k", "durable", 9)  # more than it holds
-    net.run(3 * BEAT)
+    net.run(3 * HEARTBEAT_INTERVAL_NS)
     assert net.durable == [("k", 2), ("k", 3)]
     net.cut("k")
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     assert net.durable == [("k", 2), ("k", 3), ("k", 3)]  # a new writer has to hear it too
 
 
@@ -1278,7 +1281,7 @@
     net.serving("a", "writes", 1, True, 0)
     net.follow("k", "a", kind="all", table=Table().moved(4, [("route/1", b"of another line", 4)]))
     net.tell("k", "durable", 4)
-    net.run(4 * SPREAD)
+    net.run(4 * RECONNECT_JITTER_NS)
     net.settled()
     assert not net.durable
     net.tell("k", "durable", 5)
@@ -1292,7 +1295,7 @@
 HUGE = 1 << 63
 NONSENSE: list[tuple[str, FollowerMessage]] = [
     ("new", Follow("", "wide", 0, b"")),
-    ("new", Follow("x" * (ID_BOUND + 1), "wide", 0, b"")),
+    ("new", Follow("x" * (PEER_ID_LENGTH_LIMIT + 1), "wide", 0, b"")),
     ("new", Follow("x", "wide", -1, b"")),
     ("new", Follow("x", "wide", 0, bytes(17))),
     ("new", Follow("x", "wide", 0, b"", -1)),
@@ -1308,8 +1311,8 @@
     ("following", Acknowledge(3, 4)),
     ("following", Acknowledge(3, -1)),
     ("following", FetchTenants(("route/1",))),
-    ("following", FetchTenants(("tenant/" + "x" * KEY_BOUND,))),
-    ("following", FetchTenants(tuple(f"tenant/{number}" for number in range(ASKED_BOUND + 1)))),
+    ("following", FetchTenants(("tenant/" + "x" * KEY_LENGTH_LIMIT,))),
+    ("following", FetchTenants(tuple(f"tenant/{number}" for number in range(FETCHED_TENANTS_LIMIT + 1)))),
     ("following", ReadRequest()),
     ("following", Propose("r", ())),
     ("loading", FOLLOW),
@@ -1433,7 +1436,7 @@
     net.run(10 * SECOND)
     assert net.follower("x").phase == "waiting"
     net.tell("x", "sources", ("a",))
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     assert net.follower("x").phase == "following"
 
 
@@ -1445,7 +1448,7 @@
     net.serve("a", written.history())
     made = Lookups(net.follow("x", "a"), bound)
     net.followers["x"] = made
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     net.settled()
     net.sent.clear()
     net.asked.clear()
@@ -1492,13 +1495,13 @@
 def test_a_thousand_tenants_are_asked_for_in_batches_and_answered_in_bounded_messages() -> None:
     written = Written()
     for number in range(1000):
-        written.write((f"tenant/{number}", bytes(VALUE_BOUND)))
+        written.write((f"tenant/{number}", bytes(VALUE_SIZE_LIMIT)))
     net, view = looking(written, 2000)
     for number in range(1000):
         view.look(f"tenant/{number}")
     net.run(0)
     batches = [len(one.keys) for _, one in net.asked if isinstance(one, FetchTenants)]
-    assert (max(batches), sum(batches)) == (ASKED_BOUND, 1000)
+    assert (max(batches), sum(batches)) == (FETCHED_TENANTS_LIMIT, 1000)
     assert all(view.look(f"tenant/{number}").known for number in range(1000))
 
 
@@ -1521,7 +1524,7 @@
     assert len(view.tenants) == 4
 
 
-@pytest.mark.parametrize("key", ["tenant/" + "x" * KEY_BOUND, "tenant/\ud800"])
+@pytest.mark.parametrize("key", ["tenant/" + "x" * KEY_LENGTH_LIMIT, "tenant/\ud800"])
 def test_a_name_that_can_t_be_set_is_not_asked_for(key: str) -> None:
     net, view = looking(Written())
     assert view.look(key) == ABSENT
@@ -1596,7 +1599,7 @@
     net.cut("x")
     view.look("tenant/2")
     assert list(view.wanted) == ["tenant/1", "tenant/2"]
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     assert (view.look("tenant/1").value, view.look("tenant/2").value) == (b"1", b"2")
 
 
@@ -1607,27 +1610,27 @@
     view.look("tenant/1")
     net.tell("x", "elapsed")
     net.links["x"].up.clear()  # it forgot
-    net.run(2 * STALL)
+    net.run(2 * STALL_TIMEOUT_NS)
     assert view.look("tenant/1") == Found(b"1", 1, True)
 
 
 def test_what_is_held_of_tenants_stays_over_a_lost_link_and_goes_with_a_snapshot() -> None:
     written = Written()
     written.write(("tenant/1", b"1"), ("route/1", b"1"))
-    with small(HISTORY_BOUND=3):
+    with small(HISTORY_STEPS_LIMIT=3):
         net, view = looking(written)
         view.look("tenant/1")
         net.run(0)
         net.cut("x")
         assert view.look("tenant/1") == Found(b"1", 1, True)
         net.write(("tenant/1", b"2"))
-        net.run(2 * SPREAD)
+        net.run(2 * RECONNECT_JITTER_NS)
         assert view.look("tenant/1") == Found(b"2", 2, True)  # by the delta
         net.cut("x")
         for _ in range(5):
             net.write(("tenant/1", b"3"), ("route/1", b"3"))
         assert view.look("tenant/1") == Found(b"2", 2, True)
-        net.run(2 * SPREAD)
+        net.run(2 * RECONNECT_JITTER_NS)
         assert view.look("route/1") == Found(b"3", 7, True)
         assert view.look("tenant/1") == UNKNOWN  # rather than of an older state than the route
         net.run(0)
@@ -1637,7 +1640,7 @@
 def test_forgotten_tenants_are_asked_for_again() -> None:
     written = Written()
     written.write(("tenant/1", b"1"))
-    with small(DELTA_BOUND=1000):
+    with small(DELTA_SIZE_LIMIT=1000):
         net, view = looking(written)
         view.look("tenant/1")
         net.run(0)
@@ -1758,7 +1761,7 @@
     written = Written()
     for items in changes:
         written.write(*items)
-    with small(HISTORY_BOUND=steps, HISTORY_SIZE=size):
+    with small(HISTORY_STEPS_LIMIT=steps, HISTORY_SIZE_LIMIT=size):
         history = History()
         for number in range(1, written.number + 1):
             written.bring(history, number)
@@ -1775,8 +1778,8 @@
 
 def test_a_delta_leads_as_far_as_it_holds_and_tenants_are_forgotten_first() -> None:
     history = History()
-    value = bytes(VALUE_BOUND)
-    many = DELTA_BOUND // VALUE_BOUND - 2
+    value = bytes(VALUE_SIZE_LIMIT)
+    many = DELTA_SIZE_LIMIT // VALUE_SIZE_LIMIT - 2
     for number, section in enumerate(("tenant", "tenant", "route", "route"), 1):
         items = tuple((f"{section}/{number}-{n}", value, number) for n in range(many))
         history.move(number, items)
@@ -1786,7 +1789,7 @@
         while at < 4:
             delta = history.delta(at, kind)
             assert delta is not None
-            assert histories.size_of(delta.items) <= DELTA_BOUND
+            assert histories.size_of(delta.items) <= DELTA_SIZE_LIMIT
             at = delta.last
             way.append((at, delta.evict_tenants))
         ways.append(way)
@@ -1800,7 +1803,7 @@
 def test_where_more_leads_on_than_there_is_nothing_does() -> None:
     history = History()
     for number in range(1, 12):
-        history.move(number, (("route/1", bytes(DELTA_BOUND), number),))
+        history.move(number, (("route/1", bytes(DELTA_SIZE_LIMIT), number),))
     assert history.delta(1, "all") is None
     newest = history.delta(10, "all")
     assert newest is not None  # a step can't be cut
@@ -1830,7 +1833,7 @@
     written, chance = Written(), Random(seed)
     net = Net(written, seed)
     durable: dict[str, int] = {"x": 0, "y": 0}
-    with small(HISTORY_BOUND=8, PART_SIZE=150, DELTA_BOUND=600):
+    with small(HISTORY_STEPS_LIMIT=8, PART_SIZE=150, DELTA_SIZE_LIMIT=600):
         for name in "ab":
             net.serve(name, History())
         net.relay("r", "a", "b", level=1)
--- a/tests/test_feed_service.py
+++ b/tests/test_feed_service.py
@@ -27,7 +27,7 @@
 from thistleline.config_feed.client import look, propose, snapshot
 from thistleline.config_feed.connections import OUT_BOUND, Encoder, Outgoing, Rounds
 from thistleline.config_feed.history import Items
-from thistleline.config_feed.limits import MESSAGE_BOUND, MS, RING, SECOND
+from thistleline.config_feed.limits import MESSAGE_SIZE_LIMIT, MS, RING_SLOTS, SECOND
 from thistleline.config_feed.messages import (
     Acknowledge,
     Delta,
@@ -180,7 +180,7 @@
 
 def test_the_writer_is_killed_among_changes_and_another_goes_on(tmp_path: Path) -> None:
     async def story(feed: FeedFleet) -> None:
-        await feed.pairs(2 * RING)
+        await feed.pairs(2 * RING_SLOTS)
         writer = await feed.writer()
         async with anyio.create_task_group() as group:
             group.start_soon(feed.pairs, 12)
@@ -210,7 +210,7 @@
 
 def test_a_keeper_whose_disk_is_lost_has_all_again_and_one_that_writes_too(tmp_path: Path) -> None:
     async def story(feed: FeedFleet) -> None:
-        await feed.pairs(2 * RING)
+        await feed.pairs(2 * RING_SLOTS)
         for writes in (False, True):
             writer = await feed.writer()
             name = writer if writes else next(one for one in feed.keepers if one != writer)
@@ -218,7 +218,7 @@
             await feed.pairs(6)
             feed.processes[name].start()
             await feed.reaches(name, feed.oracle.newest)
-            await feed.pairs(RING + 2)
+            await feed.pairs(RING_SLOTS + 2)
 
     assert with_feed(tmp_path, story) == []
 
@@ -231,7 +231,7 @@
     await feed.kept(writer, 2)  # what it holds it may not have on disk yet, and then the ring is full sooner
     feed.processes[other].stop()
     feed.asked = [writer]
-    await feed.pairs(RING)
+    await feed.pairs(RING_SLOTS)
     await feed.pairs(4, 0.4)
     feed.asked = feed.keepers
     feed.empty(writer)
@@ -385,7 +385,7 @@
             for _ in range(3):
                 open_ones.append(await anyio.connect_tcp("127.0.0.1", port))
                 await open_ones[-1].send(follow)
-                unpacker, heard = Unpacker(MESSAGE_BOUND), list[bytes]()
+                unpacker, heard = Unpacker(MESSAGE_SIZE_LIMIT), list[bytes]()
                 while len(heard) < 2:
                     heard += unpacker.take(await open_ones[-1].receive())
                 told = decode_source(heard[1])
@@ -447,7 +447,7 @@
 
     monkeypatch.setattr(Outgoing, "put", counted)
     monkeypatch.setattr(Rounds, "take", taken)
-    monkeypatch.setattr(link, "STALL", 300 * MS)
+    monkeypatch.setattr(link, "STALL_TIMEOUT_NS", 300 * MS)
 
     def there(relay: FeedService) -> bool:
         return any(peer.id == "x" for peer in relay.peers.values())
--- a/tests/test_feed_writer.py
+++ b/tests/test_feed_writer.py
@@ -19,15 +19,15 @@
 from thistleline.config_feed.archive import Archive
 from thistleline.config_feed.history import History
 from thistleline.config_feed.limits import (
-    CHANGE_BOUND,
-    GROUP_BOUND,
-    ITEMS_BOUND,
-    KEY_BOUND,
-    PROPOSED_BOUND,
-    RING,
+    CHANGE_ITEMS_LIMIT,
+    CHANGE_SIZE_LIMIT,
+    GROUP_SIZE_LIMIT,
+    KEY_LENGTH_LIMIT,
+    PENDING_PROPOSALS_LIMIT,
+    RING_SLOTS,
     SECOND,
-    STALL,
-    VALUE_BOUND,
+    STALL_TIMEOUT_NS,
+    VALUE_SIZE_LIMIT,
 )
 from thistleline.config_feed.messages import (
     Change,
@@ -258,7 +258,7 @@
 
 
 def test_the_newest_requests_are_remembered_and_no_more(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(writers, "MADE_SLOTS", 8)
+    monkeypatch.setattr(writers, "DEDUPLICATION_SLOTS", 8)
     one = leading()
     one.write(10)
     for writer in (one, leading(one.voters, "b", one.history.table)):
@@ -276,36 +276,36 @@
             one.all_durable()
     assert [one.answers[f"r{number}"].sequence for number in range(10_000)] == list(range(1, 10_001))
     assert len(one.voters.groups) < 40
-    assert all(len(encode(group)) <= GROUP_BOUND for group in one.voters.groups)
-    assert max(len(encode(group)) for group in one.voters.groups) > GROUP_BOUND // 2
+    assert all(len(encode(group)) <= GROUP_SIZE_LIMIT for group in one.voters.groups)
+    assert max(len(encode(group)) for group in one.voters.groups) > GROUP_SIZE_LIMIT // 2
 
 
 def test_past_its_bound_the_line_takes_no_more() -> None:
     one = leading()
-    for number in range(PROPOSED_BOUND + 1):
+    for number in range(PENDING_PROPOSALS_LIMIT + 1):
         one.propose(f"r{number}", f"tenant/{number}")
-    assert "wait already" in one.answers[f"r{PROPOSED_BOUND}"].reason
+    assert "wait already" in one.answers[f"r{PENDING_PROPOSALS_LIMIT}"].reason
     one.propose("r5", ticket="again")
     assert "wait already" in one.answers["again"].reason  # tickets are bounded too
     while one.out:
         one.carry(one.out.pop(0))
         one.all_durable()
-    assert len(one.voters.sequence()) == PROPOSED_BOUND
+    assert len(one.voters.sequence()) == PENDING_PROPOSALS_LIMIT
     one.propose("after")
     one.serve()
-    assert one.answers["after"].sequence == PROPOSED_BOUND + 1
+    assert one.answers["after"].sequence == PENDING_PROPOSALS_LIMIT + 1
 
 
 def test_the_line_is_bounded_in_bytes_too() -> None:
     one = leading()
     large = tuple((f"common/{place}", b'{"text":"%s"}' % (b"x" * 4000)) for place in range(5))
-    for number in range(PROPOSED_BOUND):
+    for number in range(PENDING_PROPOSALS_LIMIT):
         one.tell("proposed", number, Propose(f"r{number}", large))
         if number in one.answers:
             break
-    assert one.writer.line_size < LINE_SIZE + CHANGE_BOUND
+    assert one.writer.line_size < LINE_SIZE + CHANGE_SIZE_LIMIT
     assert "bytes of changes wait already" in one.answers[number].reason
-    assert number < PROPOSED_BOUND // 8
+    assert number < PENDING_PROPOSALS_LIMIT // 8
 
 
 def test_who_does_not_write_refuses_and_says_so() -> None:
@@ -466,7 +466,7 @@
 def test_records_that_come_in_any_order_and_some_of_them_empty_are_put_together() -> None:
     one = leading()
     one.write(5)
-    for order in ([*range(RING)], [*reversed(range(RING))], [3, 0, 15, 1, *range(4, 15), 2]):
+    for order in ([*range(RING_SLOTS)], [*reversed(range(RING_SLOTS))], [3, 0, 15, 1, *range(4, 15), 2]):
         two = Keeper(one.voters, "b").hold()
         two.out.sort(key=lambda request: order.index(request[1]))
         two.serve()
@@ -481,7 +481,7 @@
     assert one.phase == "reading"
     assert one.writer.due() == ASK_AGAIN
     one.tell("elapsed", after=ASK_AGAIN)
-    assert len(one.out) == RING - 3
+    assert len(one.out) == RING_SLOTS - 3
     assert one.serve().phase == "writing"
 
 
@@ -627,29 +627,29 @@
 
 def test_a_slot_is_not_written_over_before_a_majority_has_its_group() -> None:
     one = leading()
-    one.write(RING, durable=False)
+    one.write(RING_SLOTS, durable=False)
     one.propose("r", "tenant/r")
     assert one.out == []
-    one.tell("durable", "a", RING)
+    one.tell("durable", "a", RING_SLOTS)
     assert one.out == []  # one of three
-    one.tell("durable", "stranger", RING)
+    one.tell("durable", "stranger", RING_SLOTS)
     assert one.out == []
     one.tell("durable", "b", 0)
     assert one.out == []
     one.tell("durable", "b", 1)  # has what stands in the oldest slot
     assert [request[0] for request in one.out] == ["put"]
     one.serve()
-    assert one.answers["r"].sequence == RING + 1
+    assert one.answers["r"].sequence == RING_SLOTS + 1
     one.propose("s", "tenant/s")
     assert one.out == []  # the next slot holds change 2
 
 
 def test_with_too_few_keepers_changes_are_refused_and_go_on_by_themselves_later() -> None:
     one = leading()
-    one.write(RING, durable=False)
-    one.tell("durable", "a", RING)
+    one.write(RING_SLOTS, durable=False)
+    one.tell("durable", "a", RING_SLOTS)
     one.propose("r", "tenant/r")
-    one.tell("elapsed", after=STALL - 1)
+    one.tell("elapsed", after=STALL_TIMEOUT_NS - 1)
     assert "r" not in one.answers  # keepers may just be slow
     one.tell("elapsed", after=1)
     assert "change 1 is on the disks of 1 of 3 keepers" in one.answers["r"].reason
@@ -659,18 +659,18 @@
     assert one.answers["known"].sequence == 7
     assert one.writer.facts()["stopped"] == 1
     assert one.writer.due() > 1 << 60
-    one.tell("durable", "c", RING)
+    one.tell("durable", "c", RING_SLOTS)
     one.propose("t")
     one.serve()
-    assert one.answers["t"].sequence == RING + 1
+    assert one.answers["t"].sequence == RING_SLOTS + 1
     assert one.writer.facts()["stopped"] == 0
 
 
 def test_a_keeper_that_lost_its_disk_counts_no_more() -> None:
     one = leading()
-    one.write(RING, durable=False)
-    one.tell("durable", "a", RING)
-    one.tell("durable", "b", RING)
+    one.write(RING_SLOTS, durable=False)
+    one.tell("durable", "a", RING_SLOTS)
+    one.tell("durable", "b", RING_SLOTS)
     one.tell("durable", "b", 0)  # it is back, with nothing
     one.propose("r")
     assert one.out == []
@@ -684,7 +684,7 @@
     def away(name: str) -> bool:
         return name == "k2"
 
-    monkeypatch.setattr(writers, "RING", 2)
+    monkeypatch.setattr(writers, "RING_SLOTS", 2)
     world = changed(fleet(relays=0, instances=0), 3, away)
     world.move("k1")
     world.lose("k0")
@@ -726,13 +726,13 @@
 
 def test_what_was_durable_in_an_earlier_hold_does_not_count_but_the_own_disk_does() -> None:
     one = leading()
-    one.write(RING)
+    one.write(RING_SLOTS)
     one.hold().serve()
     one.propose("r")
     assert one.out == []
-    one.tell("durable", "c", RING)
+    one.tell("durable", "c", RING_SLOTS)
     one.serve()
-    assert one.answers["r"].sequence == RING + 1
+    assert one.answers["r"].sequence == RING_SLOTS + 1
 
 
 # ---- all of it by chance
@@ -826,7 +826,12 @@
         if who == self.lost_disk and self.disks[who].sequence >= self.lost_at:
             self.lost_disk = ""
 
-    @rule(who=who, count=st.integers(1, 2 * RING), kept=st.integers(0, 3), then=st.sampled_from(["", "gone"]))
+    @rule(
+        who=who,
+        count=st.integers(1, 2 * RING_SLOTS),
+        kept=st.integers(0, 3),
+        then=st.sampled_from(["", "gone"]),
+    )
     def busy(self, who: str, count: int, kept: int, then: str) -> None:
         """A quiet stretch: one takes the lease, catches up and writes many groups; so many keepers, itself
         the first, have them on disk at once. Its own disk may be gone right after."""
@@ -1006,13 +1011,13 @@
         ("common/x", b"\xff", "no JSON"),
         ("common/x", {"a\u0007": 1}, "no name of a field"),
         ("common/x", {"a": "\u0000"}, "can't be printed"),
-        ("common/x", {"a": "x" * VALUE_BOUND}, f"{VALUE_BOUND} at most"),
+        ("common/x", {"a": "x" * VALUE_SIZE_LIMIT}, f"{VALUE_SIZE_LIMIT} at most"),
         ("other/x", {}, "none of the sections"),
         ("route", ROUTE, "no name"),
         ("route/", ROUTE, "no name"),
         ("route/ x", ROUTE, "spaces"),
         ("route/x\n", ROUTE, "can't be printed"),
-        ("route/" + "x" * KEY_BOUND, ROUTE, f"{KEY_BOUND} at most"),
+        ("route/" + "x" * KEY_LENGTH_LIMIT, ROUTE, f"{KEY_LENGTH_LIMIT} at most"),
     ],
 )
 def test_what_may_not_stand(key: str, value: Any, reason: str) -> None:
@@ -1046,18 +1051,23 @@
 def test_the_bounds_of_a_change() -> None:
     good = b'{"share":0.1}'
     assert "1 to 1000 are allowed" in fault(Propose("r", ()), Table())
-    assert fault(Propose("r", tuple((f"tenant/{one}", good) for one in range(ITEMS_BOUND))), Table()) == ""
-    assert fault(Propose("r", tuple((f"tenant/{one}", good) for one in range(ITEMS_BOUND + 1))), Table())
+    assert (
+        fault(Propose("r", tuple((f"tenant/{one}", good) for one in range(CHANGE_ITEMS_LIMIT))), Table())
+        == ""
+    )
+    assert fault(
+        Propose("r", tuple((f"tenant/{one}", good) for one in range(CHANGE_ITEMS_LIMIT + 1))), Table()
+    )
     large = tuple((f"common/{one}", b'{"a":"%s"}' % (b"x" * 4000)) for one in range(7))
-    assert f"{CHANGE_BOUND} at most" in fault(Propose("r", large), Table())
+    assert f"{CHANGE_SIZE_LIMIT} at most" in fault(Propose("r", large), Table())
     for request in ("", "x" * 65, "a\nb"):
         assert "a request is named" in fault(Propose(request, (("tenant/x", good),)), Table())
-    versions = tuple((f"tenant/{one}", 0) for one in range(ITEMS_BOUND + 1))
+    versions = tuple((f"tenant/{one}", 0) for one in range(CHANGE_ITEMS_LIMIT + 1))
     assert "expected versions" in fault(Propose("r", (("tenant/x", good),), versions), Table())
 
 
 def test_a_table_that_is_full_takes_no_new_entry_but_other_values(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("thistleline.config_feed.validation.ENTRIES_BOUND", 2)
+    monkeypatch.setattr("thistleline.config_feed.validation.TABLE_ENTRIES_LIMIT", 2)
     table = Table().moved(1, [("tenant/a", b"{}", 1), ("tenant/b", b"{}", 1)])
     assert "more than 2 entries" in why("tenant/c", {"share": 0}, table)
     assert why("tenant/a", {"share": 0}, table) == ""
--- a/thistleline/cli/feed.py
+++ b/thistleline/cli/feed.py
@@ -14,7 +14,7 @@
 
 from thistleline.cli.fleet import Unusable, conf_of, logger, named, tell
 from thistleline.config_feed.client import FeedClient, look_each, propose, snapshot
-from thistleline.config_feed.limits import CHANGE_BOUND, ITEMS_BOUND
+from thistleline.config_feed.limits import CHANGE_ITEMS_LIMIT, CHANGE_SIZE_LIMIT
 from thistleline.config_feed.lookups import written
 from thistleline.config_feed.messages import Item, Propose, ReadResult
 from thistleline.config_feed.table import MADE
@@ -192,7 +192,7 @@
     size = 0
     for key, value in items:
         cost = len(key.encode("utf-8", "replace")) + len(value or b"")
-        if part and (len(part) >= ITEMS_BOUND or size + cost > CHANGE_BOUND):
+        if part and (len(part) >= CHANGE_ITEMS_LIMIT or size + cost > CHANGE_SIZE_LIMIT):
             parts.append(tuple(part))
             part, size = [], 0
         part.append((key, value))
--- a/thistleline/config_feed/connections.py
+++ b/thistleline/config_feed/connections.py
@@ -14,7 +14,13 @@
 import anyio
 from anyio.abc import ByteStream, SocketStream, TaskGroup
 
-from thistleline.config_feed.limits import BEAT, MESSAGE_BOUND, MS, SECOND, STALL
+from thistleline.config_feed.limits import (
+    HEARTBEAT_INTERVAL_NS,
+    MESSAGE_SIZE_LIMIT,
+    MS,
+    SECOND,
+    STALL_TIMEOUT_NS,
+)
 from thistleline.config_feed.messages import Delta, SnapshotPart, decode_source, encode
 from thistleline.store.clock import boot_now
 from thistleline.transport.address import Address
@@ -46,7 +52,7 @@
         may have been spoken to meanwhile: that is read before anybody judges time-outs."""
         self.seen = self.seen or boot_now()
         await self.wait((due - boot_now()) / SECOND)
-        for _ in range(READ_FIRST if boot_now() - self.seen > STANDSTILL + BEAT else 1):
+        for _ in range(READ_FIRST if boot_now() - self.seen > STANDSTILL + HEARTBEAT_INTERVAL_NS else 1):
             await anyio.lowlevel.checkpoint()
         self.seen = boot_now()
         return self.take()
@@ -141,7 +147,7 @@
 
     def stalls(self, now: int) -> bool:
         """Whether the peer has taken nothing for too long."""
-        return 0 < self.since < now - STALL
+        return 0 < self.since < now - STALL_TIMEOUT_NS
 
 
 async def each_look(look: Callable[[int], None]) -> None:
@@ -219,7 +225,7 @@
         self._tell(way, "lost", way.name, way.why or "it takes nothing")
 
     async def _read(self, stream: SocketStream, way: Way) -> None:
-        unpacker = Unpacker(MESSAGE_BOUND)
+        unpacker = Unpacker(MESSAGE_SIZE_LIMIT)
         while True:
             heard = [decode_source(one) for one in unpacker.take(await stream.receive(PIECE))]
             if heard and not way.dropped:
@@ -274,7 +280,7 @@
             with anyio.fail_after(PATIENCE):
                 await greet(stream, Hello("follower", ""))
             await stream.send(sealed(encode(message)))
-            unpacker = Unpacker(MESSAGE_BOUND)
+            unpacker = Unpacker(MESSAGE_SIZE_LIMIT)
             while True:
                 for payload in unpacker.take(await stream.receive(PIECE)):
                     told = decode_source(payload)
--- a/thistleline/config_feed/follower.py
+++ b/thistleline/config_feed/follower.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import Any, Literal
 
-from thistleline.config_feed.limits import ENTRIES_BOUND, SILENT, SPREAD
+from thistleline.config_feed.limits import RECONNECT_JITTER_NS, SOURCE_TIMEOUT_NS, TABLE_ENTRIES_LIMIT
 from thistleline.config_feed.messages import (
     Acknowledge,
     Delta,
@@ -59,7 +59,7 @@
         self.phase: Phase = "waiting"
         self.at = ""  # whom it follows, or is about to
         self.place = 0  # in `sources`, of the next to try
-        self.wait_until = now + spread(SPREAD)
+        self.wait_until = now + spread(RECONNECT_JITTER_NS)
         self.heard_at = now
         self.welcome: FollowAccepted | None = None  # the last one
         self.epoch = 0  # the highest seen
@@ -109,7 +109,7 @@
     def due(self) -> int:
         if self.phase == "quiet" or not self.sources:
             return NEVER
-        return self.wait_until if self.phase == "waiting" else self.heard_at + SILENT
+        return self.wait_until if self.phase == "waiting" else self.heard_at + SOURCE_TIMEOUT_NS
 
     def _sources(self, names: tuple[str, ...]) -> None:
         self.sources, self.place = names, 0
@@ -119,7 +119,7 @@
             self._leave("not to be followed any more")
             self.place = 0
         elif self.phase == "waiting":
-            self.wait_until = min(self.wait_until, self.now + self.spread(SPREAD))
+            self.wait_until = min(self.wait_until, self.now + self.spread(RECONNECT_JITTER_NS))
 
     def _quiet(self) -> None:
         if self.at:
@@ -199,7 +199,7 @@
         self.phase, self.at, self.load, self.straight, self.until = "waiting", "", None, False, 0
         self.place = (self.place + 1) % max(1, len(self.sources))
         keeper = self.kind == "all" and not self.level
-        self.wait_until = self.now + self.spread(SPREAD // 4 if keeper else SPREAD)
+        self.wait_until = self.now + self.spread(RECONNECT_JITTER_NS // 4 if keeper else RECONNECT_JITTER_NS)
 
     def _doubt(self) -> None:
         """Its own state or the source's is not what it seems: the next one gives it all of its own."""
@@ -270,7 +270,7 @@
         table = self.table.moved(told.last, told.items, self.kind)
         if table.digest(self.kind) != told.digest:
             self._doubt()
-        elif table.count(self.kind) > ENTRIES_BOUND:
+        elif table.count(self.kind) > TABLE_ENTRIES_LIMIT:
             self._leave("too many entries")
         else:
             self.table = table
@@ -290,7 +290,7 @@
             return
         self.load = self.load.moved(told.sequence, told.items, self.kind)
         self.part += 1
-        if self.load.count(self.kind) > ENTRIES_BOUND:
+        if self.load.count(self.kind) > TABLE_ENTRIES_LIMIT:
             self._leave("too many entries")
         elif told.parts != self.part:
             self._want()
--- a/thistleline/config_feed/history.py
+++ b/thistleline/config_feed/history.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from thistleline.config_feed.limits import DELTA_BOUND, HISTORY_BOUND, HISTORY_SIZE
+from thistleline.config_feed.limits import DELTA_SIZE_LIMIT, HISTORY_SIZE_LIMIT, HISTORY_STEPS_LIMIT
 from thistleline.config_feed.messages import Delta, Kind
 from thistleline.config_feed.table import MADE, TENANT, Table
 
@@ -54,7 +54,7 @@
         self.size += size
         self.table = table
         self._note()
-        while self.steps and (self.size > HISTORY_SIZE or len(self.steps) > HISTORY_BOUND):
+        while self.steps and (self.size > HISTORY_SIZE_LIMIT or len(self.steps) > HISTORY_STEPS_LIMIT):
             first, _, _, gone = self.steps.popleft()
             self.size -= gone
             del self._digests[first]
@@ -91,7 +91,7 @@
         return self._cached[number, kind]
 
     def _merged(self, number: int, kind: Kind) -> Delta | None:
-        most = max(8 * DELTA_BOUND, 2 * COST * self.table.count(kind))
+        most = max(8 * DELTA_SIZE_LIMIT, 2 * COST * self.table.count(kind))
         ahead: list[tuple[int, int, Items, int]] = []
         size = 0
         for step in reversed(self.steps):
@@ -121,7 +121,7 @@
             more = 0
             for key, value, _ in told:
                 more += cost_of(key, value) - (cost_of(key, newest[key][0]) if key in newest else 0)
-            if last > number and size + more > DELTA_BOUND:
+            if last > number and size + more > DELTA_SIZE_LIMIT:
                 break
             size += more
             last = end
--- a/thistleline/config_feed/lookups.py
+++ b/thistleline/config_feed/lookups.py
@@ -13,7 +13,12 @@
 from typing import Any, NamedTuple
 
 from thistleline.config_feed.follower import Follower
-from thistleline.config_feed.limits import ASKED_BOUND, KEY_BOUND, STALL, TENANTS_CACHE
+from thistleline.config_feed.limits import (
+    FETCHED_TENANTS_LIMIT,
+    KEY_LENGTH_LIMIT,
+    STALL_TIMEOUT_NS,
+    TENANT_CACHE_LIMIT,
+)
 from thistleline.config_feed.messages import Delta, FetchTenants, TenantEntries
 from thistleline.config_feed.table import TENANT
 
@@ -30,7 +35,7 @@
 class Lookups:
     __slots__ = ("asked", "asked_at", "bound", "follower", "tenants", "wanted")
 
-    def __init__(self, follower: Follower, bound: int = TENANTS_CACHE) -> None:
+    def __init__(self, follower: Follower, bound: int = TENANT_CACHE_LIMIT) -> None:
         """`follower`: of the kind "wide", and told of nothing but through this."""
         self.follower, self.bound = follower, bound
         self.tenants: OrderedDict[str, Found] = OrderedDict()  # the least lately used first
@@ -64,7 +69,7 @@
         if found is not None:
             self.tenants.move_to_end(key)
             return found
-        if len(key) > KEY_BOUND or not written(key):
+        if len(key) > KEY_LENGTH_LIMIT or not written(key):
             return ABSENT  # no change can have set it
         if key not in self.asked and len(self.wanted) < self.bound:
             self.wanted[key] = None
@@ -82,10 +87,10 @@
                 self._took(rest[0])
             elif name == "loaded":
                 self.tenants.clear()  # what changed between is not known
-        if follower.phase not in ("loading", "following") or follower.now >= self.asked_at + STALL:
+        if follower.phase not in ("loading", "following") or follower.now >= self.asked_at + STALL_TIMEOUT_NS:
             self._again()
         if self._asks():
-            asked = tuple(islice(self.wanted, ASKED_BOUND))
+            asked = tuple(islice(self.wanted, FETCHED_TENANTS_LIMIT))
             for key in asked:
                 del self.wanted[key]
                 self.asked[key] = None
@@ -96,7 +101,9 @@
     def due(self) -> int:
         if self._asks():
             return self.follower.now
-        return min(self.follower.due(), self.asked_at + STALL) if self.asked else self.follower.due()
+        return (
+            min(self.follower.due(), self.asked_at + STALL_TIMEOUT_NS) if self.asked else self.follower.due()
+        )
 
     def _asks(self) -> bool:
         return bool(self.wanted) and not self.asked and self.follower.phase == "following"
--- a/thistleline/config_feed/relay.py
+++ b/thistleline/config_feed/relay.py
@@ -16,7 +16,7 @@
 
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.history import History, Items
-from thistleline.config_feed.limits import FOLLOWERS_BOUND
+from thistleline.config_feed.limits import FOLLOWERS_LIMIT
 from thistleline.config_feed.messages import Follow, Propose, ProposeResult
 from thistleline.config_feed.source import Source
 from thistleline.config_feed.table import Table
@@ -41,7 +41,7 @@
         now: int,
         spread: Callable[[int], int],
         keepers: tuple[str, ...] = (),
-        bound: int = FOLLOWERS_BOUND,
+        bound: int = FOLLOWERS_LIMIT,
     ) -> None:
         """`keepers`: the ids of all, where this is one."""
         self.id, self.level = id, level
--- a/thistleline/config_feed/service.py
+++ b/thistleline/config_feed/service.py
@@ -20,7 +20,12 @@
 from thistleline.config.schema import Feed
 from thistleline.config_feed.archive_writer import Persist
 from thistleline.config_feed.connections import PIECE, Encoder, Peer, Rounds, Up, each_look
-from thistleline.config_feed.limits import ID_BOUND, MADE_SLOTS, MESSAGE_BOUND, SECOND
+from thistleline.config_feed.limits import (
+    DEDUPLICATION_SLOTS,
+    MESSAGE_SIZE_LIMIT,
+    PEER_ID_LENGTH_LIMIT,
+    SECOND,
+)
 from thistleline.config_feed.messages import Propose, ProposeResult, ReadRequest, ReadResult, decode_follower
 from thistleline.config_feed.relay import Station
 from thistleline.config_feed.table import Table
@@ -38,7 +43,7 @@
 HELLO_SPAN = 2.0  # s
 GUESTS_BOUND = 64  # connections beside the followers
 SPARE_FILES = 64  # descriptors for what else there is
-LOOK_BOUND, LOOK_SIZE = 128, MESSAGE_BOUND // 2  # keys, bytes of values in one answer
+LOOK_BOUND, LOOK_SIZE = 128, MESSAGE_SIZE_LIMIT // 2  # keys, bytes of values in one answer
 GET_SPAN = 0.8  # s; the writer asks each second
 ACCEPT_PAUSE = 0.1  # s after one that came to nothing
 SAID_BOUND = 32  # lines a second of what others do
@@ -137,7 +142,7 @@
 
     def _freeze(self, table: Table) -> None:
         """Leaves what is held now to itself, as it stays for long. Guards against collections that go through
-        a whole table: at 1.3 million tenants one stands still for longer than followers wait (`SILENT`). What
+        a whole table: at 1.3 million tenants one stands still for longer than followers wait. What
         lives now and later dies as a cycle stays, so it is done seldom."""
         self.frozen = table.sequence
         gc.collect(1)
@@ -288,7 +293,7 @@
             "level": self.conf.level,
             "followers": len(station.source.peers),
             "wide": len(table.wide),
-            "tenants": max(0, len(table.tenants) - min(table.sequence, MADE_SLOTS)),
+            "tenants": max(0, len(table.tenants) - min(table.sequence, DEDUPLICATION_SLOTS)),
             "base": station.history.base,
             "durable": self.persist.durable if self.persist is not None else 0,
             **(station.writer.facts() if station.writer is not None and station.holds else {}),
@@ -364,7 +369,7 @@
                         common_form(own, there)
                         if there.kind != "follower":
                             raise Unreadable(f"a {there.kind} has no business here")
-                        peer.id = there.id[:ID_BOUND]
+                        peer.id = there.id[:PEER_ID_LENGTH_LIMIT]
                         await stream.send(sealed(msgspec.msgpack.encode(own)))
                     async with anyio.create_task_group() as group:
                         group.start_soon(peer.out.send, stream)
@@ -376,7 +381,7 @@
                 self.rounds.put("left", peer.number)
 
     async def _read(self, peer: Peer) -> None:
-        unpacker = Unpacker(MESSAGE_BOUND)
+        unpacker = Unpacker(MESSAGE_SIZE_LIMIT)
         while True:
             data = await peer.stream.receive(PIECE)
             peer.heard_at = boot_now()
--- a/thistleline/config_feed/source.py
+++ b/thistleline/config_feed/source.py
@@ -17,14 +17,14 @@
 
 from thistleline.config_feed.history import History, cost_of
 from thistleline.config_feed.limits import (
-    ASKED_BOUND,
-    BEAT,
-    FOLLOWERS_BOUND,
-    ID_BOUND,
-    KEY_BOUND,
+    FETCHED_TENANTS_LIMIT,
+    FOLLOWERS_LIMIT,
+    HEARTBEAT_INTERVAL_NS,
+    KEY_LENGTH_LIMIT,
     PART_SIZE,
+    PEER_ID_LENGTH_LIMIT,
     SECOND,
-    STALL,
+    STALL_TIMEOUT_NS,
 )
 from thistleline.config_feed.messages import (
     Acknowledge,
@@ -114,7 +114,7 @@
     )
 
     def __init__(
-        self, history: History, level: int, now: int, followers_bound: int = FOLLOWERS_BOUND
+        self, history: History, level: int, now: int, followers_bound: int = FOLLOWERS_LIMIT
     ) -> None:
         """`level`: 0 a keeper; a relay's is above that of what it follows."""
         self.history, self.level, self.now, self.followers_bound = history, level, now, followers_bound
@@ -165,8 +165,8 @@
 
     def due(self) -> int:
         return min(
-            next(iter(self.heard_at.values()), NEVER) + STALL,
-            next(iter(self.sent_at.values()), NEVER) + BEAT,
+            next(iter(self.heard_at.values()), NEVER) + STALL_TIMEOUT_NS,
+            next(iter(self.sent_at.values()), NEVER) + HEARTBEAT_INTERVAL_NS,
             self.used_at + SNAPSHOT_KEPT if self.snapshots else NEVER,
         )
 
@@ -230,12 +230,12 @@
     def _elapsed(self) -> None:
         while self.heard_at:
             peer = next(iter(self.heard_at))
-            if self.now < self.heard_at[peer] + STALL:
+            if self.now < self.heard_at[peer] + STALL_TIMEOUT_NS:
                 break
             self._close(peer, "silent")
         while self.sent_at:
             peer = next(iter(self.sent_at))
-            if self.now < self.sent_at[peer] + BEAT:
+            if self.now < self.sent_at[peer] + HEARTBEAT_INTERVAL_NS:
                 break
             table = self.history.table
             self._send(peer, Heartbeat(table.sequence, table.digest(self.peers[peer].kind)))
@@ -329,7 +329,7 @@
         if served.phase != "new":
             return "it follows already"
         if (
-            not 0 < len(told.id) <= ID_BOUND
+            not 0 < len(told.id) <= PEER_ID_LENGTH_LIMIT
             or not 0 <= told.level <= LEVEL_BOUND
             or told.sequence < 0
             or len(told.digest) > DIGEST_SIZE
@@ -401,10 +401,10 @@
 
     def _ask(self, peer: int, served: Served, told: FetchTenants) -> str:
         """Told behind a Delta to the newest, so that the answer is as new as what is held there then."""
-        if len(served.asked) + len(told.keys) > ASKED_BOUND:
+        if len(served.asked) + len(told.keys) > FETCHED_TENANTS_LIMIT:
             return "it asks for too much"
         for key in told.keys:
-            if not key.startswith(TENANT) or len(key) > KEY_BOUND:
+            if not key.startswith(TENANT) or len(key) > KEY_LENGTH_LIMIT:
                 return "no key of a tenant"
             served.asked[key] = None
         if served.asked and served.phase == "following" and self._newest(served):
--- a/thistleline/config_feed/validation.py
+++ b/thistleline/config_feed/validation.py
@@ -16,12 +16,12 @@
 from msgspec import Meta
 
 from thistleline.config_feed.limits import (
-    CHANGE_BOUND,
-    ENTRIES_BOUND,
-    ITEMS_BOUND,
-    KEY_BOUND,
-    REQUEST_BOUND,
-    VALUE_BOUND,
+    CHANGE_ITEMS_LIMIT,
+    CHANGE_SIZE_LIMIT,
+    KEY_LENGTH_LIMIT,
+    REQUEST_ID_LENGTH_LIMIT,
+    TABLE_ENTRIES_LIMIT,
+    VALUE_SIZE_LIMIT,
 )
 from thistleline.config_feed.messages import Propose
 from thistleline.config_feed.table import Table
@@ -31,7 +31,7 @@
 TOLD_BOUND = 20  # faults told of one change
 PIECE = 60  # characters of a stranger's word in a reason
 
-Name = Annotated[str, Meta(min_length=1, max_length=KEY_BOUND)]
+Name = Annotated[str, Meta(min_length=1, max_length=KEY_LENGTH_LIMIT)]
 Span = Annotated[float, Meta(gt=0, le=366 * 86_400_000)]  # ms
 Window = Annotated[float, Meta(ge=0, le=366 * 86_400_000)]  # ms
 Share = Annotated[float, Meta(ge=0, le=1)]
@@ -75,17 +75,17 @@
 
 def _faults(propose: Propose, table: Table) -> Iterator[str]:
     items, expected = propose.items, propose.expected
-    if not 0 < len(propose.request_id) <= REQUEST_BOUND or not propose.request_id.isprintable():
-        yield f"a request is named by 1 to {REQUEST_BOUND} printable characters"
-    if not 0 < len(items) <= ITEMS_BOUND:
-        yield f"{len(items)} entries, 1 to {ITEMS_BOUND} are allowed"
-    if len(expected) > ITEMS_BOUND:
-        yield f"{len(expected)} expected versions, {ITEMS_BOUND} at most"
-    if len(items) > ITEMS_BOUND or len(expected) > ITEMS_BOUND:
+    if not 0 < len(propose.request_id) <= REQUEST_ID_LENGTH_LIMIT or not propose.request_id.isprintable():
+        yield f"a request is named by 1 to {REQUEST_ID_LENGTH_LIMIT} printable characters"
+    if not 0 < len(items) <= CHANGE_ITEMS_LIMIT:
+        yield f"{len(items)} entries, 1 to {CHANGE_ITEMS_LIMIT} are allowed"
+    if len(expected) > CHANGE_ITEMS_LIMIT:
+        yield f"{len(expected)} expected versions, {CHANGE_ITEMS_LIMIT} at most"
+    if len(items) > CHANGE_ITEMS_LIMIT or len(expected) > CHANGE_ITEMS_LIMIT:
         return  # guards against work without end for what is refused anyway
     size = sum(len(key.encode("utf-8", "replace")) + len(value or b"") for key, value in items)
-    if size > CHANGE_BOUND:
-        yield f"{size} bytes, {CHANGE_BOUND} at most"
+    if size > CHANGE_SIZE_LIMIT:
+        yield f"{size} bytes, {CHANGE_SIZE_LIMIT} at most"
         return
     seen: set[str] = set()
     more = 0
@@ -103,8 +103,8 @@
         if value is not None:
             for why in _value_faults(key, value):
                 yield f"{_short(key)}: {why}"
-    if more > 0 and table.count("all") + more > ENTRIES_BOUND:
-        yield f"with it there are more than {ENTRIES_BOUND} entries"
+    if more > 0 and table.count("all") + more > TABLE_ENTRIES_LIMIT:
+        yield f"with it there are more than {TABLE_ENTRIES_LIMIT} entries"
     for key, version in expected:
         why = _key_fault(key)
         if why:
@@ -119,8 +119,8 @@
 
 def _key_fault(key: str) -> str:
     section, _, name = key.partition("/")
-    if len(key) > KEY_BOUND:
-        return f"the key {_short(key)} has {len(key)} characters, {KEY_BOUND} at most"
+    if len(key) > KEY_LENGTH_LIMIT:
+        return f"the key {_short(key)} has {len(key)} characters, {KEY_LENGTH_LIMIT} at most"
     if not key.isprintable():
         return f"the key {_short(key)} has characters that can't be printed"
     if section not in FORMS:
@@ -131,8 +131,8 @@
 
 
 def _value_faults(key: str, value: bytes) -> Iterator[str]:
-    if len(value) > VALUE_BOUND:
-        yield f"{len(value)} bytes, {VALUE_BOUND} at most"
+    if len(value) > VALUE_SIZE_LIMIT:
+        yield f"{len(value)} bytes, {VALUE_SIZE_LIMIT} at most"
         return
     try:
         told = msgspec.json.decode(value)
@@ -158,7 +158,7 @@
             return
         if isinstance(one, dict):
             for name in one:
-                if not name or len(name) > KEY_BOUND or not name.isprintable():
+                if not name or len(name) > KEY_LENGTH_LIMIT or not name.isprintable():
                     yield f"{_short(name)} is no name of a field"
             inner.extend((each, depth + 1) for each in one.values())
         elif isinstance(one, list):
--- a/thistleline/config_feed/writer.py
+++ b/thistleline/config_feed/writer.py
@@ -22,14 +22,14 @@
 
 from thistleline.config_feed.history import History, Items
 from thistleline.config_feed.limits import (
-    GROUP_BOUND,
-    MADE_SLOTS,
+    DEDUPLICATION_SLOTS,
+    GROUP_SIZE_LIMIT,
     MS,
-    PROPOSED_BOUND,
-    REQUEST_BOUND,
-    RING,
+    PENDING_PROPOSALS_LIMIT,
+    REQUEST_ID_LENGTH_LIMIT,
+    RING_SLOTS,
     SECOND,
-    STALL,
+    STALL_TIMEOUT_NS,
 )
 from thistleline.config_feed.messages import Change, Group, Propose, ProposeResult, decode_group, encode
 from thistleline.config_feed.table import MADE, Table
@@ -53,7 +53,7 @@
 
 def made_key(number: int) -> str:
     """Where the request of that change is kept."""
-    return f"{MADE}{number % MADE_SLOTS}"
+    return f"{MADE}{number % DEDUPLICATION_SLOTS}"
 
 
 class Waiting(NamedTuple):
@@ -91,7 +91,7 @@
         self.slot = 0  # of the next group, or of the one that is out
         self.tries = 0
         self.denied = ""
-        self.versions, self.lasts = [0] * RING, [0] * RING
+        self.versions, self.lasts = [0] * RING_SLOTS, [0] * RING_SLOTS
         self.read: dict[int, tuple[bytes, int]] = {}
         self.chain: tuple[Group, ...] = ()
         self.ask_at = FAR
@@ -183,7 +183,7 @@
     def _stand_by(self, why: str) -> None:
         if self.put is not None:
             self.strays[self.slot, self.put.version] = None
-            while len(self.strays) > 4 * RING:
+            while len(self.strays) > 4 * RING_SLOTS:
                 del self.strays[next(iter(self.strays))]
         for one in self.out:
             self._answer(one.change.request_id, unknown=True, why=why)
@@ -198,15 +198,15 @@
     # ---- taking over
 
     def _ask_slots(self) -> None:
-        for slot in range(RING):
+        for slot in range(RING_SLOTS):
             if slot not in self.read:
                 self.effects.append(("get", slot, key_of(slot)))
         self.ask_at = self.now + ASK_AGAIN
 
     def _got(self, slot: int, value: bytes, version: int) -> None:
-        if self.phase == "reading" and 0 <= slot < RING:
+        if self.phase == "reading" and 0 <= slot < RING_SLOTS:
             self.read.setdefault(slot, (value, version))
-            if len(self.read) == RING:
+            if len(self.read) == RING_SLOTS:
                 self._judge()
         elif self.phase == "settling" and slot == self.slot:
             self._settled(value, version)
@@ -234,14 +234,14 @@
         for (_, slot, one), (first, then, other) in pairwise(found):
             if (
                 first != one.changes[-1].sequence + 1
-                or then != (slot + 1) % RING
+                or then != (slot + 1) % RING_SLOTS
                 or other.digest_before != one.digest_after
                 or other.epoch < one.epoch
             ):
                 self._give_up(f"the record {key_of(then)} does not follow {key_of(slot)}")
                 return
-        self.slot = (found[-1][1] + 1) % RING if found else 0
-        if self.versions[self.slot] and len(found) < RING:
+        self.slot = (found[-1][1] + 1) % RING_SLOTS if found else 0
+        if self.versions[self.slot] and len(found) < RING_SLOTS:
             self._give_up(f"there are records from {key_of(self.slot)} on, and others are missing")
             return
         self.chain = tuple(group for _, _, group in found)
@@ -301,14 +301,14 @@
     def _recall(self) -> None:
         """The requests that are made, as the table has them. Guards against one that is asked again past a
         change of writer, however many groups ago it was made, being made a second time."""
-        found = (self.history.table.get(made_key(slot)) for slot in range(MADE_SLOTS))
+        found = (self.history.table.get(made_key(slot)) for slot in range(DEDUPLICATION_SLOTS))
         known = sorted((version, value.decode()) for value, version in filter(None, found))
         self.requests = {request: number for number, request in known}
 
     def _remember(self, change: Change) -> None:
         self.requests.pop(change.request_id, None)
         self.requests[change.request_id] = change.sequence
-        while len(self.requests) > MADE_SLOTS:
+        while len(self.requests) > DEDUPLICATION_SLOTS:
             del self.requests[next(iter(self.requests))]
 
     # ---- proposals
@@ -326,7 +326,7 @@
                 self._line_up(ticket, propose)
                 return
         self.refused += 1
-        self.effects.append(("answer", ticket, ProposeResult(request[:REQUEST_BOUND], reason=why)))
+        self.effects.append(("answer", ticket, ProposeResult(request[:REQUEST_ID_LENGTH_LIMIT], reason=why)))
 
     def _why_not(self, propose: Propose) -> str:
         """What stands in the way of any proposal."""
@@ -334,8 +334,8 @@
             return f"{self.id} does not write"
         if self.phase in ("reading", "catching_up"):
             return f"{self.id} does not write yet: it is {self.phase.replace('_', ' ')}"
-        if self.asked >= PROPOSED_BOUND and propose.request_id not in self.requests:
-            return f"{PROPOSED_BOUND} proposals wait already"
+        if self.asked >= PENDING_PROPOSALS_LIMIT and propose.request_id not in self.requests:
+            return f"{PENDING_PROPOSALS_LIMIT} proposals wait already"
         if self.line_size >= LINE_SIZE and propose.request_id not in self.requests:
             return f"{self.line_size} bytes of changes wait already"
         return ""
@@ -406,13 +406,13 @@
             self.stop_at = FAR
             self._write()
         elif self.stop_at == FAR:
-            self.stop_at = self.now + STALL
+            self.stop_at = self.now + STALL_TIMEOUT_NS
 
     def _write(self) -> None:
         if self.phase != "writing" or self.out or not self.line or not self._free():
             return
         out, size = [], GROUP_COST
-        while self.line and size + self.line[0].size <= GROUP_BOUND:
+        while self.line and size + self.line[0].size <= GROUP_SIZE_LIMIT:
             out.append(self.line.popleft())
             size += out[-1].size
         self.out = tuple(out)
@@ -478,7 +478,7 @@
         self.history.take(out[-1].table, _touched([one.change for one in out]))
         self.versions[self.slot] += 1
         self.lasts[self.slot] = out[-1].change.sequence
-        self.slot = (self.slot + 1) % RING
+        self.slot = (self.slot + 1) % RING_SLOTS
         self.phase, self.tries, self.denied, self.ask_at = "writing", 0, "", FAR
         self.groups += 1
         self.effects.append(("moved",))
--- a/thistleline/lab/feedfleet.py
+++ b/thistleline/lab/feedfleet.py
@@ -14,7 +14,7 @@
 from anyio.abc import TaskGroup
 
 from thistleline.config_feed.client import Following, look, propose, snapshot
-from thistleline.config_feed.limits import MADE_SLOTS
+from thistleline.config_feed.limits import DEDUPLICATION_SLOTS
 from thistleline.config_feed.messages import Item, Propose, ProposeResult, ReadResult
 from thistleline.config_feed.table import Table
 from thistleline.lab.harness import Fleet, Hung, Process, free_port
@@ -68,7 +68,7 @@
                 held.pop(key, None)
                 if value is not None:
                     held[key] = value, number
-            held[f"made/{number % MADE_SLOTS}"] = self.made[number][0].encode(), number
+            held[f"made/{number % DEDUPLICATION_SLOTS}"] = self.made[number][0].encode(), number
         return held
 
     def judge_table(self, name: str, table: Table) -> None:
--- a/thistleline/lab/feedmutants.py
+++ b/thistleline/lab/feedmutants.py
@@ -22,7 +22,7 @@
 
 DEPTH = 60
 # Small, so that a world of some steps comes to where it counts: two records in the ring, an entry a part.
-SMALL: tuple[tuple[Any, str, Any], ...] = ((writing, "RING", 2), (serving, "PART_SIZE", 1))
+SMALL: tuple[tuple[Any, str, Any], ...] = ((writing, "RING_SLOTS", 2), (serving, "PART_SIZE", 1))
 
 
 # ---- where explorations begin
--- a/thistleline/lab/feedrun.py
+++ b/thistleline/lab/feedrun.py
@@ -20,7 +20,7 @@
 from thistleline.config_feed import follower as following
 from thistleline.config_feed.client import PAUSE, PROPOSE_SPAN, Asking
 from thistleline.config_feed.follower import Follower
-from thistleline.config_feed.limits import MADE_SLOTS, MS, SECOND
+from thistleline.config_feed.limits import DEDUPLICATION_SLOTS, MS, SECOND
 from thistleline.config_feed.lookups import Lookups
 from thistleline.config_feed.messages import (
     Change,
@@ -722,7 +722,7 @@
         # One that was made and not told of is known once it is asked for again; what came after it waits.
         while (known := self.acknowledged.pop(self.oracle.last + 1, None)) is not None:
             number = self.oracle.last + 1
-            made = f"made/{number % MADE_SLOTS}", known.propose.request_id.encode()
+            made = f"made/{number % DEDUPLICATION_SLOTS}", known.propose.request_id.encode()
             self.oracle.acknowledged(number, (*known.propose.items, made))
 
     def look(self, name: str, key: str) -> None:
