--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -56,7 +56,7 @@
     encode,
 )
 from thistleline.config_feed.source import SNAPSHOT_KEPT, Snapshot, Source
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 from thistleline.transport.disconnects import ENDS
 
 Entries = tuple[tuple[str, bytes | None], ...]
@@ -68,7 +68,7 @@
     def __init__(self) -> None:
         self.states: list[dict[str, tuple[bytes, int]]] = [{}]
         self.changes: list[Entries] = [()]
-        self.tables = [Table()]
+        self.tables = [FeedTable()]
 
     @property
     def number(self) -> int:
@@ -84,7 +84,7 @@
                 state[key] = value, number
         self.states.append(state)
         self.changes.append(items)
-        self.tables.append(self.tables[-1].applied(Change(number, str(number), items)))
+        self.tables.append(self.tables[-1].apply(Change(number, str(number), items)))
         return number
 
     def some(self, count: int, size: int = 10, prefix: str = "route/") -> None:
@@ -100,9 +100,9 @@
 
     def bring(self, history: History, last: int | None = None) -> None:
         for number in range(history.table.sequence + 1, (self.number if last is None else last) + 1):
-            history.move(number, tuple((key, value, number) for key, value in self.changes[number]))
+            history.advance(number, tuple((key, value, number) for key, value in self.changes[number]))
 
-    def check(self, table: Table, kind: Kind) -> None:
+    def check(self, table: FeedTable, kind: Kind) -> None:
         held = {key: (value, version) for key, value, version in table.entries(kind)}
         state = self.states[table.sequence]
         apart = () if kind == "all" else ("tenant/", "made/")
@@ -160,16 +160,16 @@
         id: str,
         *names: str,
         kind: Kind = "wide",
-        table: Table | None = None,
+        table: FeedTable | None = None,
         level: int = 0,
         spread: Callable[[int], int] | None = None,
     ) -> Follower:
-        made = Follower(id, kind, table or Table(), names, self.now, spread or self.spread, level)
+        made = Follower(id, kind, table or FeedTable(), names, self.now, spread or self.spread, level)
         self.followers[id] = made
         self.numbers[id] = made.table.sequence
         return made
 
-    def relay(self, id: str, *names: str, level: int, table: Table | None = None) -> Follower:
+    def relay(self, id: str, *names: str, level: int, table: FeedTable | None = None) -> Follower:
         made = self.follow(id, *names, kind="all", level=level, table=table)
         self.serve(id, History(made.table), level)
         self.relays[id] = id
@@ -217,9 +217,9 @@
         if id in self.relays:
             history = self.sources[self.relays[id]].history
             if delta is None:
-                history.anew(table)
+                history.reset(table)
             else:
-                history.take(table, delta.items)
+                history.append(table, delta.items)
             self.serving(self.relays[id], "moved" if delta else "anew")
 
     def serving(self, name: str, kind: str, *told: Any) -> None:
@@ -422,7 +422,7 @@
         assert len(found) > 3
         assert [one.first for one in found[1:]] == [one.last for one in found[:-1]]
         for one in found:
-            assert histories.size_of(one.items) <= 2000
+            assert histories.items_size(one.items) <= 2000
 
 
 def test_who_missed_more_than_all_there_is_gets_the_snapshot_also_on_a_link_that_stands() -> None:
@@ -483,7 +483,7 @@
     written.some(10)
     net = Net(written)
     net.serve("a", written.history())
-    other = Table().moved(10, [("route/1", b"from elsewhere", 3)])
+    other = FeedTable().update(10, [("route/1", b"from elsewhere", 3)])
     net.follow("x", "a", table=other)
     net.run(2 * RECONNECT_JITTER_NS)
     net.settled()
@@ -496,7 +496,7 @@
     net.bring("a")
     net.run()
     one = net.follower("x")
-    one.table = one.table.moved(3, [("route/0", b"flipped", 1)])
+    one.table = one.table.update(3, [("route/0", b"flipped", 1)])
     net.sent.clear()
     net.run(HEARTBEAT_INTERVAL_NS + 2 * RECONNECT_JITTER_NS)
     net.settled()
@@ -536,7 +536,7 @@
     net.run()
     before = net.follower("x").table
     items: Items = (("route/0", b"", last),)
-    after = before.moved(last, items, "wide").digest("wide")
+    after = before.update(last, items, "wide").digest("wide")
     net.tell("x", "heard", "a", Delta(first, last, items, after if digest is None else digest))
     assert (net.follower("x").table, net.follower("x").phase) == (before, "waiting")
     net.run(2 * RECONNECT_JITTER_NS)
@@ -677,7 +677,7 @@
             != []
         )
         written.some(3)
-        net.sources["a"].history.anew(written.tables[-1])
+        net.sources["a"].history.reset(written.tables[-1])
         net.serving("a", "anew")
         link.held = {"up"}
         net.pump()  # it asks for more of the old one
@@ -702,7 +702,7 @@
         net.links["x"].held.add("down")
         if why == "older":
             net.write(("route/1", b"1"))
-            net.follow("y", "a", table=Table().moved(61, [("route/1", b"of another line", 1)]))
+            net.follow("y", "a", table=FeedTable().update(61, [("route/1", b"of another line", 1)]))
         else:
             for _ in range(0 if why == "cut" else 400):  # more to tell than there is
                 written.write(("route/1", bytes(10)))
@@ -734,7 +734,7 @@
         assert [type(one) for one in link.up] == [FetchPart] * (len(link.up) - 1) + [Acknowledge]
         assert len(link.up) > 1
         written.some(3)
-        net.sources["a"].history.anew(written.tables[-1])
+        net.sources["a"].history.reset(written.tables[-1])
         net.serving("a", "anew")
         net.run()
         net.settled()
@@ -764,7 +764,7 @@
         one = net.follower("x")
         assert one.load is not None
         key, _, version = next(one.load.entries("wide"))
-        one.load = one.load.moved(60, [(key, b"rot", version)])
+        one.load = one.load.update(60, [(key, b"rot", version)])
         while one.phase == "loading":
             link = net.links["x"]
             if link.up:
@@ -827,8 +827,8 @@
     sizes = [len(encode(part)) for part in parts if part is not None]
     assert all(size < PART_SIZE + VALUE_SIZE_LIMIT + KEY_LENGTH_LIMIT for size in sizes)
     assert [part.parts for part in parts if part is not None] == [0] * (len(sizes) - 1) + [len(sizes)]
-    assert Snapshot(Table(), "all").part(0) == SnapshotPart(0, 0, 1, (), bytes(16))
-    assert Snapshot(Table(), "all").part(1) is None
+    assert Snapshot(FeedTable(), "all").part(0) == SnapshotPart(0, 0, 1, (), bytes(16))
+    assert Snapshot(FeedTable(), "all").part(1) is None
 
 
 def test_the_sections_of_tenants_come_with_the_snapshot_to_those_alone_who_hold_all() -> None:
@@ -1080,13 +1080,13 @@
     written = Written()
     written.some(6)
     history = History(written.tables[2])
-    history.move(
+    history.advance(
         5, tuple((key, value, number) for number in (3, 4, 5) for key, value in written.changes[number])
     )
     net = Net(written)
     for name in ("a", "b"):
         net.serve(name, history.copy())
-    strange = Table().moved(4, (("route/strange", b"{}", 1),))
+    strange = FeedTable().update(4, (("route/strange", b"{}", 1),))
     net.follow("x", "a", "b", table=strange)
     net.run(6 * SECOND)
     assert [why for _, why in net.drops] == ["another digest"]
@@ -1128,7 +1128,7 @@
 
 
 def test_a_follower_finds_out_itself_that_its_source_is_not_above_it() -> None:
-    one = Follower("r", "all", Table(), ("s",), 0, lambda span: 0, level=1)
+    one = Follower("r", "all", FeedTable(), ("s",), 0, lambda span: 0, level=1)
     one.take(0, "elapsed")
     one.take(0, "connected", "s")
     assert one.take(0, "heard", "s", FollowAccepted(0, False, 0, 1, 0, False)) == [
@@ -1161,7 +1161,7 @@
 
 
 def test_a_keeper_goes_straight_to_who_writes_and_is_sent_on_by_each_but_once() -> None:
-    one = Follower("k", "all", Table(), ("a", "b", "c"), 0, lambda span: span)
+    one = Follower("k", "all", FeedTable(), ("a", "b", "c"), 0, lambda span: span)
 
     def asks(leader: str) -> str:
         """Whom it asks at once, having been told by the next that this one writes."""
@@ -1279,7 +1279,7 @@
     net = Net(written)
     net.serve("a", written.history(5))
     net.serving("a", "writes", 1, True, 0)
-    net.follow("k", "a", kind="all", table=Table().moved(4, [("route/1", b"of another line", 4)]))
+    net.follow("k", "a", kind="all", table=FeedTable().update(4, [("route/1", b"of another line", 4)]))
     net.tell("k", "durable", 4)
     net.run(4 * RECONNECT_JITTER_NS)
     net.settled()
@@ -1394,7 +1394,7 @@
 
 @pytest.mark.parametrize("index", [-1, 1, HUGE])
 def test_a_part_out_of_turn_ends_the_load(index: int) -> None:
-    one = Follower("x", "wide", Table(), ("a",), 0, lambda span: 0)
+    one = Follower("x", "wide", FeedTable(), ("a",), 0, lambda span: 0)
     one.take(0, "elapsed")
     one.take(0, "connected", "a")
     one.take(0, "heard", "a", FollowAccepted(3, True, 0, 0, 0, False))
@@ -1404,7 +1404,7 @@
 
 
 def test_what_comes_late_of_another_source_is_passed_over() -> None:
-    one = Follower("x", "wide", Table(), ("a", "b"), 0, lambda span: 0)
+    one = Follower("x", "wide", FeedTable(), ("a", "b"), 0, lambda span: 0)
     one.take(0, "elapsed")
     one.take(0, "connected", "a")
     one.take(0, "lost", "a", "cut")
@@ -1468,7 +1468,7 @@
 
 
 def test_before_anything_was_held_nothing_is_known() -> None:
-    view = Lookups(Follower("x", "wide", Table(), (), 0, lambda span: 0))
+    view = Lookups(Follower("x", "wide", FeedTable(), (), 0, lambda span: 0))
     assert view.look("route/1") == UNKNOWN
     assert view.look("tenant/1") == UNKNOWN
 
@@ -1676,17 +1676,17 @@
     table = written.tables[-1]
     entries = list(table.entries("all"))
     chance.shuffle(entries)
-    there = Table()
+    there = FeedTable()
     for key, value, version in entries:  # one by one, some twice, some past another value
         if chance.random() < 0.3:
-            there = there.moved(0, [(key, b"other", version + 1)])
-        there = there.moved(0, [(key, value, version)])
+            there = there.update(0, [(key, b"other", version + 1)])
+        there = there.update(0, [(key, value, version)])
     for key in ("route/gone", "tenant/gone"):
-        there = there.moved(0, [(key, b"x", 1)]).moved(0, [(key, None, 2)])
+        there = there.update(0, [(key, b"x", 1)]).update(0, [(key, None, 2)])
     assert there._replace(sequence=table.sequence) == table
     assert {k: (v, n) for k, v, n in table.entries("all")} == written.states[-1]
-    assert table.count("all") == len(written.states[-1])
-    assert table.count("wide") == len(list(table.entries("wide")))
+    assert table.entry_count("all") == len(written.states[-1])
+    assert table.entry_count("wide") == len(list(table.entries("wide")))
 
 
 @given(CHANGES)
@@ -1710,37 +1710,37 @@
         merged: dict[str, tuple[str, bytes | None, int]] = {}
         for number in range(history.table.sequence + 1, last + 1):
             merged |= {key: (key, value, number) for key, value in written.changes[number]}
-        history.move(last, tuple(merged.values()))
+        history.advance(last, tuple(merged.values()))
     assert history.table == written.tables[-1]
     numbers = {0, *(last for _, last, _, _ in history.steps)}
     kinds: tuple[Kind, Kind] = ("wide", "all")
     for number, table in enumerate(written.tables):
         for kind in kinds:
-            assert history.knows(number, table.digest(kind), kind)
-            assert history.knows(number, b"another digest..", kind) == (number not in numbers)
-            held = table if kind == "all" else Table().moved(number, table.entries("wide"), "wide")
+            assert history.contains(number, table.digest(kind), kind)
+            assert history.contains(number, b"another digest..", kind) == (number not in numbers)
+            held = table if kind == "all" else FeedTable().update(number, table.entries("wide"), "wide")
             delta = history.delta(number, kind)
             assert delta is not None
             assert len({key for key, _, _ in delta.items}) == len(delta.items)
-            after = held.moved(delta.last, delta.items, kind)
+            after = held.update(delta.last, delta.items, kind)
             assert after.digest(kind) == delta.digest == history.table.digest(kind)
             written.check(after, kind)
-            other = held.moved(number, [("route/of another line", b"x", number)], kind)
-            assert other.moved(delta.last, delta.items, kind).digest(kind) != delta.digest
+            other = held.update(number, [("route/of another line", b"x", number)], kind)
+            assert other.update(delta.last, delta.items, kind).digest(kind) != delta.digest
 
 
 def test_a_wide_table_passes_over_tenants() -> None:
-    table = Table().moved(1, [("route/1", b"r", 1), ("tenant/1", b"t", 1)], "wide")
+    table = FeedTable().update(1, [("route/1", b"r", 1), ("tenant/1", b"t", 1)], "wide")
     assert (len(table.wide), len(table.tenants), table.digest("all")) == (1, 0, table.digest("wide"))
 
 
 def test_a_change_that_is_not_the_next_is_refused() -> None:
     with pytest.raises(ValueError, match="does not follow"):
-        Table().applied(Change(2, "r", ()))
-    history = History(Table().moved(3, ()))
+        FeedTable().apply(Change(2, "r", ()))
+    history = History(FeedTable().update(3, ()))
     for number in (2, 3):
         with pytest.raises(ValueError, match="does not follow"):
-            history.move(number, ())
+            history.advance(number, ())
 
 
 def test_a_state_that_is_held_stays_while_changes_go_on() -> None:
@@ -1767,13 +1767,13 @@
             written.bring(history, number)
             assert len(history.steps) <= steps
             assert history.size == sum(cost for _, _, _, cost in history.steps) <= size
-            known = {n for n in range(number + 1) if history.digest(n, "wide") is not None}
+            known = {n for n in range(number + 1) if history.digest_at(n, "wide") is not None}
             assert known == set(range(history.base, number + 1))
             assert len(history._digests) == len(history.steps) + 1
-    history.anew(Table().moved(1000, ()))
+    history.reset(FeedTable().update(1000, ()))
     assert (history.base, history.size, len(history.steps)) == (1000, 0, 0)
-    assert history.knows(1000, bytes(16), "all")
-    assert not history.knows(written.number, written.tables[-1].digest("all"), "all")
+    assert history.contains(1000, bytes(16), "all")
+    assert not history.contains(written.number, written.tables[-1].digest("all"), "all")
 
 
 def test_a_delta_leads_as_far_as_it_holds_and_tenants_are_forgotten_first() -> None:
@@ -1782,14 +1782,14 @@
     many = DELTA_SIZE_LIMIT // VALUE_SIZE_LIMIT - 2
     for number, section in enumerate(("tenant", "tenant", "route", "route"), 1):
         items = tuple((f"{section}/{number}-{n}", value, number) for n in range(many))
-        history.move(number, items)
+        history.advance(number, items)
     ways = []
     for kind in KINDS:
         at, way = 0, [(0, False)]
         while at < 4:
             delta = history.delta(at, kind)
             assert delta is not None
-            assert histories.size_of(delta.items) <= DELTA_SIZE_LIMIT
+            assert histories.items_size(delta.items) <= DELTA_SIZE_LIMIT
             at = delta.last
             way.append((at, delta.evict_tenants))
         ways.append(way)
@@ -1803,7 +1803,7 @@
 def test_where_more_leads_on_than_there_is_nothing_does() -> None:
     history = History()
     for number in range(1, 12):
-        history.move(number, (("route/1", bytes(DELTA_SIZE_LIMIT), number),))
+        history.advance(number, (("route/1", bytes(DELTA_SIZE_LIMIT), number),))
     assert history.delta(1, "all") is None
     newest = history.delta(10, "all")
     assert newest is not None  # a step can't be cut
@@ -1886,7 +1886,7 @@
                 net.opening = [one for one in net.opening if one[0] != id]
                 durable[id] = chance.randint(durable[id], net.numbers[id])
                 state = written.tables[durable[id]]
-                table = Table().moved(durable[id], state.entries("wide"), "wide")
+                table = FeedTable().update(durable[id], state.entries("wide"), "wide")
                 net.follow(id, *net.follower(id).sources, table=table)
             elif act == "look":
                 look()
@@ -1951,7 +1951,7 @@
         done = []
         for at, input in enumerate(inputs[half:], half):
             done.append(twin.take(at * 300 * MS, *input))
-        twin.history.move(11, (("route/1", b"x", 11),))
+        twin.history.advance(11, (("route/1", b"x", 11),))
         twin.take(60 * SECOND, "moved")
         assert source.frozen() == frozen
         assert [source.take(at * 300 * MS, *input) for at, input in enumerate(inputs[half:], half)] == done
--- a/tests/test_feed_service.py
+++ b/tests/test_feed_service.py
@@ -41,7 +41,7 @@
     encode,
 )
 from thistleline.config_feed.service import LOOK_BOUND, FeedService
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 from thistleline.lab.feedfleet import FeedFleet
 from thistleline.lab.harness import Hung, Process, free_port
 from thistleline.lab.net import Way
@@ -414,7 +414,7 @@
     async def run() -> None:
         relay = FeedService(conf, None, lambda event, **facts: logged.append((event, facts)))
         if items:
-            relay.station.history.anew(Table().moved(1, items))
+            relay.station.history.reset(FeedTable().update(1, items))
         with anyio.fail_after(20):
             async with anyio.create_task_group() as group:
                 group.start_soon(relay.run)
@@ -511,11 +511,11 @@
     async def story(relay: FeedService) -> None:
         tracked = gc.get_freeze_count()
         table = relay.station.table
-        relay._carry_out("step", table.moved(service.FREEZE_EVERY, ()), 1, ())
+        relay._carry_out("step", table.update(service.FREEZE_EVERY, ()), 1, ())
         assert gc.get_freeze_count() == tracked  # it holds as many changes more by one
-        relay._carry_out("step", table.moved(service.FREEZE_EVERY + 1, ()), 1, ())
+        relay._carry_out("step", table.update(service.FREEZE_EVERY + 1, ()), 1, ())
         assert gc.get_freeze_count() > tracked
-        loaded = table.moved(9, ((f"tenant/more-{place}", b"{}", 9) for place in range(5_000)))
+        loaded = table.update(9, ((f"tenant/more-{place}", b"{}", 9) for place in range(5_000)))
         tracked = gc.get_freeze_count()
         relay._carry_out("anew", loaded)
         assert gc.get_freeze_count() > tracked + 1_000
@@ -603,7 +603,7 @@
     async def story(relay: FeedService) -> None:
         monkeypatch.setattr(anyio, "sleep", lambda span: sleep(0))
         for place in range(200):
-            relay.station.history.move(place + 1, ((f"common/{place}", bytes(4000), place + 1),))
+            relay.station.history.advance(place + 1, ((f"common/{place}", bytes(4000), place + 1),))
         table = await snapshot({"r": relay.listen}, 10.0)
         assert table is not None
         assert (table.sequence, len(table.wide)) == (200, 200)
@@ -635,8 +635,8 @@
 def test_a_state_that_was_given_up_while_it_was_written_is_not_told_as_durable(tmp_path: Path) -> None:
     """A write is under way as another state is loaded, or its end is known and not heeded yet."""
     goes_on, told = threading.Event(), list[int]()
-    of_another = Table().moved(2, (("common/of-another", b"{}", 2),))
-    loaded = Table().moved(3, (("common/a", b"{}", 3),))
+    of_another = FeedTable().update(2, (("common/of-another", b"{}", 2),))
+    loaded = FeedTable().update(3, (("common/a", b"{}", 3),))
     persist = Persist(tmp_path / "one", "all", lambda *_, **__: None, told.append)
     written: Any = persist.archive.write
     persist.archive.write = lambda *told: goes_on.wait(10) and written(*told)  # type: ignore[method-assign]
--- a/tests/test_feed_sockets.py
+++ b/tests/test_feed_sockets.py
@@ -98,8 +98,8 @@
     cut = [tuple(entries[first : first + 50]) for first in range(0, len(entries), 50)]
     loads = [Parts(), Parts()]
     for part in cut:
-        loads = [one.moved(9, tuple(part), "wide") for one in loads]
-    assert {one.count("wide") for one in loads} == {301}
+        loads = [one.update(9, tuple(part), "wide") for one in loads]
+    assert {one.entry_count("wide") for one in loads} == {301}
     assert {one.digest("wide") for one in loads} == {table.digest("wide")}
     assert loads[0].table("wide") is loads[1].table("wide")
     assert dict(loads[0].table("wide").wide) == dict(table.wide)
--- a/tests/test_feed_worlds.py
+++ b/tests/test_feed_worlds.py
@@ -9,7 +9,7 @@
 from thistleline.config.schema import Feed
 from thistleline.config_feed.limits import MS, SECOND
 from thistleline.config_feed.messages import Propose, ProposeResult
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 from thistleline.lab import feedmutants
 from thistleline.lab.feedmutants import MUTANTS, SCENARIOS, explored
 from thistleline.lab.feedrun import LENGTH, Oracle, Shared, VirtualFeed, quantile
@@ -40,38 +40,38 @@
 
 
 def test_the_oracle_sees_what_is_half_there_lost_or_another_s() -> None:
-    table = Table().moved(1, [("common/a", b"{}", 1), ("tenant/t", b"{}", 1)])
+    table = FeedTable().update(1, [("common/a", b"{}", 1), ("tenant/t", b"{}", 1)])
     oracle = Oracle(table)
     oracle.acknowledged(2, (("common/a", b'{"a":2}'), ("common/b", b"{}")))
-    whole = table.moved(2, [("common/a", b'{"a":2}', 2), ("common/b", b"{}", 2)])
+    whole = table.update(2, [("common/a", b'{"a":2}', 2), ("common/b", b"{}", 2)])
     oracle.check(whole, "all", 1)
     assert (oracle.wrong, oracle.whole(whole, "all")) == ("", "")
-    half = table.moved(2, [("common/a", b'{"a":2}', 2)])
+    half = table.update(2, [("common/a", b'{"a":2}', 2)])
     oracle.check(half, "all", 1)
     assert "common/b" in oracle.wrong or "entries" in oracle.wrong
     assert oracle.whole(half, "all")
     assert oracle.whole(table, "all")  # it ends too early
-    assert oracle.whole(whole.moved(2, [("common/b", b"[]", 2)]), "all")
+    assert oracle.whole(whole.update(2, [("common/b", b"[]", 2)]), "all")
     oracle = Oracle(table)
     oracle.acknowledged(3, (("common/a", None),))
     assert oracle.wrong  # 2 was never acknowledged
 
 
 def test_shared_states_are_those_that_each_would_make() -> None:
-    plain, shared = Table(), Shared()
+    plain, shared = FeedTable(), Shared()
     items = (("common/a", b"{}", 1), ("tenant/t", b"{}", 1), ("route/r", b"{}", 1))
-    assert shared.moved(1, items) == plain.moved(1, items)
-    assert shared.moved(1, items) is shared.moved(1, items)
-    assert shared.moved(1, items, "wide") == plain.moved(1, items, "wide")
+    assert shared.update(1, items) == plain.update(1, items)
+    assert shared.update(1, items) is shared.update(1, items)
+    assert shared.update(1, items, "wide") == plain.update(1, items, "wide")
     again = (("common/a", None, 2),)
-    assert shared.moved(1, items).moved(2, again) == plain.moved(1, items).moved(2, again)
+    assert shared.update(1, items).update(2, again) == plain.update(1, items).update(2, again)
 
 
 def test_a_shared_state_tells_its_entries_in_one_order_in_every_process() -> None:
     keys = [f"route/r{place}" for place in range(100)]
-    shared = Shared().moved(1, tuple((key, b"{}", 1) for key in reversed(keys)))
+    shared = Shared().update(1, tuple((key, b"{}", 1) for key in reversed(keys)))
     assert [key for key, _, _ in shared.entries("wide")] == sorted(keys)
-    assert sorted(Table(*shared).entries("all")) == list(shared.entries("all"))
+    assert sorted(FeedTable(*shared).entries("all")) == list(shared.entries("all"))
 
 
 def test_quantiles_of_counted_values() -> None:
--- a/tests/test_feed_writer.py
+++ b/tests/test_feed_writer.py
@@ -39,7 +39,7 @@
     encode,
 )
 from thistleline.config_feed.relay import Station
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 from thistleline.config_feed.validation import fault
 from thistleline.config_feed.writer import ASK_AGAIN, CATCH_UP_SPAN, LINE_SIZE, Writer, key_of
 from thistleline.lab.feedworld import changed, fleet, settle
@@ -97,7 +97,7 @@
 class Keeper:
     """A writer with what its service would be: requests that are out, what was answered."""
 
-    def __init__(self, voters: Voters, id: str, table: Table | None = None) -> None:
+    def __init__(self, voters: Voters, id: str, table: FeedTable | None = None) -> None:
         self.voters, self.id, self.now = voters, id, 0
         self.history = History(table)
         self.writer = Writer(id, self.history, KEEPERS, 0)
@@ -166,27 +166,27 @@
         table = self.history.table
         if table.sequence < above.history.table.sequence:
             delta = None
-            if above.history.knows(table.sequence, table.digest("all"), "all"):
+            if above.history.contains(table.sequence, table.digest("all"), "all"):
                 delta = above.history.delta(table.sequence, "all")
             if delta is None:
-                self.history.anew(above.history.table)
+                self.history.reset(above.history.table)
             else:
-                self.history.move(delta.last, delta.items)
+                self.history.advance(delta.last, delta.items)
 
     def kinds(self, kind: str) -> list[tuple[Any, ...]]:
         return [effect for effect in self.seen if effect[0] == kind]
 
 
-def states(changes: list[Change]) -> list[Table]:
+def states(changes: list[Change]) -> list[FeedTable]:
     """What the table is at each number, by the oracle's own fold."""
-    found = [Table()]
+    found = [FeedTable()]
     for place, change in enumerate(changes):
         assert change.sequence == place + 1, "a gap, or a number used twice"
-        found.append(found[-1].applied(change))
+        found.append(found[-1].apply(change))
     return found
 
 
-def leading(voters: Voters | None = None, id: str = "a", table: Table | None = None) -> Keeper:
+def leading(voters: Voters | None = None, id: str = "a", table: FeedTable | None = None) -> Keeper:
     return Keeper(voters or Voters(), id, table).hold().serve()
 
 
@@ -497,7 +497,7 @@
     two.propose("r")
     assert "catching up" in two.answers["r"].reason
     third = Keeper(one.voters, "c", behind)
-    third.history.anew(states(one.voters.sequence())[10])
+    third.history.reset(states(one.voters.sequence())[10])
     two.follow(third)  # nearer, but not there
     two.tell("caught_up")
     assert two.phase == "catching_up"
@@ -517,7 +517,7 @@
     two = Keeper(one.voters, "b").hold()
     two.serve()
     two.tell("elapsed", after=CATCH_UP_SPAN - 1)
-    two.history.anew(states(one.voters.sequence())[2])
+    two.history.reset(states(one.voters.sequence())[2])
     two.tell("caught_up")  # nearer: it has its span anew
     two.tell("elapsed", after=CATCH_UP_SPAN - 1)
     assert two.phase == "catching_up"
@@ -592,15 +592,15 @@
 def test_a_table_that_is_not_what_the_groups_were_written_on_does_not_lead() -> None:
     one = leading()
     one.write(4)
-    wrong = Table().moved(2, [("tenant/x", b"{}", 2)])
+    wrong = FeedTable().update(2, [("tenant/x", b"{}", 2)])
     two = leading(one.voters, "b", wrong)
     assert two.phase == "standby"
     assert two.history.table is wrong
-    same_number = Table().moved(4, [("tenant/x", b"{}", 4)])
+    same_number = FeedTable().update(4, [("tenant/x", b"{}", 4)])
     three = leading(one.voters, "c", same_number)
     assert three.phase == "standby"
     assert "not the one" in three.kinds("release")[0][1]
-    newer = Table().moved(9, [("tenant/x", b"{}", 9)])
+    newer = FeedTable().update(9, [("tenant/x", b"{}", 9)])
     four = leading(one.voters, "b", newer)
     assert four.phase == "standby"
     assert "records end at 4" in four.kinds("release")[0][1]
@@ -698,7 +698,7 @@
 
 
 def test_a_keeper_that_lost_its_disk_counts_no_more_also_where_it_finds_no_place() -> None:
-    one = Station("a", 0, Table(), ("b", "c"), 0, lambda span: 0, KEEPERS, bound=0)
+    one = Station("a", 0, FeedTable(), ("b", "c"), 0, lambda span: 0, KEEPERS, bound=0)
     assert one.writer is not None
     one.take(0, "writer", "durable", "b", 5)
     for peer in range(8):  # places that are for keepers alone
@@ -746,12 +746,12 @@
         super().__init__()
         self.voters = Voters()
         self.keepers = {id: Keeper(self.voters, id) for id in KEEPERS}
-        self.disks = dict.fromkeys(KEEPERS, Table())
+        self.disks = dict.fromkeys(KEEPERS, FeedTable())
         self.late: list[tuple[Keeper, tuple[Any, ...]]] = []
         self.made: dict[str, int] = {}
         self.requests = 0
         self.lost_disk, self.lost_at = "", 0
-        self.folded: list[Table] = [Table()]
+        self.folded: list[FeedTable] = [FeedTable()]
 
     who = st.sampled_from(KEEPERS)
 
@@ -890,7 +890,7 @@
         if self.lost_disk in ("", who):
             self.lost_disk = who
             self.lost_at = max(self.lost_at, len(self.voters.sequence()))
-            self.disks[who] = Table()
+            self.disks[who] = FeedTable()
             self._anew(who)
 
     def _anew(self, who: str) -> None:
@@ -910,7 +910,7 @@
     def what_was_told_stands(self) -> None:
         changes = self.voters.sequence()
         for change in changes[len(self.folded) - 1 :]:
-            self.folded.append(self.folded[-1].applied(change))  # raises for a gap or a second use
+            self.folded.append(self.folded[-1].apply(change))  # raises for a gap or a second use
         for one in self.keepers.values():
             self._look(one)
             table = one.history.table
@@ -964,9 +964,9 @@
 ROUTE = {"limit_ms": 500, "effect": "restartable"}
 
 
-def why(key: str, value: Any, table: Table | None = None) -> str:
+def why(key: str, value: Any, table: FeedTable | None = None) -> str:
     told = value if isinstance(value, bytes) else json.dumps(value).encode()
-    return fault(Propose("r", ((key, told),)), table or Table())
+    return fault(Propose("r", ((key, told),)), table or FeedTable())
 
 
 @pytest.mark.parametrize(
@@ -1033,7 +1033,7 @@
         ("tenant/y", None),
         ("nowhere/z", b"{}"),
     )
-    told = fault(Propose("r", items, (("tenant/x", 3),)), Table())
+    told = fault(Propose("r", items, (("tenant/x", 3),)), FeedTable())
     for part in (
         "share: ",
         "allowance_per_s: ",
@@ -1045,30 +1045,30 @@
         assert part in told
     assert "'tenant/x' has version 0, 3 was expected" in told
     many = tuple((f"other/{'x' * 190}{place}", b"{}") for place in range(100))
-    assert len(fault(Propose("r", many), Table())) < 5000
+    assert len(fault(Propose("r", many), FeedTable())) < 5000
 
 
 def test_the_bounds_of_a_change() -> None:
     good = b'{"share":0.1}'
-    assert "1 to 1000 are allowed" in fault(Propose("r", ()), Table())
+    assert "1 to 1000 are allowed" in fault(Propose("r", ()), FeedTable())
     assert (
-        fault(Propose("r", tuple((f"tenant/{one}", good) for one in range(CHANGE_ITEMS_LIMIT))), Table())
+        fault(Propose("r", tuple((f"tenant/{one}", good) for one in range(CHANGE_ITEMS_LIMIT))), FeedTable())
         == ""
     )
     assert fault(
-        Propose("r", tuple((f"tenant/{one}", good) for one in range(CHANGE_ITEMS_LIMIT + 1))), Table()
+        Propose("r", tuple((f"tenant/{one}", good) for one in range(CHANGE_ITEMS_LIMIT + 1))), FeedTable()
     )
     large = tuple((f"common/{one}", b'{"a":"%s"}' % (b"x" * 4000)) for one in range(7))
-    assert f"{CHANGE_SIZE_LIMIT} at most" in fault(Propose("r", large), Table())
+    assert f"{CHANGE_SIZE_LIMIT} at most" in fault(Propose("r", large), FeedTable())
     for request in ("", "x" * 65, "a\nb"):
-        assert "a request is named" in fault(Propose(request, (("tenant/x", good),)), Table())
+        assert "a request is named" in fault(Propose(request, (("tenant/x", good),)), FeedTable())
     versions = tuple((f"tenant/{one}", 0) for one in range(CHANGE_ITEMS_LIMIT + 1))
-    assert "expected versions" in fault(Propose("r", (("tenant/x", good),), versions), Table())
+    assert "expected versions" in fault(Propose("r", (("tenant/x", good),), versions), FeedTable())
 
 
 def test_a_table_that_is_full_takes_no_new_entry_but_other_values(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("thistleline.config_feed.validation.TABLE_ENTRIES_LIMIT", 2)
-    table = Table().moved(1, [("tenant/a", b"{}", 1), ("tenant/b", b"{}", 1)])
+    table = FeedTable().update(1, [("tenant/a", b"{}", 1), ("tenant/b", b"{}", 1)])
     assert "more than 2 entries" in why("tenant/c", {"share": 0}, table)
     assert why("tenant/a", {"share": 0}, table) == ""
     swap = Propose("r", (("tenant/c", b'{"share":0}'), ("tenant/a", None)))
@@ -1079,22 +1079,22 @@
 @given(st.text(max_size=300), st.binary(max_size=100), st.text(max_size=80))
 def test_no_strangers_bytes_end_the_check(key: str, value: bytes, request: str) -> None:
     for one in (key, f"route/{key}", f"common/{key}"):
-        assert isinstance(fault(Propose(request, ((one, value),), ((one, 1),)), Table()), str)
+        assert isinstance(fault(Propose(request, ((one, value),), ((one, 1),)), FeedTable()), str)
 
 
 # ---- on disk
 
 
-def tables(count: int, first: Table | None = None) -> list[Table]:
-    found = [first or Table()]
+def tables(count: int, first: FeedTable | None = None) -> list[FeedTable]:
+    found = [first or FeedTable()]
     for _ in range(count):
         number = found[-1].sequence + 1
         items = (f"tenant/{number}", share(number)), (f"route/{number % 3}", b"%d" % number)
-        found.append(found[-1].applied(Change(number, f"r{number}", items)))
+        found.append(found[-1].apply(Change(number, f"r{number}", items)))
     return found
 
 
-def step(before: Table, after: Table) -> tuple[int, int, Any]:
+def step(before: FeedTable, after: FeedTable) -> tuple[int, int, Any]:
     number = after.sequence
     keys = (f"tenant/{number}", f"route/{number % 3}")
     return before.sequence, number, tuple((key, *(after.get(key) or (None, 0))) for key in keys)
@@ -1141,12 +1141,12 @@
         super().remove(number)
 
 
-def found(folder: Path, kind: Any = "all") -> tuple[Table | None, str]:
+def found(folder: Path, kind: Any = "all") -> tuple[FeedTable | None, str]:
     archive = Archive(Disk(folder, "feed"), kind)
     return archive.recover(), archive.why
 
 
-def filled(folder: Path, many: list[Table]) -> Archive:
+def filled(folder: Path, many: list[FeedTable]) -> Archive:
     archive = Archive(Troubled(folder), "all")
     archive.disk.hold()
     assert archive.recover() is None
@@ -1157,7 +1157,7 @@
     return archive
 
 
-def same(one: Table | None, other: Table) -> bool:
+def same(one: FeedTable | None, other: FeedTable) -> bool:
     return one is not None and one == other
 
 
@@ -1193,7 +1193,7 @@
     disk = Disk(tmp_path, "feed")
     disk.hold()
     archive = Archive(disk, "wide")
-    wide = [Table().moved(one.sequence, one.entries("wide"), "wide") for one in many]
+    wide = [FeedTable().update(one.sequence, one.entries("wide"), "wide") for one in many]
     archive.write(wide[1])
     archive.write(wide[2], [step(many[1], many[2])])
     table, _ = found(tmp_path, "wide")
@@ -1364,12 +1364,12 @@
     disk = Troubled(tmp_path)
     disk.hold()
     archive = Archive(disk, "all")
-    table = Table()
+    table = FeedTable()
     archive.write(table)
     most = 0
     for number in range(1, 1500):
         items = ((f"tenant/{number % 5}", share(number), number),)
-        after = table.moved(number, items)
+        after = table.update(number, items)
         archive.write(after, [(table.sequence, number, items)])
         table = after
         if number % 50 == 0:
@@ -1380,7 +1380,7 @@
 
 
 def test_sixty_thousand_entries_are_written_and_read_back(tmp_path: Path) -> None:
-    table = Table().moved(
+    table = FeedTable().update(
         7, ((f"{'route' if one % 20 else 'tenant'}/{one}", share(one), 7) for one in range(60_000))
     )
     disk = Troubled(tmp_path)
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from thistleline.config_feed.archive import Archive
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 from thistleline.consensus.messages import Ballot, Base, Entry, Member
 from thistleline.consensus.replica import Spans, Voter
 from thistleline.consensus.store import CouncilStore
@@ -235,7 +235,7 @@
     assert table.digest("all").hex() == "cebdacb4b790a91e0098d1393cc982f3"
     assert table.digest("wide").hex() == "9c1124fd745519f9b9b80f276c13e5af"
     assert archive.digest == table.digest("all")
-    assert table == Table().moved(7, FEED_ENTRIES)
+    assert table == FeedTable().update(7, FEED_ENTRIES)
     for gone in ("common/limit", "route/search"):
         assert table.get(gone) is None
 
--- a/thistleline/cli/feed.py
+++ b/thistleline/cli/feed.py
@@ -17,7 +17,7 @@
 from thistleline.config_feed.limits import CHANGE_ITEMS_LIMIT, CHANGE_SIZE_LIMIT
 from thistleline.config_feed.lookups import written
 from thistleline.config_feed.messages import Item, Propose, ReadResult
-from thistleline.config_feed.table import MADE
+from thistleline.config_feed.table import REQUEST_PREFIX
 from thistleline.transport.address import Address
 
 SPAN = click.FloatRange(0.1, 3600.0)
@@ -221,7 +221,9 @@
                 raise click.ClickException(f"{asked[0]} is not told")
             for key, value, version in found.items:
                 missing += value is None
-                told = value and (value.decode() if key.startswith(MADE) else msgspec.json.decode(value))
+                told = value and (
+                    value.decode() if key.startswith(REQUEST_PREFIX) else msgspec.json.decode(value)
+                )
                 facts = {"key": key, "version": version, "number": found.sequence, "value": told}
                 tell(facts, as_json, _words)
             asked = asked[len(found.items) :]
@@ -276,7 +278,7 @@
         raise click.ClickException(f"it is not here in {span:g} s")
     out = sys.stdout.buffer
     for key, value, version in table.entries("all"):
-        if key.startswith(MADE):
+        if key.startswith(REQUEST_PREFIX):
             continue  # what the writer keeps of requests is nothing to put
         head = orjson.dumps({"key": key, "version": version})[:-1]
         out.write(head + b',"value":' + value + b"}\n")
--- a/thistleline/config_feed/archive.py
+++ b/thistleline/config_feed/archive.py
@@ -22,10 +22,10 @@
 
 import msgspec
 
-from thistleline.config_feed.history import Items, size_of
+from thistleline.config_feed.history import Items, items_size
 from thistleline.config_feed.limits import PART_SIZE
 from thistleline.config_feed.messages import Kind
-from thistleline.config_feed.table import APART, Table
+from thistleline.config_feed.table import PARTIAL_PREFIXES, FeedTable
 from thistleline.store.disk import Disk
 from thistleline.store.frames import Damaged, frames, seal
 
@@ -51,7 +51,7 @@
         """`disk` is held by the caller, who also releases it."""
         self.disk, self.kind = disk, kind
         self.durable = 0  # number that a restart would find
-        self.digest = Table().digest(kind)  # there
+        self.digest = FeedTable().digest(kind)  # there
         self.why = ""  # what kept `recover` from finding a state, for the log
         self.segment = self.frame = 0  # numbers of the newest
         self.old: list[int] = []  # segments that go with the next snapshot
@@ -60,7 +60,7 @@
 
     # ---- at start
 
-    def recover(self) -> Table | None:
+    def recover(self) -> FeedTable | None:
         """The newest whole state; none where nothing is known, which `why` tells if there were segments.
         Raises OSError."""
         segments = [number for number, _ in self.disk.segments()]
@@ -79,7 +79,7 @@
             return table
         return None
 
-    def _read(self, number: int) -> Table:
+    def _read(self, number: int) -> FeedTable:
         data, name = memoryview(self.disk.read(number)), self.disk.path(number).name
         if len(data) < _HEAD.size:
             raise _Unfinished(f"{name} has no whole head")
@@ -111,8 +111,8 @@
         if gap:
             raise Damaged(f"{name}: frame {count + 1} can't be read, and later ones can")
         at, digest, entries = end
-        table = Table().moved(at, (entry for part in parts for entry in _decode_part(part)), self.kind)
-        if table.digest(self.kind) != digest or table.count(self.kind) != entries:
+        table = FeedTable().update(at, (entry for part in parts for entry in _decode_part(part)), self.kind)
+        if table.digest(self.kind) != digest or table.entry_count(self.kind) != entries:
             raise Damaged(f"{name}: the snapshot's digest differs")
         if not logs:
             return table
@@ -122,7 +122,7 @@
             told, digest = _decode_log(log)
             steps += [items for _, items in told]
             last = told[-1][0]
-        table = table.moved(last, (item for items in steps for item in items), self.kind)
+        table = table.update(last, (item for items in steps for item in items), self.kind)
         if table.digest(self.kind) != digest:
             raise Damaged(f"{name}: the digest after its steps differs")
         return table
@@ -132,7 +132,7 @@
 
     # ---- from then on
 
-    def write(self, table: Table, steps: Sequence[Step] = ()) -> int:
+    def write(self, table: FeedTable, steps: Sequence[Step] = ()) -> int:
         """Returns the number that is durable now. `steps` lead from `durable` to the table; where they don't,
         where the log is long, or after trouble, all of the table is written. Raises OSError where it can't be
         said what is durable beyond `durable`; the next write goes to a new segment."""
@@ -153,7 +153,7 @@
         self.durable, self.digest = table.sequence, digest
         return self.durable
 
-    def _log(self, table: Table, steps: Sequence[Step]) -> bytes:
+    def _log(self, table: FeedTable, steps: Sequence[Step]) -> bytes:
         """Nothing where a snapshot is wanted."""
         at = self.durable
         for first, last, _ in steps:
@@ -164,7 +164,7 @@
             return b""
         size = 0
         for _, _, items in steps:
-            size += size_of(items)
+            size += items_size(items)
             if size > WRITE_BOUND:
                 return b""
         told = tuple((last, self._of_kind(items)) for _, last, items in steps)
@@ -173,9 +173,13 @@
         return data if self.log_size + len(data) <= max(LOG_LEAST, self.snapshot_size) else b""
 
     def _of_kind(self, items: Items) -> Items:
-        return items if self.kind == "all" else tuple(item for item in items if not item[0].startswith(APART))
+        return (
+            items
+            if self.kind == "all"
+            else tuple(item for item in items if not item[0].startswith(PARTIAL_PREFIXES))
+        )
 
-    def _rewrite(self, table: Table) -> None:
+    def _rewrite(self, table: FeedTable) -> None:
         disk = self.disk
         self.segment += 1
         size = 0
@@ -194,7 +198,7 @@
         self.fresh, self.snapshot_size, self.log_size = False, size, 0
         self.old = [number for number in self.old if not self._remove(number)] + [self.segment]
 
-    def _snapshot(self, table: Table) -> Iterator[bytes]:
+    def _snapshot(self, table: FeedTable) -> Iterator[bytes]:
         yield self._head()
         self.frame = entries = size = 0
         part: list[tuple[str, bytes, int]] = []
--- a/thistleline/config_feed/archive_writer.py
+++ b/thistleline/config_feed/archive_writer.py
@@ -10,7 +10,7 @@
 from thistleline.config_feed.archive import Archive, Step
 from thistleline.config_feed.history import Items
 from thistleline.config_feed.messages import Kind
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 from thistleline.store.disk import Disk
 
 WAITING_BOUND = 1024  # steps; past it the whole table is written instead
@@ -28,7 +28,7 @@
         self.disk.hold()
         try:
             self.archive = Archive(self.disk, kind)
-            self.table = self.archive.recover() or Table()
+            self.table = self.archive.recover() or FeedTable()
         except BaseException:
             self.disk.release()
             raise
@@ -44,13 +44,13 @@
     def durable(self) -> int:
         return self.archive.durable
 
-    def step(self, table: Table, first: int, items: Items) -> None:
+    def step(self, table: FeedTable, first: int, items: Items) -> None:
         self.table = table
         if len(self.steps) < WAITING_BOUND:
             self.steps.append((first, table.sequence, items))
         self._wake()
 
-    def anew(self, table: Table) -> None:
+    def anew(self, table: FeedTable) -> None:
         self.table = table
         self.line += 1
         self.steps.clear()
--- a/thistleline/config_feed/client.py
+++ b/thistleline/config_feed/client.py
@@ -22,7 +22,7 @@
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.lookups import Found, Lookups
 from thistleline.config_feed.messages import Delta, Kind, Propose, ProposeResult, ReadRequest, ReadResult
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 from thistleline.store.clock import boot_now
 from thistleline.transport.address import Address
 
@@ -47,7 +47,7 @@
         log: Callable[..., None] = _silent,
         folder: Path | None = None,
         chance: Random | None = None,
-        seen: Callable[[Table, Any], None] | None = None,
+        seen: Callable[[FeedTable, Any], None] | None = None,
         alone: bool = False,
     ) -> None:
         """`alone`: not one of many, so that it need not spread its coming out. Takes the folder and reads
@@ -57,7 +57,7 @@
         self.chance = chance or Random(os.urandom(8))
         self.seen, self.alone = seen, alone
         self.persist = Persist(folder, kind, log, self._durable) if folder is not None else None
-        table = self.persist.table if self.persist is not None else Table()
+        table = self.persist.table if self.persist is not None else FeedTable()
         names = sorted(sources)
         self.chance.shuffle(names)  # guards against all instances going to the first at once
         self.follower = Follower(id, kind, table, tuple(names), boot_now(), self._spread, level)
@@ -73,7 +73,7 @@
         self.rounds.put("durable", number)
 
     @property
-    def table(self) -> Table:
+    def table(self) -> FeedTable:
         return self.follower.table
 
     async def run(self) -> None:
@@ -124,7 +124,7 @@
         self.moved.set()
         self.moved = anyio.Event()
 
-    async def beyond(self, number: int) -> Table:
+    async def beyond(self, number: int) -> FeedTable:
         """The state at that number or after it, once it is here."""
         while self.table.sequence < number:
             await self.moved.wait()
@@ -141,7 +141,7 @@
         log: Callable[..., None] = _silent,
         folder: Path | None = None,
         chance: Random | None = None,
-        seen: Callable[[Table, Any], None] | None = None,
+        seen: Callable[[FeedTable, Any], None] | None = None,
         alone: bool = False,
     ) -> None:
         super().__init__(id, "wide", sources, log, folder, chance, seen, alone)
@@ -217,7 +217,7 @@
             await anyio.sleep(min(PAUSE * chance.uniform(0.5, 1.5), max(0.0, until - anyio.current_time())))
 
 
-async def snapshot(servers: dict[str, Address], span: float) -> Table | None:
+async def snapshot(servers: dict[str, Address], span: float) -> FeedTable | None:
     """All that one of them holds."""
     following = Following(f"export-{os.urandom(4).hex()}", "all", servers, alone=True)
     done = False
--- a/thistleline/config_feed/follower.py
+++ b/thistleline/config_feed/follower.py
@@ -28,7 +28,7 @@
     SnapshotPart,
     SourceMessage,
 )
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 
 Phase = Literal["quiet", "waiting", "connecting", "greeting", "loading", "following"]
 WINDOW = 4  # parts asked for ahead, so that a far source's snapshot is not a round trip a part
@@ -46,7 +46,7 @@
         self,
         id: str,
         kind: Kind,
-        table: Table,
+        table: FeedTable,
         sources: tuple[str, ...],
         now: int,
         spread: Callable[[int], int],
@@ -68,7 +68,7 @@
         self.unsure = False  # its state is not what its source calls by that number: it loads anew
         self.straight = False  # it goes where it was sent to, by one that does not write
         self.until = 0  # the number up to which a keeper takes from one that does not write
-        self.load: Table | None = None  # as far as it came
+        self.load: FeedTable | None = None  # as far as it came
         self.part = self.wanted = 0  # the next to come, and to ask for
         self.effects: list[tuple[Any, ...]] = []
 
@@ -126,7 +126,7 @@
             self._leave("it writes")
         self.phase = "quiet"
 
-    def _go(self, any: bool = False, table: Table | None = None) -> None:
+    def _go(self, any: bool = False, table: FeedTable | None = None) -> None:
         self.any = any
         if table is not None and self.phase == "quiet" and table.sequence >= self.table.sequence:
             self.table = table
@@ -238,7 +238,7 @@
             if told.sequence < self.table.sequence:
                 self._leave("its snapshot is older")
                 return
-            self.phase, self.load = "loading", Table()
+            self.phase, self.load = "loading", FeedTable()
             self.part = self.wanted = 0
             while self.wanted < WINDOW:
                 self._want()
@@ -267,10 +267,10 @@
         if self.phase != "following" or told.first != self.table.sequence or told.last <= told.first:
             self._leave("what it sends does not lead from here")
             return
-        table = self.table.moved(told.last, told.items, self.kind)
+        table = self.table.update(told.last, told.items, self.kind)
         if table.digest(self.kind) != told.digest:
             self._doubt()
-        elif table.count(self.kind) > TABLE_ENTRIES_LIMIT:
+        elif table.entry_count(self.kind) > TABLE_ENTRIES_LIMIT:
             self._leave("too many entries")
         else:
             self.table = table
@@ -288,9 +288,9 @@
         if told.index != self.part:
             self._leave("a part out of turn")
             return
-        self.load = self.load.moved(told.sequence, told.items, self.kind)
+        self.load = self.load.update(told.sequence, told.items, self.kind)
         self.part += 1
-        if self.load.count(self.kind) > TABLE_ENTRIES_LIMIT:
+        if self.load.entry_count(self.kind) > TABLE_ENTRIES_LIMIT:
             self._leave("too many entries")
         elif told.parts != self.part:
             self._want()
--- a/thistleline/config_feed/history.py
+++ b/thistleline/config_feed/history.py
@@ -1,141 +1,181 @@
-"""The newest changes of a table and the digests between: what a follower goes on from. No I/O, no clock."""
+"""The newest steps of a table and the digests between them, from which deltas are made. No I/O, no clock."""
 
 from collections import deque
+from collections.abc import Sequence
+from typing import NamedTuple
 
 from thistleline.config_feed.limits import DELTA_SIZE_LIMIT, HISTORY_SIZE_LIMIT, HISTORY_STEPS_LIMIT
 from thistleline.config_feed.messages import Delta, Kind
-from thistleline.config_feed.table import MADE, TENANT, Table
+from thistleline.config_feed.table import REQUEST_PREFIX, TENANT_PREFIX, FeedTable
 
-COST = 64  # bytes of an item beside key and value
-CACHED_BOUND = 64  # deltas kept for others who stand where one began
-Items = tuple[tuple[str, bytes | None, int], ...]
+ITEM_OVERHEAD = 64  # bytes that an item counts for beside its key and value
+CACHED_DELTAS_LIMIT = 64  # deltas cached for all followers that are at the same state
+Items = tuple[tuple[str, bytes | None, int], ...]  # key, value, version; a value of None deletes the key
+
+
+class Step(NamedTuple):
+    """Leads from the state `first` to the state `last`: of each key written between, its newest item."""
+
+    first: int
+    last: int
+    items: Items
+    size: int  # bytes, by `items_size`
 
 
 class History:
-    """`table` is the newest state. Steps lead from `base` up to it, in order; each is one change, or what
-    several came to where this one was itself brought to the newest at once."""
+    """The newest state, and the steps that lead from `base` up to it.
+
+    A step is one change, or several of them merged where this table was itself brought forward by a delta.
+    """
 
     __slots__ = ("_cached", "_digests", "size", "steps", "table")
 
-    def __init__(self, table: Table | None = None) -> None:
-        self.table = table or Table()
-        self.steps: deque[tuple[int, int, Items, int]] = deque()
-        self.size = 0
-        self._digests: dict[int, tuple[bytes, bytes]] = {}
+    def __init__(self, table: FeedTable | None = None) -> None:
+        """Begin with this state (by default the empty table), without steps."""
+        self.table = table or FeedTable()
+        self.steps: deque[Step] = deque()
+        self.size = 0  # bytes of all steps
+        self._digests: dict[int, tuple[bytes, bytes]] = {}  # of kind "wide" and "all" by sequence number
         self._cached: dict[tuple[int, Kind], Delta | None] = {}
-        self._note()
+        self._record_digests()
 
     def copy(self) -> "History":
-        """One that goes its own way from here."""
-        made = History(self.table)
-        made.steps, made.size = self.steps.copy(), self.size
-        made._digests, made._cached = dict(self._digests), dict(self._cached)
-        return made
-
-    def _note(self) -> None:
-        self._digests[self.table.sequence] = self.table.digest("wide"), self.table.digest("all")
-        self._cached.clear()
+        """Return an independent copy."""
+        copied = History(self.table)
+        copied.steps = self.steps.copy()
+        copied.size = self.size
+        copied._digests = dict(self._digests)
+        copied._cached = dict(self._cached)
+        return copied
 
     @property
     def base(self) -> int:
-        """The least number that can be gone on from."""
-        return self.steps[0][0] if self.steps else self.table.sequence
+        """The lowest sequence number from which a delta can be made."""
+        return self.steps[0].first if self.steps else self.table.sequence
+
+    def advance(self, last: int, items: Items, kind: Kind = "all") -> None:
+        """Move on to the state `last` by the items written since the newest state.
 
-    def move(self, last: int, items: Items, kind: Kind = "all") -> None:
-        """To the state `last`, by what was touched since the newest. Raises ValueError for no newer one."""
+        Raises:
+            ValueError: `last` is not beyond the newest state.
+        """
         if last <= self.table.sequence:
             raise ValueError(f"{last} does not follow {self.table.sequence}")
-        self.take(self.table.moved(last, items, kind), items)
+        self.append(self.table.update(last, items, kind), items)
 
-    def take(self, table: Table, items: Items) -> None:
-        """The same, with the state made already."""
-        size = size_of(items)
-        self.steps.append((self.table.sequence, table.sequence, items, size))
+    def append(self, table: FeedTable, items: Items) -> None:
+        """Move on to `table`, to which `items` lead from the newest state; drop steps beyond the limits."""
+        size = items_size(items)
+        self.steps.append(Step(self.table.sequence, table.sequence, items, size))
         self.size += size
         self.table = table
-        self._note()
+        self._record_digests()
         while self.steps and (self.size > HISTORY_SIZE_LIMIT or len(self.steps) > HISTORY_STEPS_LIMIT):
-            first, _, _, gone = self.steps.popleft()
-            self.size -= gone
-            del self._digests[first]
+            dropped = self.steps.popleft()
+            self.size -= dropped.size
+            del self._digests[dropped.first]
 
-    def anew(self, table: Table) -> None:
-        """A state that nothing leads to."""
+    def reset(self, table: FeedTable) -> None:
+        """Go to a state to which no step leads."""
         self.steps.clear()
         self.size = 0
         self._digests.clear()
         self.table = table
-        self._note()
-
-    def knows(self, number: int, digest: bytes, kind: Kind) -> bool:
-        """Whether that state lies on the way to the newest one, so that a delta may lead on from it. Inside
-        of a step, where the followers of a relay that merged otherwise stand, that can't be told here: what
-        the step touched leads on from there too, and the digest at its end tells who stood elsewhere: that
-        one comes with no digest then, and is known nowhere."""
-        known = self._digests.get(number)
+        self._record_digests()
+
+    def _record_digests(self) -> None:
+        self._digests[self.table.sequence] = (self.table.digest("wide"), self.table.digest("all"))
+        self._cached.clear()
+
+    def contains(self, sequence: int, digest: bytes, kind: Kind) -> bool:
+        """Tell whether a follower's state is one from which a delta leads to the newest.
+
+        Inside a step, where the followers of a relay stand that merged differently, the digest isn't known.
+        There the whole step's items lead on all the same, and the digest at its end reveals a follower that
+        stood elsewhere: it comes back with no digest then, which is contained nowhere.
+        """
+        known = self.digest_at(sequence, kind)
         if known is None:
-            return bool(digest) and self.base < number < self.table.sequence
-        return known[int(kind == "all")] == digest
+            return bool(digest) and self.base < sequence < self.table.sequence
+        return known == digest
 
-    def digest(self, number: int, kind: Kind) -> bytes | None:
-        known = self._digests.get(number)
+    def digest_at(self, sequence: int, kind: Kind) -> bytes | None:
+        """Return the digest of the state at `sequence`, None if no step begins or ends there."""
+        known = self._digests.get(sequence)
         return None if known is None else known[int(kind == "all")]
 
-    def delta(self, number: int, kind: Kind) -> Delta | None:
-        """What leads from a known state towards the newest, each key once, as far as a delta may hold;
-        None where the whole state is less than all that has to be told. The same for all who stand there."""
-        if (number, kind) not in self._cached:
-            while len(self._cached) >= CACHED_BOUND:
-                del self._cached[next(iter(self._cached))]
-            self._cached[number, kind] = self._merged(number, kind)
-        return self._cached[number, kind]
+    def delta(self, sequence: int, kind: Kind) -> Delta | None:
+        """Return what leads from a contained state towards the newest, as far as a delta may hold.
 
-    def _merged(self, number: int, kind: Kind) -> Delta | None:
-        most = max(8 * DELTA_SIZE_LIMIT, 2 * COST * self.table.count(kind))
-        ahead: list[tuple[int, int, Items, int]] = []
+        Returns None where a snapshot is smaller than all that would have to be sent. The delta is cached for
+        all followers that are at this state.
+        """
+        if (sequence, kind) not in self._cached:
+            while len(self._cached) >= CACHED_DELTAS_LIMIT:
+                del self._cached[next(iter(self._cached))]
+            self._cached[sequence, kind] = self._make_delta(sequence, kind)
+        return self._cached[sequence, kind]
+
+    def _make_delta(self, sequence: int, kind: Kind) -> Delta | None:
+        ahead = self._steps_after(sequence, kind)
+        if ahead is None:
+            return None
+        delta = self._merge(sequence, ahead, kind, evict_tenants=False)
+        if kind == "wide" and delta.last < self.table.sequence:
+            # A mass update of tenants must not hold up the routes at every instance.
+            delta = self._merge(sequence, ahead, kind, evict_tenants=True)
+        return delta
+
+    def _steps_after(self, sequence: int, kind: Kind) -> list[Step] | None:
+        """Return the steps beyond `sequence`, or None where they are larger than a snapshot."""
+        size_limit = max(8 * DELTA_SIZE_LIMIT, 2 * ITEM_OVERHEAD * self.table.entry_count(kind))
+        ahead: list[Step] = []
         size = 0
         for step in reversed(self.steps):
-            if step[1] <= number:
+            if step.last <= sequence:
                 break
-            size += step[3]
-            if size > most:
-                return None  # guards against telling more than a snapshot would
+            size += step.size
+            if size > size_limit:
+                return None
             ahead.append(step)
         ahead.reverse()
-        found = self._leading(number, ahead, kind, False)
-        if kind == "wide" and found.last < self.table.sequence:
-            # Guards against a load of tenants that would hold up the routes at every instance.
-            found = self._leading(number, ahead, kind, True)
-        return found
-
-    def _leading(
-        self, number: int, ahead: list[tuple[int, int, Items, int]], kind: Kind, forget: bool
-    ) -> Delta:
-        """`forget`: without tenants."""
+        return ahead
+
+    def _merge(self, sequence: int, ahead: Sequence[Step], kind: Kind, evict_tenants: bool) -> Delta:
+        """Merge as many steps as fit into a delta; `evict_tenants` leaves the tenants out."""
         newest: dict[str, tuple[bytes | None, int]] = {}
-        size, last = 0, number
-        for _, end, items, _ in ahead:
-            told = [one for one in items if not (forget and one[0].startswith(TENANT))]
-            if kind == "wide":
-                told = [one for one in told if not one[0].startswith(MADE)]
-            more = 0
-            for key, value, _ in told:
-                more += cost_of(key, value) - (cost_of(key, newest[key][0]) if key in newest else 0)
-            if last > number and size + more > DELTA_SIZE_LIMIT:
+        size = 0
+        last = sequence
+        skipped: tuple[str, ...] = ()
+        if evict_tenants:
+            skipped += (TENANT_PREFIX,)
+        if kind == "wide":
+            skipped += (REQUEST_PREFIX,)
+        for step in ahead:
+            items = [item for item in step.items if not item[0].startswith(skipped)]
+            added = 0
+            for key, value, _ in items:
+                added += item_size(key, value) - (item_size(key, newest[key][0]) if key in newest else 0)
+            if last > sequence and size + added > DELTA_SIZE_LIMIT:
                 break
-            size += more
-            last = end
-            newest.update((key, (value, version)) for key, value, version in told)
-        items = tuple((key, value, version) for key, (value, version) in newest.items())
-        digest = self.digest(last, kind)
+            size += added
+            last = step.last
+            newest.update((key, (value, version)) for key, value, version in items)
+        digest = self.digest_at(last, kind)
         assert digest is not None
-        return Delta(number, last, items, digest, forget)
+        return Delta(sequence, last, flatten_items(newest), digest, evict_tenants)
+
+
+def item_size(key: str, value: bytes | None) -> int:
+    """Return the bytes that an item counts for, wherever items are limited."""
+    return len(key) + len(value or b"") + ITEM_OVERHEAD
 
 
-def cost_of(key: str, value: bytes | None) -> int:
-    """Bytes that an item counts for, wherever items are bounded."""
-    return len(key) + len(value or b"") + COST
+def items_size(items: Items) -> int:
+    """Return the bytes that the items count for together."""
+    return sum(item_size(key, value) for key, value, _ in items)
 
 
-def size_of(items: Items) -> int:
-    return sum(cost_of(key, value) for key, value, _ in items)
+def flatten_items(newest: dict[str, tuple[bytes | None, int]]) -> Items:
+    """Return the items of a mapping of keys to values and versions, in its order."""
+    return tuple((key, value, version) for key, (value, version) in newest.items())
--- a/thistleline/config_feed/lookups.py
+++ b/thistleline/config_feed/lookups.py
@@ -20,7 +20,7 @@
     TENANT_CACHE_LIMIT,
 )
 from thistleline.config_feed.messages import Delta, FetchTenants, TenantEntries
-from thistleline.config_feed.table import TENANT
+from thistleline.config_feed.table import TENANT_PREFIX
 
 
 class Found(NamedTuple):
@@ -60,7 +60,7 @@
 
     def look(self, key: str) -> Found:
         """Costs the same whatever is held. After a first look at a tenant `due` is now: it is asked for."""
-        if not key.startswith(TENANT):
+        if not key.startswith(TENANT_PREFIX):
             entry = self.follower.table.wide.get(key)
             if entry is None:
                 return ABSENT if self.follower.table.sequence else UNKNOWN
--- a/thistleline/config_feed/relay.py
+++ b/thistleline/config_feed/relay.py
@@ -3,7 +3,7 @@
 Inputs:  up KIND ... (the side that follows)  down KIND ... (the side that serves)  writer KIND ...
          durable number (its disk has the state so far)  elapsed
 Effects: (connect name)  (drop name why)  (up name Message)  (down peer Message)  (close peer why)
-         (step Table first items)  (anew Table)
+         (step FeedTable first items)  (anew FeedTable)
          (get slot key)  (put slot Put)  (answer ticket ProposeResult)  (release why)  (log event facts)
 
 `step` and `anew` say what is to be kept on disk: the state now, and what was touched since the state `first`.
@@ -19,7 +19,7 @@
 from thistleline.config_feed.limits import FOLLOWERS_LIMIT
 from thistleline.config_feed.messages import Follow, Propose, ProposeResult
 from thistleline.config_feed.source import Source
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 from thistleline.config_feed.writer import Writer
 
 NEVER = 1 << 62
@@ -36,7 +36,7 @@
         self,
         id: str,
         level: int,
-        table: Table,
+        table: FeedTable,
         sources: tuple[str, ...],
         now: int,
         spread: Callable[[int], int],
@@ -73,7 +73,7 @@
         )
 
     @property
-    def table(self) -> Table:
+    def table(self) -> FeedTable:
         return self.history.table
 
     @property
@@ -125,10 +125,10 @@
             if kind == "send":
                 self.out.append(("up", *effect[1:]))
             elif kind == "took":
-                self.history.take(self.follower.table, effect[1].items)
+                self.history.append(self.follower.table, effect[1].items)
                 self._moved(now, "moved")
             elif kind == "loaded":
-                self.history.anew(self.follower.table)
+                self.history.reset(self.follower.table)
                 self._moved(now, "anew")
             else:
                 self.out.append(effect)
--- a/thistleline/config_feed/service.py
+++ b/thistleline/config_feed/service.py
@@ -28,7 +28,7 @@
 )
 from thistleline.config_feed.messages import Propose, ProposeResult, ReadRequest, ReadResult, decode_follower
 from thistleline.config_feed.relay import Station
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 from thistleline.lease.client import Council
 from thistleline.lease.holder import Hold
 from thistleline.lease.protocol import Denied, Done, Get, Got
@@ -67,7 +67,7 @@
         self.station = Station(
             self.name,
             conf.level,
-            self.persist.table if self.persist is not None else Table(),
+            self.persist.table if self.persist is not None else FeedTable(),
             tuple(self.sources),
             boot_now(),
             self._spread,
@@ -140,7 +140,7 @@
                 await self.persist.flushed()
         scope.cancel()
 
-    def _freeze(self, table: Table) -> None:
+    def _freeze(self, table: FeedTable) -> None:
         """Leaves what is held now to itself, as it stays for long. Guards against collections that go through
         a whole table: at 1.3 million tenants one stands still for longer than followers wait. What
         lives now and later dies as a cycle stays, so it is done seldom."""
--- a/thistleline/config_feed/source.py
+++ b/thistleline/config_feed/source.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field, fields
 from typing import Any, Literal
 
-from thistleline.config_feed.history import History, cost_of
+from thistleline.config_feed.history import History, item_size
 from thistleline.config_feed.limits import (
     FETCHED_TENANTS_LIMIT,
     FOLLOWERS_LIMIT,
@@ -40,7 +40,7 @@
     SourceMessage,
     TenantEntries,
 )
-from thistleline.config_feed.table import TENANT, Table
+from thistleline.config_feed.table import TENANT_PREFIX, FeedTable
 
 LEVEL_BOUND = 64
 KEEPERS_SPARE = 8  # places for keepers alone: guards against no change any more where all others are taken
@@ -56,7 +56,7 @@
 
     __slots__ = ("_ahead", "_rest", "digest", "kind", "number", "parts")
 
-    def __init__(self, table: Table, kind: Kind) -> None:
+    def __init__(self, table: FeedTable, kind: Kind) -> None:
         self.number, self.digest, self.kind = table.sequence, table.digest(kind), kind
         self.parts: list[tuple[tuple[str, bytes, int], ...]] = []
         self._rest = table.entries(kind)
@@ -76,7 +76,7 @@
         size, items = 0, []
         while self._ahead is not None and size < PART_SIZE:
             items.append(self._ahead)
-            size += cost_of(*self._ahead[:2])
+            size += item_size(*self._ahead[:2])
             self._ahead = next(self._rest, None)
         self.parts.append(tuple(items))
 
@@ -268,7 +268,7 @@
     def _next(self, peer: int, served: Served) -> None:
         """With nothing out to it: what it misses, and behind that what it asked for, as new as that."""
         table = self.history.table
-        if not self.history.knows(served.number, served.digest, served.kind):
+        if not self.history.contains(served.number, served.digest, served.kind):
             self._load(peer, served)
             return
         if served.number < table.sequence:
@@ -296,7 +296,7 @@
         if (
             made is None
             or made.number < least
-            or not self.history.knows(made.number, made.digest, kind)
+            or not self.history.contains(made.number, made.digest, kind)
             or self.history.delta(made.number, kind) is None
         ):
             made = self.snapshots[kind] = Snapshot(self.history.table, kind)
@@ -310,7 +310,7 @@
         for key in served.asked:
             value, version = table.get(key) or (None, 0)
             items.append((key, value, version))
-            size += cost_of(key, value)
+            size += item_size(key, value)
             if size >= PART_SIZE:
                 self._send(peer, TenantEntries(table.sequence, tuple(items)))
                 items, size = [], 0
@@ -351,7 +351,7 @@
         return ""
 
     def _leads(self, served: Served) -> bool:
-        known = self.history.knows(served.number, served.digest, served.kind)
+        known = self.history.contains(served.number, served.digest, served.kind)
         return known and self.history.delta(served.number, served.kind) is not None
 
     def _have(self, peer: int, served: Served, told: Acknowledge) -> str:
@@ -404,7 +404,7 @@
         if len(served.asked) + len(told.keys) > FETCHED_TENANTS_LIMIT:
             return "it asks for too much"
         for key in told.keys:
-            if not key.startswith(TENANT) or len(key) > KEY_LENGTH_LIMIT:
+            if not key.startswith(TENANT_PREFIX) or len(key) > KEY_LENGTH_LIMIT:
                 return "no key of a tenant"
             served.asked[key] = None
         if served.asked and served.phase == "following" and self._newest(served):
--- a/thistleline/config_feed/table.py
+++ b/thistleline/config_feed/table.py
@@ -1,88 +1,125 @@
-"""The keyed table of the feed: one state, never changed once made. No I/O, no clock.
+"""The keyed table of the feed as an immutable value, with a digest of its contents. No I/O, no clock.
 
-Keys have a section before the first slash: `route/...`, `common/...` and others that every follower holds,
-and `tenant/...`, of which an instance holds what it uses. `made/SLOT` holds the request of the newest change
-whose number falls on that slot: the last requests are part of the state, so that whoever writes next knows
-them; no instance holds those. Entries are in persistent maps, so that a state is one reference: whoever looks
-sees all of a change or nothing; a snapshot is the state it was begun on.
+A key begins with its section: `route/...`, `common/...` and others are held by every follower, `tenant/...`
+by an instance as far as it uses them. `made/SLOT` holds the request id of the newest change whose sequence
+number falls on that slot: the ids that deduplicate proposals are part of the replicated state, so that the
+next writer knows them; no instance holds those.
 
-The digest of a state is the sum of its entries' hashes (128 bits), so that a change costs what it touches. It
-finds what was lost, doubled or mixed up on the way; it is no guard against somebody who means harm.
+Entries are in persistent maps, so that one reference is one whole state: a reader sees all of a change or
+nothing of it, and a snapshot is the state at which it was begun.
+
+The digest of a state is the sum of the hashes of its entries (128 bits), so that updating it costs what the
+change touches. It detects lost, duplicated or mixed-up updates; it is no protection from an attacker.
 """
 
 from collections.abc import Iterable, Iterator
 from hashlib import blake2b
 from typing import NamedTuple
 
-from immutables import Map
+from immutables import Map, MapMutation
 
 from thistleline.config_feed.messages import Change, Kind
 
-TENANT, MADE = "tenant/", "made/"
-APART = (TENANT, MADE)  # sections that not every follower holds
-_MASK = (1 << 128) - 1
+TENANT_PREFIX = "tenant/"
+REQUEST_PREFIX = "made/"
+PARTIAL_PREFIXES = (TENANT_PREFIX, REQUEST_PREFIX)  # sections that not every follower holds
+DIGEST_SIZE = 16  # bytes
+_DIGEST_MASK = (1 << 8 * DIGEST_SIZE) - 1
 Entry = tuple[bytes, int]  # value, version
 Entries = Map[str, Entry]
 
 
 def entry_hash(key: str, value: bytes, version: int) -> int:
-    told = blake2b(digest_size=16)
+    """Return the 128-bit hash of one entry, whose sum over all entries is the digest."""
+    hasher = blake2b(digest_size=DIGEST_SIZE)
     name = key.encode()
-    told.update(len(name).to_bytes(4, "big") + name + version.to_bytes(8, "big") + value)
-    return int.from_bytes(told.digest(), "big")
+    hasher.update(len(name).to_bytes(4, "big") + name + version.to_bytes(8, "big") + value)
+    return int.from_bytes(hasher.digest(), "big")
+
 
+class FeedTable(NamedTuple):
+    """A state of the table with all changes up to `sequence` applied; immutable, updates return a new one."""
 
-class Table(NamedTuple):
     sequence: int = 0
-    wide: Entries = Map()
-    tenants: Entries = Map()
-    wide_sum: int = 0
+    wide: Entries = Map()  # entries that every follower holds
+    tenants: Entries = Map()  # entries of the sections in PARTIAL_PREFIXES
+    wide_sum: int = 0  # sum of the entry hashes of `wide`, modulo 2**128
     tenants_sum: int = 0
 
     def digest(self, kind: Kind) -> bytes:
-        """16 bytes of the sections that a follower of this kind holds, at this number."""
-        sums = self.wide_sum if kind == "wide" else self.wide_sum + self.tenants_sum
-        return (sums & _MASK).to_bytes(16, "big")
+        """Return the digest (16 bytes) of the sections that a follower of this kind holds."""
+        total = self.wide_sum if kind == "wide" else self.wide_sum + self.tenants_sum
+        return (total & _DIGEST_MASK).to_bytes(DIGEST_SIZE, "big")
 
     def get(self, key: str) -> Entry | None:
-        return (self.tenants if key.startswith(APART) else self.wide).get(key)
+        """Return value and version of a key, or None if it does not exist."""
+        return (self.tenants if key.startswith(PARTIAL_PREFIXES) else self.wide).get(key)
 
     def version(self, key: str) -> int:
-        found = self.get(key)
-        return found[1] if found else 0
+        """Return the version of a key, 0 if it does not exist."""
+        entry = self.get(key)
+        return entry[1] if entry else 0
 
     def entries(self, kind: Kind) -> Iterator[tuple[str, bytes, int]]:
-        """In an order that stays while this state is held."""
+        """Yield key, value and version of all entries, in an order that is stable for this object."""
         for entries in (self.wide,) if kind == "wide" else (self.wide, self.tenants):
             for key, (value, version) in entries.items():
                 yield key, value, version
 
-    def count(self, kind: Kind) -> int:
+    def entry_count(self, kind: Kind) -> int:
+        """Return how many entries a follower of this kind holds."""
         return len(self.wide) + (len(self.tenants) if kind == "all" else 0)
 
-    def applied(self, change: Change) -> "Table":
-        """The state after the change. Raises ValueError where it is not the next."""
+    def apply(self, change: Change) -> "FeedTable":
+        """Return the state after the change.
+
+        Raises:
+            ValueError: The change's sequence number is not the next one.
+        """
         if change.sequence != self.sequence + 1:
             raise ValueError(f"change {change.sequence} does not follow {self.sequence}")
-        return self.moved(change.sequence, ((key, value, change.sequence) for key, value in change.items))
-
-    def moved(
-        self, number: int, items: Iterable[tuple[str, bytes | None, int]], kind: Kind = "all"
-    ) -> "Table":
-        """The state `number`, with these entries in place of what stood; tenants are left out where this
-        holds none (`wide`). None takes a key away."""
-        maps = [self.wide.mutate(), self.tenants.mutate()]
-        sums = [self.wide_sum, self.tenants_sum]
+        return self.update(change.sequence, ((key, value, change.sequence) for key, value in change.items))
+
+    def update(
+        self, sequence: int, items: Iterable[tuple[str, bytes | None, int]], kind: Kind = "all"
+    ) -> "FeedTable":
+        """Return the state at `sequence`, with these items written.
+
+        Args:
+            sequence: Sequence number of the new state.
+            items: Key, value and version; a value of None deletes the key.
+            kind: With "wide", items of the partial sections are ignored.
+        """
+        wide = _SectionUpdate(self.wide, self.wide_sum)
+        tenants = _SectionUpdate(self.tenants, self.tenants_sum)
         for key, value, version in items:
-            place = int(key.startswith(APART))
-            if place and kind == "wide":
-                continue
-            known = maps[place].get(key)
-            if known is not None:
-                sums[place] -= entry_hash(key, *known)
-                if value is None:
-                    del maps[place][key]
-            if value is not None:
-                sums[place] += entry_hash(key, value, version)
-                maps[place][key] = (value, version)
-        return Table(number, maps[0].finish(), maps[1].finish(), sums[0] & _MASK, sums[1] & _MASK)
+            if not key.startswith(PARTIAL_PREFIXES):
+                wide.write(key, value, version)
+            elif kind == "all":
+                tenants.write(key, value, version)
+        return FeedTable(
+            sequence, wide.entries.finish(), tenants.entries.finish(), wide.total(), tenants.total()
+        )
+
+
+class _SectionUpdate:
+    """A batch of writes to one map, keeping its sum of entry hashes."""
+
+    __slots__ = ("_sum", "entries")
+
+    def __init__(self, entries: Entries, entries_sum: int) -> None:
+        self.entries: MapMutation[str, Entry] = entries.mutate()
+        self._sum = entries_sum
+
+    def write(self, key: str, value: bytes | None, version: int) -> None:
+        known = self.entries.get(key)
+        if known is not None:
+            self._sum -= entry_hash(key, *known)
+            if value is None:
+                del self.entries[key]
+        if value is not None:
+            self._sum += entry_hash(key, value, version)
+            self.entries[key] = (value, version)
+
+    def total(self) -> int:
+        return self._sum & _DIGEST_MASK
--- a/thistleline/config_feed/validation.py
+++ b/thistleline/config_feed/validation.py
@@ -24,7 +24,7 @@
     VALUE_SIZE_LIMIT,
 )
 from thistleline.config_feed.messages import Propose
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 
 NUMBER_BOUND = 1e15  # of any number in a free form
 DEPTH_BOUND = 16
@@ -62,7 +62,7 @@
 FORM_OF_KEY: dict[str, type[msgspec.Struct]] = {"common/tenant": Tenant}
 
 
-def fault(propose: Propose, table: Table) -> str:
+def fault(propose: Propose, table: FeedTable) -> str:
     """All that is wrong, in one reason; nothing where the change may be made on this table."""
     found = []
     for place, why in enumerate(_faults(propose, table)):
@@ -73,7 +73,7 @@
     return "; ".join(found)
 
 
-def _faults(propose: Propose, table: Table) -> Iterator[str]:
+def _faults(propose: Propose, table: FeedTable) -> Iterator[str]:
     items, expected = propose.items, propose.expected
     if not 0 < len(propose.request_id) <= REQUEST_ID_LENGTH_LIMIT or not propose.request_id.isprintable():
         yield f"a request is named by 1 to {REQUEST_ID_LENGTH_LIMIT} printable characters"
@@ -103,7 +103,7 @@
         if value is not None:
             for why in _value_faults(key, value):
                 yield f"{_short(key)}: {why}"
-    if more > 0 and table.count("all") + more > TABLE_ENTRIES_LIMIT:
+    if more > 0 and table.entry_count("all") + more > TABLE_ENTRIES_LIMIT:
         yield f"with it there are more than {TABLE_ENTRIES_LIMIT} entries"
     for key, version in expected:
         why = _key_fault(key)
--- a/thistleline/config_feed/writer.py
+++ b/thistleline/config_feed/writer.py
@@ -32,7 +32,7 @@
     STALL_TIMEOUT_NS,
 )
 from thistleline.config_feed.messages import Change, Group, Propose, ProposeResult, decode_group, encode
-from thistleline.config_feed.table import MADE, Table
+from thistleline.config_feed.table import REQUEST_PREFIX, FeedTable
 from thistleline.config_feed.validation import fault
 from thistleline.lease.protocol import Put
 
@@ -53,14 +53,14 @@
 
 def made_key(number: int) -> str:
     """Where the request of that change is kept."""
-    return f"{MADE}{number % DEDUPLICATION_SLOTS}"
+    return f"{REQUEST_PREFIX}{number % DEDUPLICATION_SLOTS}"
 
 
 class Waiting(NamedTuple):
     """A change in the line. `table`: the state with all up to it."""
 
     change: Change
-    table: Table
+    table: FeedTable
     size: int
 
 
@@ -282,14 +282,14 @@
                 return
             changes = [change for change in group.changes if change.sequence > table.sequence]
             for change in changes:
-                table = table.applied(change)
+                table = table.apply(change)
             if table.digest("all") != group.digest_after:
                 self._give_up(f"with group {first} this table at {last} is not the one it was written for")
                 return
             if changes:
                 steps.append((table, _touched(changes)))
         for table, items in steps:
-            self.history.take(table, items)
+            self.history.append(table, items)
         self._recall()
         self.chain, self.ahead = (), self.history.table
         self.phase, self.ask_at = "writing", FAR
@@ -354,7 +354,7 @@
         self.tickets[request] = (ticket,)
         number = self.ahead.sequence + 1
         change = Change(number, request, (*propose.items, (made_key(number), request.encode())))
-        self.ahead = self.ahead.applied(change)
+        self.ahead = self.ahead.apply(change)
         size = len(encode(change))
         self.line.append(Waiting(change, self.ahead, size))
         self.line_size += size
@@ -475,7 +475,7 @@
     def _decided(self) -> None:
         """The group is written: its changes count, and can't be lost."""
         out, self.out, self.put = self.out, (), None
-        self.history.take(out[-1].table, _touched([one.change for one in out]))
+        self.history.append(out[-1].table, _touched([one.change for one in out]))
         self.versions[self.slot] += 1
         self.lasts[self.slot] = out[-1].change.sequence
         self.slot = (self.slot + 1) % RING_SLOTS
--- a/thistleline/lab/feedfleet.py
+++ b/thistleline/lab/feedfleet.py
@@ -16,7 +16,7 @@
 from thistleline.config_feed.client import Following, look, propose, snapshot
 from thistleline.config_feed.limits import DEDUPLICATION_SLOTS
 from thistleline.config_feed.messages import Item, Propose, ProposeResult, ReadResult
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 from thistleline.lab.harness import Fleet, Hung, Process, free_port
 from thistleline.transport.address import Address
 
@@ -71,7 +71,7 @@
             held[f"made/{number % DEDUPLICATION_SLOTS}"] = self.made[number][0].encode(), number
         return held
 
-    def judge_table(self, name: str, table: Table) -> None:
+    def judge_table(self, name: str, table: FeedTable) -> None:
         """Nothing acknowledged is lost there, and nothing is there that nobody asked for."""
         missing = sorted(set(range(1, table.sequence + 1)) - self.made.keys())
         if missing:
@@ -255,7 +255,7 @@
                 lives[-1].append(one)
         return lives[-1] if len(lives) == self.processes[name].starts else []
 
-    async def table(self, name: str, number: int, span: float = PATIENCE) -> Table:
+    async def table(self, name: str, number: int, span: float = PATIENCE) -> FeedTable:
         """All that a keeper or relay holds, at that number or after it."""
         async with anyio.create_task_group() as group:
             following = Following("oracle", "all", {name: self.address(name)}, alone=True)
--- a/thistleline/lab/feedmutants.py
+++ b/thistleline/lab/feedmutants.py
@@ -13,7 +13,7 @@
 from thistleline.config_feed.lookups import Lookups
 from thistleline.config_feed.messages import Acknowledge, FollowAccepted, Kind, SnapshotPart
 from thistleline.config_feed.source import Source
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 from thistleline.config_feed.writer import Writer
 from thistleline.lab.explore import Explored, explore
 from thistleline.lab.feedworld import FeedWorld, Scenario, begin, changed, fleet, following, settle
@@ -49,7 +49,7 @@
     world.disks["r0"] = world.nodes["r0"].table
     world.restart("r0")
     settle(world, lambda name: name[0] == "i")
-    world.disks["i0"] = Table()
+    world.disks["i0"] = FeedTable()
     world.restart("i0")
     return world
 
@@ -57,7 +57,7 @@
 def _strange() -> FeedWorld:
     """The instance comes with a state of this number that is another."""
     world = changed(fleet(keepers=1), 2)
-    world.disks["i0"] = Table().moved(2, (("common/a", b'{"of another feed":1}', 1),), "wide")
+    world.disks["i0"] = FeedTable().update(2, (("common/a", b'{"of another feed":1}', 1),), "wide")
     world.strange = ("i0",)
     world.restart("i0")
     return world
@@ -158,7 +158,7 @@
 
 def _taken_anyhow(self: Follower, told: Any, had: Callable[..., None] = Follower._delta) -> None:
     if self.phase == "following" and told.first == self.table.sequence:
-        table = self.table.moved(told.last, told.items, self.kind)
+        table = self.table.update(told.last, told.items, self.kind)
         had(self, msgspec.structs.replace(told, digest=table.digest(self.kind)))
     else:
         had(self, told)
@@ -166,7 +166,7 @@
 
 def _part_taken_anyhow(self: Follower, told: SnapshotPart, had: Callable[..., None] = Follower._part) -> None:
     if self.phase == "loading" and self.load is not None:
-        table = self.load.moved(told.sequence, told.items, self.kind)
+        table = self.load.update(told.sequence, told.items, self.kind)
         told = msgspec.structs.replace(told, digest=table.digest(self.kind))
     had(self, told)
 
@@ -228,7 +228,7 @@
 
 MUTANTS = (
     mutant("resume: a state is gone on from by its digest too", "another's state",
-            History, "knows", _by_number),
+            History, "contains", _by_number),
     mutant("a change is taken with its digest alone", "a change under way",
             Follower, "_delta", _taken_anyhow),
     mutant("a snapshot is taken with its digest alone", "cold instance",
--- a/thistleline/lab/feedrun.py
+++ b/thistleline/lab/feedrun.py
@@ -33,7 +33,7 @@
     encode,
 )
 from thistleline.config_feed.relay import Station
-from thistleline.config_feed.table import APART, Entries, Table
+from thistleline.config_feed.table import PARTIAL_PREFIXES, Entries, FeedTable
 from thistleline.config_feed.writer import LEASE, key_of
 from thistleline.lab.mutants import without
 from thistleline.lease.holder import Hold
@@ -58,20 +58,20 @@
 Key = tuple[int, int, int, int, Kind, tuple[Any, ...]]
 
 
-class Shared(Table):
+class Shared(FeedTable):
     """A state whose followers share what they make of it."""
 
     __slots__ = ()
     made: ClassVar[dict[Key, "Shared"]] = {}
 
-    def moved(
+    def update(
         self, number: int, items: Iterable[tuple[str, bytes | None, int]], kind: Kind = "all"
     ) -> "Shared":
         told = items if isinstance(items, tuple) else tuple(items)
         key = (self.sequence, self.wide_sum, self.tenants_sum, number, kind, told)
         found = self.made.get(key)
         if found is None:
-            found = self.made[key] = Shared(*Table.moved(self, number, told, kind))
+            found = self.made[key] = Shared(*FeedTable.update(self, number, told, kind))
             while len(self.made) > KEPT:
                 del self.made[next(iter(self.made))]
         return found
@@ -83,7 +83,7 @@
 
 class Node(Protocol):
     @property
-    def table(self) -> Table: ...
+    def table(self) -> FeedTable: ...
 
     def take(self, now: int, part: str, *told: Any) -> Effects: ...
 
@@ -95,7 +95,7 @@
 
     __slots__ = ("lookups",)
 
-    def __init__(self, id: str, table: Table, sources: tuple[str, ...], now: int, spread: Spread) -> None:
+    def __init__(self, id: str, table: FeedTable, sources: tuple[str, ...], now: int, spread: Spread) -> None:
         self.lookups = Lookups(Follower(id, "wide", table, sources, now, spread))
 
     def copy(self) -> "Instance":
@@ -107,7 +107,7 @@
         return self.lookups.frozen()
 
     @property
-    def table(self) -> Table:
+    def table(self) -> FeedTable:
         return self.lookups.follower.table
 
     def due(self) -> int:
@@ -128,10 +128,10 @@
 class Oracle:
     """What was acknowledged, in order: each key's values by number. Says what is wrong with a state seen."""
 
-    def __init__(self, table: Table) -> None:
+    def __init__(self, table: FeedTable) -> None:
         self.first = self.last = table.sequence
         self.base = {key: value for key, value, _ in table.entries("all")}
-        self.wide = sum(not key.startswith(APART) for key in self.base)
+        self.wide = sum(not key.startswith(PARTIAL_PREFIXES) for key in self.base)
         self.told: dict[str, tuple[list[int], list[bytes | None]]] = {}
         self.touched: list[tuple[int, str]] = []
         self.counts = {self.first: self.wide}  # wide entries at each number
@@ -143,7 +143,7 @@
             self.wrong = f"{number} was acknowledged after {self.last}"
             return
         for key, value in items:
-            if not key.startswith(APART):
+            if not key.startswith(PARTIAL_PREFIXES):
                 self.wide += (value is not None) - (self.at(key, self.last) is not None)
             numbers, values = self.told.setdefault(key, ([], []))
             numbers.append(number)
@@ -157,7 +157,7 @@
         place = bisect_right(numbers, number)
         return values[place - 1] if place else self.base.get(key)
 
-    def check(self, table: Table, kind: Kind, before: int) -> None:
+    def check(self, table: FeedTable, kind: Kind, before: int) -> None:
         """A state that somebody holds: what was touched since `before` is looked at, all else by count."""
         mark = (table.sequence, table.wide_sum, table.tenants_sum)
         if self.seen.get(mark) is table.wide:
@@ -169,14 +169,14 @@
             return  # decided, its acknowledgement is on its way: looked at in the end
         low = bisect_right(self.touched, (min(before, table.sequence - 20), ""))
         for _, key in self.touched[low:]:
-            if not key.startswith(APART) or kind == "all":
+            if not key.startswith(PARTIAL_PREFIXES) or kind == "all":
                 found = table.get(key)
                 if (found[0] if found else None) != self.at(key, table.sequence):
                     self.wrong = f"{key} at {table.sequence} is not what was acknowledged"
         if len(table.wide) != self.counts[table.sequence]:
             self.wrong = f"{len(table.wide)} entries at {table.sequence}, not {self.counts[table.sequence]}"
 
-    def whole(self, table: Table, kind: Kind) -> str:
+    def whole(self, table: FeedTable, kind: Kind) -> str:
         """Of the newest state, all of it, against a plain dict."""
         if table.sequence != self.last:
             return f"it ends at {table.sequence}, not at {self.last}"
@@ -188,7 +188,7 @@
             else:
                 plain[key] = value
         if kind == "wide":
-            plain = {key: value for key, value in plain.items() if not key.startswith(APART)}
+            plain = {key: value for key, value in plain.items() if not key.startswith(PARTIAL_PREFIXES)}
         here = {key: value for key, value, _ in table.entries(kind)}
         return "" if here == plain else "its entries are not what was acknowledged"
 
@@ -224,7 +224,7 @@
         self.got = self.sent = self.got_bytes = self.sent_bytes = self.cpu = self.takes = 0
         self.since = 0  # up since
         self.number = 0
-        self.durable: Table | None = None
+        self.durable: FeedTable | None = None
 
 
 class Asked(Asking):
@@ -276,7 +276,7 @@
 class VirtualFeed(Clock):
     def __init__(
         self,
-        table: Table,
+        table: FeedTable,
         seed: int,
         instances: int,
         regions: int = 10,
@@ -329,14 +329,14 @@
             zone = place * regions + region
             node = Station(name, 1, table, tuple(sources), 0, self._spread)
             self._add(Place(name, region, zone if zone < self.zones else region, node, PLENTY))
-        self.wide = Shared(*Table.moved(Table(), table.sequence, table.entries("wide"), "wide"))
+        self.wide = Shared(*FeedTable.update(FeedTable(), table.sequence, table.entries("wide"), "wide"))
         self.instances = [f"i{place}" for place in range(instances)]
         for place, name in enumerate(self.instances):
             zone = place % self.zones
             region = zone % regions
             self._add(Place(name, region, zone, self._instance(name, region, self.wide), LINE))
 
-    def _instance(self, name: str, region: int, table: Table) -> Node:
+    def _instance(self, name: str, region: int, table: FeedTable) -> Node:
         near = [one for one in self.relays if one.startswith(f"r{region}.")]
         self.chance.shuffle(near)
         far = [one for one in self.relays if one not in near]
@@ -344,10 +344,10 @@
             name, table, (*near, *self.chance.sample(far, min(2, len(far)))), self.now, self._spread
         )
 
-    def _begun(self, table: Table) -> Table:
+    def _begun(self, table: FeedTable) -> FeedTable:
         """One change further, which the council's first record holds: who writes goes on from there."""
         change = Change(table.sequence + 1, "first", (("common/first", b"{}"),))
-        made = table.applied(change)
+        made = table.apply(change)
         value = encode(Group(0, (change,), table.digest("all"), made.digest("all")))
         self.leases.apply(0, data_of(Put(key_of(0), value, 0)))
         return made
@@ -364,7 +364,7 @@
     # ---- time
 
     def run(self, until: int, over: Callable[[], bool] = lambda: False) -> bool:
-        with without(((following, "Table", Shared),)):
+        with without(((following, "FeedTable", Shared),)):
             return super().run(until, over)
 
     def _arm(self, place: Place) -> None:
@@ -409,7 +409,7 @@
             self._stands(place, table)
         self._arm(place)
 
-    def _stands(self, place: Place, table: Table) -> None:
+    def _stands(self, place: Place, table: FeedTable) -> None:
         before, place.number = place.number, table.sequence
         if table.sequence < before:
             self.wrong = self.wrong or f"{place.name} goes back from {before} to {table.sequence}"
@@ -555,10 +555,10 @@
         if peer in place.peers:
             self._end(place.peers[peer], 1)
 
-    def _step(self, place: Place, table: Table, *_: Any) -> None:
+    def _step(self, place: Place, table: FeedTable, *_: Any) -> None:
         self.at(self.now + SYNC, self._written, place, table, place.life)
 
-    def _anew(self, place: Place, table: Table) -> None:
+    def _anew(self, place: Place, table: FeedTable) -> None:
         self._step(place, table)
 
     def _loaded(self, place: Place) -> None:
@@ -568,7 +568,7 @@
         if event == "gives_up":
             self.wrong = self.wrong or f"{place.name} gives up: {facts}"
 
-    def _written(self, place: Place, table: Table, life: int) -> None:
+    def _written(self, place: Place, table: FeedTable, life: int) -> None:
         if place.life == life and place.alive:
             place.durable = table
             self.put(place, "durable", table.sequence)
--- a/thistleline/lab/feedworld.py
+++ b/thistleline/lab/feedworld.py
@@ -23,7 +23,7 @@
     encode,
 )
 from thistleline.config_feed.relay import Station
-from thistleline.config_feed.table import APART, Table
+from thistleline.config_feed.table import PARTIAL_PREFIXES, FeedTable
 from thistleline.config_feed.writer import LEASE, key_of
 from thistleline.lab.feedrun import Instance
 from thistleline.lease.protocol import Break, Denied, Granted, Put, Take
@@ -81,8 +81,8 @@
     def __init__(self) -> None:
         self.nodes: dict[str, Node] = {}
         self.sources: dict[str, tuple[str, ...]] = {}
-        self.disks: dict[str, Table] = {}
-        self.pending: dict[str, Table] = {}  # given to the disk, not there yet
+        self.disks: dict[str, FeedTable] = {}
+        self.pending: dict[str, FeedTable] = {}  # given to the disk, not there yet
         self.links: dict[str, Link] = {}  # by who follows
         self.council = Council()
         self.requests: tuple[tuple[str, int, int, Put], ...] = ()  # keeper, epoch, slot
@@ -115,12 +115,14 @@
     def keepers(self) -> tuple[str, ...]:
         return tuple(name for name in self.nodes if name[0] == "k")
 
-    def add(self, name: str, table: Table, sources: tuple[str, ...], keepers: tuple[str, ...] = ()) -> None:
+    def add(
+        self, name: str, table: FeedTable, sources: tuple[str, ...], keepers: tuple[str, ...] = ()
+    ) -> None:
         """A keeper k, a relay r or an instance i."""
         self.sources[name], self.disks[name] = sources, table
         self.nodes[name] = self._new(name, table, keepers)
 
-    def _new(self, name: str, table: Table, keepers: tuple[str, ...]) -> Node:
+    def _new(self, name: str, table: FeedTable, keepers: tuple[str, ...]) -> Node:
         sources = self.sources[name]
         if name[0] == "i":
             return Instance(name, table, sources, self.now, _no_spread)
@@ -203,10 +205,10 @@
             )
         self.links[name] = link._replace(down=(worse, *link.down[1:]))
 
-    def _step(self, name: str, table: Table, *_: Any) -> None:
+    def _step(self, name: str, table: FeedTable, *_: Any) -> None:
         self.pending[name] = table
 
-    def _anew(self, name: str, table: Table) -> None:
+    def _anew(self, name: str, table: FeedTable) -> None:
         self.pending[name] = table
 
     def _loaded(self, name: str) -> None:
@@ -380,7 +382,7 @@
                         self.broken or f"{name} says of {key} at {table.sequence} what does not count"
                     )
         if name[0] == "i":
-            state = {key: value for key, value in state.items() if not key.startswith(APART)}
+            state = {key: value for key, value in state.items() if not key.startswith(PARTIAL_PREFIXES)}
         here = {key: value for key, value, _ in table.entries("all")}
         if here != state:
             self.broken = self.broken or f"{name} holds at {table.sequence} what does not count there"
@@ -531,11 +533,11 @@
     names = tuple(f"k{place}" for place in range(keepers))
     above = tuple(f"r{place}" for place in range(relays))
     for name in names:
-        world.add(name, Table(), tuple(one for one in names if one != name), names)
+        world.add(name, FeedTable(), tuple(one for one in names if one != name), names)
     for name in above:
-        world.add(name, Table(), names)
+        world.add(name, FeedTable(), names)
     for place in range(instances):
-        world.add(f"i{place}", Table(), above or names)
+        world.add(f"i{place}", FeedTable(), above or names)
     world.move("k0")
     settle(world)
     return world
--- a/thistleline/lab/member.py
+++ b/thistleline/lab/member.py
@@ -80,7 +80,7 @@
     from thistleline.config_feed.follower import Follower
     from thistleline.config_feed.messages import Follow, FollowAccepted
     from thistleline.config_feed.source import Served, Source
-    from thistleline.config_feed.table import Table
+    from thistleline.config_feed.table import FeedTable
 
     follow, welcomed = Source._follow, Follower._welcomed
 
@@ -91,7 +91,7 @@
 
     def older(self: Follower, told: FollowAccepted) -> None:
         if told.load_snapshot and told.sequence < self.table.sequence:
-            self.table = Table()
+            self.table = FeedTable()
         welcomed(self, told)
 
     setattr(Source, "_follow", behind)  # noqa: B010
--- a/thistleline/lab/scale/feed.py
+++ b/thistleline/lab/scale/feed.py
@@ -19,7 +19,7 @@
 
 from thistleline.config_feed.limits import MS, SECOND
 from thistleline.config_feed.messages import Propose
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 from thistleline.lab.feedmutants import prove
 from thistleline.lab.feedrun import VirtualFeed, quantile
 from thistleline.lab.polledrun import PolledFleet
@@ -90,7 +90,7 @@
     return b'{"share":0.%06d,"allowance_per_s":%d}' % (chance.randrange(10**6), chance.randrange(1, 5000))
 
 
-def made_table(routes: int, tenants: int, seed: int) -> Table:
+def made_table(routes: int, tenants: int, seed: int) -> FeedTable:
     chance = Random(seed)
 
     def entries() -> Any:
@@ -100,7 +100,7 @@
         for place in range(tenants):
             yield tenant_key(place), tenant_value(chance), 1
 
-    return Table().moved(1, entries())
+    return FeedTable().update(1, entries())
 
 
 class Changes:
@@ -552,8 +552,8 @@
     return ((key[:1] + key[1:], value[:1] + value[1:], 1) for key, value in told)
 
 
-def _state(told: Told) -> Table:
-    return Table().moved(1, _fresh(told))
+def _state(told: Told) -> FeedTable:
+    return FeedTable().update(1, _fresh(told))
 
 
 def _plain(told: Told) -> dict[str, tuple[bytes, int]]:
@@ -571,7 +571,7 @@
         tenants.append(memory_of(partial(_state, keys))[0])
         table = _state(told)
         items = ((route_key(many // 2), route_value(Random(1)), 2),)
-        steps.append(steps_of(partial(table.moved, 2, items)))
+        steps.append(steps_of(partial(table.update, 2, items)))
         cold.append(cold_bytes(table, seed))
     at = size("routes")
     return [
@@ -629,7 +629,7 @@
     return found
 
 
-def cold_bytes(table: Table, seed: int) -> int:
+def cold_bytes(table: FeedTable, seed: int) -> int:
     """What one instance gets and sends that comes up with nothing."""
     fleet = VirtualFeed(table, seed, 1, regions=1, relays=1, keepers=1)
     begin(fleet)
@@ -641,7 +641,7 @@
     return fleet.places[name].got_bytes + fleet.places[name].sent_bytes - before
 
 
-def apply_costs(table: Table, repeats: int = 2000) -> dict[str, Any]:
+def apply_costs(table: FeedTable, repeats: int = 2000) -> dict[str, Any]:
     """Processor time to take a change of one route: with the persistent map, and with a dict that has to be
     copied so that whoever looks sees one state. Times in reference loops of this run, with the seconds."""
     loop = loop_cpu()
@@ -649,7 +649,7 @@
     one = table
     began = process_time()
     for place in range(repeats):
-        one = one.moved(one.sequence + 1, ((keys[place % len(keys)], b'{"limit_ms":1}', one.sequence + 1),))
+        one = one.update(one.sequence + 1, ((keys[place % len(keys)], b'{"limit_ms":1}', one.sequence + 1),))
     persistent = (process_time() - began) / repeats
     plain: dict[str, tuple[bytes, int]] = dict(table.wide.items())
     copies = max(5, repeats // 100)
--- a/thistleline/lab/scale/feedsockets.py
+++ b/thistleline/lab/scale/feedsockets.py
@@ -29,7 +29,7 @@
 
 from thistleline.config_feed.archive import Archive
 from thistleline.config_feed.messages import Change, Group, Propose, encode
-from thistleline.config_feed.table import APART, entry_hash
+from thistleline.config_feed.table import PARTIAL_PREFIXES, entry_hash
 from thistleline.config_feed.writer import key_of
 from thistleline.lab.feedfleet import FeedFleet
 from thistleline.lab.harness import Hung, folder_of, free_port
@@ -196,7 +196,7 @@
         if missing:
             found.append(f"nobody was told of {missing[:3]}")
         held = self.entries()
-        sums = sum(entry_hash(key, *one) for key, one in held.items() if not key.startswith(APART))
+        sums = sum(entry_hash(key, *one) for key, one in held.items() if not key.startswith(PARTIAL_PREFIXES))
         digest = (sums % (1 << 128)).to_bytes(16, "big")
         for one in (seen for report in reports for seen in report.followers):
             numbers = [number for number, _ in one.states]
@@ -438,7 +438,7 @@
     record. That record, the entries without the tenants, the number and the bytes on disk."""
     table = made_table(routes, tenants, seed)
     change = Change(table.sequence + 1, "first", (("common/first", b"{}"),))
-    made = table.applied(change)
+    made = table.apply(change)
     record = encode(Group(0, (change,), table.digest("all"), made.digest("all")))
     disk = Disk(folder, "feed")
     disk.hold()
--- a/thistleline/lab/scale/followers.py
+++ b/thistleline/lab/scale/followers.py
@@ -26,7 +26,7 @@
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.lookups import Lookups
 from thistleline.config_feed.messages import Kind, SnapshotPart
-from thistleline.config_feed.table import APART, Table
+from thistleline.config_feed.table import PARTIAL_PREFIXES, FeedTable
 from thistleline.lab.feedrun import Shared
 from thistleline.lab.scale.feed import HOT, LOOKS, tenant_key
 from thistleline.transport.codec import Unpacker, sealed
@@ -81,12 +81,12 @@
     def __init__(self, sequence: int = 0, parts: tuple[Items, ...] = ()) -> None:
         self.sequence, self.parts = sequence, parts
 
-    def moved(self, sequence: int, items: Items, kind: Kind) -> "Parts":
+    def update(self, sequence: int, items: Items, kind: Kind) -> "Parts":
         if len(self.known) > PARTS_KEPT:
             self.known.clear()
         return Parts(sequence, (*self.parts, self.known.setdefault(items, items)))
 
-    def count(self, kind: Kind) -> int:
+    def entry_count(self, kind: Kind) -> int:
         return sum(map(len, self.parts))
 
     def digest(self, kind: Kind) -> bytes:
@@ -97,7 +97,7 @@
         found = self.made.get(key)
         if found is None:
             entries = (one for part in self.parts for one in part)
-            found = self.made[key] = Shared(*Table.moved(Table(), self.sequence, entries, kind))
+            found = self.made[key] = Shared(*FeedTable.update(FeedTable(), self.sequence, entries, kind))
             while len(self.made) > TABLES_KEPT:
                 del self.made[next(iter(self.made))]
         return found
@@ -126,8 +126,8 @@
         Traffic.sent += len(data)
         return data
 
-    for where, name, other in ((Follower, "_part", part), (following, "Table", Parts),
-                               (clients, "Table", Shared), (link, "Unpacker", Counted),
+    for where, name, other in ((Follower, "_part", part), (following, "FeedTable", Parts),
+                               (clients, "FeedTable", Shared), (link, "Unpacker", Counted),
                                (link, "sealed", counted)):  # fmt: skip
         setattr(where, name, other)
 
@@ -160,10 +160,10 @@
         self.client = FeedClient(name, told.sources, chance=Random(seed), seen=self._saw)
         self.timed = self.client.reducer = Timed(self.client.lookups, self.seen)
 
-    def _saw(self, table: Table, items: Any) -> None:
+    def _saw(self, table: FeedTable, items: Any) -> None:
         seen = self.seen
         for key, value, version in items or ():
-            if not key.startswith(APART):
+            if not key.startswith(PARTIAL_PREFIXES):
                 found = self.client.look(key)
                 seen.wrong += (found.value, found.version) != (value, version if value is not None else 0)
                 break
