--- a/tests/test_feed_writer.py
+++ b/tests/test_feed_writer.py
@@ -40,7 +40,7 @@
 )
 from thistleline.config_feed.relay import Station
 from thistleline.config_feed.table import FeedTable
-from thistleline.config_feed.validation import fault
+from thistleline.config_feed.validation import find_faults
 from thistleline.config_feed.writer import ASK_AGAIN, CATCH_UP_SPAN, LINE_SIZE, Writer, key_of
 from thistleline.lab.feedworld import changed, fleet, settle
 from thistleline.lease.protocol import Break, Denied, Done, Granted, Put, Take
@@ -966,7 +966,7 @@
 
 def why(key: str, value: Any, table: FeedTable | None = None) -> str:
     told = value if isinstance(value, bytes) else json.dumps(value).encode()
-    return fault(Propose("r", ((key, told),)), table or FeedTable())
+    return find_faults(Propose("r", ((key, told),)), table or FeedTable())
 
 
 @pytest.mark.parametrize(
@@ -1033,7 +1033,7 @@
         ("tenant/y", None),
         ("nowhere/z", b"{}"),
     )
-    told = fault(Propose("r", items, (("tenant/x", 3),)), FeedTable())
+    told = find_faults(Propose("r", items, (("tenant/x", 3),)), FeedTable())
     for part in (
         "share: ",
         "allowance_per_s: ",
@@ -1045,25 +1045,27 @@
         assert part in told
     assert "'tenant/x' has version 0, 3 was expected" in told
     many = tuple((f"other/{'x' * 190}{place}", b"{}") for place in range(100))
-    assert len(fault(Propose("r", many), FeedTable())) < 5000
+    assert len(find_faults(Propose("r", many), FeedTable())) < 5000
 
 
 def test_the_bounds_of_a_change() -> None:
     good = b'{"share":0.1}'
-    assert "1 to 1000 are allowed" in fault(Propose("r", ()), FeedTable())
+    assert "1 to 1000 are allowed" in find_faults(Propose("r", ()), FeedTable())
     assert (
-        fault(Propose("r", tuple((f"tenant/{one}", good) for one in range(CHANGE_ITEMS_LIMIT))), FeedTable())
+        find_faults(
+            Propose("r", tuple((f"tenant/{one}", good) for one in range(CHANGE_ITEMS_LIMIT))), FeedTable()
+        )
         == ""
     )
-    assert fault(
+    assert find_faults(
         Propose("r", tuple((f"tenant/{one}", good) for one in range(CHANGE_ITEMS_LIMIT + 1))), FeedTable()
     )
     large = tuple((f"common/{one}", b'{"a":"%s"}' % (b"x" * 4000)) for one in range(7))
-    assert f"{CHANGE_SIZE_LIMIT} at most" in fault(Propose("r", large), FeedTable())
+    assert f"{CHANGE_SIZE_LIMIT} at most" in find_faults(Propose("r", large), FeedTable())
     for request in ("", "x" * 65, "a\nb"):
-        assert "a request is named" in fault(Propose(request, (("tenant/x", good),)), FeedTable())
+        assert "a request is named" in find_faults(Propose(request, (("tenant/x", good),)), FeedTable())
     versions = tuple((f"tenant/{one}", 0) for one in range(CHANGE_ITEMS_LIMIT + 1))
-    assert "expected versions" in fault(Propose("r", (("tenant/x", good),), versions), FeedTable())
+    assert "expected versions" in find_faults(Propose("r", (("tenant/x", good),), versions), FeedTable())
 
 
 def test_a_table_that_is_full_takes_no_new_entry_but_other_values(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -1072,14 +1074,14 @@
     assert "more than 2 entries" in why("tenant/c", {"share": 0}, table)
     assert why("tenant/a", {"share": 0}, table) == ""
     swap = Propose("r", (("tenant/c", b'{"share":0}'), ("tenant/a", None)))
-    assert fault(swap, table) == ""
+    assert find_faults(swap, table) == ""
 
 
 @settings(derandomize=True, database=None)
 @given(st.text(max_size=300), st.binary(max_size=100), st.text(max_size=80))
 def test_no_strangers_bytes_end_the_check(key: str, value: bytes, request: str) -> None:
     for one in (key, f"route/{key}", f"common/{key}"):
-        assert isinstance(fault(Propose(request, ((one, value),), ((one, 1),)), FeedTable()), str)
+        assert isinstance(find_faults(Propose(request, ((one, value),), ((one, 1),)), FeedTable()), str)
 
 
 # ---- on disk
--- a/thistleline/config_feed/writer.py
+++ b/thistleline/config_feed/writer.py
@@ -33,7 +33,7 @@
 )
 from thistleline.config_feed.messages import Change, Group, Propose, ProposeResult, decode_group, encode
 from thistleline.config_feed.table import REQUEST_PREFIX, FeedTable
-from thistleline.config_feed.validation import fault
+from thistleline.config_feed.validation import find_faults
 from thistleline.lease.protocol import Put
 
 LEASE = "feed"
@@ -343,7 +343,7 @@
     def _refusal(self, propose: Propose) -> str:
         if self.stopped:
             return self._behind()
-        return fault(propose, self.ahead)
+        return find_faults(propose, self.ahead)
 
     def _line_up(self, ticket: Any, propose: Propose) -> None:
         request = propose.request_id
