--- a/tests/test_feed_writer.py
+++ b/tests/test_feed_writer.py
@@ -6,7 +6,7 @@
 from itertools import pairwise
 from pathlib import Path
 from random import Random
-from typing import Any
+from typing import Any, TypeVar
 
 import anyio
 import pytest
@@ -14,9 +14,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from thistleline.config_feed import client
-from thistleline.config_feed import writer as writers
+from thistleline.config_feed import client, pending_queue, record_ring
 from thistleline.config_feed.archive import Archive
+from thistleline.config_feed.group_commit import READ_RETRY_NS
 from thistleline.config_feed.history import History
 from thistleline.config_feed.limits import (
     CHANGE_ITEMS_LIMIT,
@@ -38,10 +38,32 @@
     decode_group,
     encode,
 )
+from thistleline.config_feed.recovery import record_key
 from thistleline.config_feed.relay import Station
 from thistleline.config_feed.table import FeedTable
 from thistleline.config_feed.validation import find_faults
-from thistleline.config_feed.writer import ASK_AGAIN, CATCH_UP_SPAN, LINE_SIZE, Writer, key_of
+from thistleline.config_feed.writer import CATCH_UP_TIMEOUT_NS, PENDING_SIZE_LIMIT, FeedWriter
+from thistleline.config_feed.writer_effects import (
+    AnswerProposal,
+    FollowKeepers,
+    ReadRecord,
+    ReleaseLease,
+    WriteRecord,
+    WriterEffect,
+)
+from thistleline.config_feed.writer_events import (
+    CatchUpAdvanced,
+    KeeperDurable,
+    LeaseAcquired,
+    LeaseLost,
+    ProposalReceived,
+    RecordRead,
+    RecordWritten,
+    TimerExpired,
+    WriteDenied,
+    WriterEvent,
+    WriteUnanswered,
+)
 from thistleline.lab.feedworld import changed, fleet, settle
 from thistleline.lease.protocol import Break, Denied, Done, Granted, Put, Take
 from thistleline.lease.table import Table as Council
@@ -49,6 +71,7 @@
 from thistleline.store.disk import Disk
 
 KEEPERS = ("a", "b", "c")
+Effect = TypeVar("Effect", bound=WriterEffect)
 
 
 def share(number: int) -> bytes:
@@ -100,41 +123,41 @@
     def __init__(self, voters: Voters, id: str, table: FeedTable | None = None) -> None:
         self.voters, self.id, self.now = voters, id, 0
         self.history = History(table)
-        self.writer = Writer(id, self.history, KEEPERS, 0)
-        self.out: list[tuple[Any, ...]] = []  # get and put that the council has not seen yet
+        self.writer = FeedWriter(id, self.history, KEEPERS, 0)
+        self.out: list[ReadRecord | WriteRecord] = []  # that the council has not seen yet
         self.answers: dict[Any, ProposeResult] = {}
-        self.seen: list[tuple[Any, ...]] = []
+        self.seen: list[WriterEffect] = []
 
     @property
     def phase(self) -> str:
         return self.writer.phase
 
-    def tell(self, kind: str, *told: Any, after: int = 0) -> None:
+    def tell(self, event: WriterEvent, after: int = 0) -> None:
         self.now += after
-        for effect in self.writer.take(self.now, kind, *told):
+        for effect in self.writer.handle(self.now, event):
             self.seen.append(effect)
-            if effect[0] in ("get", "put"):
+            if isinstance(effect, ReadRecord | WriteRecord):
                 self.out.append(effect)
-            elif effect[0] == "answer":
-                assert effect[1] not in self.answers, "a proposer is answered twice"
-                self.answers[effect[1]] = effect[2]
+            elif isinstance(effect, AnswerProposal):
+                assert effect.ticket not in self.answers, "a proposer is answered twice"
+                self.answers[effect.ticket] = effect.result
 
-    def carry(self, request: tuple[Any, ...], answered: bool = True, unknown: bool = False) -> None:
+    def carry(self, request: ReadRecord | WriteRecord, answered: bool = True, unknown: bool = False) -> None:
         """One request reaches the council; its answer comes, is lost, or is known to be lost."""
-        what, slot, told = request
-        if what == "get":
-            got = self.voters.table.get(told)
+        slot = request.slot
+        if isinstance(request, ReadRecord):
+            got = self.voters.table.get(request.key)
             if answered:
-                self.tell("got", slot, got.value, got.version)
+                self.tell(RecordRead(slot, got.value, got.version))
             return
-        answer = self.voters.put(told)
+        answer = self.voters.put(request.put)
         if unknown:
-            self.tell("put_unknown", slot)
+            self.tell(WriteUnanswered(slot))
         elif answered and isinstance(answer, Done):
-            self.tell("put_done", slot, answer.number)
+            self.tell(RecordWritten(slot, answer.number))
         elif answered:
             assert isinstance(answer, Denied)
-            self.tell("put_denied", slot, answer.why)
+            self.tell(WriteDenied(slot, answer.why))
 
     def serve(self) -> "Keeper":
         while self.out:
@@ -142,15 +165,15 @@
         return self
 
     def hold(self) -> "Keeper":
-        self.tell("held", self.voters.grant(self.id))
+        self.tell(LeaseAcquired(self.voters.grant(self.id)))
         return self
 
     def propose(self, request: str, *told: Any, ticket: Any = None, **more: Any) -> None:
-        self.tell("proposed", ticket or request, wish(request, *told, **more))
+        self.tell(ProposalReceived(ticket or request, wish(request, *told, **more)))
 
     def all_durable(self) -> None:
         for id in KEEPERS:
-            self.tell("durable", id, self.history.table.sequence)
+            self.tell(KeeperDurable(id, self.history.table.sequence))
 
     def write(self, count: int, durable: bool = True) -> None:
         """So many changes, a group each."""
@@ -173,8 +196,8 @@
             else:
                 self.history.advance(delta.last, delta.items)
 
-    def kinds(self, kind: str) -> list[tuple[Any, ...]]:
-        return [effect for effect in self.seen if effect[0] == kind]
+    def kinds(self, kind: type[Effect]) -> list[Effect]:
+        return [effect for effect in self.seen if isinstance(effect, kind)]
 
 
 def states(changes: list[Change]) -> list[FeedTable]:
@@ -258,11 +281,11 @@
 
 
 def test_the_newest_requests_are_remembered_and_no_more(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(writers, "DEDUPLICATION_SLOTS", 8)
+    monkeypatch.setattr(pending_queue, "DEDUPLICATION_SLOTS", 8)
     one = leading()
     one.write(10)
     for writer in (one, leading(one.voters, "b", one.history.table)):
-        assert list(writer.writer.requests.items()) == [(f"r{number}", number) for number in range(3, 11)]
+        assert list(writer.writer.committed.items()) == [(f"r{number}", number) for number in range(3, 11)]
     assert sum(key.startswith("made/") for key, _, _ in one.history.table.entries("all")) == 8
 
 
@@ -300,10 +323,10 @@
     one = leading()
     large = tuple((f"common/{place}", b'{"text":"%s"}' % (b"x" * 4000)) for place in range(5))
     for number in range(PENDING_PROPOSALS_LIMIT):
-        one.tell("proposed", number, Propose(f"r{number}", large))
+        one.tell(ProposalReceived(number, Propose(f"r{number}", large)))
         if number in one.answers:
             break
-    assert one.writer.line_size < LINE_SIZE + CHANGE_SIZE_LIMIT
+    assert one.writer.pending.size < PENDING_SIZE_LIMIT + CHANGE_SIZE_LIMIT
     assert "bytes of changes wait already" in one.answers[number].reason
     assert number < PENDING_PROPOSALS_LIMIT // 8
 
@@ -340,7 +363,7 @@
     assert old.answers["late"].sequence == 0
     assert old.answers["waits"].sequence == 0
     assert not old.answers["waits"].unknown
-    assert any(effect[0] == "release" for effect in old.seen)
+    assert old.kinds(ReleaseLease)
     assert new.answers["n"].sequence == 4
     new.write(2)
     assert [change.sequence for change in old.voters.sequence()] == [1, 2, 3, 4, 5, 6]
@@ -351,7 +374,7 @@
     old.propose("r")
     old.carry(old.out.pop(), answered=False)
     new = leading(old.voters, "b")
-    old.tell("lost", "not heard")
+    old.tell(LeaseLost("not heard"))
     assert old.answers["r"].unknown
     new.propose("r", ticket="again")
     new.propose("s")
@@ -363,16 +386,16 @@
     one = leading()
     one.propose("r", "tenant/old")
     stale = one.out.pop()
-    empty = one.voters.table.get(key_of(0))
+    empty = one.voters.table.get(record_key(0))
     one.carry(stale, answered=False)  # written, and its answer is under way
-    one.tell("held", one.voters.grant("a"))
-    for _, slot, _ in list(one.out):  # reads that are answered by what stood there before
-        one.tell("got", slot, empty.value, empty.version)
+    one.tell(LeaseAcquired(one.voters.grant("a")))
+    for read in list(one.out):  # reads that are answered by what stood there before
+        one.tell(RecordRead(read.slot, empty.value, empty.version))
     one.out.clear()
     one.propose("s", "tenant/new")
-    assert one.out[-1][0] == "put"
-    assert one.out[-1][2].version == 0
-    one.tell("put_done", 0, 1)
+    assert isinstance(one.out[-1], WriteRecord)
+    assert one.out[-1].put.version == 0
+    one.tell(RecordWritten(0, 1))
     assert "s" not in one.answers
     one.serve()
     assert one.answers["s"].sequence == 0
@@ -389,7 +412,7 @@
     one.propose("r")
     one.carry(one.out.pop(), answered=False, unknown=told)
     if not told:
-        one.tell("elapsed", after=6 * SECOND)
+        one.tell(TimerExpired(), after=6 * SECOND)
     assert one.phase == "settling"
     one.serve()
     assert one.answers["r"] == ProposeResult("r", 1)
@@ -402,7 +425,7 @@
     one = leading()
     one.propose("r")
     lost = one.out.pop()
-    one.tell("put_unknown", 0)
+    one.tell(WriteUnanswered(0))
     one.carry(one.out.pop())  # the read: nothing there
     again = one.out.pop()
     assert again == lost
@@ -421,39 +444,39 @@
         if one.out:
             request = one.out.pop()
             tries += 1
-            if request[0] == "put":
-                one.tell("put_unknown", request[1])
+            if isinstance(request, WriteRecord):
+                one.tell(WriteUnanswered(request.slot))
             else:
                 one.carry(request)
         else:
-            one.tell("elapsed", after=SECOND // 20)
+            one.tell(TimerExpired(), after=SECOND // 20)
     assert tries < 60
     while not one.answers:
         one.serve()
-        one.tell("elapsed", after=SECOND // 20)
+        one.tell(TimerExpired(), after=SECOND // 20)
     assert one.answers["r"].sequence == 1
 
 
 def test_a_record_written_by_a_newer_epoch_ends_this_one() -> None:
     old = leading()
     old.propose("r")
-    old.tell("put_unknown", 0)
+    old.tell(WriteUnanswered(0))
     new = leading(old.voters, "b")
     new.propose("n")
     new.serve()
-    old.out = [one for one in old.out if one[0] == "get"]
+    old.out = [one for one in old.out if isinstance(one, ReadRecord)]
     old.serve()
     assert old.phase == "standby"
     assert old.answers["r"].unknown
     assert old.history.table.sequence == 0
-    assert "written by another" in old.kinds("release")[0][1]
+    assert "written by another" in old.kinds(ReleaseLease)[0].reason
 
 
 def test_a_council_that_is_full_ends_the_hold_and_the_answer_is_unknown() -> None:
     one = leading()
     one.propose("r")
     one.out.clear()
-    one.tell("put_denied", 0, "the records are too large together")
+    one.tell(WriteDenied(0, "the records are too large together"))
     one.serve()
     assert one.answers["r"].unknown
     assert "too large together" in one.answers["r"].reason
@@ -468,7 +491,7 @@
     one.write(5)
     for order in ([*range(RING_SLOTS)], [*reversed(range(RING_SLOTS))], [3, 0, 15, 1, *range(4, 15), 2]):
         two = Keeper(one.voters, "b").hold()
-        two.out.sort(key=lambda request: order.index(request[1]))
+        two.out.sort(key=lambda request: order.index(request.slot))
         two.serve()
         assert two.phase == "writing"
         assert two.history.table == one.history.table
@@ -479,8 +502,8 @@
     del one.out[3:]
     one.serve()
     assert one.phase == "reading"
-    assert one.writer.due() == ASK_AGAIN
-    one.tell("elapsed", after=ASK_AGAIN)
+    assert one.writer.next_deadline() == READ_RETRY_NS
+    one.tell(TimerExpired(), after=READ_RETRY_NS)
     assert len(one.out) == RING_SLOTS - 3
     assert one.serve().phase == "writing"
 
@@ -493,17 +516,17 @@
     two = Keeper(one.voters, "b", behind).hold()
     two.serve()
     assert two.phase == "catching_up"
-    assert len(two.kinds("follow")) == 1
+    assert len(two.kinds(FollowKeepers)) == 1
     two.propose("r")
     assert "catching up" in two.answers["r"].reason
     third = Keeper(one.voters, "c", behind)
     third.history.reset(states(one.voters.sequence())[10])
     two.follow(third)  # nearer, but not there
-    two.tell("caught_up")
+    two.tell(CatchUpAdvanced())
     assert two.phase == "catching_up"
     assert two.history.table.sequence == 10
     two.follow(one)
-    two.tell("caught_up")
+    two.tell(CatchUpAdvanced())
     assert two.phase == "writing"
     assert two.history.table == one.history.table
     two.all_durable()
@@ -516,21 +539,21 @@
     one.write(20)
     two = Keeper(one.voters, "b").hold()
     two.serve()
-    two.tell("elapsed", after=CATCH_UP_SPAN - 1)
+    two.tell(TimerExpired(), after=CATCH_UP_TIMEOUT_NS - 1)
     two.history.reset(states(one.voters.sequence())[2])
-    two.tell("caught_up")  # nearer: it has its span anew
-    two.tell("elapsed", after=CATCH_UP_SPAN - 1)
+    two.tell(CatchUpAdvanced())  # nearer: it has its span anew
+    two.tell(TimerExpired(), after=CATCH_UP_TIMEOUT_NS - 1)
     assert two.phase == "catching_up"
-    two.tell("elapsed", after=1)
+    two.tell(TimerExpired(), after=1)
     assert two.phase == "standby"
-    assert "no other keeper" in two.kinds("release")[0][1]
+    assert "no other keeper" in two.kinds(ReleaseLease)[0].reason
 
 
 def spoiled(voters: Voters, slot: int, spoil: Callable[[Group], Any]) -> None:
     records = voters.table.state.records
-    value, version = records[key_of(slot)]
+    value, version = records[record_key(slot)]
     told = spoil(decode_group(value))
-    records[key_of(slot)] = (told if isinstance(told, bytes) else encode(told), version)
+    records[record_key(slot)] = (told if isinstance(told, bytes) else encode(told), version)
 
 
 SPOILED: dict[str, tuple[Callable[[Group], Any], str]] = {
@@ -574,7 +597,7 @@
     two = leading(one.voters, "b")
     assert two.phase == "standby"
     assert two.history.table.sequence == 0
-    assert why in two.kinds("release")[0][1]
+    assert why in two.kinds(ReleaseLease)[0].reason
     two.propose("r")
     two.serve()
     assert two.answers["r"].sequence == 0
@@ -583,10 +606,10 @@
 def test_a_missing_record_in_the_middle_is_a_gap() -> None:
     one = leading()
     one.write(4)
-    del one.voters.table.state.records[key_of(1)]
+    del one.voters.table.state.records[record_key(1)]
     two = leading(one.voters, "b")
     assert two.phase == "standby"
-    assert "does not follow" in two.kinds("release")[0][1]
+    assert "does not follow" in two.kinds(ReleaseLease)[0].reason
 
 
 def test_a_table_that_is_not_what_the_groups_were_written_on_does_not_lead() -> None:
@@ -599,27 +622,27 @@
     same_number = FeedTable().update(4, [("tenant/x", b"{}", 4)])
     three = leading(one.voters, "c", same_number)
     assert three.phase == "standby"
-    assert "not the one" in three.kinds("release")[0][1]
+    assert "not the one" in three.kinds(ReleaseLease)[0].reason
     newer = FeedTable().update(9, [("tenant/x", b"{}", 9)])
     four = leading(one.voters, "b", newer)
     assert four.phase == "standby"
-    assert "records end at 4" in four.kinds("release")[0][1]
+    assert "records end at 4" in four.kinds(ReleaseLease)[0].reason
 
 
 def test_a_lease_lost_while_reading_or_catching_up_ends_that() -> None:
     one = leading()
     one.write(20)
     two = Keeper(one.voters, "b").hold()
-    two.tell("lost", "not heard")
+    two.tell(LeaseLost("not heard"))
     two.serve()
     assert two.phase == "standby"
     two.hold().serve()
     assert two.phase == "catching_up"
-    two.tell("lost", "not heard")
+    two.tell(LeaseLost("not heard"))
     two.follow(one)
-    two.tell("caught_up")
+    two.tell(CatchUpAdvanced())
     assert two.phase == "standby"
-    assert two.writer.due() > 1 << 60
+    assert two.writer.next_deadline() > 1 << 60
 
 
 # ---- the ring
@@ -630,14 +653,14 @@
     one.write(RING_SLOTS, durable=False)
     one.propose("r", "tenant/r")
     assert one.out == []
-    one.tell("durable", "a", RING_SLOTS)
+    one.tell(KeeperDurable("a", RING_SLOTS))
     assert one.out == []  # one of three
-    one.tell("durable", "stranger", RING_SLOTS)
+    one.tell(KeeperDurable("stranger", RING_SLOTS))
     assert one.out == []
-    one.tell("durable", "b", 0)
+    one.tell(KeeperDurable("b", 0))
     assert one.out == []
-    one.tell("durable", "b", 1)  # has what stands in the oldest slot
-    assert [request[0] for request in one.out] == ["put"]
+    one.tell(KeeperDurable("b", 1))  # has what stands in the oldest slot
+    assert [type(request) for request in one.out] == [WriteRecord]
     one.serve()
     assert one.answers["r"].sequence == RING_SLOTS + 1
     one.propose("s", "tenant/s")
@@ -647,31 +670,31 @@
 def test_with_too_few_keepers_changes_are_refused_and_go_on_by_themselves_later() -> None:
     one = leading()
     one.write(RING_SLOTS, durable=False)
-    one.tell("durable", "a", RING_SLOTS)
+    one.tell(KeeperDurable("a", RING_SLOTS))
     one.propose("r", "tenant/r")
-    one.tell("elapsed", after=STALL_TIMEOUT_NS - 1)
+    one.tell(TimerExpired(), after=STALL_TIMEOUT_NS - 1)
     assert "r" not in one.answers  # keepers may just be slow
-    one.tell("elapsed", after=1)
+    one.tell(TimerExpired(), after=1)
     assert "change 1 is on the disks of 1 of 3 keepers" in one.answers["r"].reason
     one.propose("s")
     assert "1 of 3 keepers" in one.answers["s"].reason
     one.propose("r7", ticket="known")
     assert one.answers["known"].sequence == 7
-    assert one.writer.facts()["stopped"] == 1
-    assert one.writer.due() > 1 << 60
-    one.tell("durable", "c", RING_SLOTS)
+    assert one.writer.counters()["stopped"] == 1
+    assert one.writer.next_deadline() > 1 << 60
+    one.tell(KeeperDurable("c", RING_SLOTS))
     one.propose("t")
     one.serve()
     assert one.answers["t"].sequence == RING_SLOTS + 1
-    assert one.writer.facts()["stopped"] == 0
+    assert one.writer.counters()["stopped"] == 0
 
 
 def test_a_keeper_that_lost_its_disk_counts_no_more() -> None:
     one = leading()
     one.write(RING_SLOTS, durable=False)
-    one.tell("durable", "a", RING_SLOTS)
-    one.tell("durable", "b", RING_SLOTS)
-    one.tell("durable", "b", 0)  # it is back, with nothing
+    one.tell(KeeperDurable("a", RING_SLOTS))
+    one.tell(KeeperDurable("b", RING_SLOTS))
+    one.tell(KeeperDurable("b", 0))  # it is back, with nothing
     one.propose("r")
     assert one.out == []
 
@@ -684,7 +707,7 @@
     def away(name: str) -> bool:
         return name == "k2"
 
-    monkeypatch.setattr(writers, "RING_SLOTS", 2)
+    monkeypatch.setattr(record_ring, "RING_SLOTS", 2)
     world = changed(fleet(relays=0, instances=0), 3, away)
     world.move("k1")
     world.lose("k0")
@@ -700,7 +723,7 @@
 def test_a_keeper_that_lost_its_disk_counts_no_more_also_where_it_finds_no_place() -> None:
     one = Station("a", 0, FeedTable(), ("b", "c"), 0, lambda span: 0, KEEPERS, bound=0)
     assert one.writer is not None
-    one.take(0, "writer", "durable", "b", 5)
+    one.handle_writer(0, KeeperDurable("b", 5))
     for peer in range(8):  # places that are for keepers alone
         one.take(0, "down", "joined", peer)
     effects = one.take(0, "down", "joined", 8)
@@ -730,7 +753,7 @@
     one.hold().serve()
     one.propose("r")
     assert one.out == []
-    one.tell("durable", "c", RING_SLOTS)
+    one.tell(KeeperDurable("c", RING_SLOTS))
     one.serve()
     assert one.answers["r"].sequence == RING_SLOTS + 1
 
@@ -747,7 +770,7 @@
         self.voters = Voters()
         self.keepers = {id: Keeper(self.voters, id) for id in KEEPERS}
         self.disks = dict.fromkeys(KEEPERS, FeedTable())
-        self.late: list[tuple[Keeper, tuple[Any, ...]]] = []
+        self.late: list[tuple[Keeper, ReadRecord | WriteRecord]] = []
         self.made: dict[str, int] = {}
         self.requests = 0
         self.lost_disk, self.lost_at = "", 0
@@ -763,7 +786,7 @@
     def hear_of_the_loss(self, who: str) -> None:
         one = self.keepers[who]
         if one.writer.epoch != self.voters.epoch:
-            one.tell("lost", "not heard")
+            one.tell(LeaseLost("not heard"))
 
     @rule(who=who, key=st.integers(0, 3), old=st.booleans(), expected=st.none() | st.integers(0, 3))
     def propose(self, who: str, key: int, old: bool, expected: int | None) -> None:
@@ -794,10 +817,12 @@
             if how == "late":
                 self.late.append((one, request))
             elif how == "lost":
-                if request[0] == "put":
-                    one.tell("put_unknown", request[1])
+                if isinstance(request, WriteRecord):
+                    one.tell(WriteUnanswered(request.slot))
             else:
-                one.carry(request, answered=False, unknown=how == "unknown" and request[0] == "put")
+                one.carry(
+                    request, answered=False, unknown=how == "unknown" and isinstance(request, WriteRecord)
+                )
             return
 
     @precondition(lambda self: self.late)
@@ -808,21 +833,21 @@
 
     @rule(who=who, after=st.sampled_from([SECOND // 10, SECOND, 6 * SECOND]))
     def elapse(self, who: str, after: int) -> None:
-        self.keepers[who].tell("elapsed", after=after)
+        self.keepers[who].tell(TimerExpired(), after=after)
 
     @rule(who=who, above=who)
     def follow(self, who: str, above: str) -> None:
         one = self.keepers[who]
         if one.phase in ("standby", "catching_up"):
             one.follow(self.keepers[above])
-            one.tell("caught_up")
+            one.tell(CatchUpAdvanced())
 
     @rule(who=who)
     def persist(self, who: str) -> None:
         one = self.keepers[who]
         self.disks[who] = one.history.table
         for other in self.keepers.values():
-            other.tell("durable", who, one.history.table.sequence)
+            other.tell(KeeperDurable(who, one.history.table.sequence))
         if who == self.lost_disk and self.disks[who].sequence >= self.lost_at:
             self.lost_disk = ""
 
@@ -868,7 +893,7 @@
         if how == "after":
             one.carry(put)
         elif how == "unknown":
-            one.tell("put_unknown", put[1])
+            one.tell(WriteUnanswered(put.slot))
         one.serve()
 
     def _lead(self, who: str) -> Keeper:
@@ -899,7 +924,7 @@
         self.late += [(self.keepers[who], request) for request in self.keepers[who].out]
         self.keepers[who] = Keeper(self.voters, who, self.disks[who])
         self.keepers[who].now = now
-        self.keepers[who].tell("durable", who, self.disks[who].sequence)
+        self.keepers[who].tell(KeeperDurable(who, self.disks[who].sequence))
 
     def _look(self, one: Keeper) -> None:
         for (request, *_), told in ((t, told) for t, told in one.answers.items() if isinstance(t, tuple)):
@@ -920,7 +945,7 @@
             for request, told in one.answers.items():
                 if told.sequence and isinstance(request, str):
                     assert self.made.setdefault(request, told.sequence) == told.sequence
-            if one.phase == "writing" and not one.writer.out and one.writer.epoch == self.voters.epoch:
+            if one.phase == "writing" and not one.writer.in_flight and one.writer.epoch == self.voters.epoch:
                 assert table.sequence == len(changes), "a writer that does not know what was made"
         for request, number in self.made.items():
             assert changes[number - 1].request_id == request
@@ -929,7 +954,7 @@
         """All is well again: any keeper can lead, with all that was ever told."""
         for who in KEEPERS:
             one = self._lead(who)
-            assert one.phase == "writing", one.kinds("release")
+            assert one.phase == "writing", one.kinds(ReleaseLease)
             self.what_was_told_stands()
             one.all_durable()
             one.write(1)
@@ -946,14 +971,14 @@
     one = leading()
     one.write(2)
     one.propose("r")
-    before = one.writer.frozen()
+    before = one.writer.state_key()
     hash(before)
     copied = one.writer.copy()
-    assert copied.frozen() == before
-    copied.take(one.now, "put_done", 2, 1)
-    copied.take(one.now, "proposed", "t", wish("s"))
+    assert copied.state_key() == before
+    copied.handle(one.now, RecordWritten(2, 1))
+    copied.handle(one.now, ProposalReceived("t", wish("s")))
     assert copied.history.table.sequence == 3
-    assert one.writer.frozen() == before
+    assert one.writer.state_key() == before
     assert one.history.table.sequence == 2
     one.serve()
     assert one.answers["r"].sequence == 3
--- /dev/null
+++ b/thistleline/config_feed/group_commit.py
@@ -0,0 +1,195 @@
+"""Group commit: one group at a time is written to the next record of the ring. No I/O, no clock.
+
+The write is conditional on the record's version and on the epoch of the lease. Where its outcome is unknown
+the record is read, which settles it: either the group is there, or the write may be sent again, or another
+writer was faster.
+"""
+
+from __future__ import annotations
+
+from copy import copy
+from dataclasses import dataclass, replace
+from typing import Any
+
+from thistleline.config_feed.limits import MS, SECOND
+from thistleline.config_feed.messages import Group, encode
+from thistleline.config_feed.pending_queue import PendingChange
+from thistleline.config_feed.record_ring import RecordRing
+from thistleline.config_feed.recovery import LEASE_NAME
+from thistleline.config_feed.writer_effects import ReadRecord, WriteRecord
+from thistleline.config_feed.writer_events import (
+    RecordRead,
+    RecordWritten,
+    TimerExpired,
+    WriteDenied,
+    WriteUnanswered,
+)
+from thistleline.lease.protocol import Put
+
+READ_RETRY_NS = SECOND  # after which a read without an answer is repeated
+WRITE_TIMEOUT_NS = 5 * SECOND  # after which a write without an answer is settled by reading
+WRITE_RETRY_DELAY_NS = 100 * MS  # before a repeated write without an answer is settled
+NEVER = 1 << 62  # ns
+
+CommitEvent = RecordWritten | WriteDenied | WriteUnanswered | RecordRead | TimerExpired
+
+
+@dataclass(frozen=True, slots=True)
+class GroupCommitted:
+    """The group is in its record: its changes are in force, and cannot be lost."""
+
+    changes: tuple[PendingChange, ...]
+
+
+@dataclass(frozen=True, slots=True)
+class CommitFailed:
+    """The group can't be committed by this writer."""
+
+    reason: str
+
+
+CommitEffect = ReadRecord | WriteRecord | GroupCommitted | CommitFailed
+
+
+@dataclass(slots=True)
+class InFlightGroup:
+    """The group whose write has no known outcome yet."""
+
+    changes: tuple[PendingChange, ...]
+    put: Put
+    attempts: int = 0
+    denial: str = ""  # why the consensus cluster denied the newest attempt
+
+
+class GroupCommit:
+    """The state machine of the group that is in flight.
+
+    Attributes:
+        in_flight: The group that is being committed.
+        is_settling: Whether its record is read to learn the outcome of the write.
+    """
+
+    __slots__ = ("_deadline", "_ring", "in_flight", "is_settling")
+
+    def __init__(self, ring: RecordRing) -> None:
+        """Begin without a group; `ring` is shared with the writer."""
+        self._ring = ring
+        self.in_flight: InFlightGroup | None = None
+        self.is_settling = False
+        self._deadline = NEVER
+
+    def copy(self, ring: RecordRing) -> GroupCommit:
+        """Return an independent copy, on this copy of the ring."""
+        copied = copy(self)
+        copied._ring = ring
+        copied.in_flight = replace(self.in_flight) if self.in_flight is not None else None
+        return copied
+
+    def state_key(self) -> tuple[Any, ...]:
+        """Return everything that behaviour can depend on, hashable."""
+        flight = self.in_flight
+        if flight is None:
+            return (self._deadline,)
+        changes = tuple(pending.change for pending in flight.changes)
+        return (self._deadline, self.is_settling, changes, flight.put, flight.attempts, flight.denial)
+
+    def next_deadline(self) -> int:
+        """Return when `TimerExpired` is to be passed in, in ns."""
+        return self._deadline
+
+    def begin(
+        self, now: int, epoch: int, changes: tuple[PendingChange, ...], digest_before: bytes
+    ) -> list[CommitEffect]:
+        """Write these changes as the next group; none may be in flight.
+
+        Args:
+            now: Time in ns.
+            epoch: Fencing epoch of the writer's lease.
+            changes: One at least; they follow the newest state.
+            digest_before: Digest of that state.
+        """
+        group = Group(
+            epoch,
+            tuple(pending.change for pending in changes),
+            digest_before,
+            changes[-1].table.digest("all"),
+        )
+        put = Put(self._ring.key, encode(group), self._ring.version, LEASE_NAME, epoch)
+        flight = self.in_flight = InFlightGroup(changes, put)
+        return self._send(now, flight)
+
+    def abort(self) -> tuple[PendingChange, ...]:
+        """Give up the group in flight, whose outcome stays unknown, and return its changes."""
+        flight = self.in_flight
+        self._reset()
+        if flight is None:
+            return ()
+        self._ring.abandon(flight.put.version)
+        return flight.changes
+
+    def handle(self, now: int, event: CommitEvent) -> list[CommitEffect]:
+        """Take in one event at the time `now` (ns) and return what has to be done."""
+        flight = self.in_flight
+        if flight is None:
+            return []
+        match event:
+            case RecordWritten(slot, version) if slot == self._ring.slot:
+                return self._on_written(now, flight, version)
+            case RecordRead(slot, value, version) if slot == self._ring.slot and self.is_settling:
+                return self._on_read(now, flight, value, version)
+            case WriteDenied(slot, reason) if slot == self._ring.slot:
+                flight.denial = reason
+                return self._settle(now)
+            case WriteUnanswered(slot) if slot == self._ring.slot and not self.is_settling:
+                return self._on_unanswered(now, flight)
+            case TimerExpired() if now >= self._deadline:
+                return self._settle(now)
+        return []
+
+    def _on_written(self, now: int, flight: InFlightGroup, version: int) -> list[CommitEffect]:
+        if version != flight.put.version + 1:
+            return []
+        if self._ring.was_abandoned(flight.put.version):
+            return self._settle(now)  # it may be the answer to a write under an earlier lease
+        return self._commit(flight)
+
+    def _on_read(self, now: int, flight: InFlightGroup, value: bytes, version: int) -> list[CommitEffect]:
+        if version < flight.put.version:
+            return []  # read before the version on which the write goes; the read is repeated
+        if version > flight.put.version:
+            if value == flight.put.value:
+                return self._commit(flight)
+            return [CommitFailed(f"the record {self._ring.key} was written by another")]
+        if flight.denial:
+            return [CommitFailed(f"the council refuses: {flight.denial}")]
+        return self._send(now, flight)
+
+    def _on_unanswered(self, now: int, flight: InFlightGroup) -> list[CommitEffect]:
+        if flight.attempts == 1:
+            return self._settle(now)
+        self.is_settling = True
+        self._deadline = now + WRITE_RETRY_DELAY_NS
+        return []
+
+    def _send(self, now: int, flight: InFlightGroup) -> list[CommitEffect]:
+        self.is_settling = False
+        flight.denial = ""
+        flight.attempts += 1
+        self._deadline = now + WRITE_TIMEOUT_NS
+        return [WriteRecord(self._ring.slot, flight.put)]
+
+    def _settle(self, now: int) -> list[CommitEffect]:
+        """Read the record to learn the outcome of the write."""
+        self.is_settling = True
+        self._deadline = now + READ_RETRY_NS
+        return [ReadRecord(self._ring.slot, self._ring.key)]
+
+    def _commit(self, flight: InFlightGroup) -> list[CommitEffect]:
+        self._ring.advance(flight.changes[-1].change.sequence)
+        self._reset()
+        return [GroupCommitted(flight.changes)]
+
+    def _reset(self) -> None:
+        self.in_flight = None
+        self.is_settling = False
+        self._deadline = NEVER
--- /dev/null
+++ b/thistleline/config_feed/record_ring.py
@@ -0,0 +1,131 @@
+"""The ring of records in the consensus cluster that has the newest groups, as its writer knows it."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from copy import copy
+from typing import Any
+
+from thistleline.config_feed.limits import RING_SLOTS
+from thistleline.config_feed.messages import Group
+from thistleline.config_feed.recovery import (
+    RecordedGroup,
+    RecoveryError,
+    check_chain,
+    decode_record,
+    record_key,
+)
+
+
+class RecordRing:
+    """The slots of the ring: which is written next, and version and newest change of each.
+
+    Attributes:
+        slot: The slot of the next group, or of the one that is in flight.
+    """
+
+    __slots__ = ("_abandoned", "_last_sequences", "_read", "_versions", "slot")
+
+    def __init__(self) -> None:
+        """Begin with an empty ring."""
+        self.slot = 0
+        self._versions = [0] * RING_SLOTS  # of the records, 0 for one that does not exist
+        self._last_sequences = [0] * RING_SLOTS  # of the last change in each record
+        self._read: dict[int, tuple[bytes, int]] = {}  # values and versions read so far, by slot
+        # Slots and versions of writes under earlier leases whose outcome was never learned.
+        self._abandoned: dict[tuple[int, int], None] = {}
+
+    def copy(self) -> RecordRing:
+        """Return an independent copy."""
+        copied = copy(self)
+        copied._versions = list(self._versions)
+        copied._last_sequences = list(self._last_sequences)
+        copied._read = dict(self._read)
+        copied._abandoned = dict(self._abandoned)
+        return copied
+
+    def state_key(self) -> tuple[Any, ...]:
+        """Return everything that behaviour can depend on, hashable."""
+        return (
+            self.slot,
+            tuple(self._versions),
+            tuple(self._last_sequences),
+            tuple(sorted(self._read.items())),
+            tuple(self._abandoned),
+        )
+
+    @property
+    def key(self) -> str:
+        """Key of the record at `slot`."""
+        return record_key(self.slot)
+
+    @property
+    def version(self) -> int:
+        """Version of the record at `slot`."""
+        return self._versions[self.slot]
+
+    @property
+    def last_sequence(self) -> int:
+        """Sequence number of the last change in the record at `slot`, 0 if there is none."""
+        return self._last_sequences[self.slot]
+
+    def advance(self, last_sequence: int) -> None:
+        """Go on to the next slot: a group that ends with this change is committed in the current one."""
+        self._versions[self.slot] += 1
+        self._last_sequences[self.slot] = last_sequence
+        self.slot = (self.slot + 1) % RING_SLOTS
+
+    # ---- writes of earlier leases
+
+    def abandon(self, version: int) -> None:
+        """Note that a write of the record at `slot`, on top of this version, was left without an outcome."""
+        self._abandoned[self.slot, version] = None
+        while len(self._abandoned) > 4 * RING_SLOTS:
+            del self._abandoned[next(iter(self._abandoned))]
+
+    def was_abandoned(self, version: int) -> bool:
+        """Tell whether an abandoned write went on top of this version of the record at `slot`."""
+        return (self.slot, version) in self._abandoned
+
+    # ---- recovery
+
+    def begin_recovery(self) -> None:
+        """Forget what was read of the records: all are read anew."""
+        self._read.clear()
+
+    def unread_slots(self) -> Iterator[int]:
+        """Yield the slots whose records were not read yet."""
+        for slot in range(RING_SLOTS):
+            if slot not in self._read:
+                yield slot
+
+    def add_record(self, slot: int, value: bytes, version: int) -> bool:
+        """Take in a record that was read; tell whether all are there now."""
+        if not 0 <= slot < RING_SLOTS:
+            return False
+        self._read.setdefault(slot, (value, version))
+        return len(self._read) == RING_SLOTS
+
+    def recover(self) -> tuple[Group, ...]:
+        """Take over the ring as it was read and return its groups, oldest first.
+
+        Raises:
+            RecoveryError: The records are not the newest groups of one sequence.
+        """
+        recorded = sorted(self._decode_records(), key=lambda one: one.first)
+        self._read.clear()
+        check_chain(recorded, RING_SLOTS)
+        self.slot = (recorded[-1].slot + 1) % RING_SLOTS if recorded else 0
+        if self.version and len(recorded) < RING_SLOTS:
+            raise RecoveryError(f"there are records from {self.key} on, and others are missing")
+        return tuple(one.group for one in recorded)
+
+    def _decode_records(self) -> Iterator[RecordedGroup]:
+        for slot, (value, version) in sorted(self._read.items()):
+            self._versions[slot] = version
+            self._last_sequences[slot] = 0
+            if version == 0:
+                continue
+            recorded = decode_record(slot, value)
+            self._last_sequences[slot] = recorded.last
+            yield recorded
--- a/thistleline/config_feed/relay.py
+++ b/thistleline/config_feed/relay.py
@@ -1,10 +1,10 @@
 """A keeper or a relay: source, follower and writer as one reducer, as the service runs it. No I/O, no clock.
 
-Inputs:  up KIND ... (the side that follows)  down KIND ... (the side that serves)  writer KIND ...
+Inputs:  up KIND ... (the side that follows)  down KIND ... (the side that serves)
          durable number (its disk has the state so far)  elapsed
 Effects: (connect name)  (drop name why)  (up name Message)  (down peer Message)  (close peer why)
          (step FeedTable first items)  (anew FeedTable)
-         (get slot key)  (put slot Put)  (answer ticket ProposeResult)  (release why)  (log event facts)
+         and those of writer_effects.py, of which `TableAdvanced` and `FollowKeepers` are carried out here
 
 `step` and `anew` say what is to be kept on disk: the state now, and what was touched since the state `first`.
 """
@@ -16,14 +16,22 @@
 
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.history import History, Items
-from thistleline.config_feed.limits import FOLLOWERS_LIMIT
+from thistleline.config_feed.limits import FOLLOWERS_LIMIT, REQUEST_ID_LENGTH_LIMIT
 from thistleline.config_feed.messages import Follow, Propose, ProposeResult
 from thistleline.config_feed.source import Source
 from thistleline.config_feed.table import FeedTable
-from thistleline.config_feed.writer import Writer
+from thistleline.config_feed.writer import FeedWriter
+from thistleline.config_feed.writer_effects import AnswerProposal, FollowKeepers, TableAdvanced
+from thistleline.config_feed.writer_events import (
+    CatchUpAdvanced,
+    KeeperDurable,
+    ProposalReceived,
+    TimerExpired,
+    WriterEvent,
+)
 
 NEVER = 1 << 62
-Effects = list[tuple[Any, ...]]
+Effects = list[Any]
 
 
 class Station:
@@ -48,7 +56,7 @@
         self.history = History(table)
         self.source = Source(self.history, level, now, bound)
         self.follower = Follower(id, "all", table, sources, now, spread, level)
-        self.writer = Writer(id, self.history, keepers, now) if keepers else None
+        self.writer = FeedWriter(id, self.history, keepers, now) if keepers else None
         self.way = "follow"  # or "quiet", or "any" while it catches up to write
         self.told = (0, False, "")  # the epoch of who writes, whether it is this one, and else who
         self.peers: dict[str, int] = {}  # by which connection a keeper came last
@@ -66,7 +74,7 @@
         return made
 
     def frozen(self) -> tuple[Any, ...]:
-        writer = self.writer.frozen() if self.writer is not None else None
+        writer = self.writer.state_key() if self.writer is not None else None
         return (
             *(self.source.frozen(), self.follower.frozen(), writer, self.way, self.told),
             tuple(sorted(self.peers.items())),
@@ -94,7 +102,7 @@
         return self.follower.phase
 
     def due(self) -> int:
-        writer = self.writer.due() if self.writer is not None else NEVER
+        writer = self.writer.next_deadline() if self.writer is not None else NEVER
         return min(self.source.due(), self.follower.due(), writer)
 
     def take(self, now: int, part: str, *told: Any) -> Effects:
@@ -102,17 +110,23 @@
             self._up(now, *told)
         elif part == "down":
             self._heard(now, *told)
-        elif part == "writer":
-            self._write(now, *told)
         elif part == "durable":
             self._up(now, "durable", *told)
             if self.writer is not None:
-                self._write(now, "durable", self.id, *told)
+                self._write(now, KeeperDurable(self.id, *told))
         else:
             self._up(now, "elapsed")
             self._down(now, "elapsed")
             if self.writer is not None:
-                self._write(now, "elapsed")
+                self._write(now, TimerExpired())
+        return self._told_all(now)
+
+    def handle_writer(self, now: int, event: WriterEvent) -> Effects:
+        """Takes in an event for the writer."""
+        self._write(now, event)
+        return self._told_all(now)
+
+    def _told_all(self, now: int) -> Effects:
         self._tell(now)
         out, self.out = self.out, []
         return out
@@ -139,7 +153,7 @@
             # Guards against a keeper that lost its disk and is counted for what it had; here, as one that the
             # source refuses says so too.
             self.peers[message.id] = peer
-            self._write(now, "durable", message.id, 0)
+            self._write(now, KeeperDurable(message.id, 0))
         self.hearing = peer
         self._down(now, kind, peer, *told)
 
@@ -155,20 +169,22 @@
             elif kind == "durable":
                 # Only by its last connection: on one before there may still be word of a disk that is lost.
                 if self.writer is not None and self.peers.get(effect[1]) == self.hearing:
-                    self._write(now, *effect)
+                    self._write(now, KeeperDurable(*effect[1:]))
             else:
                 self.out.append(effect)
 
-    def _write(self, now: int, *told: Any) -> None:
+    def _write(self, now: int, event: WriterEvent) -> None:
         assert self.writer is not None
-        for effect in self.writer.take(now, *told):
-            kind = effect[0]
-            if kind == "moved":
-                self._moved(now, "moved")
-            elif kind == "answer":
-                self.out.append(("answer", effect[1], self._answer(effect[2])))
-            elif kind != "follow":  # what it is told by `_tell`
-                self.out.append(effect)
+        for effect in self.writer.handle(now, event):
+            match effect:
+                case TableAdvanced():
+                    self._moved(now, "moved")
+                case AnswerProposal(ticket, result):
+                    self.out.append(AnswerProposal(ticket, self._answer(result)))
+                case FollowKeepers():
+                    pass  # `_tell` sees to it
+                case _:
+                    self.out.append(effect)
 
     def _answer(self, told: ProposeResult) -> ProposeResult:
         """Who does not write can't say whether a request was made before: it says who may."""
@@ -184,7 +200,7 @@
         self.kept = self.history.table.sequence
         self._down(now, how)
         if self.writer is not None and self.writer.phase == "catching_up":
-            self._write(now, "caught_up")
+            self._write(now, CatchUpAdvanced())
 
     def _since(self, number: int) -> Items:
         newest: dict[str, tuple[bytes | None, int]] = {}
@@ -217,6 +233,7 @@
 
     def propose(self, now: int, ticket: Any, told: Propose) -> Effects:
         if self.writer is not None:
-            return self.take(now, "writer", "proposed", ticket, told)
+            return self.handle_writer(now, ProposalReceived(ticket, told))
         why = "a relay writes nothing"
-        return [("answer", ticket, ProposeResult(told.request_id[:64], reason=why, unknown=True))]
+        result = ProposeResult(told.request_id[:REQUEST_ID_LENGTH_LIMIT], reason=why, unknown=True)
+        return [AnswerProposal(ticket, result)]
--- a/thistleline/config_feed/service.py
+++ b/thistleline/config_feed/service.py
@@ -27,8 +27,26 @@
     SECOND,
 )
 from thistleline.config_feed.messages import Propose, ProposeResult, ReadRequest, ReadResult, decode_follower
-from thistleline.config_feed.relay import Station
+from thistleline.config_feed.recovery import LEASE_NAME
+from thistleline.config_feed.relay import Effects, Station
 from thistleline.config_feed.table import FeedTable
+from thistleline.config_feed.writer_effects import (
+    AnswerProposal,
+    LogEvent,
+    ReadRecord,
+    ReleaseLease,
+    WriteRecord,
+    WriterEffect,
+)
+from thistleline.config_feed.writer_events import (
+    LeaseAcquired,
+    LeaseLost,
+    RecordRead,
+    RecordWritten,
+    WriteDenied,
+    WriterEvent,
+    WriteUnanswered,
+)
 from thistleline.lease.client import Council
 from thistleline.lease.holder import Hold
 from thistleline.lease.protocol import Denied, Done, Get, Got
@@ -39,7 +57,6 @@
 from thistleline.transport.disconnects import ends
 from thistleline.transport.handshake import receive_hello
 
-LEASE = "feed"
 HELLO_SPAN = 2.0  # s
 GUESTS_BOUND = 64  # connections beside the followers
 SPARE_FILES = 64  # descriptors for what else there is
@@ -161,8 +178,14 @@
             self._tell_phase()
 
     def _take(self, part: str, *told: Any) -> None:
-        for effect in self.station.take(boot_now(), part, *told):
-            self._carry_out(*effect)
+        self._carry_out_all(self.station.take(boot_now(), part, *told))
+
+    def _carry_out_all(self, effects: Effects) -> None:
+        for effect in effects:
+            if isinstance(effect, tuple):
+                self._carry_out(*effect)
+            else:
+                self._carry_out_writer(effect)
 
     # ---- inputs
 
@@ -171,8 +194,7 @@
         if peer is None:
             return
         if isinstance(message, Propose):
-            for effect in self.station.propose(boot_now(), number, message):
-                self._carry_out(*effect)
+            self._carry_out_all(self.station.propose(boot_now(), number, message))
         elif isinstance(message, ReadRequest):
             self._look(peer, message)
         else:
@@ -194,14 +216,14 @@
         if self.persist is not None and line == self.persist.line:
             self._take("durable", number)
 
-    def _on_lease(self, kind: str, told: Any) -> None:
-        self.epoch = told if kind == "held" else 0
-        self._take("writer", kind, told)
+    def _on_lease(self, event: LeaseAcquired | LeaseLost) -> None:
+        self.epoch = event.epoch if isinstance(event, LeaseAcquired) else 0
+        self._carry_out_all(self.station.handle_writer(boot_now(), event))
 
-    def _on_errand(self, epoch: int, *told: Any) -> None:
+    def _on_record(self, epoch: int, event: WriterEvent) -> None:
         """What the council said; to an epoch that is over it says nothing."""
         if epoch == self.epoch:
-            self._take("writer", *told)
+            self._carry_out_all(self.station.handle_writer(boot_now(), event))
 
     # ---- effects
 
@@ -247,17 +269,20 @@
                 self.persist.anew(table)
             self._freeze(table)
             self.log("loaded", number=table.sequence, digest=table.digest("all").hex())
-        elif kind == "get":
-            self.group.start_soon(self._get, self.epoch, *told)
-        elif kind == "put":
-            self.group.start_soon(self._put, self.epoch, *told)
-        elif kind == "answer":
-            self._answer(*told)
-        elif kind == "release":
-            if self.holding is not None:
-                self.holding.take("release")
-        elif kind == "log":
-            self.log(told[0], **told[1])
+
+    def _carry_out_writer(self, effect: WriterEffect) -> None:
+        match effect:
+            case ReadRecord(slot, key):
+                self.group.start_soon(self._get, self.epoch, slot, key)
+            case WriteRecord(slot, put):
+                self.group.start_soon(self._put, self.epoch, slot, put)
+            case AnswerProposal(ticket, result):
+                self._answer(ticket, result)
+            case ReleaseLease():
+                if self.holding is not None:
+                    self.holding.take("release")
+            case LogEvent(event, fields):
+                self.log(event, **fields)
 
     def _tell_phase(self) -> None:
         """Whom it follows, or that it writes: once each time that is another."""
@@ -296,23 +321,23 @@
             "tenants": max(0, len(table.tenants) - min(table.sequence, DEDUPLICATION_SLOTS)),
             "base": station.history.base,
             "durable": self.persist.durable if self.persist is not None else 0,
-            **(station.writer.facts() if station.writer is not None and station.holds else {}),
+            **(station.writer.counters() if station.writer is not None and station.holds else {}),
         }
 
     async def _get(self, epoch: int, slot: int, key: str) -> None:
         """One question; the writer asks again where none is answered."""
         answer = await self.council.surely(Get(key), GET_SPAN)
         if isinstance(answer, Got):
-            self.rounds.put("errand", epoch, "got", slot, answer.value, answer.version)
+            self.rounds.put("record", epoch, RecordRead(slot, answer.value, answer.version))
 
     async def _put(self, epoch: int, slot: int, put: Any) -> None:
         answer = await self.council.ask(put)
         if isinstance(answer, Done):
-            self.rounds.put("errand", epoch, "put_done", slot, answer.number)
+            self.rounds.put("record", epoch, RecordWritten(slot, answer.number))
         elif isinstance(answer, Denied):
-            self.rounds.put("errand", epoch, "put_denied", slot, answer.why)
+            self.rounds.put("record", epoch, WriteDenied(slot, answer.why))
         else:
-            self.rounds.put("errand", epoch, "put_unknown", slot)
+            self.rounds.put("record", epoch, WriteUnanswered(slot))
 
     # ---- the lease
 
@@ -320,17 +345,17 @@
         """Wants the lease as long as the program runs."""
         while not self.leaving:
             asker = f"{self.name}.{os.getpid()}.{os.urandom(6).hex()}"
-            hold = Hold(LEASE, asker, self.conf.lease, True, boot_now(), self._spread)
+            hold = Hold(LEASE_NAME, asker, self.conf.lease, True, boot_now(), self._spread)
             holding = self.holding = Holding(self.council, hold)
             async with anyio.create_task_group() as group:
                 group.start_soon(holding.run, group)
                 await holding.decided.wait()
                 if hold.phase == "held":
                     self.log("holds", epoch=hold.epoch)
-                    self.rounds.put("lease", "held", hold.epoch)
+                    self.rounds.put("lease", LeaseAcquired(hold.epoch))
                     await holding.over.wait()
                     self.log("lost", epoch=hold.epoch, why=hold.why)
-                    self.rounds.put("lease", "lost", hold.why)
+                    self.rounds.put("lease", LeaseLost(hold.why))
                 group.cancel_scope.cancel()
             holding.close()
             if not self.leaving:
--- a/thistleline/config_feed/writer.py
+++ b/thistleline/config_feed/writer.py
@@ -1,503 +1,452 @@
-"""The writer's side: what may be numbered, when it counts, and how one takes over. No I/O, no clock.
+"""The writer: which changes get a sequence number, when they are committed, and how a new writer takes over.
 
-Inputs:  held epoch | lost why | got slot value version | put_done slot version | put_denied slot why |
-         put_unknown slot | durable keeper number | caught_up | proposed ticket Propose | elapsed
-Effects: (get slot key)  (put slot Put)  (answer ticket ProposeResult)  (moved)  (follow)  (release why)
-         (log event facts)
+No I/O, no clock. The keeper that holds the lease is the writer. It admits proposals (`pending_queue.py`) and
+commits them in groups: one group at a time is in flight, as a conditional write of the next record of a ring
+in the consensus cluster (`record_ring.py`). A new writer reads the ring and replays it on its own table
+(`recovery.py`), after following another keeper first where the ring does not reach back far enough.
 
-`put_done` tells the version that was written. `caught_up` says that `history` was moved by following
-another keeper; it is judged here whether that was far enough, so it may be told as often as it moves.
-`durable` counts as told last, so that a keeper which lost its disk counts for nothing until it has all again.
+The phases:
 
-An answer may come late, twice or never. What decides is the record: it is written only in the version it was
-read in, and only in the epoch of the lease, so that a late answer costs a read and nothing else. Whoever
-can't be told for certain is told `unknown`.
+    standby      the lease is not held
+    reading      the records of the ring are being read
+    catching_up  another keeper is followed up to the oldest record
+    writing      proposals are committed
+    settling     a write's outcome is unknown, and its record is read to learn it
+
+An answer may come late, twice or never. What decides is the record: it is written only on top of the version
+that was read, and only in the epoch of the lease, so that a late answer costs a read and nothing else. A
+proposal whose outcome is not certain is answered `unknown`.
 """
 
-from collections import deque
-from itertools import pairwise
-from typing import Any, Literal, NamedTuple
+from __future__ import annotations
 
-import msgspec
+from copy import copy
+from typing import Any, Literal
 
-from thistleline.config_feed.history import History, Items
+from thistleline.config_feed.group_commit import (
+    NEVER,
+    READ_RETRY_NS,
+    CommitEffect,
+    CommitFailed,
+    GroupCommit,
+    GroupCommitted,
+    InFlightGroup,
+)
+from thistleline.config_feed.history import History
 from thistleline.config_feed.limits import (
-    DEDUPLICATION_SLOTS,
-    GROUP_SIZE_LIMIT,
-    MS,
     PENDING_PROPOSALS_LIMIT,
     REQUEST_ID_LENGTH_LIMIT,
-    RING_SLOTS,
     SECOND,
     STALL_TIMEOUT_NS,
 )
-from thistleline.config_feed.messages import Change, Group, Propose, ProposeResult, decode_group, encode
-from thistleline.config_feed.table import REQUEST_PREFIX, FeedTable
+from thistleline.config_feed.messages import Group, Propose, ProposeResult
+from thistleline.config_feed.pending_queue import CommittedRequests, PendingChange, PendingQueue
+from thistleline.config_feed.record_ring import RecordRing
+from thistleline.config_feed.recovery import (
+    RecoveryError,
+    newest_items,
+    record_key,
+    replay_groups,
+)
 from thistleline.config_feed.validation import find_faults
-from thistleline.lease.protocol import Put
-
-LEASE = "feed"
-Phase = Literal["standby", "reading", "catching_up", "settling", "writing"]
-ASK_AGAIN = SECOND  # after which a read that had no answer is asked anew
-ANSWER_SPAN = 5 * SECOND  # after which a Put that had no answer is settled by reading
-PAUSE = 100 * MS  # before the next try of a Put that had none
-CATCH_UP_SPAN = 30 * SECOND  # without coming nearer; then another keeper may try
-LINE_SIZE = 8 << 20  # bytes of the changes that wait
-GROUP_COST = 128  # bytes of a group beside its changes
-FAR = 1 << 62
-
-
-def key_of(slot: int) -> str:
-    return f"{LEASE}/{slot}"
-
-
-def made_key(number: int) -> str:
-    """Where the request of that change is kept."""
-    return f"{REQUEST_PREFIX}{number % DEDUPLICATION_SLOTS}"
+from thistleline.config_feed.writer_effects import (
+    AnswerProposal,
+    FollowKeepers,
+    LogEvent,
+    ReadRecord,
+    ReleaseLease,
+    TableAdvanced,
+    WriterEffect,
+)
+from thistleline.config_feed.writer_events import (
+    CatchUpAdvanced,
+    KeeperDurable,
+    LeaseAcquired,
+    LeaseLost,
+    ProposalReceived,
+    RecordRead,
+    RecordWritten,
+    TimerExpired,
+    WriteDenied,
+    WriterEvent,
+    WriteUnanswered,
+)
 
+OwnPhase = Literal["standby", "reading", "catching_up", "writing"]
+Phase = Literal[OwnPhase, "settling"]
+CATCH_UP_TIMEOUT_NS = 30 * SECOND  # of catching up without progress, after which another keeper may try
+PENDING_SIZE_LIMIT = 8 << 20  # bytes of the changes in the queue; beyond it proposals are refused
 
-class Waiting(NamedTuple):
-    """A change in the line. `table`: the state with all up to it."""
 
-    change: Change
-    table: FeedTable
-    size: int
+class FeedWriter:
+    """The writer's state machine of one keeper.
 
+    Attributes:
+        id: Of this keeper.
+        history: The keeper's table, shared with the state machines that serve and follow.
+        keepers: Ids of all keepers.
+        epoch: Fencing epoch of the lease, of the last one while none is held.
+        durable: Sequence number that each keeper has acknowledged to be on its disk.
+        committed: Request ids that deduplicate proposals.
+        pending: The changes that wait for a group commit.
+    """
 
-class Writer:
     __slots__ = (
-        *("id", "history", "keepers", "now", "phase", "epoch", "effects", "durable", "requests", "strays"),
-        *("line", "ahead", "tickets", "asked", "out", "put", "slot", "tries", "denied"),
-        *("versions", "lasts", "read", "chain", "ask_at", "stop_at", "nearest", "groups", "refused"),
-        "line_size",
+        "_catch_up_sequence",
+        "_commit",
+        "_committed_groups",
+        "_effects",
+        "_now",
+        "_phase",
+        "_recovered",
+        "_recovery_deadline",
+        "_refused",
+        "_ring",
+        "_stall_deadline",
+        "committed",
+        "durable",
+        "epoch",
+        "history",
+        "id",
+        "keepers",
+        "pending",
     )
 
     def __init__(self, id: str, history: History, keepers: tuple[str, ...], now: int) -> None:
-        """`keepers`: ids of all of them, this one's too. `history` is shared with who serves and follows."""
-        self.id, self.history, self.keepers, self.now = id, history, keepers, now
-        self.phase: Phase = "standby"
+        """Begin in standby.
+
+        Args:
+            id: Of this keeper.
+            history: Its table, shared with the state machines that serve and follow.
+            keepers: Ids of all keepers, this one's too.
+            now: Time in ns.
+        """
+        self.id = id
+        self.history = history
+        self.keepers = keepers
         self.epoch = 0
-        self.effects: list[tuple[Any, ...]] = []
         self.durable: dict[str, int] = {}
-        self.requests: dict[str, int] = {}  # numbers of those that are made, the newest of them
-        self.strays: dict[tuple[int, int], None] = {}  # slot, version of Puts of earlier holds, never settled
-        self.line: deque[Waiting] = deque()
-        self.ahead = history.table  # with what is out and what waits
-        self.tickets: dict[str, tuple[Any, ...]] = {}  # of each request that is out or waits
-        self.asked = 0  # tickets in all
-        self.line_size = 0  # bytes of the line
-        self.out: tuple[Waiting, ...] = ()
-        self.put: Put | None = None
-        self.slot = 0  # of the next group, or of the one that is out
-        self.tries = 0
-        self.denied = ""
-        self.versions, self.lasts = [0] * RING_SLOTS, [0] * RING_SLOTS
-        self.read: dict[int, tuple[bytes, int]] = {}
-        self.chain: tuple[Group, ...] = ()
-        self.ask_at = FAR
-        self.stop_at = FAR  # when waiting for the keepers' disks turns into refusing
-        self.nearest = 0  # number reached in catching up
-        self.groups = self.refused = 0
-
-    def copy(self, history: History | None = None) -> "Writer":
-        """For exploration; `history`: the copy that it shares with others, else one of its own is made."""
-        made = Writer.__new__(Writer)
-        for name in self.__slots__:
-            setattr(made, name, getattr(self, name))
-        made.history = history or self.history.copy()
-        made.effects, made.line = [], self.line.copy()
-        made.durable, made.requests, made.strays = dict(self.durable), dict(self.requests), dict(self.strays)
-        made.tickets, made.read = dict(self.tickets), dict(self.read)
-        made.versions, made.lasts = list(self.versions), list(self.lasts)
-        return made
-
-    def frozen(self) -> tuple[Any, ...]:
+        self.committed = CommittedRequests()
+        self.pending = PendingQueue(history.table)
+        self._phase: OwnPhase = "standby"
+        self._now = now
+        self._effects: list[WriterEffect] = []
+        self._ring = RecordRing()
+        self._commit = GroupCommit(self._ring)
+        self._recovered: tuple[Group, ...] = ()  # groups of the ring, until they are replayed
+        self._recovery_deadline = NEVER  # when records, or progress in catching up, are overdue
+        self._stall_deadline = NEVER  # when waiting for the keepers' disks turns into refusing proposals
+        self._catch_up_sequence = 0  # reached in catching up
+        self._committed_groups = 0
+        self._refused = 0  # proposals
+
+    def copy(self, history: History | None = None) -> FeedWriter:
+        """Return an independent copy, for exploration.
+
+        Args:
+            history: The copy's history, which it shares with others; a copy of this one's by default.
+        """
+        copied = copy(self)
+        copied.history = history or self.history.copy()
+        copied.durable = dict(self.durable)
+        copied.committed = self.committed.copy()
+        copied.pending = self.pending.copy()
+        copied._effects = []
+        copied._ring = self._ring.copy()
+        copied._commit = self._commit.copy(copied._ring)
+        return copied
+
+    def state_key(self) -> tuple[Any, ...]:
+        """Return everything that behaviour can depend on, hashable."""
         table = self.history.table
         return (
-            *(self.id, self.phase, self.epoch, table.sequence, table.digest("all"), self.history.base),
-            *(tuple(sorted(self.durable.items())), tuple(self.requests.items()), tuple(self.strays)),
-            *(tuple(one.change for one in self.line), tuple(one.change for one in self.out)),
-            *(tuple(self.tickets.items()), self.put, self.slot, self.tries, self.denied),
-            *(tuple(self.versions), tuple(self.lasts), tuple(sorted(self.read.items())), self.chain),
-            *(self.ask_at, self.stop_at, self.nearest),
+            self.id,
+            self._phase,
+            self.epoch,
+            (table.sequence, table.digest("all"), self.history.base),
+            tuple(sorted(self.durable.items())),
+            self.committed.items(),
+            self.pending.state_key(),
+            self._commit.state_key(),
+            self._ring.state_key(),
+            self._recovered,
+            (self._recovery_deadline, self._stall_deadline, self._catch_up_sequence),
         )
 
-    def facts(self) -> dict[str, int]:
-        have = sorted((self.durable.get(one, 0) for one in self.keepers), reverse=True)
+    @property
+    def phase(self) -> Phase:
+        """What the writer is doing; see the module."""
+        return "settling" if self._commit.is_settling else self._phase
+
+    @property
+    def in_flight(self) -> InFlightGroup | None:
+        """The group that is being committed."""
+        return self._commit.in_flight
+
+    @property
+    def is_stalled(self) -> bool:
+        """Whether the keepers' disks have been too far behind for so long that proposals are refused."""
+        return self._now >= self._stall_deadline
+
+    def counters(self) -> dict[str, int]:
+        """Return figures for the status; `kept` is the sequence number that a majority has on disk."""
+        durable = sorted((self.durable.get(keeper, 0) for keeper in self.keepers), reverse=True)
+        in_flight = len(self.in_flight.changes) if self.in_flight is not None else 0
         return {
-            "waiting": len(self.line) + len(self.out),
-            "groups": self.groups,
-            "refused": self.refused,
-            "stopped": int(self.stopped),
-            "kept": have[len(self.keepers) // 2] if have else 0,  # by a majority of keepers
+            "waiting": len(self.pending) + in_flight,
+            "groups": self._committed_groups,
+            "refused": self._refused,
+            "stopped": int(self.is_stalled),
+            "kept": durable[len(self.keepers) // 2] if durable else 0,
         }
 
-    # ---- from outside
-
-    def take(self, now: int, kind: str, *told: Any) -> list[tuple[Any, ...]]:
-        self.now = max(self.now, now)
-        getattr(self, f"_{kind}")(*told)
-        effects, self.effects = self.effects, []
+    # ---- events
+
+    def handle(self, now: int, event: WriterEvent) -> list[WriterEffect]:
+        """Take in one event at the time `now` (ns) and return what has to be done."""
+        self._now = max(self._now, now)
+        match event:
+            case ProposalReceived(ticket, proposal):
+                self._on_proposal(ticket, proposal)
+            case RecordWritten() | WriteDenied() | WriteUnanswered():
+                self._carry_out(self._commit.handle(self._now, event))
+            case KeeperDurable(keeper, sequence):
+                self._on_durable(keeper, sequence)
+            case TimerExpired():
+                self._on_timer(event)
+            case RecordRead():
+                self._on_read(event)
+            case CatchUpAdvanced():
+                self._on_catch_up()
+            case LeaseAcquired(epoch):
+                self._on_lease_acquired(epoch)
+            case LeaseLost(reason):
+                self._stand_by(f"{self.id} writes no more: {reason}")
+        effects, self._effects = self._effects, []
         return effects
 
-    def due(self) -> int:
-        return min(self.ask_at, FAR if self.stopped else self.stop_at)
+    def next_deadline(self) -> int:
+        """Return when `TimerExpired` is to be passed in, in ns."""
+        stall_deadline = NEVER if self.is_stalled else self._stall_deadline
+        return min(self._recovery_deadline, self._commit.next_deadline(), stall_deadline)
 
-    @property
-    def stopped(self) -> bool:
-        """The keepers' disks are too far behind for so long that changes are refused."""
-        return self.now >= self.stop_at
-
-    def _elapsed(self) -> None:
-        if self.phase == "writing" and self.stopped and self.line:
-            self._drop_line(self._behind())
-        if self.now < self.ask_at:
+    def _on_timer(self, event: TimerExpired) -> None:
+        if self.phase == "writing" and self.is_stalled and self.pending:
+            self._refuse_pending(self._stall_reason())
+        self._carry_out(self._commit.handle(self._now, event))
+        if self._now < self._recovery_deadline:
             return
         if self.phase == "reading":
-            self._ask_slots()
+            self._read_ring()
         elif self.phase == "catching_up":
             self._give_up("no other keeper has what is missing here")
-        elif self.phase == "settling":
-            self._ask_slot()
-        else:  # a Put is out and nobody answers
-            self._settle()
+
+    def _log(self, event: str, **fields: Any) -> None:
+        self._effects.append(LogEvent(event, {"epoch": self.epoch, "slot": self._ring.slot, **fields}))
 
     # ---- the lease
 
-    def _held(self, epoch: int) -> None:
+    def _on_lease_acquired(self, epoch: int) -> None:
         self._stand_by("the lease is held anew")
-        self.phase, self.epoch = "reading", epoch
-        # Guards against what a keeper said in an earlier hold, and lost since.
+        self._phase = "reading"
+        self.epoch = epoch
+        # What other keepers acknowledged under an earlier lease may be lost since.
         self.durable = {self.id: self.durable[self.id]} if self.id in self.durable else {}
-        self.read.clear()
-        self._ask_slots()
-
-    def _lost(self, why: str) -> None:
-        self._stand_by(f"{self.id} writes no more: {why}")
-
-    def _give_up(self, why: str) -> None:
-        self._log("gives_up", why=why)
-        self._stand_by(f"{self.id} writes no more: {why}")
-        self.effects.append(("release", why))
-
-    def _stand_by(self, why: str) -> None:
-        if self.put is not None:
-            self.strays[self.slot, self.put.version] = None
-            while len(self.strays) > 4 * RING_SLOTS:
-                del self.strays[next(iter(self.strays))]
-        for one in self.out:
-            self._answer(one.change.request_id, unknown=True, why=why)
-        self.out, self.put, self.tries, self.denied = (), None, 0, ""
-        self._drop_line(why)
-        self.phase, self.chain = "standby", ()
-        self.ask_at = self.stop_at = FAR
-
-    def _log(self, event: str, **facts: Any) -> None:
-        self.effects.append(("log", event, {"epoch": self.epoch, "slot": self.slot, **facts}))
-
-    # ---- taking over
-
-    def _ask_slots(self) -> None:
-        for slot in range(RING_SLOTS):
-            if slot not in self.read:
-                self.effects.append(("get", slot, key_of(slot)))
-        self.ask_at = self.now + ASK_AGAIN
-
-    def _got(self, slot: int, value: bytes, version: int) -> None:
-        if self.phase == "reading" and 0 <= slot < RING_SLOTS:
-            self.read.setdefault(slot, (value, version))
-            if len(self.read) == RING_SLOTS:
-                self._judge()
-        elif self.phase == "settling" and slot == self.slot:
-            self._settled(value, version)
-
-    def _judge(self) -> None:
-        """All records are read."""
-        found = []
-        for slot, (value, version) in sorted(self.read.items()):
-            self.versions[slot], self.lasts[slot] = version, 0
-            if version == 0:
-                continue
-            try:
-                group = decode_group(value)
-            except msgspec.DecodeError as error:
-                self._give_up(f"the record {key_of(slot)} can't be read: {error}")
-                return
-            why = _form_fault(group)
-            if why:
-                self._give_up(f"the record {key_of(slot)} {why}")
-                return
-            self.lasts[slot] = group.changes[-1].sequence
-            found.append((group.changes[0].sequence, slot, group))
-        self.read.clear()
-        found.sort(key=lambda one: one[0])
-        for (_, slot, one), (first, then, other) in pairwise(found):
-            if (
-                first != one.changes[-1].sequence + 1
-                or then != (slot + 1) % RING_SLOTS
-                or other.digest_before != one.digest_after
-                or other.epoch < one.epoch
-            ):
-                self._give_up(f"the record {key_of(then)} does not follow {key_of(slot)}")
-                return
-        self.slot = (found[-1][1] + 1) % RING_SLOTS if found else 0
-        if self.versions[self.slot] and len(found) < RING_SLOTS:
-            self._give_up(f"there are records from {key_of(self.slot)} on, and others are missing")
+        self._ring.begin_recovery()
+        self._read_ring()
+
+    def _give_up(self, reason: str) -> None:
+        self._log("gives_up", why=reason)
+        self._stand_by(f"{self.id} writes no more: {reason}")
+        self._effects.append(ReleaseLease(reason))
+
+    def _stand_by(self, reason: str) -> None:
+        for pending in self._commit.abort():
+            self._answer(ProposeResult(pending.change.request_id, reason=reason, unknown=True))
+        self._refuse_pending(reason)
+        self._phase = "standby"
+        self._recovered = ()
+        self._recovery_deadline = NEVER
+        self._stall_deadline = NEVER
+
+    # ---- recovery
+
+    def _read_ring(self) -> None:
+        for slot in self._ring.unread_slots():
+            self._effects.append(ReadRecord(slot, record_key(slot)))
+        self._recovery_deadline = self._now + READ_RETRY_NS
+
+    def _on_read(self, event: RecordRead) -> None:
+        if self.phase != "reading":
+            self._carry_out(self._commit.handle(self._now, event))
+        elif self._ring.add_record(event.slot, event.value, event.version):
+            self._recover()
+
+    def _recover(self) -> None:
+        try:
+            self._recovered = self._ring.recover()
+        except RecoveryError as error:
+            self._give_up(str(error))
             return
-        self.chain = tuple(group for _, _, group in found)
-        self._enter()
-
-    def _enter(self) -> None:
-        """Goes on from the own table, if it reaches to what was read."""
-        table, chain = self.history.table, self.chain
-        first = chain[0].changes[0].sequence if chain else 1
-        last = chain[-1].changes[-1].sequence if chain else 0
+        self._resume()
+
+    def _resume(self) -> None:
+        """Go on from the own table if the recovered groups lead on from it, else catch up first."""
+        table = self.history.table
+        first = self._recovered[0].changes[0].sequence if self._recovered else 1
+        last = self._recovered[-1].changes[-1].sequence if self._recovered else 0
         if table.sequence > last:
             self._give_up(f"this table stands at {table.sequence}, the council's records end at {last}")
         elif table.sequence < first - 1:
-            if self.phase != "catching_up" or table.sequence != self.nearest:
-                self.ask_at = self.now + CATCH_UP_SPAN
-            if self.phase != "catching_up":
-                self.phase = "catching_up"
-                self._log("catches_up", number=table.sequence, oldest=first)
-                self.effects.append(("follow",))
-            self.nearest = table.sequence
+            self._catch_up(first)
         else:
-            self._go_on()
-
-    def _caught_up(self) -> None:
+            self._start_writing()
+
+    def _catch_up(self, oldest: int) -> None:
+        sequence = self.history.table.sequence
+        if self.phase != "catching_up" or sequence != self._catch_up_sequence:
+            self._recovery_deadline = self._now + CATCH_UP_TIMEOUT_NS
+        if self.phase != "catching_up":
+            self._phase = "catching_up"
+            self._log("catches_up", number=sequence, oldest=oldest)
+            self._effects.append(FollowKeepers())
+        self._catch_up_sequence = sequence
+
+    def _on_catch_up(self) -> None:
         if self.phase == "catching_up":
-            self._enter()
-
-    def _go_on(self) -> None:
-        table, steps = self.history.table, []
-        for group in self.chain:
-            first, last = group.changes[0].sequence, group.changes[-1].sequence
-            if last < table.sequence:
-                continue
-            if table.sequence == first - 1 and table.digest("all") != group.digest_before:
-                self._give_up(
-                    f"this table at {table.sequence} is not the one that group {first} was written on"
-                )
-                return
-            changes = [change for change in group.changes if change.sequence > table.sequence]
-            for change in changes:
-                table = table.apply(change)
-            if table.digest("all") != group.digest_after:
-                self._give_up(f"with group {first} this table at {last} is not the one it was written for")
-                return
-            if changes:
-                steps.append((table, _touched(changes)))
-        for table, items in steps:
+            self._resume()
+
+    def _start_writing(self) -> None:
+        try:
+            replayed = replay_groups(self.history.table, self._recovered)
+        except RecoveryError as error:
+            self._give_up(str(error))
+            return
+        for table, items in replayed:
             self.history.append(table, items)
-        self._recall()
-        self.chain, self.ahead = (), self.history.table
-        self.phase, self.ask_at = "writing", FAR
-        self._log("writes", number=table.sequence, steps=len(steps))
-        if steps:
-            self.effects.append(("moved",))
-        self._look_at_ring()
-
-    def _recall(self) -> None:
-        """The requests that are made, as the table has them. Guards against one that is asked again past a
-        change of writer, however many groups ago it was made, being made a second time."""
-        found = (self.history.table.get(made_key(slot)) for slot in range(DEDUPLICATION_SLOTS))
-        known = sorted((version, value.decode()) for value, version in filter(None, found))
-        self.requests = {request: number for number, request in known}
-
-    def _remember(self, change: Change) -> None:
-        self.requests.pop(change.request_id, None)
-        self.requests[change.request_id] = change.sequence
-        while len(self.requests) > DEDUPLICATION_SLOTS:
-            del self.requests[next(iter(self.requests))]
+        newest = self.history.table
+        self.committed.load(newest)
+        self.pending.clear(newest)
+        self._recovered = ()
+        self._phase = "writing"
+        self._recovery_deadline = NEVER
+        self._log("writes", number=newest.sequence, steps=len(replayed))
+        if replayed:
+            self._effects.append(TableAdvanced())
+        self._check_slot()
 
     # ---- proposals
 
-    def _proposed(self, ticket: Any, propose: Propose) -> None:
-        request = propose.request_id
-        why = self._why_not(propose)
-        if not why and (self.phase in ("settling", "writing")):
-            if request in self.requests:
-                self.effects.append(("answer", ticket, ProposeResult(request, self.requests[request])))
-                return
-            if request not in self.tickets:
-                why = self._refusal(propose)
-            if not why:
-                self._line_up(ticket, propose)
-                return
-        self.refused += 1
-        self.effects.append(("answer", ticket, ProposeResult(request[:REQUEST_ID_LENGTH_LIMIT], reason=why)))
-
-    def _why_not(self, propose: Propose) -> str:
-        """What stands in the way of any proposal."""
+    def _on_proposal(self, ticket: Any, proposal: Propose) -> None:
+        request_id = proposal.request_id
+        reason = self._unavailable_reason(request_id)
+        if not reason and request_id in self.committed:
+            result = ProposeResult(request_id, self.committed[request_id])
+            self._effects.append(AnswerProposal(ticket, result))
+            return
+        if not reason and self.pending.awaits(request_id):
+            self.pending.join(ticket, request_id)
+            return
+        if not reason:
+            reason = self._stall_reason() if self.is_stalled else find_faults(proposal, self.pending.newest)
+        if not reason:
+            self.pending.push(ticket, proposal)
+            self._start_commit()
+            return
+        self._refused += 1
+        result = ProposeResult(request_id[:REQUEST_ID_LENGTH_LIMIT], reason=reason)
+        self._effects.append(AnswerProposal(ticket, result))
+
+    def _unavailable_reason(self, request_id: str) -> str:
+        """Return why no proposal is admitted now, whatever its contents; empty if one is."""
         if self.phase == "standby":
             return f"{self.id} does not write"
         if self.phase in ("reading", "catching_up"):
             return f"{self.id} does not write yet: it is {self.phase.replace('_', ' ')}"
-        if self.asked >= PENDING_PROPOSALS_LIMIT and propose.request_id not in self.requests:
+        if request_id in self.committed:
+            return ""
+        if self.pending.ticket_count >= PENDING_PROPOSALS_LIMIT:
             return f"{PENDING_PROPOSALS_LIMIT} proposals wait already"
-        if self.line_size >= LINE_SIZE and propose.request_id not in self.requests:
-            return f"{self.line_size} bytes of changes wait already"
+        if self.pending.size >= PENDING_SIZE_LIMIT:
+            return f"{self.pending.size} bytes of changes wait already"
         return ""
 
-    def _refusal(self, propose: Propose) -> str:
-        if self.stopped:
-            return self._behind()
-        return find_faults(propose, self.ahead)
+    def _answer(self, result: ProposeResult) -> None:
+        for ticket in self.pending.pop_tickets(result.request_id):
+            self._effects.append(AnswerProposal(ticket, result))
+
+    def _refuse_pending(self, reason: str) -> None:
+        """Refuse the changes in the queue, which are written nowhere."""
+        for pending in self.pending:
+            self._refused += 1
+            self._answer(ProposeResult(pending.change.request_id, reason=reason))
+        flight = self.in_flight
+        self.pending.clear(flight.changes[-1].table if flight is not None else self.history.table)
 
-    def _line_up(self, ticket: Any, propose: Propose) -> None:
-        request = propose.request_id
-        self.asked += 1
-        if request in self.tickets:
-            self.tickets[request] += (ticket,)
+    # ---- the keepers' disks
+
+    def _on_durable(self, keeper: str, sequence: int) -> None:
+        if keeper not in self.keepers:
             return
-        self.tickets[request] = (ticket,)
-        number = self.ahead.sequence + 1
-        change = Change(number, request, (*propose.items, (made_key(number), request.encode())))
-        self.ahead = self.ahead.apply(change)
-        size = len(encode(change))
-        self.line.append(Waiting(change, self.ahead, size))
-        self.line_size += size
-        self._write()
-
-    def _answer(self, request: str, number: int = 0, why: str = "", unknown: bool = False) -> None:
-        told = ProposeResult(request, number, why, unknown=unknown)
-        for ticket in self.tickets.pop(request, ()):
-            self.asked -= 1
-            self.effects.append(("answer", ticket, told))
-
-    def _drop_line(self, why: str) -> None:
-        """What only waits was written nowhere."""
-        for one in self.line:
-            self.refused += 1
-            self._answer(one.change.request_id, why=why)
-        self.line.clear()
-        self.line_size = 0
-        self.ahead = self.out[-1].table if self.out else self.history.table
-
-    # ---- the ring
-
-    def _durable(self, keeper: str, number: int) -> None:
-        if keeper in self.keepers:
-            self.durable[keeper] = number
-            if self.phase in ("settling", "writing"):
-                self._look_at_ring()
-
-    def _have(self) -> int:
-        """Keepers that have what stands in the next slot."""
-        return sum(self.durable.get(one, -1) >= self.lasts[self.slot] for one in self.keepers)
-
-    def _behind(self) -> str:
+        self.durable[keeper] = sequence
+        if self._phase == "writing":
+            self._check_slot()
+
+    def _durable_count(self) -> int:
+        """Return how many keepers have on disk what the next write overwrites."""
+        needed = self._ring.last_sequence
+        return sum(self.durable.get(keeper, -1) >= needed for keeper in self.keepers)
+
+    def _slot_is_free(self) -> bool:
+        """Tell whether the next slot may be written: it is empty, or a majority has its group on disk."""
+        return not self._ring.last_sequence or self._durable_count() > len(self.keepers) // 2
+
+    def _stall_reason(self) -> str:
         return (
-            f"change {self.lasts[self.slot]} is on the disks of {self._have()} of {len(self.keepers)} "
-            "keepers; nothing is changed before a majority has it"
+            f"change {self._ring.last_sequence} is on the disks of {self._durable_count()} of "
+            f"{len(self.keepers)} keepers; nothing is changed before a majority has it"
         )
 
-    def _free(self) -> bool:
-        """Whether the next slot may be written: nothing is in it, or what a majority has on disk."""
-        return not self.lasts[self.slot] or self._have() > len(self.keepers) // 2
-
-    def _look_at_ring(self) -> None:
-        if self.out:
+    def _check_slot(self) -> None:
+        """Go on if the next slot is free; else limit how long that may take."""
+        if self.in_flight is not None:
             return
-        if self._free():
-            if self.stopped:
+        if self._slot_is_free():
+            if self.is_stalled:
                 self._log("goes_on")
-            self.stop_at = FAR
-            self._write()
-        elif self.stop_at == FAR:
-            self.stop_at = self.now + STALL_TIMEOUT_NS
-
-    def _write(self) -> None:
-        if self.phase != "writing" or self.out or not self.line or not self._free():
-            return
-        out, size = [], GROUP_COST
-        while self.line and size + self.line[0].size <= GROUP_SIZE_LIMIT:
-            out.append(self.line.popleft())
-            size += out[-1].size
-        self.out = tuple(out)
-        self.line_size -= size - GROUP_COST
-        before, after = self.history.table.digest("all"), out[-1].table.digest("all")
-        value = encode(Group(self.epoch, tuple(one.change for one in out), before, after))
-        self.put = Put(key_of(self.slot), value, self.versions[self.slot], LEASE, self.epoch)
-        self._send()
-
-    def _send(self) -> None:
-        self.phase, self.denied = "writing", ""
-        self.tries += 1
-        self.effects.append(("put", self.slot, self.put))
-        self.ask_at = self.now + ANSWER_SPAN
-
-    def _put_done(self, slot: int, version: int) -> None:
-        if self.put is None or slot != self.slot or version != self.put.version + 1:
-            return
-        if (slot, self.put.version) in self.strays:
-            self._settle()  # guards against the answer to an earlier hold's Put being taken for this one's
-        else:
-            self._decided()
+            self._stall_deadline = NEVER
+            self._start_commit()
+        elif self._stall_deadline == NEVER:
+            self._stall_deadline = self._now + STALL_TIMEOUT_NS
 
-    def _put_denied(self, slot: int, why: str) -> None:
-        """For its epoch, its version, or the council is full: what stands there tells."""
-        if self.put is not None and slot == self.slot:
-            self.denied = why
-            self._settle()
+    # ---- group commit
 
-    def _put_unknown(self, slot: int) -> None:
-        if self.put is None or slot != self.slot or self.phase == "settling":
+    def _start_commit(self) -> None:
+        """Commit the oldest pending changes as the next group, if none is in flight and the slot is free."""
+        if self.phase != "writing" or self.in_flight is not None:
             return
-        if self.tries == 1:
-            self._settle()
-        else:
-            self.phase, self.ask_at = "settling", self.now + PAUSE
-
-    def _settle(self) -> None:
-        self.phase = "settling"
-        self._ask_slot()
-
-    def _ask_slot(self) -> None:
-        self.effects.append(("get", self.slot, key_of(self.slot)))
-        self.ask_at = self.now + ASK_AGAIN
-
-    def _settled(self, value: bytes, version: int) -> None:
-        assert self.put is not None
-        if version < self.put.version:
-            return  # read before the one that this writer went by; it is asked anew
-        if version > self.put.version:
-            if value == self.put.value:
-                self._decided()
-            else:
-                self._give_up(f"the record {key_of(self.slot)} was written by another")
-        elif self.denied:
-            self._give_up(f"the council refuses: {self.denied}")
-        else:
-            self._send()
-
-    def _decided(self) -> None:
-        """The group is written: its changes count, and can't be lost."""
-        out, self.out, self.put = self.out, (), None
-        self.history.append(out[-1].table, _touched([one.change for one in out]))
-        self.versions[self.slot] += 1
-        self.lasts[self.slot] = out[-1].change.sequence
-        self.slot = (self.slot + 1) % RING_SLOTS
-        self.phase, self.tries, self.denied, self.ask_at = "writing", 0, "", FAR
-        self.groups += 1
-        self.effects.append(("moved",))
-        for one in out:
-            self._remember(one.change)
-            self._answer(one.change.request_id, one.change.sequence)
-        self._look_at_ring()
-
-
-def _form_fault(group: Group) -> str:
-    if not group.changes:
-        return "holds no change"
-    first = group.changes[0].sequence
-    if first < 1 or any(change.sequence != first + place for place, change in enumerate(group.changes)):
-        return "holds changes that do not follow each other"
-    return ""
-
-
-def _touched(changes: list[Change]) -> Items:
-    """Of each key the newest, as a step of the history wants it."""
-    newest = {key: (value, change.sequence) for change in changes for key, value in change.items}
-    return tuple((key, value, version) for key, (value, version) in newest.items())
+        if not self.pending or not self._slot_is_free():
+            return
+        changes = self.pending.pop_group()
+        digest_before = self.history.table.digest("all")
+        self._carry_out(self._commit.begin(self._now, self.epoch, changes, digest_before))
+
+    def _carry_out(self, effects: list[CommitEffect]) -> None:
+        for effect in effects:
+            match effect:
+                case GroupCommitted(changes):
+                    self._on_committed(changes)
+                case CommitFailed(reason):
+                    self._give_up(reason)
+                case _:
+                    self._effects.append(effect)
+
+    def _on_committed(self, changes: tuple[PendingChange, ...]) -> None:
+        items = newest_items(pending.change for pending in changes)
+        self.history.append(changes[-1].table, items)
+        self._committed_groups += 1
+        self._effects.append(TableAdvanced())
+        for pending in changes:
+            self.committed.add(pending.change)
+            self._answer(ProposeResult(pending.change.request_id, pending.change.sequence))
+        self._check_slot()
--- /dev/null
+++ b/thistleline/config_feed/writer_effects.py
@@ -0,0 +1,66 @@
+"""Effects of the writer's state machine: what whoever runs it has to carry out, in order."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import Any
+
+from thistleline.config_feed.messages import ProposeResult
+from thistleline.lease.protocol import Put
+
+
+@dataclass(frozen=True, slots=True)
+class ReadRecord:
+    """Read this record of the consensus cluster; answered by `RecordRead`, repeated where no answer comes."""
+
+    slot: int
+    key: str
+
+
+@dataclass(frozen=True, slots=True)
+class WriteRecord:
+    """Send this write to the consensus cluster.
+
+    Answered by `RecordWritten`, `WriteDenied` or `WriteUnanswered`.
+    """
+
+    slot: int
+    put: Put
+
+
+@dataclass(frozen=True, slots=True)
+class AnswerProposal:
+    """Answer the proposal that came with this ticket."""
+
+    ticket: Any
+    result: ProposeResult
+
+
+@dataclass(frozen=True, slots=True)
+class TableAdvanced:
+    """The history has a newer table, by changes that are committed."""
+
+
+@dataclass(frozen=True, slots=True)
+class FollowKeepers:
+    """Follow any keeper: this one's table does not reach the oldest record; answered by `CatchUpAdvanced`."""
+
+
+@dataclass(frozen=True, slots=True)
+class ReleaseLease:
+    """Give the lease back."""
+
+    reason: str
+
+
+@dataclass(frozen=True, slots=True)
+class LogEvent:
+    """Write a line to the log."""
+
+    event: str
+    fields: dict[str, Any] = field(default_factory=dict)
+
+
+WriterEffect = (
+    ReadRecord | WriteRecord | AnswerProposal | TableAdvanced | FollowKeepers | ReleaseLease | LogEvent
+)
--- a/thistleline/lab/feedmutants.py
+++ b/thistleline/lab/feedmutants.py
@@ -6,15 +6,17 @@
 
 import msgspec
 
+from thistleline.config_feed import record_ring as ring
 from thistleline.config_feed import source as serving
-from thistleline.config_feed import writer as writing
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.history import History
 from thistleline.config_feed.lookups import Lookups
-from thistleline.config_feed.messages import Acknowledge, FollowAccepted, Kind, SnapshotPart
+from thistleline.config_feed.messages import Acknowledge, FollowAccepted, Kind, ProposeResult, SnapshotPart
 from thistleline.config_feed.source import Source
 from thistleline.config_feed.table import FeedTable
-from thistleline.config_feed.writer import Writer
+from thistleline.config_feed.writer import FeedWriter
+from thistleline.config_feed.writer_effects import WriterEffect
+from thistleline.config_feed.writer_events import WriteDenied, WriterEvent, WriteUnanswered
 from thistleline.lab.explore import Explored, explore
 from thistleline.lab.feedworld import FeedWorld, Scenario, begin, changed, fleet, following, settle
 from thistleline.lab.mutants import account, mutant, without
@@ -22,7 +24,7 @@
 
 DEPTH = 60
 # Small, so that a world of some steps comes to where it counts: two records in the ring, an entry a part.
-SMALL: tuple[tuple[Any, str, Any], ...] = ((writing, "RING_SLOTS", 2), (serving, "PART_SIZE", 1))
+SMALL: tuple[tuple[Any, str, Any], ...] = ((ring, "RING_SLOTS", 2), (serving, "PART_SIZE", 1))
 
 
 # ---- where explorations begin
@@ -211,19 +213,29 @@
     return had(self, msgspec.structs.replace(put, name=""))
 
 
-def _own_table(self: Writer) -> None:
+def _own_table(self: FeedWriter) -> None:
     """Goes on from what it has, whatever the records hold."""
-    self.chain = ()
-    self._go_on()
+    self._recovered = ()
+    self._start_writing()
 
 
-def _taken_for_refused(self: Writer, slot: int, why: str = "") -> None:
+def _taken_for_refused(
+    self: FeedWriter,
+    now: int,
+    event: WriterEvent,
+    had: Callable[..., list[WriterEffect]] = FeedWriter.handle,
+) -> list[WriterEffect]:
     """No answer means that it was not made."""
-    if self.put is not None and slot == self.slot:
-        out, self.out, self.put = self.out, (), None
-        for one in out:
-            self._answer(one.change.request_id, why="no answer")
-        self._drop_line("no answer")
+    if not isinstance(event, WriteDenied | WriteUnanswered):
+        return had(self, now, event)
+    flight = self.in_flight
+    if flight is not None and event.slot == self._ring.slot:
+        self._commit.in_flight = None
+        for one in flight.changes:
+            self._answer(ProposeResult(one.change.request_id, reason="no answer"))
+        self._refuse_pending("no answer")
+    effects, self._effects = self._effects, []
+    return effects
 
 
 MUTANTS = (
@@ -240,11 +252,12 @@
     mutant("a tenant is told and taken at the number held", "tenants", Lookups, "_told", _of_any_number,
             Source, "_newest", _always),
     mutant("the fence", "deposed writer", Council, "_put", _any_epoch),
-    mutant("the cut rule: a majority has it on disk first", "ring full", Writer, "_free", _always),
+    mutant("the cut rule: a majority has it on disk first", "ring full",
+            FeedWriter, "_slot_is_free", _always),
     mutant("durable is what the disk has", "ring full", Follower, "_have", _at_once_durable),
-    mutant("who takes over goes on from the records", "unanswered", Writer, "_enter", _own_table),
-    mutant("a Put without an answer is settled by reading", "unanswered", Writer, "_put_unknown",
-            _taken_for_refused, Writer, "_put_denied", _taken_for_refused),
+    mutant("who takes over goes on from the records", "unanswered", FeedWriter, "_resume", _own_table),
+    mutant("a Put without an answer is settled by reading", "unanswered", FeedWriter, "handle",
+            _taken_for_refused),
 )  # fmt: skip
 
 
--- a/thistleline/lab/feedrun.py
+++ b/thistleline/lab/feedrun.py
@@ -32,9 +32,25 @@
     SnapshotPart,
     encode,
 )
+from thistleline.config_feed.recovery import LEASE_NAME, record_key
 from thistleline.config_feed.relay import Station
 from thistleline.config_feed.table import PARTIAL_PREFIXES, Entries, FeedTable
-from thistleline.config_feed.writer import LEASE, key_of
+from thistleline.config_feed.writer_effects import (
+    AnswerProposal,
+    LogEvent,
+    ReadRecord,
+    ReleaseLease,
+    WriteRecord,
+)
+from thistleline.config_feed.writer_events import (
+    LeaseAcquired,
+    LeaseLost,
+    ProposalReceived,
+    RecordRead,
+    RecordWritten,
+    WriteDenied,
+    WriterEvent,
+)
 from thistleline.lab.mutants import without
 from thistleline.lease.holder import Hold
 from thistleline.lease.liveness import Watch
@@ -54,7 +70,7 @@
 KEPT = 2_000  # states shared at once
 
 Spread = Callable[[int], int]
-Effects = list[tuple[Any, ...]]
+Effects = list[Any]
 Key = tuple[int, int, int, int, Kind, tuple[Any, ...]]
 
 
@@ -349,7 +365,7 @@
         change = Change(table.sequence + 1, "first", (("common/first", b"{}"),))
         made = table.apply(change)
         value = encode(Group(0, (change,), table.digest("all"), made.digest("all")))
-        self.leases.apply(0, data_of(Put(key_of(0), value, 0)))
+        self.leases.apply(0, data_of(Put(record_key(0), value, 0)))
         return made
 
     def _spread(self, span: int) -> int:
@@ -402,8 +418,30 @@
             place.cpu += perf_counter_ns() - began
         else:
             effects = place.node.take(self.now, *told)
+        self._carry_out(place, effects)
+
+    def put_writer(self, place: Place, event: WriterEvent) -> None:
+        if not place.alive:
+            return
+        place.takes += 1
+        assert isinstance(place.node, Station)
+        self._carry_out(place, place.node.handle_writer(self.now, event))
+
+    def _carry_out(self, place: Place, effects: Effects) -> None:
         for effect in effects:
-            getattr(self, f"_{effect[0]}")(place, *effect[1:])
+            match effect:
+                case ReadRecord(slot, key):
+                    self._get(place, slot, key)
+                case WriteRecord(slot, put):
+                    self._put(place, slot, put)
+                case AnswerProposal(ticket, result):
+                    self._answer(place, ticket, result)
+                case ReleaseLease(reason):
+                    self._release(place, reason)
+                case LogEvent(event, fields):
+                    self._log(place, event, fields)
+                case _:
+                    getattr(self, f"_{effect[0]}")(place, *effect[1:])
         table = place.node.table
         if table.sequence != place.number:
             self._stands(place, table)
@@ -579,14 +617,14 @@
         """A confirmed write or read: there, to a majority, back."""
         return self.chance.randint(30, 120) * MS
 
-    def _errand(self, place: Place, hold: Hold, *told: Any) -> None:
+    def _errand(self, place: Place, hold: Hold, event: WriterEvent) -> None:
         """What the council said of the writer's records; to a hold that is over it says nothing."""
         if self.holds.get(place.name) is hold:
-            self.put(place, "writer", *told)
+            self.put_writer(place, event)
 
     def _get(self, place: Place, slot: int, key: str) -> None:
         got, hold = self.leases.get(key), self.holds[place.name]
-        self.at(self.now + self._trip(), self._errand, place, hold, "got", slot, got.value, got.version)
+        self.at(self.now + self._trip(), self._errand, place, hold, RecordRead(slot, got.value, got.version))
 
     def _put(self, place: Place, slot: int, put: Put) -> None:
         self.at(self.now + self._trip() // 2, self._decide, place, self.holds[place.name], slot, put)
@@ -595,9 +633,9 @@
         answer = self._apply(put)
         when = self.now + self._trip() // 2
         if isinstance(answer, Denied):
-            self.at(when, self._errand, place, hold, "put_denied", slot, answer.why)
+            self.at(when, self._errand, place, hold, WriteDenied(slot, answer.why))
         else:
-            self.at(when, self._errand, place, hold, "put_done", slot, put.version + 1)
+            self.at(when, self._errand, place, hold, RecordWritten(slot, put.version + 1))
 
     def _apply(self, op: Op) -> Answer:
         self.index += 1
@@ -615,7 +653,7 @@
         """A wish of its own for each try, as feed/service has it."""
         if place.alive:
             asker = f"{place.name}.{self.index}.{self.now}"
-            hold = self.holds[place.name] = Hold(LEASE, asker, LENGTH, True, self.now, self._spread)
+            hold = self.holds[place.name] = Hold(LEASE_NAME, asker, LENGTH, True, self.now, self._spread)
             self._holds(place, hold, "start")
 
     def _holds(self, place: Place, hold: Hold, *told: Any) -> None:
@@ -625,10 +663,10 @@
             if effect == "ask":
                 self.at(self.now + self._trip() // 2, self._asks, place, hold, *rest)
             elif effect == "held":
-                self.put(place, "writer", "held", *rest)
+                self.put_writer(place, LeaseAcquired(*rest))
             else:
                 del self.holds[place.name]
-                self.put(place, "writer", "lost", *rest)
+                self.put_writer(place, LeaseLost(*rest))
                 self.at(self.now + LENGTH // 3 + self._spread(LENGTH // 3), self._wants, place)
                 return
         self.at(max(hold.due(), self.now + 1), self._holds_due, place, hold)
@@ -650,10 +688,10 @@
 
     def _watch(self) -> None:
         """Takes the lease from who was not heard of for its length."""
-        self.watch.look(self.now, LEASE, self.leases)
+        self.watch.look(self.now, LEASE_NAME, self.leases)
         for op in self.watch.over(self.now, self.now // MS, self.leases):
             self._apply(op)
-            self.watch.look(self.now, LEASE, self.leases)
+            self.watch.look(self.now, LEASE_NAME, self.leases)
         due = self.watch.due()
         if due is not None and (due < self.watching or self.watching <= self.now):
             self.watching = max(due, self.now + 1)
@@ -679,7 +717,7 @@
 
     def _proposed(self, keeper: Place, ticket: int) -> None:
         if ticket in self.proposals:
-            self.put(keeper, "writer", "proposed", ticket, self.proposals[ticket].propose)
+            self.put_writer(keeper, ProposalReceived(ticket, self.proposals[ticket].propose))
 
     def _another(self, ticket: int, tries: int, answered: bool, leader: str = "") -> None:
         """The same request, of who is said to write, else of the next after a pause."""
--- a/thistleline/lab/feedworld.py
+++ b/thistleline/lab/feedworld.py
@@ -22,9 +22,26 @@
     decode_group,
     encode,
 )
+from thistleline.config_feed.recovery import LEASE_NAME, record_key
 from thistleline.config_feed.relay import Station
 from thistleline.config_feed.table import PARTIAL_PREFIXES, FeedTable
-from thistleline.config_feed.writer import LEASE, key_of
+from thistleline.config_feed.writer_effects import (
+    AnswerProposal,
+    LogEvent,
+    ReadRecord,
+    ReleaseLease,
+    WriteRecord,
+)
+from thistleline.config_feed.writer_events import (
+    LeaseAcquired,
+    LeaseLost,
+    ProposalReceived,
+    RecordRead,
+    RecordWritten,
+    WriteDenied,
+    WriterEvent,
+    WriteUnanswered,
+)
 from thistleline.lab.feedrun import Instance
 from thistleline.lease.protocol import Break, Denied, Granted, Put, Take
 from thistleline.lease.table import Table as Council
@@ -86,7 +103,7 @@
         self.links: dict[str, Link] = {}  # by who follows
         self.council = Council()
         self.requests: tuple[tuple[str, int, int, Put], ...] = ()  # keeper, epoch, slot
-        self.answers: tuple[tuple[str, int, tuple[Any, ...]], ...] = ()
+        self.answers: tuple[tuple[str, int, RecordWritten | WriteDenied], ...] = ()
         self.reads: dict[str, tuple[int, ...]] = {}  # slots that a keeper asked for
         self.held: dict[str, int] = {}  # epochs that keepers believe in
         self.index = self.ticks = self.count = self.made = 0
@@ -136,11 +153,34 @@
         self.nodes[name] = node
         self.keys.pop(name, None)
         before = node.table.sequence
-        effects = node.take(self.now, *told)
-        if node.table.sequence < before:
-            self.broken = self.broken or f"{name} goes back from {before} to {node.table.sequence}"
+        self._carry_out(name, before, node.take(self.now, *told))
+
+    def put_writer(self, name: str, event: WriterEvent) -> None:
+        node = self.nodes[name].copy()
+        assert isinstance(node, Station)
+        self.nodes[name] = node
+        self.keys.pop(name, None)
+        before = node.table.sequence
+        self._carry_out(name, before, node.handle_writer(self.now, event))
+
+    def _carry_out(self, name: str, before: int, effects: list[Any]) -> None:
+        number = self.nodes[name].table.sequence
+        if number < before:
+            self.broken = self.broken or f"{name} goes back from {before} to {number}"
         for effect in effects:
-            getattr(self, f"_{effect[0]}")(name, *effect[1:])
+            match effect:
+                case ReadRecord(slot):
+                    self._get(name, slot)
+                case WriteRecord(slot, put):
+                    self._put(name, slot, put)
+                case AnswerProposal(ticket, result):
+                    self._answer(name, ticket, result)
+                case ReleaseLease():
+                    self._release(name)
+                case LogEvent():
+                    pass
+                case _:
+                    getattr(self, f"_{effect[0]}")(name, *effect[1:])
         self._check(name)
 
     def _connect(self, name: str, server: str) -> None:
@@ -214,9 +254,6 @@
     def _loaded(self, name: str) -> None:
         pass
 
-    def _log(self, name: str, *_: Any) -> None:
-        pass
-
     def keep(self, name: str) -> None:
         """The disk has what it was given."""
         self.disks[name] = self.pending.pop(name)
@@ -242,7 +279,7 @@
 
     # ---- the council
 
-    def _get(self, name: str, slot: int, key: str) -> None:
+    def _get(self, name: str, slot: int) -> None:
         self.reads[name] = (*self.reads.get(name, ()), slot)
 
     def read(self, name: str) -> None:
@@ -250,8 +287,8 @@
         slots = self.reads.pop(name)
         for slot in slots:
             if name in self.held:
-                got = self.council.get(key_of(slot))
-                self.put(name, "writer", "got", slot, got.value, got.version)
+                got = self.council.get(record_key(slot))
+                self.put_writer(name, RecordRead(slot, got.value, got.version))
 
     def _put(self, name: str, slot: int, put: Put) -> None:
         self.requests = (*self.requests, (name, self.held.get(name, 0), slot, put))
@@ -268,9 +305,9 @@
         before = self.council.get(put.key)
         answer = self._apply(put)
         if isinstance(answer, Denied):
-            told: tuple[Any, ...] = ("put_denied", slot, answer.why)
+            told: RecordWritten | WriteDenied = WriteDenied(slot, answer.why)
         else:
-            told = "put_done", slot, put.version + 1
+            told = RecordWritten(slot, put.version + 1)
             if before.version:
                 self._cut(decode_group(before.value))
             self._written(decode_group(put.value))
@@ -281,34 +318,34 @@
         name, epoch, told = self.answers[place]
         self.answers = (*self.answers[:place], *self.answers[place + 1 :])
         if self.held.get(name) == epoch:
-            self.put(name, "writer", *(("put_unknown", told[1]) if lost else told))
+            self.put_writer(name, WriteUnanswered(told.slot) if lost else told)
 
     def late(self, place: int) -> None:
         """Who asked is told that no answer will come; the request is still on its way."""
         name, epoch, slot, _ = self.requests[place]
         if self.held.get(name) == epoch:
-            self.put(name, "writer", "put_unknown", slot)
+            self.put_writer(name, WriteUnanswered(slot))
 
     def move(self, name: str) -> None:
         """The lease is another's; who held it is not told."""
-        lease = self.council.state.leases.get(LEASE)
+        lease = self.council.state.leases.get(LEASE_NAME)
         if lease is not None:
-            self._apply(Break(LEASE, lease.epoch, "it was silent"))
-        answer = self._apply(Take(LEASE, f"{name}.{self.index}", 10 * SECOND, True))
+            self._apply(Break(LEASE_NAME, lease.epoch, "it was silent"))
+        answer = self._apply(Take(LEASE_NAME, f"{name}.{self.index}", 10 * SECOND, True))
         assert isinstance(answer, Granted)
         self.held[name] = answer.epoch
-        self.put(name, "writer", "held", answer.epoch)
+        self.put_writer(name, LeaseAcquired(answer.epoch))
 
     def lose(self, name: str) -> None:
         """It learns that the lease is not its own any more."""
         del self.held[name]
         self.reads.pop(name, None)
-        self.put(name, "writer", "lost", "its right is over")
+        self.put_writer(name, LeaseLost("its right is over"))
 
-    def _release(self, name: str, why: str) -> None:
-        lease = self.council.state.leases.get(LEASE)
+    def _release(self, name: str) -> None:
+        lease = self.council.state.leases.get(LEASE_NAME)
         if lease is not None and lease.epoch == self.held.get(name):
-            self._apply(Break(LEASE, lease.epoch, "released"))
+            self._apply(Break(LEASE_NAME, lease.epoch, "released"))
         if name in self.held:
             self.lose(name)
 
@@ -317,7 +354,7 @@
     def propose(self, name: str, again: bool = False) -> None:
         place = self.made - again
         self.made = place + 1
-        self.put(name, "writer", "proposed", place, Propose(f"c{place}", CHANGES[place]))
+        self.put_writer(name, ProposalReceived(place, Propose(f"c{place}", CHANGES[place])))
 
     def _answer(self, name: str, ticket: int, answer: ProposeResult) -> None:
         if answer.sequence:
@@ -387,7 +424,7 @@
         if here != state:
             self.broken = self.broken or f"{name} holds at {table.sequence} what does not count there"
         if isinstance(node, Station) and node.holds and node.writer is not None:
-            lease = self.council.state.leases.get(LEASE)
+            lease = self.council.state.leases.get(LEASE_NAME)
             newest = lease is not None and lease.epoch == node.writer.epoch
             if newest and table.sequence < max(self.acked.values(), default=0):
                 self.broken = self.broken or f"{name} writes, and misses what was acknowledged"
@@ -467,12 +504,12 @@
         if left["losses"]:
             yield from step(f"{name}'s Put {slot} is late", "losses", FeedWorld.late, place)
     for place, (name, _, answer) in enumerate(world.answers):
-        yield from step(f"{name} hears the council: {answer[0]}", "", FeedWorld.answer, place)
+        yield from step(f"{name} hears the council: {type(answer).__name__}", "", FeedWorld.answer, place)
         if left["losses"]:
             yield from step(f"the answer to {name} is lost", "losses", FeedWorld.answer, place, True)
     for name in world.reads:
         yield from step(f"{name} hears what the records hold", "", FeedWorld.read, name)
-    lease = world.council.state.leases.get(LEASE)
+    lease = world.council.state.leases.get(LEASE_NAME)
     for name in world.keepers:
         epoch = world.held.get(name)
         node = world.nodes[name]
--- a/thistleline/lab/member.py
+++ b/thistleline/lab/member.py
@@ -69,9 +69,9 @@
 
         setattr(holder, "right", lambda length: 10 * length)  # noqa: B010
     elif left_out == "majority":
-        from thistleline.config_feed.writer import Writer
+        from thistleline.config_feed.writer import FeedWriter
 
-        setattr(Writer, "_free", lambda self: True)  # noqa: B010
+        setattr(FeedWriter, "_slot_is_free", lambda self: True)  # noqa: B010
     elif left_out == "newer":
         leave_out_newer()
 
--- a/thistleline/lab/scale/feedsockets.py
+++ b/thistleline/lab/scale/feedsockets.py
@@ -29,8 +29,8 @@
 
 from thistleline.config_feed.archive import Archive
 from thistleline.config_feed.messages import Change, Group, Propose, encode
+from thistleline.config_feed.recovery import record_key
 from thistleline.config_feed.table import PARTIAL_PREFIXES, entry_hash
-from thistleline.config_feed.writer import key_of
 from thistleline.lab.feedfleet import FeedFleet
 from thistleline.lab.harness import Hung, folder_of, free_port
 from thistleline.lab.scale import slopes
@@ -67,7 +67,7 @@
             fleet.ports[name] = free_port()
         await fleet.start_voters()
         await fleet.form()
-        if first and not isinstance(await fleet.ask(Put(key_of(0), first, 0)), Done):
+        if first and not isinstance(await fleet.ask(Put(record_key(0), first, 0)), Done):
             raise Hung("the council takes no first record")
         for name in self.keepers:
             await self._start_keeper(name)
