--- a/tests/test_feed_service.py
+++ b/tests/test_feed_service.py
@@ -23,7 +23,7 @@
 from thistleline.config.schema import Faulty, Feed, check
 from thistleline.config_feed import connections as link
 from thistleline.config_feed import service
-from thistleline.config_feed.archive_writer import Persist
+from thistleline.config_feed.archive_writer import ArchiveWriter
 from thistleline.config_feed.client import look, propose, snapshot
 from thistleline.config_feed.connections import OUT_BOUND, Encoder, Outgoing, Rounds
 from thistleline.config_feed.history import Items
@@ -637,21 +637,21 @@
     goes_on, told = threading.Event(), list[int]()
     of_another = FeedTable().update(2, (("common/of-another", b"{}", 2),))
     loaded = FeedTable().update(3, (("common/a", b"{}", 3),))
-    persist = Persist(tmp_path / "one", "all", lambda *_, **__: None, told.append)
+    persist = ArchiveWriter(tmp_path / "one", "all", lambda *_, **__: None, told.append)
     written: Any = persist.archive.write
     persist.archive.write = lambda *told: goes_on.wait(10) and written(*told)  # type: ignore[method-assign]
 
     async def story() -> None:
         async with anyio.create_task_group() as group:
             group.start_soon(persist.run)
-            persist.step(of_another, 0, (("common/of-another", b"{}", 2),))
-            while persist.waits:
+            persist.append(of_another, 0, (("common/of-another", b"{}", 2),))
+            while persist.is_pending:
                 await anyio.sleep(0.001)
-            persist.anew(loaded)
+            persist.replace(loaded)
             goes_on.set()
             while persist.durable != 3:
                 await anyio.sleep(0.001)
-            await persist.flushed()
+            await persist.flush()
             group.cancel_scope.cancel()
 
     anyio.run(story)
@@ -662,9 +662,9 @@
     relay = FeedService(conf, None, lambda *_, **__: None)
     assert relay.persist is not None
     relay.station.follower.table = loaded
-    relay.persist.tell(2)
-    relay.persist.anew(loaded)
-    relay.persist.tell(3)
+    relay.persist.on_durable(2)
+    relay.persist.replace(loaded)
+    relay.persist.on_durable(3)
     for _, *rest in relay.rounds.take():
         relay._on_durable(*rest)
         assert relay.station.follower.durable in (0, 3)
--- a/tests/test_feed_writer.py
+++ b/tests/test_feed_writer.py
@@ -16,6 +16,7 @@
 
 from thistleline.config_feed import client, pending_queue, record_ring
 from thistleline.config_feed.archive import Archive
+from thistleline.config_feed.archive_format import ArchivedStep
 from thistleline.config_feed.group_commit import READ_RETRY_NS
 from thistleline.config_feed.history import History
 from thistleline.config_feed.limits import (
@@ -1121,10 +1122,11 @@
     return found
 
 
-def step(before: FeedTable, after: FeedTable) -> tuple[int, int, Any]:
+def step(before: FeedTable, after: FeedTable) -> ArchivedStep:
     number = after.sequence
     keys = (f"tenant/{number}", f"route/{number % 3}")
-    return before.sequence, number, tuple((key, *(after.get(key) or (None, 0))) for key in keys)
+    items: Any = tuple((key, *(after.get(key) or (None, 0))) for key in keys)
+    return ArchivedStep(before.sequence, number, items)
 
 
 class Troubled(Disk):
@@ -1170,7 +1172,7 @@
 
 def found(folder: Path, kind: Any = "all") -> tuple[FeedTable | None, str]:
     archive = Archive(Disk(folder, "feed"), kind)
-    return archive.recover(), archive.why
+    return archive.recover(), archive.recovery_failure
 
 
 def filled(folder: Path, many: list[FeedTable]) -> Archive:
@@ -1322,7 +1324,7 @@
     size = sum(size for _, size in disk.segments())
     for _ in range(10):
         # The append of a part fails, and removing goes well again.
-        archive.fresh = True
+        archive.needs_snapshot = True
         disk.fails_from, disk.fails_until = disk.calls + 3, disk.calls + 4
         with pytest.raises(OSError, match="full"):
             archive.write(many[300])
@@ -1369,7 +1371,7 @@
     archive.write(many[2], [step(many[1], many[2])])
     assert disk.order == ["append", "sync"]
     disk.order.clear()
-    archive.fresh = True
+    archive.needs_snapshot = True
     archive.write(many[3])
     assert disk.order == ["begin", "append", "append", "append", "sync", "sync_folder", "remove"]
 
@@ -1387,7 +1389,7 @@
 
 
 def test_the_size_on_disk_is_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("thistleline.config_feed.archive.LOG_LEAST", 4096)
+    monkeypatch.setattr("thistleline.config_feed.archive.LOG_SIZE_MIN", 4096)
     disk = Troubled(tmp_path)
     disk.hold()
     archive = Archive(disk, "all")
@@ -1397,7 +1399,7 @@
     for number in range(1, 1500):
         items = ((f"tenant/{number % 5}", share(number), number),)
         after = table.update(number, items)
-        archive.write(after, [(table.sequence, number, items)])
+        archive.write(after, [ArchivedStep(table.sequence, number, items)])
         table = after
         if number % 50 == 0:
             most = max(most, sum(size for _, size in disk.segments()))
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -224,7 +224,13 @@
     table = archive.recover()
     disk.release()
     assert table is not None
-    assert (table.sequence, archive.durable, archive.why, archive.segment, archive.old) == (7, 7, "", 1, [1])
+    assert (
+        table.sequence,
+        archive.durable,
+        archive.recovery_failure,
+        archive.segment,
+        archive.old_segments,
+    ) == (7, 7, "", 1, [1])
     assert sorted(table.entries("all")) == sorted(FEED_ENTRIES)
     assert dict(table.wide) == {"route/checkout": (b"pool-c", 4), "route/cart": (b"pool-a", 7)}
     assert dict(table.tenants) == {
@@ -244,4 +250,4 @@
     """An instance's side (wide) takes no keeper's archive (all) for its own."""
     archive = Archive(Disk(copied(tmp_path, "feed_archive"), "feed"), "wide")
     assert archive.recover() is None
-    assert archive.why == "000000000001.feed is no archive of form 1 and kind wide"
+    assert archive.recovery_failure == "000000000001.feed is no archive of form 1 and kind wide"
--- a/thistleline/config_feed/archive_writer.py
+++ b/thistleline/config_feed/archive_writer.py
@@ -1,97 +1,143 @@
-"""The archive of one process: one write at a time, in a thread; what waits meanwhile goes together."""
+"""Writes the archive of one process: one write at a time, in a thread; what comes meanwhile goes together."""
+
+from __future__ import annotations
 
 from collections.abc import Callable
 from pathlib import Path
+from types import TracebackType
 from typing import Any
 
 import anyio
 import anyio.to_thread
 
-from thistleline.config_feed.archive import Archive, Step
+from thistleline.config_feed.archive import Archive
+from thistleline.config_feed.archive_format import ArchivedStep
 from thistleline.config_feed.history import Items
 from thistleline.config_feed.messages import Kind
 from thistleline.config_feed.table import FeedTable
 from thistleline.store.disk import Disk
 
-WAITING_BOUND = 1024  # steps; past it the whole table is written instead
-AGAIN = 1.0  # s after trouble
+PENDING_STEPS_LIMIT = 1024  # steps not written yet; beyond it the whole table is written instead
+RETRY_DELAY = 1.0  # s after an error
+
+
+class ArchiveWriter:
+    """Holds a folder and writes the newest table to it, as a context manager or until `close`.
 
+    Attributes:
+        archive: The archive that is written.
+        table: The newest table, at first what was recovered.
+        generation: How often the table was replaced by one to which no step leads.
+        on_durable: Called with the sequence number that a restart would find.
+        is_pending: Whether there is something that no write has taken up yet.
+    """
 
-class Persist:
     def __init__(
-        self, folder: Path, kind: Kind, log: Callable[..., None], durable: Callable[[int], None]
+        self, folder: Path, kind: Kind, log: Callable[..., None], on_durable: Callable[[int], None]
     ) -> None:
-        """Takes the folder and reads it; blocks. `durable` hears the number that a restart would find.
-        Raises Held, OSError."""
-        self.log, self.tell = log, durable
-        self.disk = Disk(folder, "feed")
-        self.disk.hold()
+        """Take the folder and recover the table in it; blocks.
+
+        Args:
+            folder: Of the archive; made if it does not exist.
+            kind: What the table holds.
+            log: Called with an event's name and its fields.
+            on_durable: Called with the sequence number that a restart would find.
+
+        Raises:
+            Held: Another program has the folder.
+            OSError: The folder can't be read.
+        """
+        self.on_durable = on_durable
+        self._log = log
+        self._disk = Disk(folder, "feed")
+        self._disk.hold()
         try:
-            self.archive = Archive(self.disk, kind)
+            self.archive = Archive(self._disk, kind)
             self.table = self.archive.recover() or FeedTable()
         except BaseException:
-            self.disk.release()
+            self._disk.release()
             raise
-        if self.archive.why:
-            log("archive", why=self.archive.why)
-        self.steps: list[Step] = []
-        self.line = 0  # how often there was a state that nothing led to
-        self.waits = False
-        self.more, self.done = anyio.Event(), anyio.Event()
-        self.failing = ""
+        if self.archive.recovery_failure:
+            log("archive", why=self.archive.recovery_failure)
+        self.generation = 0
+        self.is_pending = False
+        self._steps: list[ArchivedStep] = []
+        self._wake_up = anyio.Event()
+        self._idle = anyio.Event()
+        self._failure = ""  # why the newest write failed
+
+    def __enter__(self) -> ArchiveWriter:
+        """Return itself."""
+        return self
+
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
+        """Release the folder."""
+        self.close()
 
     @property
     def durable(self) -> int:
+        """Sequence number that a restart would find."""
         return self.archive.durable
 
-    def step(self, table: FeedTable, first: int, items: Items) -> None:
+    def append(self, table: FeedTable, first: int, items: Items) -> None:
+        """Have a table written, to which `items` lead from the state `first`."""
         self.table = table
-        if len(self.steps) < WAITING_BOUND:
-            self.steps.append((first, table.sequence, items))
+        if len(self._steps) < PENDING_STEPS_LIMIT:
+            self._steps.append(ArchivedStep(first, table.sequence, items))
         self._wake()
 
-    def anew(self, table: FeedTable) -> None:
+    def replace(self, table: FeedTable) -> None:
+        """Have a table written to which no step leads."""
         self.table = table
-        self.line += 1
-        self.steps.clear()
+        self.generation += 1
+        self._steps.clear()
         self._wake()
 
     def _wake(self) -> None:
-        self.waits = True
-        self.more.set()
+        self.is_pending = True
+        self._wake_up.set()
 
     async def run(self) -> None:
-        """Until it is cancelled; a write that has begun is finished."""
-        self.tell(self.archive.durable)
+        """Write until cancelled; a write that has begun is finished."""
+        self.on_durable(self.archive.durable)
         while True:
-            if not self.waits:
-                self.done.set()
-                self.more = anyio.Event()
-                await self.more.wait()
-                self.done = anyio.Event()
-            table, steps, line = self.table, self.steps, self.line
-            self.steps, self.waits = [], False
-            try:
-                durable = await anyio.to_thread.run_sync(self.archive.write, table, steps)
-            except Exception as error:  # whatever a disk brings, the next write says it all
-                self._of_disk(getattr(error, "strerror", None) or f"{type(error).__name__}: {error}")
-                self.waits = True
-                await anyio.sleep(AGAIN)
-            else:
-                self._of_disk("")
-                if line == self.line:  # else it may be the number of a state that was given up
-                    self.tell(durable)
-
-    def _of_disk(self, why: str) -> None:
-        if why != self.failing:
-            self.failing = why
-            facts: dict[str, Any] = {"state": "failing", "why": why} if why else {"state": "well"}
-            self.log("disk", **facts)
-
-    async def flushed(self) -> None:
-        """Until nothing waits to be written."""
-        while self.waits or not self.done.is_set():
-            await self.done.wait()
+            if not self.is_pending:
+                self._idle.set()
+                self._wake_up = anyio.Event()
+                await self._wake_up.wait()
+                self._idle = anyio.Event()
+            await self._write()
+
+    async def _write(self) -> None:
+        table = self.table
+        steps = self._steps
+        generation = self.generation
+        self._steps = []
+        self.is_pending = False
+        try:
+            durable = await anyio.to_thread.run_sync(self.archive.write, table, steps)
+        except Exception as error:  # whatever a disk brings up, the next write has everything
+            self._set_failure(getattr(error, "strerror", None) or f"{type(error).__name__}: {error}")
+            self.is_pending = True
+            await anyio.sleep(RETRY_DELAY)
+        else:
+            self._set_failure("")
+            if generation == self.generation:  # else it may be of a table that was replaced
+                self.on_durable(durable)
+
+    def _set_failure(self, failure: str) -> None:
+        if failure != self._failure:
+            self._failure = failure
+            fields: dict[str, Any] = {"state": "failing", "why": failure} if failure else {"state": "well"}
+            self._log("disk", **fields)
+
+    async def flush(self) -> None:
+        """Return once everything is written."""
+        while self.is_pending or not self._idle.is_set():
+            await self._idle.wait()
 
     def close(self) -> None:
-        self.disk.release()
+        """Release the folder."""
+        self._disk.release()
--- a/thistleline/config_feed/client.py
+++ b/thistleline/config_feed/client.py
@@ -17,7 +17,7 @@
 import anyio
 import anyio.abc
 
-from thistleline.config_feed.archive_writer import Persist
+from thistleline.config_feed.archive_writer import ArchiveWriter
 from thistleline.config_feed.connections import Rounds, Up, ask
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.lookups import Found, Lookups
@@ -56,7 +56,7 @@
         self.id, self.sources, self.log = id, sources, log
         self.chance = chance or Random(os.urandom(8))
         self.seen, self.alone = seen, alone
-        self.persist = Persist(folder, kind, log, self._durable) if folder is not None else None
+        self.persist = ArchiveWriter(folder, kind, log, self._durable) if folder is not None else None
         table = self.persist.table if self.persist is not None else FeedTable()
         names = sorted(sources)
         self.chance.shuffle(names)  # guards against all instances going to the first at once
@@ -113,9 +113,9 @@
     def _state(self, delta: Delta | None) -> None:
         if self.persist is not None:
             if delta is None:
-                self.persist.anew(self.table)
+                self.persist.replace(self.table)
             else:
-                self.persist.step(self.table, delta.first, delta.items)
+                self.persist.append(self.table, delta.first, delta.items)
         if delta is None:
             self.log("loaded", number=self.table.sequence, digest=self.table.digest(self.kind).hex(),
                      by=self.follower.at)  # fmt: skip
--- a/thistleline/config_feed/service.py
+++ b/thistleline/config_feed/service.py
@@ -18,7 +18,7 @@
 
 from thistleline.config.schema import Council as CouncilConf
 from thistleline.config.schema import Feed
-from thistleline.config_feed.archive_writer import Persist
+from thistleline.config_feed.archive_writer import ArchiveWriter
 from thistleline.config_feed.connections import PIECE, Encoder, Peer, Rounds, Up, each_look
 from thistleline.config_feed.limits import (
     DEDUPLICATION_SLOTS,
@@ -80,7 +80,9 @@
         self.voters = dict(council.voter) if council is not None and conf.role == "keeper" else {}
         self.sources = sources_of(conf)
         self.rounds, self.encoder = Rounds(), Encoder()
-        self.persist = Persist(conf.folder, "all", log, self._durable) if conf.folder is not None else None
+        self.persist = (
+            ArchiveWriter(conf.folder, "all", log, self._durable) if conf.folder is not None else None
+        )
         self.station = Station(
             self.name,
             conf.level,
@@ -110,7 +112,7 @@
 
     def _durable(self, number: int) -> None:
         assert self.persist is not None
-        self.rounds.put("durable", number, self.persist.line)
+        self.rounds.put("durable", number, self.persist.generation)
 
     # ---- the program
 
@@ -154,7 +156,7 @@
                 self.holding.take("release")
                 await self.given_back.wait()
             if self.persist is not None:
-                await self.persist.flushed()
+                await self.persist.flush()
         scope.cancel()
 
     def _freeze(self, table: FeedTable) -> None:
@@ -213,7 +215,7 @@
         self._take("up", *told)
 
     def _on_durable(self, number: int, line: int) -> None:
-        if self.persist is not None and line == self.persist.line:
+        if self.persist is not None and line == self.persist.generation:
             self._take("durable", number)
 
     def _on_lease(self, event: LeaseAcquired | LeaseLost) -> None:
@@ -260,13 +262,13 @@
                 peer.end_after_sending(told[1])
         elif kind == "step":
             if self.persist is not None:
-                self.persist.step(*told)
+                self.persist.append(*told)
             if told[0].sequence >= self.frozen + FREEZE_EVERY:
                 self._freeze(told[0])
         elif kind == "anew":
             table = told[0]
             if self.persist is not None:
-                self.persist.anew(table)
+                self.persist.replace(table)
             self._freeze(table)
             self.log("loaded", number=table.sequence, digest=table.digest("all").hex())
 
