--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -48,19 +48,19 @@
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.history import History, Items
 from thistleline.config_feed.limits import (
-    ASKED_BOUND,
-    BEAT,
-    DELTA_BOUND,
-    ID_BOUND,
-    KEY_BOUND,
-    MESSAGE_BOUND,
+    DELTA_SIZE_LIMIT,
+    FETCHED_TENANTS_LIMIT,
+    HEARTBEAT_INTERVAL_NS,
+    KEY_LENGTH_LIMIT,
+    MESSAGE_SIZE_LIMIT,
     MS,
     PART_SIZE,
+    PEER_ID_LENGTH_LIMIT,
+    RECONNECT_JITTER_NS,
     SECOND,
-    SILENT,
-    SPREAD,
-    STALL,
-    VALUE_BOUND,
+    SOURCE_TIMEOUT_NS,
+    STALL_TIMEOUT_NS,
+    VALUE_SIZE_LIMIT,
 )
 from thistleline.config_feed.lookups import ABSENT, UNKNOWN, LookupCache, LookupResult
 from thistleline.config_feed.messages import (
@@ -86,7 +86,7 @@
 )
 from thistleline.config_feed.snapshot import SNAPSHOT_TTL, Snapshot
 from thistleline.config_feed.source import Source
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 from thistleline.transport.disconnects import ENDS
 
 Entries = tuple[tuple[str, bytes | None], ...]
@@ -98,7 +98,7 @@
     def __init__(self) -> None:
         self.states: list[dict[str, tuple[bytes, int]]] = [{}]
         self.changes: list[Entries] = [()]
-        self.tables = [Table()]
+        self.tables = [FeedTable()]
 
     @property
     def number(self) -> int:
@@ -114,7 +114,7 @@
                 state[key] = value, number
         self.states.append(state)
         self.changes.append(items)
-        self.tables.append(self.tables[-1].applied(Change(number, str(number), items)))
+        self.tables.append(self.tables[-1].apply(Change(number, str(number), items)))
         return number
 
     def some(self, count: int, size: int = 10, prefix: str = "route/") -> None:
@@ -130,9 +130,9 @@
 
     def bring(self, history: History, last: int | None = None) -> None:
         for number in range(history.table.sequence + 1, (self.number if last is None else last) + 1):
-            history.move(number, tuple((key, value, number) for key, value in self.changes[number]))
+            history.advance(number, tuple((key, value, number) for key, value in self.changes[number]))
 
-    def check(self, table: Table, kind: Kind) -> None:
+    def check(self, table: FeedTable, kind: Kind) -> None:
         held = {key: (value, version) for key, value, version in table.entries(kind)}
         state = self.states[table.sequence]
         apart = () if kind == "all" else ("tenant/", "made/")
@@ -190,16 +190,16 @@
         id: str,
         *names: str,
         kind: Kind = "wide",
-        table: Table | None = None,
+        table: FeedTable | None = None,
         level: int = 0,
         spread: Callable[[int], int] | None = None,
     ) -> Follower:
-        made = Follower(id, kind, table or Table(), names, self.now, spread or self.spread, level)
+        made = Follower(id, kind, table or FeedTable(), names, self.now, spread or self.spread, level)
         self.followers[id] = made
         self.numbers[id] = made.table.sequence
         return made
 
-    def relay(self, id: str, *names: str, level: int, table: Table | None = None) -> Follower:
+    def relay(self, id: str, *names: str, level: int, table: FeedTable | None = None) -> Follower:
         made = self.follow(id, *names, kind="all", level=level, table=table)
         self.serve(id, History(made.table), level)
         self.relays[id] = id
@@ -248,9 +248,9 @@
         if id in self.relays:
             history = self.sources[self.relays[id]].history
             if delta is None:
-                history.anew(table)
+                history.reset(table)
             else:
-                history.take(table, delta.items)
+                history.append(table, delta.items)
             self.serving(self.relays[id], HistoryAdvanced() if delta else HistoryReplaced())
 
     def serving(self, name: str, event: SourceEvent) -> None:
@@ -270,7 +270,7 @@
                 link.down.append(Closed(effect.reason))
                 continue
             data = encode(effect.message)
-            assert len(data) <= MESSAGE_BOUND
+            assert len(data) <= MESSAGE_SIZE_LIMIT
             link.down.append(decode_source(data))
             link.most = max(link.most, sum(isinstance(one, Delta | SnapshotPart) for one in link.down))
 
@@ -395,7 +395,7 @@
     net.serving("a", WriterChanged(1, True, 0))
     for id in ids:
         net.follow(id, "a", kind=kind)
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     net.settled()
     assert all(net.follower(id).phase == "following" for id in ids)
     net.sent.clear()
@@ -414,14 +414,14 @@
     net.written.some(5)
     net.bring("a")
     net.sent.clear()
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     net.settled()
     assert [one.load_snapshot for one in told(net, "x", FollowAccepted)] == [False]
     assert [(one.first, one.last) for one in told(net, "x", Delta)] == [(20, 25)]
 
 
 def test_who_missed_more_than_the_history_keeps_gets_the_snapshot() -> None:
-    with small(HISTORY_BOUND=10, PART_SIZE=300):
+    with small(HISTORY_STEPS_LIMIT=10, PART_SIZE=300):
         net = following(Written(), "x")
         net.written.some(5)
         net.bring("a")
@@ -430,7 +430,7 @@
         net.written.some(11)
         net.bring("a")
         net.sent.clear()
-        net.run(2 * SPREAD)
+        net.run(2 * RECONNECT_JITTER_NS)
         net.settled()
     assert [one.load_snapshot for one in told(net, "x", FollowAccepted)] == [True]
     assert len(told(net, "x", SnapshotPart)) > 1
@@ -440,7 +440,7 @@
 def test_who_missed_more_than_a_delta_holds_gets_several_one_after_the_other(kind: Kind) -> None:
     """An hour's changes are more than one delta holds, and far less than all that a relay has."""
     written = Written()
-    with small(DELTA_BOUND=2000):
+    with small(DELTA_SIZE_LIMIT=2000):
         net = following(written, "x", kind=kind)
         net.links["x"].held.add("up")
         written.some(150, 10, "route/")
@@ -455,13 +455,13 @@
         assert len(found) > 3
         assert [one.first for one in found[1:]] == [one.last for one in found[:-1]]
         for one in found:
-            assert histories.size_of(one.items) <= 2000
+            assert histories.items_size(one.items) <= 2000
 
 
 def test_who_missed_more_than_all_there_is_gets_the_snapshot_also_on_a_link_that_stands() -> None:
     """One key, changed ever again: what leads on is more than the state."""
     written = Written()
-    with small(DELTA_BOUND=200):
+    with small(DELTA_SIZE_LIMIT=200):
         net = following(written, "x")
         net.links["x"].held.add("up")
         for _ in range(60):
@@ -479,7 +479,7 @@
     """Between two deltas an answer would be newer than what is held."""
     written = Written()
     written.write(("tenant/a", b"1"))
-    with small(DELTA_BOUND=2000):
+    with small(DELTA_SIZE_LIMIT=2000):
         net = following(written, "x")
         net.links["x"].held.add("up")
         written.some(100, 10, "route/")
@@ -504,7 +504,7 @@
     written = Written()
     net = following(written, "x")
     net.follow("k", "a", kind="all", level=1)
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     net.write(("route/1", b"1"), ("made/1", b"a request"))
     net.pump()
     net.settled()
@@ -518,9 +518,9 @@
     written.some(10)
     net = Net(written)
     net.serve("a", written.history())
-    other = Table().moved(10, [("route/1", b"from elsewhere", 3)])
+    other = FeedTable().update(10, [("route/1", b"from elsewhere", 3)])
     net.follow("x", "a", table=other)
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     net.settled()
     assert [one.load_snapshot for one in told(net, "x", FollowAccepted)] == [True]
 
@@ -531,9 +531,9 @@
     net.bring("a")
     net.run()
     one = net.follower("x")
-    one.table = one.table.moved(3, [("route/0", b"flipped", 1)])
+    one.table = one.table.update(3, [("route/0", b"flipped", 1)])
     net.sent.clear()
-    net.run(BEAT + 2 * SPREAD)
+    net.run(HEARTBEAT_INTERVAL_NS + 2 * RECONNECT_JITTER_NS)
     net.settled()
     assert ("x", "another digest") in net.drops
     assert [one.load_snapshot for one in told(net, "x", FollowAccepted)] == [True]
@@ -548,7 +548,7 @@
     one = net.follower("x")
     one.table = one.table._replace(wide=one.table.wide.delete("route/0").set("route/0", (b"rot", 1)))
     net.write(("route/0", b"new"))
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     net.settled()
     assert not one.state_suspect
 
@@ -571,10 +571,10 @@
     net.run()
     before = net.follower("x").table
     items: Items = (("route/0", b"", last),)
-    after = before.moved(last, items, "wide").digest("wide")
+    after = before.update(last, items, "wide").digest("wide")
     net.tell("x", UpstreamMessage("a", Delta(first, last, items, after if digest is None else digest)))
     assert (net.follower("x").table, net.follower("x").phase) == (before, "waiting")
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     net.settled()
 
 
@@ -600,7 +600,7 @@
     net.serve("behind", written.history(0, 4))
     net.serve("a", written.history())
     net.follow("x", "behind", "a", table=written.tables[9])
-    net.run(3 * SPREAD)
+    net.run(3 * RECONNECT_JITTER_NS)
     net.settled()
     assert net.follower("x").upstream == "a"
 
@@ -613,7 +613,7 @@
     net = Net(written)
     net.serve("a", written.history(written.number))
     net.follow("x", "a", "b", table=written.tables[at], spread=spread)
-    net.now = SPREAD
+    net.now = RECONNECT_JITTER_NS
     net.tell("x", TimerExpired())
     while net.follower("x").next_part < 3:
         for one in list(net.opening):
@@ -652,7 +652,7 @@
         net.serve("b", written.history(written.number))
         net.kill("a")
         assert net.follower("x").table.sequence == 7
-        net.run(3 * SPREAD)
+        net.run(3 * RECONNECT_JITTER_NS)
         net.settled()
     assert net.steps[SnapshotLoaded] == 1
     assert {one.sequence for one in told(net, "x", SnapshotPart)} == {60, 61}
@@ -666,11 +666,11 @@
         net = loading(written, 7)
         net.serve("b", written.history(40, 40))
         net.kill("a")
-        net.run(3 * SPREAD)
+        net.run(3 * RECONNECT_JITTER_NS)
         assert net.follower("x").table.sequence == 40
         net.kill("b")
         net.serve("b", written.history(30, 30))
-        net.run(3 * SPREAD)
+        net.run(3 * RECONNECT_JITTER_NS)
         assert net.follower("x").table.sequence == 40
 
 
@@ -712,7 +712,7 @@
             != []
         )
         written.some(3)
-        net.sources["a"].history.anew(written.tables[-1])
+        net.sources["a"].history.reset(written.tables[-1])
         net.serving("a", HistoryReplaced())
         link.held = {"up"}
         net.pump()  # it asks for more of the old one
@@ -731,24 +731,24 @@
     """One loads it meanwhile, another comes: to load the old one again would never end."""
     written = Written()
     written.some(60)
-    with small(PART_SIZE=300, HISTORY_BOUND=10 if why == "cut" else 1000, DELTA_BOUND=2000):
+    with small(PART_SIZE=300, HISTORY_STEPS_LIMIT=10 if why == "cut" else 1000, DELTA_SIZE_LIMIT=2000):
         net = loading(written, 7)
         old = net.sources["a"].snapshots.by_kind["wide"]
         net.links["x"].held.add("down")
         if why == "older":
             net.write(("route/1", b"1"))
-            net.follow("y", "a", table=Table().moved(61, [("route/1", b"of another line", 1)]))
+            net.follow("y", "a", table=FeedTable().update(61, [("route/1", b"of another line", 1)]))
         else:
             for _ in range(0 if why == "cut" else 400):  # more to tell than there is
                 written.write(("route/1", bytes(10)))
             written.some(11)
             net.bring("a")
             net.follow("y", "a")
-        net.run(SPREAD)
+        net.run(RECONNECT_JITTER_NS)
         assert net.sources["a"].snapshots.by_kind["wide"].sequence == written.number > old.sequence
         assert net.follower("y").table.sequence == written.number
         net.links["x"].held.clear()
-        net.run(4 * SPREAD)
+        net.run(4 * RECONNECT_JITTER_NS)
         net.settled()
     assert net.steps[SnapshotLoaded] == 2
     assert {one.sequence for one in told(net, "y", SnapshotPart)} == {written.number}
@@ -769,7 +769,7 @@
         assert [type(one) for one in link.up] == [FetchPart] * (len(link.up) - 1) + [Acknowledge]
         assert len(link.up) > 1
         written.some(3)
-        net.sources["a"].history.anew(written.tables[-1])
+        net.sources["a"].history.reset(written.tables[-1])
         net.serving("a", HistoryReplaced())
         net.run()
         net.settled()
@@ -799,7 +799,7 @@
         one = net.follower("x")
         assert one.snapshot is not None
         key, _, version = next(one.snapshot.entries("wide"))
-        one.snapshot = one.snapshot.moved(60, [(key, b"rot", version)])
+        one.snapshot = one.snapshot.update(60, [(key, b"rot", version)])
         while one.phase == "loading":
             link = net.links["x"]
             if link.up:
@@ -807,7 +807,7 @@
             else:
                 net.arrive("x", link)
         assert (one.table.sequence, one.phase) == (7, "waiting")
-        net.run(4 * SPREAD)
+        net.run(4 * RECONNECT_JITTER_NS)
         net.settled()
 
 
@@ -821,7 +821,7 @@
             net.follow(id, "a")
         net.pump()
         for id in "xyz":
-            net.now = SPREAD
+            net.now = RECONNECT_JITTER_NS
             net.tell(id, TimerExpired())
         for one in list(net.opening):
             net.opened(*one)
@@ -858,14 +858,14 @@
 
 def test_parts_have_a_bounded_size_and_an_empty_table_is_one() -> None:
     written = Written()
-    written.some(100, VALUE_BOUND)
+    written.some(100, VALUE_SIZE_LIMIT)
     made = Snapshot(written.tables[-1], "wide")
     parts = [made.part(index) for index in range(8)]
     sizes = [len(encode(part)) for part in parts if part is not None]
-    assert all(size < PART_SIZE + VALUE_BOUND + KEY_BOUND for size in sizes)
+    assert all(size < PART_SIZE + VALUE_SIZE_LIMIT + KEY_LENGTH_LIMIT for size in sizes)
     assert [part.parts for part in parts if part is not None] == [0] * (len(sizes) - 1) + [len(sizes)]
-    assert Snapshot(Table(), "all").part(0) == SnapshotPart(0, 0, 1, (), bytes(16))
-    assert Snapshot(Table(), "all").part(1) is None
+    assert Snapshot(FeedTable(), "all").part(0) == SnapshotPart(0, 0, 1, (), bytes(16))
+    assert Snapshot(FeedTable(), "all").part(1) is None
 
 
 def test_the_sections_of_tenants_come_with_the_snapshot_to_those_alone_who_hold_all() -> None:
@@ -876,7 +876,7 @@
     net.serve("a", written.history(20))
     net.follow("w", "a")
     net.follow("k", "a", kind="all", level=1)
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     net.settled()
     assert len(net.follower("w").table.tenants) == 0
     assert len(net.follower("k").table.tenants) == 10
@@ -911,8 +911,11 @@
     net.paused.add("dead")
     for _ in range(1000):
         net.write(("route/0", str(net.written.number).encode()))
-        net.run(STALL // 900)
-    assert (link.most, len(link.down)) == (1, 1 + (STALL - 1) // BEAT + 1)  # a Delta, its Beats, the end
+        net.run(STALL_TIMEOUT_NS // 900)
+    assert (link.most, len(link.down)) == (
+        1,
+        1 + (STALL_TIMEOUT_NS - 1) // HEARTBEAT_INTERVAL_NS + 1,
+    )  # a Delta, its Beats, the end
     assert ("dead", "silent") in net.closed
     assert len(net.sources["a"].subscribers) == 1
     assert net.follower("quick").table.sequence == 1000
@@ -921,9 +924,9 @@
 def test_who_says_nothing_at_all_is_let_go() -> None:
     source = Source(History(), 0, 0)
     source.handle(0, SubscriberJoined(1))
-    assert source.next_deadline() == STALL
-    assert source.handle(STALL - 1, TimerExpired()) == []
-    assert source.handle(STALL, TimerExpired()) == [CloseDownstream(1, "silent")]
+    assert source.next_deadline() == STALL_TIMEOUT_NS
+    assert source.handle(STALL_TIMEOUT_NS - 1, TimerExpired()) == []
+    assert source.handle(STALL_TIMEOUT_NS, TimerExpired()) == [CloseDownstream(1, "silent")]
     assert not source.subscribers
     assert not source.last_received_at
 
@@ -935,7 +938,7 @@
     net.serve("b", written.history())
     for id in "xyz":
         net.follow(id, "a", "b")
-    net.run(4 * SPREAD)
+    net.run(4 * RECONNECT_JITTER_NS)
     net.settled()
     assert Counter(net.follower(id).upstream for id in "xyz") == {"a": 2, "b": 1}
     assert [why for _, why in net.drops] == ["refused: full"]
@@ -948,15 +951,15 @@
     net.serve("b", written.history())
     for number in range(200):
         net.follow(f"x{number}", "a", "b")
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     assert len(net.sources["a"].subscribers) == 200
     net.kill("a")
     died = net.now
     net.write(("route/1", b"new"), to=["b"])
     net.connects.clear()
-    net.run(SPREAD)
+    net.run(RECONNECT_JITTER_NS)
     net.settled()
-    came = Counter((at - died) * 10 // SPREAD for _, _, at in net.connects)
+    came = Counter((at - died) * 10 // RECONNECT_JITTER_NS for _, _, at in net.connects)
     assert len(came) == 10
     assert max(came.values()) < 50
 
@@ -968,11 +971,11 @@
     net.serve("b", written.history())
     net.cut("x", told=False)
     heard = net.follower("x").last_received_at
-    net.run(heard + SILENT - 1 - net.now)
+    net.run(heard + SOURCE_TIMEOUT_NS - 1 - net.now)
     assert net.follower("x").upstream == "a"
     net.run(1)
     assert net.drops == [("x", "silent")]
-    net.run(SPREAD)
+    net.run(RECONNECT_JITTER_NS)
     assert net.follower("x").upstream == "b"
 
 
@@ -980,18 +983,20 @@
     net = Net(Written())
     one = net.follow("x", "a", "b", spread=lambda span: 0)
     assert one.handle(0, TimerExpired()) == [ConnectUpstream("a")]
-    assert one.handle(SILENT - 1, TimerExpired()) == []
-    assert one.handle(SILENT, TimerExpired()) == [DisconnectUpstream("a", "silent")]
-    assert one.handle(SILENT, TimerExpired()) == [ConnectUpstream("b")]
-    assert [type(effect) for effect in one.handle(SILENT, UpstreamConnected("b"))] == [SendUpstream]
-    assert one.handle(2 * SILENT, TimerExpired()) == [DisconnectUpstream("b", "silent")]
+    assert one.handle(SOURCE_TIMEOUT_NS - 1, TimerExpired()) == []
+    assert one.handle(SOURCE_TIMEOUT_NS, TimerExpired()) == [DisconnectUpstream("a", "silent")]
+    assert one.handle(SOURCE_TIMEOUT_NS, TimerExpired()) == [ConnectUpstream("b")]
+    assert [type(effect) for effect in one.handle(SOURCE_TIMEOUT_NS, UpstreamConnected("b"))] == [
+        SendUpstream
+    ]
+    assert one.handle(2 * SOURCE_TIMEOUT_NS, TimerExpired()) == [DisconnectUpstream("b", "silent")]
 
 
 def test_after_a_pause_what_lies_unread_counts_before_the_clock() -> None:
     net = following(Written(), "x")
     net.paused.add("x")
     for _ in range(4):
-        net.run(STALL // 5)  # beats lie unread
+        net.run(STALL_TIMEOUT_NS // 5)  # beats lie unread
     net.write(("route/1", b"1"))
     net.paused.clear()
     net.run(0)
@@ -1001,18 +1006,18 @@
 
 def test_beats_are_sent_only_where_nothing_else_was() -> None:
     net = following(Written(), "x", "y")
-    net.run(BEAT)
+    net.run(HEARTBEAT_INTERVAL_NS)
     assert {type(one) for _, one in net.sent} == {Heartbeat}
     net.sent.clear()
     for _ in range(10):
         net.write(("route/1", str(net.written.number).encode()))
-        net.run(BEAT // 2)
+        net.run(HEARTBEAT_INTERVAL_NS // 2)
     assert {type(one) for _, one in net.sent} == {Delta}
 
 
 def test_an_idle_second_costs_two_beats_and_two_answers() -> None:
     net = following(Written(), "x")
-    net.run(BEAT)
+    net.run(HEARTBEAT_INTERVAL_NS)
     net.sent.clear()
     net.asked.clear()
     net.run(10 * SECOND)
@@ -1045,7 +1050,7 @@
 
 def test_a_load_of_tenants_makes_instances_forget_theirs_and_not_load_anew() -> None:
     written = Written()
-    with small(DELTA_BOUND=1000):
+    with small(DELTA_SIZE_LIMIT=1000):
         net = following(written, "x")
         net.links["x"].held.add("up")
         net.write(("route/1", b"1"))
@@ -1114,13 +1119,13 @@
     written = Written()
     written.some(6)
     history = History(written.tables[2])
-    history.move(
+    history.advance(
         5, tuple((key, value, number) for number in (3, 4, 5) for key, value in written.changes[number])
     )
     net = Net(written)
     for name in ("a", "b"):
         net.serve(name, history.copy())
-    strange = Table().moved(4, (("route/strange", b"{}", 1),))
+    strange = FeedTable().update(4, (("route/strange", b"{}", 1),))
     net.follow("x", "a", "b", table=strange)
     net.run(6 * SECOND)
     assert [why for _, why in net.drops] == ["another digest"]
@@ -1131,7 +1136,7 @@
 def test_a_relay_that_loads_anew_has_its_followers_follow_suit() -> None:
     written = Written()
     written.some(5)
-    with small(HISTORY_BOUND=10, PART_SIZE=200):
+    with small(HISTORY_STEPS_LIMIT=10, PART_SIZE=200):
         net = Net(written)
         net.serve("a", written.history())
         net.relay("r", "a", level=1)
@@ -1162,7 +1167,7 @@
 
 
 def test_a_follower_finds_out_itself_that_its_source_is_not_above_it() -> None:
-    one = Follower("r", "all", Table(), ("s",), 0, lambda span: 0, level=1)
+    one = Follower("r", "all", FeedTable(), ("s",), 0, lambda span: 0, level=1)
     one.handle(0, TimerExpired())
     one.handle(0, UpstreamConnected("s"))
     assert one.handle(0, UpstreamMessage("s", FollowAccepted(0, False, 0, 1, 0, False))) == [
@@ -1178,24 +1183,24 @@
         net.serve(name, written.history())
         net.serving(name, WriterChanged(epoch, holds, 0))
     net.follow("k", "a", "b", kind="all")
-    net.run(4 * SPREAD)
+    net.run(4 * RECONNECT_JITTER_NS)
     assert (net.follower("k").upstream, net.follower("k").epoch) == ("b", 3)
     net.tell("k", SourcesChanged(("c", "b")))
     net.cut("k")
-    net.run(4 * SPREAD)
+    net.run(4 * RECONNECT_JITTER_NS)
     assert net.follower("k").upstream == "c"
     net.serving("c", WriterChanged(5, False, 0))  # it lost its lease, and says so at once
     net.pump()
     assert ("k", "it does not write") in net.drops
-    net.run(6 * SPREAD)
+    net.run(6 * RECONNECT_JITTER_NS)
     assert net.follower("k").upstream not in ("b", "c")  # b's epoch is over
     net.serving("b", WriterChanged(6, True, 0))
-    net.run(4 * SPREAD)
+    net.run(4 * RECONNECT_JITTER_NS)
     assert net.follower("k").upstream == "b"
 
 
 def test_a_keeper_goes_straight_to_who_writes_and_is_sent_on_by_each_but_once() -> None:
-    one = Follower("k", "all", Table(), ("a", "b", "c"), 0, lambda span: span)
+    one = Follower("k", "all", FeedTable(), ("a", "b", "c"), 0, lambda span: span)
 
     def asks(leader: str) -> str:
         """Whom it asks at once, having been told by the next that this one writes."""
@@ -1242,8 +1247,8 @@
     net.serve("a", written.history(2))
     late = net.follow("late", "a", "b", kind="all", table=written.tables[2])
     cold = net.follow("cold", "a", "b", kind="all")
-    with small(DELTA_BOUND=1):  # a change each
-        net.run(3 * SPREAD)
+    with small(DELTA_SIZE_LIMIT=1):  # a change each
+        net.run(3 * RECONNECT_JITTER_NS)
     assert (late.table.sequence, cold.table.sequence) == (5, 0)  # nobody says that a snapshot is of this feed
     assert len(told(net, "late", Delta)) == 3
     assert {why for _, why in net.drops} == {"it does not write"}
@@ -1263,7 +1268,7 @@
     net.tell("late", StateDurable(2))
     net.tell("late", TimerExpired())
     net.opened("late", "a")
-    with small(DELTA_BOUND=1):  # a change each
+    with small(DELTA_SIZE_LIMIT=1):  # a change each
         net.reach(net.links["late"])  # the FollowAccepted and the first Delta are on their way
         net.serving("a", WriterChanged(1, True, 0))
         net.run(SECOND)
@@ -1280,10 +1285,10 @@
     net = Net(written)
     net.serve("b", written.history(2))
     one = net.follow("k", "b", kind="all")
-    net.run(3 * SPREAD)
+    net.run(3 * RECONNECT_JITTER_NS)
     assert one.table.sequence == 0
     net.tell("k", FollowingResumed(True))
-    net.run(3 * SPREAD)
+    net.run(3 * RECONNECT_JITTER_NS)
     net.settled()
     net.tell("k", FollowingSuspended())
     assert (one.phase, one.upstream, "k" in net.links) == ("quiet", "", False)
@@ -1301,10 +1306,10 @@
         net.pump()
     net.tell("k", StateDurable(2))
     net.tell("k", StateDurable(9))  # more than it holds
-    net.run(3 * BEAT)
+    net.run(3 * HEARTBEAT_INTERVAL_NS)
     assert net.durable == [("k", 2), ("k", 3)]
     net.cut("k")
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     assert net.durable == [("k", 2), ("k", 3), ("k", 3)]  # a new writer has to hear it too
 
 
@@ -1315,9 +1320,9 @@
     net = Net(written)
     net.serve("a", written.history(5))
     net.serving("a", WriterChanged(1, True, 0))
-    net.follow("k", "a", kind="all", table=Table().moved(4, [("route/1", b"of another line", 4)]))
+    net.follow("k", "a", kind="all", table=FeedTable().update(4, [("route/1", b"of another line", 4)]))
     net.tell("k", StateDurable(4))
-    net.run(4 * SPREAD)
+    net.run(4 * RECONNECT_JITTER_NS)
     net.settled()
     assert not net.durable
     net.tell("k", StateDurable(5))
@@ -1331,7 +1336,7 @@
 HUGE = 1 << 63
 NONSENSE: list[tuple[str, FollowerMessage]] = [
     ("new", Follow("", "wide", 0, b"")),
-    ("new", Follow("x" * (ID_BOUND + 1), "wide", 0, b"")),
+    ("new", Follow("x" * (PEER_ID_LENGTH_LIMIT + 1), "wide", 0, b"")),
     ("new", Follow("x", "wide", -1, b"")),
     ("new", Follow("x", "wide", 0, bytes(17))),
     ("new", Follow("x", "wide", 0, b"", -1)),
@@ -1347,8 +1352,8 @@
     ("following", Acknowledge(3, 4)),
     ("following", Acknowledge(3, -1)),
     ("following", FetchTenants(("route/1",))),
-    ("following", FetchTenants(("tenant/" + "x" * KEY_BOUND,))),
-    ("following", FetchTenants(tuple(f"tenant/{number}" for number in range(ASKED_BOUND + 1)))),
+    ("following", FetchTenants(("tenant/" + "x" * KEY_LENGTH_LIMIT,))),
+    ("following", FetchTenants(tuple(f"tenant/{number}" for number in range(FETCHED_TENANTS_LIMIT + 1)))),
     ("following", ReadRequest()),
     ("following", Propose("r", ())),
     ("loading", FOLLOW),
@@ -1438,7 +1443,7 @@
 
 @pytest.mark.parametrize("index", [-1, 1, HUGE])
 def test_a_part_out_of_turn_ends_the_load(index: int) -> None:
-    one = Follower("x", "wide", Table(), ("a",), 0, lambda span: 0)
+    one = Follower("x", "wide", FeedTable(), ("a",), 0, lambda span: 0)
     one.handle(0, TimerExpired())
     one.handle(0, UpstreamConnected("a"))
     one.handle(0, UpstreamMessage("a", FollowAccepted(3, True, 0, 0, 0, False)))
@@ -1448,7 +1453,7 @@
 
 
 def test_what_comes_late_of_another_source_is_passed_over() -> None:
-    one = Follower("x", "wide", Table(), ("a", "b"), 0, lambda span: 0)
+    one = Follower("x", "wide", FeedTable(), ("a", "b"), 0, lambda span: 0)
     one.handle(0, TimerExpired())
     one.handle(0, UpstreamConnected("a"))
     one.handle(0, UpstreamLost("a", "cut"))
@@ -1481,7 +1486,7 @@
     net.run(10 * SECOND)
     assert net.follower("x").phase == "waiting"
     net.tell("x", SourcesChanged(("a",)))
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     assert net.follower("x").phase == "following"
 
 
@@ -1493,7 +1498,7 @@
     net.serve("a", written.history())
     made = LookupCache(net.follow("x", "a"), bound)
     net.followers["x"] = made
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     net.settled()
     net.sent.clear()
     net.asked.clear()
@@ -1513,7 +1518,7 @@
 
 
 def test_before_anything_was_held_nothing_is_known() -> None:
-    view = LookupCache(Follower("x", "wide", Table(), (), 0, lambda span: 0))
+    view = LookupCache(Follower("x", "wide", FeedTable(), (), 0, lambda span: 0))
     assert view.lookup("route/1") == UNKNOWN
     assert view.lookup("tenant/1") == UNKNOWN
 
@@ -1540,13 +1545,13 @@
 def test_a_thousand_tenants_are_asked_for_in_batches_and_answered_in_bounded_messages() -> None:
     written = Written()
     for number in range(1000):
-        written.write((f"tenant/{number}", bytes(VALUE_BOUND)))
+        written.write((f"tenant/{number}", bytes(VALUE_SIZE_LIMIT)))
     net, view = looking(written, 2000)
     for number in range(1000):
         view.lookup(f"tenant/{number}")
     net.run(0)
     batches = [len(one.keys) for _, one in net.asked if isinstance(one, FetchTenants)]
-    assert (max(batches), sum(batches)) == (ASKED_BOUND, 1000)
+    assert (max(batches), sum(batches)) == (FETCHED_TENANTS_LIMIT, 1000)
     assert all(view.lookup(f"tenant/{number}").known for number in range(1000))
 
 
@@ -1569,7 +1574,7 @@
     assert len(view.tenants) == 4
 
 
-@pytest.mark.parametrize("key", ["tenant/" + "x" * KEY_BOUND, "tenant/\ud800"])
+@pytest.mark.parametrize("key", ["tenant/" + "x" * KEY_LENGTH_LIMIT, "tenant/\ud800"])
 def test_a_name_that_can_t_be_set_is_not_asked_for(key: str) -> None:
     net, view = looking(Written())
     assert view.lookup(key) == ABSENT
@@ -1644,7 +1649,7 @@
     net.cut("x")
     view.lookup("tenant/2")
     assert list(view.wanted) == ["tenant/1", "tenant/2"]
-    net.run(2 * SPREAD)
+    net.run(2 * RECONNECT_JITTER_NS)
     assert (view.lookup("tenant/1").value, view.lookup("tenant/2").value) == (b"1", b"2")
 
 
@@ -1655,27 +1660,27 @@
     view.lookup("tenant/1")
     net.tell("x", TimerExpired())
     net.links["x"].up.clear()  # it forgot
-    net.run(2 * STALL)
+    net.run(2 * STALL_TIMEOUT_NS)
     assert view.lookup("tenant/1") == LookupResult(b"1", 1, True)
 
 
 def test_what_is_held_of_tenants_stays_over_a_lost_link_and_goes_with_a_snapshot() -> None:
     written = Written()
     written.write(("tenant/1", b"1"), ("route/1", b"1"))
-    with small(HISTORY_BOUND=3):
+    with small(HISTORY_STEPS_LIMIT=3):
         net, view = looking(written)
         view.lookup("tenant/1")
         net.run(0)
         net.cut("x")
         assert view.lookup("tenant/1") == LookupResult(b"1", 1, True)
         net.write(("tenant/1", b"2"))
-        net.run(2 * SPREAD)
+        net.run(2 * RECONNECT_JITTER_NS)
         assert view.lookup("tenant/1") == LookupResult(b"2", 2, True)  # by the delta
         net.cut("x")
         for _ in range(5):
             net.write(("tenant/1", b"3"), ("route/1", b"3"))
         assert view.lookup("tenant/1") == LookupResult(b"2", 2, True)
-        net.run(2 * SPREAD)
+        net.run(2 * RECONNECT_JITTER_NS)
         assert view.lookup("route/1") == LookupResult(b"3", 7, True)
         assert view.lookup("tenant/1") == UNKNOWN  # rather than of an older state than the route
         net.run(0)
@@ -1685,7 +1690,7 @@
 def test_forgotten_tenants_are_asked_for_again() -> None:
     written = Written()
     written.write(("tenant/1", b"1"))
-    with small(DELTA_BOUND=1000):
+    with small(DELTA_SIZE_LIMIT=1000):
         net, view = looking(written)
         view.lookup("tenant/1")
         net.run(0)
@@ -1721,17 +1726,17 @@
     table = written.tables[-1]
     entries = list(table.entries("all"))
     chance.shuffle(entries)
-    there = Table()
+    there = FeedTable()
     for key, value, version in entries:  # one by one, some twice, some past another value
         if chance.random() < 0.3:
-            there = there.moved(0, [(key, b"other", version + 1)])
-        there = there.moved(0, [(key, value, version)])
+            there = there.update(0, [(key, b"other", version + 1)])
+        there = there.update(0, [(key, value, version)])
     for key in ("route/gone", "tenant/gone"):
-        there = there.moved(0, [(key, b"x", 1)]).moved(0, [(key, None, 2)])
+        there = there.update(0, [(key, b"x", 1)]).update(0, [(key, None, 2)])
     assert there._replace(sequence=table.sequence) == table
     assert {k: (v, n) for k, v, n in table.entries("all")} == written.states[-1]
-    assert table.count("all") == len(written.states[-1])
-    assert table.count("wide") == len(list(table.entries("wide")))
+    assert table.entry_count("all") == len(written.states[-1])
+    assert table.entry_count("wide") == len(list(table.entries("wide")))
 
 
 @given(CHANGES)
@@ -1755,37 +1760,37 @@
         merged: dict[str, tuple[str, bytes | None, int]] = {}
         for number in range(history.table.sequence + 1, last + 1):
             merged |= {key: (key, value, number) for key, value in written.changes[number]}
-        history.move(last, tuple(merged.values()))
+        history.advance(last, tuple(merged.values()))
     assert history.table == written.tables[-1]
     numbers = {0, *(last for _, last, _, _ in history.steps)}
     kinds: tuple[Kind, Kind] = ("wide", "all")
     for number, table in enumerate(written.tables):
         for kind in kinds:
-            assert history.knows(number, table.digest(kind), kind)
-            assert history.knows(number, b"another digest..", kind) == (number not in numbers)
-            held = table if kind == "all" else Table().moved(number, table.entries("wide"), "wide")
+            assert history.contains(number, table.digest(kind), kind)
+            assert history.contains(number, b"another digest..", kind) == (number not in numbers)
+            held = table if kind == "all" else FeedTable().update(number, table.entries("wide"), "wide")
             delta = history.delta(number, kind)
             assert delta is not None
             assert len({key for key, _, _ in delta.items}) == len(delta.items)
-            after = held.moved(delta.last, delta.items, kind)
+            after = held.update(delta.last, delta.items, kind)
             assert after.digest(kind) == delta.digest == history.table.digest(kind)
             written.check(after, kind)
-            other = held.moved(number, [("route/of another line", b"x", number)], kind)
-            assert other.moved(delta.last, delta.items, kind).digest(kind) != delta.digest
+            other = held.update(number, [("route/of another line", b"x", number)], kind)
+            assert other.update(delta.last, delta.items, kind).digest(kind) != delta.digest
 
 
 def test_a_wide_table_passes_over_tenants() -> None:
-    table = Table().moved(1, [("route/1", b"r", 1), ("tenant/1", b"t", 1)], "wide")
+    table = FeedTable().update(1, [("route/1", b"r", 1), ("tenant/1", b"t", 1)], "wide")
     assert (len(table.wide), len(table.tenants), table.digest("all")) == (1, 0, table.digest("wide"))
 
 
 def test_a_change_that_is_not_the_next_is_refused() -> None:
     with pytest.raises(ValueError, match="does not follow"):
-        Table().applied(Change(2, "r", ()))
-    history = History(Table().moved(3, ()))
+        FeedTable().apply(Change(2, "r", ()))
+    history = History(FeedTable().update(3, ()))
     for number in (2, 3):
         with pytest.raises(ValueError, match="does not follow"):
-            history.move(number, ())
+            history.advance(number, ())
 
 
 def test_a_state_that_is_held_stays_while_changes_go_on() -> None:
@@ -1806,35 +1811,35 @@
     written = Written()
     for items in changes:
         written.write(*items)
-    with small(HISTORY_BOUND=steps, HISTORY_SIZE=size):
+    with small(HISTORY_STEPS_LIMIT=steps, HISTORY_SIZE_LIMIT=size):
         history = History()
         for number in range(1, written.number + 1):
             written.bring(history, number)
             assert len(history.steps) <= steps
             assert history.size == sum(cost for _, _, _, cost in history.steps) <= size
-            known = {n for n in range(number + 1) if history.digest(n, "wide") is not None}
+            known = {n for n in range(number + 1) if history.digest_at(n, "wide") is not None}
             assert known == set(range(history.base, number + 1))
             assert len(history._digests) == len(history.steps) + 1
-    history.anew(Table().moved(1000, ()))
+    history.reset(FeedTable().update(1000, ()))
     assert (history.base, history.size, len(history.steps)) == (1000, 0, 0)
-    assert history.knows(1000, bytes(16), "all")
-    assert not history.knows(written.number, written.tables[-1].digest("all"), "all")
+    assert history.contains(1000, bytes(16), "all")
+    assert not history.contains(written.number, written.tables[-1].digest("all"), "all")
 
 
 def test_a_delta_leads_as_far_as_it_holds_and_tenants_are_forgotten_first() -> None:
     history = History()
-    value = bytes(VALUE_BOUND)
-    many = DELTA_BOUND // VALUE_BOUND - 2
+    value = bytes(VALUE_SIZE_LIMIT)
+    many = DELTA_SIZE_LIMIT // VALUE_SIZE_LIMIT - 2
     for number, section in enumerate(("tenant", "tenant", "route", "route"), 1):
         items = tuple((f"{section}/{number}-{n}", value, number) for n in range(many))
-        history.move(number, items)
+        history.advance(number, items)
     ways = []
     for kind in KINDS:
         at, way = 0, [(0, False)]
         while at < 4:
             delta = history.delta(at, kind)
             assert delta is not None
-            assert histories.size_of(delta.items) <= DELTA_BOUND
+            assert histories.items_size(delta.items) <= DELTA_SIZE_LIMIT
             at = delta.last
             way.append((at, delta.evict_tenants))
         ways.append(way)
@@ -1848,7 +1853,7 @@
 def test_where_more_leads_on_than_there_is_nothing_does() -> None:
     history = History()
     for number in range(1, 12):
-        history.move(number, (("route/1", bytes(DELTA_BOUND), number),))
+        history.advance(number, (("route/1", bytes(DELTA_SIZE_LIMIT), number),))
     assert history.delta(1, "all") is None
     newest = history.delta(10, "all")
     assert newest is not None  # a step can't be cut
@@ -1878,7 +1883,7 @@
     written, chance = Written(), Random(seed)
     net = Net(written, seed)
     durable: dict[str, int] = {"x": 0, "y": 0}
-    with small(HISTORY_BOUND=8, PART_SIZE=150, DELTA_BOUND=600):
+    with small(HISTORY_STEPS_LIMIT=8, PART_SIZE=150, DELTA_SIZE_LIMIT=600):
         for name in "ab":
             net.serve(name, History())
         net.relay("r", "a", "b", level=1)
@@ -1931,7 +1936,7 @@
                 net.opening = [one for one in net.opening if one[0] != id]
                 durable[id] = chance.randint(durable[id], net.numbers[id])
                 state = written.tables[durable[id]]
-                table = Table().moved(durable[id], state.entries("wide"), "wide")
+                table = FeedTable().update(durable[id], state.entries("wide"), "wide")
                 net.follow(id, *net.follower(id).sources, table=table)
             elif act == "look":
                 look()
@@ -1993,7 +1998,7 @@
         done = []
         for at, input in enumerate(inputs[half:], half):
             done.append(twin.handle(at * 300 * MS, input))
-        twin.history.move(11, (("route/1", b"x", 11),))
+        twin.history.advance(11, (("route/1", b"x", 11),))
         twin.handle(60 * SECOND, HistoryAdvanced())
         assert source.state_key() == frozen
         assert [source.handle(at * 300 * MS, input) for at, input in enumerate(inputs[half:], half)] == done
--- a/tests/test_feed_service.py
+++ b/tests/test_feed_service.py
@@ -22,11 +22,11 @@
 
 from thistleline.config.schema import Faulty, Feed, check
 from thistleline.config_feed import downstream, heap_freezer, peer_log, send_queue
-from thistleline.config_feed.archive_writer import Persist
+from thistleline.config_feed.archive_writer import ArchiveWriter
 from thistleline.config_feed.effects import PersistStep, PersistTable
 from thistleline.config_feed.history import Items
 from thistleline.config_feed.inbox import EventInbox
-from thistleline.config_feed.limits import MESSAGE_BOUND, MS, RING, SECOND
+from thistleline.config_feed.limits import MESSAGE_SIZE_LIMIT, MS, RING_SLOTS, SECOND
 from thistleline.config_feed.messages import (
     Acknowledge,
     Delta,
@@ -43,7 +43,7 @@
 from thistleline.config_feed.send_queue import MAX_QUEUED, FrameEncoder, SendQueue
 from thistleline.config_feed.service import FeedService
 from thistleline.config_feed.status import MAX_READ_KEYS
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 from thistleline.lab.feedfleet import FeedFleet
 from thistleline.lab.harness import Hung, Process, free_port
 from thistleline.lab.net import Way
@@ -182,7 +182,7 @@
 
 def test_the_writer_is_killed_among_changes_and_another_goes_on(tmp_path: Path) -> None:
     async def story(feed: FeedFleet) -> None:
-        await feed.pairs(2 * RING)
+        await feed.pairs(2 * RING_SLOTS)
         writer = await feed.writer()
         async with anyio.create_task_group() as group:
             group.start_soon(feed.pairs, 12)
@@ -212,7 +212,7 @@
 
 def test_a_keeper_whose_disk_is_lost_has_all_again_and_one_that_writes_too(tmp_path: Path) -> None:
     async def story(feed: FeedFleet) -> None:
-        await feed.pairs(2 * RING)
+        await feed.pairs(2 * RING_SLOTS)
         for writes in (False, True):
             writer = await feed.writer()
             name = writer if writes else next(one for one in feed.keepers if one != writer)
@@ -220,7 +220,7 @@
             await feed.pairs(6)
             feed.processes[name].start()
             await feed.reaches(name, feed.oracle.newest)
-            await feed.pairs(RING + 2)
+            await feed.pairs(RING_SLOTS + 2)
 
     assert with_feed(tmp_path, story) == []
 
@@ -233,7 +233,7 @@
     await feed.kept(writer, 2)  # what it holds it may not have on disk yet, and then the ring is full sooner
     feed.processes[other].stop()
     feed.asked = [writer]
-    await feed.pairs(RING)
+    await feed.pairs(RING_SLOTS)
     await feed.pairs(4, 0.4)
     feed.asked = feed.keepers
     feed.empty(writer)
@@ -387,7 +387,7 @@
             for _ in range(3):
                 open_ones.append(await anyio.connect_tcp("127.0.0.1", port))
                 await open_ones[-1].send(follow)
-                unpacker, heard = Unpacker(MESSAGE_BOUND), list[bytes]()
+                unpacker, heard = Unpacker(MESSAGE_SIZE_LIMIT), list[bytes]()
                 while len(heard) < 2:
                     heard += unpacker.take(await open_ones[-1].receive())
                 told = decode_source(heard[1])
@@ -416,7 +416,7 @@
     async def run() -> None:
         relay = FeedService(conf, None, lambda event, **facts: logged.append((event, facts)))
         if items:
-            relay.relay.history.anew(Table().moved(1, items))
+            relay.relay.history.reset(FeedTable().update(1, items))
         with anyio.fail_after(20):
             async with anyio.create_task_group() as group:
                 group.start_soon(relay.run)
@@ -449,7 +449,7 @@
 
     monkeypatch.setattr(SendQueue, "put", counted)
     monkeypatch.setattr(EventInbox, "drain", taken)
-    monkeypatch.setattr(send_queue, "STALL", 300 * MS)
+    monkeypatch.setattr(send_queue, "STALL_TIMEOUT_NS", 300 * MS)
 
     def there(relay: FeedService) -> bool:
         return any(peer.id == "x" for peer in relay.listener.connections.values())
@@ -513,11 +513,11 @@
     async def story(relay: FeedService) -> None:
         tracked = gc.get_freeze_count()
         table = relay.relay.table
-        relay.carry_out(PersistStep(table.moved(heap_freezer.FREEZE_EVERY, ()), 1, ()))
+        relay.carry_out(PersistStep(table.update(heap_freezer.FREEZE_EVERY, ()), 1, ()))
         assert gc.get_freeze_count() == tracked  # it holds as many changes more by one
-        relay.carry_out(PersistStep(table.moved(heap_freezer.FREEZE_EVERY + 1, ()), 1, ()))
+        relay.carry_out(PersistStep(table.update(heap_freezer.FREEZE_EVERY + 1, ()), 1, ()))
         assert gc.get_freeze_count() > tracked
-        loaded = table.moved(9, ((f"tenant/more-{place}", b"{}", 9) for place in range(5_000)))
+        loaded = table.update(9, ((f"tenant/more-{place}", b"{}", 9) for place in range(5_000)))
         tracked = gc.get_freeze_count()
         relay.carry_out(PersistTable(loaded))
         assert gc.get_freeze_count() > tracked + 1_000
@@ -605,7 +605,7 @@
     async def story(relay: FeedService) -> None:
         monkeypatch.setattr(anyio, "sleep", lambda span: sleep(0))
         for place in range(200):
-            relay.relay.history.move(place + 1, ((f"common/{place}", bytes(4000), place + 1),))
+            relay.relay.history.advance(place + 1, ((f"common/{place}", bytes(4000), place + 1),))
         table = await export_table({"r": relay.address}, 10.0)
         assert table is not None
         assert (table.sequence, len(table.wide)) == (200, 200)
@@ -637,23 +637,23 @@
 def test_a_state_that_was_given_up_while_it_was_written_is_not_told_as_durable(tmp_path: Path) -> None:
     """A write is under way as another state is loaded, or its end is known and not heeded yet."""
     goes_on, told = threading.Event(), list[int]()
-    of_another = Table().moved(2, (("common/of-another", b"{}", 2),))
-    loaded = Table().moved(3, (("common/a", b"{}", 3),))
-    persist = Persist(tmp_path / "one", "all", lambda *_, **__: None, told.append)
+    of_another = FeedTable().update(2, (("common/of-another", b"{}", 2),))
+    loaded = FeedTable().update(3, (("common/a", b"{}", 3),))
+    persist = ArchiveWriter(tmp_path / "one", "all", lambda *_, **__: None, told.append)
     written: Any = persist.archive.write
     persist.archive.write = lambda *told: goes_on.wait(10) and written(*told)  # type: ignore[method-assign]
 
     async def story() -> None:
         async with anyio.create_task_group() as group:
             group.start_soon(persist.run)
-            persist.step(of_another, 0, (("common/of-another", b"{}", 2),))
-            while persist.waits:
+            persist.append(of_another, 0, (("common/of-another", b"{}", 2),))
+            while persist.is_pending:
                 await anyio.sleep(0.001)
-            persist.anew(loaded)
+            persist.replace(loaded)
             goes_on.set()
             while persist.durable != 3:
                 await anyio.sleep(0.001)
-            await persist.flushed()
+            await persist.flush()
             group.cancel_scope.cancel()
 
     anyio.run(story)
@@ -664,9 +664,9 @@
     relay = FeedService(conf, None, lambda *_, **__: None)
     assert relay.archive is not None
     relay.relay.follower.table = loaded
-    relay.archive.tell(2)
-    relay.archive.anew(loaded)
-    relay.archive.tell(3)
+    relay.archive.on_durable(2)
+    relay.archive.replace(loaded)
+    relay.archive.on_durable(3)
     for event in relay.inbox.drain():
         relay.handle(event)
         assert relay.relay.follower.durable in (0, 3)
--- a/thistleline/cli/feed.py
+++ b/thistleline/cli/feed.py
@@ -14,11 +14,11 @@
 
 from thistleline.cli.fleet import Unusable, conf_of, logger, named, tell
 from thistleline.config_feed.client import FeedClient
-from thistleline.config_feed.limits import CHANGE_BOUND, ITEMS_BOUND
+from thistleline.config_feed.limits import CHANGE_ITEMS_LIMIT, CHANGE_SIZE_LIMIT
 from thistleline.config_feed.lookups import is_encodable
 from thistleline.config_feed.messages import Item, Propose, ReadResult
 from thistleline.config_feed.operations import export_table, propose, read_each
-from thistleline.config_feed.table import MADE
+from thistleline.config_feed.table import REQUEST_PREFIX
 from thistleline.transport.address import Address
 
 SPAN = click.FloatRange(0.1, 3600.0)
@@ -193,7 +193,7 @@
     size = 0
     for key, value in items:
         cost = len(key.encode("utf-8", "replace")) + len(value or b"")
-        if part and (len(part) >= ITEMS_BOUND or size + cost > CHANGE_BOUND):
+        if part and (len(part) >= CHANGE_ITEMS_LIMIT or size + cost > CHANGE_SIZE_LIMIT):
             parts.append(tuple(part))
             part, size = [], 0
         part.append((key, value))
@@ -222,7 +222,9 @@
                 raise click.ClickException(f"{asked[0]} is not told")
             for key, value, version in found.items:
                 missing += value is None
-                told = value and (value.decode() if key.startswith(MADE) else msgspec.json.decode(value))
+                told = value and (
+                    value.decode() if key.startswith(REQUEST_PREFIX) else msgspec.json.decode(value)
+                )
                 facts = {"key": key, "version": version, "number": found.sequence, "value": told}
                 tell(facts, as_json, _words)
             asked = asked[len(found.items) :]
@@ -277,7 +279,7 @@
         raise click.ClickException(f"it is not here in {span:g} s")
     out = sys.stdout.buffer
     for key, value, version in table.entries("all"):
-        if key.startswith(MADE):
+        if key.startswith(REQUEST_PREFIX):
             continue  # what the writer keeps of requests is nothing to put
         head = orjson.dumps({"key": key, "version": version})[:-1]
         out.write(head + b',"value":' + value + b"}\n")
--- a/thistleline/config_feed/effects.py
+++ b/thistleline/config_feed/effects.py
@@ -6,7 +6,7 @@
 
 from thistleline.config_feed.history import Items
 from thistleline.config_feed.messages import Delta, FollowerMessage, SourceMessage
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 
 # ---- of a follower
 
@@ -86,7 +86,7 @@
 class PersistStep:
     """Write to the archive what leads from the state `first` to this table."""
 
-    table: Table
+    table: FeedTable
     first: int
     items: Items
 
@@ -95,4 +95,4 @@
 class PersistTable:
     """Write this table to the archive as a whole: nothing leads there."""
 
-    table: Table
+    table: FeedTable
--- a/thistleline/config_feed/events.py
+++ b/thistleline/config_feed/events.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from thistleline.config_feed.messages import FollowerMessage, SourceMessage
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,7 +69,7 @@
     """
 
     any_source: bool = False
-    table: Table | None = None
+    table: FeedTable | None = None
 
 
 FollowerEvent = (
--- a/thistleline/config_feed/follower.py
+++ b/thistleline/config_feed/follower.py
@@ -31,7 +31,7 @@
     UpstreamLost,
     UpstreamMessage,
 )
-from thistleline.config_feed.limits import ENTRIES_BOUND, SILENT, SPREAD
+from thistleline.config_feed.limits import RECONNECT_JITTER_NS, SOURCE_TIMEOUT_NS, TABLE_ENTRIES_LIMIT
 from thistleline.config_feed.messages import (
     Acknowledge,
     Delta,
@@ -45,7 +45,7 @@
     SnapshotPart,
     SourceMessage,
 )
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 
 Phase = Literal["quiet", "waiting", "connecting", "greeting", "loading", "following"]
 PART_WINDOW = 4  # parts requested ahead, so that loading from far away is not one round trip per part
@@ -95,13 +95,13 @@
         self,
         id: str,
         kind: Kind,
-        table: Table,
+        table: FeedTable,
         sources: tuple[str, ...],
         now: int,
         random_delay: Callable[[int], int],
         level: int = 0,
     ) -> None:
-        """Start with the first attempt due within `SPREAD`.
+        """Start with the first attempt due within `RECONNECT_JITTER_NS`.
 
         Args:
             id: The id to follow under.
@@ -122,7 +122,7 @@
         self.phase: Phase = "waiting"
         self.upstream = ""
         self.next_source = 0  # index into `sources` of the next one to try
-        self.retry_at = now + random_delay(SPREAD)
+        self.retry_at = now + random_delay(RECONNECT_JITTER_NS)
         self.last_received_at = now
         self.accepted: FollowAccepted | None = None
         self.epoch = 0  # the highest one seen of a writer
@@ -131,7 +131,7 @@
         self.state_suspect = False  # a digest differed: the next source is asked for a snapshot
         self.redirected = False  # the next attempt goes where a source that is not the writer sent it
         self.follow_until = 0  # sequence number up to which a keeper follows one that is not the writer
-        self.snapshot: Table | None = None  # as far as it is loaded
+        self.snapshot: FeedTable | None = None  # as far as it is loaded
         self.next_part = 0  # index of the snapshot's part that has to come next
         self.next_fetch = 0  # index of the part to request next
         self._effects: list[FollowerEffect] = []
@@ -198,7 +198,7 @@
         """Return when `TimerExpired` is to be passed in, in ns."""
         if self.phase == "quiet" or not self.sources:
             return NEVER
-        return self.retry_at if self.phase == "waiting" else self.last_received_at + SILENT
+        return self.retry_at if self.phase == "waiting" else self.last_received_at + SOURCE_TIMEOUT_NS
 
     def _on_sources(self, sources: tuple[str, ...]) -> None:
         self.sources = sources
@@ -209,14 +209,14 @@
             self._disconnect("not to be followed any more")
             self.next_source = 0
         elif self.phase == "waiting":
-            self.retry_at = min(self.retry_at, self.now + self.random_delay(SPREAD))
+            self.retry_at = min(self.retry_at, self.now + self.random_delay(RECONNECT_JITTER_NS))
 
     def _suspend(self) -> None:
         if self.upstream:
             self._disconnect("it writes")
         self.phase = "quiet"
 
-    def _resume(self, any_source: bool, table: Table | None) -> None:
+    def _resume(self, any_source: bool, table: FeedTable | None) -> None:
         self.accept_any_source = any_source
         if table is not None and self.phase == "quiet" and table.sequence >= self.table.sequence:
             self.table = table
@@ -303,7 +303,9 @@
         self.follow_until = 0
         self.next_source = (self.next_source + 1) % max(1, len(self.sources))
         is_keeper = self.kind == "all" and not self.level
-        self.retry_at = self.now + self.random_delay(SPREAD // 4 if is_keeper else SPREAD)
+        self.retry_at = self.now + self.random_delay(
+            RECONNECT_JITTER_NS // 4 if is_keeper else RECONNECT_JITTER_NS
+        )
 
     def _suspect_state(self) -> None:
         """Reload all from the next source: either the own state or the source's is not what it should be."""
@@ -376,7 +378,7 @@
             self._disconnect("its snapshot is older")
             return
         self.phase = "loading"
-        self.snapshot = Table()
+        self.snapshot = FeedTable()
         self.next_part = 0
         self.next_fetch = 0
         while self.next_fetch < PART_WINDOW:
@@ -386,10 +388,10 @@
         if self.phase != "following" or delta.first != self.table.sequence or delta.last <= delta.first:
             self._disconnect("what it sends does not lead from here")
             return
-        table = self.table.moved(delta.last, delta.items, self.kind)
+        table = self.table.update(delta.last, delta.items, self.kind)
         if table.digest(self.kind) != delta.digest:
             self._suspect_state()
-        elif table.count(self.kind) > ENTRIES_BOUND:
+        elif table.entry_count(self.kind) > TABLE_ENTRIES_LIMIT:
             self._disconnect("too many entries")
         else:
             self.table = table
@@ -407,9 +409,9 @@
         if part.index != self.next_part:
             self._disconnect("a part out of turn")
             return
-        self.snapshot = self.snapshot.moved(part.sequence, part.items, self.kind)
+        self.snapshot = self.snapshot.update(part.sequence, part.items, self.kind)
         self.next_part += 1
-        if self.snapshot.count(self.kind) > ENTRIES_BOUND:
+        if self.snapshot.entry_count(self.kind) > TABLE_ENTRIES_LIMIT:
             self._disconnect("too many entries")
         elif part.parts != self.next_part:
             self._fetch_next_part()
@@ -418,7 +420,7 @@
         else:
             self._take_snapshot(self.snapshot)
 
-    def _take_snapshot(self, snapshot: Table) -> None:
+    def _take_snapshot(self, snapshot: FeedTable) -> None:
         """Hold the snapshot, which is whole."""
         self.table = snapshot
         self.snapshot = None
--- a/thistleline/config_feed/follower_service.py
+++ b/thistleline/config_feed/follower_service.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from thistleline.config_feed.archive_writer import Persist
+from thistleline.config_feed.archive_writer import ArchiveWriter
 from thistleline.config_feed.effects import (
     ConnectUpstream,
     DeltaApplied,
@@ -24,7 +24,7 @@
 from thistleline.config_feed.history import Items
 from thistleline.config_feed.inbox import EventInbox
 from thistleline.config_feed.messages import Delta, Kind
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 from thistleline.config_feed.upstream import UpstreamConnection
 from thistleline.store.clock import boot_now
 from thistleline.transport.address import Address
@@ -65,7 +65,7 @@
         log: Callable[..., None] = _no_log,
         folder: Path | None = None,
         random: Random | None = None,
-        on_state: Callable[[Table, Items | None], None] | None = None,
+        on_state: Callable[[FeedTable, Items | None], None] | None = None,
         immediate: bool = False,
     ) -> None:
         """Take the folder and recover the last state from it; blocks.
@@ -91,8 +91,10 @@
         self._immediate = immediate
         self.inbox: EventInbox[FollowerEvent] = EventInbox()
         self._advanced = anyio.Event()
-        self._archive = Persist(folder, self.kind, log, self._on_durable) if folder is not None else None
-        table = self._archive.table if self._archive is not None else Table()
+        self._archive = (
+            ArchiveWriter(folder, self.kind, log, self._on_durable) if folder is not None else None
+        )
+        table = self._archive.table if self._archive is not None else FeedTable()
         names = sorted(sources)
         self._random.shuffle(names)  # prevents all instances from going to the first source at once
         level = LEAF_LEVEL if self.kind == "all" else 0
@@ -109,7 +111,7 @@
         self.inbox.put(StateDurable(sequence))
 
     @property
-    def table(self) -> Table:
+    def table(self) -> FeedTable:
         """The newest state held."""
         return self.follower.table
 
@@ -131,7 +133,7 @@
                 self._archive.close()
             self.log("left", number=self.table.sequence)
 
-    async def wait_for(self, sequence: int) -> Table:
+    async def wait_for(self, sequence: int) -> FeedTable:
         """Return the state at that sequence number or after it, once it is here."""
         while self.table.sequence < sequence:
             await self._advanced.wait()
@@ -161,13 +163,13 @@
 
     def _on_delta(self, delta: Delta) -> None:
         if self._archive is not None:
-            self._archive.step(self.table, delta.first, delta.items)
+            self._archive.append(self.table, delta.first, delta.items)
         self._publish(delta.items)
 
     def _on_snapshot(self) -> None:
         table = self.table
         if self._archive is not None:
-            self._archive.anew(table)
+            self._archive.replace(table)
         digest = table.digest(self.kind).hex()
         self.log("loaded", number=table.sequence, digest=digest, by=self.follower.upstream)
         self._publish(None)
--- a/thistleline/config_feed/heap_freezer.py
+++ b/thistleline/config_feed/heap_freezer.py
@@ -4,7 +4,7 @@
 
 import gc
 
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 
 FREEZE_EVERY = 1 << 16  # changes
 
@@ -20,13 +20,13 @@
         """Begin with nothing frozen."""
         self._frozen_at = 0  # sequence number of the table
 
-    def freeze(self, table: Table) -> None:
+    def freeze(self, table: FeedTable) -> None:
         """Freeze the heap, which holds this table."""
         self._frozen_at = table.sequence
         gc.collect(1)
         gc.freeze()
 
-    def on_advanced(self, table: Table) -> None:
+    def on_advanced(self, table: FeedTable) -> None:
         """Freeze the heap again if the table has changed much since."""
         if table.sequence >= self._frozen_at + FREEZE_EVERY:
             self.freeze(table)
--- a/thistleline/config_feed/inbox.py
+++ b/thistleline/config_feed/inbox.py
@@ -8,7 +8,7 @@
 import anyio
 import anyio.lowlevel
 
-from thistleline.config_feed.limits import BEAT, MS, SECOND
+from thistleline.config_feed.limits import HEARTBEAT_INTERVAL_NS, MS, SECOND
 from thistleline.store.clock import boot_now
 
 STANDSTILL = 100 * MS  # ns past a heartbeat; after a pause as long, all that lies unread is read first
@@ -50,7 +50,7 @@
         """
         self._last_drained_at = self._last_drained_at or boot_now()
         await self._wait((deadline - boot_now()) / SECOND)
-        paused = boot_now() - self._last_drained_at > STANDSTILL + BEAT
+        paused = boot_now() - self._last_drained_at > STANDSTILL + HEARTBEAT_INTERVAL_NS
         for _ in range(READ_FIRST if paused else 1):
             await anyio.lowlevel.checkpoint()
         self._last_drained_at = boot_now()
--- a/thistleline/config_feed/listener.py
+++ b/thistleline/config_feed/listener.py
@@ -12,7 +12,7 @@
 from thistleline.config_feed.downstream import DownstreamConnection
 from thistleline.config_feed.events import SubscriberLeft, SubscriberMessage
 from thistleline.config_feed.inbox import EventSink
-from thistleline.config_feed.limits import ID_BOUND, MESSAGE_BOUND
+from thistleline.config_feed.limits import MESSAGE_SIZE_LIMIT, PEER_ID_LENGTH_LIMIT
 from thistleline.config_feed.messages import SourceMessage, decode_follower
 from thistleline.config_feed.peer_log import PeerLog
 from thistleline.config_feed.send_queue import CHUNK_SIZE, FrameEncoder
@@ -140,11 +140,11 @@
         common_form(own, there)
         if there.kind != "follower":
             raise Unreadable(f"a {there.kind} has no business here")
-        connection.id = there.id[:ID_BOUND]
+        connection.id = there.id[:PEER_ID_LENGTH_LIMIT]
         await connection.stream.send(sealed(msgspec.msgpack.encode(own)))
 
     async def _receive(self, connection: DownstreamConnection) -> None:
-        decoder = Unpacker(MESSAGE_BOUND)
+        decoder = Unpacker(MESSAGE_SIZE_LIMIT)
         while True:
             data = await connection.stream.receive(CHUNK_SIZE)
             connection.last_received_at = boot_now()
--- a/thistleline/config_feed/lookups.py
+++ b/thistleline/config_feed/lookups.py
@@ -16,9 +16,14 @@
 from thistleline.config_feed.effects import DeltaApplied, FollowerEffect, SendUpstream, SnapshotLoaded
 from thistleline.config_feed.events import FollowerEvent, UpstreamMessage
 from thistleline.config_feed.follower import Follower
-from thistleline.config_feed.limits import ASKED_BOUND, KEY_BOUND, STALL, TENANTS_CACHE
+from thistleline.config_feed.limits import (
+    FETCHED_TENANTS_LIMIT,
+    KEY_LENGTH_LIMIT,
+    STALL_TIMEOUT_NS,
+    TENANT_CACHE_LIMIT,
+)
 from thistleline.config_feed.messages import Delta, FetchTenants, TenantEntries
-from thistleline.config_feed.table import TENANT
+from thistleline.config_feed.table import TENANT_PREFIX
 
 
 class LookupResult(NamedTuple):
@@ -51,7 +56,7 @@
 
     __slots__ = ("follower", "max_tenants", "requested", "requested_at", "tenants", "wanted")
 
-    def __init__(self, follower: Follower, max_tenants: int = TENANTS_CACHE) -> None:
+    def __init__(self, follower: Follower, max_tenants: int = TENANT_CACHE_LIMIT) -> None:
         """Begin with an empty cache; all events for `follower` have to come through `handle`."""
         self.follower = follower
         self.max_tenants = max_tenants
@@ -84,13 +89,13 @@
 
         After the first look-up of a tenant `next_deadline` is now: the tenant is requested then.
         """
-        if not key.startswith(TENANT):
+        if not key.startswith(TENANT_PREFIX):
             return self._lookup_wide(key)
         cached = self.tenants.get(key)
         if cached is not None:
             self.tenants.move_to_end(key)
             return cached
-        if len(key) > KEY_BOUND or not is_encodable(key):
+        if len(key) > KEY_LENGTH_LIMIT or not is_encodable(key):
             return ABSENT  # no change can have set it
         if key not in self.requested and len(self.wanted) < self.max_tenants:
             self.wanted[key] = None
@@ -119,7 +124,10 @@
                 self._on_delta(effect.delta)
             elif isinstance(effect, SnapshotLoaded):
                 self.tenants.clear()  # which of them changed in between is not known
-        if follower.phase not in ("loading", "following") or follower.now >= self.requested_at + STALL:
+        if (
+            follower.phase not in ("loading", "following")
+            or follower.now >= self.requested_at + STALL_TIMEOUT_NS
+        ):
             self._requeue_requested()
         if self._can_request():
             effects.append(SendUpstream(follower.upstream, self._next_request()))
@@ -130,13 +138,13 @@
         if self._can_request():
             return self.follower.now
         deadline = self.follower.next_deadline()
-        return min(deadline, self.requested_at + STALL) if self.requested else deadline
+        return min(deadline, self.requested_at + STALL_TIMEOUT_NS) if self.requested else deadline
 
     def _can_request(self) -> bool:
         return bool(self.wanted) and not self.requested and self.follower.phase == "following"
 
     def _next_request(self) -> FetchTenants:
-        keys = tuple(islice(self.wanted, ASKED_BOUND))
+        keys = tuple(islice(self.wanted, FETCHED_TENANTS_LIMIT))
         for key in keys:
             del self.wanted[key]
             self.requested[key] = None
--- a/thistleline/config_feed/operations.py
+++ b/thistleline/config_feed/operations.py
@@ -10,7 +10,7 @@
 from thistleline.config_feed.follower_service import FollowerService
 from thistleline.config_feed.messages import Propose, ProposeResult, ReadRequest, ReadResult
 from thistleline.config_feed.request import request
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 from thistleline.transport.address import Address
 
 READ_TIMEOUT = 2.0  # s for one request
@@ -115,7 +115,7 @@
     return await request(keeper, change, ProposeResult, min(time_left, ATTEMPT_TIMEOUT))
 
 
-async def export_table(servers: dict[str, Address], timeout: float) -> Table | None:
+async def export_table(servers: dict[str, Address], timeout: float) -> FeedTable | None:
     """Return all that one of the servers holds; None where none sends it within `timeout` seconds."""
     service = FollowerService(f"export-{os.urandom(4).hex()}", servers, immediate=True)
     done = False
--- a/thistleline/config_feed/record_client.py
+++ b/thistleline/config_feed/record_client.py
@@ -6,6 +6,7 @@
 
 from thistleline.config_feed.inbox import EventSink
 from thistleline.config_feed.service_events import RecordAnswered
+from thistleline.config_feed.writer_events import RecordRead, RecordWritten, WriteDenied, WriteUnanswered
 from thistleline.lease.client import Council
 from thistleline.lease.protocol import Denied, Done, Get, Got, Put
 
@@ -32,13 +33,13 @@
     async def _read(self, epoch: int, slot: int, key: str) -> None:
         answer = await self._client.surely(Get(key), READ_TIMEOUT)
         if isinstance(answer, Got):
-            self._inbox.put(RecordAnswered(epoch, ("got", slot, answer.value, answer.version)))
+            self._inbox.put(RecordAnswered(epoch, RecordRead(slot, answer.value, answer.version)))
 
     async def _write(self, epoch: int, slot: int, put: Put) -> None:
         answer = await self._client.ask(put)
         if isinstance(answer, Done):
-            self._inbox.put(RecordAnswered(epoch, ("put_done", slot, answer.number)))
+            self._inbox.put(RecordAnswered(epoch, RecordWritten(slot, answer.number)))
         elif isinstance(answer, Denied):
-            self._inbox.put(RecordAnswered(epoch, ("put_denied", slot, answer.why)))
+            self._inbox.put(RecordAnswered(epoch, WriteDenied(slot, answer.why)))
         else:
-            self._inbox.put(RecordAnswered(epoch, ("put_unknown", slot)))
+            self._inbox.put(RecordAnswered(epoch, WriteUnanswered(slot)))
--- a/thistleline/config_feed/relay.py
+++ b/thistleline/config_feed/relay.py
@@ -14,9 +14,14 @@
 import msgspec
 
 from thistleline.config_feed.effects import (
+    CloseDownstream,
+    ConnectUpstream,
     DeltaApplied,
+    DisconnectUpstream,
     PersistStep,
     PersistTable,
+    SendDownstream,
+    SendUpstream,
     SnapshotLoaded,
     SubscriberDurable,
 )
@@ -39,11 +44,18 @@
 )
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.history import History, Items
-from thistleline.config_feed.limits import FOLLOWERS_BOUND, REQUEST_BOUND
+from thistleline.config_feed.limits import FOLLOWERS_LIMIT, REQUEST_ID_LENGTH_LIMIT
 from thistleline.config_feed.messages import Follow, Propose, ProposeResult
 from thistleline.config_feed.source import Source
-from thistleline.config_feed.table import Table
-from thistleline.config_feed.writer import Writer
+from thistleline.config_feed.table import FeedTable
+from thistleline.config_feed.writer import FeedWriter
+from thistleline.config_feed.writer_effects import AnswerProposal, FollowKeepers, TableAdvanced, WriterEffect
+from thistleline.config_feed.writer_events import (
+    CatchUpAdvanced,
+    KeeperDurable,
+    ProposalReceived,
+    WriterEvent,
+)
 
 NEVER = 1 << 62
 RelayEvent = (
@@ -55,8 +67,18 @@
     | UpstreamLost
     | StateDurable
     | TimerExpired
+    | WriterEvent
+)
+RelayEffect = (
+    SendUpstream
+    | ConnectUpstream
+    | DisconnectUpstream
+    | SendDownstream
+    | CloseDownstream
+    | PersistStep
+    | PersistTable
+    | WriterEffect
 )
-RelayEffect = Any
 FollowMode = Literal["writer", "any", "nobody"]
 
 
@@ -94,12 +116,12 @@
         self,
         id: str,
         level: int,
-        table: Table,
+        table: FeedTable,
         sources: tuple[str, ...],
         now: int,
         random_delay: Callable[[int], int],
         keepers: tuple[str, ...] = (),
-        max_followers: int = FOLLOWERS_BOUND,
+        max_followers: int = FOLLOWERS_LIMIT,
     ) -> None:
         """Begin with this state.
 
@@ -118,13 +140,13 @@
         self.history = History(table)
         self.source = Source(self.history, level, now, max_followers)
         self.follower = Follower(id, "all", table, sources, now, random_delay, level)
-        self.writer = Writer(id, self.history, keepers, now) if keepers else None
+        self.writer = FeedWriter(id, self.history, keepers, now) if keepers else None
         self.known_writer = KnownWriter()
         self._follow_mode: FollowMode = "writer"
         self._keeper_peers: dict[str, int] = {}  # the newest connection of each keeper that follows here
         self._sender = 0  # the connection whose event is being handled
         self._persisted = table.sequence  # up to which `PersistStep` and `PersistTable` have gone out
-        self._effects: list[Any] = []
+        self._effects: list[RelayEffect] = []
 
     def copy(self) -> FeedRelay:
         """Return one that goes its own way from here."""
@@ -142,14 +164,14 @@
         return (
             self.source.state_key(),
             self.follower.state_key(),
-            self.writer.frozen() if self.writer is not None else None,
+            self.writer.state_key() if self.writer is not None else None,
             self._follow_mode,
             self.known_writer,
             tuple(sorted(self._keeper_peers.items())),
         )
 
     @property
-    def table(self) -> Table:
+    def table(self) -> FeedTable:
         """The newest state held."""
         return self.history.table
 
@@ -177,7 +199,7 @@
 
     def next_deadline(self) -> int:
         """Return when `TimerExpired` is to be passed in, in ns."""
-        writer = self.writer.due() if self.writer is not None else NEVER
+        writer = self.writer.next_deadline() if self.writer is not None else NEVER
         return min(self.source.next_deadline(), self.follower.next_deadline(), writer)
 
     def handle(self, now: int, event: RelayEvent) -> list[RelayEffect]:
@@ -194,14 +216,8 @@
                 self._on_state_durable(now, event)
             case TimerExpired():
                 self._on_timer(now, event)
-        return self._finish(now)
-
-    def handle_writer(self, now: int, kind: str, *args: Any) -> list[RelayEffect]:
-        """Take in an event for the writer."""
-        self._write(now, kind, *args)
-        return self._finish(now)
-
-    def _finish(self, now: int) -> list[RelayEffect]:
+            case _:
+                self._write(now, event)
         self._exchange(now)
         effects, self._effects = self._effects, []
         return effects
@@ -209,10 +225,10 @@
     def propose(self, now: int, ticket: Any, proposal: Propose) -> list[RelayEffect]:
         """Take in a proposal; its `AnswerProposal` has this ticket and comes now or later."""
         if self.writer is not None:
-            return self.handle_writer(now, "proposed", ticket, proposal)
+            return self.handle(now, ProposalReceived(ticket, proposal))
         reason = "a relay writes nothing"
-        request_id = proposal.request_id[:REQUEST_BOUND]
-        return [("answer", ticket, ProposeResult(request_id, reason=reason, unknown=True))]
+        request_id = proposal.request_id[:REQUEST_ID_LENGTH_LIMIT]
+        return [AnswerProposal(ticket, ProposeResult(request_id, reason=reason, unknown=True))]
 
     def _on_subscriber_message(self, now: int, event: SubscriberMessage) -> None:
         message = event.message
@@ -220,7 +236,7 @@
             # Prevents that a keeper which lost its disk still counts for what it had. Counted here, so that
             # one which the source rejects says so too.
             self._keeper_peers[message.id] = event.peer
-            self._write(now, "durable", message.id, 0)
+            self._write(now, KeeperDurable(message.id, 0))
         self._sender = event.peer
         self._serve(now, event)
 
@@ -231,13 +247,13 @@
     def _on_state_durable(self, now: int, event: StateDurable) -> None:
         self._follow(now, event)
         if self.writer is not None:
-            self._write(now, "durable", self.id, event.sequence)
+            self._write(now, KeeperDurable(self.id, event.sequence))
 
     def _on_timer(self, now: int, event: TimerExpired) -> None:
         self._follow(now, event)
         self._serve(now, event)
         if self.writer is not None:
-            self._write(now, "elapsed")
+            self._write(now, event)
 
     # ---- the three state machines
 
@@ -245,10 +261,10 @@
         for effect in self.follower.handle(now, event):
             match effect:
                 case DeltaApplied():
-                    self.history.take(self.follower.table, effect.delta.items)
+                    self.history.append(self.follower.table, effect.delta.items)
                     self._on_advanced(now)
                 case SnapshotLoaded():
-                    self.history.anew(self.follower.table)
+                    self.history.reset(self.follower.table)
                     self._on_replaced(now)
                 case _:
                     self._effects.append(effect)
@@ -259,17 +275,17 @@
                 self._effects.append(effect)
             elif self.writer is not None and self._keeper_peers.get(effect.subscriber) == self._sender:
                 # Only by its newest connection: on an older one there may be news of a disk that is lost.
-                self._write(now, "durable", effect.subscriber, effect.sequence)
+                self._write(now, KeeperDurable(effect.subscriber, effect.sequence))
 
-    def _write(self, now: int, kind: str, *args: Any) -> None:
+    def _write(self, now: int, event: WriterEvent) -> None:
         assert self.writer is not None
-        for effect in self.writer.take(now, kind, *args):
+        for effect in self.writer.handle(now, event):
             match effect:
-                case ("moved",):
+                case TableAdvanced():
                     self._on_advanced(now)
-                case ("answer", ticket, result):
-                    self._effects.append(("answer", ticket, self._with_leader(result)))
-                case ("follow",):
+                case AnswerProposal():
+                    self._effects.append(AnswerProposal(effect.ticket, self._with_leader(effect.result)))
+                case FollowKeepers():
                     pass  # `_exchange` sees to it
                 case _:
                     self._effects.append(effect)
@@ -296,7 +312,7 @@
         self._persisted = self.table.sequence
         self._serve(now, event)
         if self.writer is not None and self.writer.phase == "catching_up":
-            self._write(now, "caught_up")
+            self._write(now, CatchUpAdvanced())
 
     def _items_since(self, sequence: int) -> Items:
         """Return the newest item of each key that was written since a state of the history."""
@@ -317,7 +333,7 @@
             self.known_writer = known
             self._serve(now, WriterChanged(known.epoch, known.is_here, self.level, known.leader))
 
-    def _update_following(self, now: int, writer: Writer) -> None:
+    def _update_following(self, now: int, writer: FeedWriter) -> None:
         mode: FollowMode = "nobody"
         if writer.phase == "standby":
             mode = "writer"
--- a/thistleline/config_feed/request.py
+++ b/thistleline/config_feed/request.py
@@ -8,7 +8,7 @@
 import anyio
 from anyio.abc import ByteStream
 
-from thistleline.config_feed.limits import MESSAGE_BOUND
+from thistleline.config_feed.limits import MESSAGE_SIZE_LIMIT
 from thistleline.config_feed.messages import FollowerMessage, SourceMessage, decode_source, encode
 from thistleline.config_feed.send_queue import CHUNK_SIZE
 from thistleline.transport.address import Address
@@ -45,7 +45,7 @@
             with anyio.fail_after(CONNECT_TIMEOUT):
                 await shake_hands(stream, Hello("follower", ""))
             await stream.send(sealed(encode(message)))
-            decoder = Unpacker(MESSAGE_BOUND)
+            decoder = Unpacker(MESSAGE_SIZE_LIMIT)
             while True:
                 for payload in decoder.take(await stream.receive(CHUNK_SIZE)):
                     answer = decode_source(payload)
--- a/thistleline/config_feed/send_queue.py
+++ b/thistleline/config_feed/send_queue.py
@@ -8,7 +8,7 @@
 import anyio
 from anyio.abc import ByteStream
 
-from thistleline.config_feed.limits import MS, SECOND, STALL
+from thistleline.config_feed.limits import MS, SECOND, STALL_TIMEOUT_NS
 from thistleline.config_feed.messages import Delta, FollowerMessage, SnapshotPart, SourceMessage, encode
 from thistleline.store.clock import boot_now
 from thistleline.transport.codec import sealed
@@ -114,7 +114,7 @@
 
     def is_stalled(self, now: int) -> bool:
         """Return whether the peer has taken nothing for too long; `now` in ns of the boot clock."""
-        return 0 < self._sending_since < now - STALL
+        return 0 < self._sending_since < now - STALL_TIMEOUT_NS
 
 
 async def check_regularly(check: Callable[[int], None]) -> None:
--- a/thistleline/config_feed/service.py
+++ b/thistleline/config_feed/service.py
@@ -17,7 +17,7 @@
 
 from thistleline.config.schema import Council as ConsensusConfig
 from thistleline.config.schema import Feed as FeedConfig
-from thistleline.config_feed.archive_writer import Persist
+from thistleline.config_feed.archive_writer import ArchiveWriter
 from thistleline.config_feed.effects import (
     CloseDownstream,
     ConnectUpstream,
@@ -45,10 +45,18 @@
 from thistleline.config_feed.record_client import RecordClient
 from thistleline.config_feed.relay import FeedRelay, RelayEffect, RelayEvent
 from thistleline.config_feed.send_queue import check_regularly
-from thistleline.config_feed.service_events import ArchiveDurable, LeaseChanged, RecordAnswered, ServiceEvent
+from thistleline.config_feed.service_events import ArchiveDurable, RecordAnswered, ServiceEvent
 from thistleline.config_feed.status import read_result
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 from thistleline.config_feed.upstream import UpstreamConnection
+from thistleline.config_feed.writer_effects import (
+    AnswerProposal,
+    LogEvent,
+    ReadRecord,
+    ReleaseLease,
+    WriteRecord,
+)
+from thistleline.config_feed.writer_events import LeaseAcquired, LeaseLost
 from thistleline.config_feed.writer_lease import WriterLease
 from thistleline.lease.client import Council
 from thistleline.store.clock import boot_now
@@ -102,13 +110,13 @@
         self.inbox: EventInbox[ServiceEvent] = EventInbox()
         self.peer_log = PeerLog(log)
         self.listener = FeedListener(self.name, config.followers, self.inbox, self.peer_log)
-        self.archive: Persist | None = None
+        self.archive: ArchiveWriter | None = None
         if config.folder is not None:
-            self.archive = Persist(config.folder, "all", log, self._on_archive_written)
+            self.archive = ArchiveWriter(config.folder, "all", log, self._on_archive_written)
         self.relay = FeedRelay(
             self.name,
             config.level,
-            self.archive.table if self.archive is not None else Table(),
+            self.archive.table if self.archive is not None else FeedTable(),
             tuple(self._sources),
             boot_now(),
             self._random_delay,
@@ -125,7 +133,7 @@
 
     def _on_archive_written(self, sequence: int) -> None:
         assert self.archive is not None
-        self.inbox.put(ArchiveDurable(sequence, self.archive.line))
+        self.inbox.put(ArchiveDurable(sequence, self.archive.generation))
 
     # ---- the program
 
@@ -177,7 +185,7 @@
             if self._writer_lease is not None:
                 await self._writer_lease.leave()
             if self.archive is not None:
-                await self.archive.flushed()
+                await self.archive.flush()
         scope.cancel()
 
     async def _handle_events(self) -> None:
@@ -202,14 +210,17 @@
                 self._pass_on(event)
             case ArchiveDurable():
                 # Of a state that was replaced since it counts no more.
-                if self.archive is not None and event.generation == self.archive.line:
+                if self.archive is not None and event.generation == self.archive.generation:
                     self._pass_on(StateDurable(event.sequence))
-            case LeaseChanged():
-                self._epoch = event.value if event.kind == "held" else 0
-                self._carry_out_all(self.relay.handle_writer(boot_now(), event.kind, event.value))
+            case LeaseAcquired():
+                self._epoch = event.epoch
+                self._pass_on(event)
+            case LeaseLost():
+                self._epoch = 0
+                self._pass_on(event)
             case RecordAnswered():
                 if event.epoch == self._epoch:  # an answer to an epoch that is over counts no more
-                    self._carry_out_all(self.relay.handle_writer(boot_now(), *event.answer))
+                    self._pass_on(event.answer)
 
     def _on_message(self, event: SubscriberMessage) -> None:
         connection = self.listener.connections.get(event.peer)
@@ -244,7 +255,7 @@
                 self._upstream.send(effect.source, effect.message)
             case PersistStep():
                 if self.archive is not None:
-                    self.archive.step(effect.table, effect.first, effect.items)
+                    self.archive.append(effect.table, effect.first, effect.items)
                 self._freezer.on_advanced(effect.table)
             case PersistTable():
                 self._persist_table(effect.table)
@@ -255,21 +266,21 @@
                 self._upstream.disconnect(effect.source)
             case CloseDownstream():
                 self.listener.close(effect.peer, effect.reason)
-            case ("get", slot, key):
-                self._records.read(self._epoch, slot, key)
-            case ("put", slot, put):
-                self._records.write(self._epoch, slot, put)
-            case ("answer", ticket, result):
-                self.listener.send(ticket, result)
-            case ("release", _):
+            case ReadRecord():
+                self._records.read(self._epoch, effect.slot, effect.key)
+            case WriteRecord():
+                self._records.write(self._epoch, effect.slot, effect.put)
+            case AnswerProposal():
+                self.listener.send(effect.ticket, effect.result)
+            case ReleaseLease():
                 if self._writer_lease is not None:
                     self._writer_lease.release()
-            case ("log", name, fields):
-                self.log(name, **fields)
+            case LogEvent():
+                self.log(effect.event, **effect.fields)
 
-    def _persist_table(self, table: Table) -> None:
+    def _persist_table(self, table: FeedTable) -> None:
         if self.archive is not None:
-            self.archive.anew(table)
+            self.archive.replace(table)
         self._freezer.freeze(table)
         self.log("loaded", number=table.sequence, digest=table.digest("all").hex())
 
--- a/thistleline/config_feed/service_events.py
+++ b/thistleline/config_feed/service_events.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
 
 from thistleline.config_feed.events import (
     SubscriberLeft,
@@ -12,6 +11,14 @@
     UpstreamLost,
     UpstreamMessage,
 )
+from thistleline.config_feed.writer_events import (
+    LeaseAcquired,
+    LeaseLost,
+    RecordRead,
+    RecordWritten,
+    WriteDenied,
+    WriteUnanswered,
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,20 +34,12 @@
     generation: int
 
 
-@dataclass(frozen=True, slots=True)
-class LeaseChanged:
-    """The writer's lease was acquired ("held" and its epoch) or lost ("lost" and the reason)."""
-
-    kind: str
-    value: Any
-
-
 @dataclass(frozen=True, slots=True)
 class RecordAnswered:
     """The consensus cluster has answered a request for a record, made under the lease of this epoch."""
 
     epoch: int
-    answer: tuple[Any, ...]
+    answer: RecordRead | RecordWritten | WriteDenied | WriteUnanswered
 
 
 ServiceEvent = (
@@ -50,6 +49,7 @@
     | UpstreamConnected
     | UpstreamLost
     | ArchiveDurable
-    | LeaseChanged
+    | LeaseAcquired
+    | LeaseLost
     | RecordAnswered
 )
--- a/thistleline/config_feed/snapshot.py
+++ b/thistleline/config_feed/snapshot.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from thistleline.config_feed.history import History, cost_of
+from thistleline.config_feed.history import History, item_size
 from thistleline.config_feed.limits import PART_SIZE, SECOND
 from thistleline.config_feed.messages import Kind, SnapshotPart
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 
 SNAPSHOT_TTL = 60 * SECOND  # ns; a snapshot goes after so long without a request for a part
 NEVER = 1 << 62
@@ -20,7 +20,7 @@
 
     __slots__ = ("_lookahead", "_remaining", "digest", "kind", "parts", "sequence")
 
-    def __init__(self, table: Table, kind: Kind) -> None:
+    def __init__(self, table: FeedTable, kind: Kind) -> None:
         """Begin a snapshot of what a follower of this kind holds of the table."""
         self.sequence = table.sequence
         self.digest = table.digest(kind)
@@ -47,7 +47,7 @@
         items = []
         while self._lookahead is not None and size < PART_SIZE:
             items.append(self._lookahead)
-            size += cost_of(*self._lookahead[:2])
+            size += item_size(*self._lookahead[:2])
             self._lookahead = next(self._remaining, None)
         self.parts.append(tuple(items))
 
@@ -86,7 +86,7 @@
         if (
             snapshot is None
             or snapshot.sequence < min_sequence
-            or not history.knows(snapshot.sequence, snapshot.digest, kind)
+            or not history.contains(snapshot.sequence, snapshot.digest, kind)
             or history.delta(snapshot.sequence, kind) is None
         ):
             snapshot = self.by_kind[kind] = Snapshot(history.table, kind)
--- a/thistleline/config_feed/source.py
+++ b/thistleline/config_feed/source.py
@@ -28,15 +28,15 @@
     TimerExpired,
     WriterChanged,
 )
-from thistleline.config_feed.history import History, cost_of
+from thistleline.config_feed.history import History, item_size
 from thistleline.config_feed.limits import (
-    ASKED_BOUND,
-    BEAT,
-    FOLLOWERS_BOUND,
-    ID_BOUND,
-    KEY_BOUND,
+    FETCHED_TENANTS_LIMIT,
+    FOLLOWERS_LIMIT,
+    HEARTBEAT_INTERVAL_NS,
+    KEY_LENGTH_LIMIT,
     PART_SIZE,
-    STALL,
+    PEER_ID_LENGTH_LIMIT,
+    STALL_TIMEOUT_NS,
 )
 from thistleline.config_feed.messages import (
     Acknowledge,
@@ -53,7 +53,7 @@
 )
 from thistleline.config_feed.snapshot import SnapshotCache
 from thistleline.config_feed.subscriber import Subscriber
-from thistleline.config_feed.table import TENANT
+from thistleline.config_feed.table import TENANT_PREFIX
 
 MAX_LEVEL = 64
 RESERVED_FOR_KEEPERS = 8  # places for keepers alone: else no change is committed where all others are taken
@@ -90,7 +90,7 @@
         "up_to_date",
     )
 
-    def __init__(self, history: History, level: int, now: int, max_followers: int = FOLLOWERS_BOUND) -> None:
+    def __init__(self, history: History, level: int, now: int, max_followers: int = FOLLOWERS_LIMIT) -> None:
         """Begin without subscribers."""
         self.history = history
         self.level = level
@@ -165,8 +165,8 @@
     def next_deadline(self) -> int:
         """Return when `TimerExpired` is to be passed in, in ns."""
         return min(
-            next(iter(self.last_received_at.values()), NEVER) + STALL,
-            next(iter(self.last_sent_at.values()), NEVER) + BEAT,
+            next(iter(self.last_received_at.values()), NEVER) + STALL_TIMEOUT_NS,
+            next(iter(self.last_sent_at.values()), NEVER) + HEARTBEAT_INTERVAL_NS,
             self.snapshots.expiry(),
         )
 
@@ -230,12 +230,12 @@
     def _on_timer(self) -> None:
         while self.last_received_at:
             peer = next(iter(self.last_received_at))
-            if self.now < self.last_received_at[peer] + STALL:
+            if self.now < self.last_received_at[peer] + STALL_TIMEOUT_NS:
                 break
             self._close(peer, "silent")
         while self.last_sent_at:
             peer = next(iter(self.last_sent_at))
-            if self.now < self.last_sent_at[peer] + BEAT:
+            if self.now < self.last_sent_at[peer] + HEARTBEAT_INTERVAL_NS:
                 break
             table = self.history.table
             self._send(peer, Heartbeat(table.sequence, table.digest(self.subscribers[peer].kind)))
@@ -274,7 +274,7 @@
     def _send_next(self, peer: int, subscriber: Subscriber) -> None:
         """Send what a subscriber with nothing in flight lacks, and behind that the tenants it asked for."""
         table = self.history.table
-        if not self.history.knows(subscriber.sequence, subscriber.digest, subscriber.kind):
+        if not self.history.contains(subscriber.sequence, subscriber.digest, subscriber.kind):
             self._offer_snapshot(peer, subscriber)
             return
         if subscriber.sequence < table.sequence:
@@ -314,7 +314,7 @@
         for key in subscriber.pending_tenants:
             value, version = table.get(key) or (None, 0)
             items.append((key, value, version))
-            size += cost_of(key, value)
+            size += item_size(key, value)
             if size >= PART_SIZE:
                 self._send(peer, TenantEntries(table.sequence, tuple(items)))
                 items = []
@@ -337,7 +337,7 @@
         if subscriber.phase != "new":
             return "it follows already"
         if (
-            not 0 < len(request.id) <= ID_BOUND
+            not 0 < len(request.id) <= PEER_ID_LENGTH_LIMIT
             or not 0 <= request.level <= MAX_LEVEL
             or request.sequence < 0
             or len(request.digest) > DIGEST_SIZE
@@ -367,7 +367,7 @@
 
     def _can_resume(self, subscriber: Subscriber) -> bool:
         """Return whether a delta leads on from the state that the subscriber holds."""
-        known = self.history.knows(subscriber.sequence, subscriber.digest, subscriber.kind)
+        known = self.history.contains(subscriber.sequence, subscriber.digest, subscriber.kind)
         return known and self.history.delta(subscriber.sequence, subscriber.kind) is not None
 
     def _on_acknowledge(self, peer: int, subscriber: Subscriber, message: Acknowledge) -> str:
@@ -430,10 +430,10 @@
 
     def _on_fetch_tenants(self, peer: int, subscriber: Subscriber, request: FetchTenants) -> str:
         """Answer behind a delta to the newest state, so that the answer is as new as what is held there."""
-        if len(subscriber.pending_tenants) + len(request.keys) > ASKED_BOUND:
+        if len(subscriber.pending_tenants) + len(request.keys) > FETCHED_TENANTS_LIMIT:
             return "it asks for too much"
         for key in request.keys:
-            if not key.startswith(TENANT) or len(key) > KEY_BOUND:
+            if not key.startswith(TENANT_PREFIX) or len(key) > KEY_LENGTH_LIMIT:
                 return "no key of a tenant"
             subscriber.pending_tenants[key] = None
         if subscriber.phase == "following":
--- a/thistleline/config_feed/status.py
+++ b/thistleline/config_feed/status.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from thistleline.config_feed.limits import MADE_SLOTS, MESSAGE_BOUND
+from thistleline.config_feed.limits import DEDUPLICATION_SLOTS, MESSAGE_SIZE_LIMIT
 from thistleline.config_feed.messages import ReadRequest, ReadResult
 from thistleline.config_feed.relay import FeedRelay
 
 MAX_READ_KEYS = 128  # in one answer
-MAX_READ_SIZE = MESSAGE_BOUND // 2  # bytes of keys and values in one answer
+MAX_READ_SIZE = MESSAGE_SIZE_LIMIT // 2  # bytes of keys and values in one answer
 
 
 def read_result(relay: FeedRelay, durable: int, request: ReadRequest) -> ReadResult:
@@ -48,10 +48,10 @@
         "level": relay.level,
         "followers": len(relay.source.subscribers),
         "wide": len(table.wide),
-        "tenants": max(0, len(table.tenants) - min(table.sequence, MADE_SLOTS)),
+        "tenants": max(0, len(table.tenants) - min(table.sequence, DEDUPLICATION_SLOTS)),
         "base": relay.history.base,
         "durable": durable,
     }
     if relay.writer is not None and relay.is_writer:
-        counters.update(relay.writer.facts())
+        counters.update(relay.writer.counters())
     return counters
--- a/thistleline/config_feed/upstream.py
+++ b/thistleline/config_feed/upstream.py
@@ -7,7 +7,7 @@
 
 from thistleline.config_feed.events import UpstreamConnected, UpstreamLost, UpstreamMessage
 from thistleline.config_feed.inbox import EventSink
-from thistleline.config_feed.limits import MESSAGE_BOUND
+from thistleline.config_feed.limits import MESSAGE_SIZE_LIMIT
 from thistleline.config_feed.messages import FollowerMessage, decode_source
 from thistleline.config_feed.request import CONNECT_TIMEOUT, shake_hands
 from thistleline.config_feed.send_queue import CHUNK_SIZE, SendQueue, check_regularly, to_frame
@@ -81,7 +81,7 @@
         self._emit(session, UpstreamLost(source, session.reason or "it takes nothing"))
 
     async def _receive(self, stream: SocketStream, session: _Session) -> None:
-        decoder = Unpacker(MESSAGE_BOUND)
+        decoder = Unpacker(MESSAGE_SIZE_LIMIT)
         while True:
             payloads = decoder.take(await stream.receive(CHUNK_SIZE))
             messages = [decode_source(payload) for payload in payloads]
--- a/thistleline/config_feed/writer_lease.py
+++ b/thistleline/config_feed/writer_lease.py
@@ -10,8 +10,8 @@
 
 from thistleline.config_feed.inbox import EventSink
 from thistleline.config_feed.limits import SECOND
-from thistleline.config_feed.service_events import LeaseChanged
-from thistleline.config_feed.writer import LEASE
+from thistleline.config_feed.recovery import LEASE_NAME
+from thistleline.config_feed.writer_events import LeaseAcquired, LeaseLost
 from thistleline.lease.client import Council
 from thistleline.lease.holder import Hold
 from thistleline.lease.session import Keeper
@@ -28,7 +28,7 @@
         name: str,
         duration: int,
         client: Council,
-        inbox: EventSink[LeaseChanged],
+        inbox: EventSink[LeaseAcquired | LeaseLost],
         log: Callable[..., None],
         random: Random,
     ) -> None:
@@ -74,17 +74,17 @@
 
     async def _hold_once(self) -> None:
         owner = f"{self._name}.{os.getpid()}.{os.urandom(6).hex()}"
-        hold = Hold(LEASE, owner, self._duration, True, boot_now(), self._random_delay)
+        hold = Hold(LEASE_NAME, owner, self._duration, True, boot_now(), self._random_delay)
         session = self._session = Keeper(self._client, hold)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(session.run, tasks)
             await session.decided.wait()
             if hold.phase == "held":
                 self._log("holds", epoch=hold.epoch)
-                self._inbox.put(LeaseChanged("held", hold.epoch))
+                self._inbox.put(LeaseAcquired(hold.epoch))
                 await session.over.wait()
                 self._log("lost", epoch=hold.epoch, why=hold.why)
-                self._inbox.put(LeaseChanged("lost", hold.why))
+                self._inbox.put(LeaseLost(hold.why))
             tasks.cancel_scope.cancel()
         session.close()
 
--- a/thistleline/lab/feedrun.py
+++ b/thistleline/lab/feedrun.py
@@ -41,7 +41,7 @@
     UpstreamMessage,
 )
 from thistleline.config_feed.follower import Follower
-from thistleline.config_feed.limits import MADE_SLOTS, MS, SECOND
+from thistleline.config_feed.limits import DEDUPLICATION_SLOTS, MS, SECOND
 from thistleline.config_feed.lookups import LookupCache
 from thistleline.config_feed.messages import (
     Change,
@@ -54,9 +54,25 @@
     encode,
 )
 from thistleline.config_feed.operations import ATTEMPT_TIMEOUT, RETRY_DELAY, EndpointSelector
+from thistleline.config_feed.recovery import LEASE_NAME, record_key
 from thistleline.config_feed.relay import FeedRelay, RelayEvent
-from thistleline.config_feed.table import APART, Entries, Table
-from thistleline.config_feed.writer import LEASE, key_of
+from thistleline.config_feed.table import PARTIAL_PREFIXES, Entries, FeedTable
+from thistleline.config_feed.writer_effects import (
+    AnswerProposal,
+    LogEvent,
+    ReadRecord,
+    ReleaseLease,
+    WriteRecord,
+)
+from thistleline.config_feed.writer_events import (
+    LeaseAcquired,
+    LeaseLost,
+    ProposalReceived,
+    RecordRead,
+    RecordWritten,
+    WriteDenied,
+    WriterEvent,
+)
 from thistleline.lab.mutants import without
 from thistleline.lease.holder import Hold
 from thistleline.lease.liveness import Watch
@@ -80,20 +96,20 @@
 Key = tuple[int, int, int, int, Kind, tuple[Any, ...]]
 
 
-class Shared(Table):
+class Shared(FeedTable):
     """A state whose followers share what they make of it."""
 
     __slots__ = ()
     made: ClassVar[dict[Key, "Shared"]] = {}
 
-    def moved(
+    def update(
         self, number: int, items: Iterable[tuple[str, bytes | None, int]], kind: Kind = "all"
     ) -> "Shared":
         told = items if isinstance(items, tuple) else tuple(items)
         key = (self.sequence, self.wide_sum, self.tenants_sum, number, kind, told)
         found = self.made.get(key)
         if found is None:
-            found = self.made[key] = Shared(*Table.moved(self, number, told, kind))
+            found = self.made[key] = Shared(*FeedTable.update(self, number, told, kind))
             while len(self.made) > KEPT:
                 del self.made[next(iter(self.made))]
         return found
@@ -105,7 +121,7 @@
 
 class Node(Protocol):
     @property
-    def table(self) -> Table: ...
+    def table(self) -> FeedTable: ...
 
     def handle(self, now: int, event: RelayEvent) -> Effects: ...
 
@@ -117,7 +133,7 @@
 
     __slots__ = ("lookups",)
 
-    def __init__(self, id: str, table: Table, sources: tuple[str, ...], now: int, spread: Spread) -> None:
+    def __init__(self, id: str, table: FeedTable, sources: tuple[str, ...], now: int, spread: Spread) -> None:
         self.lookups = LookupCache(Follower(id, "wide", table, sources, now, spread))
 
     def copy(self) -> "Instance":
@@ -129,7 +145,7 @@
         return self.lookups.state_key()
 
     @property
-    def table(self) -> Table:
+    def table(self) -> FeedTable:
         return self.lookups.follower.table
 
     def next_deadline(self) -> int:
@@ -148,10 +164,10 @@
 class Oracle:
     """What was acknowledged, in order: each key's values by number. Says what is wrong with a state seen."""
 
-    def __init__(self, table: Table) -> None:
+    def __init__(self, table: FeedTable) -> None:
         self.first = self.last = table.sequence
         self.base = {key: value for key, value, _ in table.entries("all")}
-        self.wide = sum(not key.startswith(APART) for key in self.base)
+        self.wide = sum(not key.startswith(PARTIAL_PREFIXES) for key in self.base)
         self.told: dict[str, tuple[list[int], list[bytes | None]]] = {}
         self.touched: list[tuple[int, str]] = []
         self.counts = {self.first: self.wide}  # wide entries at each number
@@ -163,7 +179,7 @@
             self.wrong = f"{number} was acknowledged after {self.last}"
             return
         for key, value in items:
-            if not key.startswith(APART):
+            if not key.startswith(PARTIAL_PREFIXES):
                 self.wide += (value is not None) - (self.at(key, self.last) is not None)
             numbers, values = self.told.setdefault(key, ([], []))
             numbers.append(number)
@@ -177,7 +193,7 @@
         place = bisect_right(numbers, number)
         return values[place - 1] if place else self.base.get(key)
 
-    def check(self, table: Table, kind: Kind, before: int) -> None:
+    def check(self, table: FeedTable, kind: Kind, before: int) -> None:
         """A state that somebody holds: what was touched since `before` is looked at, all else by count."""
         mark = (table.sequence, table.wide_sum, table.tenants_sum)
         if self.seen.get(mark) is table.wide:
@@ -189,14 +205,14 @@
             return  # decided, its acknowledgement is on its way: looked at in the end
         low = bisect_right(self.touched, (min(before, table.sequence - 20), ""))
         for _, key in self.touched[low:]:
-            if not key.startswith(APART) or kind == "all":
+            if not key.startswith(PARTIAL_PREFIXES) or kind == "all":
                 found = table.get(key)
                 if (found[0] if found else None) != self.at(key, table.sequence):
                     self.wrong = f"{key} at {table.sequence} is not what was acknowledged"
         if len(table.wide) != self.counts[table.sequence]:
             self.wrong = f"{len(table.wide)} entries at {table.sequence}, not {self.counts[table.sequence]}"
 
-    def whole(self, table: Table, kind: Kind) -> str:
+    def whole(self, table: FeedTable, kind: Kind) -> str:
         """Of the newest state, all of it, against a plain dict."""
         if table.sequence != self.last:
             return f"it ends at {table.sequence}, not at {self.last}"
@@ -208,7 +224,7 @@
             else:
                 plain[key] = value
         if kind == "wide":
-            plain = {key: value for key, value in plain.items() if not key.startswith(APART)}
+            plain = {key: value for key, value in plain.items() if not key.startswith(PARTIAL_PREFIXES)}
         here = {key: value for key, value, _ in table.entries(kind)}
         return "" if here == plain else "its entries are not what was acknowledged"
 
@@ -244,7 +260,7 @@
         self.got = self.sent = self.got_bytes = self.sent_bytes = self.cpu = self.takes = 0
         self.since = 0  # up since
         self.number = 0
-        self.durable: Table | None = None
+        self.durable: FeedTable | None = None
 
 
 class Asked(EndpointSelector):
@@ -296,7 +312,7 @@
 class VirtualFeed(Clock):
     def __init__(
         self,
-        table: Table,
+        table: FeedTable,
         seed: int,
         instances: int,
         regions: int = 10,
@@ -349,14 +365,14 @@
             zone = place * regions + region
             node = FeedRelay(name, 1, table, tuple(sources), 0, self._spread)
             self._add(Place(name, region, zone if zone < self.zones else region, node, PLENTY))
-        self.wide = Shared(*Table.moved(Table(), table.sequence, table.entries("wide"), "wide"))
+        self.wide = Shared(*FeedTable.update(FeedTable(), table.sequence, table.entries("wide"), "wide"))
         self.instances = [f"i{place}" for place in range(instances)]
         for place, name in enumerate(self.instances):
             zone = place % self.zones
             region = zone % regions
             self._add(Place(name, region, zone, self._instance(name, region, self.wide), LINE))
 
-    def _instance(self, name: str, region: int, table: Table) -> Node:
+    def _instance(self, name: str, region: int, table: FeedTable) -> Node:
         near = [one for one in self.relays if one.startswith(f"r{region}.")]
         self.chance.shuffle(near)
         far = [one for one in self.relays if one not in near]
@@ -364,12 +380,12 @@
             name, table, (*near, *self.chance.sample(far, min(2, len(far)))), self.now, self._spread
         )
 
-    def _begun(self, table: Table) -> Table:
+    def _begun(self, table: FeedTable) -> FeedTable:
         """One change further, which the council's first record holds: who writes goes on from there."""
         change = Change(table.sequence + 1, "first", (("common/first", b"{}"),))
-        made = table.applied(change)
+        made = table.apply(change)
         value = encode(Group(0, (change,), table.digest("all"), made.digest("all")))
-        self.leases.apply(0, data_of(Put(key_of(0), value, 0)))
+        self.leases.apply(0, data_of(Put(record_key(0), value, 0)))
         return made
 
     def _spread(self, span: int) -> int:
@@ -384,7 +400,7 @@
     # ---- time
 
     def run(self, until: int, over: Callable[[], bool] = lambda: False) -> bool:
-        with without(((following, "Table", Shared),)):
+        with without(((following, "FeedTable", Shared),)):
             return super().run(until, over)
 
     def _arm(self, place: Place) -> None:
@@ -422,16 +438,6 @@
             place.cpu += perf_counter_ns() - began
         else:
             effects = place.node.handle(self.now, event)
-        self._carried_out(place, effects)
-
-    def put_writer(self, place: Place, kind: str, *told: Any) -> None:
-        if not place.alive:
-            return
-        place.takes += 1
-        assert isinstance(place.node, FeedRelay)
-        self._carried_out(place, place.node.handle_writer(self.now, kind, *told))
-
-    def _carried_out(self, place: Place, effects: Effects) -> None:
         for effect in effects:
             self._carry_out(place, effect)
         table = place.node.table
@@ -453,10 +459,18 @@
                 self._drop(place, source)
             case CloseDownstream(peer):
                 self._close(place, peer)
-            case _:
-                getattr(self, f"_{effect[0]}")(place, *effect[1:])
-
-    def _stands(self, place: Place, table: Table) -> None:
+            case ReadRecord(slot, key):
+                self._get(place, slot, key)
+            case WriteRecord(slot, put):
+                self._put(place, slot, put)
+            case AnswerProposal(ticket, result):
+                self._answer(place, ticket, result)
+            case ReleaseLease(reason):
+                self._release(place, reason)
+            case LogEvent(event, fields):
+                self._log(place, event, fields)
+
+    def _stands(self, place: Place, table: FeedTable) -> None:
         before, place.number = place.number, table.sequence
         if table.sequence < before:
             self.wrong = self.wrong or f"{place.name} goes back from {before} to {table.sequence}"
@@ -606,7 +620,7 @@
         if event == "gives_up":
             self.wrong = self.wrong or f"{place.name} gives up: {facts}"
 
-    def _written(self, place: Place, table: Table, life: int) -> None:
+    def _written(self, place: Place, table: FeedTable, life: int) -> None:
         if place.life == life and place.alive:
             place.durable = table
             self.put(place, StateDurable(table.sequence))
@@ -617,14 +631,14 @@
         """A confirmed write or read: there, to a majority, back."""
         return self.chance.randint(30, 120) * MS
 
-    def _errand(self, place: Place, hold: Hold, *told: Any) -> None:
+    def _errand(self, place: Place, hold: Hold, event: WriterEvent) -> None:
         """What the council said of the writer's records; to a hold that is over it says nothing."""
         if self.holds.get(place.name) is hold:
-            self.put_writer(place, *told)
+            self.put(place, event)
 
     def _get(self, place: Place, slot: int, key: str) -> None:
         got, hold = self.leases.get(key), self.holds[place.name]
-        self.at(self.now + self._trip(), self._errand, place, hold, "got", slot, got.value, got.version)
+        self.at(self.now + self._trip(), self._errand, place, hold, RecordRead(slot, got.value, got.version))
 
     def _put(self, place: Place, slot: int, put: Put) -> None:
         self.at(self.now + self._trip() // 2, self._decide, place, self.holds[place.name], slot, put)
@@ -633,9 +647,9 @@
         answer = self._apply(put)
         when = self.now + self._trip() // 2
         if isinstance(answer, Denied):
-            self.at(when, self._errand, place, hold, "put_denied", slot, answer.why)
+            self.at(when, self._errand, place, hold, WriteDenied(slot, answer.why))
         else:
-            self.at(when, self._errand, place, hold, "put_done", slot, put.version + 1)
+            self.at(when, self._errand, place, hold, RecordWritten(slot, put.version + 1))
 
     def _apply(self, op: Op) -> Answer:
         self.index += 1
@@ -653,7 +667,7 @@
         """A wish of its own for each try, as feed/service has it."""
         if place.alive:
             asker = f"{place.name}.{self.index}.{self.now}"
-            hold = self.holds[place.name] = Hold(LEASE, asker, LENGTH, True, self.now, self._spread)
+            hold = self.holds[place.name] = Hold(LEASE_NAME, asker, LENGTH, True, self.now, self._spread)
             self._holds(place, hold, "start")
 
     def _holds(self, place: Place, hold: Hold, *told: Any) -> None:
@@ -663,10 +677,10 @@
             if effect == "ask":
                 self.at(self.now + self._trip() // 2, self._asks, place, hold, *rest)
             elif effect == "held":
-                self.put_writer(place, "held", *rest)
+                self.put(place, LeaseAcquired(*rest))
             else:
                 del self.holds[place.name]
-                self.put_writer(place, "lost", *rest)
+                self.put(place, LeaseLost(*rest))
                 self.at(self.now + LENGTH // 3 + self._spread(LENGTH // 3), self._wants, place)
                 return
         self.at(max(hold.due(), self.now + 1), self._holds_due, place, hold)
@@ -688,10 +702,10 @@
 
     def _watch(self) -> None:
         """Takes the lease from who was not heard of for its length."""
-        self.watch.look(self.now, LEASE, self.leases)
+        self.watch.look(self.now, LEASE_NAME, self.leases)
         for op in self.watch.over(self.now, self.now // MS, self.leases):
             self._apply(op)
-            self.watch.look(self.now, LEASE, self.leases)
+            self.watch.look(self.now, LEASE_NAME, self.leases)
         due = self.watch.due()
         if due is not None and (due < self.watching or self.watching <= self.now):
             self.watching = max(due, self.now + 1)
@@ -717,7 +731,7 @@
 
     def _proposed(self, keeper: Place, ticket: int) -> None:
         if ticket in self.proposals:
-            self.put_writer(keeper, "proposed", ticket, self.proposals[ticket].propose)
+            self.put(keeper, ProposalReceived(ticket, self.proposals[ticket].propose))
 
     def _another(self, ticket: int, tries: int, answered: bool, leader: str = "") -> None:
         """The same request, of who is said to write, else of the next after a pause."""
@@ -760,7 +774,7 @@
         # One that was made and not told of is known once it is asked for again; what came after it waits.
         while (known := self.acknowledged.pop(self.oracle.last + 1, None)) is not None:
             number = self.oracle.last + 1
-            made = f"made/{number % MADE_SLOTS}", known.propose.request_id.encode()
+            made = f"made/{number % DEDUPLICATION_SLOTS}", known.propose.request_id.encode()
             self.oracle.acknowledged(number, (*known.propose.items, made))
 
     def look(self, name: str, key: str) -> None:
--- a/thistleline/lab/feedworld.py
+++ b/thistleline/lab/feedworld.py
@@ -41,9 +41,24 @@
     decode_group,
     encode,
 )
+from thistleline.config_feed.recovery import LEASE_NAME, record_key
 from thistleline.config_feed.relay import FeedRelay, RelayEvent
-from thistleline.config_feed.table import APART, Table
-from thistleline.config_feed.writer import LEASE, key_of
+from thistleline.config_feed.table import PARTIAL_PREFIXES, FeedTable
+from thistleline.config_feed.writer_effects import (
+    AnswerProposal,
+    ReadRecord,
+    ReleaseLease,
+    WriteRecord,
+)
+from thistleline.config_feed.writer_events import (
+    LeaseAcquired,
+    LeaseLost,
+    ProposalReceived,
+    RecordRead,
+    RecordWritten,
+    WriteDenied,
+    WriteUnanswered,
+)
 from thistleline.lab.feedrun import Instance
 from thistleline.lease.protocol import Break, Denied, Granted, Put, Take
 from thistleline.lease.table import Table as Council
@@ -100,12 +115,12 @@
     def __init__(self) -> None:
         self.nodes: dict[str, Node] = {}
         self.sources: dict[str, tuple[str, ...]] = {}
-        self.disks: dict[str, Table] = {}
-        self.pending: dict[str, Table] = {}  # given to the disk, not there yet
+        self.disks: dict[str, FeedTable] = {}
+        self.pending: dict[str, FeedTable] = {}  # given to the disk, not there yet
         self.links: dict[str, Link] = {}  # by who follows
         self.council = Council()
         self.requests: tuple[tuple[str, int, int, Put], ...] = ()  # keeper, epoch, slot
-        self.answers: tuple[tuple[str, int, tuple[Any, ...]], ...] = ()
+        self.answers: tuple[tuple[str, int, RecordWritten | WriteDenied], ...] = ()
         self.reads: dict[str, tuple[int, ...]] = {}  # slots that a keeper asked for
         self.held: dict[str, int] = {}  # epochs that keepers believe in
         self.index = self.ticks = self.count = self.made = 0
@@ -134,12 +149,14 @@
     def keepers(self) -> tuple[str, ...]:
         return tuple(name for name in self.nodes if name[0] == "k")
 
-    def add(self, name: str, table: Table, sources: tuple[str, ...], keepers: tuple[str, ...] = ()) -> None:
+    def add(
+        self, name: str, table: FeedTable, sources: tuple[str, ...], keepers: tuple[str, ...] = ()
+    ) -> None:
         """A keeper k, a relay r or an instance i."""
         self.sources[name], self.disks[name] = sources, table
         self.nodes[name] = self._new(name, table, keepers)
 
-    def _new(self, name: str, table: Table, keepers: tuple[str, ...]) -> Node:
+    def _new(self, name: str, table: FeedTable, keepers: tuple[str, ...]) -> Node:
         sources = self.sources[name]
         if name[0] == "i":
             return Instance(name, table, sources, self.now, _no_spread)
@@ -153,12 +170,6 @@
         before = node.table.sequence
         self._carried_out(name, before, node.handle(self.now, event))
 
-    def put_writer(self, name: str, kind: str, *told: Any) -> None:
-        node = self._copied(name)
-        assert isinstance(node, FeedRelay)
-        before = node.table.sequence
-        self._carried_out(name, before, node.handle_writer(self.now, kind, *told))
-
     def _copied(self, name: str) -> Node:
         node = self.nodes[name].copy()
         self.nodes[name] = node
@@ -187,8 +198,14 @@
                 self._down(name, peer, END)
             case PersistStep(table) | PersistTable(table):
                 self.pending[name] = table
-            case _:
-                getattr(self, f"_{effect[0]}")(name, *effect[1:])
+            case ReadRecord(slot):
+                self._get(name, slot)
+            case WriteRecord(slot, put):
+                self._put(name, slot, put)
+            case AnswerProposal(ticket, result):
+                self._answer(name, ticket, result)
+            case ReleaseLease():
+                self._release(name)
 
     def _connect(self, name: str, server: str) -> None:
         old = self.links.pop(name, None)
@@ -249,9 +266,6 @@
             )
         self.links[name] = link._replace(down=(worse, *link.down[1:]))
 
-    def _log(self, name: str, *_: Any) -> None:
-        pass
-
     def keep(self, name: str) -> None:
         """The disk has what it was given."""
         self.disks[name] = self.pending.pop(name)
@@ -277,7 +291,7 @@
 
     # ---- the council
 
-    def _get(self, name: str, slot: int, key: str) -> None:
+    def _get(self, name: str, slot: int) -> None:
         self.reads[name] = (*self.reads.get(name, ()), slot)
 
     def read(self, name: str) -> None:
@@ -285,8 +299,8 @@
         slots = self.reads.pop(name)
         for slot in slots:
             if name in self.held:
-                got = self.council.get(key_of(slot))
-                self.put_writer(name, "got", slot, got.value, got.version)
+                got = self.council.get(record_key(slot))
+                self.put(name, RecordRead(slot, got.value, got.version))
 
     def _put(self, name: str, slot: int, put: Put) -> None:
         self.requests = (*self.requests, (name, self.held.get(name, 0), slot, put))
@@ -303,9 +317,9 @@
         before = self.council.get(put.key)
         answer = self._apply(put)
         if isinstance(answer, Denied):
-            told: tuple[Any, ...] = ("put_denied", slot, answer.why)
+            told: RecordWritten | WriteDenied = WriteDenied(slot, answer.why)
         else:
-            told = "put_done", slot, put.version + 1
+            told = RecordWritten(slot, put.version + 1)
             if before.version:
                 self._cut(decode_group(before.value))
             self._written(decode_group(put.value))
@@ -316,34 +330,34 @@
         name, epoch, told = self.answers[place]
         self.answers = (*self.answers[:place], *self.answers[place + 1 :])
         if self.held.get(name) == epoch:
-            self.put_writer(name, *(("put_unknown", told[1]) if lost else told))
+            self.put(name, WriteUnanswered(told.slot) if lost else told)
 
     def late(self, place: int) -> None:
         """Who asked is told that no answer will come; the request is still on its way."""
         name, epoch, slot, _ = self.requests[place]
         if self.held.get(name) == epoch:
-            self.put_writer(name, "put_unknown", slot)
+            self.put(name, WriteUnanswered(slot))
 
     def move(self, name: str) -> None:
         """The lease is another's; who held it is not told."""
-        lease = self.council.state.leases.get(LEASE)
+        lease = self.council.state.leases.get(LEASE_NAME)
         if lease is not None:
-            self._apply(Break(LEASE, lease.epoch, "it was silent"))
-        answer = self._apply(Take(LEASE, f"{name}.{self.index}", 10 * SECOND, True))
+            self._apply(Break(LEASE_NAME, lease.epoch, "it was silent"))
+        answer = self._apply(Take(LEASE_NAME, f"{name}.{self.index}", 10 * SECOND, True))
         assert isinstance(answer, Granted)
         self.held[name] = answer.epoch
-        self.put_writer(name, "held", answer.epoch)
+        self.put(name, LeaseAcquired(answer.epoch))
 
     def lose(self, name: str) -> None:
         """It learns that the lease is not its own any more."""
         del self.held[name]
         self.reads.pop(name, None)
-        self.put_writer(name, "lost", "its right is over")
+        self.put(name, LeaseLost("its right is over"))
 
-    def _release(self, name: str, why: str) -> None:
-        lease = self.council.state.leases.get(LEASE)
+    def _release(self, name: str) -> None:
+        lease = self.council.state.leases.get(LEASE_NAME)
         if lease is not None and lease.epoch == self.held.get(name):
-            self._apply(Break(LEASE, lease.epoch, "released"))
+            self._apply(Break(LEASE_NAME, lease.epoch, "released"))
         if name in self.held:
             self.lose(name)
 
@@ -352,7 +366,7 @@
     def propose(self, name: str, again: bool = False) -> None:
         place = self.made - again
         self.made = place + 1
-        self.put_writer(name, "proposed", place, Propose(f"c{place}", CHANGES[place]))
+        self.put(name, ProposalReceived(place, Propose(f"c{place}", CHANGES[place])))
 
     def _answer(self, name: str, ticket: int, answer: ProposeResult) -> None:
         if answer.sequence:
@@ -417,12 +431,12 @@
                         self.broken or f"{name} says of {key} at {table.sequence} what does not count"
                     )
         if name[0] == "i":
-            state = {key: value for key, value in state.items() if not key.startswith(APART)}
+            state = {key: value for key, value in state.items() if not key.startswith(PARTIAL_PREFIXES)}
         here = {key: value for key, value, _ in table.entries("all")}
         if here != state:
             self.broken = self.broken or f"{name} holds at {table.sequence} what does not count there"
         if isinstance(node, FeedRelay) and node.is_writer and node.writer is not None:
-            lease = self.council.state.leases.get(LEASE)
+            lease = self.council.state.leases.get(LEASE_NAME)
             newest = lease is not None and lease.epoch == node.writer.epoch
             if newest and table.sequence < max(self.acked.values(), default=0):
                 self.broken = self.broken or f"{name} writes, and misses what was acknowledged"
@@ -502,12 +516,12 @@
         if left["losses"]:
             yield from step(f"{name}'s Put {slot} is late", "losses", FeedWorld.late, place)
     for place, (name, _, answer) in enumerate(world.answers):
-        yield from step(f"{name} hears the council: {answer[0]}", "", FeedWorld.answer, place)
+        yield from step(f"{name} hears the council: {type(answer).__name__}", "", FeedWorld.answer, place)
         if left["losses"]:
             yield from step(f"the answer to {name} is lost", "losses", FeedWorld.answer, place, True)
     for name in world.reads:
         yield from step(f"{name} hears what the records hold", "", FeedWorld.read, name)
-    lease = world.council.state.leases.get(LEASE)
+    lease = world.council.state.leases.get(LEASE_NAME)
     for name in world.keepers:
         epoch = world.held.get(name)
         node = world.nodes[name]
@@ -568,11 +582,11 @@
     names = tuple(f"k{place}" for place in range(keepers))
     above = tuple(f"r{place}" for place in range(relays))
     for name in names:
-        world.add(name, Table(), tuple(one for one in names if one != name), names)
+        world.add(name, FeedTable(), tuple(one for one in names if one != name), names)
     for name in above:
-        world.add(name, Table(), names)
+        world.add(name, FeedTable(), names)
     for place in range(instances):
-        world.add(f"i{place}", Table(), above or names)
+        world.add(f"i{place}", FeedTable(), above or names)
     world.move("k0")
     settle(world)
     return world
--- a/thistleline/lab/member.py
+++ b/thistleline/lab/member.py
@@ -69,9 +69,9 @@
 
         setattr(holder, "right", lambda length: 10 * length)  # noqa: B010
     elif left_out == "majority":
-        from thistleline.config_feed.writer import Writer
+        from thistleline.config_feed.writer import FeedWriter
 
-        setattr(Writer, "_free", lambda self: True)  # noqa: B010
+        setattr(FeedWriter, "_slot_is_free", lambda self: True)  # noqa: B010
     elif left_out == "newer":
         leave_out_newer()
 
@@ -81,7 +81,7 @@
     from thistleline.config_feed.messages import Follow, FollowAccepted
     from thistleline.config_feed.source import Source
     from thistleline.config_feed.subscriber import Subscriber
-    from thistleline.config_feed.table import Table
+    from thistleline.config_feed.table import FeedTable
 
     follow, welcomed = Source._on_follow, Follower._on_accepted
 
@@ -92,7 +92,7 @@
 
     def older(self: Follower, told: FollowAccepted) -> None:
         if told.load_snapshot and told.sequence < self.table.sequence:
-            self.table = Table()
+            self.table = FeedTable()
         welcomed(self, told)
 
     setattr(Source, "_on_follow", behind)  # noqa: B010
