--- a/tests/test_feed_writer.py
+++ b/tests/test_feed_writer.py
@@ -730,7 +730,7 @@
     effects = one.take(0, "down", "joined", 8)
     assert [effect[0] for effect in effects] == ["down", "close"]
     one.take(0, "down", "heard", 8, Follow("b", "all", 0, bytes(16)))
-    assert one.writer.durable == {"b": 0}
+    assert one.writer.durable.sequences == {"b": 0}
 
 
 def test_a_keeper_says_who_writes_while_it_follows_that_one_and_no_longer() -> None:
--- a/thistleline/config_feed/writer.py
+++ b/thistleline/config_feed/writer.py
@@ -23,6 +23,7 @@
 from copy import copy
 from typing import Any, Literal
 
+from thistleline.config_feed.durability import DurableAcknowledgements
 from thistleline.config_feed.group_commit import (
     NEVER,
     READ_RETRY_NS,
@@ -84,9 +85,8 @@
     Attributes:
         id: Of this keeper.
         history: The keeper's table, shared with the state machines that serve and follow.
-        keepers: Ids of all keepers.
         epoch: Fencing epoch of the lease, of the last one while none is held.
-        durable: Sequence number that each keeper has acknowledged to be on its disk.
+        durable: What the keepers have on disk.
         committed: Request ids that deduplicate proposals.
         pending: The changes that wait for a group commit.
     """
@@ -108,7 +108,6 @@
         "epoch",
         "history",
         "id",
-        "keepers",
         "pending",
     )
 
@@ -123,9 +122,8 @@
         """
         self.id = id
         self.history = history
-        self.keepers = keepers
         self.epoch = 0
-        self.durable: dict[str, int] = {}
+        self.durable = DurableAcknowledgements(keepers)
         self.committed = CommittedRequests()
         self.pending = PendingQueue(history.table)
         self._phase: OwnPhase = "standby"
@@ -148,7 +146,7 @@
         """
         copied = copy(self)
         copied.history = history or self.history.copy()
-        copied.durable = dict(self.durable)
+        copied.durable = self.durable.copy()
         copied.committed = self.committed.copy()
         copied.pending = self.pending.copy()
         copied._effects = []
@@ -164,7 +162,7 @@
             self._phase,
             self.epoch,
             (table.sequence, table.digest("all"), self.history.base),
-            tuple(sorted(self.durable.items())),
+            self.durable.state_key(),
             self.committed.items(),
             self.pending.state_key(),
             self._commit.state_key(),
@@ -173,6 +171,11 @@
             (self._recovery_deadline, self._stall_deadline, self._catch_up_sequence),
         )
 
+    @property
+    def keepers(self) -> tuple[str, ...]:
+        """Ids of all keepers."""
+        return self.durable.keepers
+
     @property
     def phase(self) -> Phase:
         """What the writer is doing; see the module."""
@@ -190,14 +193,13 @@
 
     def counters(self) -> dict[str, int]:
         """Return figures for the status; `kept` is the sequence number that a majority has on disk."""
-        durable = sorted((self.durable.get(keeper, 0) for keeper in self.keepers), reverse=True)
         in_flight = len(self.in_flight.changes) if self.in_flight is not None else 0
         return {
             "waiting": len(self.pending) + in_flight,
             "groups": self._committed_groups,
             "refused": self._refused,
             "stopped": int(self.is_stalled),
-            "kept": durable[len(self.keepers) // 2] if durable else 0,
+            "kept": self.durable.majority_sequence(),
         }
 
     # ---- events
@@ -251,7 +253,7 @@
         self._phase = "reading"
         self.epoch = epoch
         # What other keepers acknowledged under an earlier lease may be lost since.
-        self.durable = {self.id: self.durable[self.id]} if self.id in self.durable else {}
+        self.durable.forget_others(self.id)
         self._ring.begin_recovery()
         self._read_ring()
 
@@ -386,25 +388,19 @@
     # ---- the keepers' disks
 
     def _on_durable(self, keeper: str, sequence: int) -> None:
-        if keeper not in self.keepers:
-            return
-        self.durable[keeper] = sequence
-        if self._phase == "writing":
+        if self.durable.acknowledge(keeper, sequence) and self._phase == "writing":
             self._check_slot()
 
-    def _durable_count(self) -> int:
-        """Return how many keepers have on disk what the next write overwrites."""
-        needed = self._ring.last_sequence
-        return sum(self.durable.get(keeper, -1) >= needed for keeper in self.keepers)
-
     def _slot_is_free(self) -> bool:
         """Tell whether the next slot may be written: it is empty, or a majority has its group on disk."""
-        return not self._ring.last_sequence or self._durable_count() > len(self.keepers) // 2
+        last = self._ring.last_sequence
+        return not last or self.durable.has_majority(last)
 
     def _stall_reason(self) -> str:
+        last = self._ring.last_sequence
         return (
-            f"change {self._ring.last_sequence} is on the disks of {self._durable_count()} of "
-            f"{len(self.keepers)} keepers; nothing is changed before a majority has it"
+            f"change {last} is on the disks of {self.durable.count(last)} of {len(self.keepers)} keepers; "
+            "nothing is changed before a majority has it"
         )
 
     def _check_slot(self) -> None:
