--- a/thistleline/config_feed/archive.py
+++ b/thistleline/config_feed/archive.py
@@ -24,7 +24,7 @@
 from thistleline.config_feed.messages import Kind
 from thistleline.config_feed.table import FeedTable
 from thistleline.store.disk import Disk
-from thistleline.store.frames import Damaged
+from thistleline.store.frames import CorruptFrameError
 
 LOG_SIZE_MIN = 1 << 20  # bytes of steps that a segment may have, however small its snapshot is
 WRITE_SIZE_LIMIT = 4 << 20  # bytes of steps in one write; more are written as a snapshot
@@ -80,7 +80,7 @@
             except IncompleteSegmentError as error:
                 self.recovery_failure = str(error)
                 continue  # the one before is still there
-            except (Damaged, msgspec.DecodeError, ValueError) as error:
+            except (CorruptFrameError, msgspec.DecodeError, ValueError) as error:
                 self.recovery_failure = str(error)
                 return None
             self._set_durable(table, table.digest(self.kind))
--- a/thistleline/config_feed/archive_format.py
+++ b/thistleline/config_feed/archive_format.py
@@ -24,7 +24,7 @@
 from thistleline.config_feed.limits import PART_SIZE
 from thistleline.config_feed.messages import Kind
 from thistleline.config_feed.table import PARTIAL_PREFIXES, FeedTable
-from thistleline.store.frames import Damaged, frames, seal
+from thistleline.store.frames import CorruptFrameError, encode_checksum_frame, scan_frames
 
 MAGIC = b"TLFEEDAR"
 FORMAT_VERSION = 1
@@ -98,7 +98,7 @@
 
     def _encode_frame(self, letter: bytes, content: Any) -> bytes:
         self._frame += 1
-        return seal(_FRAME_HEADER.pack(self._frame, letter) + _encode(content))
+        return encode_checksum_frame(_FRAME_HEADER.pack(self._frame, letter) + _encode(content))
 
 
 @dataclass(slots=True)
@@ -122,25 +122,25 @@
 
     Raises:
         IncompleteSegmentError: The snapshot is not complete.
-        Damaged: The segment is of another form or kind, or is corrupt.
+        CorruptFrameError: The segment is of another form or kind, or is corrupt.
         msgspec.DecodeError: A frame is corrupt.
     """
     if len(data) < _HEADER.size:
         raise IncompleteSegmentError(f"{name} has no whole head")
     if data[: _HEADER.size] != encode_header(kind):
-        raise Damaged(f"{name} is no archive of form {FORMAT_VERSION} and kind {kind}")
+        raise CorruptFrameError(f"{name} is no archive of form {FORMAT_VERSION} and kind {kind}")
     contents = _read_frames(data, name)
     if contents.end is None:
         raise IncompleteSegmentError(f"{name} holds no whole snapshot")
     if contents.has_gap:
-        raise Damaged(f"{name}: frame {contents.frame_count + 1} can't be read, and later ones can")
+        raise CorruptFrameError(f"{name}: frame {contents.frame_count + 1} can't be read, and later ones can")
     table = _decode_snapshot(contents.parts, contents.end, name, kind)
     return _apply_steps(table, contents.steps, name, kind) if contents.steps else table
 
 
 def _read_frames(data: memoryview, name: str) -> _SegmentContents:
     contents = _SegmentContents()
-    for _, payload, _ in frames(data, _HEADER.size, _FRAME_HEADER.size):
+    for _, payload, _ in scan_frames(data, _HEADER.size, _FRAME_HEADER.size):
         if payload is None:
             continue  # a torn write, unless a later frame reveals that this one is missing
         number, letter = _FRAME_HEADER.unpack_from(payload)
@@ -158,7 +158,7 @@
         elif letter == STEPS and contents.end is not None:
             contents.steps.append(body)
         else:
-            raise Damaged(f"{name}: frame {number} is out of place")
+            raise CorruptFrameError(f"{name}: frame {number} is out of place")
     return contents
 
 
@@ -169,7 +169,7 @@
     entries = (entry for part in parts for entry in _decode_part(part))
     table = FeedTable().update(sequence, entries, kind)
     if table.digest(kind) != digest or table.entry_count(kind) != entry_count:
-        raise Damaged(f"{name}: the snapshot's digest differs")
+        raise CorruptFrameError(f"{name}: the snapshot's digest differs")
     return table
 
 
@@ -183,5 +183,5 @@
         last = steps[-1][0]
     table = table.update(last, (item for items in all_items for item in items), kind)
     if table.digest(kind) != digest:
-        raise Damaged(f"{name}: the digest after its steps differs")
+        raise CorruptFrameError(f"{name}: the digest after its steps differs")
     return table
--- a/thistleline/config_feed/archive_writer.py
+++ b/thistleline/config_feed/archive_writer.py
@@ -44,13 +44,13 @@
             on_durable: Called with the sequence number that a restart would find.
 
         Raises:
-            Held: Another program has the folder.
+            DiskLockedError: Another program has the folder.
             OSError: The folder can't be read.
         """
         self.on_durable = on_durable
         self._log = log
         self._disk = Disk(folder, "feed")
-        self._disk.hold()
+        self._disk.acquire()
         try:
             self.archive = Archive(self._disk, kind)
             self.table = self.archive.recover() or FeedTable()
--- a/thistleline/config_feed/follower_service.py
+++ b/thistleline/config_feed/follower_service.py
@@ -80,7 +80,7 @@
             immediate: Do not wait at random before connecting: this is not one of many.
 
         Raises:
-            Held: The folder is in use.
+            DiskLockedError: The folder is in use.
             OSError: The folder cannot be read.
         """
         self.id = id
--- a/thistleline/config_feed/listener.py
+++ b/thistleline/config_feed/listener.py
@@ -17,8 +17,8 @@
 from thistleline.config_feed.peer_log import PeerLog
 from thistleline.config_feed.send_queue import CHUNK_SIZE, FrameEncoder
 from thistleline.store.clock import boot_now
-from thistleline.transport.codec import Hello, Unpacker, Unreadable, common_form, sealed
-from thistleline.transport.disconnects import ends
+from thistleline.transport.codec import FrameDecoder, Hello, ProtocolError, encode_frame, negotiate_version
+from thistleline.transport.disconnects import report_disconnects
 from thistleline.transport.handshake import receive_hello
 
 HELLO_TIMEOUT = 2.0  # s
@@ -121,7 +121,7 @@
 
     async def _run(self, connection: DownstreamConnection) -> None:
         stream = connection.stream
-        with connection.scope, ends(connection.note):
+        with connection.scope, report_disconnects(connection.note):
             async with stream:
                 with anyio.fail_after(HELLO_TIMEOUT):
                     await self._shake_hands(connection)
@@ -133,22 +133,22 @@
         """Exchange hellos as the side that was connected to.
 
         Raises:
-            Unreadable: The other side does not speak this protocol.
+            ProtocolError: The other side does not speak this protocol.
         """
         there = await receive_hello(connection.stream)
         own = Hello("follower", self._name)
-        common_form(own, there)
+        negotiate_version(own, there)
         if there.kind != "follower":
-            raise Unreadable(f"a {there.kind} has no business here")
+            raise ProtocolError(f"a {there.kind} has no business here")
         connection.id = there.id[:PEER_ID_LENGTH_LIMIT]
-        await connection.stream.send(sealed(msgspec.msgpack.encode(own)))
+        await connection.stream.send(encode_frame(msgspec.msgpack.encode(own)))
 
     async def _receive(self, connection: DownstreamConnection) -> None:
-        decoder = Unpacker(MESSAGE_SIZE_LIMIT)
+        decoder = FrameDecoder(MESSAGE_SIZE_LIMIT)
         while True:
             data = await connection.stream.receive(CHUNK_SIZE)
             connection.last_received_at = boot_now()
-            for payload in decoder.take(data):
+            for payload in decoder.feed(data):
                 message = SubscriberMessage(connection.number, decode_follower(payload))
                 await self._inbox.put_and_wait([message])
                 await connection.queue.wait_until_readable()
--- a/thistleline/config_feed/send_queue.py
+++ b/thistleline/config_feed/send_queue.py
@@ -11,7 +11,7 @@
 from thistleline.config_feed.limits import MS, SECOND, STALL_TIMEOUT_NS
 from thistleline.config_feed.messages import Delta, FollowerMessage, SnapshotPart, SourceMessage, encode
 from thistleline.store.clock import boot_now
-from thistleline.transport.codec import sealed
+from thistleline.transport.codec import encode_frame
 
 CHUNK_SIZE = 1 << 18  # bytes read or sent at once
 MAX_QUEUED = 4 << 20  # bytes that a peer has not taken; past it the connection ends
@@ -45,7 +45,7 @@
 
 def to_frame(message: FollowerMessage | SourceMessage) -> bytes:
     """Encode one message as a frame."""
-    return sealed(encode(message))
+    return encode_frame(encode(message))
 
 
 class SendQueue:
--- a/thistleline/config_feed/service.py
+++ b/thistleline/config_feed/service.py
@@ -93,8 +93,8 @@
             random: Source of the random waits.
 
         Raises:
-            Held: The folder is in use.
-            Damaged: The folder is of no feed.
+            DiskLockedError: The folder is in use.
+            CorruptFrameError: The folder is of no feed.
             OSError: The folder cannot be read.
         """
         assert config.name is not None
--- a/thistleline/config_feed/upstream.py
+++ b/thistleline/config_feed/upstream.py
@@ -12,8 +12,8 @@
 from thistleline.config_feed.request import CONNECT_TIMEOUT, shake_hands
 from thistleline.config_feed.send_queue import CHUNK_SIZE, SendQueue, check_regularly, to_frame
 from thistleline.transport.address import Address
-from thistleline.transport.codec import Hello, Unpacker
-from thistleline.transport.disconnects import ends
+from thistleline.transport.codec import FrameDecoder, Hello
+from thistleline.transport.disconnects import report_disconnects
 
 UpstreamEvent = UpstreamConnected | UpstreamLost | UpstreamMessage
 
@@ -65,7 +65,7 @@
 
     async def _run(self, session: _Session) -> None:
         source = session.source
-        with session.scope, ends(session.note):
+        with session.scope, report_disconnects(session.note):
             with anyio.fail_after(CONNECT_TIMEOUT):
                 stream = await anyio.connect_tcp(*self._sources[source])
             async with stream:
@@ -81,9 +81,9 @@
         self._emit(session, UpstreamLost(source, session.reason or "it takes nothing"))
 
     async def _receive(self, stream: SocketStream, session: _Session) -> None:
-        decoder = Unpacker(MESSAGE_SIZE_LIMIT)
+        decoder = FrameDecoder(MESSAGE_SIZE_LIMIT)
         while True:
-            payloads = decoder.take(await stream.receive(CHUNK_SIZE))
+            payloads = decoder.feed(await stream.receive(CHUNK_SIZE))
             messages = [decode_source(payload) for payload in payloads]
             if messages and not session.abandoned:
                 await self._inbox.put_and_wait(
--- a/thistleline/handover/service.py
+++ b/thistleline/handover/service.py
@@ -9,7 +9,7 @@
 import time
 from collections.abc import Callable
 from contextlib import suppress
-from dataclasses import asdict, replace
+from dataclasses import replace
 from typing import Any
 
 import anyio
@@ -38,6 +38,8 @@
     Stop,
     Welcome,
     Yours,
+    task_from_fields,
+    task_to_fields,
 )
 from thistleline.handover.serving import tell_owner
 from thistleline.handover.state_machine import ELDER, Succeeding
@@ -47,8 +49,8 @@
 from thistleline.server.service import Service
 from thistleline.state.state_machine import Reducer
 from thistleline.store.clock import boot_now
-from thistleline.store.frames import Damaged
-from thistleline.transport.codec import Unreadable
+from thistleline.store.frames import CorruptFrameError
+from thistleline.transport.codec import ProtocolError
 
 AGAIN = 0.2  # s after 'later', before the heir asks again
 HOLD_SPAN = 3.0  # s in which the ledger of one that has just died comes free
@@ -123,7 +125,7 @@
                 await anyio.to_thread.run_sync(self._read_some)
                 line.send(Ready())
                 told = await line.receive()
-        except (Unreadable, msgspec.MsgspecError) as error:
+        except (ProtocolError, msgspec.MsgspecError) as error:
             raise Unusable(f"the server that runs here can't be understood: {error}") from error
         if not isinstance(told, Yours):
             line.close()
@@ -132,7 +134,7 @@
         left = list(line.descriptors)
         line.descriptors.clear()
         if told.lock:
-            self.store.disk.lock = left.pop(0)
+            self.store.disk.lock_fd = left.pop(0)
         if not told.listener:
             return None
         listener = socket.socket(fileno=left.pop(0))
@@ -158,7 +160,7 @@
             line = Line(sock, group)
             line.send(Hello(reads=ledger_format.READS))
             told: Message | None = None
-            with suppress(Unreadable, msgspec.MsgspecError), anyio.move_on_after(1.0):
+            with suppress(ProtocolError, msgspec.MsgspecError), anyio.move_on_after(1.0):
                 told = await line.receive()
                 while isinstance(told, Welcome):
                     line.send(Ready())
@@ -175,7 +177,7 @@
     def _read_last(self) -> list[Any]:
         try:
             self.store.follow(self.reducer.book, self.read, True, boot_now())
-        except (Damaged, OSError) as error:
+        except (CorruptFrameError, OSError) as error:
             raise Unusable(f"the ledger can't be read: {error}") from error
         return list(self.reducer.book.recovered())
 
@@ -257,7 +259,7 @@
                         self.take("elder_ended", number, how, result)
                     case Forward():
                         self._forwarded(told)
-        except (Unreadable, msgspec.MsgspecError) as error:
+        except (ProtocolError, msgspec.MsgspecError) as error:
             self.note("succession", state="elder not understood", why=str(error))
         line.close()
         self.elder = None
@@ -272,9 +274,9 @@
             text = f"there is no stage {told.stage!r} or no owner {told.owner!r} any more"
             self._tell_elder(Answer(told.name, "misunderstood", [None, text]))
             return
-        task = msgspec.convert({**told.task, "stage": stages[0], "owner": owners[0]}, Task)
-        limit = None if task.limit is None else task.limit + skew
-        task = replace(task, reached=task.reached + skew, limit=limit)
+        task = task_from_fields({**told.task, "stage": stages[0], "owner": owners[0]})
+        deadline = None if task.deadline is None else task.deadline + skew
+        task = replace(task, arrived_at=task.arrived_at + skew, deadline=deadline)
         self.take("forwarded", told.name, task, told.word, told.body)
 
     def _tell_elder(self, message: Message) -> None:
@@ -333,7 +335,7 @@
                         self.take(kind, *values)
                     case Answer(name, kind, values) if kind in ANSWERS:
                         self.take("away_over", str(name), kind, values)
-        except (Unreadable, msgspec.MsgspecError) as error:
+        except (ProtocolError, msgspec.MsgspecError) as error:
             self.note("succession", state="heir not understood", why=str(error))
         finally:
             line.close()
@@ -369,7 +371,7 @@
             agent.flush()
             agent.stream.close()
         self._send_by_heir()
-        descriptors = [self.store.disk.lock] if not again else []
+        descriptors = [self.store.disk.lock_fd] if not again else []
         if listener is not None:
             descriptors.append(listener.fileno())
         message = Yours(notice, runs, owned, not again, listener is not None)
@@ -404,8 +406,8 @@
 
     def _forward(self, name: str, task: Task, stage: str, owner: str, word: str | None, body: bytes) -> None:
         skew = self.clock.skew()
-        limit = None if task.limit is None else task.limit - skew
-        told = asdict(replace(task, reached=task.reached - skew, limit=limit))
+        deadline = None if task.deadline is None else task.deadline - skew
+        told = task_to_fields(replace(task, arrived_at=task.arrived_at - skew, deadline=deadline))
         self._tell_heir(Forward(int(name), stage, owner, told, word, body))
 
     async def _alone(self) -> None:
--- a/thistleline/lab/scale/followers.py
+++ b/thistleline/lab/scale/followers.py
@@ -30,7 +30,7 @@
 from thistleline.config_feed.table import PARTIAL_PREFIXES, FeedTable
 from thistleline.lab.feedrun import Shared
 from thistleline.lab.scale.feed import HOT, LOOKS, tenant_key
-from thistleline.transport.codec import Unpacker, sealed
+from thistleline.transport.codec import FrameDecoder, encode_frame
 
 PARTS_KEPT, TABLES_KEPT = 4_000, 8
 Items = tuple[tuple[str, bytes, int], ...]
@@ -117,19 +117,20 @@
         if isinstance(self.table, Parts):
             self.table = self.table.table(self.kind)
 
-    class Counted(Unpacker):
-        def take(self, data: bytes) -> list[bytes]:
+    class Counted(FrameDecoder):
+        def feed(self, data: bytes) -> list[bytes]:
             Traffic.got += len(data)
-            return super().take(data)
+            return super().feed(data)
 
     def counted(payload: bytes) -> bytes:
-        data = sealed(payload)
+        data = encode_frame(payload)
         Traffic.sent += len(data)
         return data
 
     for where, name, other in ((Follower, "_add_part", part), (following, "FeedTable", Parts),
-                               (follower_service, "FeedTable", Shared), (upstream, "Unpacker", Counted),
-                               (send_queue, "sealed", counted), (request, "sealed", counted)):  # fmt: skip
+                               (follower_service, "FeedTable", Shared), (upstream, "FrameDecoder", Counted),
+                               (send_queue, "encode_frame", counted),
+                               (request, "encode_frame", counted)):  # fmt: skip
         setattr(where, name, other)
 
 
