--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -5,6 +5,7 @@
 import os
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
+from dataclasses import replace
 from pathlib import Path
 from random import Random
 from typing import Any
@@ -23,15 +24,39 @@
 from thistleline.lab.stewardworld import BesideWorld, StewardWorld, following, following_beside, wander
 from thistleline.lease.protocol import VALUE_BOUND, Put
 from thistleline.lease.table import fault
-from thistleline.rollout.canary import Judge, Slot
-from thistleline.rollout.confidence import Bounds
-from thistleline.rollout.controller import Conducting, Spans
-from thistleline.rollout.record import STAGES, Order, Roll, Seen, controls, targets, wrong
+from thistleline.rollout.canary import CanaryAnalysis
+from thistleline.rollout.confidence import ConfidenceSequence
+from thistleline.rollout.controller import RolloutController
+from thistleline.rollout.effects import SetDesiredVersion, StoreRecord
+from thistleline.rollout.events import Event as RolloutEvent
+from thistleline.rollout.events import OrderReceived, RecordStored, ServersObserved
+from thistleline.rollout.events import TimerExpired as RolloutTimerExpired
+from thistleline.rollout.metrics import SlotSample
+from thistleline.rollout.order import Order, start_fault
+from thistleline.rollout.record import HistoryEntry, RolloutRecord
+from thistleline.rollout.server_status import ServerStatus
+from thistleline.rollout.stages import STAGES, choose_controls, choose_targets
+from thistleline.rollout.timing import RolloutTiming
 from thistleline.store.latest import LatestValueStore
-from thistleline.supervisor.decisions import SECOND, Keeping, State, Version, Want
-from thistleline.supervisor.releases import Releases, Unfit, digest_of, forms_of
-from thistleline.supervisor.service import StewardService
+from thistleline.supervisor.effects import KillServer, PersistState, SpawnServer, VerifyVersion
+from thistleline.supervisor.errors import ReleaseError
+from thistleline.supervisor.events import (
+    ConsensusPolled,
+    DesiredVersionReceived,
+    Event,
+    ServerExited,
+    ServerSpawned,
+    StatePersisted,
+    StateRecovered,
+    TimerExpired,
+    VersionVerified,
+)
+from thistleline.supervisor.model import DesiredVersion, SupervisorState, Version
+from thistleline.supervisor.releases import Releases, content_digest, ledger_formats
+from thistleline.supervisor.service import SupervisorService
 from thistleline.supervisor.settings import unfit_settings
+from thistleline.supervisor.state_machine import AfterPersist, Supervisor
+from thistleline.supervisor.timing import SECOND
 
 OLD, NEW = Version("1", "a"), Version("2", "b")
 
@@ -43,14 +68,14 @@
     """Who stops whenever the bounds exclude the truth is fooled in few of many runs."""
     fooled = 0
     for seed in range(200):
-        chance, bounds = Random(seed), Bounds(0.1)
+        chance, bounds = Random(seed), ConfidenceSequence(0.1)
         for _ in range(300):
-            bounds.take(min(1.0, max(0.0, chance.gauss(0.4, 0.15))))
-            if not bounds.least <= 0.4 <= bounds.most:
+            bounds.add(min(1.0, max(0.0, chance.gauss(0.4, 0.15))))
+            if not bounds.lower <= 0.4 <= bounds.upper:
                 fooled += 1
                 break
     assert fooled <= 20
-    assert bounds.most - bounds.least < 0.2
+    assert bounds.upper - bounds.lower < 0.2
 
 
 def judged(
@@ -61,15 +86,15 @@
     seed: int = 1,
     hit: Callable[[int, str], float] = lambda s, i: 0.0,
 ) -> Any:
-    judge, chance = Judge(("z0", "z1", "z2"), 0.02, 36), Random(seed)
+    judge, chance = CanaryAnalysis(("z0", "z1", "z2"), 0.02, 36), Random(seed)
     ids = [(f"s{k}", f"z{k % 3}", k < new) for k in range(new + old)]
     for slot in range(slots):
         told = []
         for id, zone, is_new in ids:
             served = min(1.0, max(0.0, chance.gauss(0.9, 0.03) - (harm if is_new else 0) - hit(slot, id)))
-            told.append(Slot(id, zone, is_new, False, 50, served, 0.05, 0.02, 0.1, 0.3, 0, 0))
-        judge.take(told, [id for id, _, is_new in ids if is_new])
-        verdict = judge.verdict({id: zone for id, zone, _ in ids})
+            told.append(SlotSample(id, zone, is_new, False, 50, served, 0.05, 0.02, 0.1, 0.3, 0, 0))
+        judge.add_slot(told, [id for id, _, is_new in ids if is_new])
+        verdict = judge.judge({id: zone for id, zone, _ in ids})
         if verdict[0] != "can't tell":
             break
     return verdict
@@ -86,7 +111,7 @@
 
 def test_new_ones_that_reject_are_found_though_their_traffic_weighs_on_the_old_ones() -> None:
     """Six of thirty turn a fifth away; the old ones get it and do worse than before themselves."""
-    judge, chance = Judge(("z0", "z1", "z2"), 0.02, 36), Random(1)
+    judge, chance = CanaryAnalysis(("z0", "z1", "z2"), 0.02, 36), Random(1)
     verdict = ""
     for _ in range(120):
         told = []
@@ -94,9 +119,11 @@
             new = k < 6
             tasks, served = (40, chance.gauss(0.75, 0.03)) if new else (54, chance.gauss(0.86, 0.02))
             rejected = 0.22 if new else 0.09
-            told.append(Slot(f"s{k}", f"z{k % 3}", new, False, tasks, served, rejected, 0.02, 0.1, 0.3, 0, 0))
-        judge.take(told, [f"s{k}" for k in range(6)])
-        verdict = judge.verdict({f"s{k}": f"z{k % 3}" for k in range(6)})[0]
+            told.append(
+                SlotSample(f"s{k}", f"z{k % 3}", new, False, tasks, served, rejected, 0.02, 0.1, 0.3, 0, 0)
+            )
+        judge.add_slot(told, [f"s{k}" for k in range(6)])
+        verdict = judge.judge({f"s{k}": f"z{k % 3}" for k in range(6)})[0]
         if verdict != "can't tell":
             break
     assert verdict == "worse"
@@ -107,17 +134,17 @@
 
 
 @pytest.mark.parametrize(("slots", "why"), [
-    ([Slot("s0", "z0", True, False, 50, 1.0, 0, 0, 0, 0, 0, 1)], "broke a rule"),
-    ([Slot("s0", "z0", True, False, 50, 1.0, 0, 0, 0, 0, 3, 0)], "crashes again"),
+    ([SlotSample("s0", "z0", True, False, 50, 1.0, 0, 0, 0, 0, 0, 1)], "broke a rule"),
+    ([SlotSample("s0", "z0", True, False, 50, 1.0, 0, 0, 0, 0, 3, 0)], "crashes again"),
     ([], "silent"),
-    ([Slot("s0", "z0", True, False, 0, 0.0, 0, 0, 0, 0, 0, 0),
-      Slot("s1", "z0", False, False, 50, 1.0, 0, 0, 0, 0, 0, 0)], "silent"),
+    ([SlotSample("s0", "z0", True, False, 0, 0.0, 0, 0, 0, 0, 0, 0),
+      SlotSample("s1", "z0", False, False, 50, 1.0, 0, 0, 0, 0, 0, 0)], "silent"),
 ])  # fmt: skip
-def test_a_broken_rule_a_crash_loop_and_silence_stop_at_once(slots: list[Slot], why: str) -> None:
-    judge = Judge(("z0",), 0.02, 36)
+def test_a_broken_rule_a_crash_loop_and_silence_stop_at_once(slots: list[SlotSample], why: str) -> None:
+    judge = CanaryAnalysis(("z0",), 0.02, 36)
     for _ in range(4):
-        judge.take(slots, ["s0"])
-    verdict, _, told = judge.verdict({"s0": "z0"})
+        judge.add_slot(slots, ["s0"])
+    verdict, _, told = judge.judge({"s0": "z0"})
     assert verdict == "worse"
     assert why in told
 
@@ -125,22 +152,22 @@
 # ---- the conductor
 
 
-def seen(count: int, version: Version = OLD, **changes: Any) -> list[Seen]:
-    told: dict[str, Any] = {"alive": True, "release": version.release, "settings": 0, "taking": True,
+def seen(count: int, version: Version = OLD, **changes: Any) -> list[ServerStatus]:
+    told: dict[str, Any] = {"alive": True, "release": version.release, "settings": 0, "accepting": True,
             "warm": True,
             "figures": (0, 0, 0, 0, 0, 0, 0, 1)} | changes  # fmt: skip
-    return [Seen(f"s{place:02}", f"z{place % 3}", **told) for place in range(count)]
+    return [ServerStatus(f"s{place:02}", f"z{place % 3}", **told) for place in range(count)]
 
 
 def test_stages_grow_across_zones_and_controls_stand_beside() -> None:
     fleet, sizes = seen(30), []
     chosen: tuple[str, ...] = ()
     for stage in STAGES:
-        chosen = targets(stage, chosen, fleet)
+        chosen = choose_targets(stage, chosen, fleet)
         sizes.append(len(chosen))
     assert sizes == [1, 3, 3, 15, 30]
-    assert {id for id in targets("one a zone", (), fleet)} == {"s00", "s01", "s02"}
-    beside = controls("one", ("s00",), fleet)
+    assert {id for id in choose_targets("one a zone", (), fleet)} == {"s00", "s01", "s02"}
+    beside = choose_controls("one", ("s00",), fleet)
     assert len(beside) == 2
     assert all(int(id[1:]) % 3 == 0 and id != "s00" for id in beside)
 
@@ -150,14 +177,14 @@
     ({"version": Version("1", "other")}, "other content"),
     ({"version": Version("2", "b", 5, "x"), "base": Version("1", "a", 5, "y")}, "other content"),
     ({"stages": ("one", "half")}, "'all' is the last"),
-    ({"down": 0}, "no server down"),
+    ({"max_down": 0}, "no server down"),
     ({"version": Version("2", "b", 0, "", (2, 3), 3), "base": Version("1", "a", 0, "", (1, 2), 2)},
      "2 writes a ledger of form 3, 1 reads 1, 2: there is no way back"),
     ({"version": None}, "names no version"),
 ])  # fmt: skip
 def test_an_order_that_makes_no_sense_is_refused_with_the_reason(changes: dict[str, Any], why: str) -> None:
     told = {"version": NEW, "base": OLD} | changes
-    assert why in wrong(Order(1, "start", **told))
+    assert why in start_fault(Order(1, "start", **told))
 
 
 class Stage:
@@ -166,45 +193,46 @@
     def __init__(self, fleet: int, **order: Any) -> None:
         self.now = 0
         self.members = {one.id: one for one in seen(fleet)}
-        self.conducting = Conducting(0, lambda: 0, None, Spans())
-        self.roll: Roll | None = None
+        self.controller = RolloutController(0, lambda: 0, None, RolloutTiming())
+        self.roll: RolloutRecord | None = None
         self.wants: list[tuple[str, Version]] = []
         self.step()
-        self.put("order", Order(1, "start", "", NEW, OLD, **order))
+        self.put(OrderReceived(Order(1, "start", "", NEW, OLD, **order)))
 
-    def put(self, *told: Any) -> None:
-        effects = self.conducting.take(self.now, *told)
+    def put(self, event: RolloutEvent) -> None:
+        effects = self.controller.handle(self.now, event)
         for effect in effects:
-            if effect[0] == "record":
-                self.roll = effect[1]
-                effects += self.conducting.take(self.now, "recorded")
-            elif effect[0] == "want":
-                self.wants.append((effect[1], effect[2]))
+            match effect:
+                case StoreRecord(record):
+                    self.roll = record
+                    effects += self.controller.handle(self.now, RecordStored())
+                case SetDesiredVersion(id, version):
+                    self.wants.append((id, version))
 
     def step(self) -> None:
         self.now += SECOND
-        self.put("seen", list(self.members.values()))
-        self.put("elapsed")
+        self.put(ServersObserved(list(self.members.values())))
+        self.put(RolloutTimerExpired())
 
     def show(self, id: str, **changes: Any) -> None:
         self.members[id] = self.members[id]._replace(**changes)
 
 
 def test_no_more_servers_are_down_at_once_than_is_allowed_whoever_took_them_down() -> None:
-    stage = Stage(9, stages=("all",), down=3, down_zone=1)
-    stage.show("s03", alive=False, taking=False)  # of z0, for reasons of its own
+    stage = Stage(9, stages=("all",), max_down=3, max_down_per_zone=1)
+    stage.show("s03", alive=False, accepting=False)  # of z0, for reasons of its own
     for _ in range(3):
         stage.step()
     assert {id for id, _ in stage.wants} <= {"s01", "s02", "s04", "s05", "s07", "s08"}
     assert len(stage.wants) == 2
-    stage.show("s03", alive=True, taking=True)
+    stage.show("s03", alive=True, accepting=True)
     stage.step()
     assert len(stage.wants) == 3
 
 
 def test_one_that_stays_down_and_leaves_no_room_is_asked_about_not_waited_for() -> None:
-    stage = Stage(9, stages=("all",), down=3, down_zone=1)
-    stage.show("s03", alive=False, taking=False)
+    stage = Stage(9, stages=("all",), max_down=3, max_down_per_zone=1)
+    stage.show("s03", alive=False, accepting=False)
     for id in ("s01", "s02", "s04", "s05", "s07", "s08"):
         for _ in range(2):
             stage.step()
@@ -215,25 +243,25 @@
         stage.step()
     assert stage.roll is not None
     assert stage.roll.phase == "asking"
-    assert "no room to change s00: down are s03" in stage.roll.why
-    stage.show("s03", alive=True, taking=True)
-    stage.put("order", Order(2, "resume", "it is back"))
+    assert "no room to change s00: down are s03" in stage.roll.reason
+    stage.show("s03", alive=True, accepting=True)
+    stage.put(OrderReceived(Order(2, "resume", "it is back")))
     stage.step()
     assert stage.wants[-1][0] == "s00"
 
 
 def test_going_back_while_a_stage_goes_forward_brings_all_to_the_base() -> None:
-    stage = Stage(9, stages=("one", "all"), down=2, down_zone=2)
+    stage = Stage(9, stages=("one", "all"), max_down=2, max_down_per_zone=2)
     for _ in range(3):
         stage.step()
     first = stage.wants[0][0]
     stage.show(first, release="2")
-    stage.put("order", Order(2, "skip", "no time"))
+    stage.put(OrderReceived(Order(2, "skip", "no time")))
     for _ in range(3):
         stage.step()
     under_way = [id for id, version in stage.wants if version == NEW and id != first]
     assert under_way  # wanted, and not there yet
-    stage.put("order", Order(3, "back", "a bad feeling"))
+    stage.put(OrderReceived(Order(3, "back", "a bad feeling")))
     for _ in range(30):
         for id in stage.members:
             last = [version for wanted, version in stage.wants if wanted == id]
@@ -248,10 +276,10 @@
 def test_a_change_while_another_runs_is_refused_and_a_pause_holds_all() -> None:
     stage = Stage(9)
     stage.step()
-    stage.put("order", Order(2, "start", "", Version("3", "c"), OLD))
+    stage.put(OrderReceived(Order(2, "start", "", Version("3", "c"), OLD)))
     assert stage.roll is not None
     assert stage.roll.number == 1
-    stage.put("order", Order(3, "pause", "lunch"))
+    stage.put(OrderReceived(Order(3, "pause", "lunch")))
     before = len(stage.wants)
     for _ in range(5):
         stage.step()
@@ -264,8 +292,8 @@
     stage.step()
     stage.step()
     assert stage.wants[0][1] == NEW
-    stage.show(stage.wants[0][0], taking=False, release="")
-    stage.now += Spans().change
+    stage.show(stage.wants[0][0], accepting=False, release="")
+    stage.now += RolloutTiming().change_timeout
     stage.step()
     stage.step()
     assert stage.roll is not None
@@ -274,8 +302,8 @@
 
 
 def test_a_member_that_was_away_comes_back_to_what_the_fleet_runs_now() -> None:
-    stage = Stage(3, stages=("all",), down=3, down_zone=3)
-    stage.show("s02", alive=False, taking=False)
+    stage = Stage(3, stages=("all",), max_down=3, max_down_per_zone=3)
+    stage.show("s02", alive=False, accepting=False)
     for _ in range(300):
         for id, version in stage.wants:
             if stage.members[id].alive:
@@ -284,7 +312,7 @@
     assert stage.roll is not None
     assert stage.roll.phase == "done"
     stage.wants.clear()
-    stage.show("s02", alive=True, taking=True)
+    stage.show("s02", alive=True, accepting=True)
     stage.step()
     assert stage.wants == [("s02", NEW)]
 
@@ -303,20 +331,20 @@
 
 
 def figured(came: int, done: int, worth: tuple[int, int], crashes: int = 0) -> dict[str, Any]:
-    return {"figures": (came, done, 0, 0, 0, 0, crashes, 1), "worth": worth}
+    return {"figures": (came, done, 0, 0, 0, 0, crashes, 1), "value": worth}
 
 
 @pytest.mark.parametrize(("says", "served"), [(True, 0.5), (False, 0.9)])
 def test_what_work_was_worth_is_compared_only_where_all_say_it(says: bool, served: float) -> None:
     stage = Stage(9)
-    told: list[Slot] = []
+    told: list[SlotSample] = []
     for step in range(1, 12):
         for id in stage.members:
             worth = (1000 * step, 500 * step) if says or id != "s08" else (0, 0)
             stage.show(id, **figured(100 * step, 90 * step, worth))
         stage.step()
-        if stage.conducting.judge is not None:
-            setattr(stage.conducting.judge, "take", lambda slots, _: told.extend(slots))  # noqa: B010
+        if stage.controller.analysis is not None:
+            setattr(stage.controller.analysis, "add_slot", lambda slots, _: told.extend(slots))  # noqa: B010
     assert {round(one.served, 2) for one in told} == {served}
 
 
@@ -327,12 +355,12 @@
     stage.step()
     assert stage.roll is not None
     new = stage.roll.targets[0]
-    stage.show(new, taking=False, release="", figures=(0, 0, 0, 0, 0, 0, 3, 2))
-    stage.conducting = Conducting(stage.now, lambda: 0, stage.roll, Spans())
+    stage.show(new, accepting=False, release="", figures=(0, 0, 0, 0, 0, 0, 3, 2))
+    stage.controller = RolloutController(stage.now, lambda: 0, stage.roll, RolloutTiming())
     for _ in range(12):
         stage.step()
     assert stage.roll.phase == "backing"
-    assert "2 crashes" in stage.roll.why or "crashes of new servers" in stage.roll.why
+    assert "2 crashes" in stage.roll.reason or "crashes of new servers" in stage.roll.reason
 
 
 # ---- the steward
@@ -343,61 +371,59 @@
     assert not found.wrong, found.trace
 
 
-def _spawn_unnoted(self: Keeping, version: Version) -> None:
+def _spawn_unnoted(self: Supervisor, version: Version) -> None:
     self.phase = "spawning"
-    self.state = State(self.state.want, version, self.state.life + 1, self.state.good)
-    self.effects.append(("spawn", self.state.life, version))
-    self.effects.append(("note", self.state))
-    self.notes.append(())
+    state = self.state
+    self.state = SupervisorState(state.desired, version, state.incarnation + 1, state.last_good)
+    self._effects.append(SpawnServer(self.state.incarnation, version))
+    self._effects.append(PersistState(self.state))
+    self._continuations.append(None)
 
 
-def _any_want(self: Keeping, want: Want, had: Any = Keeping._want) -> None:
-    known = self.state.want
+def _any_want(self: Supervisor, want: DesiredVersion, had: Any = Supervisor._on_desired_version) -> None:
+    state, known = self.state, self.state.desired
     if known is not None and (want.epoch, want.number) < (known.epoch, known.number):
-        self._note(State(want, self.state.running, self.state.life, self.state.good), ("go on",))
+        followed = SupervisorState(want, state.running, state.incarnation, state.last_good)
+        self._persist(followed, AfterPersist.CONVERGE)
     else:
         had(self, want)
 
 
-def _unverified(self: Keeping, why: str, had: Any = Keeping._verified) -> None:
+def _unverified(self: Supervisor, why: str, had: Any = Supervisor._on_verified) -> None:
     had(self, "")
 
 
 @pytest.mark.parametrize(("name", "put", "wanted"), [
     ("_spawn", _spawn_unnoted, "nobody would know of"),
-    ("_want", _any_want, "an older conductor"),
-    ("_verified", _unverified, "unfit is started"),
+    ("_on_desired_version", _any_want, "an older conductor"),
+    ("_on_verified", _unverified, "unfit is started"),
 ])  # fmt: skip
 def test_a_protection_of_the_steward_left_out_is_found(name: str, put: Any, wanted: str) -> None:
-    with without(((Keeping, name, put),)):
+    with without(((Supervisor, name, put),)):
         assert wanted in explore(StewardWorld(), following, 40, 60_000).wrong
 
 
-def _heir_unnoted(self: Keeping, version: Version) -> None:
-    life = self._next_life()
-    self.phase, self.heir_since, self.heir_alive = "succeeding", self.now, False
-    self.state = msgspec.structs.replace(self.state, heir=version, heir_life=life, last=life)
-    self.effects += [("spawn", life, version), ("note", self.state)]
-    self.notes.append(())
+def _heir_unnoted(self: Supervisor, version: Version) -> None:
+    life = self.state.next_incarnation()
+    self.phase = "succeeding"
+    self.takeover.begin(self.now)
+    self.state = msgspec.structs.replace(
+        self.state, successor=version, successor_incarnation=life, last_incarnation=life
+    )
+    self._effects += [SpawnServer(life, version), PersistState(self.state)]
+    self._continuations.append(None)
 
 
-def _heir_forgotten(
-    self: Keeping,
-    state: State,
-    lives: bool,
-    heir: bool = False,
-    elder: int = 0,
-    had: Any = Keeping._recovered,
-) -> None:
-    had(self, state, lives, False, elder)
+def _heir_forgotten(self: Supervisor, event: StateRecovered, had: Any = Supervisor._on_recovered) -> None:
+    had(self, replace(event, successor_alive=False))
 
 
-def _elder_forgotten(self: Keeping, life: int, had: Any = Keeping._served) -> None:
+def _elder_forgotten(self: Supervisor, life: int, had: Any = Supervisor._on_ready) -> None:
     had(self, life)
-    self.elder = 0
+    self.takeover.predecessor_ended()
 
 
-def _never_again(self: Keeping, had: Any = Keeping._elapsed) -> None:
+def _never_again(self: Supervisor, had: Any = Supervisor._on_timer) -> None:
     if self.phase != "running":
         had(self)
 
@@ -408,69 +434,72 @@
 
 
 @pytest.mark.parametrize(("name", "put", "wanted"), [
-    ("_spawn_heir", _heir_unnoted, "nobody would know of"),
-    ("_recovered", _heir_forgotten, "too many live"),
-    ("_served", _elder_forgotten, "too many live"),
-    ("_elapsed", _never_again, "does not come to serve"),
+    ("_spawn_successor", _heir_unnoted, "nobody would know of"),
+    ("_on_recovered", _heir_forgotten, "too many live"),
+    ("_on_ready", _elder_forgotten, "too many live"),
+    ("_on_timer", _never_again, "does not come to serve"),
 ])  # fmt: skip
 def test_a_protection_of_the_change_beside_left_out_is_found(name: str, put: Any, wanted: str) -> None:
-    with without(((Keeping, name, put),)):
+    with without(((Supervisor, name, put),)):
         assert wanted in wander(range(1500), 150)
 
 
-def kept(good: Version | None = OLD) -> Keeping:
-    made = Keeping(SECOND, 0)
-    made.take(0, "recovered", State(Want(1, 1, OLD), OLD, 3, good), True)
+def kept(good: Version | None = OLD) -> Supervisor:
+    made = Supervisor(SECOND, 0)
+    made.handle(0, StateRecovered(SupervisorState(DesiredVersion(1, 1, OLD), OLD, 3, good), True))
     return made
 
 
-def through(keeping: Keeping, now: int, *told: Any) -> list[Any]:
+def through(supervisor: Supervisor, now: int, event: Event) -> list[Version]:
     """Carries out what is asked at once, but the server's end; what it spawned comes back."""
-    effects, spawned = keeping.take(now, *told), []
+    effects, spawned = supervisor.handle(now, event), []
     for effect in effects:
-        if effect[0] == "note":
-            effects += keeping.take(now, "noted")
-        elif effect[0] == "verify":
-            effects += keeping.take(now, "verified", "")
-        elif effect[0] == "spawn":
-            spawned.append(effect[2])
-            effects += keeping.take(now, "spawned", 1)
+        match effect:
+            case PersistState():
+                effects += supervisor.handle(now, StatePersisted())
+            case VerifyVersion():
+                effects += supervisor.handle(now, VersionVerified(""))
+            case SpawnServer(_, version):
+                spawned.append(version)
+                effects += supervisor.handle(now, ServerSpawned(1))
     return spawned
 
 
 def test_a_crash_loop_is_given_up_and_taken_back_alone_only_without_the_council() -> None:
-    keeping, now = kept(), SECOND
-    through(keeping, now, "want", Want(1, 2, NEW))
-    spawned = through(keeping, now, "exited", 0)
+    supervisor, now = kept(), SECOND
+    through(supervisor, now, DesiredVersionReceived(DesiredVersion(1, 2, NEW)))
+    spawned = through(supervisor, now, ServerExited(0))
     assert spawned == [NEW]
     for _ in range(4):
         now += SECOND // 10
-        assert through(keeping, now, "exited", 1) == []
+        assert through(supervisor, now, ServerExited(1)) == []
         now += 6 * SECOND
-        assert through(keeping, now, "elapsed") == [NEW]
-    through(keeping, now, "exited", 1)
-    assert keeping.phase == "failed"
-    through(keeping, now, "reached", True)
-    assert through(keeping, now + 20 * SECOND, "elapsed") == []
-    through(keeping, now + 21 * SECOND, "reached", False)
-    assert through(keeping, now + 40 * SECOND, "elapsed") == [OLD]
-    assert through(keeping, now + 41 * SECOND, "want", Want(1, 2, NEW)) == []  # not that one again
+        assert through(supervisor, now, TimerExpired()) == [NEW]
+    through(supervisor, now, ServerExited(1))
+    assert supervisor.phase == "failed"
+    through(supervisor, now, ConsensusPolled(True))
+    assert through(supervisor, now + 20 * SECOND, TimerExpired()) == []
+    through(supervisor, now + 21 * SECOND, ConsensusPolled(False))
+    assert through(supervisor, now + 40 * SECOND, TimerExpired()) == [OLD]
+    assert (
+        through(supervisor, now + 41 * SECOND, DesiredVersionReceived(DesiredVersion(1, 2, NEW))) == []
+    )  # not that one again
 
 
 def test_one_that_does_not_end_in_time_is_killed() -> None:
-    keeping = kept()
-    through(keeping, SECOND, "want", Want(1, 2, NEW))
-    assert keeping.phase == "stopping"
-    assert keeping.take(2 * SECOND, "elapsed") == []
-    assert ("kill",) in keeping.take(3 * SECOND, "elapsed")
-    assert ("kill",) not in keeping.take(4 * SECOND, "elapsed")
+    supervisor = kept()
+    through(supervisor, SECOND, DesiredVersionReceived(DesiredVersion(1, 2, NEW)))
+    assert supervisor.phase == "stopping"
+    assert supervisor.handle(2 * SECOND, TimerExpired()) == []
+    assert KillServer(3) in supervisor.handle(3 * SECOND, TimerExpired())
+    assert KillServer(3) not in supervisor.handle(4 * SECOND, TimerExpired())
 
 
 def test_a_release_is_known_by_all_that_is_in_it(tmp_path: Path) -> None:
     source = tmp_path / "source"
     source.mkdir()
     (source / "run").write_text("#!/bin/sh\n")
-    with pytest.raises(Unfit, match="can be executed"):
+    with pytest.raises(ReleaseError, match="can be executed"):
         Releases(tmp_path / "r").add("1", source)
     (source / "run").chmod(0o755)
     releases = Releases(tmp_path / "r")
@@ -478,24 +507,24 @@
     assert releases.add("1", source) == digest
     releases.verify("1", digest)
     (source / "more").write_text("x")
-    assert digest_of(source) != digest
-    with pytest.raises(Unfit, match="another content"):
+    assert content_digest(source) != digest
+    with pytest.raises(ReleaseError, match="another content"):
         releases.add("1", source)
     (tmp_path / "r" / "1" / "run").write_text("#!/bin/sh\nexit 1\n")
-    with pytest.raises(Unfit, match="digest"):
+    with pytest.raises(ReleaseError, match="digest"):
         releases.verify("1", digest)
     for name in ("../1", "", ".x"):
-        with pytest.raises(Unfit):
+        with pytest.raises(ReleaseError):
             releases.verify(name, digest)
 
 
 def test_what_a_release_says_of_the_ledger_is_a_part_of_it(tmp_path: Path) -> None:
-    assert forms_of(tmp_path) == ((), 0)
+    assert ledger_formats(tmp_path) == ((), 0)
     (tmp_path / "forms").write_text("1 2 writes 2\n")
-    assert forms_of(tmp_path) == ((1, 2), 2)
+    assert ledger_formats(tmp_path) == ((1, 2), 2)
     (tmp_path / "forms").write_text("two\n")
-    with pytest.raises(Unfit, match="does not say"):
-        forms_of(tmp_path)
+    with pytest.raises(ReleaseError, match="does not say"):
+        ledger_formats(tmp_path)
 
 
 @pytest.mark.parametrize(("changes", "limits", "why"), [
@@ -543,6 +572,36 @@
     assert LatestValueStore(tmp_path, "x").value == b"two"
 
 
+# ---- what is stored
+
+
+VERSION_STORED = '{"release":"2.4","digest":"d","settings":17,"settings_digest":"s","reads":[2,3],"writes":3}'
+BASE_STORED = '{"release":"2.3","digest":"c","settings":0,"settings_digest":"","reads":[],"writes":0}'
+DESIRED_STORED = f'{{"epoch":3,"number":7,"version":{VERSION_STORED},"turn":2}}'
+
+
+def test_what_is_stored_keeps_its_encoded_names() -> None:
+    version, base = Version("2.4", "d", 17, "s", (2, 3), 3), Version("2.3", "c")
+    desired = DesiredVersion(3, 7, version, 2)
+    history = (HistoryEntry(1_700_000_000_000, "start", "x"),)
+    told: dict[str, msgspec.Struct] = {
+        f'{{"want":{DESIRED_STORED},"running":{VERSION_STORED},"life":9,"good":{BASE_STORED},'
+        f'"refused":{DESIRED_STORED},"heir":{VERSION_STORED},"heir_life":10,"last":11}}':
+            SupervisorState(desired, version, 9, base, desired, version, 10, 11),
+        f'{{"number":4,"version":{VERSION_STORED},"base":{BASE_STORED},"stages":["one","all"],"down":3,'
+        '"down_zone":1,"phase":"paused","stage":1,"controls":["s1"],"targets":["s0"],"crashes":[["s0",2]],'
+        '"why":"why","order":5,"past":[[1700000000000,"start","x"]]}':
+            RolloutRecord(4, version, base, ("one", "all"), 3, 1, "paused", 1, ("s1",), ("s0",),
+                          (("s0", 2),), "why", 5, history),
+        f'{{"number":5,"what":"start","why":"r","version":{VERSION_STORED},"base":{BASE_STORED},'
+        '"stages":["one","all"],"down":3,"down_zone":2}':
+            Order(5, "start", "r", version, base, ("one", "all"), 3, 2),
+    }  # fmt: skip
+    for stored, value in told.items():
+        assert msgspec.json.encode(value).decode() == stored
+        assert msgspec.json.decode(stored, type=type(value)) == value
+
+
 # ---- programs
 
 
@@ -632,13 +691,13 @@
     told = (f"members name m\nmembers listen 127.0.0.1:{free_port()}\ncouncil voter a=127.0.0.1:9\n"
             f"steward folder {tmp_path}/s\nsteward plate {tmp_path}/plate.json\n"
             f"steward releases {tmp_path}/releases\n")  # fmt: skip
-    service = StewardService(check("conf", told), lambda *_, **__: None)
+    service = SupervisorService(check("conf", told), lambda *_, **__: None)
     async with anyio.create_task_group() as group:
-        service.group, keeping = group, service.keeping
-        keeping.phase, keeping.state = "spawning", State(None, Version("bad", digest), 1)
+        service.group, supervisor = group, service.supervisor
+        supervisor.phase, supervisor.state = "spawning", SupervisorState(None, Version("bad", digest), 1)
         await service._spawn(1, Version("bad", digest))
         with anyio.fail_after(10):
-            while not keeping.crashes:
+            while not supervisor.crashes.recent:
                 await anyio.sleep(0.02)
         group.cancel_scope.cancel()
 
