--- a/thistleline/config_feed/follower.py
+++ b/thistleline/config_feed/follower.py
@@ -31,7 +31,7 @@
     UpstreamLost,
     UpstreamMessage,
 )
-from thistleline.config_feed.limits import RECONNECT_JITTER_NS, SOURCE_TIMEOUT_NS, TABLE_ENTRIES_LIMIT
+from thistleline.config_feed.limits import NEVER, RECONNECT_JITTER_NS, SOURCE_TIMEOUT_NS, TABLE_ENTRIES_LIMIT
 from thistleline.config_feed.messages import (
     Acknowledge,
     Delta,
@@ -50,7 +50,6 @@
 Phase = Literal["quiet", "waiting", "connecting", "greeting", "loading", "following"]
 PART_WINDOW = 4  # parts requested ahead, so that loading from far away is not one round trip per part
 MAX_REASON_LENGTH = 100  # characters
-NEVER = 1 << 62
 
 
 class Follower:
@@ -137,13 +136,13 @@
         self._effects: list[FollowerEffect] = []
 
     def copy(self) -> Follower:
-        """Return a follower that goes its own way from here."""
+        """Return an independent copy."""
         made = shallow_copy(self)
         made._effects = []
         return made
 
     def state_key(self) -> tuple[Any, ...]:
-        """Return all that its behaviour can depend on; tables by number and digest, times relative to now."""
+        """Return the state that decides its behaviour; tables by number and digest, times relative to now."""
         snapshot = self.snapshot
         return (
             self.id,
@@ -341,9 +340,9 @@
             self._go_on(accepted)
 
     def _eligible_for_now(self, accepted: FollowAccepted) -> bool:
-        """Return whether a keeper that finds no writer takes from this one what leads on from its own state.
+        """Return whether a keeper that finds no writer takes deltas from this other keeper meanwhile.
 
-        No more than that was ever decided. It takes no snapshot: nobody says that it is of this feed.
+        Such deltas hold only what was committed. It takes no snapshot: nothing says that it is of this feed.
         """
         return (
             (self.kind, self.level, accepted.level, self.phase) == ("all", 0, 0, "greeting")
--- a/thistleline/config_feed/follower_service.py
+++ b/thistleline/config_feed/follower_service.py
@@ -4,6 +4,7 @@
 
 import os
 from collections.abc import Callable
+from contextlib import nullcontext
 from pathlib import Path
 from random import Random
 from typing import Any, ClassVar, Protocol
@@ -123,16 +124,18 @@
         digest = self.table.digest(self.kind).hex()
         self.log("started", id=self.id, number=self.table.sequence, digest=digest)
         try:
-            async with anyio.create_task_group() as tasks:
-                self._upstream = UpstreamConnection(self.id, self._sources, tasks, self.inbox)
-                if self._archive is not None:
-                    tasks.start_soon(self._archive.run)
-                await self._handle_events()
+            with self._archive or nullcontext():
+                await self._run()
         finally:
-            if self._archive is not None:
-                self._archive.close()
             self.log("left", number=self.table.sequence)
 
+    async def _run(self) -> None:
+        async with anyio.create_task_group() as tasks:
+            self._upstream = UpstreamConnection(self.id, self._sources, tasks, self.inbox)
+            if self._archive is not None:
+                tasks.start_soon(self._archive.run)
+            await self._handle_events()
+
     async def wait_for(self, sequence: int) -> FeedTable:
         """Return the state at that sequence number or after it, once it is here."""
         while self.table.sequence < sequence:
--- a/thistleline/config_feed/group_commit.py
+++ b/thistleline/config_feed/group_commit.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from thistleline.config_feed.events import TimerExpired
-from thistleline.config_feed.limits import MS, SECOND
+from thistleline.config_feed.limits import MS, NEVER, SECOND
 from thistleline.config_feed.messages import Group, encode
 from thistleline.config_feed.pending_queue import PendingChange
 from thistleline.config_feed.record_ring import RecordRing
@@ -29,7 +29,6 @@
 READ_RETRY_NS = SECOND  # after which a read without an answer is repeated
 WRITE_TIMEOUT_NS = 5 * SECOND  # after which a write without an answer is settled by reading
 WRITE_RETRY_DELAY_NS = 100 * MS  # before a repeated write without an answer is settled
-NEVER = 1 << 62  # ns
 
 CommitEvent = RecordWritten | WriteDenied | WriteUnanswered | RecordRead | TimerExpired
 
--- a/thistleline/config_feed/limits.py
+++ b/thistleline/config_feed/limits.py
@@ -32,3 +32,4 @@
 SOURCE_TIMEOUT_NS = 1600 * MS  # of silence, after which a follower goes to another source
 STALL_TIMEOUT_NS = 5 * SECOND  # after which a follower that takes nothing is closed
 RECONNECT_JITTER_NS = SECOND  # random wait of a follower before it connects again, at most
+NEVER = 1 << 62  # a deadline that does not come
--- a/thistleline/config_feed/lookups.py
+++ b/thistleline/config_feed/lookups.py
@@ -66,7 +66,7 @@
         self.requested_at = 0  # ns
 
     def copy(self) -> LookupCache:
-        """Return a cache that goes its own way from here."""
+        """Return an independent copy."""
         made = LookupCache(self.follower.copy(), self.max_tenants)
         made.tenants = self.tenants.copy()
         made.wanted = self.wanted.copy()
@@ -75,7 +75,7 @@
         return made
 
     def state_key(self) -> tuple[Any, ...]:
-        """Return all that its behaviour can depend on, with times relative to now."""
+        """Return the state that decides its behaviour, with times relative to now."""
         return (
             self.follower.state_key(),
             tuple(self.tenants.items()),
--- a/thistleline/config_feed/relay.py
+++ b/thistleline/config_feed/relay.py
@@ -44,7 +44,7 @@
 )
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.history import History, Items
-from thistleline.config_feed.limits import FOLLOWERS_LIMIT, REQUEST_ID_LENGTH_LIMIT
+from thistleline.config_feed.limits import FOLLOWERS_LIMIT, NEVER, REQUEST_ID_LENGTH_LIMIT
 from thistleline.config_feed.messages import Follow, Propose, ProposeResult
 from thistleline.config_feed.source import Source
 from thistleline.config_feed.table import FeedTable
@@ -57,7 +57,6 @@
     WriterEvent,
 )
 
-NEVER = 1 << 62
 RelayEvent = (
     SubscriberMessage
     | SubscriberJoined
@@ -149,7 +148,7 @@
         self._effects: list[RelayEffect] = []
 
     def copy(self) -> FeedRelay:
-        """Return one that goes its own way from here."""
+        """Return an independent copy."""
         made = shallow_copy(self)
         made.history = self.history.copy()
         made.source = self.source.copy(made.history)
@@ -160,7 +159,7 @@
         return made
 
     def state_key(self) -> tuple[Any, ...]:
-        """Return all that its behaviour can depend on, with times relative to now."""
+        """Return the state that decides its behaviour, with times relative to now."""
         return (
             self.source.state_key(),
             self.follower.state_key(),
--- a/thistleline/config_feed/service.py
+++ b/thistleline/config_feed/service.py
@@ -9,7 +9,7 @@
 import os
 import signal
 from collections.abc import AsyncIterator, Callable
-from contextlib import suppress
+from contextlib import nullcontext, suppress
 from random import Random
 
 import anyio
@@ -145,7 +145,9 @@
         """
         # Open to the very end: prevents a second signal from ending the process at once.
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
-            await self._run(signals)
+            with self.archive or nullcontext():
+                await self._run(signals)
+            self.log("left", number=self.relay.table.sequence)
 
     async def _run(self, signals: AsyncIterator[signal.Signals]) -> None:
         host, port = self.address
@@ -163,9 +165,6 @@
                 tasks.start_soon(self.archive.run)
             if self._replicas:
                 self._start_wanting_lease(tasks)
-        if self.archive is not None:
-            self.archive.close()
-        self.log("left", number=self.relay.table.sequence)
 
     def _start_wanting_lease(self, tasks: TaskGroup) -> None:
         client = Council(self._replicas, tasks, self._random)
--- a/thistleline/config_feed/snapshot.py
+++ b/thistleline/config_feed/snapshot.py
@@ -3,12 +3,11 @@
 from __future__ import annotations
 
 from thistleline.config_feed.history import History, item_size
-from thistleline.config_feed.limits import PART_SIZE, SECOND
+from thistleline.config_feed.limits import NEVER, PART_SIZE, SECOND
 from thistleline.config_feed.messages import Kind, SnapshotPart
 from thistleline.config_feed.table import FeedTable
 
 SNAPSHOT_TTL = 60 * SECOND  # ns; a snapshot goes after so long without a request for a part
-NEVER = 1 << 62
 
 
 class Snapshot:
@@ -63,7 +62,7 @@
         self.last_used_at = now  # ns
 
     def copy(self) -> SnapshotCache:
-        """Return a cache that goes its own way from here.
+        """Return an independent copy.
 
         The snapshots are shared: they only ever hold what follows from their state.
         """
@@ -72,7 +71,7 @@
         return made
 
     def state_key(self, now: int) -> tuple[tuple[tuple[str, int, bytes], ...], int]:
-        """Return all that its behaviour can depend on, with the time relative to `now`."""
+        """Return the state that decides its behaviour, with the time relative to `now`."""
         snapshots = tuple((kind, one.sequence, one.digest) for kind, one in self.by_kind.items())
         return snapshots, self.last_used_at - now if self.by_kind else 0
 
--- a/thistleline/config_feed/source.py
+++ b/thistleline/config_feed/source.py
@@ -34,6 +34,7 @@
     FOLLOWERS_LIMIT,
     HEARTBEAT_INTERVAL_NS,
     KEY_LENGTH_LIMIT,
+    NEVER,
     PART_SIZE,
     PEER_ID_LENGTH_LIMIT,
     STALL_TIMEOUT_NS,
@@ -58,7 +59,6 @@
 MAX_LEVEL = 64
 RESERVED_FOR_KEEPERS = 8  # places for keepers alone: else no change is committed where all others are taken
 DIGEST_SIZE = 16  # bytes
-NEVER = 1 << 62
 
 
 class Source:
@@ -109,7 +109,7 @@
         self._effects: list[SourceEffect] = []
 
     def copy(self, history: History | None = None) -> Source:
-        """Return a source that goes its own way from here, with this history or a copy of its own."""
+        """Return an independent copy, with this history or a copy of its own."""
         made = shallow_copy(self)
         made.history = self.history.copy() if history is None else history
         made.subscribers = {peer: one.copy() for peer, one in self.subscribers.items()}
@@ -121,7 +121,7 @@
         return made
 
     def state_key(self) -> tuple[Any, ...]:
-        """Return all that its behaviour can depend on; tables by number and digest, times relative to now."""
+        """Return the state that decides its behaviour; tables by number and digest, times relative to now."""
         table = self.history.table
         return (
             table.sequence,
--- a/thistleline/config_feed/subscriber.py
+++ b/thistleline/config_feed/subscriber.py
@@ -45,13 +45,13 @@
     pending_tenants: dict[str, None] = field(default_factory=dict)
 
     def copy(self) -> Subscriber:
-        """Return one that goes its own way from here."""
+        """Return an independent copy."""
         made = shallow_copy(self)
         made.pending_tenants = dict(self.pending_tenants)
         return made
 
     def state_key(self) -> tuple[Any, ...]:
-        """Return all that its source's behaviour can depend on."""
+        """Return the state that decides its source's behaviour."""
         values = (getattr(self, one.name) for one in fields(self) if one.name != "pending_tenants")
         return *values, tuple(self.pending_tenants)
 
--- a/thistleline/config_feed/writer.py
+++ b/thistleline/config_feed/writer.py
@@ -26,7 +26,6 @@
 from thistleline.config_feed.durability import DurableAcknowledgements
 from thistleline.config_feed.events import TimerExpired
 from thistleline.config_feed.group_commit import (
-    NEVER,
     READ_RETRY_NS,
     CommitEffect,
     CommitFailed,
@@ -36,6 +35,7 @@
 )
 from thistleline.config_feed.history import History
 from thistleline.config_feed.limits import (
+    NEVER,
     PENDING_PROPOSALS_LIMIT,
     REQUEST_ID_LENGTH_LIMIT,
     SECOND,
