--- a/thistleline/bench_adapter/adapter.py
+++ b/thistleline/bench_adapter/adapter.py
@@ -5,7 +5,8 @@
 
 from thistleline.bench_adapter.errors import BenchProtocolError
 from thistleline.bench_adapter.host import PolicyHost, describe
-from thistleline.wire.settings import Malformed, nanos
+from thistleline.wire.durations import parse_seconds
+from thistleline.wire.errors import WireError
 
 MALFORMED_INPUT = 2  # exit code
 MAX_QUOTED = 40  # characters of a line in an error
@@ -37,7 +38,7 @@
         self.line_number += 1
         parts = line.rstrip("\r\n").split("\t")
         if parts[0] == "ROUND":
-            self._clock = nanos(parts[1])
+            self._clock = parse_seconds(parts[1])
             self._number = parts[2]
             self._lines = []
         elif parts[0] == "EOB":
@@ -68,7 +69,7 @@
             reader.read(line)
     except (
         BenchProtocolError,
-        Malformed,
+        WireError,
         ValueError,
         KeyError,
         IndexError,
--- a/thistleline/config_feed/record_client.py
+++ b/thistleline/config_feed/record_client.py
@@ -7,7 +7,7 @@
 from thistleline.config_feed.inbox import EventSink
 from thistleline.config_feed.service_events import RecordAnswered
 from thistleline.config_feed.writer_events import RecordRead, RecordWritten, WriteDenied, WriteUnanswered
-from thistleline.lease.client import Council
+from thistleline.lease.client import LeaseClient
 from thistleline.lease.protocol import Denied, Done, Get, Got, Put
 
 READ_TIMEOUT = 0.8  # s; the writer asks again each second
@@ -16,7 +16,7 @@
 class RecordClient:
     """Reads and writes records; the answers go to the inbox with the epoch of the request."""
 
-    def __init__(self, client: Council, tasks: TaskGroup, inbox: EventSink[RecordAnswered]) -> None:
+    def __init__(self, client: LeaseClient, tasks: TaskGroup, inbox: EventSink[RecordAnswered]) -> None:
         """Send requests by this client, each in a task of its own."""
         self._client = client
         self._tasks = tasks
@@ -31,15 +31,15 @@
         self._tasks.start_soon(self._write, epoch, slot, put)
 
     async def _read(self, epoch: int, slot: int, key: str) -> None:
-        answer = await self._client.surely(Get(key), READ_TIMEOUT)
+        answer = await self._client.request_until_decided(Get(key), READ_TIMEOUT)
         if isinstance(answer, Got):
             self._inbox.put(RecordAnswered(epoch, RecordRead(slot, answer.value, answer.version)))
 
     async def _write(self, epoch: int, slot: int, put: Put) -> None:
-        answer = await self._client.ask(put)
+        answer = await self._client.request(put)
         if isinstance(answer, Done):
-            self._inbox.put(RecordAnswered(epoch, RecordWritten(slot, answer.number)))
+            self._inbox.put(RecordAnswered(epoch, RecordWritten(slot, answer.version)))
         elif isinstance(answer, Denied):
-            self._inbox.put(RecordAnswered(epoch, WriteDenied(slot, answer.why)))
+            self._inbox.put(RecordAnswered(epoch, WriteDenied(slot, answer.reason)))
         else:
             self._inbox.put(RecordAnswered(epoch, WriteUnanswered(slot)))
--- a/thistleline/config_feed/service.py
+++ b/thistleline/config_feed/service.py
@@ -58,7 +58,7 @@
 )
 from thistleline.config_feed.writer_events import LeaseAcquired, LeaseLost
 from thistleline.config_feed.writer_lease import WriterLease
-from thistleline.lease.client import Council
+from thistleline.lease.client import LeaseClient
 from thistleline.store.clock import boot_now
 from thistleline.transport.address import Address
 
@@ -167,7 +167,7 @@
                 self._start_wanting_lease(tasks)
 
     def _start_wanting_lease(self, tasks: TaskGroup) -> None:
-        client = Council(self._replicas, tasks, self._random)
+        client = LeaseClient(self._replicas, tasks, self._random)
         self._records = RecordClient(client, tasks, self.inbox)
         self._writer_lease = WriterLease(
             self.name, self.config.lease, client, self.inbox, self.log, self._random
--- a/thistleline/config_feed/writer_lease.py
+++ b/thistleline/config_feed/writer_lease.py
@@ -12,9 +12,10 @@
 from thistleline.config_feed.limits import SECOND
 from thistleline.config_feed.recovery import LEASE_NAME
 from thistleline.config_feed.writer_events import LeaseAcquired, LeaseLost
-from thistleline.lease.client import Council
-from thistleline.lease.holder import Hold
-from thistleline.lease.session import Keeper
+from thistleline.lease.client import LeaseClient
+from thistleline.lease.holder import LeaseHolder
+from thistleline.lease.holder_events import ReleaseRequested
+from thistleline.lease.session import HolderDriver
 from thistleline.store.clock import boot_now
 
 REACQUIRE_DELAY = (0.3, 0.6)  # of the lease's duration: who has lost it lets another one have it first
@@ -27,7 +28,7 @@
         self,
         name: str,
         duration: int,
-        client: Council,
+        client: LeaseClient,
         inbox: EventSink[LeaseAcquired | LeaseLost],
         log: Callable[..., None],
         random: Random,
@@ -48,7 +49,7 @@
         self._inbox = inbox
         self._log = log
         self._random = random
-        self._session: Keeper | None = None
+        self._driver: HolderDriver | None = None
         self._leaving = False
         self._left = anyio.Event()
 
@@ -62,31 +63,31 @@
 
     def release(self) -> None:
         """Give the lease back; it will be wanted again after a while."""
-        if self._session is not None:
-            self._session.take("release")
+        if self._driver is not None:
+            self._driver.handle(ReleaseRequested())
 
     async def leave(self) -> None:
         """Give the lease back for good, and return once that is done."""
         self._leaving = True
-        if self._session is not None and self._session.hold.phase != "ended":
-            self._session.take("release")
+        if self._driver is not None and self._driver.holder.phase != "ended":
+            self._driver.handle(ReleaseRequested())
             await self._left.wait()
 
     async def _hold_once(self) -> None:
         owner = f"{self._name}.{os.getpid()}.{os.urandom(6).hex()}"
-        hold = Hold(LEASE_NAME, owner, self._duration, True, boot_now(), self._random_delay)
-        session = self._session = Keeper(self._client, hold)
+        holder = LeaseHolder(LEASE_NAME, owner, self._duration, True, boot_now(), self._random_delay)
+        driver = self._driver = HolderDriver(self._client, holder)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(session.run, tasks)
-            await session.decided.wait()
-            if hold.phase == "held":
-                self._log("holds", epoch=hold.epoch)
-                self._inbox.put(LeaseAcquired(hold.epoch))
-                await session.over.wait()
-                self._log("lost", epoch=hold.epoch, why=hold.why)
-                self._inbox.put(LeaseLost(hold.why))
+            tasks.start_soon(driver.run, tasks)
+            await driver.settled.wait()
+            if holder.phase == "held":
+                self._log("holds", epoch=holder.epoch)
+                self._inbox.put(LeaseAcquired(holder.epoch))
+                await driver.ended.wait()
+                self._log("lost", epoch=holder.epoch, why=holder.end_reason)
+                self._inbox.put(LeaseLost(holder.end_reason))
             tasks.cancel_scope.cancel()
-        session.close()
+        driver.close()
 
     def _random_delay(self, max_delay: int) -> int:
         return self._random.randrange(max_delay + 1)
--- a/thistleline/lab/feedworld.py
+++ b/thistleline/lab/feedworld.py
@@ -60,9 +60,9 @@
     WriteUnanswered,
 )
 from thistleline.lab.feedrun import Instance
-from thistleline.lease.protocol import Break, Denied, Granted, Put, Take
-from thistleline.lease.table import Table as Council
-from thistleline.lease.table import data_of
+from thistleline.lease.protocol import Acquire, Break, Denied, Granted, Put
+from thistleline.lease.table import LeaseTable as Council
+from thistleline.lease.table import encode_decision
 
 TICK = 600_000_000  # ns: a beat is due
 SPENT = ("changes", "again", "ends", "restarts", "losses", "moves", "ticks", "damages", "looks")
@@ -308,7 +308,7 @@
     def _apply(self, decision: Any) -> Any:
         self.council = self.council.copy()
         self.index += 1
-        return self.council.apply(self.index, data_of(decision))
+        return self.council.apply(self.index, encode_decision(decision))
 
     def decide(self, place: int) -> None:
         """A Put arrives at the council; its answer is on its way."""
@@ -317,7 +317,7 @@
         before = self.council.get(put.key)
         answer = self._apply(put)
         if isinstance(answer, Denied):
-            told: RecordWritten | WriteDenied = WriteDenied(slot, answer.why)
+            told: RecordWritten | WriteDenied = WriteDenied(slot, answer.reason)
         else:
             told = RecordWritten(slot, put.version + 1)
             if before.version:
@@ -343,7 +343,7 @@
         lease = self.council.state.leases.get(LEASE_NAME)
         if lease is not None:
             self._apply(Break(LEASE_NAME, lease.epoch, "it was silent"))
-        answer = self._apply(Take(LEASE_NAME, f"{name}.{self.index}", 10 * SECOND, True))
+        answer = self._apply(Acquire(LEASE_NAME, f"{name}.{self.index}", 10 * SECOND, True))
         assert isinstance(answer, Granted)
         self.held[name] = answer.epoch
         self.put(name, LeaseAcquired(answer.epoch))
