--- a/thistleline/config_feed/service.py
+++ b/thistleline/config_feed/service.py
@@ -15,8 +15,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from thistleline.config.schema import Council as ConsensusConfig
-from thistleline.config.schema import Feed as FeedConfig
+from thistleline.config.schema import ConsensusConfig, FeedConfig
 from thistleline.config_feed.archive_writer import ArchiveWriter
 from thistleline.config_feed.effects import (
     CloseDownstream,
--- a/thistleline/lease/service.py
+++ b/thistleline/lease/service.py
@@ -13,7 +13,7 @@
 import anyio.to_thread
 from anyio.abc import SocketStream, TaskGroup
 
-from thistleline.config.schema import Council
+from thistleline.config.schema import ConsensusConfig
 from thistleline.consensus.effects import LeaderChanged, LogEvent, SendMessage, WriteRecords
 from thistleline.consensus.events import MessageReceived, TimerFired, WriteCompleted, WriteFailed
 from thistleline.consensus.records import SnapshotRecord, WriteBatch
@@ -51,7 +51,7 @@
 CONNECTIONS_BOUND = 1024  # accepted connections; past it the longest silent one is closed
 HELLO_TIMEOUT = 2.0  # s
 MAX_INBOX_EVENTS = 50_000
-MAX_ASKERS = 50_000  # clients whose connection is remembered for hints
+MAX_HOLDERS = 50_000  # clients whose connection is remembered for hints
 MAX_CALLERS = 16  # replicas whose address is remembered
 REPLICA_READ_SIZE = 1 << 18  # bytes
 CLIENT_READ_SIZE = 1 << 16  # bytes
@@ -69,7 +69,7 @@
     """Runs one replica with the leases on top."""
 
     def __init__(
-        self, config: Council, log: Callable[..., None], disk: Disk, chance: Random | None = None
+        self, config: ConsensusConfig, log: Callable[..., None], disk: Disk, chance: Random | None = None
     ) -> None:
         """Recover the replica from its disk. Blocks.
 
@@ -96,7 +96,7 @@
         self.links = PeerLinks(config, self.chance, log, self._own_hello)
         self.connections: OrderedDict[int, InboundConnection] = OrderedDict()
         self.connection_count = 0
-        self.asker_connections: OrderedDict[str, int] = OrderedDict()  # of each asker's last request
+        self.holder_connections: OrderedDict[str, int] = OrderedDict()  # of each holder's last request
         self.callers: dict[str, str] = {}  # addresses of the replicas that connected last, by id
 
     def _recover_replica(self) -> Replica:
@@ -210,17 +210,17 @@
             case SendAnswer(ticket, answer):
                 ticket.connection.finish_request()
                 ticket.connection.write(encode(Reply(ticket.number, answer)))
-            case NotifyHolder(name, asker):
-                self._notify_holder(name, asker)
+            case NotifyHolder(name, holder_id):
+                self._notify_holder(name, holder_id)
             case LogEvent(event, facts):
                 self.log(event, **facts)
             case LeaderChanged(leader):
                 self.log("led", by=leader, term=self.replica.state.term)
 
-    def _notify_holder(self, name: str, asker: str) -> None:
-        connection = self.connections.get(self.asker_connections.get(asker, -1))
+    def _notify_holder(self, name: str, holder_id: str) -> None:
+        connection = self.connections.get(self.holder_connections.get(holder_id, -1))
         if connection is not None:
-            connection.write(encode(GrantHint(name, asker)))
+            connection.write(encode(GrantHint(name, holder_id)))
 
     async def _write(self, batch: WriteBatch) -> None:
         try:
@@ -317,20 +317,20 @@
                 for payload in decoder.feed(await connection.stream.receive(CLIENT_READ_SIZE)):
                     request = decode_request(payload)
                     await connection.begin_request()
-                    self._remember_asker(number, request.op)
+                    self._remember_holder(number, request.op)
                     self.submit(RequestReceived(ClientTicket(connection, request.number), request.op))
                 self.connections.move_to_end(number)
 
-    def _remember_asker(self, number: int, op: Op) -> None:
-        asker = _asker_of(op)
-        if asker:
-            self.asker_connections[asker] = number
-            self.asker_connections.move_to_end(asker)
-            if len(self.asker_connections) > MAX_ASKERS:
-                self.asker_connections.popitem(last=False)
+    def _remember_holder(self, number: int, op: Op) -> None:
+        holder_id = _holder_id_of(op)
+        if holder_id:
+            self.holder_connections[holder_id] = number
+            self.holder_connections.move_to_end(holder_id)
+            if len(self.holder_connections) > MAX_HOLDERS:
+                self.holder_connections.popitem(last=False)
 
 
-def _asker_of(op: Any) -> str:
+def _holder_id_of(op: Any) -> str:
     """Return who asks, where a request says so."""
     leases = getattr(op, "leases", ())
     return getattr(op, "holder_id", "") or (leases[0][1] if leases else "")
@@ -352,7 +352,7 @@
         disk.release()
 
 
-def run(config: Council, log: Callable[..., None]) -> None:
+def run(config: ConsensusConfig, log: Callable[..., None]) -> None:
     """Run a replica until SIGTERM or SIGINT.
 
     Raises:
