--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from thistleline.config_feed.archive import Archive
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.table import FeedTable
 from thistleline.consensus.messages import Entry, Member
 from thistleline.consensus.records import SnapshotRecord, VoteRecord
 from thistleline.consensus.replica import Replica
@@ -231,7 +231,13 @@
     table = archive.recover()
     disk.release()
     assert table is not None
-    assert (table.number, archive.durable, archive.why, archive.segment, archive.old) == (7, 7, "", 1, [1])
+    assert (
+        table.sequence,
+        archive.durable,
+        archive.recovery_failure,
+        archive.segment,
+        archive.old_segments,
+    ) == (7, 7, "", 1, [1])
     assert sorted(table.entries("all")) == sorted(FEED_ENTRIES)
     assert dict(table.wide) == {"route/checkout": (b"pool-c", 4), "route/cart": (b"pool-a", 7)}
     assert dict(table.tenants) == {
@@ -242,7 +248,7 @@
     assert table.digest("all").hex() == "cebdacb4b790a91e0098d1393cc982f3"
     assert table.digest("wide").hex() == "9c1124fd745519f9b9b80f276c13e5af"
     assert archive.digest == table.digest("all")
-    assert table == Table().moved(7, FEED_ENTRIES)
+    assert table == FeedTable().update(7, FEED_ENTRIES)
     for gone in ("common/limit", "route/search"):
         assert table.get(gone) is None
 
@@ -251,4 +257,4 @@
     """An instance's side (wide) takes no keeper's archive (all) for its own."""
     archive = Archive(Disk(copied(tmp_path, "feed_archive"), "feed"), "wide")
     assert archive.recover() is None
-    assert archive.why == "000000000001.feed is no archive of form 1 and kind wide"
+    assert archive.recovery_failure == "000000000001.feed is no archive of form 1 and kind wide"
--- a/thistleline/cli/feed.py
+++ b/thistleline/cli/feed.py
@@ -13,11 +13,12 @@
 import orjson
 
 from thistleline.cli.fleet import Unusable, conf_of, logger, named, tell
-from thistleline.config_feed.client import FeedClient, look_each, propose, snapshot
-from thistleline.config_feed.limits import CHANGE_BOUND, ITEMS_BOUND
-from thistleline.config_feed.lookups import written
-from thistleline.config_feed.messages import Item, Looked, Propose
-from thistleline.config_feed.table import MADE
+from thistleline.config_feed.client import FeedClient
+from thistleline.config_feed.limits import CHANGE_ITEMS_LIMIT, CHANGE_SIZE_LIMIT
+from thistleline.config_feed.lookups import is_encodable
+from thistleline.config_feed.messages import Item, Propose, ReadResult
+from thistleline.config_feed.operations import export_table, propose, read_each
+from thistleline.config_feed.table import REQUEST_PREFIX
 from thistleline.transport.address import Address
 
 SPAN = click.FloatRange(0.1, 3600.0)
@@ -137,20 +138,20 @@
     for place, part in enumerate(parts):
         name = f"{request}.{place}" if in_parts else request
         answer = anyio.run(propose, keepers, Propose(name, part, tuple(expected)), span)
-        if as_json or answer.number:
-            tell(answer, as_json, lambda told: f"change {told.number}")
+        if as_json or answer.sequence:
+            tell(answer, as_json, lambda told: f"change {told.sequence}")
         if answer.unknown:
             raise click.ClickException(
-                f"it is not known whether it was made: {answer.why}\n"
+                f"it is not known whether it was made: {answer.reason}\n"
                 f"the same again with --request {request} finds out"
             )
-        if not answer.number:
-            raise click.ClickException(answer.why)
+        if not answer.sequence:
+            raise click.ClickException(answer.reason)
 
 
 def _no_text(words: tuple[str, ...]) -> list[str]:
     """Of arguments whose bytes are no UTF-8: they go over no link."""
-    return [f"{word!r} is no text" for word in words if not written(word)]
+    return [f"{word!r} is no text" for word in words if not is_encodable(word)]
 
 
 def _item(key: str, value: bytes, faults: list[str]) -> list[Item]:
@@ -192,7 +193,7 @@
     size = 0
     for key, value in items:
         cost = len(key.encode("utf-8", "replace")) + len(value or b"")
-        if part and (len(part) >= ITEMS_BOUND or size + cost > CHANGE_BOUND):
+        if part and (len(part) >= CHANGE_ITEMS_LIMIT or size + cost > CHANGE_SIZE_LIMIT):
             parts.append(tuple(part))
             part, size = [], 0
         part.append((key, value))
@@ -221,18 +222,20 @@
                 raise click.ClickException(f"{asked[0]} is not told")
             for key, value, version in found.items:
                 missing += value is None
-                told = value and (value.decode() if key.startswith(MADE) else msgspec.json.decode(value))
-                facts = {"key": key, "version": version, "number": found.number, "value": told}
+                told = value and (
+                    value.decode() if key.startswith(REQUEST_PREFIX) else msgspec.json.decode(value)
+                )
+                facts = {"key": key, "version": version, "number": found.sequence, "value": told}
                 tell(facts, as_json, _words)
             asked = asked[len(found.items) :]
     if missing:
         raise SystemExit(1)
 
 
-def _newest(servers: dict[str, Address], keys: tuple[str, ...] = ()) -> tuple[str, Looked]:
+def _newest(servers: dict[str, Address], keys: tuple[str, ...] = ()) -> tuple[str, ReadResult]:
     """All are asked, lest one that was cut off answers for the rest."""
-    answers = anyio.run(look_each, servers, keys)
-    known = [(one.number, name, one) for name, one in answers.items() if one is not None]
+    answers = anyio.run(read_each, servers, keys)
+    known = [(one.sequence, name, one) for name, one in answers.items() if one is not None]
     if not known:
         raise click.ClickException(f"none of {', '.join(servers)} answers")
     return max(known, key=lambda one: one[:2])[1:]
@@ -249,18 +252,18 @@
 def status(conf: str | None, at: tuple[str, ...], as_json: bool) -> None:
     """How each keeper and relay stands; exit code 1 if keepers are asked and none writes."""
     servers = _servers(conf, at, "keeper", "up")
-    answers = anyio.run(look_each, servers)
+    answers = anyio.run(read_each, servers)
     for name in sorted(answers):
         one = answers[name]
         if one is None:
             tell({"name": name, "why": "no answer"}, as_json, lambda told: f"{told['name']}  no answer")
             continue
-        facts = {"name": name, "number": one.number, "digest": one.digest.hex(), "phase": one.phase,
-                 "epoch": one.epoch, "holds": one.holds, **one.facts}  # fmt: skip
+        facts = {"name": name, "number": one.sequence, "digest": one.digest.hex(), "phase": one.phase,
+                 "epoch": one.epoch, "holds": one.is_writer, **one.counters}  # fmt: skip
         tell(facts, as_json, lambda told: "  ".join(f"{word} {value}" for word, value in told.items()))
     known = [one for one in answers.values() if one is not None]
-    keepers = len(known) < len(servers) or any(one.facts.get("level") == 0 for one in known)
-    if keepers and not any(one.holds for one in known):
+    keepers = len(known) < len(servers) or any(one.counters.get("level") == 0 for one in known)
+    if keepers and not any(one.is_writer for one in known):
         raise SystemExit(1)
 
 
@@ -271,16 +274,16 @@
     """All entries of one state, a JSON line each, as `put --file` reads them."""
     servers = _servers(conf, at, "up", "keeper")
     name, _ = _newest(servers)
-    table = anyio.run(snapshot, {name: servers[name]}, span)
+    table = anyio.run(export_table, {name: servers[name]}, span)
     if table is None:
         raise click.ClickException(f"it is not here in {span:g} s")
     out = sys.stdout.buffer
     for key, value, version in table.entries("all"):
-        if key.startswith(MADE):
+        if key.startswith(REQUEST_PREFIX):
             continue  # what the writer keeps of requests is nothing to put
         head = orjson.dumps({"key": key, "version": version})[:-1]
         out.write(head + b',"value":' + value + b"}\n")
-    click.echo(f"number {table.number}, digest {table.digest('all').hex()}", err=True)
+    click.echo(f"number {table.sequence}, digest {table.digest('all').hex()}", err=True)
 
 
 @feed.command()
@@ -299,16 +302,18 @@
     def seen(table: Any, items: Any) -> None:
         touched = None if items is None else [key for key, _, _ in items]
         words = "all" if touched is None else " ".join(touched) or "-"
-        facts = {"number": table.number, "digest": table.digest("wide").hex(), "touched": touched}
+        facts = {"number": table.sequence, "digest": table.digest("wide").hex(), "touched": touched}
         tell(facts, as_json, lambda told: f"{told['number']}  {told['digest']}  {words}")
 
     async def run() -> None:
-        client = FeedClient(f"follow-{os.urandom(4).hex()}", servers, folder=folder, seen=seen, alone=True)
+        client = FeedClient(
+            f"follow-{os.urandom(4).hex()}", servers, folder=folder, on_state=seen, immediate=True
+        )
         async with anyio.create_task_group() as group:
             group.start_soon(client.run)
             group.start_soon(_until_told, group.cancel_scope)
             if until is not None:
-                await client.beyond(until)
+                await client.wait_for(until)
                 group.cancel_scope.cancel()
 
     try:
