--- a/thistleline/lab/member.py
+++ b/thistleline/lab/member.py
@@ -45,7 +45,7 @@
         return
     path, sync = Path(name), disk.Disk.sync
 
-    def faulty(self: disk.Disk) -> None:
+    def faulty_sync(self: disk.Disk) -> None:
         fault = path.read_text() if path.exists() else ""
         if fault == "fail":
             raise OSError(errno.EIO, os.strerror(errno.EIO))
@@ -53,7 +53,7 @@
             time.sleep(SLOW_SYNC_SECONDS)
         sync(self)
 
-    setattr(disk.Disk, "sync", faulty)  # noqa: B010
+    setattr(disk.Disk, "sync", faulty_sync)  # noqa: B010
 
 
 def leave_out_protection() -> None:
@@ -91,20 +91,20 @@
     from thistleline.config_feed.subscriber import Subscriber
     from thistleline.config_feed.table import FeedTable
 
-    follow, welcomed = Source._on_follow, Follower._on_accepted
+    on_follow, on_accepted = Source._on_follow, Follower._on_accepted
 
-    def behind(self: Source, peer: int, subscriber: Subscriber, told: Follow) -> str:
-        if told.sequence > self.history.table.sequence:
-            told = Follow(told.id, told.kind, 0, b"", told.level)
-        return follow(self, peer, subscriber, told)
+    def serve_while_behind(self: Source, peer: int, subscriber: Subscriber, request: Follow) -> str:
+        if request.sequence > self.history.table.sequence:
+            request = Follow(request.id, request.kind, 0, b"", request.level)
+        return on_follow(self, peer, subscriber, request)
 
-    def older(self: Follower, told: FollowAccepted) -> None:
-        if told.load_snapshot and told.sequence < self.table.sequence:
+    def accept_older(self: Follower, answer: FollowAccepted) -> None:
+        if answer.load_snapshot and answer.sequence < self.table.sequence:
             self.table = FeedTable()
-        welcomed(self, told)
+        on_accepted(self, answer)
 
-    setattr(Source, "_on_follow", behind)  # noqa: B010
-    setattr(Follower, "_on_accepted", older)  # noqa: B010
+    setattr(Source, "_on_follow", serve_while_behind)  # noqa: B010
+    setattr(Follower, "_on_accepted", accept_older)  # noqa: B010
 
 
 def end_with_parent() -> None:
