--- a/thistleline/lab/roll.py
+++ b/thistleline/lab/roll.py
@@ -243,7 +243,7 @@
     found |= figures(quick, seed, tell)
     changes, callers = real["changes"], real["callers"]
     bars = {
-        "harmful ones taken back, or cases about": all(
+        "harmful ones taken back, or asked about": all(
             one["phase"] in ("back", "asking") for one in changes if one["release"] in HARMFUL
         ),
         "harmful ones reached a third at the most": all(
