--- a/tests/host.py
+++ b/tests/host.py
@@ -1,4 +1,4 @@
-"""The helpers of all tests: a fake host for the module, a desk for the reducer, stand-ins for the sockets."""
+"""The helpers of all tests: a policy's fake host, a state machine's desk, stand-ins for sockets."""
 
 import json
 import os
@@ -20,10 +20,39 @@
 from thrift.Thrift import TMessageType, TType
 from thrift.transport.TTransport import TFramedTransport, TMemoryBuffer
 
-from thistleline.interface import PolicyEvent, ServerSettings, Stage, Task, TaskArrived, Tenant, TimerFired
+from thistleline.interface import (
+    PolicyEvent,
+    RunOutcome,
+    ServerSettings,
+    Stage,
+    Task,
+    TaskArrived,
+    Tenant,
+    TimerFired,
+)
 from thistleline.policy import MS, SECOND, Policy
-from thistleline.state.phases import Phases
-from thistleline.state.state_machine import Reducer
+from thistleline.state.effects import (
+    AnswerAbandoned,
+    AnswerFinished,
+    AnswerRejected,
+    LogEvent,
+    MeasureGauges,
+    ReadConnection,
+    StartRun,
+)
+from thistleline.state.events import (
+    AgentGreeted,
+    ConnectionOpened,
+    DeadlineReached,
+    GaugesMeasured,
+    InputDrained,
+    ListeningStarted,
+    RunCompleted,
+    TaskReceived,
+)
+from thistleline.state.options import MachineOptions
+from thistleline.state.phases import Lifecycle
+from thistleline.state.state_machine import ServerStateMachine
 
 PATIENCE = 20.0  # for whatever a test waits on; on a busy machine too
 
@@ -147,76 +176,78 @@
 
 
 class Desk:
-    """A reducer with a clock of its own, an agent that answers samples, and all effects in order."""
+    """A state machine with a clock of its own, an agent that answers samples, and all effects in order."""
 
     def __init__(
         self, *, up: bool = True, connections: int = 8, results_bound: int = 1 << 20, **changes: Any
     ) -> None:
         self.now = 1000 * SECOND
-        self.phases = Phases()
-        self.reducer = Reducer(
-            server_settings(**changes),
-            ("core_use", "on_cores"),
-            5 * MS,
-            connections,
-            results_bound,
-            7,
-            self.now,
-            self.phases,
-        )
-        self.effects: list[tuple[Any, ...]] = []
+        self.lifecycle = Lifecycle()
+        options = machine_options(connections, results_bound, **changes)
+        self.machine = ServerStateMachine(options, self.now, self.lifecycle)
+        self.effects: list[Any] = []
         self.answers_samples = True
         self.number = 0  # of the agent's last notice
         self.count = 0
-        self.put("listening")
+        self.put(ListeningStarted())
         if up:
-            self.put("agent_up", False, 60 * SECOND)
+            self.put(AgentGreeted(False, 60 * SECOND))
             self.wait(50 * MS)
 
-    def put(self, kind: str, *told: Any) -> list[tuple[Any, ...]]:
-        """One input; what it brought, less log and reading. The agent answers samples at once."""
-        effects = self.reducer.take(self.now, kind, *told)
+    def put(self, event: Any) -> list[Any]:
+        """One event; what it brought, less log and reading. The agent answers samples at once."""
+        effects = self.machine.handle(self.now, event)
         self.effects += effects
         for effect in effects:
-            if effect[0] == "measure" and self.answers_samples:
-                self.put("measured", effect[1], [0.5, 2.0])
-        return [effect for effect in effects if effect[0] not in ("log", "read", "measure")]
+            if isinstance(effect, MeasureGauges) and self.answers_samples:
+                self.put(GaugesMeasured(effect.tag, [0.5, 2.0]))
+        return [effect for effect in effects if not isinstance(effect, BESIDE)]
 
-    def wait(self, span: int = 10 * MS) -> list[tuple[Any, ...]]:
+    def wait(self, span: int = 10 * MS) -> list[Any]:
         """Lets time pass; what it brought."""
         before, end = len(self.effects), self.now + span
-        while self.now < end and self.phases.name != "ended":
-            self.now = min(end, max(self.now, self.reducer.due()))
-            if self.reducer.due() <= self.now:
-                self.put("round")
-        return [effect for effect in self.effects[before:] if effect[0] not in ("log", "read", "measure")]
+        while self.now < end and self.lifecycle.phase != "ended":
+            self.now = min(end, max(self.now, self.machine.next_deadline()))
+            if self.machine.next_deadline() <= self.now:
+                self.put(DeadlineReached())
+        return [effect for effect in self.effects[before:] if not isinstance(effect, BESIDE)]
 
     def send(self, connection: int, word: str | None = None, body: bytes = b"body", **changes: Any) -> str:
         """A task comes in on a connection, which is opened if need be."""
         self.count += 1
-        if connection not in self.reducer.connections:
-            self.put("opened", connection)
+        if connection not in self.machine.connections.by_number:
+            self.put(ConnectionOpened(connection))
         name = str(changes.pop("id", f"t{self.count}"))
         stage = changes.pop("stage_place", 0 if word is None else 1)
         sent = task(name, changes.pop("reached", self.now), stage=stage, **changes)
-        self.put("task", connection, self.count, sent, word, memoryview(body))
-        self.put("drained", connection)
+        self.put(TaskReceived(connection, self.count, sent, word, memoryview(body)))
+        self.put(InputDrained(connection))
         return name
 
-    def end(self, name: str, how: str = "finished", number: int | None = None) -> list[tuple[Any, ...]]:
+    def end(self, name: str, how: RunOutcome = "finished", number: int | None = None) -> list[Any]:
         if number is None:
             self.number += 1
             number = self.number
-        return self.put("run_over", number, name, how, 100 * MS, memoryview(b"result of " + name.encode()))
+        return self.put(RunCompleted(number, name, how, 100 * MS, memoryview(b"result of " + name.encode())))
 
-    def kinds(self, *kinds: str) -> list[tuple[Any, ...]]:
-        return [effect for effect in self.effects if effect[0] in kinds]
+    def kinds(self, *classes: type) -> list[Any]:
+        return [effect for effect in self.effects if isinstance(effect, classes)]
 
     def launched(self) -> list[str]:
-        return [effect[1] for effect in self.kinds("start")]
+        return [effect.attempt_id for effect in self.kinds(StartRun)]
 
     def answers(self) -> list[str]:
-        return [effect[0] for effect in self.kinds("finished", "rejected", "abandoned")]
+        return [ANSWERS[type(effect)] for effect in self.kinds(*ANSWERS)]
+
+
+BESIDE = (LogEvent, ReadConnection, MeasureGauges)
+ANSWERS = {AnswerFinished: "finished", AnswerRejected: "rejected", AnswerAbandoned: "abandoned"}
+
+
+def machine_options(connections: int = 8, results_bound: int = 1 << 20, **changes: Any) -> MachineOptions:
+    return MachineOptions(
+        server_settings(**changes), ("core_use", "on_cores"), 5 * MS, connections, results_bound, 7
+    )
 
 
 SETTINGS: dict[str, Any] = {
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -1,7 +1,8 @@
 """No effect twice, explored: strangers use ids, marks and bodies of others; links break; connections end.
 
 The oracle knows what was read, what reached the agent and what it did with it, and what was answered; nothing
-of the reducer's tables. `THISTLELINE_EXAMPLES=2000 python -m pytest tests/test_effects.py` is the long form.
+of the state machine's tables. `THISTLELINE_EXAMPLES=2000 python -m pytest tests/test_effects.py` is the long
+form.
 """
 
 import os
@@ -12,7 +13,29 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from tests.host import BOOKING, Desk, stage, task
+from thistleline.interface import RunOutcome
 from thistleline.policy import MS, SECOND
+from thistleline.state.effects import (
+    AnswerAbandoned,
+    AnswerFinished,
+    AnswerMisunderstood,
+    AnswerRejected,
+    CloseConnection,
+    MeasureGauges,
+    StartRun,
+    StopRun,
+)
+from thistleline.state.events import (
+    AgentGreeted,
+    AgentLost,
+    CommandDeclined,
+    ConnectionEnded,
+    ConnectionOpened,
+    GaugesMeasured,
+    InputDrained,
+    RunCompleted,
+    TaskReceived,
+)
 
 EXAMPLES = int(os.environ.get("THISTLELINE_EXAMPLES", "200"))
 LOST_SPAN = 50 * MS  # commands of so long before a break may be lost
@@ -55,7 +78,7 @@
         self.running: dict[str, bytes] = {}
         self.came: dict[str, int] = {}  # when, the last time under this id
         self.began: list[tuple[Any, int]] = []  # effect and when its try came, of every run that began
-        self.kept: list[tuple[Any, ...]] = []  # notices
+        self.kept: list[RunCompleted] = []  # notices
 
     def launch(self, id: str, stage: str, body: bytes) -> bool:
         if id in self.running:
@@ -73,7 +96,7 @@
         self.desk = Desk(stages=(stage(), SHORT, ORDER), cores=cores, results_bound=bound)
         self.desk.answers_samples = False
         self.agent, self.linked, self.read_to = Agent(), True, 0
-        self.commands: list[tuple[int, tuple[Any, ...]]] = []  # written, not yet read by the agent
+        self.commands: list[tuple[int, Any]] = []  # written, not yet read by the agent
         self.carried = len(self.desk.effects)
         self.ids: list[str] = []  # of all tries so far, rightful or not
         self.sent: dict[
@@ -87,50 +110,53 @@
     # ---- the world
 
     def carry(self) -> None:
-        """Takes what the reducer asked for."""
+        """Takes what the state machine asked for."""
         while self.carried < len(self.desk.effects):
             effect = self.desk.effects[self.carried]
             self.carried += 1
-            kind = effect[0]
-            if kind in ("start", "stop", "measure") and self.linked:
+            if isinstance(effect, StartRun | StopRun | MeasureGauges) and self.linked:
                 self.commands.append((self.desk.now, effect))
-            elif kind in ("finished", "rejected", "abandoned", "misunderstood"):
-                self.answered(kind, effect)
-            elif kind == "close":
-                self.owed = {key: until for key, until in self.owed.items() if key[0] != effect[1]}
+            elif isinstance(effect, AnswerFinished | AnswerRejected | AnswerAbandoned | AnswerMisunderstood):
+                self.answered(effect)
+            elif isinstance(effect, CloseConnection):
+                self.owed = {key: until for key, until in self.owed.items() if key[0] != effect.connection}
 
-    def answered(self, kind: str, effect: tuple[Any, ...]) -> None:
-        key = (effect[1], effect[2])
+    def answered(
+        self, effect: AnswerFinished | AnswerRejected | AnswerAbandoned | AnswerMisunderstood
+    ) -> None:
+        key = (effect.connection, effect.seq)
         assert key in self.owed, "answered twice, or unasked"
         assert self.owed.pop(key) >= self.desk.now, "answered late"
         id, wanted, when = self.sent[key]
-        if kind == "finished" and wanted is not None:
-            assert self.results[bytes(effect[3])] == wanted, "served with another's result"
-        if kind == "rejected" and wanted is not None and self.agent.known.get(id, ("",))[0] == "booking":
+        if isinstance(effect, AnswerFinished) and wanted is not None:
+            assert self.results[bytes(effect.result)] == wanted, "served with another's result"
+        is_booking = self.agent.known.get(id, ("",))[0] == "booking"
+        if isinstance(effect, AnswerRejected) and wanted is not None and is_booking:
             ran = [since for since in self.runs_of(wanted) if since + SHORT.idempotency_window > when]
             assert not ran, "turned away after it has run"
 
     def runs_of(self, wanted: Any) -> list[int]:
         return [since for effect, since in self.agent.began if effect == wanted]
 
-    def put(self, kind: str, *told: Any) -> None:
-        self.desk.put(kind, *told)
+    def put(self, event: Any) -> None:
+        self.desk.put(event)
         self.carry()
 
     def deliver(self) -> None:
         """The agent reads all that was written to it."""
         commands, self.commands = self.commands, []
-        for _, (kind, name, *told) in commands:
-            if kind == "measure":
-                self.put("measured", name, [0.5, 2.0])
-            elif kind == "start":
-                before = len(self.agent.began)
-                if not self.agent.launch(name, told[0], told[1]):
-                    self.put("declined", "start", name)
-                elif len(self.agent.began) > before:
-                    self.once(*self.agent.began[-1])
-            elif name in self.agent.running:
-                self.over(name, "stopped")
+        for _, command in commands:
+            match command:
+                case MeasureGauges(tag):
+                    self.put(GaugesMeasured(tag, [0.5, 2.0]))
+                case StartRun(name, stage_name, body):
+                    before = len(self.agent.began)
+                    if not self.agent.launch(name, stage_name, body):
+                        self.put(CommandDeclined("start", name))
+                    elif len(self.agent.began) > before:
+                        self.once(*self.agent.began[-1])
+                case StopRun(name) if name in self.agent.running:
+                    self.over(name, "stopped")
 
     def once(self, wanted: Any, since: int) -> None:
         earlier = self.runs_of(wanted)[:-1]
@@ -141,32 +167,32 @@
                 "an effect ran twice"
             )
 
-    def over(self, id: str, how: str, tell: bool = True) -> None:
+    def over(self, id: str, how: RunOutcome, tell: bool = True) -> None:
         del self.agent.running[id]
         self.last[id] = self.desk.now
         result = b"result %d" % len(self.results)
         self.results[result] = self.agent.known[id][2]
-        self.agent.kept.append(("run_over", len(self.agent.kept) + 1, id, how, 100 * MS, memoryview(result)))
+        self.agent.kept.append(RunCompleted(len(self.agent.kept) + 1, id, how, 100 * MS, memoryview(result)))
         if self.linked and tell:
             self.tell()
 
     def tell(self) -> None:
         for notice in self.agent.kept[self.read_to :]:
-            self.put(*notice)
+            self.put(notice)
         self.read_to = len(self.agent.kept)
 
     def read(self, connection: int, id: str, place: int, mark: str | None, body: bytes, wanted: Any) -> None:
-        if connection not in self.desk.reducer.connections:
-            self.put("opened", connection)
-        if len(self.desk.reducer.connections[connection].open) >= 32:
+        if connection not in self.desk.machine.connections.by_number:
+            self.put(ConnectionOpened(connection))
+        if len(self.desk.machine.connections.by_number[connection].open) >= 32:
             return
         self.seq += 1
         now = self.desk.now
         self.sent[connection, self.seq] = (id, wanted, now)
         self.owed[connection, self.seq] = now + BOOKING.timeout + 100 * MS
         sent = task(id, now, stage=place)
-        self.put("task", connection, self.seq, sent, mark, memoryview(body))
-        self.put("drained", connection)
+        self.put(TaskReceived(connection, self.seq, sent, mark, memoryview(body)))
+        self.put(InputDrained(connection))
         if (connection, self.seq) in self.owed:  # it was taken
             self.agent.came[id] = now
 
@@ -182,7 +208,7 @@
         self.ids.append(id)
         body, name = (
             b"body %s" % str(booking if stages == 1 else id).encode(),
-            self.desk.reducer.settings.stages[stages].name,
+            self.desk.machine.settings.stages[stages].name,
         )
         # A side-effecting task has no further tries: each is an effect of its own.
         wanted = (name, booking if stages == 1 else id)
@@ -207,7 +233,7 @@
 
     def connection_ends(self, connection: int) -> None:
         self.owed = {key: until for key, until in self.owed.items() if key[0] != connection}
-        self.put("ended", connection, "reset")
+        self.put(ConnectionEnded(connection, "reset"))
 
     def time_passes(self, span: int) -> None:
         """The agent reads on, unless not even a moment passes."""
@@ -223,38 +249,39 @@
         self.desk.wait(6 * MS)
         self.carry()
 
-    def a_run_ends(self, which: int, how: str, twice: bool) -> None:
+    def a_run_ends(self, which: int, how: RunOutcome, twice: bool) -> None:
         if not self.agent.running:
             return
         running = sorted(self.agent.running)
         self.over(running[which % len(running)], how)
         if twice and self.linked:
-            self.put(*self.agent.kept[-1])
+            self.put(self.agent.kept[-1])
 
     def link_breaks(self, lost: bool, away: int, again: int) -> None:
         if not lost or any(when < self.desk.now - LOST_SPAN for when, _ in self.commands):
             self.linked_deliveries()
         self.commands = []
         self.linked = False
-        self.put("agent_lost", "reset")
+        self.put(AgentLost("reset"))
         self.time_passes(away)
         self.link_is_made(again)
 
     def linked_deliveries(self) -> None:
         """The agent reads all, and what it says is lost with the link."""
-        for _, (kind, name, *told) in self.commands:
-            if kind == "start":
-                before = len(self.agent.began)
-                if self.agent.launch(name, told[0], told[1]) and len(self.agent.began) > before:
-                    self.once(*self.agent.began[-1])
-            elif kind == "stop" and name in self.agent.running:
-                self.over(name, "stopped", tell=False)
+        for _, command in self.commands:
+            match command:
+                case StartRun(name, stage_name, body):
+                    before = len(self.agent.began)
+                    if self.agent.launch(name, stage_name, body) and len(self.agent.began) > before:
+                        self.once(*self.agent.began[-1])
+                case StopRun(name) if name in self.agent.running:
+                    self.over(name, "stopped", tell=False)
 
     def link_is_made(self, again: int) -> None:
         self.linked = True
-        self.put("agent_up", False, 60 * SECOND)
+        self.put(AgentGreeted(False, 60 * SECOND))
         for notice in self.agent.kept[max(0, self.read_to - again) : self.read_to]:
-            self.put(*notice)
+            self.put(notice)
         self.tell()
 
     @invariant()
@@ -265,8 +292,8 @@
     @invariant()
     def nothing_faults(self) -> None:
         if hasattr(self, "desk"):
-            held = self.desk.reducer
-            assert set(held.by_id.values()) == set(held.tries)
+            held = self.desk.machine
+            assert set(held.by_id.values()) == set(held.attempts)
             assert set(held.at_agent.values()) == set(held.runs)
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,17 +13,17 @@
 import anyio
 import pytest
 
-from thistleline.durable.served_value import Worth
-from thistleline.handover.channel import Line, reach
+from thistleline.durable.served_value import ServedValueTracker
+from thistleline.handover.channel import HandoverChannel, reach
 from thistleline.handover.messages import Hello, Refused
-from thistleline.handover.state_machine import Succeeding
+from thistleline.handover.state_machine import HandoverStateMachine
 from thistleline.lab.farm import FarmStandIn
 from thistleline.lab.handover import TOLD, Lives, Load, changes
 from thistleline.lab.handoverworld import play
 from thistleline.lab.mutants import without
 from thistleline.ledger import format as ledger_format
-from thistleline.state.state_machine import Reducer
-from thistleline.state.tables import Run, Try
+from thistleline.state.attempts import Attempt, Run
+from thistleline.state.state_machine import ServerStateMachine
 
 BROKEN = ("run_twice", "rejected_after_run", "acknowledged_and_lost", "another_result")
 
@@ -43,32 +43,36 @@
     assert sum(world.figures["handed over"] for world in worlds) > 20
 
 
-def _goes_on(self: Succeeding, task: str, run: Run, had: Any = Succeeding._launch) -> None:
-    if self.stands == "handed":
-        Reducer._launch(self, task, run)
+def _goes_on(self: HandoverStateMachine, task: str, run: Run, had: Any = HandoverStateMachine.launch) -> None:
+    if self.handover_stage == "handed":
+        ServerStateMachine.launch(self, task, run)
     else:
         had(self, task, run)
 
 
-def _refuses(self: Succeeding, task: str, held: Try) -> None:
-    self.reject(task, False, 0)
+def _refuses(self: HandoverStateMachine, task: str, attempt: Attempt) -> None:
+    self.decisions.reject(task, False, 0)
 
 
-def _does_not_wait(self: Succeeding) -> None:
-    self._hand(tuple(run.id for run in self.runs.values() if run.sent))
+def _does_not_wait(self: HandoverStateMachine) -> None:
+    self._hand_over(tuple(run.id for run in self.runs.values() if run.sent))
 
 
-def _takes_its_own(self: Succeeding, *told: Any) -> None:
-    Worth._task(self, *told)
+def _takes_its_own(self: HandoverStateMachine, *told: Any) -> str:
+    return ServedValueTracker._admit(self, *told)
+
+
+def _takes_what_is_hosted(self: HandoverStateMachine, event: Any) -> None:
+    ServedValueTracker._on_task(self, event)
 
 
 @pytest.mark.parametrize(("patches", "wanted"), [
-    ((("_launch", _goes_on), ("_task", _takes_its_own)), "runs twice"),
-    ((("_send_away", _refuses),), "rejected after it ran"),
-    ((("_try_to_hand", _does_not_wait),), "no input that can be taken"),
+    ((("launch", _goes_on), ("_admit", _takes_its_own), ("_on_task", _takes_what_is_hosted)), "runs twice"),
+    ((("_forward", _refuses),), "rejected after it ran"),
+    ((("_try_to_hand_over", _does_not_wait),), "no input that can be taken"),
 ])  # fmt: skip
 def test_a_protection_of_the_handover_left_out_is_found(patches: Any, wanted: str) -> None:
-    with without(tuple((Succeeding, name, put) for name, put in patches)):
+    with without(tuple((HandoverStateMachine, name, put) for name, put in patches)):
         assert any(wanted in play(seed).wrong for seed in range(30))
 
 
@@ -156,13 +160,13 @@
         ):
             sock = reach(tmp_path / "handover" / "heir.sock")
             assert sock is not None
-            line = Line(sock, group)
+            line = HandoverChannel(sock, group)
             line.send(hello)
             assert isinstance(await line.receive(), Refused)
             line.close()
         first = reach(tmp_path / "handover" / "heir.sock")
         assert first is not None
-        line = Line(first, group)
+        line = HandoverChannel(first, group)
         line.send(Hello(reads=ledger_format.READABLE_VERSIONS))
         await line.receive()
         second = lives.start({})
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -21,13 +21,15 @@
     answered,
     booking,
     frames,
+    machine_options,
     process,
-    server_settings,
 )
 from thistleline.cli.ledger import look, rewrite
 from thistleline.cli.main import entry
 from thistleline.config.schema import Faulty, check
-from thistleline.durable.reducer import KeepingReducer
+from thistleline.durable.effects import WriteLedger
+from thistleline.durable.events import EffectsRecovered, WriteCompleted, WriteFailed
+from thistleline.durable.state_machine import DurableStateMachine
 from thistleline.lab.caller import Caller, Told
 from thistleline.lab.farm import FarmStandIn, Ran
 from thistleline.lab.ledger import judge, storm
@@ -36,7 +38,9 @@
 from thistleline.ledger.state import LedgerState
 from thistleline.ledger.store import LedgerStore
 from thistleline.policy import MS, SECOND
-from thistleline.state.phases import Phases
+from thistleline.state.effects import AnswerFinished, AnswerRejected, EndProcess
+from thistleline.state.events import AgentGreeted, ConnectionEnded, ListeningStarted, ShutdownRequested
+from thistleline.state.phases import Lifecycle
 from thistleline.store.clock import boot_now
 from thistleline.store.disk import Disk, Held
 from thistleline.store.frames import Damaged
@@ -85,7 +89,7 @@
 
 
 class KeptDesk(Desk):
-    """A desk whose reducer keeps a ledger in a folder; `slow`: works are written when told."""
+    """A desk whose state machine keeps a ledger in a folder; `slow`: works are written when told."""
 
     def __init__(
         self,
@@ -98,45 +102,37 @@
         now: int = 1000 * SECOND,
         **changes: Any,
     ) -> None:
-        self.now, self.phases = now, Phases()
-        told = (
-            server_settings(**changes),
-            ("core_use", "on_cores"),
-            5 * MS,
-            8,
-            1 << 20,
-            7,
-            self.now,
-            self.phases,
+        self.now, self.lifecycle = now, Lifecycle()
+        made = DurableStateMachine(
+            machine_options(**changes), now, self.lifecycle, max_disk_bytes=disk, boot_offset=boot - now
         )
-        made = KeepingReducer(*told, disk_bound=disk, boot_ahead=boot - now)
-        self.reducer = self.kept = made
+        self.machine = self.kept = made
         self.effects, self.answers_samples, self.number, self.count = [], True, 0, 0
         self.disk = Troubled(folder)
         self.disk.hold()
         self.store = LedgerStore(self.disk, STAGES)
         self.store.boot = left or self.store.boot
         self.slow = False
-        self.put("recovered", self.store.recover(made.ledger))
-        self.put("listening")
+        self.put(EffectsRecovered(self.store.recover(made.ledger)))
+        self.put(ListeningStarted())
         if up:
-            self.put("agent_up", False, 60 * SECOND)
+            self.put(AgentGreeted(False, 60 * SECOND))
             self.wait(50 * MS)
 
-    def put(self, kind: str, *told: Any) -> list[tuple[Any, ...]]:
-        told_back = super().put(kind, *told)
+    def put(self, event: Any) -> list[Any]:
+        told_back = super().put(event)
         for effect in told_back:
-            if effect[0] == "write" and not self.slow:
-                self.write(effect[1])
-        return [effect for effect in told_back if effect[0] != "write"]
+            if isinstance(effect, WriteLedger) and not self.slow:
+                self.write(effect.write)
+        return [effect for effect in told_back if not isinstance(effect, WriteLedger)]
 
     def write(self, work: Any) -> None:
         try:
             self.store.write(work)
         except OSError as error:
-            self.put("unrecorded", str(error))
+            self.put(WriteFailed(str(error)))
         else:
-            self.put("recorded")
+            self.put(WriteCompleted())
 
     def die(self) -> None:
         self.disk.release()
@@ -231,7 +227,7 @@
     read, booked = desk.send(1), desk.send(1, "mark")
     desk.wait()
     assert desk.launched() == [read]
-    (work,) = [effect[1] for effect in desk.effects if effect[0] == "write"]
+    (work,) = [effect.write for effect in desk.kinds(WriteLedger)]
     desk.write(work)
     assert desk.launched() == [read, booked]
 
@@ -242,10 +238,10 @@
     for place in range(9):
         desk.send(place % 3, f"mark{place}")
         desk.wait()
-    works = [effect[1] for effect in desk.effects if effect[0] == "write"]
+    works = [effect.write for effect in desk.kinds(WriteLedger)]
     assert [len(work.group.intents) for work in works] == [1]
     desk.write(works[0])
-    works = [effect[1] for effect in desk.effects if effect[0] == "write"]
+    works = [effect.write for effect in desk.kinds(WriteLedger)]
     assert [len(work.group.intents) for work in works] == [1, 8]
 
 
@@ -258,7 +254,10 @@
     refused = desk.send(3, "other")
     desk.wait(20 * MS)
     assert desk.launched() == [read]
-    assert [(effect[1], effect[4] > 0) for effect in desk.kinds("rejected")] == [(2, True), (3, True)]
+    assert [(effect.connection, effect.retry_after > 0) for effect in desk.kinds(AnswerRejected)] == [
+        (2, True),
+        (3, True),
+    ]
     desk.wait(300 * MS)
     again = desk.send(2, "mark", again=True)
     desk.wait()
@@ -281,7 +280,7 @@
         desk.wait(100 * MS)
         desk.end(read)
         desk.wait(100 * MS)
-    assert len(desk.kinds("rejected")) == 40
+    assert len(desk.kinds(AnswerRejected)) == 40
     assert len(desk.launched()) == 40
     assert desk.disk.calls < 20  # tries are further and further apart
     assert len(desk.kept.ledger.segments) < 3
@@ -312,16 +311,16 @@
     with suppress(KeyboardInterrupt):
         _life(desk, [])
     desk.die()
-    finished = {bytes(effect[3]) for effect in desk.kinds("finished")}
+    finished = {bytes(effect.result) for effect in desk.kinds(AnswerFinished)}
     boot = START + 9 * SECOND if not left else 7 * SECOND
     later = KeptDesk(tmp_path, cores=4, boot=boot, left=left, now=(1009 + back) * SECOND)
     for place in range(3):
         later.send(1, f"mark{place}", again=True)
         later.wait(3 * SECOND)
-    again = {int(effect[1][1:]) - 1 for effect in later.kinds("start")}
+    again = {int(name[1:]) - 1 for name in later.launched()}
     assert not again & {int(name[-1]) for name in desk.launched()}
-    assert not later.kinds("rejected")
-    told = {bytes(effect[3]) for effect in later.kinds("finished")}
+    assert not later.kinds(AnswerRejected)
+    told = {bytes(effect.result) for effect in later.kinds(AnswerFinished)}
     assert told <= finished
     later.die()
 
@@ -338,7 +337,7 @@
     later.send(2, "mark", again=True)
     later.send(3, "mark", b"a stranger's")
     later.wait()
-    assert [(effect[1], bytes(effect[3])) for effect in later.kinds("finished")] == [
+    assert [(effect.connection, bytes(effect.result)) for effect in later.kinds(AnswerFinished)] == [
         (1, b"result of t1"), (2, b"result of t1")]  # fmt: skip
     assert later.launched() == ["t3"]
 
@@ -350,7 +349,7 @@
     desk.wait()
     desk.die()
     later = KeptDesk(tmp_path, boot=START + SECOND, up=False)
-    later.put("agent_up", agent == "is new", 60 * SECOND)
+    later.put(AgentGreeted(agent == "is new", 60 * SECOND))
     if agent == "tells its end":
         later.end(name)
     later.send(1, "mark", id="later", again=True)
@@ -430,7 +429,7 @@
         desk.wait(6 * MS)
         if name in desk.launched():
             desk.end(name)
-    refused = desk.kinds("rejected")
+    refused = desk.kinds(AnswerRejected)
     assert refused
     assert desk.kept.ledger.phase == "full"
     assert sum(size for _, size in desk.disk.segments()) <= 1 << 14
@@ -475,15 +474,15 @@
     name = desk.send(1, "mark")
     desk.wait()
     desk.slow = True
-    desk.put("leave", desk.now + 3 * SECOND)
+    desk.put(ShutdownRequested(desk.now + 3 * SECOND))
     desk.end(name)
-    desk.put("ended", 1, "")
+    desk.put(ConnectionEnded(1, ""))
     desk.wait(SECOND)
-    assert not desk.kinds("end")
-    desk.write([effect[1] for effect in desk.effects if effect[0] == "write"][-1])
+    assert not desk.kinds(EndProcess)
+    desk.write([effect.write for effect in desk.kinds(WriteLedger)][-1])
     desk.slow = False
     desk.wait(SECOND)
-    assert desk.kinds("end")
+    assert desk.kinds(EndProcess)
 
 
 # ---- the file of settings
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -37,6 +37,8 @@
 from thistleline.server.configuration import read_configuration
 from thistleline.server.service import Service
 from thistleline.server.streams import Stream
+from thistleline.state.effects import AnswerMisunderstood, LogEvent, ReadConnection
+from thistleline.state.events import AgentGreeted, ConnectionOpened, MalformedReceived
 
 
 def test_a_task_is_run_and_served_unchanged(hall: Hall) -> None:
@@ -282,7 +284,8 @@
 
 
 @pytest.mark.parametrize(
-    ("there", "pauses"), [(True, [agentlink.PAUSES[0]] * 4), (False, list(agentlink.PAUSES[:4]))]
+    ("there", "pauses"),
+    [(True, [agentlink.RECONNECT_DELAYS[0]] * 4), (False, list(agentlink.RECONNECT_DELAYS[:4]))],
 )
 def test_a_link_that_breaks_is_made_anew_at_once_and_one_that_fails_ever_later(
     monkeypatch: pytest.MonkeyPatch, there: bool, pauses: list[float]
@@ -291,8 +294,8 @@
     if not there:
         agent.close()
 
-    def take(kind: str, *_: Any) -> None:
-        if kind == "agent_up":
+    def handle(event: Any) -> None:
+        if isinstance(event, AgentGreeted):
             agent.drop()
 
     async def story() -> None:
@@ -306,7 +309,7 @@
 
             monkeypatch.setattr(anyio, "sleep", sleep)
             host, port = agent.address.split(":")
-            group.start_soon(agentlink.AgentLink((host, int(port)), take, group).hold, lambda: 0)
+            group.start_soon(agentlink.AgentLink((host, int(port)), handle, group).hold, lambda: 0)
 
     anyio.run(story)
     agent.close()
@@ -322,20 +325,24 @@
     service = Service(read_configuration({"ROUTER_CONFIG": str(path)}))
     noted: list[str] = []
     monkeypatch.setattr(service, "note", lambda event, **facts: noted.append(event))
-    service.front = cast(Any, SimpleNamespace(flush=list))
+    service.clients = cast(Any, SimpleNamespace(flush=list))
     service.agent = service.backend = cast(Any, SimpleNamespace(flush=list))
     done: list[int] = []
 
-    def misunderstood(connection: int, *_: Any) -> None:
-        if where == "effect" and connection == 1:
+    def misunderstood(effect: AnswerMisunderstood) -> None:
+        if where == "effect" and effect.connection == 1:
             raise ValueError("a story")
-        done.append(connection)
+        done.append(effect.connection)
 
-    service.does = {"misunderstood": misunderstood, "log": lambda *_: None, "read": lambda *_: None}
+    service.effect_handlers = {
+        AnswerMisunderstood: misunderstood,
+        LogEvent: lambda _: None,
+        ReadConnection: lambda _: None,
+    }
     for connection in (1, 2):
-        service.take("opened", connection)
-    service.take("malformed", 1, *((7, b"x", "text") if where == "effect" else ()))
-    service.take("malformed", 2, 7, b"x", "text")
+        service.handle(ConnectionOpened(connection))
+    service.handle(MalformedReceived(1, 7, b"x", "text") if where == "effect" else object())
+    service.handle(MalformedReceived(2, 7, b"x", "text"))
     assert (noted, done) == (["fault"], [2])
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -123,9 +123,9 @@
     for _ in range(40):
         desk.wait(SECOND // 4)
         for name in desk.launched():
-            if name in desk.reducer.at_agent:
+            if name in desk.machine.at_agent:
                 desk.end(name)
-    assert desk.reducer.figures.get("faults", 0) == 0
+    assert desk.machine.context.figures.get("faults", 0) == 0
     assert len(desk.answers()) == len(bench.stages)
 
 
--- a/tests/test_state_machine.py
+++ b/tests/test_state_machine.py
@@ -1,14 +1,47 @@
-"""Stories told to the reducer without a socket: what is owed, what ran, and what the agent was told."""
+"""Stories told to the state machine without a socket: what is owed, what ran, and what the agent was told."""
 
+from dataclasses import replace
 from typing import Any
 
 import pytest
 
 from tests.host import BOOKING, LOOKUP, Desk, task
-from thistleline.interface import TaskArrived
+from thistleline.interface import RunOutcome, TaskArrived
 from thistleline.policy import MS, SECOND
-from thistleline.state import state_machine as memory
-from thistleline.state.state_machine import OPEN_BOUND
+from thistleline.state import limits
+from thistleline.state.effects import (
+    AnnounceAccepting,
+    AnswerFinished,
+    AnswerHealth,
+    AnswerMisunderstood,
+    CheckAgent,
+    CloseConnection,
+    DismissConnection,
+    EndProcess,
+    LogEvent,
+    MeasureGauges,
+    ReadConnection,
+    StartRun,
+    StopAccepting,
+    StopRun,
+)
+from thistleline.state.events import (
+    AgentGreeted,
+    AgentLost,
+    CommandDeclined,
+    ConnectionEnded,
+    ConnectionOpened,
+    DeepCheckCompleted,
+    GaugesMeasured,
+    HealthCheckReceived,
+    InputDrained,
+    MalformedReceived,
+    RemarkReceived,
+    ShutdownRequested,
+    TaskReceived,
+    UnknownNotice,
+)
+from thistleline.state.limits import MAX_OPEN_TASKS
 
 # ---- a task gets its one answer
 
@@ -16,15 +49,17 @@
 def test_a_task_is_launched_and_answered_once() -> None:
     desk = Desk()
     name = desk.send(1)
-    assert desk.wait() == [("start", name, "lookup", b"body")]
-    assert [effect[:4] for effect in desk.end(name)] == [("finished", 1, 1, b"result of t1")]
+    assert desk.wait() == [StartRun(name, "lookup", b"body")]
+    assert [replace(effect, load_hint=None) for effect in desk.end(name)] == [
+        AnswerFinished(1, 1, b"result of t1", None)
+    ]
     desk.end(name)
     desk.wait(5 * SECOND)
     assert desk.answers() == ["finished"]
 
 
 @pytest.mark.parametrize("how", ["failed", "stopped", "moot"])
-def test_a_run_that_ends_badly_is_answered(how: str) -> None:
+def test_a_run_that_ends_badly_is_answered(how: RunOutcome) -> None:
     desk = Desk()
     name = desk.send(1)
     desk.wait()
@@ -36,7 +71,7 @@
     desk = Desk()
     rounds: list[list[type]] = []
     monkeypatch.setattr(
-        desk.reducer.module,
+        desk.machine.policy,
         "round",
         lambda now, came_in, out: rounds.append([type(event) for event in came_in]),
     )
@@ -56,7 +91,7 @@
     desk.send(1, "mark")
     if late == "the link is lost":
         desk.wait()
-        desk.put("agent_lost", "gone")
+        desk.put(AgentLost("gone"))
     while len(desk.answers()) < 2:
         assert desk.now < sent + BOOKING.timeout
         desk.wait(25 * MS)
@@ -67,7 +102,7 @@
     desk = Desk()
     name = desk.send(1)
     desk.wait(LOOKUP.latency_objective + 100 * MS)
-    assert desk.kinds("stop") == [("stop", name)]
+    assert desk.kinds(StopRun) == [StopRun(name)]
     desk.end(name, "stopped")
     assert desk.answers() == ["abandoned"]
 
@@ -76,7 +111,7 @@
     desk = Desk()
     desk.send(1, id="same")
     desk.send(2, id="same")
-    assert [effect[1] for effect in desk.kinds("misunderstood")] == [2]
+    assert [effect.connection for effect in desk.kinds(AnswerMisunderstood)] == [2]
     desk.wait()
     desk.end("same")
     assert desk.answers() == ["finished"]
@@ -95,16 +130,16 @@
     for place in range(100):
         desk.send(place % 8, reached=desk.now + ahead)
     desk.wait()
-    assert len(desk.kinds("misunderstood")) == 100
-    assert desk.reducer.module._unread_wait() == 0
-    assert [effect[1] for effect in desk.kinds("start")] == []
+    assert len(desk.kinds(AnswerMisunderstood)) == 100
+    assert desk.machine.policy._unread_wait() == 0
+    assert desk.launched() == []
 
 
 def test_answers_carry_the_level_from_when_it_was_said() -> None:
     desk = Desk()
-    assert desk.put("check", 1, 9, False) == [("health", 1, 9, True, None)]
-    desk.reducer.publish_load_hint(0.25)
-    assert desk.put("check", 1, 9, False) == [("health", 1, 9, True, 0.25)]
+    assert desk.put(HealthCheckReceived(1, 9, False)) == [AnswerHealth(1, 9, True, None)]
+    desk.machine.decisions.publish_load_hint(0.25)
+    assert desk.put(HealthCheckReceived(1, 9, False)) == [AnswerHealth(1, 9, True, 0.25)]
 
 
 # ---- no effect twice
@@ -121,9 +156,9 @@
     desk.wait()
     desk.send(3, "mark", again=True)
     desk.wait()
-    told = desk.kinds("finished")
-    assert [effect[1] for effect in told] == [1, 2, 3]
-    assert {bytes(effect[3]) for effect in told} == {b"result of t1"}
+    told = desk.kinds(AnswerFinished)
+    assert [effect.connection for effect in told] == [1, 2, 3]
+    assert {bytes(effect.result) for effect in told} == {b"result of t1"}
     assert desk.launched() == [name]
 
 
@@ -166,13 +201,13 @@
     name, strange = desk.send(1, "mark"), desk.send(2, "mark", b"another body", again=True)
     desk.wait()
     assert desk.launched() == [name, strange]
-    desk.put("declined", "start", strange)
+    desk.put(CommandDeclined("start", strange))
     desk.end(name)
     desk.wait()
     desk.send(3, "mark", again=True)
     desk.send(2, "mark", b"another body", again=True)
     desk.wait()
-    assert [effect[:2] for effect in desk.kinds("finished")] == [("finished", 1), ("finished", 3)]
+    assert [effect.connection for effect in desk.kinds(AnswerFinished)] == [1, 3]
     assert desk.launched().count(name) == 1
 
 
@@ -184,7 +219,7 @@
     desk.end(name)
     desk.send(2, "mark", b"another body", id=name, again=True)
     desk.wait()
-    desk.put("declined", "start", name)
+    desk.put(CommandDeclined("start", name))
     desk.send(2, "another mark", id=name)  # id and body are known to the agent: it would run
     desk.wait()
     desk.send(1, "mark", again=True)
@@ -209,11 +244,11 @@
     name = desk.send(1, "mark")
     desk.wait()
     if how == "declined":
-        desk.put("declined", "start", name)
+        desk.put(CommandDeclined("start", name))
     else:
         desk.end(name, "moot")
     desk.wait()
-    assert (desk.reducer.entries.by_key, desk.reducer.module.entries) == ({}, {})
+    assert (desk.machine.idempotency.by_key, desk.machine.policy.entries) == ({}, {})
     again = desk.send(1, "mark", again=True)
     desk.wait()
     assert desk.launched() == [name, again]
@@ -226,7 +261,7 @@
         desk.wait()
         desk.end(name)
     desk.wait()
-    assert desk.reducer.entries.size <= 30
+    assert desk.machine.idempotency.result_bytes <= 30
     desk.send(1, "mark0", again=True)
     desk.wait()
     assert len(desk.launched()) == 4
@@ -237,19 +272,19 @@
     desk = Desk()
     name = desk.send(1, "mark")
     desk.wait()
-    desk.put("ended", 1, "reset")
+    desk.put(ConnectionEnded(1, "reset"))
     desk.send(2, "mark", again=True)
     desk.wait()
     desk.end(name)
     assert desk.launched() == [name]
-    assert [effect[:2] for effect in desk.kinds("finished")] == [("finished", 2)]
+    assert [effect.connection for effect in desk.kinds(AnswerFinished)] == [2]
 
 
 def test_a_task_whose_connection_ended_before_the_round_never_starts() -> None:
     desk = Desk()
     desk.send(1)
     desk.send(1, "mark")
-    desk.put("ended", 1, "")
+    desk.put(ConnectionEnded(1, ""))
     other = desk.send(2, "mark")
     desk.wait()
     assert desk.launched() == [other]
@@ -258,7 +293,7 @@
 def test_tries_read_at_once_run_once_though_one_of_them_is_let_go() -> None:
     desk = Desk(cores=8)
     first, _ = desk.send(1, "mark"), desk.send(2, "mark", again=True)
-    desk.put("ended", 2, "reset")
+    desk.put(ConnectionEnded(2, "reset"))
     desk.send(3, "mark", again=True)
     desk.wait()
     assert desk.launched() == [first]
@@ -268,10 +303,10 @@
     desk = Desk(cached_result_ttl=2 * SECOND)
 
     def read(connection: int) -> str:
-        name = f"r{len(desk.reducer.figures)}-{connection}"
-        desk.put("opened", connection)
+        name = f"r{len(desk.machine.context.figures)}-{connection}"
+        desk.put(ConnectionOpened(connection))
         sent = task(name, desk.now, user=77)
-        desk.put("task", connection, 1, sent, "77", memoryview(b""))
+        desk.put(TaskReceived(connection, 1, sent, "77", memoryview(b"")))
         desk.wait()
         return name
 
@@ -299,13 +334,13 @@
     desk.answers_samples = False
     unsure, booking = desk.send(1), desk.send(1, "mark")
     desk.wait()
-    desk.put("agent_lost", "reset")
+    desk.put(AgentLost("reset"))
     away = desk.send(2, "other")
     desk.wait()
     assert desk.launched() == [sure, unsure, booking]
     desk.effects.clear()
     desk.answers_samples = True
-    desk.put("agent_up", False, 61 * SECOND)
+    desk.put(AgentGreeted(False, 61 * SECOND))
     assert sorted(desk.launched()) == sorted([unsure, away])
 
 
@@ -317,9 +352,9 @@
     desk.answers_samples = False
     name = desk.send(1, "mark")
     desk.wait()
-    desk.put("agent_lost", "reset")
+    desk.put(AgentLost("reset"))
     desk.answers_samples = True
-    desk.put("agent_up", False, 61 * SECOND)
+    desk.put(AgentGreeted(False, 61 * SECOND))
     if told:
         desk.wait(100 * MS)
         desk.end(name)
@@ -328,17 +363,17 @@
     desk.wait()
     assert desk.launched() == [name]
     assert desk.answers() == (["finished"] if told else ["abandoned"]) * 2
-    assert (desk.reducer.runs, desk.reducer.module.running) == ({}, 0)
+    assert (desk.machine.runs, desk.machine.policy.running) == ({}, 0)
 
 
 def test_a_stop_lost_with_the_link_is_told_again() -> None:
     desk = Desk()
     name = desk.send(1)
     desk.wait(LOOKUP.latency_objective + 100 * MS)
-    desk.put("agent_lost", "reset")
+    desk.put(AgentLost("reset"))
     desk.effects.clear()
-    desk.put("agent_up", False, 61 * SECOND)
-    assert desk.kinds("start", "stop") == [("stop", name)]
+    desk.put(AgentGreeted(False, 61 * SECOND))
+    assert desk.kinds(StartRun, StopRun) == [StopRun(name)]
 
 
 def test_the_replay_is_read_before_anything_is_launched_again() -> None:
@@ -346,25 +381,25 @@
     desk.answers_samples = False
     name = desk.send(1, "mark")
     desk.wait()
-    desk.put("agent_lost", "reset")
+    desk.put(AgentLost("reset"))
     desk.effects.clear()
-    desk.put("agent_up", False, 61 * SECOND)
-    mark = desk.kinds("measure")[-1][1]
+    desk.put(AgentGreeted(False, 61 * SECOND))
+    mark = desk.kinds(MeasureGauges)[-1].tag
     desk.end(name, number=5)
     desk.end(name, number=5)
-    desk.put("measured", mark, [0.5, 2.0])
+    desk.put(GaugesMeasured(mark, [0.5, 2.0]))
     desk.wait()
     assert desk.launched() == []
     assert desk.answers() == ["finished"]
-    assert desk.reducer.notice == 5
+    assert desk.machine.session.last_notice == 5
 
 
 def test_a_run_given_up_while_the_link_is_down_is_never_launched() -> None:
     desk = Desk()
-    desk.put("agent_lost", "reset")
+    desk.put(AgentLost("reset"))
     desk.send(1)
     desk.wait(LOOKUP.timeout)
-    desk.put("agent_up", False, 99 * SECOND)
+    desk.put(AgentGreeted(False, 99 * SECOND))
     desk.wait(100 * MS)
     assert desk.launched() == []
     assert len(desk.answers()) == 1
@@ -372,13 +407,18 @@
 
 @pytest.mark.parametrize(
     "notice",
-    [("declined", "start", "t1"), ("remark", 3), ("unknown", "hello"), ("declined", "measure", "1")],
+    [
+        CommandDeclined("start", "t1"),
+        RemarkReceived(3),
+        UnknownNotice("hello"),
+        CommandDeclined("measure", "1"),
+    ],
 )
-def test_what_the_agent_says_beside_is_taken_calmly(notice: tuple[Any, ...]) -> None:
+def test_what_the_agent_says_beside_is_taken_calmly(notice: Any) -> None:
     desk = Desk()
     name = desk.send(1)
     desk.wait()
-    desk.put(*notice)
+    desk.put(notice)
     desk.end(name, number=9)
     desk.wait(SECOND)
     assert len(desk.answers()) == 1
@@ -388,24 +428,25 @@
 def test_the_greeting_tells_whether_the_machine_is_cold(fresh: bool, age: int, room: int) -> None:
     desk = Desk(up=False)
     desk.wait(SECOND)
-    desk.put("agent_up", fresh, age)
-    desk.reducer.module.limit = 99.0
-    assert desk.reducer.module._room() == room
+    desk.put(AgentGreeted(fresh, age))
+    desk.machine.policy.limit = 99.0
+    assert desk.machine.policy._room() == room
 
 
 def test_no_health_before_the_agent_and_a_deep_check_asks_it() -> None:
     desk = Desk(up=False)
-    desk.put("opened", 1)
-    assert desk.put("check", 1, 1, True) == [("health", 1, 1, False, None)]
-    desk.put("agent_up", False, 0)
-    desk.reducer.set_health(True, False)
-    assert desk.put("check", 1, 2, True) == [("deep_check", "check-1-2")]
-    assert desk.put("deep_checked", "check-1-2", True) == [("health", 1, 2, True, None)]
-    desk.put("check", 1, 3, True)
-    assert desk.put("agent_lost", "reset") == [("health", 1, 3, False, None)]
-    desk.put("agent_up", False, 0)
-    desk.put("check", 1, 4, True)
-    assert ("health", 1, 4, False) in [effect[:4] for effect in desk.wait(2 * SECOND)]
+    desk.put(ConnectionOpened(1))
+    assert desk.put(HealthCheckReceived(1, 1, True)) == [AnswerHealth(1, 1, False, None)]
+    desk.put(AgentGreeted(False, 0))
+    desk.machine.decisions.set_health(True, False)
+    assert desk.put(HealthCheckReceived(1, 2, True)) == [CheckAgent("check-1-2")]
+    assert desk.put(DeepCheckCompleted("check-1-2", True)) == [AnswerHealth(1, 2, True, None)]
+    desk.put(HealthCheckReceived(1, 3, True))
+    assert desk.put(AgentLost("reset")) == [AnswerHealth(1, 3, False, None)]
+    desk.put(AgentGreeted(False, 0))
+    desk.put(HealthCheckReceived(1, 4, True))
+    health = [effect for effect in desk.wait(2 * SECOND) if isinstance(effect, AnswerHealth)]
+    assert (1, 4, False) in [(effect.connection, effect.seq, effect.healthy) for effect in health]
 
 
 # ---- connections
@@ -413,12 +454,12 @@
 
 def test_a_full_connection_is_not_read_until_something_on_it_is_answered() -> None:
     desk = Desk(memory_kb=1e9)
-    names = [desk.send(1) for _ in range(OPEN_BOUND)]
-    assert desk.reducer.connections[1].stalled
+    names = [desk.send(1) for _ in range(MAX_OPEN_TASKS)]
+    assert desk.machine.connections.by_number[1].stalled
     desk.wait()
-    before = len(desk.kinds("read"))
+    before = len(desk.kinds(ReadConnection))
     desk.end(names[0])
-    assert len(desk.kinds("read")) == before + 1
+    assert len(desk.kinds(ReadConnection)) == before + 1
 
 
 def test_past_the_descriptors_an_idle_connection_gives_way() -> None:
@@ -428,9 +469,9 @@
         desk.wait()
     desk.end("t2")
     desk.wait()
-    desk.put("opened", 4)
-    assert desk.kinds("close") == [("close", 2)]
-    assert set(desk.reducer.connections) == {1, 3, 4}
+    desk.put(ConnectionOpened(4))
+    assert desk.kinds(CloseConnection) == [CloseConnection(2)]
+    assert set(desk.machine.connections.by_number) == {1, 3, 4}
 
 
 def test_a_flood_of_silent_connections_costs_no_other_its_place() -> None:
@@ -440,9 +481,9 @@
         desk.wait()
         desk.end(name)
     for connection in range(10, 20):
-        desk.put("opened", connection)
-        desk.put("drained", connection)
-    assert set(desk.reducer.connections) == {1, 2, 3, 19}
+        desk.put(ConnectionOpened(connection))
+        desk.put(InputDrained(connection))
+    assert set(desk.machine.connections.by_number) == {1, 2, 3, 19}
 
 
 def test_a_crowd_that_asks_once_and_stays_costs_no_client_stub_its_connection() -> None:
@@ -451,92 +492,92 @@
         name = desk.send(connection)
         desk.wait()
         desk.end(name)
-    assert set(desk.reducer.connections) == {1, 2, 17, 18, 19}
+    assert set(desk.machine.connections.by_number) == {1, 2, 17, 18, 19}
 
 
 def test_a_burst_of_newcomers_is_read_before_any_of_it_gives_way() -> None:
     desk = Desk(connections=5)
     for connection in range(5):
-        desk.put("opened", connection)
-        desk.put("check", connection, 1, False)
+        desk.put(ConnectionOpened(connection))
+        desk.put(HealthCheckReceived(connection, 1, False))
     for connection in (10, 11, 12):
-        desk.put("opened", connection)
-    assert [effect[1] for effect in desk.kinds("close")] == [0, 1, 2]
-    desk.now += memory.UNREAD_SPAN
-    desk.put("opened", 13)
-    assert [effect[1] for effect in desk.kinds("close")] == [0, 1, 2, 10]
+        desk.put(ConnectionOpened(connection))
+    assert [effect.connection for effect in desk.kinds(CloseConnection)] == [0, 1, 2]
+    desk.now += limits.UNREAD_GRACE
+    desk.put(ConnectionOpened(13))
+    assert [effect.connection for effect in desk.kinds(CloseConnection)] == [0, 1, 2, 10]
 
 
 def test_what_the_module_believes_is_told_beside_what_the_agent_said() -> None:
     desk = Desk()
     names = [desk.send(1) for _ in range(3)]
     desk.wait()
-    told = desk.reducer.believed()
+    told = desk.machine.believed()
     assert told["believed"] == [3, 2, 3 * 10 + 2 * 150]
     assert (told["gauged"]["on_cores"], told["gauged"]["age_ms"] <= 25) == (2.0, True)
     for name in names:
         desk.wait()
         desk.end(name)
     desk.wait()
-    assert desk.reducer.believed()["believed"] == [0, 0, 0]
+    assert desk.machine.believed()["believed"] == [0, 0, 0]
 
 
 def test_a_connection_that_never_carries_a_whole_message_is_closed() -> None:
     desk = Desk()
     for connection in (1, 2, 3):
-        desk.put("opened", connection)
-    desk.put("check", 3, 1, False)
-    end = desk.now + memory.SILENCE_SPAN + memory.SWEEP
+        desk.put(ConnectionOpened(connection))
+    desk.put(HealthCheckReceived(3, 1, False))
+    end = desk.now + limits.FIRST_MESSAGE_TIMEOUT + limits.SWEEP_INTERVAL
     while desk.now < end:
-        desk.put("drained", 2)
+        desk.put(InputDrained(2))
         desk.wait(100 * MS)
-    assert [effect[1] for effect in desk.kinds("close")] == [1, 2]
+    assert [effect.connection for effect in desk.kinds(CloseConnection)] == [1, 2]
 
 
 @pytest.mark.parametrize("offence", ["malformed", "in hand already", "declined"])
 def test_who_goes_on_offending_is_read_no_more_and_closed_once_nothing_is_open(offence: str) -> None:
     desk = Desk(cores=64)
     name, other = desk.send(1), desk.send(2)
-    for _ in range(memory.OFFENCES_BOUND):
+    for _ in range(limits.MAX_OFFENCES):
         if offence == "malformed":
-            desk.put("malformed", 1, 9, b"process", "not strict binary")
+            desk.put(MalformedReceived(1, 9, b"process", "not strict binary"))
         elif offence == "in hand already":
             desk.send(1, id=other)
         else:
             strange = desk.send(1)
             desk.wait()
-            desk.put("declined", "start", strange)
+            desk.put(CommandDeclined("start", strange))
     desk.effects.clear()
-    desk.put("drained", 1)
-    desk.wait(memory.SWEEP)
-    assert desk.kinds("read", "close") == []
+    desk.put(InputDrained(1))
+    desk.wait(limits.SWEEP_INTERVAL)
+    assert desk.kinds(ReadConnection, CloseConnection) == []
     desk.end(name)
     desk.end(other)
-    desk.wait(memory.SWEEP)
-    assert desk.kinds("read", "close") == [("close", 1)]
+    desk.wait(limits.SWEEP_INTERVAL)
+    assert desk.kinds(ReadConnection, CloseConnection) == [CloseConnection(1)]
     assert desk.answers()[-2:] == ["finished", "finished"]
 
 
 def test_a_flood_of_nonsense_is_counted_and_told_once_a_second() -> None:
     desk = Desk()
     for place in range(100):
-        desk.put("opened", place)
-        desk.put("malformed", place, None, None, "not strict binary")
+        desk.put(ConnectionOpened(place))
+        desk.put(MalformedReceived(place, None, None, "not strict binary"))
         desk.now += 20 * MS
-    lines = [effect for effect in desk.kinds("log") if effect[1] == "malformed"]
+    lines = [effect for effect in desk.kinds(LogEvent) if effect.event == "malformed"]
     assert len(lines) == 2
-    assert desk.reducer.figures["malformed"] == 100
+    assert desk.machine.context.figures["malformed"] == 100
 
 
 def test_idle_connections_are_told_before_they_are_closed() -> None:
     desk = Desk()
-    desk.put("opened", 1)
+    desk.put(ConnectionOpened(1))
     busy = desk.send(2)
     desk.wait()
-    desk.reducer.set_idle_timeout(SECOND)
+    desk.machine.decisions.set_idle_timeout(SECOND)
     told = desk.wait(2 * SECOND)
-    assert told[:2] == [("dismiss", 1), ("close", 1)]
-    assert ("close", 2) not in told
+    assert told[:2] == [DismissConnection(1), CloseConnection(1)]
+    assert CloseConnection(2) not in told
     desk.end(busy)
 
 
@@ -544,11 +585,13 @@
 def test_what_is_malformed_harms_its_own_connection_at_most(seq: int | None) -> None:
     desk = Desk()
     other, _ = desk.send(1), desk.send(2)
-    told = desk.put("malformed", 2, seq, b"process", "not strict binary")
-    assert told == [("close", 2) if seq is None else ("misunderstood", 2, 7, b"process", "not strict binary")]
+    told = desk.put(MalformedReceived(2, seq, b"process", "not strict binary"))
+    assert told == [
+        CloseConnection(2) if seq is None else AnswerMisunderstood(2, 7, b"process", "not strict binary")
+    ]
     desk.wait()
     desk.end(other)
-    assert ("finished", 1) in [effect[:2] for effect in desk.effects]
+    assert 1 in [effect.connection for effect in desk.kinds(AnswerFinished)]
 
 
 # ---- leaving
@@ -560,30 +603,30 @@
         desk.send(place % 4, f"mark{place}" if place % 2 else None)
     desk.wait()
     by = desk.now + 3 * SECOND
-    assert desk.put("leave", by) == [("report", False)]
-    assert desk.put("leave", by + SECOND) == []
+    assert desk.put(ShutdownRequested(by)) == [AnnounceAccepting(False)]
+    assert desk.put(ShutdownRequested(by + SECOND)) == []
     desk.wait(SECOND)
-    assert desk.kinds("stop_accepting", "dismiss") == []
+    assert desk.kinds(StopAccepting, DismissConnection) == []
     still = desk.send(5)
     desk.wait(900 * MS)
-    assert [effect[0] for effect in desk.kinds("stop_accepting", "dismiss")] == ["stop_accepting"] + [
-        "dismiss"
+    assert [type(effect) for effect in desk.kinds(StopAccepting, DismissConnection)] == [StopAccepting] + [
+        DismissConnection
     ] * 5
     late = desk.send(6)
-    assert ("dismiss", 6) in desk.effects
+    assert DismissConnection(6) in desk.effects
     desk.wait(2 * SECOND)
     assert len(desk.answers()) == 42
     assert (still in desk.launched(), late in desk.launched()) == (True, False)
-    assert desk.phases.name == "ended"
+    assert desk.lifecycle.phase == "ended"
     assert desk.now < by
 
 
 def test_leaving_with_nothing_owed_ends_at_once() -> None:
     desk = Desk(up=False)
     by = desk.now + 3 * SECOND
-    desk.put("leave", by)
-    desk.wait(memory.SWEEP)
-    assert desk.kinds("end") == [("end", by - memory.END_EARLY * 2 // 3)]
+    desk.put(ShutdownRequested(by))
+    desk.wait(limits.SWEEP_INTERVAL)
+    assert desk.kinds(EndProcess) == [EndProcess(by - limits.EXIT_MARGIN * 2 // 3)]
 
 
 def test_a_client_that_does_not_close_is_not_waited_for() -> None:
@@ -591,7 +634,10 @@
     name = desk.send(1)
     desk.wait()
     by = desk.now + 3 * SECOND
-    desk.put("leave", by)
+    desk.put(ShutdownRequested(by))
     desk.end(name)
-    desk.wait(1800 * MS + memory.DISMISSAL_SPAN + 2 * memory.SWEEP)
-    assert desk.kinds("close", "end") == [("close", 1), ("end", by - memory.END_EARLY * 2 // 3)]
+    desk.wait(1800 * MS + limits.DISMISSAL_GRACE + 2 * limits.SWEEP_INTERVAL)
+    assert desk.kinds(CloseConnection, EndProcess) == [
+        CloseConnection(1),
+        EndProcess(by - limits.EXIT_MARGIN * 2 // 3),
+    ]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -15,7 +15,7 @@
 from thistleline.policy import MS, SECOND
 from thistleline.server.clock import Clock
 from thistleline.server.configuration import read_configuration
-from thistleline.server.log import LINES_BOUND, Log
+from thistleline.server.log import MAX_WAITING_LINES, Log
 from thistleline.wire import agent, announce, thrift
 from thistleline.wire.buffer import Buffer
 from thistleline.wire.settings import Malformed, read_server_settings
@@ -225,7 +225,7 @@
         ("127.0.0.5", 9091),
         0x8C1F30D27A5BE964,
     )
-    assert (configuration.stop_span, configuration.granularity, configuration.descriptors <= 1024) == (
+    assert (configuration.stop_timeout, configuration.granularity, configuration.descriptors <= 1024) == (
         3200 * MS,
         5 * MS,
         True,
@@ -267,7 +267,7 @@
 def test_a_log_that_nobody_reads_stalls_nothing_and_says_what_it_dropped() -> None:
     source, sink = os.pipe()
     log = Log("n1", sink)
-    for count in range(5 * LINES_BOUND):
+    for count in range(5 * MAX_WAITING_LINES):
         log.event(count, "story", {"text": "x" * 500})
     assert log.dropped > 0
     text = b""
@@ -278,7 +278,7 @@
     lines = [json.loads(line) for line in text.splitlines()]
     assert lines[0] == {"at_ms": 0, "name": "n1", "event": "story", "text": "x" * 500}
     assert lines[-1]["event"] == "dropped"
-    assert sum(1 for line in lines if line["event"] == "story") + lines[-1]["lines"] == 5 * LINES_BOUND
+    assert sum(1 for line in lines if line["event"] == "story") + lines[-1]["lines"] == 5 * MAX_WAITING_LINES
     os.close(source)
     log.event(1, "more", {})
     os.close(sink)
--- a/thistleline/durable/__init__.py
+++ b/thistleline/durable/__init__.py
@@ -1,1 +1,1 @@
-"""A server that keeps a ledger: its reducer and the thread that writes. Imported only where one is set."""
+"""A server with a ledger: its state machine and the thread that writes. Imported only where one is set."""
--- /dev/null
+++ b/thistleline/durable/events.py
@@ -0,0 +1,28 @@
+"""The further events of a server with a ledger."""
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from thistleline.ledger.records import RecoveredEffect
+
+
+@dataclass(frozen=True, slots=True)
+class EffectsRecovered:
+    """The effects that earlier incarnations left; comes before any task."""
+
+    effects: Iterable[RecoveredEffect]
+
+
+@dataclass(frozen=True, slots=True)
+class WriteCompleted:
+    """The last `WriteLedger` is durable."""
+
+
+@dataclass(frozen=True, slots=True)
+class WriteFailed:
+    """The last `WriteLedger` failed; nothing of it counts as durable."""
+
+    reason: str
+
+
+DurableEvent = EffectsRecovered | WriteCompleted | WriteFailed
--- a/thistleline/durable/served_value.py
+++ b/thistleline/durable/served_value.py
@@ -1,36 +1,38 @@
-"""What a server's work was worth, beside how much of it there was: for whoever judges a release by it.
+"""The value of what a server served, beside how many tasks: for whoever judges a release by it.
 
-A server that finishes as many tasks as before and drops the dear ones does worse; counts alone don't show it.
+A server that finishes as many tasks as before and drops the valuable ones does worse; counts alone don't show
+it.
 """
 
-from typing import Any
+from thistleline.state.connections import Connection
+from thistleline.state.events import TaskReceived
+from thistleline.state.state_machine import ServerStateMachine
 
-from thistleline.interface import Task
-from thistleline.state.state_machine import Reducer
+UTILITY_UNIT = 1000  # counted for a utility of one
 
-WHOLE = 1000  # one of utility
 
+class ServedValueTracker(ServerStateMachine):
+    """A state machine with three more counters.
 
-class Worth(Reducer):
-    """Adds to the figures: `worth_came` and `worth_done`, thousandths of utility of what came and of what was
-    finished in time, and `slow`, tasks that were finished after their due span."""
+    `worth_came` and `worth_done` are thousandths of the utility of what came and of what was finished, `slow`
+    is the number of tasks that were finished after their latency objective.
+    """
 
-    def _task(self, name: int, seq: int, task: Task, word: str | None, body: memoryview) -> None:
-        before = self.names
-        super()._task(name, seq, task, word, body)
-        if self.names != before:
-            self._add("worth_came", self.settings.stages[task.stage].utility)
+    def _admit(self, event: TaskReceived, connection: Connection) -> str:
+        name = super()._admit(event, connection)
+        self._count_utility("worth_came", self.settings.stages[event.task.stage].utility)
+        return name
 
-    def _finish(self, task: str, result: Any) -> bool:
-        held = self.tries.get(task)
-        done = super()._finish(task, result)
-        if done and held is not None:
-            stage = self.settings.stages[held.stage]
-            late = self.now - held.since > stage.latency_objective
-            self._add("worth_done", stage.utility * (stage.late_utility_share if late else 1.0))
+    def _finish(self, name: str, result: bytes | memoryview) -> bool:
+        attempt = self.attempts.get(name)
+        answered = super()._finish(name, result)
+        if answered and attempt is not None:
+            stage = self.settings.stages[attempt.stage]
+            late = self.context.now - attempt.arrived_at > stage.latency_objective
+            self._count_utility("worth_done", stage.utility * (stage.late_utility_share if late else 1.0))
             if late:
-                self._count("slow")
-        return done
+                self.context.count("slow")
+        return answered
 
-    def _add(self, what: str, utility: float) -> None:
-        self.figures[what] = self.figures.get(what, 0) + round(utility * WHOLE)
+    def _count_utility(self, counter: str, utility: float) -> None:
+        self.context.count(counter, round(utility * UTILITY_UNIT))
--- /dev/null
+++ b/thistleline/durable/state_machine.py
@@ -0,0 +1,254 @@
+"""The state machine of a server with a ledger: nothing with an effect starts before its intent is durable.
+
+The ledger's choices are made by `LedgerState` (ledger/state.py); here they meet the tables and the policy.
+"""
+
+from typing import Any
+
+from thistleline.durable.effects import WriteLedger
+from thistleline.durable.events import EffectsRecovered, WriteCompleted, WriteFailed
+from thistleline.interface import EffectRemembered, RunOutcome
+from thistleline.ledger.records import RecoveredEffect
+from thistleline.ledger.state import LedgerState
+from thistleline.state.attempts import Attempt, Run
+from thistleline.state.events import AgentGreeted
+from thistleline.state.limits import DOUBT_DIVISOR, EXIT_MARGIN, SECOND
+from thistleline.state.options import MachineOptions
+from thistleline.state.phases import Lifecycle
+from thistleline.state.state_machine import EventHandler, ServerStateMachine
+
+# Measurements before a run that was not started: more than there will be, so that no end of a link is taken
+# to have lost its start.
+NOT_STARTED = 1 << 62
+RETRY_AFTER = SECOND  # for clients whose task the ledger can't take just now, ns
+NAMES_SLACK = 64  # effects past twice the ledger's whose names may lie here before they are looked through
+
+
+class DurableStateMachine(ServerStateMachine):
+    """A `ServerStateMachine` that records intents and outcomes of keyed effects in a ledger."""
+
+    def __init__(
+        self,
+        options: MachineOptions,
+        now: int,
+        lifecycle: Lifecycle,
+        *,
+        max_disk_bytes: int,
+        boot_offset: int,
+    ) -> None:
+        """Begin with an empty ledger.
+
+        Args:
+            options: Settings and limits.
+            now: Time of the server's clock, ns.
+            lifecycle: The phase of the process.
+            max_disk_bytes: What the ledger may take on disk.
+            boot_offset: How far the boot time, by which the ledger goes, is ahead of the server's clock, ns.
+        """
+        super().__init__(options, now, lifecycle)
+        self.boot_offset = boot_offset
+        self.ledger = LedgerState(
+            max_disk_bytes, options.max_result_bytes, self._boot_time(), self._cached_result
+        )
+        self.effect_numbers: dict[str, int] = {}  # numbers of effects by the name of their run
+        self.effect_names: dict[int, str] = {}  # and back, while results may be asked for
+        self.undurable: dict[int, str] = {}  # of these: those whose intent is not durable yet
+        self.unsettled: dict[str, None] = {}  # runs of an earlier incarnation whose end is not known
+        self.doubt_deadlines: dict[str, int] = {}  # of these: until when earlier incarnations await it
+        # Effects of earlier incarnations that the policy was told of, until when.
+        self.remembered: dict[str, int] = {}
+
+    def _event_handlers(self) -> dict[type, EventHandler]:
+        return {
+            **super()._event_handlers(),
+            EffectsRecovered: self._on_effects_recovered,
+            WriteCompleted: self._on_write_completed,
+            WriteFailed: self._on_write_failed,
+        }
+
+    def handle(self, now: int, event: Any) -> list[Any]:
+        """Handle one event at `now`; return its effects, a write of the ledger last."""
+        effects = super().handle(now, event)
+        write = self.ledger.next_write(self._boot_time())
+        if write is not None:
+            effects.append(WriteLedger(write))
+        return effects
+
+    def next_deadline(self) -> int:
+        """Tell when the next `DeadlineReached` is wanted, ns."""
+        deadline = super().next_deadline()
+        ledger_deadline = self.ledger.next_deadline()
+        if ledger_deadline is None:
+            return deadline
+        return min(deadline, max(ledger_deadline - self.boot_offset, self.context.now))
+
+    def believed(self) -> dict[str, Any]:
+        """Return what the policy and the ledger take to be so."""
+        ledger = self.ledger
+        return {
+            **super().believed(),
+            "ledger": {
+                "phase": ledger.phase,
+                "effects": len(ledger.effects),
+                "bytes": ledger.disk_size(),
+                "segments": len(ledger.segments),
+                "refused": ledger.refusals,
+                "failures": ledger.write_failures,
+            },
+        }
+
+    def _boot_time(self) -> int:
+        return self.context.now + self.boot_offset
+
+    # ---- what an earlier incarnation left
+
+    def _on_effects_recovered(self, event: EffectsRecovered) -> None:
+        for effect in event.effects:
+            self._remember_effect(effect)
+        self.attempt_ids.trim()
+        self.context.count("recovered")
+        self._tell_remembered()
+
+    def _remember_effect(self, effect: RecoveredEffect) -> None:
+        """Enter an effect into the tables; one without an outcome may have run."""
+        now = self.context.now
+        name = self._new_name()
+        key = (effect.stage, effect.digest)
+        expires_at = now + effect.remaining
+        self.idempotency.put(key, name, expires_at).runner = name
+        attempt_id = effect.attempt_id.decode("ascii", "replace")
+        self.attempt_ids.by_id[attempt_id] = key, expires_at
+        self.remembered[name] = expires_at
+        self._number_effect(name, effect.number)
+        if effect.outcome is not None:
+            self.idempotency.record_outcome(key, effect.outcome, now, effect.result)
+            return
+        run = self.runs[name] = Run(Attempt(0, 0, attempt_id, effect.stage, now, now, key, b""), NOT_STARTED)
+        run.sent = True
+        self.at_agent[attempt_id] = name
+        self.unsettled[name] = None
+        self.in_doubt[name] = expires_at
+        if effect.doubt_deadline is not None:
+            self.doubt_deadlines[name] = effect.doubt_deadline - self.boot_offset
+
+    def _tell_remembered(self) -> None:
+        for name, expires_at in self.remembered.items():
+            self.tell_policy(EffectRemembered(name, expires_at))
+
+    def _is_untouched(self) -> bool:
+        return not self.attempts and len(self.runs) == len(self.unsettled)
+
+    def _on_agent_greeted(self, event: AgentGreeted) -> None:
+        policy = self.policy
+        super()._on_agent_greeted(event)
+        if self.policy is not policy:
+            self._tell_remembered()
+        self.remembered.clear()
+        if event.cold_start:
+            for name in list(self.unsettled):  # what ran is gone with the agent that ran it
+                self.end_run(name, "failed", 0, b"")
+
+    def _restart_runs(self, mark: int) -> None:
+        """Await the runs of earlier incarnations that did not end in what the agent retained.
+
+        Until when is written down: incarnations too short to see it out would each await it anew, and repeats
+        would stay without an answer.
+        """
+        super()._restart_runs(mark)
+        for name in self.unsettled:
+            objective = self.settings.stages[self.runs[name].stage].latency_objective
+            awaited_until = self.context.now + objective // DOUBT_DIVISOR
+            if name in self.doubt_deadlines:
+                awaited_until = min(awaited_until, self.doubt_deadlines[name])
+            else:
+                self.doubt_deadlines[name] = awaited_until
+                self.ledger.record_doubt(
+                    self._boot_time(), self.effect_numbers[name], awaited_until + self.boot_offset
+                )
+            self.in_doubt[name] = min(self.in_doubt.get(name, NOT_STARTED), awaited_until)
+        self._end_doubts()
+
+    # ---- starts and ends
+
+    def launch(self, name: str, run: Run) -> None:
+        """Start a run; a keyed effect once its intent is durable."""
+        entry = self.idempotency.by_key.get(run.key) if run.key is not None else None
+        if entry is None or self.settings.stages[run.stage].effect != "keyed":
+            super().launch(name, run)
+            return
+        assert run.key is not None
+        remaining = entry.expires_at - self.context.now + self.max_timeout
+        attempt_id = run.id.encode("ascii", "replace")
+        number = self.ledger.record_intent(self._boot_time(), run.stage, run.key[1], remaining, attempt_id)
+        if number is None:
+            self._refuse(name)
+            return
+        run.measures_before = NOT_STARTED
+        self._number_effect(name, number)
+        self.undurable[number] = name
+
+    def _refuse(self, name: str) -> None:
+        """Reject what can't be recorded, with when to come back: it is not started."""
+        self.context.count("unrecorded")
+        self.decisions.reject(name, False, min(RETRY_AFTER, self.settings.max_retry_after))
+        self.end_run(name, "moot", 0, b"")
+
+    def _on_write_completed(self, event: WriteCompleted) -> None:
+        for number in self.ledger.write_completed(self._boot_time()):
+            name = self.undurable.pop(number, "")
+            run = self.runs.get(name)
+            if run is None:
+                continue
+            if name not in self.attempts and not run.repeats:
+                self.end_run(name, "moot", 0, b"")  # nobody waits any more, nothing was started
+                continue
+            run.measures_before = self.session.measures
+            super().launch(name, run)
+
+    def _on_write_failed(self, event: WriteFailed) -> None:
+        self.context.log("ledger", state="failing", why=event.reason)
+        for number in self.ledger.write_failed(self._boot_time()):
+            name = self.undurable.pop(number, "")
+            if name in self.runs:
+                self._unnumber_effect(name)
+                self._refuse(name)
+
+    def end_run(self, name: str, outcome: RunOutcome, duration: int, result: bytes | memoryview) -> None:
+        """Note that a run is over, and record how."""
+        self.unsettled.pop(name, None)
+        self.doubt_deadlines.pop(name, None)
+        number = self.effect_numbers.get(name)
+        if number is not None:
+            stored = bytes(result) if outcome == "finished" else b""
+            self.ledger.record_outcome(self._boot_time(), number, outcome, stored)
+            if outcome == "moot":
+                self._unnumber_effect(name)
+        super().end_run(name, outcome, duration, result)
+
+    # ---- numbers of effects
+
+    def _number_effect(self, name: str, number: int) -> None:
+        self.effect_numbers[name] = number
+        self.effect_names[number] = name
+
+    def _unnumber_effect(self, name: str) -> None:
+        self.effect_names.pop(self.effect_numbers.pop(name, 0), None)
+
+    def _cached_result(self, number: int) -> bytes | None:
+        """Return what is still cached of an effect's result, for the ledger's compaction."""
+        key = self.idempotency.by_attempt.get(self.effect_names.get(number, ""))
+        return None if key is None else self.idempotency.by_key[key].result
+
+    def _sweep(self) -> None:
+        super()._sweep()
+        effects = self.ledger.effects
+        if len(self.effect_numbers) > 2 * len(effects) + NAMES_SLACK:
+            numbers = self.effect_numbers.items()
+            self.effect_numbers = {name: number for name, number in numbers if number in effects}
+            self.effect_names = {number: name for name, number in self.effect_numbers.items()}
+
+    def _end_if_done(self) -> None:
+        """Leave nothing unwritten behind a drain, unless the disk holds it up till just before the stop."""
+        assert self.stop_at is not None
+        if not self.ledger.has_unwritten() or self.context.now >= self.stop_at - EXIT_MARGIN:
+            super()._end_if_done()
--- a/thistleline/handover/channel.py
+++ b/thistleline/handover/channel.py
@@ -53,7 +53,7 @@
     return made
 
 
-class Line:
+class HandoverChannel:
     def __init__(self, sock: socket.socket, group: TaskGroup) -> None:
         sock.setblocking(False)
         self.sock, self.group = sock, group
--- a/thistleline/handover/service.py
+++ b/thistleline/handover/service.py
@@ -1,16 +1,16 @@
 """A server that follows another on its machine and is followed: sockets, descriptors, the ledger's folder.
 
-In its folder: `heir.sock`, where the one that serves awaits its heir; `elder-PID.sock`, the same socket of
-one that has handed over; `owner`, which life serves, for the steward.
+In its folder: `heir.sock`, where the one that serves awaits its successor; `elder-PID.sock`, the same socket
+of one that has handed over; `owner`, which incarnation serves, for the supervisor.
 """
 
 import os
 import socket
 import time
-from collections.abc import Callable
+from collections.abc import Awaitable, Callable, Iterable
 from contextlib import suppress
 from dataclasses import asdict, replace
-from typing import Any
+from typing import Any, cast
 
 import anyio
 import anyio.to_thread
@@ -18,10 +18,29 @@
 from anyio.abc import TaskGroup
 
 from thistleline.config.schema import Conf
-from thistleline.durable import writer as ledger_writer
-from thistleline.durable.writer import hold, store_of
-from thistleline.handover import channel as lines
-from thistleline.handover.channel import Line
+from thistleline.durable.writer import LedgerWriter, hold, make_store
+from thistleline.handover import channel as channels
+from thistleline.handover.channel import HandoverChannel
+from thistleline.handover.effects import (
+    ForwardTask,
+    HandOver,
+    PostponeHandover,
+    RelayAgentEvent,
+    ReportRunEnd,
+)
+from thistleline.handover.events import (
+    ForwardedAnswered,
+    HostedMeasureRequested,
+    HostedRunStarted,
+    HostedRunStopped,
+    Inherited,
+    PredecessorGone,
+    PredecessorRunEnded,
+    SuccessorGone,
+    SuccessorReady,
+    SuccessorReplaced,
+    TaskForwarded,
+)
 from thistleline.handover.messages import (
     FORMS,
     Agent,
@@ -39,383 +58,489 @@
     Welcome,
     Yours,
 )
+from thistleline.handover.relay import (
+    ANSWER_KINDS,
+    decode_agent_event,
+    decode_answer,
+    encode_agent_event,
+    encode_answer,
+)
 from thistleline.handover.serving import tell_owner
-from thistleline.handover.state_machine import ELDER, Succeeding
-from thistleline.interface import Task
+from thistleline.handover.state_machine import PREDECESSOR, HandoverStateMachine
+from thistleline.interface import RunOutcome, Task
 from thistleline.ledger import format as ledger_format
-from thistleline.server.configuration import Unusable
+from thistleline.ledger.records import RecoveredEffect
+from thistleline.server.configuration import ConfigurationError
 from thistleline.server.service import Service
-from thistleline.state.state_machine import Reducer
+from thistleline.state.effects import (
+    AnnounceAccepting,
+    CheckAgent,
+    MeasureGauges,
+    StartRun,
+    StopAccepting,
+    StopRun,
+)
+from thistleline.state.events import AgentEvent, AgentGreeted, DeepCheckCompleted
+from thistleline.state.options import MachineOptions
 from thistleline.store.clock import boot_now
 from thistleline.store.frames import Damaged
 from thistleline.transport.codec import Unreadable
 
-AGAIN = 0.2  # s after 'later', before the heir asks again
-HOLD_SPAN = 3.0  # s in which the ledger of one that has just died comes free
-ALONE_AFTER = 0.5  # s without an heir, before one that has handed over links to the agent itself
-GREETING = 1.0  # s
-ANSWERS = ("finished", "rejected", "abandoned", "misunderstood")
-AGENT_SAYS = ("agent_up", "agent_lost", "run_over", "measured", "declined")
+# Seconds.
+RETRY_DELAY = 0.2  # after 'later', before the successor asks again
+LEDGER_TIMEOUT = 3.0  # in which the ledger of a server that has just died comes free
+LEDGER_RETRY_DELAY = 0.02
+LINK_DELAY = 0.5  # without a successor, before one that has handed over links to the agent itself
+GREETING_TIMEOUT = 1.0  # for the agent's greeting
+RESUME_TIMEOUT = 1.0  # for the answer of one that handed over to a server that is gone
+
 
+class HandoverService(Service):
+    """A `Service` that follows the server that runs on its machine, and hands over to the next one."""
 
-class AttendedService(Service):
-    reducer: Succeeding
+    machine: HandoverStateMachine
 
-    def furnish(self, conf: Conf | None, told: tuple[Any, ...]) -> Reducer:
+    def _make_machine(self, conf: Conf | None, options: MachineOptions, now: int) -> HandoverStateMachine:
         assert conf is not None
         assert conf.handover is not None
-        if told[0].downstream != "none":
-            raise Unusable("the part 'handover' hands over no calls to what lies below")
+        if options.settings.downstream != "none":
+            raise ConfigurationError("the part 'handover' hands over no calls to what lies below")
         if conf.ledger is None:
-            raise Unusable("the part 'handover' wants the part 'ledger' beside it")
+            raise ConfigurationError("the part 'handover' wants the part 'ledger' beside it")
         self.folder = conf.handover.folder
-        self.store = store_of(conf.ledger, told)
-        self.read: dict[int, int] = {}  # how far each segment of the ledger was read
-        self.keeper = lambda group: ledger_writer.Keeper(self.store, self.take, group).effects()
-        self.elder: Line | None = None
-        self.heir: Line | None = None
-        self.inherited: Yours | None = None
-        self.handed = False
-        self.to_agent = True  # whether the link to the agent is this one's
-        self.agent_scope: anyio.CancelScope | None = None
-        self.reports_scope: anyio.CancelScope | None = None
-        self.greeted = anyio.Event()  # the agent's first word is here
-        self.awaits: socket.socket | None = None
-        self.named = self.folder / "heir.sock"  # where it is awaited
-        return Succeeding(*told, disk_bound=conf.ledger.disk, boot_ahead=boot_now() - told[6])
+        self.store = make_store(conf.ledger, options)
+        self.make_writer = lambda group: LedgerWriter(self.store, self.handle, group).effect_handlers()
+        self._read_positions: dict[int, int] = {}  # how far each segment of the ledger was read
+        self._predecessor: HandoverChannel | None = None
+        self._successor: HandoverChannel | None = None
+        self._inherited: Yours | None = None
+        self._has_handed_over = False
+        self._owns_agent_link = True
+        self._agent_scope: anyio.CancelScope | None = None
+        self._reports_scope: anyio.CancelScope | None = None
+        self._agent_greeted = anyio.Event()
+        self._successor_socket: socket.socket | None = None  # where a successor is awaited,
+        self._socket_path = self.folder / "heir.sock"  # and its path
+        return HandoverStateMachine(
+            options,
+            now,
+            self.lifecycle,
+            max_disk_bytes=conf.ledger.disk,
+            boot_offset=boot_now() - now,
+        )
 
     # ---- before it serves
 
-    async def stand(self) -> tuple[Any, socket.socket]:
-        """Follows the server that runs here, or begins where none does. Raises Unusable, OSError."""
+    async def _prepare(self) -> tuple[Any, socket.socket]:
+        """Follow the server that runs here, or begin where none does.
+
+        Raises:
+            ConfigurationError: The server that runs does not hand over, or the ledger can't be had.
+            OSError: It can't listen.
+        """
         self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         listener: socket.socket | None = None
-        unusable: Unusable | None = None
+        failure: ConfigurationError | None = None
         async with anyio.create_task_group() as group:
             try:
-                sock = lines.reach(self.named)
+                sock = channels.reach(self._socket_path)
                 if sock is not None:
-                    listener = await self._follow(Line(sock, group))
-                if self.inherited is None:
+                    listener = await self._follow(HandoverChannel(sock, group))
+                if self._inherited is None:
                     await self._begin(group)
-            except Unusable as error:
-                unusable = error
-        if unusable is not None:
-            raise unusable
+            except ConfigurationError as error:
+                failure = error
+        if failure is not None:
+            raise failure
         begun = time.monotonic()
-        found = await anyio.to_thread.run_sync(self._read_last)
-        self.note(
-            "ledger", state="recovered", effects=len(found), ms=round(1000 * (time.monotonic() - begun))
-        )
-        return found, listener if listener is not None else await self.listen()
+        recovered = await anyio.to_thread.run_sync(self._read_rest)
+        elapsed_ms = round(1000 * (time.monotonic() - begun))
+        self.note("ledger", state="recovered", effects=len(recovered), ms=elapsed_ms)
+        return recovered, listener if listener is not None else await self._listen()
+
+    async def _follow(self, channel: HandoverChannel) -> socket.socket | None:
+        """Read what it will have, and ask for it; return the listening socket where that goes over.
+
+        Nothing is inherited where the predecessor died before it handed over.
 
-    async def _follow(self, line: Line) -> socket.socket | None:
-        """Reads what it will have, and asks for it; with nothing inherited where the elder died before."""
+        Raises:
+            ConfigurationError: The predecessor refuses, or can't be understood.
+        """
         try:
-            line.send(Hello(reads=ledger_format.READABLE_VERSIONS))
-            told = await line.receive()
-            if isinstance(told, Refused):
-                raise Unusable(f"the server that runs here does not hand over: {told.why}")
-            while isinstance(told, Welcome | Later):
-                if isinstance(told, Later):
-                    self.note("succession", state="later", why=told.why)
-                    await anyio.sleep(AGAIN)
-                await anyio.to_thread.run_sync(self._read_some)
-                line.send(Ready())
-                told = await line.receive()
+            message = await self._request_handover(channel)
         except (Unreadable, msgspec.MsgspecError) as error:
-            raise Unusable(f"the server that runs here can't be understood: {error}") from error
-        if not isinstance(told, Yours):
-            line.close()
+            raise ConfigurationError(f"the server that runs here can't be understood: {error}") from error
+        if not isinstance(message, Yours):
+            channel.close()
             return None
-        self.elder, self.inherited = line, told
-        left = list(line.descriptors)
-        line.descriptors.clear()
-        if told.lock:
-            self.store.disk.lock = left.pop(0)
-        if not told.listener:
+        self._predecessor = channel
+        self._inherited = message
+        descriptors = list(channel.descriptors)
+        channel.descriptors.clear()
+        if message.lock:
+            self.store.disk.lock = descriptors.pop(0)
+        if not message.listener:
             return None
-        listener = socket.socket(fileno=left.pop(0))
+        listener = socket.socket(fileno=descriptors.pop(0))
         listener.setblocking(False)
         return listener
 
+    async def _request_handover(self, channel: HandoverChannel) -> Message | None:
+        channel.send(Hello(reads=ledger_format.READABLE_VERSIONS))
+        message = await channel.receive()
+        if isinstance(message, Refused):
+            raise ConfigurationError(f"the server that runs here does not hand over: {message.why}")
+        while isinstance(message, Welcome | Later):
+            if isinstance(message, Later):
+                self.note("succession", state="later", why=message.why)
+                await anyio.sleep(RETRY_DELAY)
+            await anyio.to_thread.run_sync(self._read_some)
+            channel.send(Ready())
+            message = await channel.receive()
+        return message
+
     async def _begin(self, group: TaskGroup) -> None:
-        """With nobody to follow, but for one that handed over to one that is gone."""
-        until = time.monotonic() + HOLD_SPAN
-        while True:
-            try:
-                hold(self.store.disk)
-                break
-            except Unusable:
-                if time.monotonic() > until:
-                    raise
-            await anyio.sleep(0.02)
+        """Begin with nobody to follow, but for one that handed over to a server that is gone.
+
+        Raises:
+            ConfigurationError: The ledger can't be had.
+        """
+        await self._hold_ledger()
         for path in sorted(self.folder.glob("elder-*.sock")):
-            sock = lines.reach(path)
+            sock = channels.reach(path)
             if sock is None:
                 path.unlink(missing_ok=True)
                 continue
-            line = Line(sock, group)
-            line.send(Hello(reads=ledger_format.READABLE_VERSIONS))
-            told: Message | None = None
-            with suppress(Unreadable, msgspec.MsgspecError), anyio.move_on_after(1.0):
-                told = await line.receive()
-                while isinstance(told, Welcome):
-                    line.send(Ready())
-                    told = await line.receive()
-            if isinstance(told, Yours) and self.elder is None:
-                self.elder, self.inherited = line, told
+            channel = HandoverChannel(sock, group)
+            message = await self._resume(channel)
+            if isinstance(message, Yours) and self._predecessor is None:
+                self._predecessor = channel
+                self._inherited = message
             else:
-                line.close()
+                channel.close()
+
+    async def _hold_ledger(self) -> None:
+        give_up_at = time.monotonic() + LEDGER_TIMEOUT
+        while True:
+            try:
+                hold(self.store.disk)
+                return
+            except ConfigurationError:
+                if time.monotonic() > give_up_at:
+                    raise
+            await anyio.sleep(LEDGER_RETRY_DELAY)
+
+    async def _resume(self, channel: HandoverChannel) -> Message | None:
+        """Ask one that has handed over before for what is left; return its last message."""
+        channel.send(Hello(reads=ledger_format.READABLE_VERSIONS))
+        message: Message | None = None
+        with suppress(Unreadable, msgspec.MsgspecError), anyio.move_on_after(RESUME_TIMEOUT):
+            message = await channel.receive()
+            while isinstance(message, Welcome):
+                channel.send(Ready())
+                message = await channel.receive()
+        return message
 
     def _read_some(self) -> None:
+        """Read what the predecessor has written to the ledger since the last time."""
         with suppress(OSError):
-            self.store.read_appended(self.reducer.ledger, self.read, False, boot_now())
+            self.store.read_appended(self.machine.ledger, self._read_positions, False, boot_now())
 
-    def _read_last(self) -> list[Any]:
+    def _read_rest(self) -> list[RecoveredEffect]:
+        """Read the rest of the ledger, which nobody else writes any more."""
         try:
-            self.store.read_appended(self.reducer.ledger, self.read, True, boot_now())
+            self.store.read_appended(self.machine.ledger, self._read_positions, True, boot_now())
         except (Damaged, OSError) as error:
-            raise Unusable(f"the ledger can't be read: {error}") from error
-        return list(self.reducer.ledger.recovered_effects())
+            raise ConfigurationError(f"the ledger can't be read: {error}") from error
+        return list(self.machine.ledger.recovered_effects())
 
     # ---- while it serves
 
-    def tasks(self, group: TaskGroup) -> list[Callable[..., Any]]:
+    def _tasks(self, group: TaskGroup) -> Iterable[Callable[[], Awaitable[None]]]:
         self.group = group
-        for kind, does in (("forward", self._forward), ("heir_ended", self._heir_ended), ("hand", self._hand),
-                           ("later", self._later), ("elder_told", self._elder_told)):  # fmt: skip
-            self.does[kind] = does
-        for kind in ANSWERS:
-            self.does[kind] = self._answering(kind, self.does[kind])
-        self.does["stop_accepting"] = self._stop_accepting
-        self.agent.take = self._of_agent
-        if self.inherited is not None:
-            # Of one that lost its heir nothing is known here of what came after the last that it heard.
-            notice = self.inherited.notice if self.inherited.lock else 0
-            self.take("inherited", notice, self.inherited.runs, self.inherited.owned)
-            assert self.elder is not None
-            self.elder.group = group
-            group.start_soon(self._hear_elder, self.elder)
-        self.awaits = lines.listen(self.named)
+        self._add_effect_handlers()
+        self.agent.handle = self._handle_agent
+        if self._inherited is not None:
+            self._take_over(self._inherited, group)
+        self._successor_socket = channels.listen(self._socket_path)
         tell_owner(self.folder, os.environ.get("ROUTER_LIFE", "0"))
-        self.note("succession", state="serves", followed=self.inherited is not None)
+        self.note("succession", state="serves", followed=self._inherited is not None)
         return [
-            *(self._accept, self.hold_agent, self.backend.hold, self._report, self.pump, self.figures),
-            self._await_heirs,
+            self._accept,
+            self.hold_agent,
+            self.backend.hold,
+            self._report,
+            self.pump,
+            self.report_figures,
+            self._await_successors,
         ]
 
+    def _add_effect_handlers(self) -> None:
+        handlers = self.effect_handlers
+        for answer_class in ANSWER_KINDS:
+            handlers[answer_class] = self._make_answer_handler(handlers[answer_class])
+        handlers |= {
+            ForwardTask: self._forward,
+            ReportRunEnd: self._report_run_end,
+            HandOver: self._hand_over,
+            PostponeHandover: self._postpone,
+            RelayAgentEvent: self._relay_agent_event,
+            StopAccepting: self._stop_accepting,
+        }
+
+    def _take_over(self, inherited: Yours, group: TaskGroup) -> None:
+        # What one that lost its successor has read of the agent since is not known here.
+        last_notice = inherited.notice if inherited.lock else 0
+        self.handle(Inherited(last_notice, inherited.runs, inherited.owned))
+        assert self._predecessor is not None
+        self._predecessor.group = group
+        group.start_soon(self._serve_predecessor, self._predecessor)
+
     async def _accept(self) -> None:
-        await self._greeting()
-        await self.front.accept()
+        await self._wait_for_greeting()
+        await self.clients.accept()
+
+    async def _wait_for_greeting(self) -> None:
+        """Wait for the agent's greeting, where this server has tasks at once because it follows another.
 
-    async def _greeting(self) -> None:
-        """Whoever follows another has tasks at once. The agent's first word says whether the machine is warm;
-        guards against a module that takes a warm machine for a cold one."""
-        if self.inherited is not None:
-            with anyio.move_on_after(GREETING):
-                await self.greeted.wait()
+        The greeting says whether the machine is warm; without it the policy would take a warm machine for a
+        cold one.
+        """
+        if self._inherited is not None:
+            with anyio.move_on_after(GREETING_TIMEOUT):
+                await self._agent_greeted.wait()
 
     async def hold_agent(self) -> None:
-        with anyio.CancelScope() as self.agent_scope:
+        """Hold the link to the agent until the successor has it."""
+        with anyio.CancelScope() as self._agent_scope:
             await super().hold_agent()
 
     async def _report(self) -> None:
-        with anyio.CancelScope() as self.reports_scope:
+        with anyio.CancelScope() as self._reports_scope:
             await self.announcer.keep_reporting()
 
-    def _of_agent(self, kind: str, *told: Any) -> None:
-        if self.to_agent:
-            self.take(kind, *told)
-            if kind == "agent_up":
-                self.greeted.set()
+    def _handle_agent(self, event: AgentEvent) -> None:
+        if self._owns_agent_link:
+            self.handle(event)
+            if isinstance(event, AgentGreeted):
+                self._agent_greeted.set()
 
-    def _stop_accepting(self) -> None:
-        """Of one that has handed over what waits at the socket is the heir's."""
-        if not self.handed:
-            self.front.stop_accepting()
-            return
-        listener, self.front.listener = self.front.listener, None
-        if listener is not None:
-            anyio.notify_closing(listener)
-            listener.close()
+    def _stop_accepting(self, effect: StopAccepting) -> None:
+        """Stop; what waits at the socket of one that has handed over is its successor's."""
+        if self._has_handed_over:
+            self.clients.abandon_listener()
+        else:
+            self.clients.stop_accepting()
 
-    # ---- its elder
+    # ---- its predecessor
 
-    async def _hear_elder(self, line: Line) -> None:
-        await self._greeting()
+    async def _serve_predecessor(self, channel: HandoverChannel) -> None:
+        await self._wait_for_greeting()
         try:
-            while (told := await line.receive()) is not None:
-                match told:
+            while (message := await channel.receive()) is not None:
+                match message:
                     case Lodge(id, stage, body):
-                        self.take("lodge", id, stage, body)
+                        self.handle(HostedRunStarted(id, stage, body))
                     case Stop(id):
-                        self.take("lodger_stop", id)
+                        self.handle(HostedRunStopped(id))
                     case Measure(tag):
-                        self.take("lodger_measure", tag)
-                    case Ended(number, how, result):
-                        self.take("elder_ended", number, how, result)
+                        self.handle(HostedMeasureRequested(tag))
+                    case Ended(number, outcome, result):
+                        self.handle(PredecessorRunEnded(number, cast(RunOutcome, outcome), result))
                     case Forward():
-                        self._forwarded(told)
+                        self._handle_forwarded(message)
         except (Unreadable, msgspec.MsgspecError) as error:
             self.note("succession", state="elder not understood", why=str(error))
-        line.close()
-        self.elder = None
+        channel.close()
+        self._predecessor = None
         self.note("succession", state="elder gone")
-        self.take("elder_gone")
-
-    def _forwarded(self, told: Forward) -> None:
-        settings, skew = self.configuration.settings, self.clock.skew()
-        stages = [place for place, stage in enumerate(settings.stages) if stage.name == told.stage]
-        owners = [place for place, owner in enumerate(settings.tenants) if owner.name == told.owner]
-        if not stages or not owners:
-            text = f"there is no stage {told.stage!r} or no owner {told.owner!r} any more"
-            self._tell_elder(Answer(told.name, "misunderstood", [None, text]))
+        self.handle(PredecessorGone())
+
+    def _handle_forwarded(self, message: Forward) -> None:
+        settings = self.configuration.settings
+        skew = self.clock.skew()
+        stages = [place for place, stage in enumerate(settings.stages) if stage.name == message.stage]
+        tenants = [place for place, tenant in enumerate(settings.tenants) if tenant.name == message.owner]
+        if not stages or not tenants:
+            reason = f"there is no stage {message.stage!r} or no owner {message.owner!r} any more"
+            self._tell_predecessor(Answer(message.name, "misunderstood", [None, reason]))
             return
-        task = msgspec.convert({**told.task, "stage": stages[0], "owner": owners[0]}, Task)
+        task = msgspec.convert({**message.task, "stage": stages[0], "owner": tenants[0]}, Task)
         limit = None if task.limit is None else task.limit + skew
         task = replace(task, reached=task.reached + skew, limit=limit)
-        self.take("forwarded", told.name, task, told.word, told.body)
+        self.handle(TaskForwarded(message.name, task, message.word, message.body))
 
-    def _tell_elder(self, message: Message) -> None:
-        if self.elder is not None:
-            self.elder.send(message)
+    def _tell_predecessor(self, message: Message) -> None:
+        if self._predecessor is not None:
+            self._predecessor.send(message)
 
-    def _elder_told(self, kind: str, told: list[Any]) -> None:
-        self._tell_elder(Agent(kind, told))
+    def _relay_agent_event(self, effect: RelayAgentEvent) -> None:
+        self._tell_predecessor(encode_agent_event(effect.event))
 
-    def _answering(self, kind: str, front: Callable[..., None]) -> Callable[..., None]:
-        def answer(name: int, seq: int, *told: Any) -> None:
-            if name == ELDER:
-                plain = [bytes(one) if isinstance(one, memoryview) else one for one in told]
-                self._tell_elder(Answer(seq, kind, plain))
+    def _make_answer_handler(self, answer_client: Callable[[Any], None]) -> Callable[[Any], None]:
+        def answer(effect: Any) -> None:
+            if effect.connection == PREDECESSOR:
+                self._tell_predecessor(encode_answer(effect))
             else:
-                front(name, seq, *told)
+                answer_client(effect)
 
         return answer
 
-    # ---- its heir
+    # ---- its successor
 
-    async def _await_heirs(self) -> None:
-        assert self.awaits is not None
+    async def _await_successors(self) -> None:
+        assert self._successor_socket is not None
         while True:
-            await anyio.wait_readable(self.awaits)
+            await anyio.wait_readable(self._successor_socket)
             with suppress(BlockingIOError, ConnectionAbortedError):
-                sock, _ = self.awaits.accept()
-                self.group.start_soon(self._hear_heir, Line(sock, self.group))
-
-    async def _hear_heir(self, line: Line) -> None:
-        """Whatever it says ends no more than its line."""
-        if self.heir is not None:
-            line.send(Refused("another one follows already"))
-            line.close()
+                sock, _ = self._successor_socket.accept()
+                self.group.start_soon(self._serve_successor, HandoverChannel(sock, self.group))
+
+    async def _serve_successor(self, channel: HandoverChannel) -> None:
+        """Serve one successor; whatever it says ends no more than its channel."""
+        if self._successor is not None:
+            channel.send(Refused("another one follows already"))
+            channel.close()
             return
         try:
-            told = await line.receive()
-            if not isinstance(told, Hello):
+            hello = await channel.receive()
+            if not isinstance(hello, Hello) or not self._welcome(channel, hello):
                 return
-            why = ""
-            if min(told.most, FORMS[1]) < max(told.least, FORMS[0]):
-                why = f"no common form: {told.least} to {told.most} and {FORMS[0]} to {FORMS[1]}"
-            elif ledger_format.FORMAT_VERSION not in told.reads:
-                written = ledger_format.FORMAT_VERSION
-                why = f"the ledger has form {written}, the follower reads {list(told.reads)}"
-            if why or self.heir is not None:
-                line.send(Refused(why or "another one follows already"))
-                return
-            self.heir = line
-            line.send(Welcome(min(told.most, FORMS[1])))
-            while (told := await line.receive()) is not None:
-                match told:
-                    case Ready():
-                        by = self.clock.now() + self.configuration.stop_span
-                        self.take("heir_again" if self.handed else "heir_ready", by)
-                    case Agent(kind, values) if kind in AGENT_SAYS:
-                        self.take(kind, *values)
-                    case Answer(name, kind, values) if kind in ANSWERS:
-                        self.take("away_over", str(name), kind, values)
+            while (message := await channel.receive()) is not None:
+                self._handle_successor(message)
         except (Unreadable, msgspec.MsgspecError) as error:
             self.note("succession", state="heir not understood", why=str(error))
         finally:
-            line.close()
-            if self.heir is line:
-                self.heir = None
-                self.note("succession", state="heir gone", handed=self.handed)
-                self.take("heir_gone")
-                if self.handed:
-                    self.group.start_soon(self._alone)
-
-    def _later(self, why: str) -> None:
-        self.note("succession", state="later", why=why)
-        if self.heir is not None:
-            self.heir.send(Later(why))
-
-    def _hand(self, notice: int, runs: tuple[str, ...], owned: tuple[Any, ...], again: bool) -> None:
-        """The one moment: with the message the ledger and the socket are the heir's."""
-        heir = self.heir
-        listener = self.front.listener if not again else None
-        if not again:
-            self.handed = True
-            elder = self.folder / f"elder-{os.getpid()}.sock"
-            with suppress(OSError):
-                self.named.rename(elder)
-                self.named = elder
-            if self.reports_scope is not None:  # the heir reports under the same name
-                self.reports_scope.cancel()
-        self.to_agent = False
-        if self.agent_scope is not None:
-            self.agent_scope.cancel()
-        agent = self.agent
-        if agent.stream is not None:
-            agent.flush()
-            agent.stream.close()
-        self._send_by_heir()
-        descriptors = [self.store.disk.lock] if not again else []
+            channel.close()
+            if self._successor is channel:
+                self._lose_successor()
+
+    def _welcome(self, channel: HandoverChannel, hello: Hello) -> bool:
+        """Take the successor if it can read all that it will have."""
+        refusal = ""
+        if min(hello.most, FORMS[1]) < max(hello.least, FORMS[0]):
+            refusal = f"no common form: {hello.least} to {hello.most} and {FORMS[0]} to {FORMS[1]}"
+        elif ledger_format.FORMAT_VERSION not in hello.reads:
+            written = ledger_format.FORMAT_VERSION
+            refusal = f"the ledger has form {written}, the follower reads {list(hello.reads)}"
+        elif self._successor is not None:
+            refusal = "another one follows already"
+        if refusal:
+            channel.send(Refused(refusal))
+            return False
+        self._successor = channel
+        channel.send(Welcome(min(hello.most, FORMS[1])))
+        return True
+
+    def _handle_successor(self, message: Message) -> None:
+        match message:
+            case Ready():
+                stop_at = self.clock.now() + self.configuration.stop_timeout
+                self.handle(SuccessorReplaced(stop_at) if self._has_handed_over else SuccessorReady(stop_at))
+            case Agent():
+                event = decode_agent_event(message)
+                if event is not None:
+                    self.handle(event)
+            case Answer():
+                answer = decode_answer(message)
+                if answer is not None:
+                    self.handle(ForwardedAnswered(str(message.name), answer))
+
+    def _lose_successor(self) -> None:
+        self._successor = None
+        self.note("succession", state="heir gone", handed=self._has_handed_over)
+        self.handle(SuccessorGone())
+        if self._has_handed_over:
+            self.group.start_soon(self._link_alone)
+
+    def _tell_successor(self, message: Message) -> None:
+        if self._successor is not None:
+            self._successor.send(message)
+
+    def _postpone(self, effect: PostponeHandover) -> None:
+        self.note("succession", state="later", why=effect.reason)
+        self._tell_successor(Later(effect.reason))
+
+    def _report_run_end(self, effect: ReportRunEnd) -> None:
+        self._tell_successor(Ended(effect.number, effect.outcome, effect.result))
+
+    def _forward(self, effect: ForwardTask) -> None:
+        task = effect.task
+        skew = self.clock.skew()
+        limit = None if task.limit is None else task.limit - skew
+        values = asdict(replace(task, reached=task.reached - skew, limit=limit))
+        self._tell_successor(
+            Forward(int(effect.name), effect.stage, effect.tenant, values, effect.dedup_key, effect.body)
+        )
+
+    # ---- the handover
+
+    def _hand_over(self, effect: HandOver) -> None:
+        """Hand over in one moment: with the message the ledger and the socket are the successor's."""
+        successor = self._successor
+        listener = self.clients.listener if not effect.is_repeated else None
+        if not effect.is_repeated:
+            self._has_handed_over = True
+            self._step_aside()
+        self._release_agent()
+        descriptors = [self.store.disk.lock] if not effect.is_repeated else []
         if listener is not None:
             descriptors.append(listener.fileno())
-        message = Yours(notice, runs, owned, not again, listener is not None)
+        message = Yours(
+            effect.last_notice, effect.runs, effect.owned_ids, not effect.is_repeated, listener is not None
+        )
         try:
-            if heir is None:
+            if successor is None:
                 raise OSError("the heir is gone")
-            heir.send_with(message, descriptors)
+            successor.send_with(message, descriptors)
         except OSError as error:
             self.note("succession", state="heir lost", why=str(error))
-            if heir is not None:
-                heir.close()
-        if not again:
+            if successor is not None:
+                successor.close()
+        if not effect.is_repeated:
             self.store.disk.release()
-        facts = {"froze_us": self.reducer.froze_for // 1000, "runs": len(runs), "again": again}
-        self.note("succession", state="handed over", **facts)
-
-    def _send_by_heir(self) -> None:
-        self.does |= {
-            "start": lambda id, stage, body: self._tell_heir(Lodge(id, stage, bytes(body))),
-            "stop": lambda id: self._tell_heir(Stop(id)),
-            "measure": lambda tag: self._tell_heir(Measure(tag)),
-            "deep_check": lambda tag: self.take("deep_checked", tag, True),
-            "report": lambda taking: None,
-        }
+        self.note(
+            "succession",
+            state="handed over",
+            froze_us=self.machine.freeze_duration // 1000,
+            runs=len(effect.runs),
+            again=effect.is_repeated,
+        )
 
-    def _tell_heir(self, message: Message) -> None:
-        if self.heir is not None:
-            self.heir.send(message)
+    def _step_aside(self) -> None:
+        """Leave the socket's path and the reports to the successor, which has the same name."""
+        path = self.folder / f"elder-{os.getpid()}.sock"
+        with suppress(OSError):
+            self._socket_path.rename(path)
+            self._socket_path = path
+        if self._reports_scope is not None:
+            self._reports_scope.cancel()
+
+    def _release_agent(self) -> None:
+        """End the link to the agent; commands go by the successor from now on."""
+        self._owns_agent_link = False
+        if self._agent_scope is not None:
+            self._agent_scope.cancel()
+        if self.agent.stream is not None:
+            self.agent.flush()
+            self.agent.stream.close()
+        self.effect_handlers |= {
+            StartRun: self._start_by_successor,
+            StopRun: lambda effect: self._tell_successor(Stop(effect.attempt_id)),
+            MeasureGauges: lambda effect: self._tell_successor(Measure(effect.tag)),
+            CheckAgent: lambda effect: self.handle(DeepCheckCompleted(effect.tag, True)),
+            AnnounceAccepting: lambda effect: None,
+        }
 
-    def _heir_ended(self, number: int, how: str, result: bytes) -> None:
-        self._tell_heir(Ended(number, how, result))
+    def _start_by_successor(self, effect: StartRun) -> None:
+        self._tell_successor(Lodge(effect.attempt_id, effect.stage, bytes(effect.body)))
 
-    def _forward(self, name: str, task: Task, stage: str, owner: str, word: str | None, body: bytes) -> None:
-        skew = self.clock.skew()
-        limit = None if task.limit is None else task.limit - skew
-        told = asdict(replace(task, reached=task.reached - skew, limit=limit))
-        self._tell_heir(Forward(int(name), stage, owner, told, word, body))
-
-    async def _alone(self) -> None:
-        """It has handed over and nobody is there: what it has running is asked of the agent itself, until an
-        heir comes again."""
-        await anyio.sleep(ALONE_AFTER)
-        if self.heir is not None or self.to_agent:
+    async def _link_alone(self) -> None:
+        """Ask the agent itself for what this process has running, until a successor comes again."""
+        await anyio.sleep(LINK_DELAY)
+        if self._successor is not None or self._owns_agent_link:
             return
         self.note("succession", state="alone")
-        self.to_agent = True
-        self.does |= self.agent.effects()
+        self._owns_agent_link = True
+        self.effect_handlers |= self.agent.effect_handlers()
         await self.hold_agent()
--- a/thistleline/lab/handover.py
+++ b/thistleline/lab/handover.py
@@ -31,12 +31,33 @@
 RATE = 60.0  # bookings a second, and as many lookups
 OLDER, NEWER = "elder", "heir"
 POINTS = (
-    *((OLDER, point) for point in ("in:heir_ready", "before:hand", "after:hand", "before:forward")),
-    *((NEWER, point) for point in ("in:recovered", "in:inherited", "in:agent_up", "before:elder_told")),
-    *((OLDER, point) for point in ("in:away_over", "after:heir_ended", "in:run_over")),
-    *((NEWER, point) for point in ("in:forwarded", "in:lodge", "in:elder_ended", "before:write")),
+    *(
+        (OLDER, point)
+        for point in ("in:SuccessorReady", "before:HandOver", "after:HandOver", "before:ForwardTask")
+    ),
+    *(
+        (NEWER, point)
+        for point in ("in:EffectsRecovered", "in:Inherited", "in:AgentGreeted", "before:RelayAgentEvent")
+    ),
+    *((OLDER, point) for point in ("in:ForwardedAnswered", "after:ReportRunEnd", "in:RunCompleted")),
+    *(
+        (NEWER, point)
+        for point in (
+            "in:TaskForwarded",
+            "in:HostedRunStarted",
+            "in:PredecessorRunEnded",
+            "before:WriteLedger",
+        )
+    ),
+)
+ONCE = (
+    "in:SuccessorReady",
+    "before:HandOver",
+    "after:HandOver",
+    "in:EffectsRecovered",
+    "in:Inherited",
+    "in:AgentGreeted",
 )
-ONCE = ("in:heir_ready", "before:hand", "after:hand", "in:recovered", "in:inherited", "in:agent_up")
 LOOKUP = {"name": "lookup", "effect": "read_like", "credit": 1.0, "promise": 1.0, "deadline": 3.0}
 TOLD = {**SETTINGS, "classes": [*SETTINGS["classes"], LOOKUP]}
 
--- a/thistleline/lab/handoverworld.py
+++ b/thistleline/lab/handoverworld.py
@@ -1,5 +1,5 @@
-"""Servers that follow one another, in virtual time: the reducers that run, a disk, an agent with one link,
-lines with delays, callers with repeats; deaths at any moment, on either side. No I/O.
+"""Servers that follow one another in virtual time, without I/O: state machines, a disk, an agent with a link,
+lines with delays, callers with repeats; deaths at any moment, on either side.
 
 What is said on a link or a line comes in order, later or, where an end of it dies, never. What a death finds
 half written is on disk or not, by chance.
@@ -11,27 +11,71 @@
 from random import Random
 from typing import Any
 
-from thistleline.handover.state_machine import ELDER, Succeeding
+from thistleline.durable.effects import WriteLedger
+from thistleline.durable.events import EffectsRecovered, WriteCompleted, WriteFailed
+from thistleline.handover.effects import (
+    AnswerEffect,
+    ForwardTask,
+    HandOver,
+    PostponeHandover,
+    RelayAgentEvent,
+    ReportRunEnd,
+)
+from thistleline.handover.events import (
+    ForwardedAnswered,
+    HostedMeasureRequested,
+    HostedRunStarted,
+    HostedRunStopped,
+    Inherited,
+    PredecessorGone,
+    PredecessorRunEnded,
+    SuccessorGone,
+    SuccessorReady,
+    SuccessorReplaced,
+    TaskForwarded,
+)
+from thistleline.handover.relay import ANSWER_KINDS
+from thistleline.handover.state_machine import PREDECESSOR, HandoverStateMachine
 from thistleline.interface import Task
 from thistleline.lab.ledger import SETTINGS
 from thistleline.ledger.records import LedgerWrite
-from thistleline.state.phases import Phases
+from thistleline.state.effects import (
+    AnswerAbandoned,
+    AnswerFinished,
+    AnswerMisunderstood,
+    AnswerRejected,
+    CloseConnection,
+    DismissConnection,
+    EndProcess,
+    MeasureGauges,
+    StartRun,
+    StopRun,
+)
+from thistleline.state.events import (
+    AgentGreeted,
+    AgentLost,
+    ConnectionOpened,
+    DeadlineReached,
+    GaugesMeasured,
+    ListeningStarted,
+    RunCompleted,
+    TaskReceived,
+)
+from thistleline.state.options import MachineOptions
+from thistleline.state.phases import Lifecycle
 from thistleline.wire.settings import read_server_settings
 
 MS, SECOND = 1_000_000, 1_000_000_000
 BENCH = read_server_settings(SETTINGS)
 WINDOW, LIMIT = BENCH.stages[0].idempotency_window, BENCH.stages[0].timeout
 STOP = 2 * SECOND
-BY_HEIR = {"start": "lodge", "stop": "lodger_stop", "measure": "lodger_measure"}
+OPTIONS = MachineOptions(BENCH, ("core_use", "on_cores", "heap_share", "links"), MS, 400, 1 << 20, 1)
 
 
 class Life:
     def __init__(self, number: int, now: int, chance: Random) -> None:
         self.number = number
-        self.reducer = Succeeding(
-            BENCH, ("core_use", "on_cores", "heap_share", "links"), MS, 400, 1 << 20, 1, now, Phases(),
-            disk_bound=8 << 20, boot_ahead=0,
-        )  # fmt: skip
+        self.machine = HandoverStateMachine(OPTIONS, now, Lifecycle(), max_disk_bytes=8 << 20, boot_offset=0)
         self.alive = True
         self.serves = False  # it listens
         self.to_farm = True
@@ -56,7 +100,7 @@
         self.link: Life | None = None
         self.links = 0
         self.running: dict[str, bytes] = {}
-        self.notices: list[tuple[int, str, str, int, bytes]] = []
+        self.notices: list[RunCompleted] = []
         self.starts: dict[bytes, list[tuple[int, bytes]]] = {}  # when, with what result
         # the callers
         self.open: dict[tuple[int, int, int], tuple[int, int, bytes, str]] = {}  # life, connection, seq
@@ -87,62 +131,72 @@
 
     # ---- servers
 
-    def take(self, life: Life, kind: str, *told: Any) -> None:
+    def take(self, life: Life, event: Any) -> None:
         if not life.alive:
             return
         try:
-            effects = life.reducer.take(self.now, kind, *told)
+            effects = life.machine.handle(self.now, event)
         except Exception as error:
+            kind = type(event).__name__
             self.wrong = f"{kind} is no input that can be taken: {type(error).__name__} {error}"
             return
         for effect in effects:
             if life.alive:
-                self.carry_out(life, *effect)
-        due = max(life.reducer.due(), self.now + MS // 10)
+                self.carry_out(life, effect)
+        due = max(life.machine.next_deadline(), self.now + MS // 10)
         if life.alive and life.wake != due:
             life.wake = due
-            self.at(due - self.now, lambda: self.take(life, "round") if life.wake == due else None)
-
-    def carry_out(self, life: Life, kind: str, *told: Any) -> None:
-        if kind in ("finished", "rejected", "abandoned", "misunderstood"):
-            if told[0] == ELDER:
-                self.say(life, life.elder, "away_over", str(told[1]), kind, list(told[2:]))
-            else:
-                self.answered(life, kind, *told)
-        elif kind in ("start", "stop", "measure"):
-            if life.to_farm:
-                if self.link is life:
-                    link = self.links
-                    self.in_order(("agent", link), MS // 10, MS, lambda: self.agent(link, kind, *told))
-            else:
-                self.say(life, life.heir, BY_HEIR[kind], *told)
-        elif kind == "write":
-            self.write(life, told[0])
-        elif kind == "hand":
-            self.hand(life, *told)
-        elif kind == "later":
-            heir = life.heir
-            if heir is not None:
-                self.in_order((life.number, heir.number), MS // 10, MS, lambda: self.at(
-                    100 * MS, lambda: self.say(heir, life, "heir_ready", self.now + STOP)))  # fmt: skip
-        elif kind == "forward":
-            name, task, _, _, word, body = told
-            self.say(life, life.heir, "forwarded", int(name), task, word, body)
-        elif kind == "heir_ended":
-            self.say(life, life.heir, "elder_ended", *told)
-        elif kind == "elder_told":
-            self.say(life, life.elder, told[0], *told[1])
-        elif kind == "dismiss":
-            self.at(self.chance.randint(1, 50 * MS), lambda: self.dismissed(life, told[0]))
-        elif kind == "close":
-            self.closed(life, told[0])
-        elif kind == "end":
-            self.figures["ended"] += 1
-            self.die(life)
-
-    def say(self, source: Life, to: Life | None, kind: str, *told: Any) -> None:
+            self.at(due - self.now, lambda: self.take(life, DeadlineReached()) if life.wake == due else None)
+
+    def carry_out(self, life: Life, effect: Any) -> None:
+        match effect:
+            case AnswerFinished() | AnswerRejected() | AnswerAbandoned() | AnswerMisunderstood():
+                if effect.connection == PREDECESSOR:
+                    self.say(life, life.elder, ForwardedAnswered(str(effect.seq), effect))
+                else:
+                    self.answered(life, effect)
+            case StartRun() | StopRun() | MeasureGauges():
+                self.command(life, effect)
+            case WriteLedger(write):
+                self.write(life, write)
+            case HandOver():
+                self.hand(life, effect)
+            case PostponeHandover():
+                heir = life.heir
+                if heir is not None:
+                    self.in_order((life.number, heir.number), MS // 10, MS, lambda: self.at(
+                        100 * MS, lambda: self.say(heir, life, SuccessorReady(self.now + STOP))))  # fmt: skip
+            case ForwardTask(name, task, _, _, word, body):
+                self.say(life, life.heir, TaskForwarded(int(name), task, word, body))
+            case ReportRunEnd(number, outcome, result):
+                self.say(life, life.heir, PredecessorRunEnded(number, outcome, result))
+            case RelayAgentEvent(event):
+                self.say(life, life.elder, event)
+            case DismissConnection(connection):
+                self.at(self.chance.randint(1, 50 * MS), lambda: self.dismissed(life, connection))
+            case CloseConnection(connection):
+                self.closed(life, connection)
+            case EndProcess():
+                self.figures["ended"] += 1
+                self.die(life)
+
+    def command(self, life: Life, command: StartRun | StopRun | MeasureGauges) -> None:
+        if life.to_farm:
+            if self.link is life:
+                link = self.links
+                self.in_order(("agent", link), MS // 10, MS, lambda: self.agent(link, command))
+            return
+        match command:
+            case StartRun(id, stage, body):
+                self.say(life, life.heir, HostedRunStarted(id, stage, body))
+            case StopRun(id):
+                self.say(life, life.heir, HostedRunStopped(id))
+            case MeasureGauges(tag):
+                self.say(life, life.heir, HostedMeasureRequested(tag))
+
+    def say(self, source: Life, to: Life | None, event: Any) -> None:
         if to is not None:
-            self.in_order((source.number, to.number), MS // 20, MS, lambda: self.take(to, kind, *told))
+            self.in_order((source.number, to.number), MS // 20, MS, lambda: self.take(to, event))
 
     def write(self, life: Life, work: LedgerWrite) -> None:
         life.writing = work
@@ -154,12 +208,12 @@
             if self.deaths and self.chance.random() < 0.003:
                 if self.chance.random() < 0.5:
                     self.append(work)
-                self.take(life, "unrecorded", "the disk")
+                self.take(life, WriteFailed("the disk"))
             else:
                 self.append(work)
                 for number in work.obsolete_segments:
                     self.disk.pop(number, None)
-                self.take(life, "recorded")
+                self.take(life, WriteCompleted())
 
         self.at(self.chance.randint(MS // 5, 4 * MS), durable)
 
@@ -186,12 +240,12 @@
 
     def elder_gone(self, life: Life) -> None:
         if life.serves:
-            self.take(life, "elder_gone")
+            self.take(life, PredecessorGone())
         elif life.alive:
             self.begin(life)  # it died before it handed over
 
     def heir_gone(self, life: Life) -> None:
-        self.take(life, "heir_gone")
+        self.take(life, SuccessorGone())
         if not life.to_farm:
             self.at(500 * MS, lambda: self.alone(life))
 
@@ -208,68 +262,70 @@
         before = [one for one in self.lives if one.alive]
         self.lives.append(life)
         sole = next((one for one in before if one.serves and one.to_farm and one.heir is None), None)
-        if sole is not None and sole.reducer.stands == "sole":
+        if sole is not None and sole.machine.handover_stage == "sole":
             sole.heir, life.elder = life, sole
             if self.stale:
                 self.recover(life)
             # A machine that has no time for it now and then: the heir is long about coming up.
             takes = self.chance.choice((1, 20, 300, 6000)) * MS
-            self.at(takes, lambda: self.say(life, sole, "heir_ready", self.now + STOP))
+            self.at(takes, lambda: self.say(life, sole, SuccessorReady(self.now + STOP)))
         else:
             self.begin(life)
 
     def begin(self, life: Life) -> None:
         """With nobody that serves; one that handed over may be there still."""
-        if self.stale and life.reducer.names:
+        if self.stale and life.machine.attempts_made:
             self.die(life)
             return
-        if any(one.alive and one.serves and one.reducer.stands != "handed" for one in self.lives):
+        if any(one.alive and one.serves and one.machine.handover_stage != "handed" for one in self.lives):
             self.figures["no place"] += 1
             self.die(life)
             return
         self.recover(life)
         for other in self.lives:
-            if other.alive and other is not life and other.reducer.stands == "handed":
+            if other.alive and other is not life and other.machine.handover_stage == "handed":
                 other.heir, life.elder = life, other
                 other.to_farm = False
                 if self.link is other:
                     self.link = None
-                self.take(other, "heir_again", self.now + STOP)
+                self.take(other, SuccessorReplaced(self.now + STOP))
                 return
         self.serve(life)
 
     def recover(self, life: Life) -> None:
-        ledger = life.reducer.ledger
+        ledger = life.machine.ledger
         ledger.advance_clock(self.now)
         for number in sorted(self.disk):
             ledger.recover_segment(number, 1000 * len(self.disk[number]))
             for group in self.disk[number]:
                 ledger.recover_group(number, [0], True, group)
         ledger.forget_expired()
-        self.take(life, "recovered", list(ledger.recovered_effects()))
+        self.take(life, EffectsRecovered(list(ledger.recovered_effects())))
 
-    def hand(self, life: Life, notice: int, runs: Any, owned: Any, again: bool) -> None:
+    def hand(self, life: Life, effect: HandOver) -> None:
         heir = life.heir
         life.to_farm = False
         if self.link is life:
             self.link = None
-        if not again:
+        if not effect.is_repeated:
             life.serves = False
             self.figures["handed over"] += 1
         if heir is not None:
+            notice = 0 if effect.is_repeated else effect.last_notice
+            inherited = Inherited(notice, effect.runs, effect.owned_ids)
             self.in_order((life.number, heir.number), MS // 20, MS,
-                          lambda: self.inherit(heir, 0 if again else notice, runs, owned, again))  # fmt: skip
+                          lambda: self.inherit(heir, inherited, effect.is_repeated))  # fmt: skip
 
-    def inherit(self, life: Life, notice: int, runs: Any, owned: Any, again: bool) -> None:
+    def inherit(self, life: Life, inherited: Inherited, again: bool) -> None:
         if not life.alive:
             return
         if not again and not self.stale:
             self.recover(life)
-        self.take(life, "inherited", notice, runs, owned)
+        self.take(life, inherited)
         self.serve(life)
 
     def serve(self, life: Life) -> None:
-        self.take(life, "listening")
+        self.take(life, ListeningStarted())
         life.serves = True
         self.make_link(life)
 
@@ -280,31 +336,31 @@
         self.links += 1
         link = self.links
         if before is not None:
-            self.at(1, lambda: self.take(before, "agent_lost", "replaced"))
+            self.at(1, lambda: self.take(before, AgentLost("replaced")))
 
         def greet() -> None:
             if self.links == link:
-                self.take(life, "agent_up", False, 100 * SECOND)
-                known = life.reducer.notice
-                for told in self.notices:
-                    if told[0] > known:
-                        self.tell(link, "run_over", *told)
+                self.take(life, AgentGreeted(False, 100 * SECOND))
+                known = life.machine.session.last_notice
+                for notice in self.notices:
+                    if notice.number > known:
+                        self.tell(link, notice)
 
         self.in_order(("told", link), MS // 5, 2 * MS, greet)
 
-    def tell(self, link: int, kind: str, *told: Any) -> None:
+    def tell(self, link: int, event: Any) -> None:
         life = self.link
         if link == self.links and life is not None:
             self.in_order(("told", link), MS // 10, MS,
-                          lambda: self.take(life, kind, *told) if self.link is life else None)  # fmt: skip
+                          lambda: self.take(life, event) if self.link is life else None)  # fmt: skip
 
-    def agent(self, link: int, kind: str, *told: Any) -> None:
-        if self.links != link and (kind != "start" or self.chance.random() < 0.5):
+    def agent(self, link: int, command: StartRun | StopRun | MeasureGauges) -> None:
+        if self.links != link and (not isinstance(command, StartRun) or self.chance.random() < 0.5):
             return  # else it was read before the other link came
-        if kind == "measure":
-            self.tell(link, "measured", told[0], [0.5, 1.0, 0.1, 1.0])
-        elif kind == "start" and told[0] not in self.running:
-            id, _, body = told
+        if isinstance(command, MeasureGauges):
+            self.tell(link, GaugesMeasured(command.tag, [0.5, 1.0, 0.1, 1.0]))
+        elif isinstance(command, StartRun) and command.attempt_id not in self.running:
+            id, body = command.attempt_id, command.body
             result = b"%d of " % len(self.notices) + body
             self.running[id] = body
             past = self.starts.setdefault(body, [])
@@ -316,8 +372,8 @@
 
     def over(self, id: str, took: int, result: bytes) -> None:
         if self.running.pop(id, None) is not None:
-            self.notices.append((len(self.notices) + 1, id, "finished", took, result))
-            self.tell(self.links, "run_over", *self.notices[-1])
+            self.notices.append(RunCompleted(len(self.notices) + 1, id, "finished", took, result))
+            self.tell(self.links, self.notices[-1])
 
     # ---- callers
 
@@ -342,15 +398,15 @@
                 return
             self.connections += 1
             where = self.lines[line] = life.number, self.connections
-            self.take(life, "opened", self.connections)
+            self.take(life, ConnectionOpened(self.connections))
         assert where is not None
         self.figures["tries"] += 1
         seq, id = self.figures["tries"], f"{self.chance.getrandbits(64):016x}"
         body = b"booking %d" % number
         self.open[life.number, where[1], seq] = number, until, body, id
         task = Task(id, 0, 0, 1, 0.9, None, 5 * MS, 1.0, self.now, None, False, None)
-        to, told = life, (where[1], seq, task, f"{number:032x}", memoryview(body))
-        self.in_order(("line", to.number, where[1]), MS // 20, MS, lambda: self.take(to, "task", *told))
+        to, received = life, TaskReceived(where[1], seq, task, f"{number:032x}", memoryview(body))
+        self.in_order(("line", to.number, where[1]), MS // 20, MS, lambda: self.take(to, received))
 
     def again(self, number: int, until: int) -> None:
         if self.now < until:
@@ -358,21 +414,22 @@
         else:
             self.figures["given up"] += 1
 
-    def answered(self, life: Life, kind: str, connection: int, seq: int, *told: Any) -> None:
-        asked = self.open.pop((life.number, connection, seq), None)
+    def answered(self, life: Life, answer: AnswerEffect) -> None:
+        kind = ANSWER_KINDS[type(answer)]
+        asked = self.open.pop((life.number, answer.connection, answer.seq), None)
         if asked is None:
             self.wrong = f"a try is answered twice, or was never asked: {kind}"
             return
         number, until, body, _ = asked
         self.figures[kind] += 1
         runs = self.starts.get(body, [])
-        if kind == "finished":
-            result = bytes(told[0])
+        if isinstance(answer, AnswerFinished):
+            result = bytes(answer.result)
             if all(result != one for _, one in runs):
                 self.wrong = f"{body!r} is given what no run made"
             if self.finished.setdefault(number, result) != result:
                 self.wrong = f"{body!r} is given two results"
-        elif kind == "rejected":
+        elif isinstance(answer, AnswerRejected):
             if any(self.now - WINDOW < at for at, _ in runs):
                 self.wrong = f"{body!r} is rejected after it ran"
             self.again(number, until)
--- a/thistleline/lab/ledger.py
+++ b/thistleline/lab/ledger.py
@@ -35,9 +35,24 @@
 LIFE_TAKES = 0.75  # seconds, about, with its start
 LIFE = (0.2, 1.0)  # seconds of a server between its first task and its kill
 POINTS = (
-    *("in:task", "in:run_over", "in:recorded", "in:round", "in:agent_up", "in:recovered"),
-    *("before:write", "after:write", "before:start", "after:start", "before:finished", "after:finished"),
+    *(
+        "in:TaskReceived",
+        "in:RunCompleted",
+        "in:WriteCompleted",
+        "in:DeadlineReached",
+        "in:AgentGreeted",
+        "in:EffectsRecovered",
+    ),
+    *(
+        "before:WriteLedger",
+        "after:WriteLedger",
+        "before:StartRun",
+        "after:StartRun",
+        "before:AnswerFinished",
+        "after:AnswerFinished",
+    ),
 )
+ONCE = ("in:WriteCompleted", "in:AgentGreeted", "in:EffectsRecovered")
 DISKS = ("once", "slow", "full", "read-only")
 SETTINGS: dict[str, Any] = {
     "allowed": {"maxRetryAfter": 1.0, "retryAfter": True},
@@ -205,7 +220,7 @@
                 point = POINTS[life // 2 % len(POINTS)]
                 fault["kill"] = [
                     point,
-                    1 if point.startswith(("in:agent", "in:rec")) else chance.randint(1, 60),
+                    1 if point in ONCE else chance.randint(1, 60),
                 ]
             if life % 5 == 2:
                 fault |= {"disk": DISKS[life // 5 % len(DISKS)], "at": chance.randint(1, 12)}
--- a/thistleline/lab/machines.py
+++ b/thistleline/lab/machines.py
@@ -39,7 +39,7 @@
     "good": {},
     "better": {},
     "no-start": None,
-    "dies": {"kill": ["in:task", 60]},
+    "dies": {"kill": ["in:TaskReceived", 60]},
     "dies-later": {"die_after": 12},
     "stalls": {"stall": 60},
     "stalls-in-z1": {"stall": 60, "only": ["m1", "m4", "m7"]},
--- a/thistleline/lab/scale/connections.py
+++ b/thistleline/lab/scale/connections.py
@@ -16,9 +16,9 @@
 from thistleline.lab.scale.instance import HOST, Instance, instance, machine
 from thistleline.lab.scale.size import size
 from thistleline.lab.scale.slopes import Part, Row, judge
-from thistleline.server.announcer import ANSWER_BOUND, EVERY
-from thistleline.server.configuration import DESCRIPTORS, MEMORY_MB
-from thistleline.server.service import CONNECTION_COST, RESERVE
+from thistleline.server.announcer import MAX_ANSWER_BYTES, REPORT_INTERVAL
+from thistleline.server.configuration import DEFAULT_DESCRIPTORS, DEFAULT_MEMORY_MB
+from thistleline.server.service import CONNECTION_COST, RESERVED_DESCRIPTORS
 from thistleline.wire import thrift
 from thistleline.wire.announce import Reports
 
@@ -81,7 +81,7 @@
     sent = 0
     for place in range(instances):
         sent += len(Reports("10.1.2.3:8761").report(f"i{place:05}.zone-{place % size('zones'):02}", True))
-    return round(sent / EVERY)
+    return round(sent / REPORT_INTERVAL)
 
 
 def who_knows_whom(cost: float) -> dict[str, Any]:
@@ -94,9 +94,9 @@
     instances, callers, zones = size("instances"), size("callers"), size("zones")
     second = size("requests_s") / instances
     bounds = {
-        "DESCRIPTORS less RESERVE": DESCRIPTORS - RESERVE,
-        "a quarter of MEMORY_MB by CONNECTION_COST": (MEMORY_MB << 20) // 4 // CONNECTION_COST,
-        "a quarter of MEMORY_MB by what was measured": int((MEMORY_MB << 20) / 4 / cost),
+        "DESCRIPTORS less RESERVE": DEFAULT_DESCRIPTORS - RESERVED_DESCRIPTORS,
+        "a quarter of MEMORY_MB by CONNECTION_COST": (DEFAULT_MEMORY_MB << 20) // 4 // CONNECTION_COST,
+        "a quarter of MEMORY_MB by what was measured": int((DEFAULT_MEMORY_MB << 20) / 4 / cost),
         "the 64 MB for control by CONNECTION_COST": size("instance_bytes") // CONNECTION_COST,
     }
 
@@ -130,7 +130,7 @@
     sizes = [50, 150, 300, 500] if quick else [50, 150, 500, 1500, 5000]
     tell(f"connections: {sizes[0]} to {sizes[-1]} open at a real instance")
     found = memory_by_connections(sizes)
-    most = (MEMORY_MB << 20) // 4 // CONNECTION_COST
+    most = (DEFAULT_MEMORY_MB << 20) // 4 // CONNECTION_COST
 
     def row(name: str, values: list[float], note: str) -> Row:
         return slopes.row(name, "memory", "bytes", "connection", sizes, values, most, 1, note)
@@ -139,7 +139,7 @@
     announced = slopes.row(
         "announce: bytes a second of reports", "count", "bytes", "instance", instances,
         [float(reports(one)) for one in instances], size("instances"), 1,
-        f"one report every {EVERY:g} s; answers not among them",
+        f"one report every {REPORT_INTERVAL:g} s; answers not among them",
     )  # fmt: skip
     rows = [
         row("instance: memory of idle connections", found["idle"], "accepted, nothing read"),
@@ -153,10 +153,10 @@
         "measured_bytes_a_connection": {"idle": round(rows[0]["slope"]), "used": round(rows[1]["slope"])},
         "knowing": who_knows_whom(cost),
         "announce": {
-            "reports_a_second": round(size("instances") / EVERY),
-            "bytes_a_report": round(announced["slope"] * EVERY),
+            "reports_a_second": round(size("instances") / REPORT_INTERVAL),
+            "bytes_a_report": round(announced["slope"] * REPORT_INTERVAL),
             "bytes_a_second_an_instance": round(announced["slope"]),
-            "answer_bound": ANSWER_BOUND,
+            "answer_bound": MAX_ANSWER_BYTES,
         },
     }
     bars = judge(rows, {"announce: bytes a second of reports": "linear"})
--- a/thistleline/lab/scale/members.py
+++ b/thistleline/lab/scale/members.py
@@ -45,7 +45,7 @@
     encode,
 )
 from thistleline.membership.view import BUCKETS, MEMBERS_BOUND, View
-from thistleline.server.service import FIGURES_EVERY
+from thistleline.server.service import FIGURES_INTERVAL
 
 NAME = "members"
 
@@ -353,9 +353,9 @@
 
 def age_of_figures(members: int, seed: int, spans: int = 4) -> float:
     """How old, in seconds, what a member knows of another's figures is on the average, where each tells new
-    ones as often as a server does (FIGURES_EVERY)."""
+    ones as often as a server does (FIGURES_INTERVAL)."""
     fleet = HollowFleet(members, seed)
-    every, step = int(FIGURES_EVERY * SECOND), FLEET_SPANS.period
+    every, step = int(FIGURES_INTERVAL * SECOND), FLEET_SPANS.period
     told: dict[str, dict[int, int]] = {id: {fleet.members[id].own.version: 0} for id in fleet.members}
     steps = every // step
     for turn in range(steps * spans):
@@ -472,8 +472,8 @@
 
     steps = f"sent on {SPREAD_TIMES} times the logarithm of the fleet, rounded up: a step each tenfold"
     every = (
-        f"each tells new ones every {FIGURES_EVERY:g} s, periods of {FLEET_SPANS.period / SECOND:g} s; "
-        f"runs of {spans * FIGURES_EVERY:g} s, so that an age near it is one at the least"
+        f"each tells new ones every {FIGURES_INTERVAL:g} s, periods of {FLEET_SPANS.period / SECOND:g} s; "
+        f"runs of {spans * FIGURES_INTERVAL:g} s, so that an age near it is one at the least"
     )
     return [
         row(WORD_BYTES, "bytes", [one.bytes for one in words], steps),
@@ -508,7 +508,7 @@
     words = restarts * WORDS_A_RESTART + deaths * WORDS_A_DEATH
     sends = SPREAD_TIMES * max(1, ceil(log(instances + 1, 10)))
     word = word_bytes()
-    figures = instances / FIGURES_EVERY
+    figures = instances / FIGURES_INTERVAL
     # What a period brings: the ping of another and the answer to the own one, as full as they may be.
     room = 2 * ((SIZE_BOUND - 64) // word)
     needed = figures * PERIOD / SECOND
--- a/thistleline/lab/server.py
+++ b/thistleline/lab/server.py
@@ -1,7 +1,7 @@
 """The server itself with a fault built in: `python -m thistleline.lab.server`, told by LAB_FAULT.
 
-    {"kill": [point, times]}    ends at once the so-many-th time that a point is passed; points: an input
-                                "in:KIND", an effect "before:KIND" or "after:KIND"
+    {"kill": [point, times]}    ends at once the so-many-th time that a point is passed; points: an event
+                                "in:CLASS", an effect "before:CLASS" or "after:CLASS"
     {"disk": how, "at": n}      the n-th sync: "once" fails, "slow" takes 2 s, "full" and "read-only" fail
                                 from there on for a second
     {"sync": false}             the sync is left out
@@ -23,6 +23,7 @@
 import signal
 import sys
 import time
+from dataclasses import replace
 from pathlib import Path
 from typing import Any, ClassVar
 
@@ -30,12 +31,13 @@
 
 from thistleline.config.schema import read_conf
 from thistleline.durable import writer as ledger_writer
-from thistleline.handover.service import AttendedService
+from thistleline.handover.service import HandoverService
 from thistleline.ledger import store
 from thistleline.server import service
-from thistleline.server.configuration import Unusable, read_configuration
+from thistleline.server.configuration import ConfigurationError, read_configuration
 from thistleline.server.log import complain
 from thistleline.server.service import Service
+from thistleline.state.events import RunCompleted, TaskReceived
 from thistleline.store.disk import Disk
 
 LEFT_OUT_BOUND = 64 * 1024  # without a sync the machine writes on some day: once so much lies there
@@ -98,48 +100,53 @@
     leaked: ClassVar[list[bytes]] = []
     finished = 0
 
-    def take(self, kind: str, *told: Any) -> None:
-        self._pass(f"in:{kind}")
+    def handle(self, event: Any) -> None:
+        self._pass(f"in:{type(event).__name__}")
         fault, age = self.fault, time.monotonic() - self.born
         if age > fault.get("die_after", age):
             os.kill(os.getpid(), signal.SIGKILL)
-        if kind == "task":
-            in_hand = len(self.reducer.tries)
+        if isinstance(event, TaskReceived):
+            in_hand = len(self.machine.attempts)
             if age <= fault.get("cold", age) and in_hand >= fault.get("over", 0):
                 time.sleep(fault.get("stall", 0) / 1000)
             if fault.get("leak"):
                 self.leaked.append(os.urandom(1024) * fault["leak"])
-        if kind == "run_over" and fault.get("loses"):
+        if isinstance(event, RunCompleted) and fault.get("loses"):
             Faults.finished += 1
             if self.finished % fault["loses"] == 0:
-                told = (*told[:2], "failed", *told[3:])
-        super().take(kind, *told)
+                event = replace(event, outcome="failed")
+        super().handle(event)
 
-    def _carry_out(self, effect: tuple[Any, ...]) -> None:
-        self._pass(f"before:{effect[0]}")
+    def _carry_out(self, effect: Any) -> None:
+        self._pass(f"before:{type(effect).__name__}")
         super()._carry_out(effect)
-        self._pass(f"after:{effect[0]}")
+        self._pass(f"after:{type(effect).__name__}")
 
 
-class LabAttended(Faults, AttendedService):
+class LabHandover(Faults, HandoverService):
     """One that follows another, and is followed."""
 
 
 def keep_right() -> None:
     """Leaves a protection out: one that has handed over takes and starts tasks as before."""
-    from thistleline.durable.served_value import Worth
-    from thistleline.handover.state_machine import Succeeding
-    from thistleline.state.state_machine import Reducer
+    from thistleline.durable.served_value import ServedValueTracker
+    from thistleline.handover.state_machine import HandoverStateMachine
+    from thistleline.state.state_machine import ServerStateMachine
 
-    def launch(self: Succeeding, task: str, run: Any) -> None:
-        if self.stands == "handed":
-            Reducer._launch(self, task, run)
+    def launch(self: HandoverStateMachine, task: str, run: Any) -> None:
+        if self.handover_stage == "handed":
+            ServerStateMachine.launch(self, task, run)
         else:
             had(self, task, run)
 
-    had = Succeeding._launch
-    for name, put in (("_launch", launch), ("_task", Worth._task), ("_shut", lambda self: None)):
-        setattr(Succeeding, name, put)
+    had = HandoverStateMachine.launch
+    for name, put in (
+        ("launch", launch),
+        ("_admit", ServedValueTracker._admit),
+        ("_on_task", ServedValueTracker._on_task),
+        ("close_down", lambda self: None),
+    ):
+        setattr(HandoverStateMachine, name, put)
 
 
 def main() -> int:
@@ -155,17 +162,17 @@
     if fault.get("keeps"):
         keep_right()
     if fault.get("figures"):
-        setattr(service, "FIGURES_EVERY", float(fault["figures"]))  # noqa: B010
+        setattr(service, "FIGURES_INTERVAL", float(fault["figures"]))  # noqa: B010
     if fault.get("each"):
         from thistleline.ledger import state as ledger_state
 
         ledger_state.MAX_GROUP_RECORDS = 1
     named = os.environ.get("THISTLELINE_CONF")
     conf = read_conf(named) if named else None
-    serves = LabAttended if conf is not None and conf.handover is not None else Faults
+    serves = LabHandover if conf is not None and conf.handover is not None else Faults
     try:
         anyio.run(serves(configuration, conf).run)
-    except Unusable as error:
+    except ConfigurationError as error:
         complain(str(error))
         return 2
     return 0
--- a/thistleline/server/__init__.py
+++ b/thistleline/server/__init__.py
@@ -1,1 +1,1 @@
-"""Start and stop: what carries the effects out, from the first phase to the exit."""
+"""The server process: it carries out the state machine's effects, from the first phase to the exit."""
--- a/thistleline/server/agent_link.py
+++ b/thistleline/server/agent_link.py
@@ -1,110 +1,164 @@
-"""The link to the render farm agent: held open, made anew when it ends."""
+"""The link to the agent that runs tasks: held open, made anew when it ends."""
 
 from collections.abc import Callable
+from typing import Any
 
 import anyio
 from anyio.abc import TaskGroup
 
 from thistleline.server.configuration import Address
-from thistleline.server.streams import Dials, Stream
+from thistleline.server.streams import ReconnectBackoff, Stream
+from thistleline.state.effects import (
+    CheckAgent,
+    DeliverCallResult,
+    MeasureGauges,
+    SkipRunCall,
+    StartRun,
+    StopRun,
+)
+from thistleline.state.events import (
+    AgentGreeted,
+    AgentLost,
+    CallWanted,
+    CommandDeclined,
+    DeepCheckCompleted,
+    GaugesMeasured,
+    RemarkReceived,
+    RunCompleted,
+    UnknownNotice,
+)
 from thistleline.wire import agent
 from thistleline.wire.settings import Malformed
 
-WRITE_BOUND = 4 * 1024 * 1024
-DIAL_FIRST, DIAL_MOST = 1.0, 16.0  # s, for a connection
-PAUSES = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4)  # after a link that carried nothing, the last again and again
+MAX_UNWRITTEN = 4 * 1024 * 1024  # bytes
+CONNECT_TIMEOUT = 1.0  # s, for the first attempt to connect
+MAX_CONNECT_TIMEOUT = 16.0  # s
+# Seconds after a link that carried nothing, by such links in a row; the last again and again.
+RECONNECT_DELAYS = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4)
+
+NOTICE_EVENTS: dict[str, Callable[..., Any]] = {
+    "agent_up": AgentGreeted,
+    "run_over": RunCompleted,
+    "wants_call": CallWanted,
+    "measured": GaugesMeasured,
+    "deep_checked": DeepCheckCompleted,
+    "declined": CommandDeclined,
+    "remark": RemarkReceived,
+    "unknown": UnknownNotice,
+}
 
 
 class AgentLink:
-    def __init__(self, address: Address, take: Callable[..., None], group: TaskGroup) -> None:
-        self.address, self.take, self.group = address, take, group
+    """One link after another to the agent."""
+
+    def __init__(self, address: Address, handle: Callable[[Any], None], group: TaskGroup) -> None:
+        """Begin without a link.
+
+        Args:
+            address: Where the agent listens.
+            handle: Takes the agent's notices as events.
+            group: Where streams do what takes time.
+        """
+        self.address = address
+        self.handle = handle
         self.stream: Stream | None = None
-        self.trying = anyio.CancelScope()
-        self.dials = Dials(DIAL_FIRST, DIAL_MOST)
+        self._group = group
+        self._attempt = anyio.CancelScope()
+        self._backoff = ReconnectBackoff(CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT)
 
     def move(self, address: Address) -> None:
-        """The agent is elsewhere now: ends the link, or the try to make one, and makes one there at once."""
+        """Link to the agent at another address; the present link or attempt at one ends at once."""
         if address != self.address:
-            self.address, self.dials = address, Dials(DIAL_FIRST, DIAL_MOST)
+            self.address = address
+            self._backoff = ReconnectBackoff(CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT)
             self.flush()
-            self.trying.cancel()
+            self._attempt.cancel()
+
+    async def hold(self, last_notice: Callable[[], int]) -> None:
+        """Make one link after another.
 
-    async def hold(self, notice: Callable[[], int]) -> None:
-        tries = 0
+        Args:
+            last_notice: Returns the number of the last notice that was handled.
+        """
+        idle_links = 0
         while True:
-            with anyio.CancelScope() as self.trying:
-                # Cores may idle without a link; guards against pauses that grow by breaks in a row.
-                if await self._link(notice):
-                    tries = 0
-                await anyio.sleep(PAUSES[min(tries, len(PAUSES) - 1)])
-                tries += 1
-            if self.trying.cancelled_caught:
-                tries = 0
-
-    async def _link(self, notice: Callable[[], int]) -> bool:
-        """One link from its making to its end; whether it carried a notice. The reducer hears of the end
-        before another is made."""
-        why, carried = "closed", False
+            with anyio.CancelScope() as self._attempt:
+                # Cores may idle without a link, so delays grow only by links in a row that carried nothing.
+                if await self._serve_link(last_notice()):
+                    idle_links = 0
+                await anyio.sleep(RECONNECT_DELAYS[min(idle_links, len(RECONNECT_DELAYS) - 1)])
+                idle_links += 1
+            if self._attempt.cancelled_caught:
+                idle_links = 0
+
+    async def _serve_link(self, last_notice: int) -> bool:
+        """Make one link and serve it to its end; tell whether it carried a notice.
+
+        The state machine is told of the end before another link is made.
+        """
+        reason = "closed"
+        carried = False
         try:
-            sock = await self.dials.dial(self.address)
-            self.stream = Stream(sock, self.group, agent.BUFFER_BOUND, WRITE_BOUND)
-            self.stream.write(agent.subscribe(notice()))
+            sock = await self._backoff.connect(self.address)
+            self.stream = Stream(sock, self._group, agent.BUFFER_BOUND, MAX_UNWRITTEN)
+            self.stream.write(agent.subscribe(last_notice))
             self.stream.flush()
             while True:
-                self.stream.ask()
+                self.stream.request_read()
                 if not await self.stream.read():
                     break
-                for told in agent.notices(self.stream.buffer):
+                for kind, *values in agent.notices(self.stream.buffer):
                     carried = True
-                    self.take(*told)
+                    self.handle(NOTICE_EVENTS[kind](*values))
         except (OSError, TimeoutError, anyio.ClosedResourceError) as error:
-            why = str(error) or type(error).__name__
+            reason = str(error) or type(error).__name__
         except Exception as error:  # whatever a link brings ends that link alone
-            why = f"{type(error).__name__}: {error}"
+            reason = f"{type(error).__name__}: {error}"
             if isinstance(error, Malformed):
-                carried = False  # guards the processor against an agent that says the same again at once
+                carried = False  # an agent that says the same again at once costs no processor time
         finally:
             if self.stream is not None:
                 self.stream.close()
                 self.stream = None
-            self.take("agent_lost", why)
+            self.handle(AgentLost(reason))
         return carried
 
     # ---- effects
 
-    def effects(self) -> dict[str, Callable[..., None]]:
-        """What it carries out, by the kind of effect."""
+    def effect_handlers(self) -> dict[type, Callable[[Any], None]]:
+        """Return what carries out each class of effect."""
         return {
-            "start": self.start,
-            "stop": self.stop,
-            "measure": self.measure,
-            "deep_check": self.deep_check,
-            "deliver": self.deliver,
-            "skip_call": self.skip_call,
+            StartRun: self._start,
+            StopRun: self._stop,
+            MeasureGauges: self._measure,
+            CheckAgent: self._check,
+            DeliverCallResult: self._deliver,
+            SkipRunCall: self._skip_call,
         }
 
     def _write(self, data: bytes) -> None:
         if self.stream is not None:
             self.stream.write(data)
 
-    def start(self, task: str, stage: str, body: bytes) -> None:
-        self._write(agent.start(task, stage, body))
+    def _start(self, effect: StartRun) -> None:
+        self._write(agent.start(effect.attempt_id, effect.stage, effect.body))
 
-    def stop(self, task: str) -> None:
-        self._write(agent.stop(task))
+    def _stop(self, effect: StopRun) -> None:
+        self._write(agent.stop(effect.attempt_id))
 
-    def measure(self, tag: str) -> None:
-        self._write(agent.measure(tag))
+    def _measure(self, effect: MeasureGauges) -> None:
+        self._write(agent.measure(effect.tag))
 
-    def deep_check(self, tag: str) -> None:
-        self._write(agent.deep_check(tag))
+    def _check(self, effect: CheckAgent) -> None:
+        self._write(agent.deep_check(effect.tag))
 
-    def deliver(self, task: str, result: bytes) -> None:
-        self._write(agent.deliver(task, result))
+    def _deliver(self, effect: DeliverCallResult) -> None:
+        self._write(agent.deliver(effect.attempt_id, effect.result))
 
-    def skip_call(self, task: str, number: int) -> None:
-        self._write(agent.skip_call(task, number))
+    def _skip_call(self, effect: SkipRunCall) -> None:
+        self._write(agent.skip_call(effect.attempt_id, effect.number))
 
     def flush(self) -> None:
+        """Write all that lies ready."""
         if self.stream is not None and not self.stream.flush():
             self.stream.close()  # the reader learns of it and makes a new link
--- a/thistleline/server/announcer.py
+++ b/thistleline/server/announcer.py
@@ -1,170 +1,219 @@
 """Reports to the announce service while the server may take tasks."""
 
 from collections.abc import Callable
+from typing import Any
 
 import anyio
 from anyio.abc import TaskGroup
 
 from thistleline.server.configuration import Address
-from thistleline.server.streams import Dials, Stream
+from thistleline.server.streams import ReconnectBackoff, Stream
+from thistleline.state.effects import AnnounceAccepting
 from thistleline.wire.announce import Reports
 
-EVERY = 1.0  # an entry lapses three seconds after the last report
-PAUSE = 0.25  # after one that failed
-ATTEMPTS = 3  # reports that may be under way at once, so that a slow answer holds none of them up
-PATIENCE = 10.0  # for an answer
-DIAL_FIRST, DIAL_MOST = 2.0, 8.0
-SILENCE = 2.0  # without an answer, that the log tells of
-ANSWER_BOUND = 16 * 1024  # bytes of an answer
+# Seconds.
+REPORT_INTERVAL = 1.0  # an entry lapses three seconds after the last report
+RETRY_DELAY = 0.25  # after a report that failed
+ANSWER_TIMEOUT = 10.0
+CONNECT_TIMEOUT = 2.0  # for the first attempt to connect
+MAX_CONNECT_TIMEOUT = 8.0
+SILENCE_TIMEOUT = 2.0  # without an answer, after which the log says so
 
+MAX_REPORTS = 3  # that may be under way at once, so that a slow answer holds none of them up
+MAX_ANSWER_BYTES = 16 * 1024
 
-class Attempt:
+
+class Report:
     """One report on its way; where it is answered its connection may carry the next."""
 
-    __slots__ = ("good", "reports", "scope", "stream", "taking")
+    __slots__ = ("accepting", "http", "scope", "stream", "succeeded")
 
-    def __init__(self, taking: bool) -> None:
-        self.taking = taking
-        self.good: bool | None = None  # how it ended
+    def __init__(self, accepting: bool) -> None:
+        """Make a report that says whether the server accepts tasks."""
+        self.accepting = accepting
+        self.succeeded: bool | None = None  # None until it has ended
         self.scope = anyio.CancelScope()
         self.stream: Stream | None = None
-        self.reports: Reports | None = None
+        self.http: Reports | None = None
 
 
 class Announcer:
+    """Says every second whether this server accepts tasks."""
+
     def __init__(self, name: str, address: Address, group: TaskGroup, log: Callable[..., None]) -> None:
-        self.name, self.address, self.group, self.log = name, address, group, log
-        self.taking = True
-        self.changed = anyio.Event()  # what is to be told, or where, or a report has ended
-        self.version = 0  # of what is to be told and where
-        self.dials = Dials(DIAL_FIRST, DIAL_MOST)
-        self.idle: tuple[Stream, Reports] | None = None
-        self.attempts: dict[Attempt, None] = {}  # the oldest first
-        self.told: bool | None = None  # the state that was last answered for
-        self.healthy = True
-        self.why = ""  # of the last that failed since one was answered
-        self.answered_at = 0.0
-
-    def effects(self) -> dict[str, Callable[..., None]]:
-        """What it carries out, by the kind of effect."""
-        return {"report": self.tell}
-
-    def tell(self, taking: bool) -> None:
-        self.taking, self.told = taking, None
-        self.version += 1
-        self._drop_attempts()  # one of an older state must not arrive after this one
-        self.changed.set()
+        """Begin with a server that accepts.
+
+        Args:
+            name: Of the server.
+            address: Of the announce service.
+            group: Where reports are made.
+            log: Takes an event and its facts.
+        """
+        self.name = name
+        self.address = address
+        self._group = group
+        self._log = log
+        self._accepting = True
+        self._version = 0  # of what is to be told and where
+        self._changed = anyio.Event()  # what is to be told, or where, or a report has ended
+        self._backoff = ReconnectBackoff(CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT)
+        self._idle: tuple[Stream, Reports] | None = None  # a connection that can carry a further report
+        self._reports: dict[Report, None] = {}  # under way, the oldest first
+        self._acknowledged: bool | None = None  # the state that was last answered for
+        self._healthy = True
+        self._failure = ""  # of the last that failed since one was answered
+        self._answered_at = 0.0
+
+    def effect_handlers(self) -> dict[type, Callable[[Any], None]]:
+        """Return what carries out each class of effect."""
+        return {AnnounceAccepting: self._announce}
+
+    def _announce(self, effect: AnnounceAccepting) -> None:
+        self._accepting = effect.accepting
+        self._acknowledged = None
+        self._begin_version()
 
     def move(self, address: Address) -> None:
-        """The announce service is elsewhere now: it is told at once what the old one was told."""
+        """Tell an announce service at another address, at once, what the old one was told."""
         if address != self.address:
-            self.address, self.dials, self.told = address, Dials(DIAL_FIRST, DIAL_MOST), None
-            self.version += 1
-            self._drop_attempts()
+            self.address = address
+            self._backoff = ReconnectBackoff(CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT)
+            self._acknowledged = None
             self._drop_idle()
-            self.changed.set()
+            self._begin_version()
 
-    def _drop_attempts(self) -> None:
-        attempts, self.attempts = self.attempts, {}
-        for attempt in attempts:
-            attempt.scope.cancel()
+    def _begin_version(self) -> None:
+        self._version += 1
+        self._drop_reports()  # one of an older state must not arrive after this one
+        self._changed.set()
+
+    def _drop_reports(self) -> None:
+        dropped = self._reports
+        self._reports = {}
+        for report in dropped:
+            report.scope.cancel()
 
     def _drop_idle(self) -> None:
-        if self.idle is not None:
-            self.idle[0].close()
-            self.idle = None
+        if self._idle is not None:
+            self._idle[0].close()
+            self._idle = None
 
     async def keep_reporting(self) -> None:
-        """Ends with the first report that nothing is accepted any more: the entry may lapse then. A report
-        goes out every second whether or not those before it were answered."""
-        self.answered_at = anyio.current_time()
+        """Report every second, whether or not earlier reports were answered.
+
+        Ends with the first report that nothing is accepted any more: the entry may lapse then.
+        """
+        self._answered_at = anyio.current_time()
         try:
             while True:
                 begun = anyio.current_time()
-                attempt = self._begin()
-                await self._until(begun + EVERY, attempt)
-                if self.told is False and not self.taking:
+                report = self._begin()
+                await self._wait(begun + REPORT_INTERVAL, report)
+                if self._acknowledged is False and not self._accepting:
                     return
-                if anyio.current_time() - self.answered_at >= SILENCE:
-                    self._health(False, self.why or "no answer")
-                if attempt.good is not None:
-                    await self._until(begun + EVERY if attempt.good else anyio.current_time() + PAUSE)
+                if anyio.current_time() - self._answered_at >= SILENCE_TIMEOUT:
+                    self._set_health(False, self._failure or "no answer")
+                if report.succeeded is not None:
+                    retry_at = anyio.current_time() + RETRY_DELAY
+                    await self._wait(begun + REPORT_INTERVAL if report.succeeded else retry_at)
         finally:
-            self._drop_attempts()
+            self._drop_reports()
             self._drop_idle()
 
-    async def _until(self, due: float, attempt: Attempt | None = None) -> None:
-        """Until then, until the report has ended, or until there is something else to tell."""
-        version = self.version
+    async def _wait(self, deadline: float, report: Report | None = None) -> None:
+        """Wait for the deadline, for the report's end, or until there is something else to tell."""
+        version = self._version
         while (
-            anyio.current_time() < due
-            and version == self.version
-            and (attempt is None or attempt.good is None)
+            anyio.current_time() < deadline
+            and version == self._version
+            and (report is None or report.succeeded is None)
         ):
-            self.changed = anyio.Event()
-            with anyio.move_on_at(due):
-                await self.changed.wait()
-
-    def _health(self, healthy: bool, why: str = "") -> None:
-        if healthy != self.healthy:
-            self.healthy = healthy
-            self.log("announce", state="up" if healthy else "down", why=why)
-
-    def _begin(self) -> Attempt:
-        while len(self.attempts) >= ATTEMPTS:
-            oldest = next(iter(self.attempts))
-            del self.attempts[oldest]
+            self._changed = anyio.Event()
+            with anyio.move_on_at(deadline):
+                await self._changed.wait()
+
+    def _set_health(self, healthy: bool, reason: str = "") -> None:
+        if healthy != self._healthy:
+            self._healthy = healthy
+            self._log("announce", state="up" if healthy else "down", why=reason)
+
+    # ---- one report
+
+    def _begin(self) -> Report:
+        while len(self._reports) >= MAX_REPORTS:
+            oldest = next(iter(self._reports))
+            del self._reports[oldest]
             oldest.scope.cancel()
-        attempt = Attempt(self.taking)
-        self.attempts[attempt] = None
-        self.group.start_soon(self._report, attempt)
-        return attempt
-
-    async def _report(self, attempt: Attempt) -> None:
-        """Whatever a report brings ends that report's connection alone."""
-        status, why = 0, ""
-        with attempt.scope:
+        report = Report(self._accepting)
+        self._reports[report] = None
+        self._group.start_soon(self._run, report)
+        return report
+
+    async def _run(self, report: Report) -> None:
+        """Make one report; whatever it brings ends its connection alone."""
+        status = 0
+        failure = ""
+        with report.scope:
             try:
-                status = await self._ask(attempt)
-                why = "" if status == 204 else f"status {status}"
+                status = await self._send(report)
+                failure = "" if status == 204 else f"status {status}"
             except Exception as error:
-                why = str(error) or type(error).__name__
-        attempt.good = not why
-        mine = attempt in self.attempts  # else the state or the service is another one by now
-        self.attempts.pop(attempt, None)
-        stream, reports = attempt.stream, attempt.reports
-        if stream is not None and reports is not None:
-            if mine and status and not why and self.idle is None and reports.again():
-                self.idle = stream, reports
-            else:
-                stream.close()
-        if not mine:
+                failure = str(error) or type(error).__name__
+        report.succeeded = not failure
+        is_current = report in self._reports  # else the state or the service is another one by now
+        self._reports.pop(report, None)
+        self._release(report, is_reusable=is_current and bool(status) and not failure)
+        if not is_current:
             return
-        if why:
-            self.why = why
+        if failure:
+            self._failure = failure
         else:
-            self.told, self.answered_at, self.why = attempt.taking, anyio.current_time(), ""
-            self._health(True)
-        self.changed.set()
-
-    async def _ask(self, attempt: Attempt) -> int:
-        if self.idle is not None:
-            (attempt.stream, attempt.reports), self.idle = self.idle, None
+            self._acknowledged = report.accepting
+            self._answered_at = anyio.current_time()
+            self._failure = ""
+            self._set_health(True)
+        self._changed.set()
+
+    def _release(self, report: Report, is_reusable: bool) -> None:
+        """Keep the report's connection for the next one, or close it."""
+        if report.stream is None or report.http is None:
+            return
+        if is_reusable and self._idle is None and report.http.again():
+            self._idle = report.stream, report.http
         else:
-            host, port = self.address
-            sock = await self.dials.dial(self.address)
-            attempt.stream = Stream(sock, self.group, ANSWER_BOUND, ANSWER_BOUND)
-            attempt.reports = Reports(f"{host}:{port}")
-        stream, reports = attempt.stream, attempt.reports
-        stream.write(reports.report(self.name, attempt.taking))
+            report.stream.close()
+
+    async def _send(self, report: Report) -> int:
+        """Send the report and return the status of its answer.
+
+        Raises:
+            OSError: No connection can be made, or the answer has no end.
+            TimeoutError: The answer did not come in time.
+            h11.RemoteProtocolError: The answer makes no sense.
+        """
+        stream, http = await self._connect(report)
+        stream.write(http.report(self.name, report.accepting))
         stream.flush()
         read = 0
-        with anyio.fail_after(PATIENCE):
-            while read < ANSWER_BOUND:
-                stream.ask()
+        with anyio.fail_after(ANSWER_TIMEOUT):
+            while read < MAX_ANSWER_BYTES:
+                stream.request_read()
                 count = await stream.read()
                 read += count
-                status = reports.answered(stream.buffer.take(count))
+                status = http.answered(stream.buffer.take(count))
                 if status is not None:
                     return status
         raise OSError("an answer without end")
+
+    async def _connect(self, report: Report) -> tuple[Stream, Reports]:
+        if self._idle is not None:
+            stream, http = self._idle
+            self._idle = None
+        else:
+            host, port = self.address
+            sock = await self._backoff.connect(self.address)
+            stream = Stream(sock, self._group, MAX_ANSWER_BYTES, MAX_ANSWER_BYTES)
+            http = Reports(f"{host}:{port}")
+        report.stream = stream
+        report.http = http
+        return stream, http
--- a/thistleline/server/backend.py
+++ b/thistleline/server/backend.py
@@ -1,4 +1,4 @@
-"""The link to the back end: made with the first call, and anew when a call wants it; moved with calls out."""
+"""The link to the back end, the downstream dependency: made when a call wants it."""
 
 from collections.abc import Callable
 from typing import Any
@@ -6,140 +6,172 @@
 import anyio
 from anyio.abc import TaskGroup
 
+from thistleline.interface import CallOutcome
 from thistleline.server.configuration import Address
-from thistleline.server.streams import Dials, Stream
+from thistleline.server.streams import ReconnectBackoff, Stream
+from thistleline.state.effects import CancelCall, StartCall
+from thistleline.state.events import CallCompleted
 from thistleline.wire import backend
 
-WRITE_BOUND = 4 * 1024 * 1024
-DIAL_FIRST, DIAL_MOST = 1.0, 16.0  # s, for a connection; a call that waits for it has its own patience
-PAUSES = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4)  # after a dial that failed, the last again and again
+MAX_UNWRITTEN = 4 * 1024 * 1024  # bytes
+CONNECT_TIMEOUT = 1.0  # s, for the first attempt to connect; a call that waits for it has its own timeout
+MAX_CONNECT_TIMEOUT = 16.0  # s
+# Seconds after an attempt to connect that failed, by such in a row; the last again and again.
+RECONNECT_DELAYS = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4)
 
 
-class Link:
-    """One connection and the calls that are out on it."""
+class BackendConnection:
+    """One connection and the calls that are in flight on it."""
 
     def __init__(self, stream: Stream) -> None:
+        """Begin without calls."""
         self.stream = stream
-        self.out: set[str] = set()
-        self.cancelled: set[str] = set()  # of these an end may still come
+        self.in_flight: set[str] = set()
+        self.cancelled: set[str] = set()  # attempt ids of calls whose end may still come
 
 
 class BackendLink:
-    def __init__(self, address: Address | None, take: Callable[..., None], group: TaskGroup) -> None:
-        self.address, self.take, self.group = address, take, group
-        self.dials = Dials(DIAL_FIRST, DIAL_MOST)
-        self.pending: dict[str, tuple[int, bytes]] = {}  # calls that wait for a link
-        self.wanted = anyio.Event()
-        self.link: Link | None = None
-        self.calls: dict[str, Link] = {}
+    """One connection after another to the back end, and the calls on them, by attempt id."""
+
+    def __init__(
+        self, address: Address | None, handle: Callable[[CallCompleted], None], group: TaskGroup
+    ) -> None:
+        """Begin without a connection.
+
+        Args:
+            address: Where the back end listens; None where there is none.
+            handle: Takes the ends of calls.
+            group: Where connections are read.
+        """
+        self.address = address
+        self._handle = handle
+        self._group = group
+        self._backoff = ReconnectBackoff(CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT)
+        self._pending: dict[str, StartCall] = {}  # calls that wait for a connection
+        self._wanted = anyio.Event()
+        self._current: BackendConnection | None = None
+        self._calls: dict[str, BackendConnection] = {}
 
     def move(self, address: Address | None) -> None:
-        """The back end is elsewhere now: what is out there may end there, what comes goes to the new one."""
+        """Send new calls to another address; what is in flight may end where it is."""
         if address != self.address:
-            self.address, self.dials = address, Dials(DIAL_FIRST, DIAL_MOST)
+            self.address = address
+            self._backoff = ReconnectBackoff(CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT)
             self._retire()
 
     def _retire(self) -> None:
-        """What is out on the link may end there; the next call has a new one."""
-        link, self.link = self.link, None
-        if link is not None and not link.out:
-            link.stream.close()
+        """Let the next call have a new connection; what is in flight on the present one may end there."""
+        retired = self._current
+        self._current = None
+        if retired is not None and not retired.in_flight:
+            retired.stream.close()
 
     async def hold(self) -> None:
-        tries = 0
+        """Make a connection whenever a call waits for one."""
+        failures = 0
         while True:
-            self.wanted = anyio.Event()
-            if not self.pending:
-                await self.wanted.wait()
-            if self.link is not None:
+            self._wanted = anyio.Event()
+            if not self._pending:
+                await self._wanted.wait()
+            if self._current is not None:
                 self._send_pending()
             elif await self._make():
-                tries = 0
+                failures = 0
             else:
-                await anyio.sleep(PAUSES[min(tries, len(PAUSES) - 1)])
-                tries += 1
+                await anyio.sleep(RECONNECT_DELAYS[min(failures, len(RECONNECT_DELAYS) - 1)])
+                failures += 1
 
     async def _make(self) -> bool:
-        """Makes a link for what is pending. Where none can be had nothing of it has run."""
+        """Make a connection for the pending calls; where none can be had nothing of them has run."""
         address = self.address
         try:
             if address is None:
                 raise OSError("the configuration names no back end")
-            sock = await self.dials.dial(address)
-            stream = Stream(sock, self.group, backend.BUFFER_BOUND, WRITE_BOUND)
+            sock = await self._backoff.connect(address)
+            stream = Stream(sock, self._group, backend.BUFFER_BOUND, MAX_UNWRITTEN)
         except (OSError, TimeoutError):
-            pending, self.pending = self.pending, {}
-            for name in pending:
-                self.take("call_over", name, "unreachable", b"")
+            pending = self._pending
+            self._pending = {}
+            for attempt_id in pending:
+                self._handle(CallCompleted(attempt_id, "unreachable", b""))
             return False
         if address != self.address:
             stream.close()
             return True
-        self.link = Link(stream)
-        self.group.start_soon(self._read, self.link)
+        self._current = BackendConnection(stream)
+        self._group.start_soon(self._serve, self._current)
         self._send_pending()
         return True
 
     def _send_pending(self) -> None:
-        pending, self.pending = self.pending, {}
-        for name, (patience, body) in pending.items():
-            self.call(name, patience, body)
+        pending = self._pending
+        self._pending = {}
+        for call in pending.values():
+            self._start_call(call)
         self.flush()
 
-    async def _read(self, link: Link) -> None:
-        """One link to its end; whatever it brings ends that link alone."""
+    async def _serve(self, connection: BackendConnection) -> None:
+        """Read one connection to its end; whatever it brings ends that connection alone."""
         try:
             while True:
-                link.stream.ask()
-                if not await link.stream.read():
+                connection.stream.request_read()
+                if not await connection.stream.read():
                     break
-                for told in backend.ends(link.stream.buffer):
-                    link.cancelled.discard(told[1])
-                    if told[1] in link.out:
-                        self._over(link, told[1])
-                        self.take(*told)
-                if link is not self.link and not link.out:
+                for _, attempt_id, outcome, result in backend.ends(connection.stream.buffer):
+                    self._call_ended(connection, attempt_id, outcome, result)
+                if connection is not self._current and not connection.in_flight:
                     break
         except Exception:
-            pass  # told below, call by call
+            pass  # the calls in flight are told of it below
         finally:
-            if self.link is link:
-                self.link = None
-            link.stream.close()
-            for name in list(link.out):
-                self._over(link, name)
-                self.take("call_over", name, "aborted", b"")
-
-    def _over(self, link: Link, name: str) -> None:
-        link.out.discard(name)
-        if self.calls.get(name) is link:
-            del self.calls[name]
+            if self._current is connection:
+                self._current = None
+            connection.stream.close()
+            for attempt_id in list(connection.in_flight):
+                self._forget(connection, attempt_id)
+                self._handle(CallCompleted(attempt_id, "aborted", b""))
+
+    def _call_ended(
+        self, connection: BackendConnection, attempt_id: str, outcome: CallOutcome, result: bytes
+    ) -> None:
+        connection.cancelled.discard(attempt_id)
+        if attempt_id in connection.in_flight:
+            self._forget(connection, attempt_id)
+            self._handle(CallCompleted(attempt_id, outcome, result))
+
+    def _forget(self, connection: BackendConnection, attempt_id: str) -> None:
+        connection.in_flight.discard(attempt_id)
+        if self._calls.get(attempt_id) is connection:
+            del self._calls[attempt_id]
 
     # ---- effects
 
-    def effects(self) -> dict[str, Callable[..., Any]]:
-        """What it carries out, by the kind of effect."""
-        return {"call": self.call, "cancel_call": self.cancel_call}
-
-    def call(self, name: str, patience: int, body: bytes) -> None:
-        if self.link is not None and name in self.link.cancelled:
-            self._retire()  # guards against the end of the call before, which bears the same name
-        if self.link is None or self.link.stream.closed:
-            self.pending[name] = patience, body
-            self.wanted.set()
+    def effect_handlers(self) -> dict[type, Callable[[Any], None]]:
+        """Return what carries out each class of effect."""
+        return {StartCall: self._start_call, CancelCall: self._cancel_call}
+
+    def _start_call(self, effect: StartCall) -> None:
+        attempt_id = effect.attempt_id
+        if self._current is not None and attempt_id in self._current.cancelled:
+            self._retire()  # the end of the call before bears the same id and may still come
+        if self._current is None or self._current.stream.closed:
+            self._pending[attempt_id] = effect
+            self._wanted.set()
         else:
-            self.link.stream.write(backend.call(name, patience, body))
-            self.link.out.add(name)
-            self.calls[name] = self.link
-
-    def cancel_call(self, name: str) -> None:
-        self.pending.pop(name, None)
-        link = self.calls.get(name)
-        if link is not None:
-            link.stream.write(backend.cancel(name))
-            link.cancelled.add(name)
-            self._over(link, name)
+            self._current.stream.write(backend.call(attempt_id, effect.timeout, effect.body))
+            self._current.in_flight.add(attempt_id)
+            self._calls[attempt_id] = self._current
+
+    def _cancel_call(self, effect: CancelCall) -> None:
+        attempt_id = effect.attempt_id
+        self._pending.pop(attempt_id, None)
+        connection = self._calls.get(attempt_id)
+        if connection is not None:
+            connection.stream.write(backend.cancel(attempt_id))
+            connection.cancelled.add(attempt_id)
+            self._forget(connection, attempt_id)
 
     def flush(self) -> None:
-        if self.link is not None and not self.link.stream.flush():
-            self.link.stream.close()  # the reader learns of it
+        """Write all that lies ready."""
+        if self._current is not None and not self._current.stream.flush():
+            self._current.stream.close()  # the reader learns of it
--- a/thistleline/server/configuration.py
+++ b/thistleline/server/configuration.py
@@ -12,31 +12,35 @@
 
 Address = tuple[str, int]
 MS = 1_000_000
-NUMBER_BOUND = 1e12
-MEMORY_MB, DESCRIPTORS = 192, 1024  # where no limit is told: the most that the platform gives
+MAX_NUMBER = 1e12
+# Where the file gives no limits: the most that the platform gives.
+DEFAULT_MEMORY_MB = 192
+DEFAULT_DESCRIPTORS = 1024
 
 
-class Unusable(Exception):
-    """What the program is to stand on can't be used; says why in a line."""
+class ConfigurationError(Exception):
+    """What the server needs can't be used; the message says why in a line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
+    """What a server reads at its start."""
+
     name: str
     listen: Address
     agent: Address
     announce: Address
-    backend: Address | None  # what lies below, where the site has it
-    seed: int
-    stop_span: int  # from the notice to leave to the stop
-    descriptors: int
-    memory: int  # bytes that the program may take
+    backend: Address | None  # the downstream dependency, where the site has one
+    seed: int  # of random draws
+    stop_timeout: int  # ns from the request to drain to the stop of the process
+    descriptors: int  # that the process may open
+    memory: int  # bytes that the process may take
     settings: ServerSettings
-    gauges: tuple[str, ...]
-    granularity: int
+    gauges: tuple[str, ...]  # names of the values that the agent measures, in its order
+    granularity: int  # ns, the least time between two rounds of the policy
 
     def facts(self) -> dict[str, Any]:
-        """What helps to read the log."""
+        """Return what helps to read the log."""
         return {
             "stages": {
                 stage.name: [
@@ -48,36 +52,23 @@
             },
             "cores": self.settings.cores,
             "memory_kb": self.settings.memory_kb,
-            "stop_ms": self.stop_span // MS,
+            "stop_ms": self.stop_timeout // MS,
             "granularity_us": self.granularity // 1000,
         }
 
 
 def read_configuration(environ: Mapping[str, str]) -> Configuration:
-    """Raises Malformed with one plain line; keys that are not known are passed over."""
+    """Read the file that ROUTER_CONFIG names; unknown keys are ignored.
+
+    Raises:
+        Malformed: It can't be used; the message is one line.
+    """
     path = environ.get("ROUTER_CONFIG")
     if not path:
         raise Malformed("ROUTER_CONFIG names no file")
     try:
         with open(path, "rb") as file:
-            told = orjson.loads(file.read())
-        settings = told["settings"]
-        limits = {} if told.get("limits") is None else told["limits"]
-        sockets, memory_mb = limits.get("sockets"), limits.get("memory_mb")
-        configuration = Configuration(
-            name=str(environ.get("ROUTER_NAME") or told["name"]),
-            listen=_address(environ.get("ROUTER_LISTEN") or told["listen"]),
-            agent=_address(told["agent"]),
-            announce=_address(told["announce"]),
-            backend=_address(told["backend"]) if told.get("backend") else None,
-            seed=int(str(told.get("seed") or 0), 16),
-            stop_span=_positive("stop_ms", told["stop_ms"], MS),
-            descriptors=_descriptors(None if sockets is None else _positive("sockets", sockets)),
-            memory=_positive("memory_mb", MEMORY_MB if memory_mb is None else memory_mb, 1024 * 1024),
-            settings=read_server_settings(settings),
-            gauges=read_gauges(settings),
-            granularity=read_granularity(settings),
-        )
+            return _build(orjson.loads(file.read()), environ)
     except OSError as error:
         raise Malformed(f"{path}: {error.strerror}") from error
     except Malformed as error:
@@ -86,23 +77,44 @@
         raise Malformed(f"{path}: {error.args[0]!r} is missing or unknown") from error
     except (ValueError, TypeError, ArithmeticError, AttributeError, LookupError) as error:
         raise Malformed(f"{path}: {' '.join(str(error).split()) or type(error).__name__}") from error
-    return configuration
+
+
+def _build(document: dict[str, Any], environ: Mapping[str, str]) -> Configuration:
+    settings = document["settings"]
+    limits = {} if document.get("limits") is None else document["limits"]
+    sockets = limits.get("sockets")
+    memory_mb = limits.get("memory_mb")
+    return Configuration(
+        name=str(environ.get("ROUTER_NAME") or document["name"]),
+        listen=_address(environ.get("ROUTER_LISTEN") or document["listen"]),
+        agent=_address(document["agent"]),
+        announce=_address(document["announce"]),
+        backend=_address(document["backend"]) if document.get("backend") else None,
+        seed=int(str(document.get("seed") or 0), 16),
+        stop_timeout=_positive("stop_ms", document["stop_ms"], MS),
+        descriptors=_descriptors(None if sockets is None else _positive("sockets", sockets)),
+        memory=_positive("memory_mb", DEFAULT_MEMORY_MB if memory_mb is None else memory_mb, 1024 * 1024),
+        settings=read_server_settings(settings),
+        gauges=read_gauges(settings),
+        granularity=read_granularity(settings),
+    )
 
 
 def _positive(name: str, value: Any, unit: int = 1) -> int:
-    """A number above zero, in whole units."""
+    """Return a number above zero, times the unit, as a whole number."""
     number = float(value)
-    if not 0 < number < NUMBER_BOUND:
+    if not 0 < number < MAX_NUMBER:
         raise Malformed(f"{name!r} is {value!r}, not a number above 0")
     return max(1, int(number * unit))
 
 
-def _descriptors(told: int | None) -> int:
-    """What the limits say, and no more than the system gives."""
-    most = os.sysconf("SC_OPEN_MAX")
-    if most <= 0:  # the system has no bound
-        return told or DESCRIPTORS
-    return min(told or DESCRIPTORS, most)
+def _descriptors(limit: int | None) -> int:
+    """Return the limit on descriptors, no more than the system gives."""
+    wanted = limit or DEFAULT_DESCRIPTORS
+    system_limit = os.sysconf("SC_OPEN_MAX")
+    if system_limit <= 0:  # the system has no limit
+        return wanted
+    return min(wanted, system_limit)
 
 
 def _address(text: Any) -> Address:
