--- a/thistleline/server/listener.py
+++ b/thistleline/server/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket and its connections to client stubs."""
+"""The listening socket and its connections to clients."""
 
 import errno
 import socket
@@ -14,48 +14,106 @@
 
 from thistleline.server.configuration import Address
 from thistleline.server.streams import Stream
+from thistleline.state.effects import (
+    AnswerAbandoned,
+    AnswerFinished,
+    AnswerHealth,
+    AnswerMisunderstood,
+    AnswerRejected,
+    CloseConnection,
+    DismissConnection,
+    ReadConnection,
+    StopAccepting,
+)
+from thistleline.state.events import (
+    ClientEvent,
+    ConnectionEnded,
+    ConnectionOpened,
+    HealthCheckReceived,
+    InputDrained,
+    MalformedReceived,
+    TaskReceived,
+)
 from thistleline.wire import thrift
 
-WRITE_BOUND = 256 * 1024  # a full connection's answers take under 140 KiB
-BACKLOG = 1024
-ACCEPTED_AT_ONCE = 64
-PAUSE = 0.05
-LINGER_SPAN = 1.0  # s, for a peer to read what it was told and to close
-LINGER_SPARE = 4  # connections that may linger where all others are open
+MAX_UNWRITTEN = 256 * 1024  # bytes; a full connection's answers take under 140 KiB
+BACKLOG = 1024  # connections that the kernel holds ready
+MAX_ACCEPTED_AT_ONCE = 64
+ACCEPT_RETRY_DELAY = 0.05  # s, where no descriptor or memory is to be had
+LINGER_TIMEOUT = 1.0  # s, for a peer to read what it was sent and to close
+SPARE_LINGERING = 4  # connections that may linger where all others are open
 # What the kernel says of one connection that came to nothing; the next may be well.
-CAME_TO_NOTHING = (
-    *(errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN, errno.ENOPROTOOPT, errno.EHOSTDOWN, errno.ENONET),
-    *(errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH, errno.EPERM, errno.ECONNRESET),
+CONNECTION_ERRORS = (
+    errno.ECONNABORTED,
+    errno.EPROTO,
+    errno.ENETDOWN,
+    errno.ENOPROTOOPT,
+    errno.EHOSTDOWN,
+    errno.ENONET,
+    errno.EHOSTUNREACH,
+    errno.EOPNOTSUPP,
+    errno.ENETUNREACH,
+    errno.EPERM,
+    errno.ECONNRESET,
 )
-NO_ROOM = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+
+MESSAGE_EVENTS: dict[str, Callable[..., ClientEvent]] = {
+    "task": TaskReceived,
+    "check": HealthCheckReceived,
+    "malformed": MalformedReceived,
+}
 
 
 def listen(address: Address) -> socket.socket:
+    """Return a non-blocking listening socket.
+
+    Raises:
+        OSError: The address can't be had.
+    """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     listener = socket.create_server(address, family=family, backlog=BACKLOG)
     listener.setblocking(False)
     return listener
 
 
-class Front:
+class ClientListener:
+    """Accepts connections, reads messages from them and writes answers."""
+
     def __init__(
         self,
         listener: socket.socket,
-        stubs: thrift.Stubs,
-        take: Callable[..., None],
+        codec: thrift.Stubs,
+        handle: Callable[[ClientEvent], None],
         group: TaskGroup,
-        bound: int = sys.maxsize,
+        max_connections: int = sys.maxsize,
     ) -> None:
-        """`bound`: connections that may be open, those that linger among them."""
+        """Begin without connections.
+
+        Args:
+            listener: The listening socket.
+            codec: Reads messages.
+            handle: Takes them as events.
+            group: Where connections are read.
+            max_connections: That may be open, those that linger among them.
+        """
         self.listener: socket.socket | None = listener
-        self.stubs, self.take, self.group, self.bound = stubs, take, group, bound
-        self.streams: dict[int, Stream] = {}
-        self.written: dict[int, Stream] = {}
-        self.lingering: OrderedDict[int, Stream] = OrderedDict()  # closed for the reducer; the oldest first
-        self.quiet: anyio.Event | None = None  # set once none lingers, where somebody waits for that
-        self.count = 0
+        self._codec = codec
+        self._handle = handle
+        self._group = group
+        self._max_connections = max_connections
+        self._streams: dict[int, Stream] = {}
+        self._written: dict[int, Stream] = {}  # since the last flush
+        self._lingering: OrderedDict[int, Stream] = (
+            OrderedDict()
+        )  # closed for the state machine, oldest first
+        self._quiet: anyio.Event | None = None  # set once none lingers, where somebody waits for that
+        self._accepted = 0  # connections so far
+
+    # ---- connections
 
     async def accept(self) -> None:
+        """Accept connections until told to stop."""
         while (listener := self.listener) is not None:
             try:
                 await anyio.wait_readable(listener)
@@ -66,143 +124,169 @@
             except anyio.ClosedResourceError:
                 return
             except OSError:
-                await anyio.sleep(PAUSE)  # no descriptor or memory is to be had just now
+                await anyio.sleep(ACCEPT_RETRY_DELAY)
 
     def _accept_some(self, listener: socket.socket) -> bool:
-        """Whether there may be more; guards the other tasks against a flood of connections. Raises OSError
-        where there is no room, or nothing to listen on."""
-        for _ in range(ACCEPTED_AT_ONCE):
+        """Accept some connections; false where there are no more. A flood of them holds up no other task.
+
+        Raises:
+            OSError: There is no room, or nothing to listen on.
+        """
+        for _ in range(MAX_ACCEPTED_AT_ONCE):
             try:
                 sock, _ = listener.accept()
             except BlockingIOError:
                 return False
             except OSError as error:
-                if error.errno in CAME_TO_NOTHING or (error.errno in NO_ROOM and self._close_lingering()):
+                if error.errno in CONNECTION_ERRORS or (
+                    error.errno in RESOURCE_ERRORS and self._close_lingering()
+                ):
                     continue
                 raise
             try:
-                stream = Stream(sock, self.group, thrift.BUFFER_BOUND, WRITE_BOUND)
+                stream = Stream(sock, self._group, thrift.BUFFER_BOUND, MAX_UNWRITTEN)
             except OSError:
-                continue
-            self.count += 1
-            name = self.count
-            self.streams[name] = stream
-            self.take("opened", name)
-            self.group.start_soon(self._serve, name, stream)
-            self._keep_to_bound()
+                continue  # gone already
+            self._add(stream)
         return True
 
-    async def _serve(self, name: int, stream: Stream) -> None:
-        """Reads one connection to its end; whatever happens here ends nothing else."""
-        why = ""
+    def _add(self, stream: Stream) -> None:
+        self._accepted += 1
+        number = self._accepted
+        self._streams[number] = stream
+        self._handle(ConnectionOpened(number))
+        self._group.start_soon(self._serve, number, stream)
+        self._limit_connections()
+
+    async def _serve(self, number: int, stream: Stream) -> None:
+        """Read one connection to its end; whatever happens here ends nothing else."""
+        reason = ""
         try:
-            while await stream.read():
-                for message in self.stubs.messages(stream.buffer):
-                    self.take(message[0], name, *message[1:])
-                    if stream.finishing or stream.closed:
-                        return
-                self.take("drained", name, len(stream.buffer) > 0)
+            await self._read_messages(number, stream)
         except anyio.ClosedResourceError:
             pass
         except OSError as error:
-            why = error.strerror or "broken"
+            reason = error.strerror or "broken"
         except Exception as error:
-            why = f"{type(error).__name__}: {error}"
+            reason = f"{type(error).__name__}: {error}"
         finally:
-            self.take("ended", name, why)
-            self.close(name)
+            self._handle(ConnectionEnded(number, reason))
+            self.close(number)
             try:
-                await stream.linger(LINGER_SPAN)
+                await stream.linger(LINGER_TIMEOUT)
             finally:
-                self.lingering.pop(name, None)
-                if self.quiet is not None and not self.lingering:
-                    self.quiet.set()
+                self._lingering.pop(number, None)
+                if self._quiet is not None and not self._lingering:
+                    self._quiet.set()
 
-    def _keep_to_bound(self) -> None:
-        """Guards the descriptors: the longest lingering give way to whoever is served."""
-        while len(self.streams) + len(self.lingering) > self.bound + LINGER_SPARE:
+    async def _read_messages(self, number: int, stream: Stream) -> None:
+        while await stream.read():
+            for kind, *values in self._codec.messages(stream.buffer):
+                self._handle(MESSAGE_EVENTS[kind](number, *values))
+                if stream.finishing or stream.closed:
+                    return
+            self._handle(InputDrained(number, len(stream.buffer) > 0))
+
+    def _limit_connections(self) -> None:
+        """Save descriptors: the longest lingering give way to whoever is served."""
+        while len(self._streams) + len(self._lingering) > self._max_connections + SPARE_LINGERING:
             if not self._close_lingering():
                 return
 
     def _close_lingering(self) -> bool:
-        if not self.lingering:
+        if not self._lingering:
             return False
-        self.lingering.popitem(last=False)[1].close()
+        self._lingering.popitem(last=False)[1].close()
         return True
 
+    def close(self, number: int) -> None:
+        """Read nothing as a message any more; what was written reaches its peer while the stream lingers."""
+        stream = self._streams.pop(number, None)
+        if stream is not None:
+            self._lingering[number] = stream
+            stream.finish()
+            self._limit_connections()
+
     async def finish(self) -> None:
-        """Ends every connection, and waits until all peers have what was written to them and have closed, no
-        longer than they may linger."""
-        for name in list(self.streams):
-            self.close(name)
-        if self.lingering:
-            self.quiet = anyio.Event()
-            await self.quiet.wait()
+        """End every connection, and wait until the peers have what was written or may not linger longer."""
+        for number in list(self._streams):
+            self.close(number)
+        if self._lingering:
+            self._quiet = anyio.Event()
+            await self._quiet.wait()
+
+    def flush(self) -> list[int]:
+        """Write all that lies ready; return the connections that are gone or don't read."""
+        written = self._written
+        self._written = {}
+        return [number for number, stream in written.items() if not stream.flush()]
 
     # ---- effects
 
-    def effects(self) -> dict[str, Callable[..., None]]:
-        """What it carries out, by the kind of effect."""
+    def effect_handlers(self) -> dict[type, Callable[[Any], None]]:
+        """Return what carries out each class of effect."""
         return {
-            "read": self.read,
-            "finished": self.finished,
-            "rejected": self.rejected,
-            "abandoned": self.abandoned,
-            "health": self.health,
-            "misunderstood": self.misunderstood,
-            "dismiss": self.dismiss,
-            "close": self.close,
-            "stop_accepting": self.stop_accepting,
+            ReadConnection: self._read,
+            AnswerFinished: self._answer_finished,
+            AnswerRejected: self._answer_rejected,
+            AnswerAbandoned: self._answer_abandoned,
+            AnswerHealth: self._answer_health,
+            AnswerMisunderstood: self._answer_misunderstood,
+            DismissConnection: self._dismiss,
+            CloseConnection: self._close,
+            StopAccepting: self.stop_accepting,
         }
 
-    def read(self, name: int) -> None:
-        if name in self.streams:
-            self.streams[name].ask()
+    def _read(self, effect: ReadConnection) -> None:
+        stream = self._streams.get(effect.connection)
+        if stream is not None:
+            stream.request_read()
 
-    def write(self, name: int, data: bytes) -> None:
-        stream = self.streams.get(name)
+    def _write(self, number: int, data: bytes) -> None:
+        stream = self._streams.get(number)
         if stream is not None:
             stream.write(data)
-            self.written[name] = stream
+            self._written[number] = stream
 
-    def finished(self, name: int, *told: Any) -> None:
-        self.write(name, thrift.finished(*told))
+    def _answer_finished(self, effect: AnswerFinished) -> None:
+        self._write(effect.connection, thrift.finished(effect.seq, effect.result, effect.load_hint))
 
-    def rejected(self, name: int, *told: Any) -> None:
-        self.write(name, thrift.rejected(*told))
+    def _answer_rejected(self, effect: AnswerRejected) -> None:
+        data = thrift.rejected(effect.seq, effect.nowhere_else, effect.retry_after, effect.load_hint)
+        self._write(effect.connection, data)
 
-    def abandoned(self, name: int, *told: Any) -> None:
-        self.write(name, thrift.abandoned(*told))
+    def _answer_abandoned(self, effect: AnswerAbandoned) -> None:
+        self._write(effect.connection, thrift.abandoned(effect.seq, effect.load_hint))
 
-    def health(self, name: int, *told: Any) -> None:
-        self.write(name, thrift.health(*told))
+    def _answer_health(self, effect: AnswerHealth) -> None:
+        self._write(effect.connection, thrift.health(effect.seq, effect.healthy, effect.load_hint))
 
-    def misunderstood(self, name: int, *told: Any) -> None:
-        self.write(name, thrift.misunderstood(*told))
+    def _answer_misunderstood(self, effect: AnswerMisunderstood) -> None:
+        self._write(effect.connection, thrift.misunderstood(effect.seq, effect.method, effect.reason))
 
-    def dismiss(self, name: int) -> None:
-        self.write(name, thrift.dismiss())
+    def _dismiss(self, effect: DismissConnection) -> None:
+        self._write(effect.connection, thrift.dismiss())
 
-    def flush(self) -> list[int]:
-        """Writes all that lies ready; returns the connections that are gone or don't read."""
-        written, self.written = self.written, {}
-        return [name for name, stream in written.items() if not stream.flush()]
-
-    def close(self, name: int) -> None:
-        """Nothing that comes on it is read as a message any more. What was written reaches its peer; its task
-        lets it linger."""
-        stream = self.streams.pop(name, None)
-        if stream is not None:
-            self.lingering[name] = stream
-            stream.finish()
-            self._keep_to_bound()
+    def _close(self, effect: CloseConnection) -> None:
+        self.close(effect.connection)
 
-    def stop_accepting(self) -> None:
-        """Takes what the machine has accepted, then no more: a refused connection proves that nothing ran."""
-        listener, self.listener = self.listener, None
+    def stop_accepting(self, effect: StopAccepting | None = None) -> None:
+        """Take what the machine has accepted, then no more: a refused connection proves that nothing ran."""
+        listener = self.listener
+        self.listener = None
         if listener is not None:
             with suppress(OSError):
                 while self._accept_some(listener):
                     pass
-            anyio.notify_closing(listener)
-            listener.close()
+            self._close_listener(listener)
+
+    def abandon_listener(self) -> None:
+        """Close the listening socket; what waits at it is another process's, which has the socket too."""
+        listener = self.listener
+        self.listener = None
+        if listener is not None:
+            self._close_listener(listener)
+
+    def _close_listener(self, listener: socket.socket) -> None:
+        anyio.notify_closing(listener)
+        listener.close()
--- a/thistleline/server/log.py
+++ b/thistleline/server/log.py
@@ -8,46 +8,57 @@
 
 import orjson
 
-LINES_BOUND = 256
-PIECE = 4096  # a pipe that is ready takes this much at once
+MAX_WAITING_LINES = 256  # past it lines are dropped, and counted
+MAX_LINE_BYTES = 4096  # a pipe that is ready takes this much at once
 
 
 class Log:
+    """Lines that wait until the target takes them."""
+
     def __init__(self, name: str, target: int = 1) -> None:
-        self.name, self.target = name, target
+        """Write for the server `name` to the file descriptor `target`."""
+        self.name = name
+        self._target = target
         self.lines: deque[bytes] = deque()
         self.dropped = 0
-        self.poll = select.poll()
-        self.poll.register(target, select.POLLOUT)
+        self._poll = select.poll()
+        self._poll.register(target, select.POLLOUT)
 
     def event(self, now: int, event: str, facts: dict[str, Any]) -> None:
-        if len(self.lines) >= LINES_BOUND:
+        """Log an event at `now`, ns, with its facts."""
+        if len(self.lines) >= MAX_WAITING_LINES:
             self.dropped += 1
         else:
-            line = {"at_ms": now // 1_000_000, "name": self.name, "event": event}
-            try:
-                text = orjson.dumps(line | facts, default=str)
-            except (
-                TypeError
-            ):  # a number past 64 bits, half a character: a peer's, who must not end the program
-                text = orjson.dumps({**line, "facts": ascii(facts)})
-            if len(text) >= PIECE:
-                text = orjson.dumps({**line, "cut": True})
-            self.lines.append(text + b"\n")
+            self.lines.append(self._encode(now, event, facts) + b"\n")
         self.flush()
 
+    def _encode(self, now: int, event: str, facts: dict[str, Any]) -> bytes:
+        line = {"at_ms": now // 1_000_000, "name": self.name, "event": event}
+        try:
+            text = orjson.dumps(line | facts, default=str)
+        except TypeError:
+            # A number past 64 bits or half a character: a peer's, who must not end the program.
+            text = orjson.dumps({**line, "facts": ascii(facts)})
+        if len(text) >= MAX_LINE_BYTES:
+            text = orjson.dumps({**line, "cut": True})
+        return text
+
     def flush(self) -> None:
+        """Write what the target takes now."""
         try:
-            while self.lines and any(state & select.POLLOUT for _, state in self.poll.poll(0)):
-                os.write(self.target, self.lines.popleft())
+            while self.lines and self._is_writable():
+                os.write(self._target, self.lines.popleft())
                 if self.dropped and not self.lines:
-                    dropped, self.dropped = self.dropped, 0
-                    self.lines.append(
-                        orjson.dumps({"name": self.name, "event": "dropped", "lines": dropped}) + b"\n"
-                    )
+                    dropped = {"name": self.name, "event": "dropped", "lines": self.dropped}
+                    self.dropped = 0
+                    self.lines.append(orjson.dumps(dropped) + b"\n")
         except OSError:
             self.lines.clear()  # nobody is there to read
 
+    def _is_writable(self) -> bool:
+        return any(state & select.POLLOUT for _, state in self._poll.poll(0))
+
 
 def complain(text: str) -> None:
+    """Write a line on standard error: why the program can't start."""
     print(f"thistleline: {text}", file=sys.stderr)
--- a/thistleline/state/__init__.py
+++ b/thistleline/state/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept: the reducer and its tables."""
+"""The server's state machine: its events and effects, its tables, and what it hosts, the admission policy."""
--- /dev/null
+++ b/thistleline/state/decisions.py
@@ -0,0 +1,147 @@
+"""The policy's decisions, carried out on the tables of the state machine."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from thistleline.interface import RunEnded
+from thistleline.state.attempts import Run
+from thistleline.state.effects import AnswerAbandoned, AnswerRejected, StopRun
+
+if TYPE_CHECKING:
+    from thistleline.state.state_machine import ServerStateMachine
+
+
+class PolicyDecisions:
+    """The `DecisionSink` of a server; `task` is the name of an attempt."""
+
+    def __init__(self, machine: ServerStateMachine) -> None:
+        """Let decisions act on this machine."""
+        self._machine = machine
+
+    # ---- runs
+
+    def start(self, task: str) -> None:
+        """Start the attempt's run, unless it is gone or its id belongs to another effect."""
+        machine = self._machine
+        attempt = machine.attempts.get(task)
+        if attempt is None:
+            machine.tell_policy(RunEnded(task, "moot", 0))
+            return
+        effect = machine.settings.stages[attempt.stage].effect
+        if effect != "idempotent":
+            if machine.attempt_ids.belongs_to_another(attempt.id, attempt.key):
+                machine.connections.offend(attempt.connection, "another's id", id=attempt.id)
+                self.abandon(task)
+                machine.tell_policy(RunEnded(task, "moot", 0))
+                return
+            machine.claim_id(attempt.id, attempt.key, attempt.stage)
+        run = machine.runs[task] = Run(attempt, machine.session.measures)
+        machine.at_agent[run.id] = task
+        if attempt.key is not None and effect == "keyed":
+            window_end = attempt.arrived_at + machine.settings.stages[attempt.stage].idempotency_window
+            entry = machine.idempotency.by_key.get(attempt.key)
+            entry = entry or machine.idempotency.put(attempt.key, task, window_end)
+            entry.runner = task
+            entry.outcome = None
+        machine.launch(task, run)
+
+    def stop(self, task: str) -> None:
+        """Stop the run; one that was not sent ends at once."""
+        machine = self._machine
+        run = machine.runs.get(task)
+        if run is None:
+            return
+        run.stopped = True
+        if not run.sent:
+            machine.end_run(task, "stopped", 0, b"")
+        elif machine.session.linked:
+            machine.context.emit(StopRun(run.id))
+
+    # ---- answers
+
+    def reject(self, task: str, nowhere_else: bool, stay_away: int) -> None:
+        """Answer that the task was shed."""
+        machine = self._machine
+        attempt = machine.settle(task)
+        if attempt is not None:
+            machine.context.count("rejected")
+            load_hint = machine.health.load_hint
+            machine.context.emit(
+                AnswerRejected(attempt.connection, attempt.seq, nowhere_else, stay_away, load_hint)
+            )
+
+    def abandon(self, task: str) -> None:
+        """Answer with a failure that says nothing about whether the task ran."""
+        machine = self._machine
+        attempt = machine.settle(task)
+        if attempt is not None:
+            machine.context.count("abandoned")
+            machine.context.emit(AnswerAbandoned(attempt.connection, attempt.seq, machine.health.load_hint))
+
+    def replay_result(self, task: str) -> None:
+        """Answer from the run of the attempt that this one repeats, now or when it ends."""
+        machine = self._machine
+        attempt = machine.attempts.get(task)
+        if attempt is None or attempt.key is None:
+            return
+        entry = machine.idempotency.by_key.get(attempt.key)
+        runner = entry.runner if entry is not None else None
+        if runner is not None and runner in machine.runs:
+            machine.runs[runner].repeats.append(task)
+        else:
+            machine.context.count("repeats")
+            machine.answer_repeat(task, entry.result if entry is not None else None)
+
+    # ---- idempotency keys
+
+    def remember_key(self, task: str, span: int) -> None:
+        """Remember the attempt's key for `span` nanoseconds."""
+        machine = self._machine
+        attempt = machine.attempts.get(task)
+        if attempt is not None and attempt.key is not None:
+            entry = machine.idempotency.put(attempt.key, task, machine.context.now + span)
+            if task in machine.runs:
+                entry.runner = task
+                entry.outcome = None
+
+    def forget_key(self, task: str) -> None:
+        """Forget the attempt's key."""
+        self._machine.idempotency.forget(task)
+
+    # ---- downstream calls
+
+    def start_call(self, task: str, patience: int) -> None:
+        """Make the call that the run waits for, with a timeout of `patience` nanoseconds."""
+        run = self._machine.runs.get(task)
+        if run is not None:
+            self._machine.downstream.start(run, patience)
+
+    def skip_call(self, task: str) -> None:
+        """Let the run go on without its call."""
+        run = self._machine.runs.get(task)
+        if run is not None and run.call is not None:
+            self._machine.downstream.resume(run, None)
+
+    # ---- the server as clients see it
+
+    def set_health(self, good: bool, from_store: bool) -> None:
+        """Set what health checks report; while draining, bad health closes the server."""
+        machine = self._machine
+        machine.health.healthy = good
+        machine.health.from_store = from_store
+        if machine.lifecycle.is_draining and not good:
+            machine.close_down()
+
+    def publish_load_hint(self, value: float) -> None:
+        """Set the load hint of answers."""
+        self._machine.health.load_hint = value
+
+    def set_idle_timeout(self, span: int) -> None:
+        """Dismiss connections that are idle for `span` nanoseconds; 0 for never."""
+        self._machine.connections.idle_timeout = span
+
+    def set_timer(self, name: str, span: int) -> None:
+        """Let a timer fire in `span` nanoseconds."""
+        machine = self._machine
+        machine.policy_host.timers.add(machine.context.now + span, name)
--- /dev/null
+++ b/thistleline/state/events.py
@@ -0,0 +1,192 @@
+"""The events that the server's state machine handles.
+
+The protocol adapters, the agent link and the timer task of the server make them. Times and durations are
+integer nanoseconds. An attempt id is what a client calls its attempt: a peer's word, never a key of the
+tables.
+"""
+
+from dataclasses import dataclass
+
+from thistleline.interface import CallOutcome, RunOutcome, Task
+
+# ---- client connections
+
+
+@dataclass(frozen=True, slots=True)
+class ConnectionOpened:
+    """A client connection was accepted."""
+
+    connection: int
+
+
+@dataclass(frozen=True, slots=True)
+class TaskReceived:
+    """A client sent a task."""
+
+    connection: int
+    seq: int  # of the message on its connection
+    task: Task
+    dedup_key: str | None  # idempotency key, or the subject by which equal reads are known
+    body: bytes | memoryview
+
+
+@dataclass(frozen=True, slots=True)
+class HealthCheckReceived:
+    """A client asked for the server's health; `deep`: with a check of the agent."""
+
+    connection: int
+    seq: int
+    deep: bool
+
+
+@dataclass(frozen=True, slots=True)
+class MalformedReceived:
+    """A message made no sense; without `seq` it can't be answered."""
+
+    connection: int
+    seq: int | None
+    method: bytes | None
+    reason: str
+
+
+@dataclass(frozen=True, slots=True)
+class InputDrained:
+    """Every whole message that was read is handled; `partial`: the beginning of another one has come."""
+
+    connection: int
+    partial: bool = False
+
+
+@dataclass(frozen=True, slots=True)
+class ConnectionEnded:
+    """A client connection ended; `reason` is empty where the client closed it."""
+
+    connection: int
+    reason: str
+
+
+# ---- the agent that runs tasks
+
+
+@dataclass(frozen=True, slots=True)
+class AgentGreeted:
+    """A link to the agent is up."""
+
+    cold_start: bool
+    uptime: int
+
+
+@dataclass(frozen=True, slots=True)
+class AgentLost:
+    """The link to the agent ended, or none could be made."""
+
+    reason: str
+
+
+@dataclass(frozen=True, slots=True)
+class RunCompleted:
+    """A run ended; `number` is that of the agent's notice."""
+
+    number: int
+    attempt_id: str
+    outcome: RunOutcome
+    duration: int
+    result: bytes | memoryview
+
+
+@dataclass(frozen=True, slots=True)
+class CallWanted:
+    """A run waits for its downstream call."""
+
+    number: int
+    attempt_id: str
+    body: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class GaugesMeasured:
+    """The agent answered a measurement."""
+
+    tag: str
+    values: list[float]
+
+
+@dataclass(frozen=True, slots=True)
+class DeepCheckCompleted:
+    """The agent answered a deep health check."""
+
+    tag: str
+    healthy: bool
+
+
+@dataclass(frozen=True, slots=True)
+class CommandDeclined:
+    """The agent refused a command: "start", "stop", "measure", "deep_check", "deliver" or "skip_call"."""
+
+    command: str
+    attempt_id: str
+
+
+@dataclass(frozen=True, slots=True)
+class RemarkReceived:
+    """The agent sent a numbered notice that wants nothing."""
+
+    number: int
+
+
+@dataclass(frozen=True, slots=True)
+class UnknownNotice:
+    """The agent sent a notice of a kind that is not known."""
+
+    text: str
+
+
+# ---- the downstream dependency
+
+
+@dataclass(frozen=True, slots=True)
+class CallCompleted:
+    """A downstream call ended."""
+
+    attempt_id: str
+    outcome: CallOutcome
+    result: bytes
+
+
+# ---- the process
+
+
+@dataclass(frozen=True, slots=True)
+class ListeningStarted:
+    """The server accepts connections."""
+
+
+@dataclass(frozen=True, slots=True)
+class ShutdownRequested:
+    """The server is to drain; the process is stopped at `stop_at`."""
+
+    stop_at: int
+
+
+@dataclass(frozen=True, slots=True)
+class DeadlineReached:
+    """The time of `next_deadline` has come."""
+
+
+ClientEvent = (
+    ConnectionOpened | TaskReceived | HealthCheckReceived | MalformedReceived | InputDrained | ConnectionEnded
+)
+AgentEvent = (
+    AgentGreeted
+    | AgentLost
+    | RunCompleted
+    | CallWanted
+    | GaugesMeasured
+    | DeepCheckCompleted
+    | CommandDeclined
+    | RemarkReceived
+    | UnknownNotice
+)
+ServerEvent = (
+    ClientEvent | AgentEvent | CallCompleted | ListeningStarted | ShutdownRequested | DeadlineReached
+)
--- /dev/null
+++ b/thistleline/state/policy_host.py
@@ -0,0 +1,206 @@
+"""The host of the admission policy: rounds, timers, and recovery from its faults.
+
+The policy is called once a round with all that came in since the last one.
+"""
+
+import traceback
+from collections.abc import Collection
+
+from thistleline.interface import (
+    ClientGone,
+    DecisionSink,
+    DrainRequested,
+    PolicyEvent,
+    ServerSettings,
+    TaskArrived,
+    TimerFired,
+)
+from thistleline.policy import Policy
+from thistleline.state.agent_session import AgentSession
+from thistleline.state.attempts import Attempt
+from thistleline.state.context import EventContext
+from thistleline.state.idempotency import IdempotencyKey
+from thistleline.state.limits import MS, SECOND
+from thistleline.state.options import MachineOptions
+from thistleline.state.timers import TimerQueue
+
+
+class PolicyHost:
+    """Calls the policy, keeps its timers, and sees that its faults leave no task without an answer."""
+
+    def __init__(
+        self,
+        options: MachineOptions,
+        context: EventContext,
+        session: AgentSession,
+        attempts: dict[str, Attempt],
+        sink: DecisionSink,
+    ) -> None:
+        """Begin without a policy; `start` makes one.
+
+        Args:
+            options: The gauges, the granularity and the policy's seed.
+            context: Takes the effects.
+            session: Measures the gauges that go with a timer.
+            attempts: All that are owed an answer, by name.
+            sink: Takes the policy's decisions.
+        """
+        self.pending: list[PolicyEvent] = []
+        # Keyed attempts that the policy has not seen yet; other attempts of one effect that come in before
+        # the next round know of it by this.
+        self.pending_keys: dict[IdempotencyKey, str] = {}
+        self.timers = TimerQueue()
+        self.policy: Policy
+        self._options = options
+        self._context = context
+        self._session = session
+        self._attempts = attempts
+        self._sink = sink
+        self._keyed = [stage.effect == "keyed" for stage in options.settings.stages]
+        self._max_timeout = max(stage.timeout for stage in options.settings.stages)
+        self._last_round = 0
+        self._due_timers: list[str] = []  # they wait for their gauges,
+        self._gauges_deadline = 0  # until then
+        self._faulty_until = 0  # for a while after the policy has failed
+
+    def start(self, settings: ServerSettings, started_at: int) -> None:
+        """Make the policy and call it for the first time; `started_at`: when its machine came up, ns."""
+        self.policy = Policy(settings, self._options.seed, started_at)
+        self.run_round()
+
+    def restart(self, settings: ServerSettings, started_at: int) -> None:
+        """Begin anew with another policy, without timers and pending events."""
+        self.timers = TimerQueue()
+        self._due_timers = []
+        self.pending = []
+        self.start(settings, started_at)
+
+    # ---- time
+
+    def next_deadline(self, latest: int) -> int:
+        """Tell when `tick` is wanted, `latest` at the latest."""
+        deadline = latest
+        timer_due = self.timers.next_due()
+        if timer_due is not None:
+            deadline = min(deadline, timer_due)
+        if self._due_timers:
+            deadline = min(deadline, self._gauges_deadline)
+        if self.pending:
+            deadline = min(deadline, self._last_round + self._options.granularity)
+        return deadline
+
+    def tick(self) -> None:
+        """Do what is due: timers first, then one round for all that came in."""
+        now = self._context.now
+        names = self.timers.take_due(now)
+        if names:
+            self._due_timers += names
+            if self._session.is_settled:
+                self._session.measure()
+                self._gauges_deadline = now + self._options.granularity
+            else:
+                self._gauges_deadline = now
+        if self._due_timers and now >= self._gauges_deadline:
+            self._fire_timers({})  # without an answer: clients' deadlines depend on it
+        if self.pending and now >= self._last_round + self._options.granularity:
+            self.run_round()
+
+    def gauges_measured(self, number: int, values: list[float]) -> None:
+        """Let the timers fire that wait for this measurement, the last one asked for."""
+        if self._due_timers and number == self._session.measures:
+            self._fire_timers(dict(zip(self._options.gauges, values, strict=False)))
+
+    def _fire_timers(self, gauges: dict[str, float]) -> None:
+        self.pending += [TimerFired(name, gauges) for name in self._due_timers]
+        self._due_timers = []
+
+    # ---- events
+
+    def note_key(self, name: str) -> None:
+        """Remember the idempotency key of a pending attempt until the next round."""
+        key = self._attempts[name].key
+        if key is not None and self._keyed[key[0]]:
+            self.pending_keys[key] = name
+
+    def withdraw(self, names: Collection[str]) -> None:
+        """Take back attempts that the policy has not seen: nobody waits for them any more.
+
+        The policy takes all that is gone before it reads; this prevents starting what nobody awaits.
+        """
+        self.pending = [
+            event
+            for event in self.pending
+            if not isinstance(event, TaskArrived) or event.task.id not in names
+        ]
+        # Another attempt of the same effect may be among the rest; this prevents running both.
+        self.pending_keys = {key: name for key, name in self.pending_keys.items() if name not in names}
+        for event in self.pending:
+            if isinstance(event, TaskArrived):
+                self.note_key(event.task.id)
+
+    # ---- rounds
+
+    def run_round(self) -> None:
+        """Call the policy with all that is pending."""
+        events = self.pending
+        self.pending = []
+        for event in events:
+            if isinstance(event, TaskArrived):
+                self._attempts[event.task.id].policy_knows = True
+        self.pending_keys.clear()
+        self._last_round = self._context.now
+        try:
+            self.policy.round(self._context.now, events, self._sink)
+        except Exception:
+            self._recover(events)
+
+    def _recover(self, events: list[PolicyEvent]) -> None:
+        """Handle a fault of the policy, so that no task stays without an answer.
+
+        What it did not come to is told once more, one by one; what it can't take is abandoned; its timer
+        fires again.
+        """
+        self._faulty_until = self._context.now + self._max_timeout + SECOND
+        self._report_fault("round")
+        pending_timers = self.timers.names()
+        for event in events:
+            if isinstance(event, TimerFired):
+                if event.name not in pending_timers:
+                    retry_at = self._context.now + max(self._options.granularity, MS)
+                    self.timers.add(retry_at, event.name)
+            elif not self._was_taken(event):
+                self._retry(event)
+
+    def _was_taken(self, event: PolicyEvent) -> bool:
+        """Tell whether the policy took an event before it failed, or has no use for it any more."""
+        match event:
+            case TaskArrived(task):
+                return task.id not in self._attempts or task.id in self.policy.tasks
+            case DrainRequested():
+                return self.policy.shut is not None
+            case TimerFired():
+                return True
+            case _:
+                return event.task_id not in self.policy.tasks
+
+    def _retry(self, event: PolicyEvent) -> None:
+        try:
+            self.policy.round(self._context.now, [event], self._sink)
+        except Exception:
+            self._report_fault(type(event).__name__)
+            if isinstance(event, TaskArrived) and event.task.id not in self.policy.tasks:
+                self._sink.abandon(event.task.id)
+
+    def _report_fault(self, where: str) -> None:
+        self._context.count("faults")
+        if self._context.may_log("fault"):
+            self._context.log("fault", input=where, trace=traceback.format_exc()[-2000:])
+
+    def answer_overdue(self, before: int) -> None:
+        """Abandon what is due before then, while the policy fails: its timer may not come to that."""
+        if self._context.now >= self._faulty_until:
+            return
+        for name, attempt in list(self._attempts.items()):
+            if attempt.deadline <= before:
+                self._sink.abandon(name)
+                self.pending.append(ClientGone(name))
--- a/thistleline/supervisor/settings.py
+++ b/thistleline/supervisor/settings.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from thistleline.lease.protocol import VALUE_BOUND
-from thistleline.server.service import CONNECTION_COST, RESERVE
+from thistleline.server.service import CONNECTION_COST, RESERVED_DESCRIPTORS
 from thistleline.wire.settings import Malformed, read_gauges, read_granularity, read_server_settings
 
 SIZE_BOUND = VALUE_BOUND  # bytes of a version: it has to go through the council in one record
@@ -36,8 +36,9 @@
         sockets, memory = int(limits["sockets"]), float(limits["memory_mb"]) * 1024 * 1024
     except (KeyError, TypeError, ValueError):
         return "the limits have no 'sockets' or no 'memory_mb'"
-    if site.client_count + RESERVE > sockets:
-        return f"{site.client_count} callers and {RESERVE} of its own need more than {sockets} descriptors"
+    reserved = RESERVED_DESCRIPTORS
+    if site.client_count + reserved > sockets:
+        return f"{site.client_count} callers and {reserved} of its own need more than {sockets} descriptors"
     if site.client_count * CONNECTION_COST > memory / 4:
         taken = site.client_count * CONNECTION_COST >> 20
         return f"{site.client_count} callers take {taken} MB, more than a quarter of {int(memory) >> 20} MB"
