--- a/thistleline/handover/service.py
+++ b/thistleline/handover/service.py
@@ -9,7 +9,7 @@
 import time
 from collections.abc import Awaitable, Callable, Iterable
 from contextlib import suppress
-from dataclasses import asdict, replace
+from dataclasses import replace
 from typing import Any, cast
 
 import anyio
@@ -57,6 +57,8 @@
     Stop,
     Welcome,
     Yours,
+    task_from_fields,
+    task_to_fields,
 )
 from thistleline.handover.relay import (
     ANSWER_KINDS,
@@ -67,7 +69,7 @@
 )
 from thistleline.handover.serving import tell_owner
 from thistleline.handover.state_machine import PREDECESSOR, HandoverStateMachine
-from thistleline.interface import RunOutcome, Task
+from thistleline.interface import RunOutcome
 from thistleline.ledger import format as ledger_format
 from thistleline.ledger.records import RecoveredEffect
 from thistleline.server.configuration import ConfigurationError
@@ -365,9 +367,9 @@
             reason = f"there is no stage {message.stage!r} or no owner {message.owner!r} any more"
             self._tell_predecessor(Answer(message.name, "misunderstood", [None, reason]))
             return
-        task = msgspec.convert({**message.task, "stage": stages[0], "owner": tenants[0]}, Task)
-        limit = None if task.limit is None else task.limit + skew
-        task = replace(task, reached=task.reached + skew, limit=limit)
+        task = task_from_fields({**message.task, "stage": stages[0], "owner": tenants[0]})
+        deadline = None if task.deadline is None else task.deadline + skew
+        task = replace(task, arrived_at=task.arrived_at + skew, deadline=deadline)
         self.handle(TaskForwarded(message.name, task, message.word, message.body))
 
     def _tell_predecessor(self, message: Message) -> None:
@@ -467,8 +469,8 @@
     def _forward(self, effect: ForwardTask) -> None:
         task = effect.task
         skew = self.clock.skew()
-        limit = None if task.limit is None else task.limit - skew
-        values = asdict(replace(task, reached=task.reached - skew, limit=limit))
+        deadline = None if task.deadline is None else task.deadline - skew
+        values = task_to_fields(replace(task, arrived_at=task.arrived_at - skew, deadline=deadline))
         self._tell_successor(
             Forward(int(effect.name), effect.stage, effect.tenant, values, effect.dedup_key, effect.body)
         )
--- a/thistleline/handover/state_machine.py
+++ b/thistleline/handover/state_machine.py
@@ -301,8 +301,8 @@
         task, dedup_key = self.received[name]
         self.forwarded[name] = None
         stage = self.settings.stages[attempt.stage].name
-        tenant = self.settings.tenants[task.owner].name
-        whole = replace(task, id=attempt.id, repeats=None, reached=attempt.arrived_at)
+        tenant = self.settings.tenants[task.tenant].name
+        whole = replace(task, id=attempt.id, duplicate_of=None, arrived_at=attempt.arrived_at)
         self.context.emit(ForwardTask(name, whole, stage, tenant, dedup_key, attempt.body))
 
     def _on_forwarded_answered(self, event: ForwardedAnswered) -> None:
--- a/thistleline/server/listener.py
+++ b/thistleline/server/listener.py
@@ -252,7 +252,7 @@
         self._write(effect.connection, thrift.finished(effect.seq, effect.result, effect.load_hint))
 
     def _answer_rejected(self, effect: AnswerRejected) -> None:
-        data = thrift.rejected(effect.seq, effect.nowhere_else, effect.retry_after, effect.load_hint)
+        data = thrift.rejected(effect.seq, effect.fleet_overloaded, effect.retry_after, effect.load_hint)
         self._write(effect.connection, data)
 
     def _answer_abandoned(self, effect: AnswerAbandoned) -> None:
--- a/thistleline/server/service.py
+++ b/thistleline/server/service.py
@@ -307,7 +307,7 @@
             self._unseen_since = self._unseen_since or self.clock.now()
             skew = self.clock.skew()
             if abs(skew) > MS:
-                task = replace(event.task, reached=event.task.reached + skew)
+                task = replace(event.task, arrived_at=event.task.arrived_at + skew)
                 event = replace(event, task=task)
         self.handle(event)
 
--- a/thistleline/state/effects.py
+++ b/thistleline/state/effects.py
@@ -52,7 +52,7 @@
 
     connection: int
     seq: int
-    nowhere_else: bool  # a retry at another server would fare no better
+    fleet_overloaded: bool  # a retry at another server would fare no better
     retry_after: int  # 0 for none
     load_hint: float | None
 
--- a/thistleline/state/health.py
+++ b/thistleline/state/health.py
@@ -13,7 +13,7 @@
     def __init__(self, context: EventContext, session: AgentSession, connections: ClientConnections) -> None:
         """Begin healthy, without a load hint."""
         self.healthy = True
-        self.from_store = True  # whether deep checks are answered without the agent
+        self.from_cache = True  # whether deep checks are answered without the agent
         self.load_hint: float | None = None
         self._context = context
         self._session = session
@@ -23,12 +23,12 @@
     def check(self, connection: int, seq: int, deep: bool) -> None:
         """Answer a check, or ask the agent first."""
         linked = self._session.linked
-        if deep and not self.from_store and linked and len(self._deep) < MAX_DEEP_CHECKS:
+        if deep and not self.from_cache and linked and len(self._deep) < MAX_DEEP_CHECKS:
             tag = f"check-{connection}-{seq}"
             self._deep[tag] = (connection, seq, self._context.now)
             self._context.emit(CheckAgent(tag))
             return
-        self._answer(connection, seq, not deep or self.from_store or linked)
+        self._answer(connection, seq, not deep or self.from_cache or linked)
 
     def complete(self, tag: str, agent_healthy: bool) -> None:
         """Answer a deep check, if its connection is still there."""
--- a/thistleline/state/state_machine.py
+++ b/thistleline/state/state_machine.py
@@ -311,7 +311,7 @@
         """Tell why a task makes no sense; None where it does."""
         if task.id in self.by_id or task.id in self.at_agent:
             return "this try is in hand already"
-        if abs(self.context.now - task.reached) > MAX_CLOCK_DEVIATION:
+        if abs(self.context.now - task.arrived_at) > MAX_CLOCK_DEVIATION:
             return "it came at no likely time"  # the policy would take it for a jam of reading
         return None
 
@@ -320,8 +320,8 @@
         task = event.task
         stage = self.settings.stages[task.stage]
         key = None if event.dedup_key is None else make_key(task.stage, event.dedup_key, event.body)
-        arrived_at = min(task.reached, self.context.now)
-        deadline = arrived_at + stage.timeout if task.limit is None else task.limit
+        arrived_at = min(task.arrived_at, self.context.now)
+        deadline = arrived_at + stage.timeout if task.deadline is None else task.deadline
         attempt = Attempt(
             event.connection, event.seq, task.id, task.stage, arrived_at, deadline, key, bytes(event.body)
         )
@@ -333,7 +333,7 @@
             self.claim_id(task.id, key, task.stage)
         self.policy_host.note_key(name)
         connection.open[name] = None
-        self.tell_policy(TaskArrived(replace(task, id=name, repeats=original, reached=arrived_at)))
+        self.tell_policy(TaskArrived(replace(task, id=name, duplicate_of=original, arrived_at=arrived_at)))
         return name
 
     def _new_name(self) -> str:
