--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -66,7 +66,7 @@
     folder: Path, boot: bytes, stages: tuple[str, ...] = STAGES
 ) -> tuple[list[RecoveredEffect], Any]:
     disk = Disk(folder)
-    disk.hold()
+    disk.acquire()
     store = LedgerStore(disk, stages)
     store.boot = boot
     readings: list[SegmentReading] = []
@@ -119,7 +119,7 @@
     """What is recovered takes the next numbers: effect 7 in segment 3."""
     folder = copied(tmp_path, "ledger")
     disk = Disk(folder)
-    disk.hold()
+    disk.acquire()
     store = LedgerStore(disk, STAGES)
     store.boot = BOOT
     ledger = LedgerState(8192, 8192, NOW, lambda _: None)
@@ -222,7 +222,7 @@
 def test_a_feed_archive_is_recovered(tmp_path: Path) -> None:
     """The snapshot of state 3 and the steps to 7: keys set, changed and taken away, with their versions."""
     disk = Disk(copied(tmp_path, "feed_archive"), "feed")
-    disk.hold()
+    disk.acquire()
     archive = Archive(disk, "all")
     table = archive.recover()
     disk.release()
--- a/thistleline/cli/ledger.py
+++ b/thistleline/cli/ledger.py
@@ -12,8 +12,8 @@
 from thistleline.ledger.state import LedgerState
 from thistleline.ledger.store import LedgerStore, SegmentReading
 from thistleline.store.clock import boot_now
-from thistleline.store.disk import Disk, Held
-from thistleline.store.frames import Damaged
+from thistleline.store.disk import Disk, DiskLockedError
+from thistleline.store.frames import CorruptFrameError
 
 ALL = 1 << 62
 
@@ -23,12 +23,12 @@
     """The folder's ledger, held against a server that would write meanwhile."""
     disk = Disk(folder)
     try:
-        disk.hold()
+        disk.acquire()
         ledger = LedgerState(ALL, ALL, boot_now(), lambda _: None)
         readings: list[SegmentReading] = []
         found = LedgerStore(disk, stages(disk)).recover(ledger, readings.append)
         yield ledger, found, readings
-    except (Held, Damaged, OSError) as error:
+    except (DiskLockedError, CorruptFrameError, OSError) as error:
         raise click.ClickException(str(error)) from error
     finally:
         disk.release()
@@ -40,7 +40,7 @@
     for number, _ in disk.segments():
         try:
             names |= dict.fromkeys(ledger_format.decode_header(disk.read(number)).stages)
-        except Damaged:
+        except CorruptFrameError:
             continue
     return tuple(names)
 
--- a/thistleline/durable/writer.py
+++ b/thistleline/durable/writer.py
@@ -20,8 +20,8 @@
 from thistleline.state.options import MachineOptions
 from thistleline.state.phases import Lifecycle
 from thistleline.store.clock import boot_now
-from thistleline.store.disk import Disk, Held
-from thistleline.store.frames import Damaged
+from thistleline.store.disk import Disk, DiskLockedError
+from thistleline.store.frames import CorruptFrameError
 
 MS = 1_000_000
 PROGRESS_INTERVAL = 1000 * MS  # between two lines of the log during recovery, ns
@@ -77,7 +77,7 @@
         """
         try:
             effects = self._store.recover(self._ledger, self._note_segment)
-        except (Damaged, OSError) as error:
+        except (CorruptFrameError, OSError) as error:
             raise ConfigurationError(f"the ledger can't be read: {error}") from error
         self._log(
             "ledger",
@@ -162,8 +162,8 @@
         ConfigurationError: Another program has it, or it can't be had.
     """
     try:
-        disk.hold()
-    except Held as error:
+        disk.acquire()
+    except DiskLockedError as error:
         raise ConfigurationError(str(error)) from error
     except OSError as error:
         raise ConfigurationError(f"the ledger can't be kept in {disk.folder}: {error.strerror}") from error
--- a/thistleline/handover/relay.py
+++ b/thistleline/handover/relay.py
@@ -12,7 +12,7 @@
 from thistleline.handover.messages import Agent, Answer
 from thistleline.state.effects import AnswerAbandoned, AnswerFinished, AnswerMisunderstood, AnswerRejected
 from thistleline.state.events import AgentGreeted, AgentLost, CommandDeclined, GaugesMeasured, RunCompleted
-from thistleline.transport.codec import Unreadable
+from thistleline.transport.codec import ProtocolError
 
 EVENT_KINDS: dict[type[RelayedEvent], str] = {
     AgentGreeted: "agent_up",
@@ -41,7 +41,7 @@
     """Return the event that the message carries; None for a kind that is not known.
 
     Raises:
-        Unreadable: The kind has other values.
+        ProtocolError: The kind has other values.
     """
     event_class = EVENT_CLASSES.get(message.kind)
     if event_class is None:
@@ -60,7 +60,7 @@
     """Return the answer that the message carries, on no connection; None for a kind that is not known.
 
     Raises:
-        Unreadable: The kind has other values.
+        ProtocolError: The kind has other values.
     """
     answer_class = ANSWER_CLASSES.get(message.kind)
     if answer_class is None:
@@ -73,7 +73,7 @@
     try:
         return carried_class(*values)
     except TypeError as error:
-        raise Unreadable(f"a message of other values: {error}") from error
+        raise ProtocolError(f"a message of other values: {error}") from error
 
 
 def _values(carried: Any) -> list[Any]:
--- a/thistleline/handover/service.py
+++ b/thistleline/handover/service.py
@@ -85,8 +85,8 @@
 from thistleline.state.events import AgentEvent, AgentGreeted, DeepCheckCompleted
 from thistleline.state.options import MachineOptions
 from thistleline.store.clock import boot_now
-from thistleline.store.frames import Damaged
-from thistleline.transport.codec import Unreadable
+from thistleline.store.frames import CorruptFrameError
+from thistleline.transport.codec import ProtocolError
 
 # Seconds.
 RETRY_DELAY = 0.2  # after 'later', before the successor asks again
@@ -170,7 +170,7 @@
         """
         try:
             message = await self._request_handover(channel)
-        except (Unreadable, msgspec.MsgspecError) as error:
+        except (ProtocolError, msgspec.MsgspecError) as error:
             raise ConfigurationError(f"the server that runs here can't be understood: {error}") from error
         if not isinstance(message, Yours):
             channel.close()
@@ -180,7 +180,7 @@
         descriptors = list(channel.descriptors)
         channel.descriptors.clear()
         if message.lock:
-            self.store.disk.lock = descriptors.pop(0)
+            self.store.disk.lock_fd = descriptors.pop(0)
         if not message.listener:
             return None
         listener = socket.socket(fileno=descriptors.pop(0))
@@ -236,7 +236,7 @@
         """Ask one that has handed over before for what is left; return its last message."""
         channel.send(Hello(reads=ledger_format.READABLE_VERSIONS))
         message: Message | None = None
-        with suppress(Unreadable, msgspec.MsgspecError), anyio.move_on_after(RESUME_TIMEOUT):
+        with suppress(ProtocolError, msgspec.MsgspecError), anyio.move_on_after(RESUME_TIMEOUT):
             message = await channel.receive()
             while isinstance(message, Welcome):
                 channel.send(Ready())
@@ -252,7 +252,7 @@
         """Read the rest of the ledger, which nobody else writes any more."""
         try:
             self.store.read_appended(self.machine.ledger, self._read_positions, True, boot_now())
-        except (Damaged, OSError) as error:
+        except (CorruptFrameError, OSError) as error:
             raise ConfigurationError(f"the ledger can't be read: {error}") from error
         return list(self.machine.ledger.recovered_effects())
 
@@ -351,7 +351,7 @@
                         self.handle(PredecessorRunEnded(number, cast(RunOutcome, outcome), result))
                     case Forward():
                         self._handle_forwarded(message)
-        except (Unreadable, msgspec.MsgspecError) as error:
+        except (ProtocolError, msgspec.MsgspecError) as error:
             self.note("succession", state="elder not understood", why=str(error))
         channel.close()
         self._predecessor = None
@@ -410,7 +410,7 @@
                 return
             while (message := await channel.receive()) is not None:
                 self._handle_successor(message)
-        except (Unreadable, msgspec.MsgspecError) as error:
+        except (ProtocolError, msgspec.MsgspecError) as error:
             self.note("succession", state="heir not understood", why=str(error))
         finally:
             channel.close()
@@ -485,7 +485,7 @@
             self._has_handed_over = True
             self._step_aside()
         self._release_agent()
-        descriptors = [self.store.disk.lock] if not effect.is_repeated else []
+        descriptors = [self.store.disk.lock_fd] if not effect.is_repeated else []
         if listener is not None:
             descriptors.append(listener.fileno())
         message = Yours(
--- a/thistleline/ledger/format.py
+++ b/thistleline/ledger/format.py
@@ -18,8 +18,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from thistleline.store.frames import COST, Damaged, seal
-from thistleline.store.frames import frames as checked_frames
+from thistleline.store.frames import HEADER_SIZE, CorruptFrameError, encode_checksum_frame, scan_frames
 
 MAGIC = b"TLLEDGER"
 FORMAT_VERSION = 2
@@ -35,7 +34,7 @@
 DOUBT_DEADLINE = struct.Struct("<q")  # the result of a doubtful outcome: until when to wait, boot time in ns
 INTENT_SIZE = _INTENT.size  # bytes
 OUTCOME_SIZE = _OUTCOME.size  # bytes, without the result
-FRAME_OVERHEAD = COST + _COUNTS.size  # bytes of a frame beside its records
+FRAME_OVERHEAD = HEADER_SIZE + _COUNTS.size  # bytes of a frame beside its records
 
 
 class Intent(NamedTuple):
@@ -116,25 +115,26 @@
     """Decode the header that a segment starts with.
 
     Raises:
-        Damaged: With the reason, if the header is cut short, of another format, or its checksum is wrong.
+        CorruptFrameError: With the reason, if the header is cut short, of another format, or its
+            checksum is wrong.
     """
     if len(data) < _HEADER.size:
-        raise Damaged("it ends within its head")
+        raise CorruptFrameError("it ends within its head")
     magic, version, count, boot, checksum = _HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise Damaged("it is no segment of a ledger")
+        raise CorruptFrameError("it is no segment of a ledger")
     if version not in READABLE_VERSIONS:
-        raise Damaged(f"it has form {version}, this program reads form {FORMAT_VERSION}")
+        raise CorruptFrameError(f"it has form {version}, this program reads form {FORMAT_VERSION}")
     position = _HEADER.size
     names = []
     for _ in range(count):
         if position >= len(data) or position + 1 + data[position] > len(data):
-            raise Damaged("it ends within its head")
+            raise CorruptFrameError("it ends within its head")
         end = position + 1 + data[position]
         names.append(bytes(data[position + 1 : end]))
         position = end
     if zlib.crc32(bytes(data[_HEADER.size : position]), zlib.crc32(boot, version)) != checksum:
-        raise Damaged("the checksum of its head is wrong")
+        raise CorruptFrameError("the checksum of its head is wrong")
     return SegmentHeader(tuple(name.decode() for name in names), boot, position)
 
 
@@ -145,30 +145,30 @@
     parts += [pack_intent(*intent) for intent in intents]
     parts += [pack_outcome(number, kind, len(result)) for number, kind, result in outcomes]
     parts += [result for _, _, result in outcomes]
-    return seal(b"".join(parts))
+    return encode_checksum_frame(b"".join(parts))
 
 
 def iter_frames(data: memoryview, position: int) -> Iterator[tuple[int, memoryview | None, int]]:
     """Yield start, payload and end of each frame from `position` on, as store/frames.py does."""
-    return checked_frames(data, position, _COUNTS.size)
+    return scan_frames(data, position, _COUNTS.size)
 
 
 def decode_group(payload: memoryview) -> RecordGroup:
     """Decode the payload of a whole frame; the results in it are slices of `payload`.
 
     Raises:
-        Damaged: If the lengths in the payload disagree.
+        CorruptFrameError: If the lengths in the payload disagree.
     """
     intent_count, outcome_count = _COUNTS.unpack_from(payload)
     outcomes_start = _COUNTS.size + intent_count * _INTENT.size
     position = outcomes_start + outcome_count * _OUTCOME.size
     if position > len(payload):
-        raise Damaged("a group is shorter than it says")
+        raise CorruptFrameError("a group is shorter than it says")
     intents = list(map(Intent._make, _INTENT.iter_unpack(payload[_COUNTS.size : outcomes_start])))
     outcomes = []
     for number, kind, length in _OUTCOME.iter_unpack(payload[outcomes_start:position]):
         if kind >= len(OUTCOME_KINDS) or position + length > len(payload):
-            raise Damaged("a group is shorter than it says")
+            raise CorruptFrameError("a group is shorter than it says")
         outcomes.append(Outcome(number, kind, payload[position : position + length]))
         position += length
     return RecordGroup(intents, outcomes)
