--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -543,7 +543,7 @@
         ("server.service", "_count_descriptors", "ValueError"),
         ("state.state_machine", "ServerStateMachine._on_deadline", "ZeroDivisionError"),
         ("state.state_machine", "ServerStateMachine._sweep", "KeyError"),
-        ("wire.thrift", "Stubs.messages", "IndexError"),
+        ("wire.requests", "ClientCodec.decode_requests", "IndexError"),
         ("policy.policy", "Policy._sample", "ZeroDivisionError"),
     ],
 )
--- a/thistleline/__main__.py
+++ b/thistleline/__main__.py
@@ -26,11 +26,11 @@
     from thistleline.server.configuration import ConfigurationError, read_configuration
     from thistleline.server.log import complain
     from thistleline.server.service import Service
-    from thistleline.wire.settings import Malformed
+    from thistleline.wire.settings import SettingsError
 
     try:
         configuration = read_configuration(os.environ)
-    except Malformed as error:
+    except SettingsError as error:
         complain(str(error))
         return 2
     conf = None
--- a/thistleline/bench_adapter/host.py
+++ b/thistleline/bench_adapter/host.py
@@ -8,7 +8,7 @@
 from thistleline.bench_adapter.sink import LineSink
 from thistleline.interface import PolicyEvent
 from thistleline.policy import Policy
-from thistleline.wire.settings import read_gauges, read_server_settings
+from thistleline.wire.settings import read_gauge_names, read_server_settings
 
 
 class PolicyHost:
@@ -57,7 +57,7 @@
         """Make the policy of an instance: BORN, instance, seed, settings."""
         _, instance, seed = parts[:3]
         env = json.loads("\t".join(parts[3:]))
-        self._gauge_names[instance] = read_gauges(env)
+        self._gauge_names[instance] = read_gauge_names(env)
         self._policies[instance] = Policy(read_server_settings(env), int(seed), now)
 
 
--- a/thistleline/server/agent_link.py
+++ b/thistleline/server/agent_link.py
@@ -17,6 +17,7 @@
     StopRun,
 )
 from thistleline.state.events import (
+    AgentEvent,
     AgentGreeted,
     AgentLost,
     CallWanted,
@@ -28,7 +29,8 @@
     UnknownNotice,
 )
 from thistleline.wire import agent
-from thistleline.wire.settings import Malformed
+from thistleline.wire.errors import MalformedMessageError
+from thistleline.wire.lines import BUFFER_SIZE
 
 MAX_UNWRITTEN = 4 * 1024 * 1024  # bytes
 CONNECT_TIMEOUT = 1.0  # s, for the first attempt to connect
@@ -36,16 +38,26 @@
 # Seconds after a link that carried nothing, by such links in a row; the last again and again.
 RECONNECT_DELAYS = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4)
 
-NOTICE_EVENTS: dict[str, Callable[..., Any]] = {
-    "agent_up": AgentGreeted,
-    "run_over": RunCompleted,
-    "wants_call": CallWanted,
-    "measured": GaugesMeasured,
-    "deep_checked": DeepCheckCompleted,
-    "declined": CommandDeclined,
-    "remark": RemarkReceived,
-    "unknown": UnknownNotice,
-}
+
+def _to_event(notice: agent.Notice) -> AgentEvent:
+    """Return the event that a notice of the agent is to the state machine."""
+    match notice:
+        case agent.RunEnded(number, attempt_id, outcome, duration, result):
+            return RunCompleted(number, attempt_id, outcome, duration, result)
+        case agent.GaugesSampled(tag, values):
+            return GaugesMeasured(tag, values)
+        case agent.CallRequested(number, attempt_id, body):
+            return CallWanted(number, attempt_id, body)
+        case agent.AgentGreeting(is_new, age):
+            return AgentGreeted(is_new, age)
+        case agent.DeepCheckEnded(tag, healthy):
+            return DeepCheckCompleted(tag, healthy)
+        case agent.CommandRefused(command, target):
+            return CommandDeclined(command, target)
+        case agent.Remark(number):
+            return RemarkReceived(number)
+        case agent.UnknownNotice(text):
+            return UnknownNotice(text)
 
 
 class AgentLink:
@@ -100,21 +112,21 @@
         carried = False
         try:
             sock = await self._backoff.connect(self.address)
-            self.stream = Stream(sock, self._group, agent.BUFFER_BOUND, MAX_UNWRITTEN)
-            self.stream.write(agent.subscribe(last_notice))
+            self.stream = Stream(sock, self._group, BUFFER_SIZE, MAX_UNWRITTEN)
+            self.stream.write(agent.encode_subscribe(last_notice))
             self.stream.flush()
             while True:
                 self.stream.request_read()
                 if not await self.stream.read():
                     break
-                for kind, *values in agent.notices(self.stream.buffer):
+                for notice in agent.decode_notices(self.stream.buffer):
                     carried = True
-                    self.handle(NOTICE_EVENTS[kind](*values))
+                    self.handle(_to_event(notice))
         except (OSError, TimeoutError, anyio.ClosedResourceError) as error:
             reason = str(error) or type(error).__name__
         except Exception as error:  # whatever a link brings ends that link alone
             reason = f"{type(error).__name__}: {error}"
-            if isinstance(error, Malformed):
+            if isinstance(error, MalformedMessageError):
                 carried = False  # an agent that says the same again at once costs no processor time
         finally:
             if self.stream is not None:
@@ -141,22 +153,22 @@
             self.stream.write(data)
 
     def _start(self, effect: StartRun) -> None:
-        self._write(agent.start(effect.attempt_id, effect.stage, effect.body))
+        self._write(agent.encode_start(effect.attempt_id, effect.stage, effect.body))
 
     def _stop(self, effect: StopRun) -> None:
-        self._write(agent.stop(effect.attempt_id))
+        self._write(agent.encode_stop(effect.attempt_id))
 
     def _measure(self, effect: MeasureGauges) -> None:
-        self._write(agent.measure(effect.tag))
+        self._write(agent.encode_sample(effect.tag))
 
     def _check(self, effect: CheckAgent) -> None:
-        self._write(agent.deep_check(effect.tag))
+        self._write(agent.encode_deep_check(effect.tag))
 
     def _deliver(self, effect: DeliverCallResult) -> None:
-        self._write(agent.deliver(effect.attempt_id, effect.result))
+        self._write(agent.encode_deliver(effect.attempt_id, effect.result))
 
     def _skip_call(self, effect: SkipRunCall) -> None:
-        self._write(agent.skip_call(effect.attempt_id, effect.number))
+        self._write(agent.encode_skip_call(effect.attempt_id, effect.number))
 
     def flush(self) -> None:
         """Write all that lies ready."""
--- a/thistleline/server/announcer.py
+++ b/thistleline/server/announcer.py
@@ -9,7 +9,7 @@
 from thistleline.server.configuration import Address
 from thistleline.server.streams import ReconnectBackoff, Stream
 from thistleline.state.effects import AnnounceAccepting
-from thistleline.wire.announce import Reports
+from thistleline.wire.announce import AnnounceConnection
 
 # Seconds.
 REPORT_INTERVAL = 1.0  # an entry lapses three seconds after the last report
@@ -34,7 +34,7 @@
         self.succeeded: bool | None = None  # None until it has ended
         self.scope = anyio.CancelScope()
         self.stream: Stream | None = None
-        self.http: Reports | None = None
+        self.http: AnnounceConnection | None = None
 
 
 class Announcer:
@@ -57,7 +57,7 @@
         self._version = 0  # of what is to be told and where
         self._changed = anyio.Event()  # what is to be told, or where, or a report has ended
         self._backoff = ReconnectBackoff(CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT)
-        self._idle: tuple[Stream, Reports] | None = None  # a connection that can carry a further report
+        self._idle: tuple[Stream, AnnounceConnection] | None = None  # can carry a further report
         self._reports: dict[Report, None] = {}  # under way, the oldest first
         self._acknowledged: bool | None = None  # the state that was last answered for
         self._healthy = True
@@ -178,7 +178,7 @@
         """Keep the report's connection for the next one, or close it."""
         if report.stream is None or report.http is None:
             return
-        if is_reusable and self._idle is None and report.http.again():
+        if is_reusable and self._idle is None and report.http.start_next_report():
             self._idle = report.stream, report.http
         else:
             report.stream.close()
@@ -192,7 +192,7 @@
             h11.RemoteProtocolError: The answer makes no sense.
         """
         stream, http = await self._connect(report)
-        stream.write(http.report(self.name, report.accepting))
+        stream.write(http.encode_report(self.name, report.accepting))
         stream.flush()
         read = 0
         with anyio.fail_after(ANSWER_TIMEOUT):
@@ -200,12 +200,12 @@
                 stream.request_read()
                 count = await stream.read()
                 read += count
-                status = http.answered(stream.buffer.take(count))
+                status = http.receive(stream.buffer.take(count))
                 if status is not None:
                     return status
         raise OSError("an answer without end")
 
-    async def _connect(self, report: Report) -> tuple[Stream, Reports]:
+    async def _connect(self, report: Report) -> tuple[Stream, AnnounceConnection]:
         if self._idle is not None:
             stream, http = self._idle
             self._idle = None
@@ -213,7 +213,7 @@
             host, port = self.address
             sock = await self._backoff.connect(self.address)
             stream = Stream(sock, self._group, MAX_ANSWER_BYTES, MAX_ANSWER_BYTES)
-            http = Reports(f"{host}:{port}")
+            http = AnnounceConnection(f"{host}:{port}")
         report.stream = stream
         report.http = http
         return stream, http
--- a/thistleline/server/backend.py
+++ b/thistleline/server/backend.py
@@ -6,12 +6,12 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from thistleline.interface import CallOutcome
 from thistleline.server.configuration import Address
 from thistleline.server.streams import ReconnectBackoff, Stream
 from thistleline.state.effects import CancelCall, StartCall
 from thistleline.state.events import CallCompleted
 from thistleline.wire import backend
+from thistleline.wire.lines import BUFFER_SIZE
 
 MAX_UNWRITTEN = 4 * 1024 * 1024  # bytes
 CONNECT_TIMEOUT = 1.0  # s, for the first attempt to connect; a call that waits for it has its own timeout
@@ -88,7 +88,7 @@
             if address is None:
                 raise OSError("the configuration names no back end")
             sock = await self._backoff.connect(address)
-            stream = Stream(sock, self._group, backend.BUFFER_BOUND, MAX_UNWRITTEN)
+            stream = Stream(sock, self._group, BUFFER_SIZE, MAX_UNWRITTEN)
         except (OSError, TimeoutError):
             pending = self._pending
             self._pending = {}
@@ -117,8 +117,8 @@
                 connection.stream.request_read()
                 if not await connection.stream.read():
                     break
-                for _, attempt_id, outcome, result in backend.ends(connection.stream.buffer):
-                    self._call_ended(connection, attempt_id, outcome, result)
+                for end in backend.decode_call_ends(connection.stream.buffer):
+                    self._call_ended(connection, end)
                 if connection is not self._current and not connection.in_flight:
                     break
         except Exception:
@@ -131,13 +131,11 @@
                 self._forget(connection, attempt_id)
                 self._handle(CallCompleted(attempt_id, "aborted", b""))
 
-    def _call_ended(
-        self, connection: BackendConnection, attempt_id: str, outcome: CallOutcome, result: bytes
-    ) -> None:
-        connection.cancelled.discard(attempt_id)
-        if attempt_id in connection.in_flight:
-            self._forget(connection, attempt_id)
-            self._handle(CallCompleted(attempt_id, outcome, result))
+    def _call_ended(self, connection: BackendConnection, end: backend.CallEnded) -> None:
+        connection.cancelled.discard(end.task_id)
+        if end.task_id in connection.in_flight:
+            self._forget(connection, end.task_id)
+            self._handle(CallCompleted(end.task_id, end.outcome, end.result))
 
     def _forget(self, connection: BackendConnection, attempt_id: str) -> None:
         connection.in_flight.discard(attempt_id)
@@ -158,7 +156,7 @@
             self._pending[attempt_id] = effect
             self._wanted.set()
         else:
-            self._current.stream.write(backend.call(attempt_id, effect.timeout, effect.body))
+            self._current.stream.write(backend.encode_call(attempt_id, effect.timeout, effect.body))
             self._current.in_flight.add(attempt_id)
             self._calls[attempt_id] = self._current
 
@@ -167,7 +165,7 @@
         self._pending.pop(attempt_id, None)
         connection = self._calls.get(attempt_id)
         if connection is not None:
-            connection.stream.write(backend.cancel(attempt_id))
+            connection.stream.write(backend.encode_cancel(attempt_id))
             connection.cancelled.add(attempt_id)
             self._forget(connection, attempt_id)
 
--- a/thistleline/server/listener.py
+++ b/thistleline/server/listener.py
@@ -34,7 +34,15 @@
     MalformedReceived,
     TaskReceived,
 )
-from thistleline.wire import thrift
+from thistleline.wire import responses
+from thistleline.wire.requests import (
+    BUFFER_SIZE,
+    ClientCodec,
+    HealthRequest,
+    MalformedRequest,
+    Request,
+    TaskRequest,
+)
 
 MAX_UNWRITTEN = 256 * 1024  # bytes; a full connection's answers take under 140 KiB
 BACKLOG = 1024  # connections that the kernel holds ready
@@ -58,12 +66,6 @@
 )
 RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
-MESSAGE_EVENTS: dict[str, Callable[..., ClientEvent]] = {
-    "task": TaskReceived,
-    "check": HealthCheckReceived,
-    "malformed": MalformedReceived,
-}
-
 
 def listen(address: Address) -> socket.socket:
     """Return a non-blocking listening socket.
@@ -77,13 +79,24 @@
     return listener
 
 
+def _to_event(connection: int, request: Request) -> ClientEvent:
+    """Return the event that a request on a connection is to the state machine."""
+    match request:
+        case TaskRequest(seq, task, dedup_key, body):
+            return TaskReceived(connection, seq, task, dedup_key, body)
+        case HealthRequest(seq, deep):
+            return HealthCheckReceived(connection, seq, deep)
+        case MalformedRequest(seq, method, reason):
+            return MalformedReceived(connection, seq, method, reason)
+
+
 class ClientListener:
     """Accepts connections, reads messages from them and writes answers."""
 
     def __init__(
         self,
         listener: socket.socket,
-        codec: thrift.Stubs,
+        codec: ClientCodec,
         handle: Callable[[ClientEvent], None],
         group: TaskGroup,
         max_connections: int = sys.maxsize,
@@ -144,7 +157,7 @@
                     continue
                 raise
             try:
-                stream = Stream(sock, self._group, thrift.BUFFER_BOUND, MAX_UNWRITTEN)
+                stream = Stream(sock, self._group, BUFFER_SIZE, MAX_UNWRITTEN)
             except OSError:
                 continue  # gone already
             self._add(stream)
@@ -181,8 +194,8 @@
 
     async def _read_messages(self, number: int, stream: Stream) -> None:
         while await stream.read():
-            for kind, *values in self._codec.messages(stream.buffer):
-                self._handle(MESSAGE_EVENTS[kind](number, *values))
+            for request in self._codec.decode_requests(stream.buffer):
+                self._handle(_to_event(number, request))
                 if stream.finishing or stream.closed:
                     return
             self._handle(InputDrained(number, len(stream.buffer) > 0))
@@ -249,23 +262,25 @@
             self._written[number] = stream
 
     def _answer_finished(self, effect: AnswerFinished) -> None:
-        self._write(effect.connection, thrift.finished(effect.seq, effect.result, effect.load_hint))
+        self._write(effect.connection, responses.encode_finished(effect.seq, effect.result, effect.load_hint))
 
     def _answer_rejected(self, effect: AnswerRejected) -> None:
-        data = thrift.rejected(effect.seq, effect.fleet_overloaded, effect.retry_after, effect.load_hint)
+        data = responses.encode_rejected(
+            effect.seq, effect.fleet_overloaded, effect.retry_after, effect.load_hint
+        )
         self._write(effect.connection, data)
 
     def _answer_abandoned(self, effect: AnswerAbandoned) -> None:
-        self._write(effect.connection, thrift.abandoned(effect.seq, effect.load_hint))
+        self._write(effect.connection, responses.encode_abandoned(effect.seq, effect.load_hint))
 
     def _answer_health(self, effect: AnswerHealth) -> None:
-        self._write(effect.connection, thrift.health(effect.seq, effect.healthy, effect.load_hint))
+        self._write(effect.connection, responses.encode_health(effect.seq, effect.healthy, effect.load_hint))
 
     def _answer_misunderstood(self, effect: AnswerMisunderstood) -> None:
-        self._write(effect.connection, thrift.misunderstood(effect.seq, effect.method, effect.reason))
+        self._write(effect.connection, responses.encode_exception(effect.seq, effect.method, effect.reason))
 
     def _dismiss(self, effect: DismissConnection) -> None:
-        self._write(effect.connection, thrift.dismiss())
+        self._write(effect.connection, responses.encode_farewell())
 
     def _close(self, effect: CloseConnection) -> None:
         self.close(effect.connection)
--- a/thistleline/server/service.py
+++ b/thistleline/server/service.py
@@ -35,7 +35,7 @@
 from thistleline.state.options import MachineOptions
 from thistleline.state.phases import Lifecycle
 from thistleline.state.state_machine import ServerStateMachine
-from thistleline.wire.thrift import Stubs
+from thistleline.wire.requests import ClientCodec
 
 if TYPE_CHECKING:
     from thistleline.config.schema import Conf
@@ -221,7 +221,7 @@
 
     def _make_parts(self, group: TaskGroup, listener: socket.socket) -> None:
         configuration = self.configuration
-        codec = Stubs(configuration.settings)
+        codec = ClientCodec(configuration.settings)
         self.clients = ClientListener(listener, codec, self.handle_client, group, self.max_connections)
         self.agent = AgentLink(configuration.agent, self.handle, group)
         self.backend = BackendLink(configuration.backend, self.handle, group)
