--- a/thistleline/ledger/format.py
+++ b/thistleline/ledger/format.py
@@ -18,7 +18,12 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from thistleline.store.frames import HEADER_SIZE, CorruptFrameError, encode_checksum_frame, scan_frames
+from thistleline.store.frames import (
+    HEADER_SIZE,
+    CorruptFrameError,
+    encode_checksum_frame,
+    scan_frames,
+)
 
 MAGIC = b"TLLEDGER"
 FORMAT_VERSION = 2
@@ -115,8 +120,8 @@
     """Decode the header that a segment starts with.
 
     Raises:
-        CorruptFrameError: With the reason, if the header is cut short, of another format, or its
-            checksum is wrong.
+        CorruptFrameError: With the reason, if the header is cut short, of another format, or fails its
+            checksum.
     """
     if len(data) < _HEADER.size:
         raise CorruptFrameError("it ends within its head")
--- a/thistleline/ledger/store.py
+++ b/thistleline/ledger/store.py
@@ -104,8 +104,8 @@
             The effects that still matter.
 
         Raises:
-            CorruptFrameError: If a segment has another format; nothing must be started on half of what
-                is known.
+            CorruptFrameError: If a segment has another format; nothing must be started on half of what is
+                known.
             OSError: If the folder can't be read.
         """
         with _garbage_collection_paused():
--- a/thistleline/wire/requests.py
+++ b/thistleline/wire/requests.py
@@ -156,9 +156,7 @@
             client=_parse_whole(fields["sender"]),
             priority_rank=_parse_number(fields["class_rank"], 1.0),
             user=None if subject is None else _parse_whole(subject, 16),
-            estimated_work=None
-            if effort is None
-            else int(_parse_number(effort, MAX_WORK) * MILLISECOND) or None,
+            estimated_work=None if effort is None else _parse_work(effort),
             queued_memory_kb=_parse_number(fields["room"], MAX_MEMORY),
             arrived_at=_parse_whole(fields["since"]) * MILLISECOND,
             deadline=None,
@@ -209,6 +207,11 @@
     return int(text, base)
 
 
+def _parse_work(text: str) -> int | None:
+    """Return the nanoseconds of a text in decimal milliseconds; None for none."""
+    return int(_parse_number(text, MAX_WORK) * MILLISECOND) or None
+
+
 def _parse_number(text: str, limit: float) -> float:
     """Return a number from 0 to less than `limit`."""
     if not text.isascii() or "_" in text or text != text.strip():
