--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -155,8 +155,8 @@
 async def test_a_follower_that_cant_read_the_ledger_or_comes_second_is_refused(tmp_path: Path) -> None:
     async with one_server(tmp_path) as (lives, _), anyio.create_task_group() as group:
         for hello in (
-            Hello(reads=(ledger_format.FORMAT_VERSION + 1,)),
-            Hello(least=9, most=9, reads=ledger_format.READABLE_VERSIONS),
+            Hello(ledger_versions=(ledger_format.FORMAT_VERSION + 1,)),
+            Hello(min_version=9, max_version=9, ledger_versions=ledger_format.READABLE_VERSIONS),
         ):
             sock = reach(tmp_path / "handover" / "heir.sock")
             assert sock is not None
@@ -167,7 +167,7 @@
         first = reach(tmp_path / "handover" / "heir.sock")
         assert first is not None
         line = HandoverChannel(first, group)
-        line.send(Hello(reads=ledger_format.READABLE_VERSIONS))
+        line.send(Hello(ledger_versions=ledger_format.READABLE_VERSIONS))
         await line.receive()
         second = lives.start({})
         assert await lives.gone(second, 10)
--- a/thistleline/handover/__init__.py
+++ b/thistleline/handover/__init__.py
@@ -1,1 +1,1 @@
-"""A server that a steward keeps: tells what its work was worth, and hands over to the one that follows."""
+"""A supervised server: it follows the one that runs on its machine and hands over to the next."""
--- a/thistleline/handover/channel.py
+++ b/thistleline/handover/channel.py
@@ -1,4 +1,4 @@
-"""The line between elder and heir: messages over a Unix socket, descriptors beside them, bounded."""
+"""The channel between predecessor and successor: messages and descriptors over a Unix socket, bounded."""
 
 import os
 import socket
@@ -10,17 +10,18 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from thistleline.handover.messages import BOUND, Message, decode, encode
+from thistleline.handover.messages import MAX_MESSAGE_SIZE, Message, decode, encode
 from thistleline.transport.codec import FrameDecoder, encode_frame
 
-WRITE_BOUND = 16 << 20  # bytes that wait; who lets so much wait is gone
-PIECE = 1 << 16
-DESCRIPTORS = 4
+MAX_UNWRITTEN = 16 << 20  # bytes that wait; who lets so much wait is gone
+CHUNK_SIZE = 1 << 16  # bytes read or written at once
+MAX_DESCRIPTORS = 4  # that are taken with one read
+BACKLOG = 4  # successors that the kernel holds ready
 
 
 @contextmanager
 def _short(path: Path) -> Iterator[str]:
-    """The path through a descriptor of its folder: a name of a Unix socket has 107 bytes at the most."""
+    """Yield the path through a descriptor of its folder: a Unix socket's name has 107 bytes at the most."""
     folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         yield f"/proc/self/fd/{folder}/{path.name}"
@@ -29,58 +30,78 @@
 
 
 def listen(path: Path) -> socket.socket:
-    """Raises OSError."""
+    """Return a non-blocking socket that listens at `path`, in place of any other there.
+
+    Raises:
+        OSError: The path can't be had.
+    """
     path.parent.mkdir(mode=0o700, parents=True, exist_ok=True)
     path.unlink(missing_ok=True)
-    made = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+    listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     with _short(path) as name:
-        made.bind(name)
-    made.listen(4)
-    made.setblocking(False)
-    return made
+        listener.bind(name)
+    listener.listen(BACKLOG)
+    listener.setblocking(False)
+    return listener
 
 
 def reach(path: Path) -> socket.socket | None:
-    """None where nobody is there."""
-    made = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+    """Return a socket that is connected to the listener at `path`; None where nobody is there."""
+    sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     try:
         with _short(path) as name:
-            made.connect(name)
+            sock.connect(name)
     except OSError:
-        made.close()
+        sock.close()
         return None
-    made.setblocking(False)
-    return made
+    sock.setblocking(False)
+    return sock
 
 
 class HandoverChannel:
+    """One connection between a predecessor and a successor.
+
+    Attributes:
+        group: Where what can't be written at once is written later.
+        sock: The socket.
+        descriptors: Descriptors that came and that nobody has taken.
+        closed: Whether it was closed here.
+    """
+
     def __init__(self, sock: socket.socket, group: TaskGroup) -> None:
+        """Take over a connected socket."""
         sock.setblocking(False)
-        self.sock, self.group = sock, group
-        self.unpacker = FrameDecoder(BOUND)
-        self.came: deque[Message] = deque()
+        self.sock = sock
+        self.group = group
         self.descriptors: list[int] = []
-        self.out = bytearray()
-        self.draining = self.closed = False
+        self.closed = False
+        self._decoder = FrameDecoder(MAX_MESSAGE_SIZE)
+        self._received: deque[Message] = deque()
+        self._unwritten = bytearray()
+        self._draining = False
 
     # ---- out
 
     def send(self, message: Message) -> None:
-        """Never waits. Guards this process against a peer that does not read: its line ends."""
+        """Send without waiting; the channel to a peer that does not read is closed."""
         if self.closed:
             return
-        self.out += encode_frame(encode(message))
-        if len(self.out) > WRITE_BOUND:
+        self._unwritten += encode_frame(encode(message))
+        if len(self._unwritten) > MAX_UNWRITTEN:
             self.close()
-        elif not self.draining:
+        elif not self._draining:
             self._write()
-            if self.out:
-                self.draining = True
+            if self._unwritten:
+                self._draining = True
                 self.group.start_soon(self._drain)
 
     def send_with(self, message: Message, descriptors: list[int]) -> None:
-        """Whole and at once, after all that was sent. Raises OSError where that can't be."""
-        if self.closed or self.out:
+        """Send a message and descriptors as a whole and at once, after all that was sent.
+
+        Raises:
+            OSError: That can't be.
+        """
+        if self.closed or self._unwritten:
             raise OSError("the line is not free")
         data = encode_frame(encode(message))
         if socket.send_fds(self.sock, [data], descriptors) != len(data):
@@ -88,9 +109,9 @@
 
     def _write(self) -> None:
         try:
-            while self.out:
-                sent = self.sock.send(self.out[:PIECE])
-                del self.out[:sent]
+            while self._unwritten:
+                sent = self.sock.send(self._unwritten[:CHUNK_SIZE])
+                del self._unwritten[:sent]
         except BlockingIOError:
             pass
         except OSError:
@@ -98,34 +119,40 @@
 
     async def _drain(self) -> None:
         with suppress(OSError, anyio.ClosedResourceError):
-            while self.out and not self.closed:
+            while self._unwritten and not self.closed:
                 await anyio.wait_writable(self.sock)
                 self._write()
-        self.draining = False
+        self._draining = False
 
     # ---- in
 
     async def receive(self) -> Message | None:
-        """None at its end. Raises ProtocolError or MsgspecError for what is no message."""
-        while not self.came:
+        """Wait for the next message and return it; None at the end.
+
+        Raises:
+            ProtocolError: What came is no frame.
+            msgspec.MsgspecError: What came is no message.
+        """
+        while not self._received:
             if self.closed:
                 return None
             try:
                 await anyio.wait_readable(self.sock)
-                data, found, _, _ = socket.recv_fds(self.sock, PIECE, DESCRIPTORS)
+                data, descriptors, _, _ = socket.recv_fds(self.sock, CHUNK_SIZE, MAX_DESCRIPTORS)
             except BlockingIOError:
                 continue
             except (OSError, anyio.ClosedResourceError):
                 return None
-            for one in found:
-                os.set_inheritable(one, False)
-            self.descriptors += found
+            for descriptor in descriptors:
+                os.set_inheritable(descriptor, False)
+            self.descriptors += descriptors
             if not data:
                 return None
-            self.came += map(decode, self.unpacker.feed(data))
-        return self.came.popleft()
+            self._received += map(decode, self._decoder.feed(data))
+        return self._received.popleft()
 
     def close(self) -> None:
+        """Close the socket; who reads is told."""
         if not self.closed:
             self.closed = True
             with suppress(OSError):
--- a/thistleline/handover/relay.py
+++ b/thistleline/handover/relay.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from thistleline.handover.effects import AnswerEffect, RelayedEvent
-from thistleline.handover.messages import Agent, Answer
+from thistleline.handover.messages import AgentEventMessage, Answer
 from thistleline.state.effects import AnswerAbandoned, AnswerFinished, AnswerMisunderstood, AnswerRejected
 from thistleline.state.events import AgentGreeted, AgentLost, CommandDeclined, GaugesMeasured, RunCompleted
 from thistleline.transport.codec import ProtocolError
@@ -32,12 +32,12 @@
 ANSWER_CLASSES: dict[str, type[AnswerEffect]] = {kind: each for each, kind in ANSWER_KINDS.items()}
 
 
-def encode_agent_event(event: RelayedEvent) -> Agent:
+def encode_agent_event(event: RelayedEvent) -> AgentEventMessage:
     """Return the message that carries an event of the agent."""
-    return Agent(EVENT_KINDS[type(event)], _values(event))
+    return AgentEventMessage(EVENT_KINDS[type(event)], _values(event))
 
 
-def decode_agent_event(message: Agent) -> RelayedEvent | None:
+def decode_agent_event(message: AgentEventMessage) -> RelayedEvent | None:
     """Return the event that the message carries; None for a kind that is not known.
 
     Raises:
@@ -46,7 +46,7 @@
     event_class = EVENT_CLASSES.get(message.kind)
     if event_class is None:
         return None
-    event: RelayedEvent = _construct(event_class, message.told)
+    event: RelayedEvent = _construct(event_class, message.values)
     return event
 
 
@@ -65,7 +65,7 @@
     answer_class = ANSWER_CLASSES.get(message.kind)
     if answer_class is None:
         return None
-    answer: AnswerEffect = _construct(answer_class, [0, message.name, *message.told])
+    answer: AnswerEffect = _construct(answer_class, [0, message.number, *message.values])
     return answer
 
 
--- a/thistleline/handover/service.py
+++ b/thistleline/handover/service.py
@@ -42,21 +42,21 @@
     TaskForwarded,
 )
 from thistleline.handover.messages import (
-    FORMS,
-    Agent,
+    PROTOCOL_VERSIONS,
+    AgentEventMessage,
     Answer,
-    Ended,
+    EffectEnded,
     Forward,
+    Grant,
     Hello,
-    Later,
-    Lodge,
-    Measure,
+    MeasureGaugesFor,
     Message,
+    Postponed,
     Ready,
     Refused,
-    Stop,
+    StartHostedRun,
+    StopHostedRun,
     Welcome,
-    Yours,
     task_from_fields,
     task_to_fields,
 )
@@ -115,7 +115,7 @@
         self._read_positions: dict[int, int] = {}  # how far each segment of the ledger was read
         self._predecessor: HandoverChannel | None = None
         self._successor: HandoverChannel | None = None
-        self._inherited: Yours | None = None
+        self._inherited: Grant | None = None
         self._has_handed_over = False
         self._owns_agent_link = True
         self._agent_scope: anyio.CancelScope | None = None
@@ -172,29 +172,29 @@
             message = await self._request_handover(channel)
         except (ProtocolError, msgspec.MsgspecError) as error:
             raise ConfigurationError(f"the server that runs here can't be understood: {error}") from error
-        if not isinstance(message, Yours):
+        if not isinstance(message, Grant):
             channel.close()
             return None
         self._predecessor = channel
         self._inherited = message
         descriptors = list(channel.descriptors)
         channel.descriptors.clear()
-        if message.lock:
+        if message.has_lock:
             self.store.disk.lock_fd = descriptors.pop(0)
-        if not message.listener:
+        if not message.has_listener:
             return None
         listener = socket.socket(fileno=descriptors.pop(0))
         listener.setblocking(False)
         return listener
 
     async def _request_handover(self, channel: HandoverChannel) -> Message | None:
-        channel.send(Hello(reads=ledger_format.READABLE_VERSIONS))
+        channel.send(Hello(ledger_versions=ledger_format.READABLE_VERSIONS))
         message = await channel.receive()
         if isinstance(message, Refused):
-            raise ConfigurationError(f"the server that runs here does not hand over: {message.why}")
-        while isinstance(message, Welcome | Later):
-            if isinstance(message, Later):
-                self.note("succession", state="later", why=message.why)
+            raise ConfigurationError(f"the server that runs here does not hand over: {message.reason}")
+        while isinstance(message, Welcome | Postponed):
+            if isinstance(message, Postponed):
+                self.note("succession", state="later", why=message.reason)
                 await anyio.sleep(RETRY_DELAY)
             await anyio.to_thread.run_sync(self._read_some)
             channel.send(Ready())
@@ -215,7 +215,7 @@
                 continue
             channel = HandoverChannel(sock, group)
             message = await self._resume(channel)
-            if isinstance(message, Yours) and self._predecessor is None:
+            if isinstance(message, Grant) and self._predecessor is None:
                 self._predecessor = channel
                 self._inherited = message
             else:
@@ -234,7 +234,7 @@
 
     async def _resume(self, channel: HandoverChannel) -> Message | None:
         """Ask one that has handed over before for what is left; return its last message."""
-        channel.send(Hello(reads=ledger_format.READABLE_VERSIONS))
+        channel.send(Hello(ledger_versions=ledger_format.READABLE_VERSIONS))
         message: Message | None = None
         with suppress(ProtocolError, msgspec.MsgspecError), anyio.move_on_after(RESUME_TIMEOUT):
             message = await channel.receive()
@@ -290,10 +290,10 @@
             StopAccepting: self._stop_accepting,
         }
 
-    def _take_over(self, inherited: Yours, group: TaskGroup) -> None:
+    def _take_over(self, inherited: Grant, group: TaskGroup) -> None:
         # What one that lost its successor has read of the agent since is not known here.
-        last_notice = inherited.notice if inherited.lock else 0
-        self.handle(Inherited(last_notice, inherited.runs, inherited.owned))
+        last_notice = inherited.last_notice if inherited.has_lock else 0
+        self.handle(Inherited(last_notice, inherited.runs, inherited.owned_ids))
         assert self._predecessor is not None
         self._predecessor.group = group
         group.start_soon(self._serve_predecessor, self._predecessor)
@@ -328,7 +328,7 @@
                 self._agent_greeted.set()
 
     def _stop_accepting(self, effect: StopAccepting) -> None:
-        """Stop; what waits at the socket of one that has handed over is its successor's."""
+        """Stop accepting; what waits at the socket of one that has handed over is its successor's."""
         if self._has_handed_over:
             self.clients.abandon_listener()
         else:
@@ -341,13 +341,13 @@
         try:
             while (message := await channel.receive()) is not None:
                 match message:
-                    case Lodge(id, stage, body):
+                    case StartHostedRun(id, stage, body):
                         self.handle(HostedRunStarted(id, stage, body))
-                    case Stop(id):
+                    case StopHostedRun(id):
                         self.handle(HostedRunStopped(id))
-                    case Measure(tag):
+                    case MeasureGaugesFor(tag):
                         self.handle(HostedMeasureRequested(tag))
-                    case Ended(number, outcome, result):
+                    case EffectEnded(number, outcome, result):
                         self.handle(PredecessorRunEnded(number, cast(RunOutcome, outcome), result))
                     case Forward():
                         self._handle_forwarded(message)
@@ -362,15 +362,15 @@
         settings = self.configuration.settings
         skew = self.clock.skew()
         stages = [place for place, stage in enumerate(settings.stages) if stage.name == message.stage]
-        tenants = [place for place, tenant in enumerate(settings.tenants) if tenant.name == message.owner]
+        tenants = [place for place, tenant in enumerate(settings.tenants) if tenant.name == message.tenant]
         if not stages or not tenants:
-            reason = f"there is no stage {message.stage!r} or no owner {message.owner!r} any more"
-            self._tell_predecessor(Answer(message.name, "misunderstood", [None, reason]))
+            reason = f"there is no stage {message.stage!r} or no owner {message.tenant!r} any more"
+            self._tell_predecessor(Answer(message.number, "misunderstood", [None, reason]))
             return
         task = task_from_fields({**message.task, "stage": stages[0], "owner": tenants[0]})
         deadline = None if task.deadline is None else task.deadline + skew
         task = replace(task, arrived_at=task.arrived_at + skew, deadline=deadline)
-        self.handle(TaskForwarded(message.name, task, message.word, message.body))
+        self.handle(TaskForwarded(message.number, task, message.dedup_key, message.body))
 
     def _tell_predecessor(self, message: Message) -> None:
         if self._predecessor is not None:
@@ -420,18 +420,19 @@
     def _welcome(self, channel: HandoverChannel, hello: Hello) -> bool:
         """Take the successor if it can read all that it will have."""
         refusal = ""
-        if min(hello.most, FORMS[1]) < max(hello.least, FORMS[0]):
-            refusal = f"no common form: {hello.least} to {hello.most} and {FORMS[0]} to {FORMS[1]}"
-        elif ledger_format.FORMAT_VERSION not in hello.reads:
+        least, greatest = PROTOCOL_VERSIONS
+        if min(hello.max_version, greatest) < max(hello.min_version, least):
+            refusal = f"no common form: {hello.min_version} to {hello.max_version} and {least} to {greatest}"
+        elif ledger_format.FORMAT_VERSION not in hello.ledger_versions:
             written = ledger_format.FORMAT_VERSION
-            refusal = f"the ledger has form {written}, the follower reads {list(hello.reads)}"
+            refusal = f"the ledger has form {written}, the follower reads {list(hello.ledger_versions)}"
         elif self._successor is not None:
             refusal = "another one follows already"
         if refusal:
             channel.send(Refused(refusal))
             return False
         self._successor = channel
-        channel.send(Welcome(min(hello.most, FORMS[1])))
+        channel.send(Welcome(min(hello.max_version, greatest)))
         return True
 
     def _handle_successor(self, message: Message) -> None:
@@ -439,14 +440,14 @@
             case Ready():
                 stop_at = self.clock.now() + self.configuration.stop_timeout
                 self.handle(SuccessorReplaced(stop_at) if self._has_handed_over else SuccessorReady(stop_at))
-            case Agent():
+            case AgentEventMessage():
                 event = decode_agent_event(message)
                 if event is not None:
                     self.handle(event)
             case Answer():
                 answer = decode_answer(message)
                 if answer is not None:
-                    self.handle(ForwardedAnswered(str(message.name), answer))
+                    self.handle(ForwardedAnswered(str(message.number), answer))
 
     def _lose_successor(self) -> None:
         self._successor = None
@@ -461,10 +462,10 @@
 
     def _postpone(self, effect: PostponeHandover) -> None:
         self.note("succession", state="later", why=effect.reason)
-        self._tell_successor(Later(effect.reason))
+        self._tell_successor(Postponed(effect.reason))
 
     def _report_run_end(self, effect: ReportRunEnd) -> None:
-        self._tell_successor(Ended(effect.number, effect.outcome, effect.result))
+        self._tell_successor(EffectEnded(effect.number, effect.outcome, effect.result))
 
     def _forward(self, effect: ForwardTask) -> None:
         task = effect.task
@@ -488,7 +489,7 @@
         descriptors = [self.store.disk.lock_fd] if not effect.is_repeated else []
         if listener is not None:
             descriptors.append(listener.fileno())
-        message = Yours(
+        message = Grant(
             effect.last_notice, effect.runs, effect.owned_ids, not effect.is_repeated, listener is not None
         )
         try:
@@ -528,14 +529,14 @@
             self.agent.stream.close()
         self.effect_handlers |= {
             StartRun: self._start_by_successor,
-            StopRun: lambda effect: self._tell_successor(Stop(effect.attempt_id)),
-            MeasureGauges: lambda effect: self._tell_successor(Measure(effect.tag)),
+            StopRun: lambda effect: self._tell_successor(StopHostedRun(effect.attempt_id)),
+            MeasureGauges: lambda effect: self._tell_successor(MeasureGaugesFor(effect.tag)),
             CheckAgent: lambda effect: self.handle(DeepCheckCompleted(effect.tag, True)),
             AnnounceAccepting: lambda effect: None,
         }
 
     def _start_by_successor(self, effect: StartRun) -> None:
-        self._tell_successor(Lodge(effect.attempt_id, effect.stage, bytes(effect.body)))
+        self._tell_successor(StartHostedRun(effect.attempt_id, effect.stage, bytes(effect.body)))
 
     async def _link_alone(self) -> None:
         """Ask the agent itself for what this process has running, until a successor comes again."""
--- a/thistleline/handover/serving.py
+++ b/thistleline/handover/serving.py
@@ -1,20 +1,24 @@
-"""Which life serves, as it says itself: a file in the folder of the handover, for the steward to read."""
+"""Which incarnation serves, as it says itself: a file in the folder of the handover, for the supervisor."""
 
 import os
 from pathlib import Path
 
-OWNER = "owner"
+OWNER = "owner"  # name of the file
 
 
 def tell_owner(folder: Path, life: str) -> None:
-    """Whole or not at all. Raises OSError."""
+    """Write that this process serves, as incarnation `life`; the file is replaced as a whole.
+
+    Raises:
+        OSError: It can't be written.
+    """
     fresh = folder / f"{OWNER}.new"
     fresh.write_text(f"{life} {os.getpid()}\n")
     fresh.rename(folder / OWNER)
 
 
 def read_owner(folder: Path) -> tuple[int, int] | None:
-    """The life and the pid of the server that serves, or served last; None where nothing can be read."""
+    """Return incarnation and pid of the server that serves, or served last; None where that is unknown."""
     try:
         life, pid = (folder / OWNER).read_text().split()
         return int(life), int(pid)
