--- a/thistleline/lab/scale/settings_costs.py
+++ b/thistleline/lab/scale/settings_costs.py
@@ -20,7 +20,7 @@
     row,
     steps_of,
 )
-from thistleline.lease.table import RECORDS_BOUND, RECORDS_SIZE
+from thistleline.lease.table import MAX_RECORDS, MAX_RECORDS_SIZE
 from thistleline.rollout.canary import ColdBaseline, Judgement
 from thistleline.rollout.controller import RolloutController
 from thistleline.rollout.effects import SetDesiredVersion, StoreRecord
@@ -144,7 +144,7 @@
     by_tenant = (100, 300, 600, 1000) if quick else (100, 1000, 10_000, 100_000)
     for per, sizes, at in (("stage", by_stage, routes), ("tenant", by_tenant, tenants)):
         texts = [text_of(n, 3, seed) if per == "stage" else text_of(3, n, seed) for n in sizes]
-        bounds = f"{SETTINGS_SIZE_LIMIT} at most by SETTINGS_SIZE_LIMIT, the council's VALUE_BOUND"
+        bounds = f"{SETTINGS_SIZE_LIMIT} at most by SETTINGS_SIZE_LIMIT, the council's MAX_VALUE_SIZE"
         found.append(row(f"text by {per}: bytes", "count", "bytes", per, sizes,
                          [len(one) for one in texts], at, note=bounds))  # fmt: skip
         told = [msgspec.json.decode(one) for one in texts]
@@ -279,8 +279,8 @@
         "changes that wait within the time to be in force": day * within / DAY,
         "bytes a second to an instance at the day's rate": content * day / DAY,
         "stages and tenants in a record": most_that_fit(rows, SETTINGS_SIZE_LIMIT),
-        "days till RECORDS_BOUND is full of numbered settings": (RECORDS_BOUND - instances) / day,
-        "settings of full size that RECORDS_SIZE holds": RECORDS_SIZE // content,
+        "days till RECORDS_BOUND is full of numbered settings": (MAX_RECORDS - instances) / day,
+        "settings of full size that RECORDS_SIZE holds": MAX_RECORDS_SIZE // content,
     }
 
 
--- a/thistleline/supervisor/service.py
+++ b/thistleline/supervisor/service.py
@@ -15,7 +15,7 @@
 
 from thistleline.config.schema import Conf
 from thistleline.handover.serving import read_owner
-from thistleline.lease.client import Council
+from thistleline.lease.client import LeaseClient
 from thistleline.lease.protocol import Get, Got
 from thistleline.membership.messages import Facts
 from thistleline.membership.service import MemberService
@@ -81,7 +81,7 @@
         """
         async with anyio.create_task_group() as group:
             self.group = group
-            self.council = Council(self.voters, group)
+            self.council = LeaseClient(self.voters, group)
             group.start_soon(self.member.run)
             await self._recover()
             self._check_takeover()
@@ -171,7 +171,7 @@
         """
         number = version.settings
         if not self.settings.exists(number):
-            answer = await self.council.surely(Get(settings_key(number)), SETTINGS_TIMEOUT)
+            answer = await self.council.request_until_decided(Get(settings_key(number)), SETTINGS_TIMEOUT)
             if not isinstance(answer, Got) or not answer.version:
                 raise ReleaseError(f"settings {number} are not to be had")
             self.settings.write(number, answer.value)
@@ -216,7 +216,7 @@
 
     async def _poll_desired_version(self) -> None:
         while True:
-            answer = await self.council.ask(Get(desired_version_key(self.name)))
+            answer = await self.council.request(Get(desired_version_key(self.name)))
             self.handle(events.ConsensusPolled(isinstance(answer, Got)))
             if isinstance(answer, Got) and answer.version:
                 with suppress(msgspec.MsgspecError):
