--- a/thistleline/handover/service.py
+++ b/thistleline/handover/service.py
@@ -18,7 +18,7 @@
 from anyio.abc import TaskGroup
 
 from thistleline.config.schema import Conf
-from thistleline.durable.writer import LedgerWriter, hold, make_store
+from thistleline.durable.writer import LedgerWriter, make_store
 from thistleline.handover import channel as channels
 from thistleline.handover.channel import HandoverChannel
 from thistleline.handover.effects import (
@@ -69,9 +69,9 @@
 )
 from thistleline.handover.serving import tell_owner
 from thistleline.handover.state_machine import PREDECESSOR, HandoverStateMachine
+from thistleline.handover.takeover import SOCKET_NAME, Takeover
 from thistleline.interface import RunOutcome
 from thistleline.ledger import format as ledger_format
-from thistleline.ledger.records import RecoveredEffect
 from thistleline.server.configuration import ConfigurationError
 from thistleline.server.service import Service
 from thistleline.state.effects import (
@@ -85,16 +85,11 @@
 from thistleline.state.events import AgentEvent, AgentGreeted, DeepCheckCompleted
 from thistleline.state.options import MachineOptions
 from thistleline.store.clock import boot_now
-from thistleline.store.frames import CorruptFrameError
 from thistleline.transport.codec import ProtocolError
 
 # Seconds.
-RETRY_DELAY = 0.2  # after 'later', before the successor asks again
-LEDGER_TIMEOUT = 3.0  # in which the ledger of a server that has just died comes free
-LEDGER_RETRY_DELAY = 0.02
 LINK_DELAY = 0.5  # without a successor, before one that has handed over links to the agent itself
 GREETING_TIMEOUT = 1.0  # for the agent's greeting
-RESUME_TIMEOUT = 1.0  # for the answer of one that handed over to a server that is gone
 
 
 class HandoverService(Service):
@@ -112,7 +107,6 @@
         self.folder = conf.handover.folder
         self.store = make_store(conf.ledger, options)
         self.make_writer = lambda group: LedgerWriter(self.store, self.handle, group).effect_handlers()
-        self._read_positions: dict[int, int] = {}  # how far each segment of the ledger was read
         self._predecessor: HandoverChannel | None = None
         self._successor: HandoverChannel | None = None
         self._inherited: Grant | None = None
@@ -122,7 +116,7 @@
         self._reports_scope: anyio.CancelScope | None = None
         self._agent_greeted = anyio.Event()
         self._successor_socket: socket.socket | None = None  # where a successor is awaited,
-        self._socket_path = self.folder / "heir.sock"  # and its path
+        self._socket_path = self.folder / SOCKET_NAME  # and its path
         return HandoverStateMachine(
             options,
             now,
@@ -140,122 +134,16 @@
             ConfigurationError: The server that runs does not hand over, or the ledger can't be had.
             OSError: It can't listen.
         """
-        self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-        listener: socket.socket | None = None
-        failure: ConfigurationError | None = None
-        async with anyio.create_task_group() as group:
-            try:
-                sock = channels.reach(self._socket_path)
-                if sock is not None:
-                    listener = await self._follow(HandoverChannel(sock, group))
-                if self._inherited is None:
-                    await self._begin(group)
-            except ConfigurationError as error:
-                failure = error
-        if failure is not None:
-            raise failure
+        takeover = Takeover(self.folder, self.store, self.machine.ledger, self.note)
+        listener = await takeover.run()
+        self._predecessor = takeover.predecessor
+        self._inherited = takeover.grant
         begun = time.monotonic()
-        recovered = await anyio.to_thread.run_sync(self._read_rest)
+        recovered = await anyio.to_thread.run_sync(takeover.read_rest)
         elapsed_ms = round(1000 * (time.monotonic() - begun))
         self.note("ledger", state="recovered", effects=len(recovered), ms=elapsed_ms)
         return recovered, listener if listener is not None else await self._listen()
 
-    async def _follow(self, channel: HandoverChannel) -> socket.socket | None:
-        """Read what it will have, and ask for it; return the listening socket where that goes over.
-
-        Nothing is inherited where the predecessor died before it handed over.
-
-        Raises:
-            ConfigurationError: The predecessor refuses, or can't be understood.
-        """
-        try:
-            message = await self._request_handover(channel)
-        except (ProtocolError, msgspec.MsgspecError) as error:
-            raise ConfigurationError(f"the server that runs here can't be understood: {error}") from error
-        if not isinstance(message, Grant):
-            channel.close()
-            return None
-        self._predecessor = channel
-        self._inherited = message
-        descriptors = list(channel.descriptors)
-        channel.descriptors.clear()
-        if message.has_lock:
-            self.store.disk.lock_fd = descriptors.pop(0)
-        if not message.has_listener:
-            return None
-        listener = socket.socket(fileno=descriptors.pop(0))
-        listener.setblocking(False)
-        return listener
-
-    async def _request_handover(self, channel: HandoverChannel) -> Message | None:
-        channel.send(Hello(ledger_versions=ledger_format.READABLE_VERSIONS))
-        message = await channel.receive()
-        if isinstance(message, Refused):
-            raise ConfigurationError(f"the server that runs here does not hand over: {message.reason}")
-        while isinstance(message, Welcome | Postponed):
-            if isinstance(message, Postponed):
-                self.note("succession", state="later", why=message.reason)
-                await anyio.sleep(RETRY_DELAY)
-            await anyio.to_thread.run_sync(self._read_some)
-            channel.send(Ready())
-            message = await channel.receive()
-        return message
-
-    async def _begin(self, group: TaskGroup) -> None:
-        """Begin with nobody to follow, but for one that handed over to a server that is gone.
-
-        Raises:
-            ConfigurationError: The ledger can't be had.
-        """
-        await self._hold_ledger()
-        for path in sorted(self.folder.glob("elder-*.sock")):
-            sock = channels.reach(path)
-            if sock is None:
-                path.unlink(missing_ok=True)
-                continue
-            channel = HandoverChannel(sock, group)
-            message = await self._resume(channel)
-            if isinstance(message, Grant) and self._predecessor is None:
-                self._predecessor = channel
-                self._inherited = message
-            else:
-                channel.close()
-
-    async def _hold_ledger(self) -> None:
-        give_up_at = time.monotonic() + LEDGER_TIMEOUT
-        while True:
-            try:
-                hold(self.store.disk)
-                return
-            except ConfigurationError:
-                if time.monotonic() > give_up_at:
-                    raise
-            await anyio.sleep(LEDGER_RETRY_DELAY)
-
-    async def _resume(self, channel: HandoverChannel) -> Message | None:
-        """Ask one that has handed over before for what is left; return its last message."""
-        channel.send(Hello(ledger_versions=ledger_format.READABLE_VERSIONS))
-        message: Message | None = None
-        with suppress(ProtocolError, msgspec.MsgspecError), anyio.move_on_after(RESUME_TIMEOUT):
-            message = await channel.receive()
-            while isinstance(message, Welcome):
-                channel.send(Ready())
-                message = await channel.receive()
-        return message
-
-    def _read_some(self) -> None:
-        """Read what the predecessor has written to the ledger since the last time."""
-        with suppress(OSError):
-            self.store.read_appended(self.machine.ledger, self._read_positions, False, boot_now())
-
-    def _read_rest(self) -> list[RecoveredEffect]:
-        """Read the rest of the ledger, which nobody else writes any more."""
-        try:
-            self.store.read_appended(self.machine.ledger, self._read_positions, True, boot_now())
-        except (CorruptFrameError, OSError) as error:
-            raise ConfigurationError(f"the ledger can't be read: {error}") from error
-        return list(self.machine.ledger.recovered_effects())
-
     # ---- while it serves
 
     def _tasks(self, group: TaskGroup) -> Iterable[Callable[[], Awaitable[None]]]:
