--- a/thistleline/durable/writer.py
+++ b/thistleline/durable/writer.py
@@ -8,7 +8,7 @@
 import anyio.to_thread
 from anyio.abc import TaskGroup
 
-from thistleline.config.schema import Ledger
+from thistleline.config.schema import LedgerConfig
 from thistleline.durable.effects import WriteLedger
 from thistleline.durable.events import DurableEvent, WriteCompleted, WriteFailed
 from thistleline.durable.served_value import ServedValueTracker
@@ -136,7 +136,7 @@
         return LedgerWriter(self.store, handle, group)
 
 
-def open_ledger(conf: Ledger, options: MachineOptions, now: int, lifecycle: Lifecycle) -> LedgerParts:
+def open_ledger(conf: LedgerConfig, options: MachineOptions, now: int, lifecycle: Lifecycle) -> LedgerParts:
     """Take the ledger's folder and make the state machine.
 
     Raises:
@@ -150,7 +150,7 @@
     return LedgerParts(machine, store)
 
 
-def make_store(conf: Ledger, options: MachineOptions) -> LedgerStore:
+def make_store(conf: LedgerConfig, options: MachineOptions) -> LedgerStore:
     """Return the store of the ledger's folder, which is not taken yet."""
     return LedgerStore(Disk(conf.folder), tuple(stage.name for stage in options.settings.stages))
 
--- a/thistleline/handover/service.py
+++ b/thistleline/handover/service.py
@@ -17,7 +17,7 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from thistleline.config.schema import Conf
+from thistleline.config.schema import ProgramConfig
 from thistleline.durable.writer import LedgerWriter, make_store
 from thistleline.handover import channel as channels
 from thistleline.handover.channel import HandoverChannel
@@ -97,7 +97,9 @@
 
     machine: HandoverStateMachine
 
-    def _make_machine(self, conf: Conf | None, options: MachineOptions, now: int) -> HandoverStateMachine:
+    def _make_machine(
+        self, conf: ProgramConfig | None, options: MachineOptions, now: int
+    ) -> HandoverStateMachine:
         assert conf is not None
         assert conf.handover is not None
         if options.settings.downstream != "none":
--- a/thistleline/lease/effects.py
+++ b/thistleline/lease/effects.py
@@ -26,7 +26,7 @@
     """Tell a waiting client that it may hold the lease `name` now; a hint that may be lost."""
 
     name: str
-    asker: str
+    holder_id: str
 
 
 Effect = SendMessage | WriteRecords | SendAnswer | NotifyHolder | LeadershipGained | LeaderChanged | LogEvent
--- a/thistleline/server/service.py
+++ b/thistleline/server/service.py
@@ -38,7 +38,7 @@
 from thistleline.wire.requests import ClientCodec
 
 if TYPE_CHECKING:
-    from thistleline.config.schema import Conf
+    from thistleline.config.schema import ProgramConfig
 
 MS, SECOND = 1_000_000, 1_000_000_000
 RESERVED_DESCRIPTORS = 24  # that are no client's: listener, links, log, the loop's own
@@ -61,7 +61,7 @@
 class Service:
     """One server, from its configuration to its exit."""
 
-    def __init__(self, configuration: Configuration, conf: "Conf | None" = None) -> None:
+    def __init__(self, configuration: Configuration, conf: "ProgramConfig | None" = None) -> None:
         """Make the state machine.
 
         Args:
@@ -92,7 +92,7 @@
         self._max_round = 0
         self._max_delay = 0
 
-    def _machine_options(self, conf: "Conf | None") -> MachineOptions:
+    def _machine_options(self, conf: "ProgramConfig | None") -> MachineOptions:
         configuration = self.configuration
         max_result_bytes = configuration.memory // 8
         if conf is not None and conf.ledger is not None and conf.ledger.results is not None:
@@ -106,7 +106,9 @@
             configuration.seed,
         )
 
-    def _make_machine(self, conf: "Conf | None", options: MachineOptions, now: int) -> ServerStateMachine:
+    def _make_machine(
+        self, conf: "ProgramConfig | None", options: MachineOptions, now: int
+    ) -> ServerStateMachine:
         """Return the state machine of this server.
 
         Raises:
--- a/thistleline/supervisor/service.py
+++ b/thistleline/supervisor/service.py
@@ -13,11 +13,13 @@
 import msgspec
 import orjson
 
-from thistleline.config.schema import Conf
+from thistleline.config.schema import ProgramConfig
 from thistleline.handover.serving import read_owner
 from thistleline.lease.client import LeaseClient
 from thistleline.lease.protocol import Get, Got
-from thistleline.membership.messages import Facts
+from thistleline.membership.effects import WriteLog
+from thistleline.membership.events import FactsChanged
+from thistleline.membership.messages import MemberFacts
 from thistleline.membership.service import MemberService
 from thistleline.store.clock import boot_now, wall_ms
 from thistleline.store.latest import LatestValueStore
@@ -44,7 +46,7 @@
 class SupervisorService:
     """Keeps the server of one machine running, in the foreground."""
 
-    def __init__(self, conf: Conf, log: Callable[..., None]) -> None:
+    def __init__(self, conf: ProgramConfig, log: Callable[..., None]) -> None:
         """Take the folder.
 
         Raises:
@@ -68,7 +70,7 @@
         self.server_log = ServerLog(self.servers.log_of)
         self.name = conf.members.name
         self.born = wall_ms()
-        self.member = MemberService(conf.members, Facts("", 0, conf.members.zone, self.born), log)
+        self.member = MemberService(conf.members, MemberFacts("", 0, conf.members.zone, self.born), log)
         self.serving_since = 0  # boot time, ns
         self._woken = anyio.Event()
 
@@ -236,21 +238,21 @@
         incarnation = supervisor.state.incarnation
         running = supervisor.state.running or Version()
         up = supervisor.serves and incarnation in self.servers.pids
-        facts = Facts(
+        facts = MemberFacts(
             running.release if up else "",
             running.settings if up else 0,
-            self.member.conf.zone,
+            self.member.config.zone,
             self.born,
             up and boot_now() - self.serving_since >= self.conf.warm,
             up,
             (*self.server_log.figures_of(incarnation), supervisor.crashes.total, incarnation),
             self.server_log.value_of(incarnation),
         )
-        for effect in self.member.gossip.take(boot_now(), "tell", facts):
-            if effect[0] == "log":
-                self.log(effect[1], **effect[2])
+        for effect in self.member.gossip.handle(boot_now(), FactsChanged(facts)):
+            if isinstance(effect, WriteLog):
+                self.log(effect.event, **effect.fields)
 
 
-def run(conf: Conf, log: Callable[..., None]) -> None:
+def run(conf: ProgramConfig, log: Callable[..., None]) -> None:
     """Run a supervisor until it is signalled; raises as `SupervisorService` does."""
     anyio.run(SupervisorService(conf, log).run)
