--- a/tests/gates/sitecustomize.py
+++ b/tests/gates/sitecustomize.py
@@ -17,7 +17,9 @@
 
 GATE = json.loads(os.environ.get("TEST_GATE", "null"))
 FAULTS = json.loads(os.environ.get("TEST_FAULTS", "[]"))
+NOT_PUT_IN = 86  # exit code of a program in which a fault found no place
 passed: list[str] = []
+put_in: list[dict[str, Any]] = []
 
 
 def gate(event: str) -> None:
@@ -79,6 +81,7 @@
                     place = getattr(place, part)
                 made = slow if "delay" in fault else failing
                 setattr(place, last, made(getattr(place, last), fault))
+                put_in.append(fault)
 
         spec.loader.exec_module = exec_module
         return spec
@@ -108,3 +111,13 @@
         sys.addaudithook(hook)
 if FAULTS:
     sys.meta_path.insert(0, Finder())
+    exits = os._exit
+
+    def end_unless_put_in(status: int) -> NoReturn:
+        """A fault whose module is never imported tests nothing: a name in the test has grown old."""
+        missing = [fault for fault in FAULTS if fault not in put_in]
+        if missing:
+            print(f"never put in: {missing}", file=sys.stderr, flush=True)
+        exits(NOT_PUT_IN if missing else status)
+
+    os._exit = end_unless_put_in
