--- a/tests/test_feed_sockets.py
+++ b/tests/test_feed_sockets.py
@@ -98,8 +98,8 @@
     cut = [tuple(entries[first : first + 50]) for first in range(0, len(entries), 50)]
     loads = [Parts(), Parts()]
     for part in cut:
-        loads = [one.moved(9, tuple(part), "wide") for one in loads]
-    assert {one.count("wide") for one in loads} == {301}
+        loads = [one.update(9, tuple(part), "wide") for one in loads]
+    assert {one.entry_count("wide") for one in loads} == {301}
     assert {one.digest("wide") for one in loads} == {table.digest("wide")}
     assert loads[0].table("wide") is loads[1].table("wide")
     assert dict(loads[0].table("wide").wide) == dict(table.wide)
@@ -113,8 +113,8 @@
     table = Archive(disk, "all").recover()
     assert table is not None
     group = decode_group(record)
-    assert (table.number, group.changes[-1].number) == (number, number)
-    assert table.digest("all") == group.after
+    assert (table.sequence, group.changes[-1].sequence) == (number, number)
+    assert table.digest("all") == group.digest_after
     assert held == {key: (value, version) for key, value, version in table.entries("wide")}
     assert (len(table.tenants), stored > 70 * 20) == (70, True)
 
--- a/tests/test_feed_writer.py
+++ b/tests/test_feed_writer.py
@@ -6,7 +6,7 @@
 from itertools import pairwise
 from pathlib import Path
 from random import Random
-from typing import Any
+from typing import Any, TypeVar
 
 import anyio
 import pytest
@@ -14,26 +14,58 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from thistleline.config_feed import client
-from thistleline.config_feed import writer as writers
+from thistleline.config_feed import operations, pending_queue, record_ring
 from thistleline.config_feed.archive import Archive
+from thistleline.config_feed.archive_format import ArchivedStep
+from thistleline.config_feed.effects import CloseDownstream, SendDownstream
+from thistleline.config_feed.events import SubscriberJoined, SubscriberMessage, TimerExpired
+from thistleline.config_feed.group_commit import READ_RETRY_NS
 from thistleline.config_feed.history import History
 from thistleline.config_feed.limits import (
-    CHANGE_BOUND,
-    GROUP_BOUND,
-    ITEMS_BOUND,
-    KEY_BOUND,
-    PROPOSED_BOUND,
-    RING,
+    CHANGE_ITEMS_LIMIT,
+    CHANGE_SIZE_LIMIT,
+    GROUP_SIZE_LIMIT,
+    KEY_LENGTH_LIMIT,
+    PENDING_PROPOSALS_LIMIT,
+    RING_SLOTS,
     SECOND,
-    STALL,
-    VALUE_BOUND,
+    STALL_TIMEOUT_NS,
+    VALUE_SIZE_LIMIT,
+)
+from thistleline.config_feed.messages import (
+    Change,
+    Follow,
+    Group,
+    Propose,
+    ProposeResult,
+    decode_group,
+    encode,
+)
+from thistleline.config_feed.recovery import record_key
+from thistleline.config_feed.relay import FeedRelay
+from thistleline.config_feed.table import FeedTable
+from thistleline.config_feed.validation import find_faults
+from thistleline.config_feed.writer import CATCH_UP_TIMEOUT_NS, PENDING_SIZE_LIMIT, FeedWriter
+from thistleline.config_feed.writer_effects import (
+    AnswerProposal,
+    FollowKeepers,
+    ReadRecord,
+    ReleaseLease,
+    WriteRecord,
+    WriterEffect,
+)
+from thistleline.config_feed.writer_events import (
+    CatchUpAdvanced,
+    KeeperDurable,
+    LeaseAcquired,
+    LeaseLost,
+    ProposalReceived,
+    RecordRead,
+    RecordWritten,
+    WriteDenied,
+    WriterEvent,
+    WriteUnanswered,
 )
-from thistleline.config_feed.messages import Change, Follow, Group, Propose, Proposed, decode_group, encode
-from thistleline.config_feed.relay import Station
-from thistleline.config_feed.table import Table
-from thistleline.config_feed.validation import fault
-from thistleline.config_feed.writer import ASK_AGAIN, CATCH_UP_SPAN, LINE_SIZE, Writer, key_of
 from thistleline.lab.feedworld import changed, fleet, settle
 from thistleline.lease.protocol import Acquire, Break, Denied, Done, Granted, Put
 from thistleline.lease.table import LeaseTable as Council
@@ -41,6 +73,7 @@
 from thistleline.store.disk import Disk
 
 KEEPERS = ("a", "b", "c")
+Effect = TypeVar("Effect", bound=WriterEffect)
 
 
 def share(number: int) -> bytes:
@@ -89,44 +122,44 @@
 class Keeper:
     """A writer with what its service would be: requests that are out, what was answered."""
 
-    def __init__(self, voters: Voters, id: str, table: Table | None = None) -> None:
+    def __init__(self, voters: Voters, id: str, table: FeedTable | None = None) -> None:
         self.voters, self.id, self.now = voters, id, 0
         self.history = History(table)
-        self.writer = Writer(id, self.history, KEEPERS, 0)
-        self.out: list[tuple[Any, ...]] = []  # get and put that the council has not seen yet
-        self.answers: dict[Any, Proposed] = {}
-        self.seen: list[tuple[Any, ...]] = []
+        self.writer = FeedWriter(id, self.history, KEEPERS, 0)
+        self.out: list[ReadRecord | WriteRecord] = []  # that the council has not seen yet
+        self.answers: dict[Any, ProposeResult] = {}
+        self.seen: list[WriterEffect] = []
 
     @property
     def phase(self) -> str:
         return self.writer.phase
 
-    def tell(self, kind: str, *told: Any, after: int = 0) -> None:
+    def tell(self, event: WriterEvent, after: int = 0) -> None:
         self.now += after
-        for effect in self.writer.take(self.now, kind, *told):
+        for effect in self.writer.handle(self.now, event):
             self.seen.append(effect)
-            if effect[0] in ("get", "put"):
+            if isinstance(effect, ReadRecord | WriteRecord):
                 self.out.append(effect)
-            elif effect[0] == "answer":
-                assert effect[1] not in self.answers, "a proposer is answered twice"
-                self.answers[effect[1]] = effect[2]
+            elif isinstance(effect, AnswerProposal):
+                assert effect.ticket not in self.answers, "a proposer is answered twice"
+                self.answers[effect.ticket] = effect.result
 
-    def carry(self, request: tuple[Any, ...], answered: bool = True, unknown: bool = False) -> None:
+    def carry(self, request: ReadRecord | WriteRecord, answered: bool = True, unknown: bool = False) -> None:
         """One request reaches the council; its answer comes, is lost, or is known to be lost."""
-        what, slot, told = request
-        if what == "get":
-            got = self.voters.table.get(told)
+        slot = request.slot
+        if isinstance(request, ReadRecord):
+            got = self.voters.table.get(request.key)
             if answered:
-                self.tell("got", slot, got.value, got.version)
+                self.tell(RecordRead(slot, got.value, got.version))
             return
-        answer = self.voters.put(told)
+        answer = self.voters.put(request.put)
         if unknown:
-            self.tell("put_unknown", slot)
+            self.tell(WriteUnanswered(slot))
         elif answered and isinstance(answer, Done):
-            self.tell("put_done", slot, answer.version)
+            self.tell(RecordWritten(slot, answer.version))
         elif answered:
             assert isinstance(answer, Denied)
-            self.tell("put_denied", slot, answer.reason)
+            self.tell(WriteDenied(slot, answer.reason))
 
     def serve(self) -> "Keeper":
         while self.out:
@@ -134,20 +167,20 @@
         return self
 
     def hold(self) -> "Keeper":
-        self.tell("held", self.voters.grant(self.id))
+        self.tell(LeaseAcquired(self.voters.grant(self.id)))
         return self
 
     def propose(self, request: str, *told: Any, ticket: Any = None, **more: Any) -> None:
-        self.tell("proposed", ticket or request, wish(request, *told, **more))
+        self.tell(ProposalReceived(ticket or request, wish(request, *told, **more)))
 
     def all_durable(self) -> None:
         for id in KEEPERS:
-            self.tell("durable", id, self.history.table.number)
+            self.tell(KeeperDurable(id, self.history.table.sequence))
 
     def write(self, count: int, durable: bool = True) -> None:
         """So many changes, a group each."""
         for _ in range(count):
-            number = self.history.table.number + 1
+            number = self.history.table.sequence + 1
             self.propose(f"r{number}", f"tenant/{number % 7}", share(number))
             self.serve()
             if durable:
@@ -156,29 +189,29 @@
     def follow(self, above: "Keeper") -> None:
         """As a follower would, at once to the newest there."""
         table = self.history.table
-        if table.number < above.history.table.number:
+        if table.sequence < above.history.table.sequence:
             delta = None
-            if above.history.knows(table.number, table.digest("all"), "all"):
-                delta = above.history.delta(table.number, "all")
+            if above.history.contains(table.sequence, table.digest("all"), "all"):
+                delta = above.history.delta(table.sequence, "all")
             if delta is None:
-                self.history.anew(above.history.table)
+                self.history.reset(above.history.table)
             else:
-                self.history.move(delta.last, delta.items)
+                self.history.advance(delta.last, delta.items)
 
-    def kinds(self, kind: str) -> list[tuple[Any, ...]]:
-        return [effect for effect in self.seen if effect[0] == kind]
+    def kinds(self, kind: type[Effect]) -> list[Effect]:
+        return [effect for effect in self.seen if isinstance(effect, kind)]
 
 
-def states(changes: list[Change]) -> list[Table]:
+def states(changes: list[Change]) -> list[FeedTable]:
     """What the table is at each number, by the oracle's own fold."""
-    found = [Table()]
+    found = [FeedTable()]
     for place, change in enumerate(changes):
-        assert change.number == place + 1, "a gap, or a number used twice"
-        found.append(found[-1].applied(change))
+        assert change.sequence == place + 1, "a gap, or a number used twice"
+        found.append(found[-1].apply(change))
     return found
 
 
-def leading(voters: Voters | None = None, id: str = "a", table: Table | None = None) -> Keeper:
+def leading(voters: Voters | None = None, id: str = "a", table: FeedTable | None = None) -> Keeper:
     return Keeper(voters or Voters(), id, table).hold().serve()
 
 
@@ -189,9 +222,9 @@
     one = leading()
     one.propose("r", "route/x", b'{"limit_ms":100,"effect":"restartable"}')
     assert one.answers == {}
-    assert one.history.table.number == 0
+    assert one.history.table.sequence == 0
     one.serve()
-    assert one.answers["r"] == Proposed("r", 1)
+    assert one.answers["r"] == ProposeResult("r", 1)
     assert one.history.table.get("route/x") == (b'{"limit_ms":100,"effect":"restartable"}', 1)
 
 
@@ -200,9 +233,9 @@
     one.propose("bad", "tenant/x", b'{"share":2,"colour":"red"}')
     one.propose("good")
     one.serve()
-    assert one.answers["good"].number == 1
-    assert "'colour'" in one.answers["bad"].why
-    assert "share" in one.answers["bad"].why
+    assert one.answers["good"].sequence == 1
+    assert "'colour'" in one.answers["bad"].reason
+    assert "share" in one.answers["bad"].reason
 
 
 def test_expected_versions_count_what_waits_in_front() -> None:
@@ -213,8 +246,8 @@
     one.propose("4", expected=(("tenant/x", 1),))  # 3 waits in front
     one.propose("5", expected=(("tenant/x", 2),))
     one.serve()
-    assert [one.answers[str(each)].number for each in range(1, 6)] == [1, 0, 2, 0, 3]
-    assert "has version 1, 0 was expected" in one.answers["2"].why
+    assert [one.answers[str(each)].sequence for each in range(1, 6)] == [1, 0, 2, 0, 3]
+    assert "has version 1, 0 was expected" in one.answers["2"].reason
 
 
 def test_the_same_request_gets_one_number_out_waiting_and_done() -> None:
@@ -225,14 +258,14 @@
     one.propose("s", ticket="while it waits")
     one.serve()
     one.propose("r", ticket="later")
-    assert {ticket: told.number for ticket, told in one.answers.items()} == {
+    assert {ticket: told.sequence for ticket, told in one.answers.items()} == {
         "first": 1,
         "while it is out": 1,
         "s": 2,
         "while it waits": 2,
         "later": 1,
     }
-    assert one.history.table.number == 2
+    assert one.history.table.sequence == 2
 
 
 def test_the_same_request_after_two_takeovers_gets_its_number_however_many_groups_ago() -> None:
@@ -245,16 +278,16 @@
     for request in ("r4", "r1"):
         three.propose(request)
     three.serve()
-    assert [three.answers[request].number for request in ("r4", "r1")] == [4, 1]
+    assert [three.answers[request].sequence for request in ("r4", "r1")] == [4, 1]
     assert len(one.voters.sequence()) == 24
 
 
 def test_the_newest_requests_are_remembered_and_no_more(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(writers, "MADE_SLOTS", 8)
+    monkeypatch.setattr(pending_queue, "DEDUPLICATION_SLOTS", 8)
     one = leading()
     one.write(10)
     for writer in (one, leading(one.voters, "b", one.history.table)):
-        assert list(writer.writer.requests.items()) == [(f"r{number}", number) for number in range(3, 11)]
+        assert list(writer.writer.committed.items()) == [(f"r{number}", number) for number in range(3, 11)]
     assert sum(key.startswith("made/") for key, _, _ in one.history.table.entries("all")) == 8
 
 
@@ -266,47 +299,47 @@
         while one.out:
             one.carry(one.out.pop(0))
             one.all_durable()
-    assert [one.answers[f"r{number}"].number for number in range(10_000)] == list(range(1, 10_001))
+    assert [one.answers[f"r{number}"].sequence for number in range(10_000)] == list(range(1, 10_001))
     assert len(one.voters.groups) < 40
-    assert all(len(encode(group)) <= GROUP_BOUND for group in one.voters.groups)
-    assert max(len(encode(group)) for group in one.voters.groups) > GROUP_BOUND // 2
+    assert all(len(encode(group)) <= GROUP_SIZE_LIMIT for group in one.voters.groups)
+    assert max(len(encode(group)) for group in one.voters.groups) > GROUP_SIZE_LIMIT // 2
 
 
 def test_past_its_bound_the_line_takes_no_more() -> None:
     one = leading()
-    for number in range(PROPOSED_BOUND + 1):
+    for number in range(PENDING_PROPOSALS_LIMIT + 1):
         one.propose(f"r{number}", f"tenant/{number}")
-    assert "wait already" in one.answers[f"r{PROPOSED_BOUND}"].why
+    assert "wait already" in one.answers[f"r{PENDING_PROPOSALS_LIMIT}"].reason
     one.propose("r5", ticket="again")
-    assert "wait already" in one.answers["again"].why  # tickets are bounded too
+    assert "wait already" in one.answers["again"].reason  # tickets are bounded too
     while one.out:
         one.carry(one.out.pop(0))
         one.all_durable()
-    assert len(one.voters.sequence()) == PROPOSED_BOUND
+    assert len(one.voters.sequence()) == PENDING_PROPOSALS_LIMIT
     one.propose("after")
     one.serve()
-    assert one.answers["after"].number == PROPOSED_BOUND + 1
+    assert one.answers["after"].sequence == PENDING_PROPOSALS_LIMIT + 1
 
 
 def test_the_line_is_bounded_in_bytes_too() -> None:
     one = leading()
     large = tuple((f"common/{place}", b'{"text":"%s"}' % (b"x" * 4000)) for place in range(5))
-    for number in range(PROPOSED_BOUND):
-        one.tell("proposed", number, Propose(f"r{number}", large))
+    for number in range(PENDING_PROPOSALS_LIMIT):
+        one.tell(ProposalReceived(number, Propose(f"r{number}", large)))
         if number in one.answers:
             break
-    assert one.writer.line_size < LINE_SIZE + CHANGE_BOUND
-    assert "bytes of changes wait already" in one.answers[number].why
-    assert number < PROPOSED_BOUND // 8
+    assert one.writer.pending.size < PENDING_SIZE_LIMIT + CHANGE_SIZE_LIMIT
+    assert "bytes of changes wait already" in one.answers[number].reason
+    assert number < PENDING_PROPOSALS_LIMIT // 8
 
 
 def test_who_does_not_write_refuses_and_says_so() -> None:
     one = Keeper(Voters(), "a")
     one.propose("r")
-    assert one.answers["r"] == Proposed("r", why="a does not write")
+    assert one.answers["r"] == ProposeResult("r", reason="a does not write")
     one.hold()
     one.propose("s")
-    assert "reading" in one.answers["s"].why
+    assert "reading" in one.answers["s"].reason
 
 
 # ---- the fence
@@ -329,13 +362,13 @@
             old.serve()
     assert old.phase == "standby"
     assert old.answers["late"].unknown
-    assert old.answers["late"].number == 0
-    assert old.answers["waits"].number == 0
+    assert old.answers["late"].sequence == 0
+    assert old.answers["waits"].sequence == 0
     assert not old.answers["waits"].unknown
-    assert any(effect[0] == "release" for effect in old.seen)
-    assert new.answers["n"].number == 4
+    assert old.kinds(ReleaseLease)
+    assert new.answers["n"].sequence == 4
     new.write(2)
-    assert [change.number for change in old.voters.sequence()] == [1, 2, 3, 4, 5, 6]
+    assert [change.sequence for change in old.voters.sequence()] == [1, 2, 3, 4, 5, 6]
 
 
 def test_a_put_that_was_decided_just_before_the_newer_lease_counts_there() -> None:
@@ -343,33 +376,33 @@
     old.propose("r")
     old.carry(old.out.pop(), answered=False)
     new = leading(old.voters, "b")
-    old.tell("lost", "not heard")
+    old.tell(LeaseLost("not heard"))
     assert old.answers["r"].unknown
     new.propose("r", ticket="again")
     new.propose("s")
     new.serve()
-    assert (new.answers["again"].number, new.answers["s"].number) == (1, 2)
+    assert (new.answers["again"].sequence, new.answers["s"].sequence) == (1, 2)
 
 
 def test_an_answer_to_an_earlier_holds_put_is_not_taken_for_this_ones() -> None:
     one = leading()
     one.propose("r", "tenant/old")
     stale = one.out.pop()
-    empty = one.voters.table.get(key_of(0))
+    empty = one.voters.table.get(record_key(0))
     one.carry(stale, answered=False)  # written, and its answer is under way
-    one.tell("held", one.voters.grant("a"))
-    for _, slot, _ in list(one.out):  # reads that are answered by what stood there before
-        one.tell("got", slot, empty.value, empty.version)
+    one.tell(LeaseAcquired(one.voters.grant("a")))
+    for read in list(one.out):  # reads that are answered by what stood there before
+        one.tell(RecordRead(read.slot, empty.value, empty.version))
     one.out.clear()
     one.propose("s", "tenant/new")
-    assert one.out[-1][0] == "put"
-    assert one.out[-1][2].version == 0
-    one.tell("put_done", 0, 1)
+    assert isinstance(one.out[-1], WriteRecord)
+    assert one.out[-1].put.version == 0
+    one.tell(RecordWritten(0, 1))
     assert "s" not in one.answers
     one.serve()
-    assert one.answers["s"].number == 0
-    assert one.history.table.number == 0
-    assert [change.request for change in one.voters.sequence()] == ["r"]
+    assert one.answers["s"].sequence == 0
+    assert one.history.table.sequence == 0
+    assert [change.request_id for change in one.voters.sequence()] == ["r"]
 
 
 # ---- answers that are lost
@@ -381,12 +414,12 @@
     one.propose("r")
     one.carry(one.out.pop(), answered=False, unknown=told)
     if not told:
-        one.tell("elapsed", after=6 * SECOND)
+        one.tell(TimerExpired(), after=6 * SECOND)
     assert one.phase == "settling"
     one.serve()
-    assert one.answers["r"] == Proposed("r", 1)
+    assert one.answers["r"] == ProposeResult("r", 1)
     one.write(1)
-    assert one.history.table.number == 2
+    assert one.history.table.sequence == 2
     assert len(one.voters.groups) == 2
 
 
@@ -394,14 +427,14 @@
     one = leading()
     one.propose("r")
     lost = one.out.pop()
-    one.tell("put_unknown", 0)
+    one.tell(WriteUnanswered(0))
     one.carry(one.out.pop())  # the read: nothing there
     again = one.out.pop()
     assert again == lost
     one.carry(lost, answered=False)  # it was only held up
     one.carry(again)  # refused by its version: the first one stands there
     one.serve()
-    assert one.answers["r"] == Proposed("r", 1)
+    assert one.answers["r"] == ProposeResult("r", 1)
     assert len(one.voters.groups) == 1
 
 
@@ -413,42 +446,42 @@
         if one.out:
             request = one.out.pop()
             tries += 1
-            if request[0] == "put":
-                one.tell("put_unknown", request[1])
+            if isinstance(request, WriteRecord):
+                one.tell(WriteUnanswered(request.slot))
             else:
                 one.carry(request)
         else:
-            one.tell("elapsed", after=SECOND // 20)
+            one.tell(TimerExpired(), after=SECOND // 20)
     assert tries < 60
     while not one.answers:
         one.serve()
-        one.tell("elapsed", after=SECOND // 20)
-    assert one.answers["r"].number == 1
+        one.tell(TimerExpired(), after=SECOND // 20)
+    assert one.answers["r"].sequence == 1
 
 
 def test_a_record_written_by_a_newer_epoch_ends_this_one() -> None:
     old = leading()
     old.propose("r")
-    old.tell("put_unknown", 0)
+    old.tell(WriteUnanswered(0))
     new = leading(old.voters, "b")
     new.propose("n")
     new.serve()
-    old.out = [one for one in old.out if one[0] == "get"]
+    old.out = [one for one in old.out if isinstance(one, ReadRecord)]
     old.serve()
     assert old.phase == "standby"
     assert old.answers["r"].unknown
-    assert old.history.table.number == 0
-    assert "written by another" in old.kinds("release")[0][1]
+    assert old.history.table.sequence == 0
+    assert "written by another" in old.kinds(ReleaseLease)[0].reason
 
 
 def test_a_council_that_is_full_ends_the_hold_and_the_answer_is_unknown() -> None:
     one = leading()
     one.propose("r")
     one.out.clear()
-    one.tell("put_denied", 0, "the records are too large together")
+    one.tell(WriteDenied(0, "the records are too large together"))
     one.serve()
     assert one.answers["r"].unknown
-    assert "too large together" in one.answers["r"].why
+    assert "too large together" in one.answers["r"].reason
     assert one.phase == "standby"
 
 
@@ -458,9 +491,9 @@
 def test_records_that_come_in_any_order_and_some_of_them_empty_are_put_together() -> None:
     one = leading()
     one.write(5)
-    for order in ([*range(RING)], [*reversed(range(RING))], [3, 0, 15, 1, *range(4, 15), 2]):
+    for order in ([*range(RING_SLOTS)], [*reversed(range(RING_SLOTS))], [3, 0, 15, 1, *range(4, 15), 2]):
         two = Keeper(one.voters, "b").hold()
-        two.out.sort(key=lambda request: order.index(request[1]))
+        two.out.sort(key=lambda request: order.index(request.slot))
         two.serve()
         assert two.phase == "writing"
         assert two.history.table == one.history.table
@@ -471,9 +504,9 @@
     del one.out[3:]
     one.serve()
     assert one.phase == "reading"
-    assert one.writer.due() == ASK_AGAIN
-    one.tell("elapsed", after=ASK_AGAIN)
-    assert len(one.out) == RING - 3
+    assert one.writer.next_deadline() == READ_RETRY_NS
+    one.tell(TimerExpired(), after=READ_RETRY_NS)
+    assert len(one.out) == RING_SLOTS - 3
     assert one.serve().phase == "writing"
 
 
@@ -485,22 +518,22 @@
     two = Keeper(one.voters, "b", behind).hold()
     two.serve()
     assert two.phase == "catching_up"
-    assert len(two.kinds("follow")) == 1
+    assert len(two.kinds(FollowKeepers)) == 1
     two.propose("r")
-    assert "catching up" in two.answers["r"].why
+    assert "catching up" in two.answers["r"].reason
     third = Keeper(one.voters, "c", behind)
-    third.history.anew(states(one.voters.sequence())[10])
+    third.history.reset(states(one.voters.sequence())[10])
     two.follow(third)  # nearer, but not there
-    two.tell("caught_up")
+    two.tell(CatchUpAdvanced())
     assert two.phase == "catching_up"
-    assert two.history.table.number == 10
+    assert two.history.table.sequence == 10
     two.follow(one)
-    two.tell("caught_up")
+    two.tell(CatchUpAdvanced())
     assert two.phase == "writing"
     assert two.history.table == one.history.table
     two.all_durable()
     two.write(1)
-    assert two.answers["r34"].number == 34
+    assert two.answers["r34"].sequence == 34
 
 
 def test_who_finds_nobody_to_catch_up_from_gives_the_lease_back() -> None:
@@ -508,21 +541,21 @@
     one.write(20)
     two = Keeper(one.voters, "b").hold()
     two.serve()
-    two.tell("elapsed", after=CATCH_UP_SPAN - 1)
-    two.history.anew(states(one.voters.sequence())[2])
-    two.tell("caught_up")  # nearer: it has its span anew
-    two.tell("elapsed", after=CATCH_UP_SPAN - 1)
+    two.tell(TimerExpired(), after=CATCH_UP_TIMEOUT_NS - 1)
+    two.history.reset(states(one.voters.sequence())[2])
+    two.tell(CatchUpAdvanced())  # nearer: it has its span anew
+    two.tell(TimerExpired(), after=CATCH_UP_TIMEOUT_NS - 1)
     assert two.phase == "catching_up"
-    two.tell("elapsed", after=1)
+    two.tell(TimerExpired(), after=1)
     assert two.phase == "standby"
-    assert "no other keeper" in two.kinds("release")[0][1]
+    assert "no other keeper" in two.kinds(ReleaseLease)[0].reason
 
 
 def spoiled(voters: Voters, slot: int, spoil: Callable[[Group], Any]) -> None:
     records = voters.table.state.records
-    value, version = records[key_of(slot)]
+    value, version = records[record_key(slot)]
     told = spoil(decode_group(value))
-    records[key_of(slot)] = (told if isinstance(told, bytes) else encode(told), version)
+    records[record_key(slot)] = (told if isinstance(told, bytes) else encode(told), version)
 
 
 SPOILED: dict[str, tuple[Callable[[Group], Any], str]] = {
@@ -530,27 +563,30 @@
     "a gap": (
         lambda group: Group(
             group.epoch,
-            tuple(Change(one.number + 1, one.request, one.items) for one in group.changes),
-            group.before,
-            group.after,
+            tuple(Change(one.sequence + 1, one.request_id, one.items) for one in group.changes),
+            group.digest_before,
+            group.digest_after,
         ),
         "does not follow",
     ),
-    "no change": (lambda group: Group(group.epoch, (), group.before, group.after), "holds no change"),
+    "no change": (
+        lambda group: Group(group.epoch, (), group.digest_before, group.digest_after),
+        "holds no change",
+    ),
     "a later epoch": (
-        lambda group: Group(99, group.changes, group.before, group.after),
+        lambda group: Group(99, group.changes, group.digest_before, group.digest_after),
         "does not follow",
     ),
     "another value": (
         lambda group: Group(
             group.epoch,
-            tuple(Change(one.number, one.request, (("tenant/y", b"{}"),)) for one in group.changes),
-            group.before,
-            group.after,
+            tuple(Change(one.sequence, one.request_id, (("tenant/y", b"{}"),)) for one in group.changes),
+            group.digest_before,
+            group.digest_after,
         ),
         "not the one it was written for",
     ),
-    "a digest": (lambda group: Group(group.epoch, group.changes, b"", group.after), "does not follow"),
+    "a digest": (lambda group: Group(group.epoch, group.changes, b"", group.digest_after), "does not follow"),
 }
 
 
@@ -562,53 +598,53 @@
     spoiled(one.voters, 2, spoil)
     two = leading(one.voters, "b")
     assert two.phase == "standby"
-    assert two.history.table.number == 0
-    assert why in two.kinds("release")[0][1]
+    assert two.history.table.sequence == 0
+    assert why in two.kinds(ReleaseLease)[0].reason
     two.propose("r")
     two.serve()
-    assert two.answers["r"].number == 0
+    assert two.answers["r"].sequence == 0
 
 
 def test_a_missing_record_in_the_middle_is_a_gap() -> None:
     one = leading()
     one.write(4)
-    del one.voters.table.state.records[key_of(1)]
+    del one.voters.table.state.records[record_key(1)]
     two = leading(one.voters, "b")
     assert two.phase == "standby"
-    assert "does not follow" in two.kinds("release")[0][1]
+    assert "does not follow" in two.kinds(ReleaseLease)[0].reason
 
 
 def test_a_table_that_is_not_what_the_groups_were_written_on_does_not_lead() -> None:
     one = leading()
     one.write(4)
-    wrong = Table().moved(2, [("tenant/x", b"{}", 2)])
+    wrong = FeedTable().update(2, [("tenant/x", b"{}", 2)])
     two = leading(one.voters, "b", wrong)
     assert two.phase == "standby"
     assert two.history.table is wrong
-    same_number = Table().moved(4, [("tenant/x", b"{}", 4)])
+    same_number = FeedTable().update(4, [("tenant/x", b"{}", 4)])
     three = leading(one.voters, "c", same_number)
     assert three.phase == "standby"
-    assert "not the one" in three.kinds("release")[0][1]
-    newer = Table().moved(9, [("tenant/x", b"{}", 9)])
+    assert "not the one" in three.kinds(ReleaseLease)[0].reason
+    newer = FeedTable().update(9, [("tenant/x", b"{}", 9)])
     four = leading(one.voters, "b", newer)
     assert four.phase == "standby"
-    assert "records end at 4" in four.kinds("release")[0][1]
+    assert "records end at 4" in four.kinds(ReleaseLease)[0].reason
 
 
 def test_a_lease_lost_while_reading_or_catching_up_ends_that() -> None:
     one = leading()
     one.write(20)
     two = Keeper(one.voters, "b").hold()
-    two.tell("lost", "not heard")
+    two.tell(LeaseLost("not heard"))
     two.serve()
     assert two.phase == "standby"
     two.hold().serve()
     assert two.phase == "catching_up"
-    two.tell("lost", "not heard")
+    two.tell(LeaseLost("not heard"))
     two.follow(one)
-    two.tell("caught_up")
+    two.tell(CatchUpAdvanced())
     assert two.phase == "standby"
-    assert two.writer.due() > 1 << 60
+    assert two.writer.next_deadline() > 1 << 60
 
 
 # ---- the ring
@@ -616,51 +652,51 @@
 
 def test_a_slot_is_not_written_over_before_a_majority_has_its_group() -> None:
     one = leading()
-    one.write(RING, durable=False)
+    one.write(RING_SLOTS, durable=False)
     one.propose("r", "tenant/r")
     assert one.out == []
-    one.tell("durable", "a", RING)
+    one.tell(KeeperDurable("a", RING_SLOTS))
     assert one.out == []  # one of three
-    one.tell("durable", "stranger", RING)
+    one.tell(KeeperDurable("stranger", RING_SLOTS))
     assert one.out == []
-    one.tell("durable", "b", 0)
+    one.tell(KeeperDurable("b", 0))
     assert one.out == []
-    one.tell("durable", "b", 1)  # has what stands in the oldest slot
-    assert [request[0] for request in one.out] == ["put"]
+    one.tell(KeeperDurable("b", 1))  # has what stands in the oldest slot
+    assert [type(request) for request in one.out] == [WriteRecord]
     one.serve()
-    assert one.answers["r"].number == RING + 1
+    assert one.answers["r"].sequence == RING_SLOTS + 1
     one.propose("s", "tenant/s")
     assert one.out == []  # the next slot holds change 2
 
 
 def test_with_too_few_keepers_changes_are_refused_and_go_on_by_themselves_later() -> None:
     one = leading()
-    one.write(RING, durable=False)
-    one.tell("durable", "a", RING)
+    one.write(RING_SLOTS, durable=False)
+    one.tell(KeeperDurable("a", RING_SLOTS))
     one.propose("r", "tenant/r")
-    one.tell("elapsed", after=STALL - 1)
+    one.tell(TimerExpired(), after=STALL_TIMEOUT_NS - 1)
     assert "r" not in one.answers  # keepers may just be slow
-    one.tell("elapsed", after=1)
-    assert "change 1 is on the disks of 1 of 3 keepers" in one.answers["r"].why
+    one.tell(TimerExpired(), after=1)
+    assert "change 1 is on the disks of 1 of 3 keepers" in one.answers["r"].reason
     one.propose("s")
-    assert "1 of 3 keepers" in one.answers["s"].why
+    assert "1 of 3 keepers" in one.answers["s"].reason
     one.propose("r7", ticket="known")
-    assert one.answers["known"].number == 7
-    assert one.writer.facts()["stopped"] == 1
-    assert one.writer.due() > 1 << 60
-    one.tell("durable", "c", RING)
+    assert one.answers["known"].sequence == 7
+    assert one.writer.counters()["stopped"] == 1
+    assert one.writer.next_deadline() > 1 << 60
+    one.tell(KeeperDurable("c", RING_SLOTS))
     one.propose("t")
     one.serve()
-    assert one.answers["t"].number == RING + 1
-    assert one.writer.facts()["stopped"] == 0
+    assert one.answers["t"].sequence == RING_SLOTS + 1
+    assert one.writer.counters()["stopped"] == 0
 
 
 def test_a_keeper_that_lost_its_disk_counts_no_more() -> None:
     one = leading()
-    one.write(RING, durable=False)
-    one.tell("durable", "a", RING)
-    one.tell("durable", "b", RING)
-    one.tell("durable", "b", 0)  # it is back, with nothing
+    one.write(RING_SLOTS, durable=False)
+    one.tell(KeeperDurable("a", RING_SLOTS))
+    one.tell(KeeperDurable("b", RING_SLOTS))
+    one.tell(KeeperDurable("b", 0))  # it is back, with nothing
     one.propose("r")
     assert one.out == []
 
@@ -673,7 +709,7 @@
     def away(name: str) -> bool:
         return name == "k2"
 
-    monkeypatch.setattr(writers, "RING", 2)
+    monkeypatch.setattr(record_ring, "RING_SLOTS", 2)
     world = changed(fleet(relays=0, instances=0), 3, away)
     world.move("k1")
     world.lose("k0")
@@ -687,15 +723,15 @@
 
 
 def test_a_keeper_that_lost_its_disk_counts_no_more_also_where_it_finds_no_place() -> None:
-    one = Station("a", 0, Table(), ("b", "c"), 0, lambda span: 0, KEEPERS, bound=0)
+    one = FeedRelay("a", 0, FeedTable(), ("b", "c"), 0, lambda span: 0, KEEPERS, max_followers=0)
     assert one.writer is not None
-    one.take(0, "writer", "durable", "b", 5)
+    one.handle(0, KeeperDurable("b", 5))
     for peer in range(8):  # places that are for keepers alone
-        one.take(0, "down", "joined", peer)
-    effects = one.take(0, "down", "joined", 8)
-    assert [effect[0] for effect in effects] == ["down", "close"]
-    one.take(0, "down", "heard", 8, Follow("b", "all", 0, bytes(16)))
-    assert one.writer.durable == {"b": 0}
+        one.handle(0, SubscriberJoined(peer))
+    effects = one.handle(0, SubscriberJoined(8))
+    assert [type(effect) for effect in effects] == [SendDownstream, CloseDownstream]
+    one.handle(0, SubscriberMessage(8, Follow("b", "all", 0, bytes(16))))
+    assert one.writer.durable.sequences == {"b": 0}
 
 
 def test_a_keeper_says_who_writes_while_it_follows_that_one_and_no_longer() -> None:
@@ -703,25 +739,25 @@
 
     def said(name: str) -> tuple[str, str]:
         node = world.nodes[name]
-        assert isinstance(node, Station)
+        assert isinstance(node, FeedRelay)
         return node.leader, node.source.leader
 
     assert [said(name) for name in ("k0", "k1", "k2")] == [("", ""), ("k0", "k0"), ("k0", "k0")]
     world.end("k1")
     assert said("k1") == ("", "")
-    world.put("k1", "elapsed")  # it asks k2, who does not write
+    world.put("k1", TimerExpired())  # it asks k2, who does not write
     assert said("k1") == ("", "")
 
 
 def test_what_was_durable_in_an_earlier_hold_does_not_count_but_the_own_disk_does() -> None:
     one = leading()
-    one.write(RING)
+    one.write(RING_SLOTS)
     one.hold().serve()
     one.propose("r")
     assert one.out == []
-    one.tell("durable", "c", RING)
+    one.tell(KeeperDurable("c", RING_SLOTS))
     one.serve()
-    assert one.answers["r"].number == RING + 1
+    assert one.answers["r"].sequence == RING_SLOTS + 1
 
 
 # ---- all of it by chance
@@ -735,12 +771,12 @@
         super().__init__()
         self.voters = Voters()
         self.keepers = {id: Keeper(self.voters, id) for id in KEEPERS}
-        self.disks = dict.fromkeys(KEEPERS, Table())
-        self.late: list[tuple[Keeper, tuple[Any, ...]]] = []
+        self.disks = dict.fromkeys(KEEPERS, FeedTable())
+        self.late: list[tuple[Keeper, ReadRecord | WriteRecord]] = []
         self.made: dict[str, int] = {}
         self.requests = 0
         self.lost_disk, self.lost_at = "", 0
-        self.folded: list[Table] = [Table()]
+        self.folded: list[FeedTable] = [FeedTable()]
 
     who = st.sampled_from(KEEPERS)
 
@@ -752,7 +788,7 @@
     def hear_of_the_loss(self, who: str) -> None:
         one = self.keepers[who]
         if one.writer.epoch != self.voters.epoch:
-            one.tell("lost", "not heard")
+            one.tell(LeaseLost("not heard"))
 
     @rule(who=who, key=st.integers(0, 3), old=st.booleans(), expected=st.none() | st.integers(0, 3))
     def propose(self, who: str, key: int, old: bool, expected: int | None) -> None:
@@ -783,10 +819,12 @@
             if how == "late":
                 self.late.append((one, request))
             elif how == "lost":
-                if request[0] == "put":
-                    one.tell("put_unknown", request[1])
+                if isinstance(request, WriteRecord):
+                    one.tell(WriteUnanswered(request.slot))
             else:
-                one.carry(request, answered=False, unknown=how == "unknown" and request[0] == "put")
+                one.carry(
+                    request, answered=False, unknown=how == "unknown" and isinstance(request, WriteRecord)
+                )
             return
 
     @precondition(lambda self: self.late)
@@ -797,25 +835,30 @@
 
     @rule(who=who, after=st.sampled_from([SECOND // 10, SECOND, 6 * SECOND]))
     def elapse(self, who: str, after: int) -> None:
-        self.keepers[who].tell("elapsed", after=after)
+        self.keepers[who].tell(TimerExpired(), after=after)
 
     @rule(who=who, above=who)
     def follow(self, who: str, above: str) -> None:
         one = self.keepers[who]
         if one.phase in ("standby", "catching_up"):
             one.follow(self.keepers[above])
-            one.tell("caught_up")
+            one.tell(CatchUpAdvanced())
 
     @rule(who=who)
     def persist(self, who: str) -> None:
         one = self.keepers[who]
         self.disks[who] = one.history.table
         for other in self.keepers.values():
-            other.tell("durable", who, one.history.table.number)
-        if who == self.lost_disk and self.disks[who].number >= self.lost_at:
+            other.tell(KeeperDurable(who, one.history.table.sequence))
+        if who == self.lost_disk and self.disks[who].sequence >= self.lost_at:
             self.lost_disk = ""
 
-    @rule(who=who, count=st.integers(1, 2 * RING), kept=st.integers(0, 3), then=st.sampled_from(["", "gone"]))
+    @rule(
+        who=who,
+        count=st.integers(1, 2 * RING_SLOTS),
+        kept=st.integers(0, 3),
+        then=st.sampled_from(["", "gone"]),
+    )
     def busy(self, who: str, count: int, kept: int, then: str) -> None:
         """A quiet stretch: one takes the lease, catches up and writes many groups; so many keepers, itself
         the first, have them on disk at once. Its own disk may be gone right after."""
@@ -852,7 +895,7 @@
         if how == "after":
             one.carry(put)
         elif how == "unknown":
-            one.tell("put_unknown", put[1])
+            one.tell(WriteUnanswered(put.slot))
         one.serve()
 
     def _lead(self, who: str) -> Keeper:
@@ -874,7 +917,7 @@
         if self.lost_disk in ("", who):
             self.lost_disk = who
             self.lost_at = max(self.lost_at, len(self.voters.sequence()))
-            self.disks[who] = Table()
+            self.disks[who] = FeedTable()
             self._anew(who)
 
     def _anew(self, who: str) -> None:
@@ -883,41 +926,41 @@
         self.late += [(self.keepers[who], request) for request in self.keepers[who].out]
         self.keepers[who] = Keeper(self.voters, who, self.disks[who])
         self.keepers[who].now = now
-        self.keepers[who].tell("durable", who, self.disks[who].number)
+        self.keepers[who].tell(KeeperDurable(who, self.disks[who].sequence))
 
     def _look(self, one: Keeper) -> None:
         for (request, *_), told in ((t, told) for t, told in one.answers.items() if isinstance(t, tuple)):
-            if told.number:
-                assert self.made.setdefault(request, told.number) == told.number
+            if told.sequence:
+                assert self.made.setdefault(request, told.sequence) == told.sequence
 
     @invariant()
     def what_was_told_stands(self) -> None:
         changes = self.voters.sequence()
         for change in changes[len(self.folded) - 1 :]:
-            self.folded.append(self.folded[-1].applied(change))  # raises for a gap or a second use
+            self.folded.append(self.folded[-1].apply(change))  # raises for a gap or a second use
         for one in self.keepers.values():
             self._look(one)
             table = one.history.table
-            assert table == self.folded[table.number] or (
-                table.digest("all") == self.folded[table.number].digest("all")
+            assert table == self.folded[table.sequence] or (
+                table.digest("all") == self.folded[table.sequence].digest("all")
             )
             for request, told in one.answers.items():
-                if told.number and isinstance(request, str):
-                    assert self.made.setdefault(request, told.number) == told.number
-            if one.phase == "writing" and not one.writer.out and one.writer.epoch == self.voters.epoch:
-                assert table.number == len(changes), "a writer that does not know what was made"
+                if told.sequence and isinstance(request, str):
+                    assert self.made.setdefault(request, told.sequence) == told.sequence
+            if one.phase == "writing" and not one.writer.in_flight and one.writer.epoch == self.voters.epoch:
+                assert table.sequence == len(changes), "a writer that does not know what was made"
         for request, number in self.made.items():
-            assert changes[number - 1].request == request
+            assert changes[number - 1].request_id == request
 
     def teardown(self) -> None:
         """All is well again: any keeper can lead, with all that was ever told."""
         for who in KEEPERS:
             one = self._lead(who)
-            assert one.phase == "writing", one.kinds("release")
+            assert one.phase == "writing", one.kinds(ReleaseLease)
             self.what_was_told_stands()
             one.all_durable()
             one.write(1)
-            assert one.history.table.number == len(self.voters.sequence())
+            assert one.history.table.sequence == len(self.voters.sequence())
 
 
 Fleet.TestCase.settings = settings(
@@ -930,17 +973,17 @@
     one = leading()
     one.write(2)
     one.propose("r")
-    before = one.writer.frozen()
+    before = one.writer.state_key()
     hash(before)
     copied = one.writer.copy()
-    assert copied.frozen() == before
-    copied.take(one.now, "put_done", 2, 1)
-    copied.take(one.now, "proposed", "t", wish("s"))
-    assert copied.history.table.number == 3
-    assert one.writer.frozen() == before
-    assert one.history.table.number == 2
+    assert copied.state_key() == before
+    copied.handle(one.now, RecordWritten(2, 1))
+    copied.handle(one.now, ProposalReceived("t", wish("s")))
+    assert copied.history.table.sequence == 3
+    assert one.writer.state_key() == before
+    assert one.history.table.sequence == 2
     one.serve()
-    assert one.answers["r"].number == 3
+    assert one.answers["r"].sequence == 3
 
 
 # ---- what a change may say
@@ -948,9 +991,9 @@
 ROUTE = {"limit_ms": 500, "effect": "restartable"}
 
 
-def why(key: str, value: Any, table: Table | None = None) -> str:
+def why(key: str, value: Any, table: FeedTable | None = None) -> str:
     told = value if isinstance(value, bytes) else json.dumps(value).encode()
-    return fault(Propose("r", ((key, told),)), table or Table())
+    return find_faults(Propose("r", ((key, told),)), table or FeedTable())
 
 
 @pytest.mark.parametrize(
@@ -995,13 +1038,13 @@
         ("common/x", b"\xff", "no JSON"),
         ("common/x", {"a\u0007": 1}, "no name of a field"),
         ("common/x", {"a": "\u0000"}, "can't be printed"),
-        ("common/x", {"a": "x" * VALUE_BOUND}, f"{VALUE_BOUND} at most"),
+        ("common/x", {"a": "x" * VALUE_SIZE_LIMIT}, f"{VALUE_SIZE_LIMIT} at most"),
         ("other/x", {}, "none of the sections"),
         ("route", ROUTE, "no name"),
         ("route/", ROUTE, "no name"),
         ("route/ x", ROUTE, "spaces"),
         ("route/x\n", ROUTE, "can't be printed"),
-        ("route/" + "x" * KEY_BOUND, ROUTE, f"{KEY_BOUND} at most"),
+        ("route/" + "x" * KEY_LENGTH_LIMIT, ROUTE, f"{KEY_LENGTH_LIMIT} at most"),
     ],
 )
 def test_what_may_not_stand(key: str, value: Any, reason: str) -> None:
@@ -1017,7 +1060,7 @@
         ("tenant/y", None),
         ("nowhere/z", b"{}"),
     )
-    told = fault(Propose("r", items, (("tenant/x", 3),)), Table())
+    told = find_faults(Propose("r", items, (("tenant/x", 3),)), FeedTable())
     for part in (
         "share: ",
         "allowance_per_s: ",
@@ -1029,54 +1072,62 @@
         assert part in told
     assert "'tenant/x' has version 0, 3 was expected" in told
     many = tuple((f"other/{'x' * 190}{place}", b"{}") for place in range(100))
-    assert len(fault(Propose("r", many), Table())) < 5000
+    assert len(find_faults(Propose("r", many), FeedTable())) < 5000
 
 
 def test_the_bounds_of_a_change() -> None:
     good = b'{"share":0.1}'
-    assert "1 to 1000 are allowed" in fault(Propose("r", ()), Table())
-    assert fault(Propose("r", tuple((f"tenant/{one}", good) for one in range(ITEMS_BOUND))), Table()) == ""
-    assert fault(Propose("r", tuple((f"tenant/{one}", good) for one in range(ITEMS_BOUND + 1))), Table())
+    assert "1 to 1000 are allowed" in find_faults(Propose("r", ()), FeedTable())
+    assert (
+        find_faults(
+            Propose("r", tuple((f"tenant/{one}", good) for one in range(CHANGE_ITEMS_LIMIT))), FeedTable()
+        )
+        == ""
+    )
+    assert find_faults(
+        Propose("r", tuple((f"tenant/{one}", good) for one in range(CHANGE_ITEMS_LIMIT + 1))), FeedTable()
+    )
     large = tuple((f"common/{one}", b'{"a":"%s"}' % (b"x" * 4000)) for one in range(7))
-    assert f"{CHANGE_BOUND} at most" in fault(Propose("r", large), Table())
+    assert f"{CHANGE_SIZE_LIMIT} at most" in find_faults(Propose("r", large), FeedTable())
     for request in ("", "x" * 65, "a\nb"):
-        assert "a request is named" in fault(Propose(request, (("tenant/x", good),)), Table())
-    versions = tuple((f"tenant/{one}", 0) for one in range(ITEMS_BOUND + 1))
-    assert "expected versions" in fault(Propose("r", (("tenant/x", good),), versions), Table())
+        assert "a request is named" in find_faults(Propose(request, (("tenant/x", good),)), FeedTable())
+    versions = tuple((f"tenant/{one}", 0) for one in range(CHANGE_ITEMS_LIMIT + 1))
+    assert "expected versions" in find_faults(Propose("r", (("tenant/x", good),), versions), FeedTable())
 
 
 def test_a_table_that_is_full_takes_no_new_entry_but_other_values(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("thistleline.config_feed.validation.ENTRIES_BOUND", 2)
-    table = Table().moved(1, [("tenant/a", b"{}", 1), ("tenant/b", b"{}", 1)])
+    monkeypatch.setattr("thistleline.config_feed.validation.TABLE_ENTRIES_LIMIT", 2)
+    table = FeedTable().update(1, [("tenant/a", b"{}", 1), ("tenant/b", b"{}", 1)])
     assert "more than 2 entries" in why("tenant/c", {"share": 0}, table)
     assert why("tenant/a", {"share": 0}, table) == ""
     swap = Propose("r", (("tenant/c", b'{"share":0}'), ("tenant/a", None)))
-    assert fault(swap, table) == ""
+    assert find_faults(swap, table) == ""
 
 
 @settings(derandomize=True, database=None)
 @given(st.text(max_size=300), st.binary(max_size=100), st.text(max_size=80))
 def test_no_strangers_bytes_end_the_check(key: str, value: bytes, request: str) -> None:
     for one in (key, f"route/{key}", f"common/{key}"):
-        assert isinstance(fault(Propose(request, ((one, value),), ((one, 1),)), Table()), str)
+        assert isinstance(find_faults(Propose(request, ((one, value),), ((one, 1),)), FeedTable()), str)
 
 
 # ---- on disk
 
 
-def tables(count: int, first: Table | None = None) -> list[Table]:
-    found = [first or Table()]
+def tables(count: int, first: FeedTable | None = None) -> list[FeedTable]:
+    found = [first or FeedTable()]
     for _ in range(count):
-        number = found[-1].number + 1
+        number = found[-1].sequence + 1
         items = (f"tenant/{number}", share(number)), (f"route/{number % 3}", b"%d" % number)
-        found.append(found[-1].applied(Change(number, f"r{number}", items)))
+        found.append(found[-1].apply(Change(number, f"r{number}", items)))
     return found
 
 
-def step(before: Table, after: Table) -> tuple[int, int, Any]:
-    number = after.number
+def step(before: FeedTable, after: FeedTable) -> ArchivedStep:
+    number = after.sequence
     keys = (f"tenant/{number}", f"route/{number % 3}")
-    return before.number, number, tuple((key, *(after.get(key) or (None, 0))) for key in keys)
+    items: Any = tuple((key, *(after.get(key) or (None, 0))) for key in keys)
+    return ArchivedStep(before.sequence, number, items)
 
 
 class Troubled(Disk):
@@ -1120,23 +1171,23 @@
         super().remove(number)
 
 
-def found(folder: Path, kind: Any = "all") -> tuple[Table | None, str]:
+def found(folder: Path, kind: Any = "all") -> tuple[FeedTable | None, str]:
     archive = Archive(Disk(folder, "feed"), kind)
-    return archive.recover(), archive.why
+    return archive.recover(), archive.recovery_failure
 
 
-def filled(folder: Path, many: list[Table]) -> Archive:
+def filled(folder: Path, many: list[FeedTable]) -> Archive:
     archive = Archive(Troubled(folder), "all")
     archive.disk.acquire()
     assert archive.recover() is None
     archive.write(many[0])
     for before, after in pairwise(many):
-        assert archive.write(after, [step(before, after)]) == after.number
+        assert archive.write(after, [step(before, after)]) == after.sequence
     archive.disk.release()
     return archive
 
 
-def same(one: Table | None, other: Table) -> bool:
+def same(one: FeedTable | None, other: FeedTable) -> bool:
     return one is not None and one == other
 
 
@@ -1172,7 +1223,7 @@
     disk = Disk(tmp_path, "feed")
     disk.acquire()
     archive = Archive(disk, "wide")
-    wide = [Table().moved(one.number, one.entries("wide"), "wide") for one in many]
+    wide = [FeedTable().update(one.sequence, one.entries("wide"), "wide") for one in many]
     archive.write(wide[1])
     archive.write(wide[2], [step(many[1], many[2])])
     table, _ = found(tmp_path, "wide")
@@ -1274,7 +1325,7 @@
     size = sum(size for _, size in disk.segments())
     for _ in range(10):
         # The append of a part fails, and removing goes well again.
-        archive.fresh = True
+        archive.needs_snapshot = True
         disk.fails_from, disk.fails_until = disk.calls + 3, disk.calls + 4
         with pytest.raises(OSError, match="full"):
             archive.write(many[300])
@@ -1306,8 +1357,8 @@
             disk.release()
             table, told = found(folder)
             assert table is not None, told
-            assert table.number >= durable
-            assert same(table, many[table.number])
+            assert table.sequence >= durable
+            assert same(table, many[table.sequence])
 
 
 def test_older_segments_go_once_the_new_one_and_its_name_are_durable(tmp_path: Path) -> None:
@@ -1321,7 +1372,7 @@
     archive.write(many[2], [step(many[1], many[2])])
     assert disk.order == ["append", "sync"]
     disk.order.clear()
-    archive.fresh = True
+    archive.needs_snapshot = True
     archive.write(many[3])
     assert disk.order == ["begin", "append", "append", "append", "sync", "sync_folder", "remove"]
 
@@ -1339,17 +1390,17 @@
 
 
 def test_the_size_on_disk_is_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("thistleline.config_feed.archive.LOG_LEAST", 4096)
+    monkeypatch.setattr("thistleline.config_feed.archive.LOG_SIZE_MIN", 4096)
     disk = Troubled(tmp_path)
     disk.acquire()
     archive = Archive(disk, "all")
-    table = Table()
+    table = FeedTable()
     archive.write(table)
     most = 0
     for number in range(1, 1500):
         items = ((f"tenant/{number % 5}", share(number), number),)
-        after = table.moved(number, items)
-        archive.write(after, [(table.number, number, items)])
+        after = table.update(number, items)
+        archive.write(after, [ArchivedStep(table.sequence, number, items)])
         table = after
         if number % 50 == 0:
             most = max(most, sum(size for _, size in disk.segments()))
@@ -1359,7 +1410,7 @@
 
 
 def test_sixty_thousand_entries_are_written_and_read_back(tmp_path: Path) -> None:
-    table = Table().moved(
+    table = FeedTable().update(
         7, ((f"{'route' if one % 20 else 'tenant'}/{one}", share(one), 7) for one in range(60_000))
     )
     disk = Troubled(tmp_path)
@@ -1374,37 +1425,37 @@
 # ---- who asks for a change
 
 
-def asked_of(monkeypatch: pytest.MonkeyPatch, answers: Mapping[str, Proposed | None]) -> list[str]:
+def asked_of(monkeypatch: pytest.MonkeyPatch, answers: Mapping[str, ProposeResult | None]) -> list[str]:
     """Whom it asks, k0 first, till one answers with a number."""
     asked: list[str] = []
 
-    async def ask(address: tuple[str, int], *told: Any) -> Proposed | None:
+    async def ask(address: tuple[str, int], *told: Any) -> ProposeResult | None:
         asked.append(address[0])
         return answers[address[0]]
 
-    monkeypatch.setattr(client, "ask", ask)
-    monkeypatch.setattr(client, "PAUSE", 0.001)
+    monkeypatch.setattr(operations, "request", ask)
+    monkeypatch.setattr(operations, "RETRY_DELAY", 0.001)
     keepers = {name: (name, 1) for name in answers}
     chance = next(one for one in map(Random, range(99)) if one.choice(sorted(keepers)) == "k0")
     monkeypatch.setattr(chance, "choice", min)
-    anyio.run(client.propose, keepers, Propose("x", ()), 1.0, chance)
+    anyio.run(operations.propose, keepers, Propose("x", ()), 1.0, chance)
     return asked
 
 
-def elsewhere(leader: str) -> Proposed:
-    return Proposed("x", why="it does not write", unknown=True, leader=leader)
+def elsewhere(leader: str) -> ProposeResult:
+    return ProposeResult("x", reason="it does not write", unknown=True, leader=leader)
 
 
 def test_who_asks_for_a_change_is_not_sent_back_to_the_silent(monkeypatch: pytest.MonkeyPatch) -> None:
-    answers = {"k0": None, "k1": elsewhere("k0"), "k2": Proposed("x", 7)}
+    answers = {"k0": None, "k1": elsewhere("k0"), "k2": ProposeResult("x", 7)}
     assert asked_of(monkeypatch, answers) == ["k0", "k1", "k2"]
 
 
 def test_two_that_name_each_other_don_t_keep_who_asks_for_a_change(monkeypatch: pytest.MonkeyPatch) -> None:
-    answers = {"k0": elsewhere("k1"), "k1": elsewhere("k0"), "k2": Proposed("x", 7)}
+    answers = {"k0": elsewhere("k1"), "k1": elsewhere("k0"), "k2": ProposeResult("x", 7)}
     assert asked_of(monkeypatch, answers) == ["k0", "k1", "k2"]
 
 
 def test_who_asks_for_a_change_goes_at_once_to_who_is_said_to_write(monkeypatch: pytest.MonkeyPatch) -> None:
-    answers = {"k0": elsewhere("k2"), "k1": elsewhere("k2"), "k2": Proposed("x", 7)}
+    answers = {"k0": elsewhere("k2"), "k1": elsewhere("k2"), "k2": ProposeResult("x", 7)}
     assert asked_of(monkeypatch, answers) == ["k0", "k2"]
--- a/thistleline/lab/feedmutants.py
+++ b/thistleline/lab/feedmutants.py
@@ -6,15 +6,20 @@
 
 import msgspec
 
+from thistleline.config_feed import record_ring as ring
+from thistleline.config_feed import snapshot as snapshots
 from thistleline.config_feed import source as serving
-from thistleline.config_feed import writer as writing
+from thistleline.config_feed.effects import SnapshotLoaded
+from thistleline.config_feed.events import TimerExpired
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.history import History
-from thistleline.config_feed.lookups import Lookups
-from thistleline.config_feed.messages import Have, Kind, Part, Welcome
+from thistleline.config_feed.lookups import LookupCache
+from thistleline.config_feed.messages import Acknowledge, FollowAccepted, Kind, ProposeResult, SnapshotPart
 from thistleline.config_feed.source import Source
-from thistleline.config_feed.table import Table
-from thistleline.config_feed.writer import Writer
+from thistleline.config_feed.table import FeedTable
+from thistleline.config_feed.writer import FeedWriter
+from thistleline.config_feed.writer_effects import WriterEffect
+from thistleline.config_feed.writer_events import WriteDenied, WriterEvent, WriteUnanswered
 from thistleline.lab.explore import Explored, explore
 from thistleline.lab.feedworld import FeedWorld, Scenario, begin, changed, fleet, following, settle
 from thistleline.lab.mutants import account, mutant, without
@@ -22,7 +27,11 @@
 
 DEPTH = 60
 # Small, so that a world of some steps comes to where it counts: two records in the ring, an entry a part.
-SMALL: tuple[tuple[Any, str, Any], ...] = ((writing, "RING", 2), (serving, "PART_SIZE", 1))
+SMALL: tuple[tuple[Any, str, Any], ...] = (
+    (ring, "RING_SLOTS", 2),
+    (serving, "PART_SIZE", 1),
+    (snapshots, "PART_SIZE", 1),
+)
 
 
 # ---- where explorations begin
@@ -49,7 +58,7 @@
     world.disks["r0"] = world.nodes["r0"].table
     world.restart("r0")
     settle(world, lambda name: name[0] == "i")
-    world.disks["i0"] = Table()
+    world.disks["i0"] = FeedTable()
     world.restart("i0")
     return world
 
@@ -57,7 +66,7 @@
 def _strange() -> FeedWorld:
     """The instance comes with a state of this number that is another."""
     world = changed(fleet(keepers=1), 2)
-    world.disks["i0"] = Table().moved(2, (("common/a", b'{"of another feed":1}', 1),), "wide")
+    world.disks["i0"] = FeedTable().update(2, (("common/a", b'{"of another feed":1}', 1),), "wide")
     world.strange = ("i0",)
     world.restart("i0")
     return world
@@ -105,7 +114,7 @@
     """A change is on its way to the instance, which asks for a tenant that the next one takes away."""
     world = _on_its_way(changed(fleet(keepers=1), 4))
     world.look("i0")
-    world.put("i0", "elapsed")
+    world.put("i0", TimerExpired())
     return world
 
 
@@ -126,7 +135,7 @@
     while world.links.get("i0", world.links["r0"]).server != "r1":
         if "i0" in world.links:
             world.end("i0")
-        world.put("i0", "elapsed")
+        world.put("i0", TimerExpired())
     return world
 
 
@@ -156,47 +165,53 @@
     return number in self._digests
 
 
-def _taken_anyhow(self: Follower, told: Any, had: Callable[..., None] = Follower._delta) -> None:
-    if self.phase == "following" and told.first == self.table.number:
-        table = self.table.moved(told.last, told.items, self.kind)
+def _taken_anyhow(self: Follower, told: Any, had: Callable[..., None] = Follower._apply_delta) -> None:
+    if self.phase == "following" and told.first == self.table.sequence:
+        table = self.table.update(told.last, told.items, self.kind)
         had(self, msgspec.structs.replace(told, digest=table.digest(self.kind)))
     else:
         had(self, told)
 
 
-def _part_taken_anyhow(self: Follower, told: Part, had: Callable[..., None] = Follower._part) -> None:
-    if self.phase == "loading" and self.load is not None:
-        table = self.load.moved(told.number, told.items, self.kind)
+def _part_taken_anyhow(
+    self: Follower, told: SnapshotPart, had: Callable[..., None] = Follower._add_part
+) -> None:
+    if self.phase == "loading" and self.snapshot is not None:
+        table = self.snapshot.update(told.sequence, told.items, self.kind)
         told = msgspec.structs.replace(told, digest=table.digest(self.kind))
     had(self, told)
 
 
-def _part_counts(self: Follower, told: Part, had: Callable[..., None] = Follower._part) -> None:
+def _part_counts(self: Follower, told: SnapshotPart, had: Callable[..., None] = Follower._add_part) -> None:
     had(self, told)
-    if self.load is not None:
-        self.table = self.load
-        self.effects.append(("loaded",))
+    if self.snapshot is not None:
+        self.table = self.snapshot
+        self._effects.append(SnapshotLoaded())
 
 
-def _older_too(self: Follower, told: Welcome, had: Callable[..., None] = Follower._welcomed) -> None:
+def _older_too(
+    self: Follower, told: FollowAccepted, had: Callable[..., None] = Follower._on_accepted
+) -> None:
     table = self.table
-    if told.load and told.number < table.number:
-        self.table = table._replace(number=told.number)
+    if told.load_snapshot and told.sequence < table.sequence:
+        self.table = table._replace(sequence=told.sequence)
         had(self, told)
         self.table = table
     else:
         had(self, told)
 
 
-def _serves_ahead(self: Source, peer: int, served: Any, told: Any, had: Any = Source._follow) -> str:
+def _serves_ahead(self: Source, peer: int, served: Any, told: Any, had: Any = Source._on_follow) -> str:
     """Who is ahead is not refused."""
-    newest = self.history.table.number
-    answer = had(self, peer, served, msgspec.structs.replace(told, number=min(told.number, newest)))
+    newest = self.history.table.sequence
+    answer = had(self, peer, served, msgspec.structs.replace(told, sequence=min(told.sequence, newest)))
     return str(answer)
 
 
-def _of_any_number(self: Lookups, told: Any, had: Callable[..., None] = Lookups._told) -> None:
-    had(self, msgspec.structs.replace(told, number=self.follower.table.number))
+def _of_any_number(
+    self: LookupCache, told: Any, had: Callable[..., None] = LookupCache._on_tenant_entries
+) -> None:
+    had(self, msgspec.structs.replace(told, sequence=self.follower.table.sequence))
 
 
 def _always(self: Any, *_: Any) -> bool:
@@ -204,47 +219,59 @@
 
 
 def _at_once_durable(self: Follower) -> None:
-    self._send(Have(self.table.number, self.table.number))
+    self._send(Acknowledge(self.table.sequence, self.table.sequence))
 
 
 def _any_epoch(self: Council, put: Any, had: Callable[..., Any] = Council._put) -> Any:
     return had(self, msgspec.structs.replace(put, name=""))
 
 
-def _own_table(self: Writer) -> None:
+def _own_table(self: FeedWriter) -> None:
     """Goes on from what it has, whatever the records hold."""
-    self.chain = ()
-    self._go_on()
+    self._recovered = ()
+    self._start_writing()
 
 
-def _taken_for_refused(self: Writer, slot: int, why: str = "") -> None:
+def _taken_for_refused(
+    self: FeedWriter,
+    now: int,
+    event: WriterEvent,
+    had: Callable[..., list[WriterEffect]] = FeedWriter.handle,
+) -> list[WriterEffect]:
     """No answer means that it was not made."""
-    if self.put is not None and slot == self.slot:
-        out, self.out, self.put = self.out, (), None
-        for one in out:
-            self._answer(one.change.request, why="no answer")
-        self._drop_line("no answer")
+    if not isinstance(event, WriteDenied | WriteUnanswered):
+        return had(self, now, event)
+    flight = self.in_flight
+    if flight is not None and event.slot == self._ring.slot:
+        self._commit.in_flight = None
+        for one in flight.changes:
+            self._answer(ProposeResult(one.change.request_id, reason="no answer"))
+        self._refuse_pending("no answer")
+    effects, self._effects = self._effects, []
+    return effects
 
 
 MUTANTS = (
     mutant("resume: a state is gone on from by its digest too", "another's state",
-            History, "knows", _by_number),
+            History, "contains", _by_number),
     mutant("a change is taken with its digest alone", "a change under way",
-            Follower, "_delta", _taken_anyhow),
+            Follower, "_apply_delta", _taken_anyhow),
     mutant("a snapshot is taken with its digest alone", "cold instance",
-            Follower, "_part", _part_taken_anyhow),
+            Follower, "_add_part", _part_taken_anyhow),
     mutant("whole changes: no part counts before the last", "cold instance",
-            Follower, "_part", _part_counts),
-    mutant("no older state is taken", "older relay", Follower, "_welcomed", _older_too,
-            Source, "_follow", _serves_ahead),
-    mutant("a tenant is told and taken at the number held", "tenants", Lookups, "_told", _of_any_number,
-            Source, "_newest", _always),
+            Follower, "_add_part", _part_counts),
+    mutant("no older state is taken", "older relay", Follower, "_on_accepted", _older_too,
+            Source, "_on_follow", _serves_ahead),
+    mutant("a tenant is told and taken at the number held", "tenants",
+            LookupCache, "_on_tenant_entries", _of_any_number,
+            Source, "_has_newest", _always),
     mutant("the fence", "deposed writer", Council, "_put", _any_epoch),
-    mutant("the cut rule: a majority has it on disk first", "ring full", Writer, "_free", _always),
-    mutant("durable is what the disk has", "ring full", Follower, "_have", _at_once_durable),
-    mutant("who takes over goes on from the records", "unanswered", Writer, "_enter", _own_table),
-    mutant("a Put without an answer is settled by reading", "unanswered", Writer, "_put_unknown",
-            _taken_for_refused, Writer, "_put_denied", _taken_for_refused),
+    mutant("the cut rule: a majority has it on disk first", "ring full",
+            FeedWriter, "_slot_is_free", _always),
+    mutant("durable is what the disk has", "ring full", Follower, "_acknowledge", _at_once_durable),
+    mutant("who takes over goes on from the records", "unanswered", FeedWriter, "_resume", _own_table),
+    mutant("a Put without an answer is settled by reading", "unanswered", FeedWriter, "handle",
+            _taken_for_refused),
 )  # fmt: skip
 
 
--- a/thistleline/lab/feedrun.py
+++ b/thistleline/lab/feedrun.py
@@ -6,7 +6,8 @@
 measured apart. An oracle that knows nothing of the reducers keeps its own list of changes and plain dicts.
 
 The council is stood in for: its table and its watch over leases are the real ones, its trips are drawn. Who
-asks for a change asks the one that wrote last, and goes on as feed/client.propose does until it is known.
+asks for a change asks the one that wrote last, and goes on as config_feed/operations.propose does until it
+is known.
 """
 
 from bisect import bisect_right
@@ -18,17 +19,64 @@
 from typing import Any, ClassVar, Protocol
 
 from thistleline.config_feed import follower as following
-from thistleline.config_feed.client import PAUSE, PROPOSE_SPAN, Asking
+from thistleline.config_feed.effects import (
+    CloseDownstream,
+    ConnectUpstream,
+    DeltaApplied,
+    DisconnectUpstream,
+    PersistStep,
+    PersistTable,
+    SendDownstream,
+    SendUpstream,
+    SnapshotLoaded,
+)
+from thistleline.config_feed.events import (
+    StateDurable,
+    SubscriberJoined,
+    SubscriberLeft,
+    SubscriberMessage,
+    TimerExpired,
+    UpstreamConnected,
+    UpstreamLost,
+    UpstreamMessage,
+)
 from thistleline.config_feed.follower import Follower
-from thistleline.config_feed.limits import MADE_SLOTS, MS, SECOND
-from thistleline.config_feed.lookups import Lookups
-from thistleline.config_feed.messages import Change, Delta, Group, Kind, Part, Propose, Proposed, encode
-from thistleline.config_feed.relay import Station
-from thistleline.config_feed.table import APART, Entries, Table
-from thistleline.config_feed.writer import LEASE, key_of
+from thistleline.config_feed.limits import DEDUPLICATION_SLOTS, MS, SECOND
+from thistleline.config_feed.lookups import LookupCache
+from thistleline.config_feed.messages import (
+    Change,
+    Delta,
+    Group,
+    Kind,
+    Propose,
+    ProposeResult,
+    SnapshotPart,
+    encode,
+)
+from thistleline.config_feed.operations import ATTEMPT_TIMEOUT, RETRY_DELAY, EndpointSelector
+from thistleline.config_feed.recovery import LEASE_NAME, record_key
+from thistleline.config_feed.relay import FeedRelay, RelayEvent
+from thistleline.config_feed.table import PARTIAL_PREFIXES, Entries, FeedTable
+from thistleline.config_feed.writer_effects import (
+    AnswerProposal,
+    LogEvent,
+    ReadRecord,
+    ReleaseLease,
+    WriteRecord,
+)
+from thistleline.config_feed.writer_events import (
+    LeaseAcquired,
+    LeaseLost,
+    ProposalReceived,
+    RecordRead,
+    RecordWritten,
+    WriteDenied,
+    WriterEvent,
+)
 from thistleline.lab.mutants import without
+from thistleline.lease import holder_effects
 from thistleline.lease.holder import LeaseHolder
-from thistleline.lease.holder_effects import LeaseAcquired, SendRequest
+from thistleline.lease.holder_effects import SendRequest
 from thistleline.lease.holder_events import AcquireStarted, AnswerReceived, DeadlineReached, HolderEvent
 from thistleline.lease.liveness import LivenessTracker
 from thistleline.lease.protocol import Answer, Denied, Op, Put, Renew, Renewed
@@ -47,24 +95,24 @@
 KEPT = 2_000  # states shared at once
 
 Spread = Callable[[int], int]
-Effects = list[tuple[Any, ...]]
+Effects = list[Any]
 Key = tuple[int, int, int, int, Kind, tuple[Any, ...]]
 
 
-class Shared(Table):
+class Shared(FeedTable):
     """A state whose followers share what they make of it."""
 
     __slots__ = ()
     made: ClassVar[dict[Key, "Shared"]] = {}
 
-    def moved(
+    def update(
         self, number: int, items: Iterable[tuple[str, bytes | None, int]], kind: Kind = "all"
     ) -> "Shared":
         told = items if isinstance(items, tuple) else tuple(items)
-        key = (self.number, self.wide_sum, self.tenants_sum, number, kind, told)
+        key = (self.sequence, self.wide_sum, self.tenants_sum, number, kind, told)
         found = self.made.get(key)
         if found is None:
-            found = self.made[key] = Shared(*Table.moved(self, number, told, kind))
+            found = self.made[key] = Shared(*FeedTable.update(self, number, told, kind))
             while len(self.made) > KEPT:
                 del self.made[next(iter(self.made))]
         return found
@@ -76,43 +124,41 @@
 
 class Node(Protocol):
     @property
-    def table(self) -> Table: ...
+    def table(self) -> FeedTable: ...
 
-    def take(self, now: int, part: str, *told: Any) -> Effects: ...
+    def handle(self, now: int, event: RelayEvent) -> Effects: ...
 
-    def due(self) -> int: ...
+    def next_deadline(self) -> int: ...
 
 
 class Instance:
-    """A hollow instance: what its look-ups answer by. Inputs and effects as of a Station."""
+    """A hollow instance: what its look-ups answer by. Inputs and effects as of a FeedRelay."""
 
     __slots__ = ("lookups",)
 
-    def __init__(self, id: str, table: Table, sources: tuple[str, ...], now: int, spread: Spread) -> None:
-        self.lookups = Lookups(Follower(id, "wide", table, sources, now, spread))
+    def __init__(self, id: str, table: FeedTable, sources: tuple[str, ...], now: int, spread: Spread) -> None:
+        self.lookups = LookupCache(Follower(id, "wide", table, sources, now, spread))
 
     def copy(self) -> "Instance":
         made = Instance.__new__(Instance)
         made.lookups = self.lookups.copy()
         return made
 
-    def frozen(self) -> Any:
-        return self.lookups.frozen()
+    def state_key(self) -> Any:
+        return self.lookups.state_key()
 
     @property
-    def table(self) -> Table:
+    def table(self) -> FeedTable:
         return self.lookups.follower.table
 
-    def due(self) -> int:
-        return self.lookups.due()
+    def next_deadline(self) -> int:
+        return self.lookups.next_deadline()
 
-    def take(self, now: int, part: str, *told: Any) -> Effects:
+    def handle(self, now: int, event: Any) -> Effects:
         out: Effects = []
-        for effect in self.lookups.take(now, *(told if part == "up" else (part, *told))):
-            if effect[0] == "send":
-                out.append(("up", *effect[1:]))
-            elif effect[0] in ("took", "loaded"):
-                out.append(("step", self.table))
+        for effect in self.lookups.handle(now, event):
+            if isinstance(effect, DeltaApplied | SnapshotLoaded):
+                out.append(PersistTable(self.table))
             else:
                 out.append(effect)
         return out
@@ -121,10 +167,10 @@
 class Oracle:
     """What was acknowledged, in order: each key's values by number. Says what is wrong with a state seen."""
 
-    def __init__(self, table: Table) -> None:
-        self.first = self.last = table.number
+    def __init__(self, table: FeedTable) -> None:
+        self.first = self.last = table.sequence
         self.base = {key: value for key, value, _ in table.entries("all")}
-        self.wide = sum(not key.startswith(APART) for key in self.base)
+        self.wide = sum(not key.startswith(PARTIAL_PREFIXES) for key in self.base)
         self.told: dict[str, tuple[list[int], list[bytes | None]]] = {}
         self.touched: list[tuple[int, str]] = []
         self.counts = {self.first: self.wide}  # wide entries at each number
@@ -136,7 +182,7 @@
             self.wrong = f"{number} was acknowledged after {self.last}"
             return
         for key, value in items:
-            if not key.startswith(APART):
+            if not key.startswith(PARTIAL_PREFIXES):
                 self.wide += (value is not None) - (self.at(key, self.last) is not None)
             numbers, values = self.told.setdefault(key, ([], []))
             numbers.append(number)
@@ -150,29 +196,29 @@
         place = bisect_right(numbers, number)
         return values[place - 1] if place else self.base.get(key)
 
-    def check(self, table: Table, kind: Kind, before: int) -> None:
+    def check(self, table: FeedTable, kind: Kind, before: int) -> None:
         """A state that somebody holds: what was touched since `before` is looked at, all else by count."""
-        mark = (table.number, table.wide_sum, table.tenants_sum)
+        mark = (table.sequence, table.wide_sum, table.tenants_sum)
         if self.seen.get(mark) is table.wide:
             return
         self.seen[mark] = table.wide
         while len(self.seen) > KEPT:
             del self.seen[next(iter(self.seen))]
-        if table.number > self.last:
+        if table.sequence > self.last:
             return  # decided, its acknowledgement is on its way: looked at in the end
-        low = bisect_right(self.touched, (min(before, table.number - 20), ""))
+        low = bisect_right(self.touched, (min(before, table.sequence - 20), ""))
         for _, key in self.touched[low:]:
-            if not key.startswith(APART) or kind == "all":
+            if not key.startswith(PARTIAL_PREFIXES) or kind == "all":
                 found = table.get(key)
-                if (found[0] if found else None) != self.at(key, table.number):
-                    self.wrong = f"{key} at {table.number} is not what was acknowledged"
-        if len(table.wide) != self.counts[table.number]:
-            self.wrong = f"{len(table.wide)} entries at {table.number}, not {self.counts[table.number]}"
+                if (found[0] if found else None) != self.at(key, table.sequence):
+                    self.wrong = f"{key} at {table.sequence} is not what was acknowledged"
+        if len(table.wide) != self.counts[table.sequence]:
+            self.wrong = f"{len(table.wide)} entries at {table.sequence}, not {self.counts[table.sequence]}"
 
-    def whole(self, table: Table, kind: Kind) -> str:
+    def whole(self, table: FeedTable, kind: Kind) -> str:
         """Of the newest state, all of it, against a plain dict."""
-        if table.number != self.last:
-            return f"it ends at {table.number}, not at {self.last}"
+        if table.sequence != self.last:
+            return f"it ends at {table.sequence}, not at {self.last}"
         plain = dict(self.base)
         for key, (_, values) in self.told.items():
             value = values[-1]
@@ -181,7 +227,7 @@
             else:
                 plain[key] = value
         if kind == "wide":
-            plain = {key: value for key, value in plain.items() if not key.startswith(APART)}
+            plain = {key: value for key, value in plain.items() if not key.startswith(PARTIAL_PREFIXES)}
         here = {key: value for key, value, _ in table.entries(kind)}
         return "" if here == plain else "its entries are not what was acknowledged"
 
@@ -217,10 +263,10 @@
         self.got = self.sent = self.got_bytes = self.sent_bytes = self.cpu = self.takes = 0
         self.since = 0  # up since
         self.number = 0
-        self.durable: Table | None = None
+        self.durable: FeedTable | None = None
 
 
-class Asked(Asking):
+class Asked(EndpointSelector):
     """A change that somebody wants, until its number is known."""
 
     __slots__ = ("first", "last", "propose", "region", "tries")
@@ -269,7 +315,7 @@
 class VirtualFeed(Clock):
     def __init__(
         self,
-        table: Table,
+        table: FeedTable,
         seed: int,
         instances: int,
         regions: int = 10,
@@ -312,7 +358,7 @@
         self.relays = [f"r{region}.{place}" for region in range(regions) for place in range(relays)]
         for place, name in enumerate(self.kept):
             others = tuple(one for one in self.kept if one != name)
-            node = Station(name, 0, table, others, self.now, self._spread, tuple(self.kept))
+            node = FeedRelay(name, 0, table, others, self.now, self._spread, tuple(self.kept))
             region = place * regions // keepers
             self._add(Place(name, region, region, node, PLENTY))
         for name in self.relays:
@@ -320,16 +366,16 @@
             self.chance.shuffle(sources)
             region, place = map(int, name[1:].split("."))
             zone = place * regions + region
-            node = Station(name, 1, table, tuple(sources), 0, self._spread)
+            node = FeedRelay(name, 1, table, tuple(sources), 0, self._spread)
             self._add(Place(name, region, zone if zone < self.zones else region, node, PLENTY))
-        self.wide = Shared(*Table.moved(Table(), table.number, table.entries("wide"), "wide"))
+        self.wide = Shared(*FeedTable.update(FeedTable(), table.sequence, table.entries("wide"), "wide"))
         self.instances = [f"i{place}" for place in range(instances)]
         for place, name in enumerate(self.instances):
             zone = place % self.zones
             region = zone % regions
             self._add(Place(name, region, zone, self._instance(name, region, self.wide), LINE))
 
-    def _instance(self, name: str, region: int, table: Table) -> Node:
+    def _instance(self, name: str, region: int, table: FeedTable) -> Node:
         near = [one for one in self.relays if one.startswith(f"r{region}.")]
         self.chance.shuffle(near)
         far = [one for one in self.relays if one not in near]
@@ -337,12 +383,12 @@
             name, table, (*near, *self.chance.sample(far, min(2, len(far)))), self.now, self._spread
         )
 
-    def _begun(self, table: Table) -> Table:
+    def _begun(self, table: FeedTable) -> FeedTable:
         """One change further, which the council's first record holds: who writes goes on from there."""
-        change = Change(table.number + 1, "first", (("common/first", b"{}"),))
-        made = table.applied(change)
+        change = Change(table.sequence + 1, "first", (("common/first", b"{}"),))
+        made = table.apply(change)
         value = encode(Group(0, (change,), table.digest("all"), made.digest("all")))
-        self.leases.apply(0, encode_decision(Put(key_of(0), value, 0)))
+        self.leases.apply(0, encode_decision(Put(record_key(0), value, 0)))
         return made
 
     def _spread(self, span: int) -> int:
@@ -350,18 +396,18 @@
 
     def _add(self, place: Place) -> None:
         self.places[place.name] = place
-        place.number = place.node.table.number
+        place.number = place.node.table.sequence
         place.durable = place.node.table
         self._arm(place)
 
     # ---- time
 
     def run(self, until: int, over: Callable[[], bool] = lambda: False) -> bool:
-        with without(((following, "Table", Shared),)):
+        with without(((following, "FeedTable", Shared),)):
             return super().run(until, over)
 
     def _arm(self, place: Place) -> None:
-        due = place.node.due()
+        due = place.node.next_deadline()
         if due < place.wake:
             place.wake = max(due, self.now + 1)
             # One that stood still reads first what came meanwhile, then it judges the time.
@@ -372,8 +418,8 @@
         if place.wake != when or place.life != life or not place.alive:
             return
         place.wake = NEVER
-        if place.node.due() <= self.now:
-            self.put(place, "elapsed")
+        if place.node.next_deadline() <= self.now:
+            self.put(place, TimerExpired())
         else:
             self._arm(place)
 
@@ -385,31 +431,56 @@
 
     # ---- what a process is told, and what it asks for
 
-    def put(self, place: Place, *told: Any) -> None:
+    def put(self, place: Place, event: RelayEvent) -> None:
         if not place.alive:
             return
         place.takes += 1
         if self.timed and place.name[0] == "i":
             began = perf_counter_ns()
-            effects = place.node.take(self.now, *told)
+            effects = place.node.handle(self.now, event)
             place.cpu += perf_counter_ns() - began
         else:
-            effects = place.node.take(self.now, *told)
+            effects = place.node.handle(self.now, event)
         for effect in effects:
-            getattr(self, f"_{effect[0]}")(place, *effect[1:])
+            self._carry_out(place, effect)
         table = place.node.table
-        if table.number != place.number:
+        if table.sequence != place.number:
             self._stands(place, table)
         self._arm(place)
 
-    def _stands(self, place: Place, table: Table) -> None:
-        before, place.number = place.number, table.number
-        if table.number < before:
-            self.wrong = self.wrong or f"{place.name} goes back from {before} to {table.number}"
+    def _carry_out(self, place: Place, effect: Any) -> None:
+        match effect:
+            case SendUpstream(source, message):
+                self._up(place, source, message)
+            case SendDownstream(peer, message):
+                self._down(place, peer, message)
+            case PersistStep(table) | PersistTable(table):
+                self.at(self.now + SYNC, self._written, place, table, place.life)
+            case ConnectUpstream(source):
+                self._connect(place, source)
+            case DisconnectUpstream(source):
+                self._drop(place, source)
+            case CloseDownstream(peer):
+                self._close(place, peer)
+            case ReadRecord(slot, key):
+                self._get(place, slot, key)
+            case WriteRecord(slot, put):
+                self._put(place, slot, put)
+            case AnswerProposal(ticket, result):
+                self._answer(place, ticket, result)
+            case ReleaseLease(reason):
+                self._release(place, reason)
+            case LogEvent(event, fields):
+                self._log(place, event, fields)
+
+    def _stands(self, place: Place, table: FeedTable) -> None:
+        before, place.number = place.number, table.sequence
+        if table.sequence < before:
+            self.wrong = self.wrong or f"{place.name} goes back from {before} to {table.sequence}"
         hollow = place.name[0] == "i"
         self.oracle.check(table, "wide" if hollow else "all", before)
         if hollow:
-            for number in range(max(before + 1, self.start.number + 1), table.number + 1):
+            for number in range(max(before + 1, self.start.sequence + 1), table.sequence + 1):
                 asked = self.asked.get(number)
                 if asked is None:  # who takes over pushes what nobody was told of yet
                     self.early[number].append((self.now, place.since))
@@ -435,7 +506,7 @@
 
     def _unheard(self, place: Place, name: str, life: int) -> None:
         if place.life == life:
-            self.put(place, "up", "lost", name, "no answer")
+            self.put(place, UpstreamLost(name, "no answer"))
 
     def _joined(self, place: Place, server: Place, life: int, server_life: int) -> None:
         if server.life != server_life or not server.alive or place.life != life or not place.alive:
@@ -447,14 +518,14 @@
         self._count(server, place, HELLO + HEAD)
         link.arrived = [self.now, self.now]
         place.link = link
-        self.put(server, "down", "joined", link.peer)
+        self.put(server, SubscriberJoined(link.peer))
         when = self._paced(place, self.now + self._way(place, server))
         link.arrived[0] = max(link.arrived[0], when)
         self.at(link.arrived[0], self._connected, link, life)
 
     def _connected(self, link: Link, life: int) -> None:
         if not link.closed[0] and link.client.life == life:
-            self.put(link.client, "up", "connected", link.server.name)
+            self.put(link.client, UpstreamConnected(link.server.name))
 
     def _way(self, one: Place, other: Place) -> int:
         least = self.apart[one.region][other.region] or MS // 2
@@ -471,7 +542,7 @@
             self._carry(link, 0, message)
 
     def _size(self, message: Any) -> int:
-        if not isinstance(message, Delta | Part):
+        if not isinstance(message, Delta | SnapshotPart):
             return len(encode(message)) + HEAD
         known = self.sizes.get(id(message))
         if known is None:
@@ -510,9 +581,9 @@
         to.got += 1
         to.got_bytes += size
         if way:
-            self.put(to, "down", "heard", link.peer, message)
+            self.put(to, SubscriberMessage(link.peer, message))
         else:
-            self.put(to, "up", "heard", link.server.name, message)
+            self.put(to, UpstreamMessage(link.server.name, message))
 
     def _end(self, link: Link, by: int) -> None:
         """By the client, 0, or the server; the other hears of it unless the way is cut."""
@@ -533,38 +604,29 @@
         if not link.closed[0] and link.client.link is link:
             link.closed[0] = True
             link.client.link = None
-            self.put(link.client, "up", "lost", link.server.name, "it ended")
+            self.put(link.client, UpstreamLost(link.server.name, "it ended"))
 
     def _left(self, link: Link) -> None:
         if not link.closed[1] and link.server.peers.pop(link.peer, None) is not None:
             link.closed[1] = True
-            self.put(link.server, "down", "left", link.peer)
+            self.put(link.server, SubscriberLeft(link.peer))
 
-    def _drop(self, place: Place, name: str, why: str) -> None:
+    def _drop(self, place: Place, name: str) -> None:
         if place.link is not None and place.link.server.name == name:
             self._end(place.link, 0)
 
-    def _close(self, place: Place, peer: int, why: str) -> None:
+    def _close(self, place: Place, peer: int) -> None:
         if peer in place.peers:
             self._end(place.peers[peer], 1)
 
-    def _step(self, place: Place, table: Table, *_: Any) -> None:
-        self.at(self.now + SYNC, self._written, place, table, place.life)
-
-    def _anew(self, place: Place, table: Table) -> None:
-        self._step(place, table)
-
-    def _loaded(self, place: Place) -> None:
-        pass
-
     def _log(self, place: Place, event: str, facts: dict[str, Any]) -> None:
         if event == "gives_up":
             self.wrong = self.wrong or f"{place.name} gives up: {facts}"
 
-    def _written(self, place: Place, table: Table, life: int) -> None:
+    def _written(self, place: Place, table: FeedTable, life: int) -> None:
         if place.life == life and place.alive:
             place.durable = table
-            self.put(place, "durable", table.number)
+            self.put(place, StateDurable(table.sequence))
 
     # ---- the council
 
@@ -572,14 +634,14 @@
         """A confirmed write or read: there, to a majority, back."""
         return self.chance.randint(30, 120) * MS
 
-    def _errand(self, place: Place, hold: LeaseHolder, *told: Any) -> None:
+    def _errand(self, place: Place, hold: LeaseHolder, event: WriterEvent) -> None:
         """What the council said of the writer's records; to a hold that is over it says nothing."""
         if self.holds.get(place.name) is hold:
-            self.put(place, "writer", *told)
+            self.put(place, event)
 
     def _get(self, place: Place, slot: int, key: str) -> None:
         got, hold = self.leases.get(key), self.holds[place.name]
-        self.at(self.now + self._trip(), self._errand, place, hold, "got", slot, got.value, got.version)
+        self.at(self.now + self._trip(), self._errand, place, hold, RecordRead(slot, got.value, got.version))
 
     def _put(self, place: Place, slot: int, put: Put) -> None:
         self.at(self.now + self._trip() // 2, self._decide, place, self.holds[place.name], slot, put)
@@ -588,9 +650,9 @@
         answer = self._apply(put)
         when = self.now + self._trip() // 2
         if isinstance(answer, Denied):
-            self.at(when, self._errand, place, hold, "put_denied", slot, answer.reason)
+            self.at(when, self._errand, place, hold, WriteDenied(slot, answer.reason))
         else:
-            self.at(when, self._errand, place, hold, "put_done", slot, put.version + 1)
+            self.at(when, self._errand, place, hold, RecordWritten(slot, put.version + 1))
 
     def _apply(self, op: Op) -> Answer:
         self.index += 1
@@ -608,7 +670,9 @@
         """A wish of its own for each try, as feed/service has it."""
         if place.alive:
             asker = f"{place.name}.{self.index}.{self.now}"
-            hold = self.holds[place.name] = LeaseHolder(LEASE, asker, LENGTH, True, self.now, self._spread)
+            hold = self.holds[place.name] = LeaseHolder(
+                LEASE_NAME, asker, LENGTH, True, self.now, self._spread
+            )
             self._holds(place, hold, AcquireStarted())
 
     def _holds(self, place: Place, hold: LeaseHolder, event: HolderEvent) -> None:
@@ -617,11 +681,11 @@
         for effect in hold.handle(self.now, event):
             if isinstance(effect, SendRequest):
                 self.at(self.now + self._trip() // 2, self._asks, place, hold, effect.number, effect.op)
-            elif isinstance(effect, LeaseAcquired):
-                self.put(place, "writer", "held", effect.epoch)
+            elif isinstance(effect, holder_effects.LeaseAcquired):
+                self.put(place, LeaseAcquired(effect.epoch))
             else:
                 del self.holds[place.name]
-                self.put(place, "writer", "lost", effect.reason)
+                self.put(place, LeaseLost(effect.reason))
                 self.at(self.now + LENGTH // 3 + self._spread(LENGTH // 3), self._wants, place)
                 return
         self.at(max(hold.next_deadline(), self.now + 1), self._holds_due, place, hold)
@@ -643,10 +707,10 @@
 
     def _watch(self) -> None:
         """Takes the lease from who was not heard of for its length."""
-        self.watch.update(self.now, LEASE, self.leases)
+        self.watch.update(self.now, LEASE_NAME, self.leases)
         for op in self.watch.expired(self.now, self.now // MS, self.leases):
             self._apply(op)
-            self.watch.update(self.now, LEASE, self.leases)
+            self.watch.update(self.now, LEASE_NAME, self.leases)
         due = self.watch.next_deadline()
         if due is not None and (due < self.watching or self.watching <= self.now):
             self.watching = max(due, self.now + 1)
@@ -666,13 +730,13 @@
         if asked is None:
             return  # the answer came while it waited to ask again
         asked.last = self.now
-        keeper = self.places[asked.at]
+        keeper = self.places[asked.current]
         self.at(self.now + (self.apart[asked.region][keeper.region] or MS), self._proposed, keeper, ticket)
-        self.at(self.now + int(PROPOSE_SPAN * SECOND), self._another, ticket, asked.tries, False)
+        self.at(self.now + int(ATTEMPT_TIMEOUT * SECOND), self._another, ticket, asked.tries, False)
 
     def _proposed(self, keeper: Place, ticket: int) -> None:
         if ticket in self.proposals:
-            self.put(keeper, "writer", "proposed", ticket, self.proposals[ticket].propose)
+            self.put(keeper, ProposalReceived(ticket, self.proposals[ticket].propose))
 
     def _another(self, ticket: int, tries: int, answered: bool, leader: str = "") -> None:
         """The same request, of who is said to write, else of the next after a pause."""
@@ -680,19 +744,19 @@
         if asked is None or asked.tries != tries:
             return
         asked.tries += 1
-        if asked.on(answered, leader):
+        if asked.advance(answered, leader):
             self._ask(ticket)
         else:
-            self.at(self.now + int(PAUSE * SECOND * self.chance.uniform(0.5, 1.5)), self._ask, ticket)
+            self.at(self.now + int(RETRY_DELAY * SECOND * self.chance.uniform(0.5, 1.5)), self._ask, ticket)
 
     def writer(self) -> Place:
         for name in self.kept:
             place = self.places[name]
-            if place.alive and isinstance(place.node, Station) and place.node.holds:
+            if place.alive and isinstance(place.node, FeedRelay) and place.node.is_writer:
                 return place
         raise AssertionError("nobody writes")
 
-    def _answer(self, place: Place, ticket: int, answer: Proposed) -> None:
+    def _answer(self, place: Place, ticket: int, answer: ProposeResult) -> None:
         asked = self.proposals.get(ticket)
         if asked is None:
             return
@@ -701,11 +765,11 @@
             self.at(self.now + way, self._another, ticket, asked.tries, True, answer.leader)
             return
         del self.proposals[ticket]
-        if not answer.number:
-            self.refused.append(answer.why)
+        if not answer.sequence:
+            self.refused.append(answer.reason)
             return
         self.wrote = place.name
-        request, number = asked.propose.request, answer.number
+        request, number = asked.propose.request_id, answer.sequence
         if self.made.setdefault(request, number) != number or number in self.asked:
             self.wrong = self.wrong or f"{request} is {number}, which is {self.made[request]} or another's"
             return
@@ -715,7 +779,7 @@
         # One that was made and not told of is known once it is asked for again; what came after it waits.
         while (known := self.acknowledged.pop(self.oracle.last + 1, None)) is not None:
             number = self.oracle.last + 1
-            made = f"made/{number % MADE_SLOTS}", known.propose.request.encode()
+            made = f"made/{number % DEDUPLICATION_SLOTS}", known.propose.request_id.encode()
             self.oracle.acknowledged(number, (*known.propose.items, made))
 
     def look(self, name: str, key: str) -> None:
@@ -723,7 +787,7 @@
         place = self.places[name]
         if not place.alive or not isinstance(place.node, Instance):
             return
-        found = place.node.lookups.look(key)
+        found = place.node.lookups.lookup(key)
         self.looked["known" if found.known else "not known yet"] += 1
         if (
             found.known
@@ -759,11 +823,11 @@
         place.alive, place.since = True, self.now
         if name in self.kept:
             others = tuple(one for one in self.kept if one != name)
-            place.node = Station(name, 0, table, others, self.now, self._spread, tuple(self.kept))
+            place.node = FeedRelay(name, 0, table, others, self.now, self._spread, tuple(self.kept))
             self._wants(place)
         else:
             place.node = self._instance(name, place.region, table)
-        place.number = table.number
+        place.number = table.sequence
         self._arm(place)
 
     def slow(self, name: str, pace: int) -> None:
@@ -771,7 +835,7 @@
         place = self.places[name]
         place.pace, place.phase = pace, self.chance.randrange(max(1, pace))
         # A mark of its own: what was to wake it before would come before what lies unread.
-        place.wake = max(place.node.due(), self.now) + 1
+        place.wake = max(place.node.next_deadline(), self.now) + 1
         self.at(self._paced(place, place.wake) + 1, self._wakes, place, place.wake, place.life)
 
     # ---- what came out
