--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -24,7 +24,7 @@
     process,
     server_settings,
 )
-from thistleline.cli.ledger import look, rewrite
+from thistleline.cli.ledger_folder import open_ledger, rewrite_ledger
 from thistleline.cli.main import entry
 from thistleline.config.schema import Faulty, check
 from thistleline.durable.reducer import KeepingReducer
@@ -382,9 +382,9 @@
         assert later.launched() == []
         later.die()
         if how == "compacted":
-            monkeypatch.setattr("thistleline.cli.ledger.boot_now", lambda boot=boot: boot)
-            with look(tmp_path) as (ledger, found, _):
-                rewrite(tmp_path, ledger, found)
+            monkeypatch.setattr("thistleline.cli.ledger_folder.boot_now", lambda boot=boot: boot)
+            with open_ledger(tmp_path) as contents:
+                rewrite_ledger(tmp_path, contents)
         if later.answers():
             assert later.answers() == ["abandoned"]
             break
--- a/thistleline/__main__.py
+++ b/thistleline/__main__.py
@@ -1,19 +1,24 @@
-"""Starts one server: `python -m thistleline`, told by ROUTER_CONFIG."""
+"""Starts one server, configured by ROUTER_CONFIG; with arguments, the command line."""
 
 import signal
 import sys
 
 
 def main() -> int:
+    """Run the command line or one server; return the exit code."""
     if len(sys.argv) > 1:
         from thistleline.cli.main import main as command
 
         return int(command(sys.argv[1:]) or 0)
 
-    # Held back until the service hears them, by the line `run` before that. Guards against a notice that ends
-    # the program on the spot once clients can reach it, or that is lost; whatever hears them unblocks them.
+    # Held back until the service handles them, by the line `run` before that: a signal must not end the
+    # process on the spot once clients can reach it, or be lost. Whatever handles them unblocks them.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
+    return serve()
 
+
+def serve() -> int:
+    """Run one server; return the exit code: 2 where it can't be configured, 1 where it can't listen."""
     import os
 
     import anyio
@@ -38,33 +43,31 @@
             for line in faulty.lines:
                 complain(line)
             return 2
-    serves = Service
+    service_class = Service
     if conf is not None and conf.handover is not None:
         from thistleline.handover.service import AttendedService
 
-        serves = AttendedService
+        service_class = AttendedService
     try:
-        anyio.run(serves(configuration, conf).run)
+        anyio.run(service_class(configuration, conf).run)
     except Unusable as error:
         complain(str(error))
         return 2
     except OSError as error:
-        complain(
-            f"{configuration.name} can't listen on "
-            f"{configuration.listen[0]}:{configuration.listen[1]}: {error.strerror}"
-        )
+        host, port = configuration.listen
+        complain(f"{configuration.name} can't listen on {host}:{port}: {error.strerror}")
         return 1
     return 0
 
 
 if __name__ == "__main__":
-    ended = main()
+    exit_code = main()
     if len(sys.argv) > 1:
-        sys.exit(ended)
+        sys.exit(exit_code)
     import os
 
-    # All is written and closed. Guards the time to the stop on a slow core, of which taking the interpreter
-    # apart would need a good part.
+    # All is written and closed. Taking the interpreter apart would need a good part of the time to the stop
+    # on a slow core.
     sys.stdout.flush()
     sys.stderr.flush()
-    os._exit(ended)
+    os._exit(exit_code)
--- /dev/null
+++ b/thistleline/cli/feed_servers.py
@@ -0,0 +1,84 @@
+"""Which keepers and relays a command on the feed asks, and what the newest of them holds."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from functools import wraps
+from typing import Any
+
+import anyio
+import click
+
+from thistleline.cli.common import InputError, config_option, load_config, parse_named_addresses
+from thistleline.config_feed.client import look_each
+from thistleline.config_feed.lookups import written
+from thistleline.config_feed.messages import Looked
+from thistleline.transport.address import Address
+
+Servers = dict[str, Address]  # by name
+
+timeout_type = click.FloatRange(0.1, 3600.0)  # s
+
+
+@dataclass(frozen=True)
+class ServerOptions:
+    """The options that say whom to ask, as they stand on the command line.
+
+    Attributes:
+        config_path: The file of settings, if one is named.
+        at: Arguments `name=address`.
+    """
+
+    config_path: str | None
+    at: tuple[str, ...]
+
+    def find(self, *roles: str) -> Servers:
+        """Return addresses by name: from the arguments, else from the `feed` lines of the file.
+
+        Args:
+            roles: Names of such lines; the first of which there are any counts.
+
+        Raises:
+            InputError: An address or the file is faulty, or neither names a server.
+        """
+        servers = parse_named_addresses(self.at)
+        if not servers and self.config_path is not None:
+            settings = load_config(self.config_path).feed
+            for role in roles if settings is not None else ():
+                servers = servers or dict(getattr(settings, role))
+        if not servers:
+            lines = " or ".join(f"'feed {role}'" for role in roles)
+            raise InputError(f"who is to be asked? --at name=address, or --conf with lines {lines}")
+        return servers
+
+
+def server_options(command: Callable[..., Any]) -> Callable[..., Any]:
+    """Add the options that say whom to ask; the command gets them as `servers`."""
+
+    @config_option
+    @click.option("--at", multiple=True, help="name=address of one to ask, once for each.")
+    @wraps(command)
+    def with_servers(*args: Any, conf: str | None, at: tuple[str, ...], **options: Any) -> Any:
+        return command(*args, servers=ServerOptions(conf, at), **options)
+
+    return with_servers
+
+
+def encoding_faults(arguments: tuple[str, ...]) -> list[str]:
+    """Return a fault for each argument that is not UTF-8, as such can't be sent."""
+    return [f"{argument!r} is no text" for argument in arguments if not written(argument)]
+
+
+def read_newest(servers: Servers, keys: tuple[str, ...] = ()) -> tuple[str, Looked]:
+    """Ask all servers; return the name and the answer of the one with the newest state.
+
+    One that was cut off from the others must not answer for them.
+
+    Raises:
+        click.ClickException: None of them answers.
+    """
+    answers = anyio.run(look_each, servers, keys)
+    known = [(answer.number, name, answer) for name, answer in answers.items() if answer is not None]
+    if not known:
+        raise click.ClickException(f"none of {', '.join(servers)} answers")
+    _, name, newest = max(known, key=lambda entry: entry[:2])
+    return name, newest
--- a/thistleline/cli/lease.py
+++ b/thistleline/cli/lease.py
@@ -1,6 +1,5 @@
 """`thistleline lease`: look at leases, take one for a command, give one up."""
 
-import datetime
 import os
 import signal
 import sys
@@ -9,15 +8,30 @@
 import anyio
 import click
 
-from thistleline.cli.fleet import ask, tell, voters_of, where, with_council
+from thistleline.cli.cluster import (
+    ClusterOptions,
+    answer_text,
+    cluster_options,
+    request,
+    request_as,
+    run_with_client,
+)
+from thistleline.cli.common import format_wall_time, json_option, print_result
 from thistleline.lease.client import LeaseClient
 from thistleline.lease.errors import LeaseLostError, LeaseRefusedError
-from thistleline.lease.protocol import MAX_TTL, MIN_TTL, Break, Describe, Done, LeaseInfo, LeaseList, Release
+from thistleline.lease.protocol import MAX_TTL, MIN_TTL, Break, Describe, LeaseInfo, LeaseList, Release
 from thistleline.lease.session import HeldLease, lease
 
-LOST, REFUSED = 75, 69  # exit codes of `take`, as sysexits.h has them: try again; not to be had
-LENGTHS = click.FloatRange(MIN_TTL / 1e9, MAX_TTL / 1e9)
-GRACE = 0.3  # of the right left when the command is told to end, 1 s at most
+# Exit codes of `take`, as sysexits.h and the shell have them.
+EXIT_LOST = 75  # a temporary failure: try again
+EXIT_REFUSED = 69  # not to be had
+EXIT_NO_COMMAND = 127  # the command can't be started
+
+TTL_SECONDS = click.FloatRange(MIN_TTL / 1e9, MAX_TTL / 1e9)
+GRACE_FRACTION = 0.3  # of the time that is left of the lease, for the command to end by itself
+MAX_GRACE = 1.0  # s
+KILL_FRACTION = 0.25  # of the grace that must be left when the command is killed
+GRACE_POLL = 0.01  # s
 
 
 @click.group("lease")
@@ -26,128 +40,135 @@
 
 
 @leases.command("list")
-@where
-@click.option("--json", "as_json", is_flag=True)
+@cluster_options
+@json_option
 @click.argument("prefix", default="")
-def list_names(conf: str | None, voters: tuple[str, ...], as_json: bool, prefix: str) -> None:
+def list_names(cluster: ClusterOptions, as_json: bool, prefix: str) -> None:
     """All names that are held, those that begin with PREFIX."""
-    known, after = voters_of(conf, voters), ""
+    replicas = cluster.replicas
+    last_name = ""
     while True:
-        listed = ask(known, Describe(f"{prefix}*", after))
-        assert isinstance(listed, LeaseList)
-        for one in listed.leases:
-            tell(one, as_json, _line)
-        if not listed.leases:
+        page = request_as(LeaseList, replicas, Describe(f"{prefix}*", last_name))
+        for info in page.leases:
+            print_result(info, as_json, _format_line)
+        if not page.leases:
             return
-        after = listed.leases[-1].name
+        last_name = page.leases[-1].name
 
 
 @leases.command()
-@where
-@click.option("--json", "as_json", is_flag=True)
+@cluster_options
+@json_option
 @click.argument("name")
-def show(conf: str | None, voters: tuple[str, ...], as_json: bool, name: str) -> None:
+def show(cluster: ClusterOptions, as_json: bool, name: str) -> None:
     """Who holds NAME, who waits, and its last changes with reason and time."""
-    shown = ask(voters_of(conf, voters), Describe(name))
-    assert isinstance(shown, LeaseInfo)
-    tell(shown, as_json, _words)
+    print_result(request_as(LeaseInfo, cluster.replicas, Describe(name)), as_json, _format_details)
 
 
-def _line(shown: LeaseInfo) -> str:
-    return f"{shown.name}  epoch {shown.epoch}  {shown.holder}  {len(shown.waiters)} wait"
+def _format_line(info: LeaseInfo) -> str:
+    return f"{info.name}  epoch {info.epoch}  {info.holder}  {len(info.waiters)} wait"
 
 
-def _words(shown: LeaseInfo) -> str:
-    held = f"held by {shown.holder} in epoch {shown.epoch}, {shown.ttl / 1e9:g} s long"
-    lines = [f"{shown.name}: {held if shown.holder else 'free'}"]
-    lines += [f"  waits: {asker}" for asker in shown.waiters]
-    for one in shown.history:
-        at = datetime.datetime.fromtimestamp(one.wall_ms / 1000, datetime.UTC).isoformat(
-            timespec="milliseconds"
-        )
-        lines.append(f"  {at}  {one.event}  epoch {one.epoch}  {one.holder}  ({one.reason})")
+def _format_details(info: LeaseInfo) -> str:
+    held = f"held by {info.holder} in epoch {info.epoch}, {info.ttl / 1e9:g} s long"
+    lines = [f"{info.name}: {held if info.holder else 'free'}"]
+    lines += [f"  waits: {holder_id}" for holder_id in info.waiters]
+    for entry in info.history:
+        at = format_wall_time(entry.wall_ms)
+        lines.append(f"  {at}  {entry.event}  epoch {entry.epoch}  {entry.holder}  ({entry.reason})")
     return "\n".join(lines)
 
 
-@leases.command(context_settings={"ignore_unknown_options": True})
-@where
-@click.option("--length", type=LENGTHS, default=10.0, show_default=True, help="Seconds.")
+@leases.command(
+    context_settings={"ignore_unknown_options": True},
+    help="""Run COMMAND while NAME is held; its exit code is this one's. LEASE_EPOCH tells it the fencing
+    token.
+
+    It is told to end by SIGTERM while some of the right is left, and is killed before the right is over:
+    exit code 75.""",
+)
+@cluster_options
+@click.option("--length", type=TTL_SECONDS, default=10.0, show_default=True, help="Seconds.")
 @click.option("--no-wait", is_flag=True, help="End with exit code 69 if another holds it.")
 @click.option("--who", default="", help="What others see of the holder; the host's name if not told.")
 @click.argument("name")
 @click.argument("command", nargs=-1, required=True, type=click.UNPROCESSED)
 def take(
-    conf: str | None,
-    voters: tuple[str, ...],
+    cluster: ClusterOptions,
     length: float,
     no_wait: bool,
     who: str,
     name: str,
     command: tuple[str, ...],
 ) -> None:
-    """Run COMMAND while NAME is held; its exit code is this one's. LEASE_EPOCH tells it the fencing token.
-
-    It is told to end by SIGTERM while some of the right is left, and is killed before the right is over:
-    exit code 75."""
+    """Run a command under a lease and end with its exit code."""
 
-    async def run(council: LeaseClient) -> int:
+    async def run(client: LeaseClient) -> int:
         try:
-            async with lease(council, name, length, not no_wait, who) as held:
-                env = {**os.environ, "LEASE_EPOCH": str(held.epoch), "LEASE_NAME": name}
-                process = await anyio.open_process(command, stdin=None, stdout=None, stderr=None, env=env)
-                try:
-                    told_to_end = anyio.Event()
-                    async with anyio.create_task_group() as group:
-                        group.start_soon(_end_in_time, held, process, told_to_end)
-                        code = await process.wait()
-                        group.cancel_scope.cancel()
-                    return LOST if told_to_end.is_set() else code
-                finally:
-                    if process.returncode is None:
-                        process.kill()
+            async with lease(client, name, length, not no_wait, who) as held:
+                return await _run_command(held, name, command)
         except LeaseLostError:
-            return LOST
+            return EXIT_LOST
         except LeaseRefusedError as error:
             click.echo(f"Error: {name}: {error}", err=True)
-            return REFUSED
+            return EXIT_REFUSED
         except OSError as error:
             click.echo(f"Error: {command[0]}: {error.strerror}", err=True)
-            return 127
-
-    sys.exit(with_council(voters_of(conf, voters), run))
-
-
-async def _end_in_time(held: HeldLease, process: anyio.abc.Process, told_to_end: anyio.Event) -> None:
-    """Renewals move the end on. Where they stop, the command gets what is left after the grace began."""
-    right = held.remaining()
-    grace = min(1.0, GRACE * right)
-    while (left := held.remaining()) > grace:
-        await anyio.sleep(max(0.01, (left - grace) / 2))
-    told_to_end.set()
+            return EXIT_NO_COMMAND
+
+    sys.exit(run_with_client(cluster.replicas, run))
+
+
+async def _run_command(held: HeldLease, name: str, command: tuple[str, ...]) -> int:
+    """Run a command until it ends or the lease runs out; return the exit code."""
+    env = {**os.environ, "LEASE_EPOCH": str(held.epoch), "LEASE_NAME": name}
+    process = await anyio.open_process(command, stdin=None, stdout=None, stderr=None, env=env)
+    try:
+        running_out = anyio.Event()
+        async with anyio.create_task_group() as group:
+            group.start_soon(_end_in_time, held, process, running_out)
+            exit_code = await process.wait()
+            group.cancel_scope.cancel()
+        return EXIT_LOST if running_out.is_set() else exit_code
+    finally:
+        if process.returncode is None:
+            process.kill()
+
+
+async def _end_in_time(held: HeldLease, process: anyio.abc.Process, running_out: anyio.Event) -> None:
+    """End the command before the lease does: by SIGTERM, then, after a grace period, by SIGKILL.
+
+    Each renewal of the lease moves its end, and so the command's. Sets `running_out` before the SIGTERM.
+    """
+    grace = min(MAX_GRACE, GRACE_FRACTION * held.remaining())
+    while (remaining := held.remaining()) > grace:
+        await anyio.sleep(max(GRACE_POLL, (remaining - grace) / 2))
+    running_out.set()
     with suppress(ProcessLookupError):
         process.send_signal(signal.SIGTERM)
-        while (left := held.remaining()) > grace / 4:
-            await anyio.sleep(0.01)
+        while held.remaining() > grace * KILL_FRACTION:
+            await anyio.sleep(GRACE_POLL)
         process.kill()
 
 
 @leases.command()
-@where
+@cluster_options
 @click.argument("name")
 @click.argument("holder")
-def release(conf: str | None, voters: tuple[str, ...], name: str, holder: str) -> None:
+def release(cluster: ClusterOptions, name: str, holder: str) -> None:
     """Give NAME back for HOLDER, as `show` tells it, or its place in the line; if it is known to be gone."""
-    answer = ask(voters_of(conf, voters), Release(name, holder, "released by hand"))
-    click.echo(answer.text if isinstance(answer, Done) else str(answer))
+    click.echo(answer_text(request(cluster.replicas, Release(name, holder, "released by hand"))))
 
 
-@leases.command("break")
-@where
+@leases.command(
+    "break",
+    help="""End NAME's lease now. If its holder lives, two may act until its right is over: only a resource
+    that checks epochs keeps the old one off.""",
+)
+@cluster_options
 @click.option("--epoch", type=int, required=True, help="As `show` tells it; lest the next one is broken.")
 @click.option("--reason", required=True)
 @click.argument("name")
-def break_lease(conf: str | None, voters: tuple[str, ...], epoch: int, reason: str, name: str) -> None:
-    """End NAME's lease now. If its holder lives, two may act until its right is over: only a resource
-    that checks epochs keeps the old one off."""
-    answer = ask(voters_of(conf, voters), Break(name, epoch, reason))
-    click.echo(answer.text if isinstance(answer, Done) else str(answer))
+def break_lease(cluster: ClusterOptions, epoch: int, reason: str, name: str) -> None:
+    """End a lease by an operator's decision."""
+    click.echo(answer_text(request(cluster.replicas, Break(name, epoch, reason))))
--- a/thistleline/cli/ledger.py
+++ b/thistleline/cli/ledger.py
@@ -1,69 +1,99 @@
-"""What the commands on a ledger's folder do."""
+"""`thistleline ledger`: inspect, verify and compact a ledger's folder while no server has it."""
 
-from collections.abc import Iterator
-from contextlib import contextmanager
 from pathlib import Path
 
 import click
+import msgspec
 
-from thistleline.ledger import format as ledger_format
-from thistleline.ledger.compaction import doubt_record
-from thistleline.ledger.records import LedgerWrite, RecoveredEffect
-from thistleline.ledger.state import LedgerState
-from thistleline.ledger.store import LedgerStore, SegmentReading
-from thistleline.store.clock import boot_now
-from thistleline.store.disk import Disk, DiskLockedError
-from thistleline.store.frames import CorruptFrameError
-
-ALL = 1 << 62
-
-
-@contextmanager
-def look(folder: Path) -> Iterator[tuple[LedgerState, list[RecoveredEffect], list[SegmentReading]]]:
-    """The folder's ledger, held against a server that would write meanwhile."""
-    disk = Disk(folder)
-    try:
-        disk.acquire()
-        ledger = LedgerState(ALL, ALL, boot_now(), lambda _: None)
-        readings: list[SegmentReading] = []
-        found = LedgerStore(disk, stages(disk)).recover(ledger, readings.append)
-        yield ledger, found, readings
-    except (DiskLockedError, CorruptFrameError, OSError) as error:
-        raise click.ClickException(str(error)) from error
-    finally:
-        disk.release()
-
-
-def stages(disk: Disk) -> tuple[str, ...]:
-    """Of all segments that have a head that can be read."""
-    names: dict[str, None] = {}
-    for number, _ in disk.segments():
-        try:
-            names |= dict.fromkeys(ledger_format.decode_header(disk.read(number)).stages)
-        except CorruptFrameError:
-            continue
-    return tuple(names)
-
-
-def rewrite(folder: Path, ledger: LedgerState, found: list[RecoveredEffect]) -> int:
-    """The folder's bytes after all that matters was written anew; the old go once that is durable."""
-    disk = Disk(folder)  # the folder is held already
-    intents = [effect.intent for effect in ledger.effects.values()]
-    kept = {one.number: one.result or b"" for one in found}
-    outcomes = [
-        ledger_format.Outcome(
-            number, ledger_format.OUTCOME_KINDS.index(effect.outcome), kept.get(number, b"")
-        )
-        for number, effect in ledger.effects.items()
-        if effect.outcome is not None
-    ] + [
-        doubt_record(number, effect.doubt_deadline)
-        for number, effect in ledger.effects.items()
-        if effect.outcome is None and effect.doubt_deadline is not None
-    ]
-    group = ledger_format.RecordGroup(intents, outcomes)
-    LedgerStore(disk, stages(disk)).write(
-        LedgerWrite(ledger.last_segment_number + 1, True, group, tuple(ledger.segments), True)
+from thistleline.cli.common import format_struct, print_result
+from thistleline.cli.ledger_folder import open_ledger, rewrite_ledger
+from thistleline.ledger.records import RecoveredEffect
+from thistleline.ledger.store import SegmentReading
+
+NS_PER_MS = 1_000_000
+
+folder_argument = click.argument("folder", type=click.Path(exists=True, file_okay=False, path_type=Path))
+
+
+class EffectSummary(msgspec.Struct, frozen=True):
+    """An effect, as `inspect` prints it.
+
+    Attributes:
+        number: The effect's number.
+        stage: Place among the stages of the server.
+        key: Digest of idempotency key and body, hexadecimal.
+        id: Id of the attempt.
+        left_ms: Milliseconds until its window has passed.
+        how: How it ended; None if that is not known.
+        result_bytes: Size of the stored result; None if there is none.
+    """
+
+    number: int
+    stage: int
+    key: str
+    id: str
+    left_ms: int
+    how: str | None
+    result_bytes: int | None
+
+
+@click.group()
+def ledger() -> None:
+    """Look at a ledger's folder while no server has it."""
+
+
+@ledger.command()
+@folder_argument
+@click.option("--json", "as_json", is_flag=True, help="One JSON line an effect.")
+def inspect(folder: Path, as_json: bool) -> None:
+    """List the effects that a server would find there."""
+    with open_ledger(folder) as contents:
+        for effect in contents.recovered:
+            print_result(_summarize(effect), as_json, format_struct)
+
+
+def _summarize(effect: RecoveredEffect) -> EffectSummary:
+    return EffectSummary(
+        number=effect.number,
+        stage=effect.stage,
+        key=effect.digest.hex(),
+        id=effect.attempt_id.decode("ascii", "replace"),
+        left_ms=effect.remaining // NS_PER_MS,
+        how=effect.outcome,
+        result_bytes=None if effect.result is None else len(effect.result),
+    )
+
+
+@ledger.command()
+@folder_argument
+def verify(folder: Path) -> None:
+    """Read every segment; exit code 1 where bytes in the middle of one can't be read."""
+    with open_ledger(folder) as contents:
+        for reading in contents.readings:
+            click.echo(_format_reading(reading))
+        click.echo(f"{len(contents.state.effects)} effects still matter")
+        if any(reading.damaged_bytes for reading in contents.readings):
+            raise SystemExit(1)
+
+
+def _format_reading(reading: SegmentReading) -> str:
+    return (
+        f"segment {reading.segment}: {reading.size} bytes, {reading.intents} intents, "
+        f"{reading.outcomes} outcomes, {_condition(reading)}, {reading.damaged_bytes} bytes unread"
     )
-    disk.release()
-    return sum(size for _, size in disk.segments())
+
+
+def _condition(reading: SegmentReading) -> str:
+    if reading.damaged_bytes:
+        return "damaged"
+    return "torn at its end" if reading.torn else "whole"
+
+
+@ledger.command()
+@folder_argument
+def compact(folder: Path) -> None:
+    """Write what still matters into one segment and remove the others."""
+    with open_ledger(folder) as contents:
+        before = sum(reading.size for reading in contents.readings)
+        after = rewrite_ledger(folder, contents)
+        click.echo(f"{before} bytes before, {after} after, {len(contents.state.effects)} effects")
--- /dev/null
+++ b/thistleline/cli/membership.py
@@ -0,0 +1,69 @@
+"""`thistleline members`: run a member of the fleet, list all members."""
+
+from typing import Any
+
+import anyio
+import click
+import msgspec
+
+from thistleline.cli.common import (
+    InputError,
+    config_option,
+    format_fields,
+    json_logger,
+    json_option,
+    load_config,
+    print_result,
+    service_errors,
+)
+from thistleline.membership.messages import STATUS, Facts, Word
+from thistleline.transport.address import parse_address
+
+
+@click.group(invoke_without_command=True)
+@config_option
+@click.option("--release", default="", help="What it says that it runs.")
+@click.pass_context
+def members(context: click.Context, conf: str | None, release: str) -> None:
+    """Be a member in the foreground; with a word, see who is."""
+    if context.invoked_subcommand is None:
+        _run_member(conf, release)
+
+
+def _run_member(config_path: str | None, release: str) -> None:
+    settings = load_config(config_path).members
+    if settings is None:
+        raise InputError(f"{config_path}: a member wants 'members name' and 'members listen'")
+    from thistleline.membership.service import run
+    from thistleline.store.clock import wall_ms
+
+    with service_errors(settings.listen):
+        run(settings, Facts(release, 0, settings.zone, wall_ms()), json_logger(settings.name))
+
+
+@members.command("list")
+@click.option("--at", required=True, help="The address of any member.")
+@json_option
+@click.option("--span", default=0.3, show_default=True, help="Seconds to listen for its answers.")
+def list_all(at: str, as_json: bool, span: float) -> None:
+    """All members as the one at an address knows them; exit code 1 if nothing came."""
+    from thistleline.membership.service import ask
+
+    try:
+        records = anyio.run(ask, parse_address(at), span)
+    except ValueError as error:
+        raise InputError(str(error)) from error
+    for record in records:
+        print_result(_member_fields(record), as_json, format_fields)
+    if not records:
+        raise SystemExit(1)
+
+
+def _member_fields(record: Word) -> dict[str, Any]:
+    return {
+        "id": record.id,
+        "status": STATUS[record.status],
+        "incarnation": record.incarnation,
+        "address": record.address,
+        **msgspec.structs.asdict(record.facts),
+    }
--- a/thistleline/cli/steward.py
+++ b/thistleline/cli/supervisor.py
@@ -4,25 +4,26 @@
 
 import click
 
-from thistleline.cli.fleet import Unusable, conf_of, logger
+from thistleline.cli.common import InputError, json_logger, load_config, required_config_option
 from thistleline.store.disk import DiskLockedError
 from thistleline.supervisor.errors import ReleaseError, SupervisorError
 from thistleline.supervisor.releases import Releases, content_digest
 
 
 @click.command()
-@click.option("--conf", envvar="THISTLELINE_CONF", type=click.Path(), required=True, help="The settings.")
+@required_config_option
 def steward(conf: str) -> None:
     """Keep this machine's server running, in the foreground. The server outlives it."""
-    told = conf_of(conf)
-    if told.steward is None or told.members is None or told.council is None or not told.council.voter:
-        raise Unusable(f"{conf}: a steward wants the parts 'steward', 'members' and 'council voter'")
+    config = load_config(conf)
+    has_replicas = config.council is not None and config.council.voter
+    if config.steward is None or config.members is None or not has_replicas:
+        raise InputError(f"{conf}: a steward wants the parts 'steward', 'members' and 'council voter'")
     from thistleline.supervisor.service import run
 
     try:
-        run(told, logger(told.members.name))
+        run(config, json_logger(config.members.name))
     except (DiskLockedError, SupervisorError) as error:
-        raise Unusable(str(error)) from error
+        raise InputError(str(error)) from error
     except OSError as error:
         raise click.ClickException(str(error)) from error
 
@@ -44,13 +45,15 @@
         raise click.ClickException(str(error)) from error
 
 
-@release.command()
-def forms() -> None:
-    """What the file 'forms' of a release of this program says: the forms of the ledger that it reads and
+@release.command(
+    help="""What the file 'forms' of a release of this program says: the forms of the ledger that it reads and
     writes, so that a change with no way back is refused before the first server."""
-    from thistleline.ledger import format as ledger_format
+)
+def forms() -> None:
+    """Print the ledger formats of this program in the form of a release's file `forms`."""
+    from thistleline.ledger.format import FORMAT_VERSION, READABLE_VERSIONS
 
-    click.echo(f"{' '.join(map(str, ledger_format.READABLE_VERSIONS))} writes {ledger_format.FORMAT_VERSION}")
+    click.echo(f"{' '.join(map(str, READABLE_VERSIONS))} writes {FORMAT_VERSION}")
 
 
 @release.command("list")
