--- a/thistleline/cli/common.py
+++ b/thistleline/cli/common.py
@@ -12,7 +12,8 @@
 import msgspec
 import structlog
 
-from thistleline.config.schema import Conf, Faulty, read_conf
+from thistleline.config.loader import ConfigError, read_config
+from thistleline.config.schema import ProgramConfig
 from thistleline.store.disk import DiskLockedError
 from thistleline.transport.address import Address, parse_address
 
@@ -33,7 +34,7 @@
     exit_code = 2
 
 
-def load_config(path: str | None) -> Conf:
+def load_config(path: str | None) -> ProgramConfig:
     """Read a file of settings.
 
     Raises:
@@ -42,8 +43,8 @@
     if path is None:
         raise InputError("--conf names no file")
     try:
-        return read_conf(path)
-    except Faulty as error:
+        return read_config(path)
+    except ConfigError as error:
         raise InputError("\n".join(error.lines)) from error
 
 
--- a/thistleline/cli/consensus.py
+++ b/thistleline/cli/consensus.py
@@ -23,8 +23,8 @@
     print_result,
     service_errors,
 )
-from thistleline.lease.protocol import Answer, ChangeMembership, FormCluster, ReplicaStatus, Unavailable
-from thistleline.transport.address import Address, parse_address
+from thistleline.lease.protocol import Answer, ChangeReplicas, CreateCluster, ReplicaStatus, Unavailable
+from thistleline.transport.address import format_address, parse_address
 
 JOIN_TIMEOUT = 40.0  # s for an empty replica to catch up
 STATUS_FIELDS = ("voter", "id", "phase", "term", "leader", "committed", "last", "leases", "failing")
@@ -74,8 +74,8 @@
     formed = sorted(name for name, status in statuses.items() if status.cluster)
     if formed:
         raise click.ClickException(f"{', '.join(formed)} has a council already")
-    members = tuple(sorted((status.id, _format_address(replicas[name])) for name, status in statuses.items()))
-    order = FormCluster(os.urandom(8).hex(), members)
+    members = tuple(sorted((status.id, format_address(replicas[name])) for name, status in statuses.items()))
+    order = CreateCluster(os.urandom(8).hex(), members)
     for name in replicas:
         request({name: replicas[name]}, order)
     click.echo(f"council {order.cluster}: {', '.join(id for id, _ in members)}")
@@ -131,7 +131,7 @@
         joining = _statuses_of_all({"it": parse_address(address)})["it"]
     except ValueError as error:
         raise InputError(str(error)) from error
-    answer = request(replicas, ChangeMembership("add", joining.id, address), JOIN_TIMEOUT)
+    answer = request(replicas, ChangeReplicas("add", joining.id, address), JOIN_TIMEOUT)
     click.echo(f"{joining.id}: {answer_text(answer)}")
 
 
@@ -140,7 +140,7 @@
 @click.argument("id")
 def remove(cluster: ClusterOptions, id: str) -> None:
     """Let the voter ID vote no more."""
-    answer = request(cluster.replicas, ChangeMembership("remove", id))
+    answer = request(cluster.replicas, ChangeReplicas("remove", id))
     click.echo(f"{id}: {answer_text(answer)}")
 
 
@@ -161,8 +161,3 @@
     if silent:
         raise click.ClickException("; ".join(silent))
     return _statuses(answers)
-
-
-def _format_address(address: Address) -> str:
-    host, port = address
-    return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
--- a/thistleline/cli/main.py
+++ b/thistleline/cli/main.py
@@ -8,7 +8,7 @@
 import click
 
 from thistleline.cli.lab import lab
-from thistleline.config.schema import Faulty, read_conf
+from thistleline.config.loader import ConfigError, read_config
 
 
 @click.group()
@@ -32,8 +32,8 @@
 def check_config(file: str) -> None:
     """Check a file of settings; every fault with its line, exit code 2 if there are any."""
     try:
-        config = read_conf(file)
-    except Faulty as error:
+        config = read_config(file)
+    except ConfigError as error:
         for line in error.lines:
             click.echo(line, err=True)
         raise SystemExit(2) from error
--- a/thistleline/cli/membership.py
+++ b/thistleline/cli/membership.py
@@ -4,7 +4,6 @@
 
 import anyio
 import click
-import msgspec
 
 from thistleline.cli.common import (
     InputError,
@@ -16,7 +15,7 @@
     print_result,
     service_errors,
 )
-from thistleline.membership.messages import STATUS, Facts, Word
+from thistleline.membership.messages import STATUS_NAMES, MemberFacts, MemberRecord
 from thistleline.transport.address import parse_address
 
 
@@ -38,7 +37,7 @@
     from thistleline.store.clock import wall_ms
 
     with service_errors(settings.listen):
-        run(settings, Facts(release, 0, settings.zone, wall_ms()), json_logger(settings.name))
+        run(settings, MemberFacts(release, 0, settings.zone, wall_ms()), json_logger(settings.name))
 
 
 @members.command("list")
@@ -47,10 +46,10 @@
 @click.option("--span", default=0.3, show_default=True, help="Seconds to listen for its answers.")
 def list_all(at: str, as_json: bool, span: float) -> None:
     """All members as the one at an address knows them; exit code 1 if nothing came."""
-    from thistleline.membership.service import ask
+    from thistleline.membership.service import fetch_records
 
     try:
-        records = anyio.run(ask, parse_address(at), span)
+        records = anyio.run(fetch_records, parse_address(at), span)
     except ValueError as error:
         raise InputError(str(error)) from error
     for record in records:
@@ -59,11 +58,19 @@
         raise SystemExit(1)
 
 
-def _member_fields(record: Word) -> dict[str, Any]:
+def _member_fields(record: MemberRecord) -> dict[str, Any]:
+    facts = record.facts
     return {
         "id": record.id,
-        "status": STATUS[record.status],
+        "status": STATUS_NAMES[record.status],
         "incarnation": record.incarnation,
         "address": record.address,
-        **msgspec.structs.asdict(record.facts),
+        "release": facts.release,
+        "settings": facts.settings,
+        "zone": facts.zone,
+        "born": facts.started_wall_ms,
+        "warm": facts.warm,
+        "taking": facts.accepting,
+        "figures": facts.figures,
+        "worth": facts.utility,
     }
--- a/thistleline/durable/writer.py
+++ b/thistleline/durable/writer.py
@@ -7,7 +7,7 @@
 import anyio.to_thread
 from anyio.abc import TaskGroup
 
-from thistleline.config.schema import Ledger
+from thistleline.config.schema import LedgerConfig
 from thistleline.durable.reducer import KeepingReducer
 from thistleline.durable.served_value import Worth
 from thistleline.ledger.records import LedgerWrite, RecoveredEffect
@@ -77,7 +77,7 @@
 
 
 def furnish(
-    conf: Ledger, told: tuple[Any, ...], take: Callable[..., None], tell: Callable[..., None]
+    conf: LedgerConfig, told: tuple[Any, ...], take: Callable[..., None], tell: Callable[..., None]
 ) -> tuple[
     KeepingReducer, Callable[[], list[RecoveredEffect]], Callable[[TaskGroup], dict[str, Callable[..., None]]]
 ]:
@@ -93,7 +93,7 @@
     )
 
 
-def store_of(conf: Ledger, told: tuple[Any, ...]) -> LedgerStore:
+def store_of(conf: LedgerConfig, told: tuple[Any, ...]) -> LedgerStore:
     return LedgerStore(Disk(conf.folder), tuple(stage.name for stage in told[0].stages))
 
 
