--- a/tests/test_feed_service.py
+++ b/tests/test_feed_service.py
@@ -22,27 +22,29 @@
 
 from thistleline.config.loader import ConfigError, parse_config
 from thistleline.config.schema import FeedConfig
-from thistleline.config_feed import connections as link
-from thistleline.config_feed import service
-from thistleline.config_feed.archive_writer import Persist
-from thistleline.config_feed.client import look, propose, snapshot
-from thistleline.config_feed.connections import OUT_BOUND, Encoder, Outgoing, Rounds
+from thistleline.config_feed import downstream, heap_freezer, peer_log, send_queue
+from thistleline.config_feed.archive_writer import ArchiveWriter
+from thistleline.config_feed.effects import PersistStep, PersistTable
 from thistleline.config_feed.history import Items
-from thistleline.config_feed.limits import MESSAGE_BOUND, MS, RING, SECOND
+from thistleline.config_feed.inbox import EventInbox
+from thistleline.config_feed.limits import MESSAGE_SIZE_LIMIT, MS, RING_SLOTS, SECOND
 from thistleline.config_feed.messages import (
-    AskTenants,
+    Acknowledge,
     Delta,
+    FetchPart,
+    FetchTenants,
     Follow,
-    Have,
-    Look,
+    FollowRejected,
     Propose,
-    Refused,
-    Want,
+    ReadRequest,
     decode_source,
     encode,
 )
-from thistleline.config_feed.service import LOOK_BOUND, FeedService
-from thistleline.config_feed.table import Table
+from thistleline.config_feed.operations import export_table, propose, read
+from thistleline.config_feed.send_queue import MAX_QUEUED, FrameEncoder, SendQueue
+from thistleline.config_feed.service import FeedService
+from thistleline.config_feed.status import MAX_READ_KEYS
+from thistleline.config_feed.table import FeedTable
 from thistleline.lab.feedfleet import FeedFleet
 from thistleline.lab.harness import Hung, Process, free_port
 from thistleline.lab.net import Way
@@ -181,7 +183,7 @@
 
 def test_the_writer_is_killed_among_changes_and_another_goes_on(tmp_path: Path) -> None:
     async def story(feed: FeedFleet) -> None:
-        await feed.pairs(2 * RING)
+        await feed.pairs(2 * RING_SLOTS)
         writer = await feed.writer()
         async with anyio.create_task_group() as group:
             group.start_soon(feed.pairs, 12)
@@ -211,7 +213,7 @@
 
 def test_a_keeper_whose_disk_is_lost_has_all_again_and_one_that_writes_too(tmp_path: Path) -> None:
     async def story(feed: FeedFleet) -> None:
-        await feed.pairs(2 * RING)
+        await feed.pairs(2 * RING_SLOTS)
         for writes in (False, True):
             writer = await feed.writer()
             name = writer if writes else next(one for one in feed.keepers if one != writer)
@@ -219,7 +221,7 @@
             await feed.pairs(6)
             feed.processes[name].start()
             await feed.reaches(name, feed.oracle.newest)
-            await feed.pairs(RING + 2)
+            await feed.pairs(RING_SLOTS + 2)
 
     assert with_feed(tmp_path, story) == []
 
@@ -232,7 +234,7 @@
     await feed.kept(writer, 2)  # what it holds it may not have on disk yet, and then the ring is full sooner
     feed.processes[other].stop()
     feed.asked = [writer]
-    await feed.pairs(RING)
+    await feed.pairs(RING_SLOTS)
     await feed.pairs(4, 0.4)
     feed.asked = feed.keepers
     feed.empty(writer)
@@ -355,11 +357,11 @@
         ),
         *(
             hello + encode_frame(b"{}"),
-            hello + encode_frame(encode(Have(1))),
-            hello + encode_frame(encode(Want(-1, 1 << 40))),
+            hello + encode_frame(encode(Acknowledge(1))),
+            hello + encode_frame(encode(FetchPart(-1, 1 << 40))),
         ),
         hello + encode_frame(encode(Follow("x" * 500, "wide", -1, b"", 99))),
-        follow + encode_frame(encode(AskTenants(("tenant/x",) * 500))),
+        follow + encode_frame(encode(FetchTenants(("tenant/x",) * 500))),
         *(
             encode_frame(b"\x82\xa4type\xa5hello\xa1x" + deep),
             hello + encode_frame(b"\x82\xa4type\xa4have\xa1x" + deep),
@@ -375,28 +377,28 @@
 
     async def story() -> None:
         with anyio.fail_after(20):
-            while await look(("127.0.0.1", port)) is None:
+            while await read(("127.0.0.1", port)) is None:
                 await anyio.sleep(0.02)
             async with anyio.create_task_group() as group:
                 for text in words:
                     group.start_soon(ends, text)
             asked = tuple(f"common/{place}" for place in range(5000))
-            found = await look(("127.0.0.1", port), asked)
+            found = await read(("127.0.0.1", port), asked)
             assert found is not None
-            assert len(found.items) == LOOK_BOUND
+            assert len(found.items) == MAX_READ_KEYS
             refused = Propose("x", (("common/x", b"{}"),))
             answer = await propose({"r": ("127.0.0.1", port)}, refused, 0.3)
-            assert (answer.unknown, answer.why) == (True, "a relay writes nothing")
+            assert (answer.unknown, answer.reason) == (True, "a relay writes nothing")
             # Of three followers the third is told that there is no place.
             open_ones, told = [], None
             for _ in range(3):
                 open_ones.append(await anyio.connect_tcp("127.0.0.1", port))
                 await open_ones[-1].send(follow)
-                unpacker, heard = FrameDecoder(MESSAGE_BOUND), list[bytes]()
+                unpacker, heard = FrameDecoder(MESSAGE_SIZE_LIMIT), list[bytes]()
                 while len(heard) < 2:
                     heard += unpacker.feed(await open_ones[-1].receive())
                 told = decode_source(heard[1])
-            assert told == Refused("full")
+            assert told == FollowRejected("full")
             for stream in open_ones:
                 await stream.aclose()
 
@@ -421,11 +423,11 @@
     async def run() -> None:
         relay = FeedService(conf, None, lambda event, **facts: logged.append((event, facts)))
         if items:
-            relay.station.history.anew(Table().moved(1, items))
+            relay.relay.history.reset(FeedTable().update(1, items))
         with anyio.fail_after(20):
             async with anyio.create_task_group() as group:
                 group.start_soon(relay.run)
-                while await look(at) is None:
+                while await read(at) is None:
                     await anyio.sleep(0.02)
                 await story(relay)
                 group.cancel_scope.cancel()
@@ -438,58 +440,58 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """50 MB of answers, if all were made; between two turns of the loop one of them at the most."""
-    keys = tuple(f"common/{place}" for place in range(LOOK_BOUND))
-    asks = encode_frame(encode(Hello("follower", "x"))) + 100 * encode_frame(encode(Look(keys)))
+    keys = tuple(f"common/{place}" for place in range(MAX_READ_KEYS))
+    asks = encode_frame(encode(Hello("follower", "x"))) + 100 * encode_frame(encode(ReadRequest(keys)))
     rounds: list[int] = []
     waits: list[int] = []
 
-    def counted(self: Outgoing, frame: bytes, had: Any = Outgoing.put) -> None:
+    def counted(self: SendQueue, frame: bytes, had: Any = SendQueue.put) -> None:
         had(self, frame)
         waits.append(self.size)
 
-    def taken(self: Rounds, had: Any = Rounds.take) -> Any:
+    def taken(self: EventInbox[Any], had: Any = EventInbox.drain) -> Any:
         found = had(self)
         rounds.append(len(found))
         return found
 
-    monkeypatch.setattr(Outgoing, "put", counted)
-    monkeypatch.setattr(Rounds, "take", taken)
-    monkeypatch.setattr(link, "STALL", 300 * MS)
+    monkeypatch.setattr(SendQueue, "put", counted)
+    monkeypatch.setattr(EventInbox, "drain", taken)
+    monkeypatch.setattr(send_queue, "STALL_TIMEOUT_NS", 300 * MS)
 
     def there(relay: FeedService) -> bool:
-        return any(peer.id == "x" for peer in relay.peers.values())
+        return any(peer.id == "x" for peer in relay.listener.connections.values())
 
     async def story(relay: FeedService) -> None:
-        async with await anyio.connect_tcp(*relay.listen) as stream:
+        async with await anyio.connect_tcp(*relay.address) as stream:
             await stream.send(asks)
             while not there(relay):
                 await anyio.sleep(0)
             while there(relay):
-                assert await look(relay.listen) is not None
-        assert max(waits) <= OUT_BOUND
+                assert await read(relay.address) is not None
+        assert max(waits) <= MAX_QUEUED
         assert max(rounds) <= 3  # of both peers, and that one left
 
     in_process(story, tuple((key, bytes(4000), 1) for key in keys))
 
 
 def test_who_says_nothing_for_long_is_let_go_and_who_speaks_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(link, "IDLE", 800 * MS)
+    monkeypatch.setattr(downstream, "IDLE_TIMEOUT", 800 * MS)
     hello = Hello("follower", "quiet")
 
     async def story(relay: FeedService) -> None:
         async with (
-            await anyio.connect_tcp(*relay.listen) as quiet,
-            await anyio.connect_tcp(*relay.listen) as speaks,
+            await anyio.connect_tcp(*relay.address) as quiet,
+            await anyio.connect_tcp(*relay.address) as speaks,
         ):
             for stream in (quiet, speaks):
                 await stream.send(encode_frame(encode(hello)))
-            while (left := len(relay.peers)) < 2:
+            while (left := len(relay.listener.connections)) < 2:
                 await anyio.sleep(0)
             began = time.monotonic()
             while left == 2 or time.monotonic() < began + 2:
-                await speaks.send(encode_frame(encode(Look(()))))
+                await speaks.send(encode_frame(encode(ReadRequest(()))))
                 await anyio.sleep(0.05)
-                left = sum(peer.id == "quiet" for peer in relay.peers.values())
+                left = sum(peer.id == "quiet" for peer in relay.listener.connections.values())
             assert left == 1
 
     in_process(story)
@@ -504,10 +506,10 @@
         if now[0] > 8 * SECOND:
             raise TimeoutError
 
-    monkeypatch.setattr(link, "boot_now", lambda: now[0])
+    monkeypatch.setattr(send_queue, "boot_now", lambda: now[0])
     monkeypatch.setattr(anyio, "sleep", asleep)
     with pytest.raises(TimeoutError):
-        anyio.run(link.each_look, looked.append)
+        anyio.run(send_queue.check_regularly, looked.append)
     assert looked[:2] == [SECOND // 2, 6 * SECOND]
 
 
@@ -517,14 +519,14 @@
 
     async def story(relay: FeedService) -> None:
         tracked = gc.get_freeze_count()
-        table = relay.station.table
-        relay._carry_out("step", table.moved(service.FREEZE_EVERY, ()), 1, ())
+        table = relay.relay.table
+        relay.carry_out(PersistStep(table.update(heap_freezer.FREEZE_EVERY, ()), 1, ()))
         assert gc.get_freeze_count() == tracked  # it holds as many changes more by one
-        relay._carry_out("step", table.moved(service.FREEZE_EVERY + 1, ()), 1, ())
+        relay.carry_out(PersistStep(table.update(heap_freezer.FREEZE_EVERY + 1, ()), 1, ()))
         assert gc.get_freeze_count() > tracked
-        loaded = table.moved(9, ((f"tenant/more-{place}", b"{}", 9) for place in range(5_000)))
+        loaded = table.update(9, ((f"tenant/more-{place}", b"{}", 9) for place in range(5_000)))
         tracked = gc.get_freeze_count()
-        relay._carry_out("anew", loaded)
+        relay.carry_out(PersistTable(loaded))
         assert gc.get_freeze_count() > tracked + 1_000
 
     before = gc.get_freeze_count()
@@ -543,12 +545,12 @@
         with socket.socket() as one:
             resource.setrlimit(resource.RLIMIT_NOFILE, (one.fileno(), limits[1]))
             try:
-                one.connect(relay.listen)
-                while "who comes" not in relay.told:
+                one.connect(relay.address)
+                while "who comes" not in relay.peer_log.last_reasons:
                     await anyio.sleep(0.01)
             finally:
                 resource.setrlimit(resource.RLIMIT_NOFILE, limits)
-        assert await look(relay.listen) is not None
+        assert await read(relay.address) is not None
 
     logged = in_process(story)
     assert ("refused", {"of": "who comes", "why": os.strerror(errno.EMFILE)}) in logged
@@ -586,13 +588,14 @@
 
 
 def test_strangers_with_ever_new_names_do_not_fill_the_log(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(service, "SECOND", 3600 * SECOND)  # the second is not over while this runs
+    monkeypatch.setattr(peer_log, "SECOND", 3600 * SECOND)  # the second is not over while this runs
 
     async def story(relay: FeedService) -> None:
         for place in range(100):
-            async with await anyio.connect_tcp(*relay.listen) as stream:
+            async with await anyio.connect_tcp(*relay.address) as stream:
                 await stream.send(
-                    encode_frame(encode(Hello("follower", f"x{place}"))) + encode_frame(encode(Have(1)))
+                    encode_frame(encode(Hello("follower", f"x{place}")))
+                    + encode_frame(encode(Acknowledge(1)))
                 )
                 with suppress(*DISCONNECT_ERRORS):
                     while True:
@@ -610,10 +613,10 @@
     async def story(relay: FeedService) -> None:
         monkeypatch.setattr(anyio, "sleep", lambda span: sleep(0))
         for place in range(200):
-            relay.station.history.move(place + 1, ((f"common/{place}", bytes(4000), place + 1),))
-        table = await snapshot({"r": relay.listen}, 10.0)
+            relay.relay.history.advance(place + 1, ((f"common/{place}", bytes(4000), place + 1),))
+        table = await export_table({"r": relay.address}, 10.0)
         assert table is not None
-        assert (table.number, len(table.wide)) == (200, 200)
+        assert (table.sequence, len(table.wide)) == (200, 200)
 
     in_process(story)
 
@@ -624,17 +627,17 @@
 
     async def story(relay: FeedService) -> None:
         async with AsyncExitStack() as stack:
-            for place in range(relay.peers_bound + 10):
-                stream = await stack.enter_async_context(await anyio.connect_tcp(*relay.listen))
+            for place in range(relay.listener.max_connections + 10):
+                stream = await stack.enter_async_context(await anyio.connect_tcp(*relay.address))
                 if not place:
                     await stream.send(hello + encode_frame(encode(Follow("x", "wide", 0, bytes(16)))))
-                    while not relay.station.source.peers:
+                    while not relay.relay.source.subscribers:
                         await anyio.sleep(0)
                 elif place % 2:
                     await stream.send(hello)
-            assert await look(relay.listen) is not None
-            assert len(relay.peers) <= relay.peers_bound + 1
-            assert len(relay.station.source.peers) == 1
+            assert await read(relay.address) is not None
+            assert len(relay.listener.connections) <= relay.listener.max_connections + 1
+            assert len(relay.relay.source.subscribers) == 1
 
     in_process(story)
 
@@ -642,23 +645,23 @@
 def test_a_state_that_was_given_up_while_it_was_written_is_not_told_as_durable(tmp_path: Path) -> None:
     """A write is under way as another state is loaded, or its end is known and not heeded yet."""
     goes_on, told = threading.Event(), list[int]()
-    of_another = Table().moved(2, (("common/of-another", b"{}", 2),))
-    loaded = Table().moved(3, (("common/a", b"{}", 3),))
-    persist = Persist(tmp_path / "one", "all", lambda *_, **__: None, told.append)
+    of_another = FeedTable().update(2, (("common/of-another", b"{}", 2),))
+    loaded = FeedTable().update(3, (("common/a", b"{}", 3),))
+    persist = ArchiveWriter(tmp_path / "one", "all", lambda *_, **__: None, told.append)
     written: Any = persist.archive.write
     persist.archive.write = lambda *told: goes_on.wait(10) and written(*told)  # type: ignore[method-assign]
 
     async def story() -> None:
         async with anyio.create_task_group() as group:
             group.start_soon(persist.run)
-            persist.step(of_another, 0, (("common/of-another", b"{}", 2),))
-            while persist.waits:
+            persist.append(of_another, 0, (("common/of-another", b"{}", 2),))
+            while persist.is_pending:
                 await anyio.sleep(0.001)
-            persist.anew(loaded)
+            persist.replace(loaded)
             goes_on.set()
             while persist.durable != 3:
                 await anyio.sleep(0.001)
-            await persist.flushed()
+            await persist.flush()
             group.cancel_scope.cancel()
 
     anyio.run(story)
@@ -667,35 +670,35 @@
     at, nowhere = ("127.0.0.1", free_port()), ("127.0.0.1", free_port())
     conf = FeedConfig(name="r", listen=at, role="relay", level=1, up={"k": nowhere}, folder=tmp_path / "two")
     relay = FeedService(conf, None, lambda *_, **__: None)
-    assert relay.persist is not None
-    relay.station.follower.table = loaded
-    relay.persist.tell(2)
-    relay.persist.anew(loaded)
-    relay.persist.tell(3)
-    for _, *rest in relay.rounds.take():
-        relay._on_durable(*rest)
-        assert relay.station.follower.durable in (0, 3)
-    assert relay.station.follower.durable == 3
-    relay.persist.close()
+    assert relay.archive is not None
+    relay.relay.follower.table = loaded
+    relay.archive.on_durable(2)
+    relay.archive.replace(loaded)
+    relay.archive.on_durable(3)
+    for event in relay.inbox.drain():
+        relay.handle(event)
+        assert relay.relay.follower.durable in (0, 3)
+    assert relay.relay.follower.durable == 3
+    relay.archive.close()
 
 
 def test_one_object_for_many_is_encoded_once_and_who_takes_nothing_is_let_go() -> None:
-    encoder = Encoder()
+    encoder = FrameEncoder()
     delta = Delta(1, 2, (("common/x", b"{}", 2),), bytes(16))
     assert encoder.frame(delta) is encoder.frame(delta)
     for place in range(100):
         encoder.frame(Delta(place, place + 1, (), bytes(16)))
-    assert len(encoder.made) <= 16
+    assert len(encoder.encoded) <= 16
 
     async def story() -> None:
         ended: list[bool] = []
-        out = Outgoing(lambda: ended.append(True))
-        out.put(bytes(OUT_BOUND))
+        out = SendQueue(lambda: ended.append(True))
+        out.put(bytes(MAX_QUEUED))
         assert not ended
         out.put(b"x")
         assert ended
         out.put(b"x")
-        assert out.size == OUT_BOUND + 1
+        assert out.size == MAX_QUEUED + 1
 
     anyio.run(story)
 
@@ -718,11 +721,11 @@
         for name in fleet.names[:2]:
             fleet.processes[name].kill()
         (answer,) = await feed.pairs(1, 1.5)
-        assert answer.number == 0
+        assert answer.sequence == 0
         for name in feed.relays:
             found = await feed.looked(name)
             assert found is not None
-            assert found.number == feed.oracle.newest
+            assert found.sequence == feed.oracle.newest
         feed.processes["s1"].kill()
         feed.processes["s1"].start()
         await feed.reaches("s1", feed.oracle.newest)
--- a/thistleline/cli/feed.py
+++ b/thistleline/cli/feed.py
@@ -31,9 +31,11 @@
     server_options,
     timeout_type,
 )
-from thistleline.config_feed.client import FeedClient, look_each, snapshot
-from thistleline.config_feed.messages import Looked
-from thistleline.config_feed.table import MADE, Table
+from thistleline.config_feed.client import FeedClient
+from thistleline.config_feed.history import Items
+from thistleline.config_feed.messages import ReadResult
+from thistleline.config_feed.operations import export_table, read_each
+from thistleline.config_feed.table import REQUEST_PREFIX, FeedTable
 
 MAX_KEYS = 100  # asked for at once
 
@@ -113,13 +115,13 @@
     for answer in _read_in_pages(addresses, keys):
         for key, value, version in answer.items:
             missing = missing or value is None
-            entry = EntrySummary(key, version, answer.number, _decode_value(key, value))
+            entry = EntrySummary(key, version, answer.sequence, _decode_value(key, value))
             print_result(entry, as_json, _format_entry)
     if missing:
         raise SystemExit(1)
 
 
-def _read_in_pages(servers: Servers, keys: tuple[str, ...]) -> Iterator[Looked]:
+def _read_in_pages(servers: Servers, keys: tuple[str, ...]) -> Iterator[ReadResult]:
     """Yield answers that together cover the keys, in order; a server may send fewer than asked for."""
     for start in range(0, len(keys), MAX_KEYS):
         remaining = keys[start : start + MAX_KEYS]
@@ -134,7 +136,7 @@
 def _decode_value(key: str, value: bytes | None) -> Any:
     if not value:
         return value
-    if key.startswith(MADE):
+    if key.startswith(REQUEST_PREFIX):
         return value.decode()
     return msgspec.json.decode(value)
 
@@ -150,27 +152,27 @@
 def status(servers: ServerOptions, as_json: bool) -> None:
     """How each keeper and relay stands; exit code 1 if keepers are asked and none writes."""
     addresses = servers.find("keeper", "up")
-    answers = anyio.run(look_each, addresses)
+    answers = anyio.run(read_each, addresses)
     for name, answer in sorted(answers.items()):
         if answer is None:
             print_result({"name": name, "why": "no answer"}, as_json, _format_silence)
         else:
             print_result(_status_fields(name, answer), as_json, format_fields)
     known = [answer for answer in answers.values() if answer is not None]
-    asked_keepers = len(known) < len(addresses) or any(answer.facts.get("level") == 0 for answer in known)
-    if asked_keepers and not any(answer.holds for answer in known):
+    asked_keepers = len(known) < len(addresses) or any(answer.counters.get("level") == 0 for answer in known)
+    if asked_keepers and not any(answer.is_writer for answer in known):
         raise SystemExit(1)
 
 
-def _status_fields(name: str, answer: Looked) -> dict[str, Any]:
+def _status_fields(name: str, answer: ReadResult) -> dict[str, Any]:
     return {
         "name": name,
-        "number": answer.number,
+        "number": answer.sequence,
         "digest": answer.digest.hex(),
         "phase": answer.phase,
         "epoch": answer.epoch,
-        "holds": answer.holds,
-        **answer.facts,
+        "holds": answer.is_writer,
+        **answer.counters,
     }
 
 
@@ -185,18 +187,18 @@
     """All entries of one state, a JSON line each, as `put --file` reads them."""
     addresses = servers.find("up", "keeper")
     name, _ = read_newest(addresses)
-    table = anyio.run(snapshot, {name: addresses[name]}, span)
+    table = anyio.run(export_table, {name: addresses[name]}, span)
     if table is None:
         raise click.ClickException(f"it is not here in {span:g} s")
     _write_entries(table)
-    click.echo(f"number {table.number}, digest {table.digest('all').hex()}", err=True)
+    click.echo(f"number {table.sequence}, digest {table.digest('all').hex()}", err=True)
 
 
-def _write_entries(table: Table) -> None:
+def _write_entries(table: FeedTable) -> None:
     """Write all entries that can be put, as JSON lines, to standard output."""
     out = sys.stdout.buffer
     for key, value, version in table.entries("all"):
-        if key.startswith(MADE):
+        if key.startswith(REQUEST_PREFIX):
             continue  # the writer's own records of requests can't be put
         head = orjson.dumps({"key": key, "version": version})[:-1]
         out.write(head + b',"value":' + value + b"}\n")
@@ -211,19 +213,19 @@
     """As an instance does; a line for each state: its number, its digest, what was touched."""
     addresses = servers.find("up", "keeper")
 
-    def print_state(table: Any, items: Any) -> None:
+    def print_state(table: FeedTable, items: Items | None) -> None:
         touched = None if items is None else [key for key, _, _ in items]
-        state = FollowedState(table.number, table.digest("wide").hex(), touched)
+        state = FollowedState(table.sequence, table.digest("wide").hex(), touched)
         print_result(state, as_json, _format_state)
 
     async def run() -> None:
         name = f"follow-{os.urandom(4).hex()}"
-        client = FeedClient(name, addresses, folder=folder, seen=print_state, alone=True)
+        client = FeedClient(name, addresses, folder=folder, on_state=print_state, immediate=True)
         async with anyio.create_task_group() as group:
             group.start_soon(client.run)
             group.start_soon(cancel_on_signal, group.cancel_scope)
             if until is not None:
-                await client.beyond(until)
+                await client.wait_for(until)
                 group.cancel_scope.cancel()
 
     with service_errors(folder):
--- a/thistleline/cli/feed_change.py
+++ b/thistleline/cli/feed_change.py
@@ -15,9 +15,9 @@
     server_options,
     timeout_type,
 )
-from thistleline.config_feed.client import propose
-from thistleline.config_feed.limits import CHANGE_BOUND, ITEMS_BOUND
+from thistleline.config_feed.limits import CHANGE_ITEMS_LIMIT, CHANGE_SIZE_LIMIT
 from thistleline.config_feed.messages import Item, Propose
+from thistleline.config_feed.operations import propose
 
 MAX_FILE_SIZE = 64 << 20  # bytes of a file of entries
 MAX_VERSION_DIGITS = 17
@@ -162,15 +162,15 @@
         click.ClickException: It was refused, or it is not known whether it was made.
     """
     answer = anyio.run(propose, keepers, proposal, timeout)
-    if as_json or answer.number:
-        print_result(answer, as_json, lambda made: f"change {made.number}")
+    if as_json or answer.sequence:
+        print_result(answer, as_json, lambda made: f"change {made.sequence}")
     if answer.unknown:
         raise click.ClickException(
-            f"it is not known whether it was made: {answer.why}\n"
+            f"it is not known whether it was made: {answer.reason}\n"
             f"the same again with --request {request_id} finds out"
         )
-    if not answer.number:
-        raise click.ClickException(answer.why)
+    if not answer.sequence:
+        raise click.ClickException(answer.reason)
 
 
 def split_items(items: list[Item]) -> list[tuple[Item, ...]]:
@@ -180,7 +180,7 @@
     part_size = 0
     for key, value in items:
         size = len(key.encode("utf-8", "replace")) + len(value or b"")
-        if part and (len(part) >= ITEMS_BOUND or part_size + size > CHANGE_BOUND):
+        if part and (len(part) >= CHANGE_ITEMS_LIMIT or part_size + size > CHANGE_SIZE_LIMIT):
             parts.append(tuple(part))
             part = []
             part_size = 0
--- a/thistleline/cli/feed_servers.py
+++ b/thistleline/cli/feed_servers.py
@@ -9,9 +9,9 @@
 import click
 
 from thistleline.cli.common import InputError, config_option, load_config, parse_named_addresses
-from thistleline.config_feed.client import look_each
-from thistleline.config_feed.lookups import written
-from thistleline.config_feed.messages import Looked
+from thistleline.config_feed.lookups import is_encodable
+from thistleline.config_feed.messages import ReadResult
+from thistleline.config_feed.operations import read_each
 from thistleline.transport.address import Address
 
 Servers = dict[str, Address]  # by name
@@ -65,10 +65,10 @@
 
 def encoding_faults(arguments: tuple[str, ...]) -> list[str]:
     """Return a fault for each argument that is not UTF-8, as such can't be sent."""
-    return [f"{argument!r} is no text" for argument in arguments if not written(argument)]
+    return [f"{argument!r} is no text" for argument in arguments if not is_encodable(argument)]
 
 
-def read_newest(servers: Servers, keys: tuple[str, ...] = ()) -> tuple[str, Looked]:
+def read_newest(servers: Servers, keys: tuple[str, ...] = ()) -> tuple[str, ReadResult]:
     """Ask all servers; return the name and the answer of the one with the newest state.
 
     One that was cut off from the others must not answer for them.
@@ -76,8 +76,8 @@
     Raises:
         click.ClickException: None of them answers.
     """
-    answers = anyio.run(look_each, servers, keys)
-    known = [(answer.number, name, answer) for name, answer in answers.items() if answer is not None]
+    answers = anyio.run(read_each, servers, keys)
+    known = [(answer.sequence, name, answer) for name, answer in answers.items() if answer is not None]
     if not known:
         raise click.ClickException(f"none of {', '.join(servers)} answers")
     _, name, newest = max(known, key=lambda entry: entry[:2])
--- a/thistleline/lab/feedworld.py
+++ b/thistleline/lab/feedworld.py
@@ -7,24 +7,58 @@
 took and keeps plain dicts.
 """
 
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Iterator, Sequence
 from functools import partial
 from typing import Any, NamedTuple
 
+from thistleline.config_feed.effects import (
+    CloseDownstream,
+    ConnectUpstream,
+    DisconnectUpstream,
+    PersistStep,
+    PersistTable,
+    SendDownstream,
+    SendUpstream,
+)
+from thistleline.config_feed.events import (
+    StateDurable,
+    SubscriberJoined,
+    SubscriberLeft,
+    SubscriberMessage,
+    TimerExpired,
+    UpstreamConnected,
+    UpstreamLost,
+    UpstreamMessage,
+)
 from thistleline.config_feed.limits import SECOND
 from thistleline.config_feed.messages import (
     Change,
     Delta,
     Group,
-    Part,
     Propose,
-    Proposed,
+    ProposeResult,
+    SnapshotPart,
     decode_group,
     encode,
 )
-from thistleline.config_feed.relay import Station
-from thistleline.config_feed.table import APART, Table
-from thistleline.config_feed.writer import LEASE, key_of
+from thistleline.config_feed.recovery import LEASE_NAME, record_key
+from thistleline.config_feed.relay import FeedRelay, RelayEvent
+from thistleline.config_feed.table import PARTIAL_PREFIXES, FeedTable
+from thistleline.config_feed.writer_effects import (
+    AnswerProposal,
+    ReadRecord,
+    ReleaseLease,
+    WriteRecord,
+)
+from thistleline.config_feed.writer_events import (
+    LeaseAcquired,
+    LeaseLost,
+    ProposalReceived,
+    RecordRead,
+    RecordWritten,
+    WriteDenied,
+    WriteUnanswered,
+)
 from thistleline.lab.feedrun import Instance
 from thistleline.lease.protocol import Acquire, Break, Denied, Granted, Put
 from thistleline.lease.table import LeaseTable as Council
@@ -67,7 +101,7 @@
     down: tuple[Any, ...] = ()
 
 
-Node = Station | Instance
+Node = FeedRelay | Instance
 END = "end"
 
 
@@ -81,12 +115,12 @@
     def __init__(self) -> None:
         self.nodes: dict[str, Node] = {}
         self.sources: dict[str, tuple[str, ...]] = {}
-        self.disks: dict[str, Table] = {}
-        self.pending: dict[str, Table] = {}  # given to the disk, not there yet
+        self.disks: dict[str, FeedTable] = {}
+        self.pending: dict[str, FeedTable] = {}  # given to the disk, not there yet
         self.links: dict[str, Link] = {}  # by who follows
         self.council = Council()
         self.requests: tuple[tuple[str, int, int, Put], ...] = ()  # keeper, epoch, slot
-        self.answers: tuple[tuple[str, int, tuple[Any, ...]], ...] = ()
+        self.answers: tuple[tuple[str, int, RecordWritten | WriteDenied], ...] = ()
         self.reads: dict[str, tuple[int, ...]] = {}  # slots that a keeper asked for
         self.held: dict[str, int] = {}  # epochs that keepers believe in
         self.index = self.ticks = self.count = self.made = 0
@@ -115,41 +149,73 @@
     def keepers(self) -> tuple[str, ...]:
         return tuple(name for name in self.nodes if name[0] == "k")
 
-    def add(self, name: str, table: Table, sources: tuple[str, ...], keepers: tuple[str, ...] = ()) -> None:
+    def add(
+        self, name: str, table: FeedTable, sources: tuple[str, ...], keepers: tuple[str, ...] = ()
+    ) -> None:
         """A keeper k, a relay r or an instance i."""
         self.sources[name], self.disks[name] = sources, table
         self.nodes[name] = self._new(name, table, keepers)
 
-    def _new(self, name: str, table: Table, keepers: tuple[str, ...]) -> Node:
+    def _new(self, name: str, table: FeedTable, keepers: tuple[str, ...]) -> Node:
         sources = self.sources[name]
         if name[0] == "i":
             return Instance(name, table, sources, self.now, _no_spread)
         level = 0 if name[0] == "k" else 1
-        return Station(name, level, table, sources, self.now, _no_spread, keepers if not level else ())
+        return FeedRelay(name, level, table, sources, self.now, _no_spread, keepers if not level else ())
 
     # ---- steps, each on a copy of its own
 
-    def put(self, name: str, *told: Any) -> None:
+    def put(self, name: str, event: RelayEvent) -> None:
+        node = self._copied(name)
+        before = node.table.sequence
+        self._carried_out(name, before, node.handle(self.now, event))
+
+    def _copied(self, name: str) -> Node:
         node = self.nodes[name].copy()
         self.nodes[name] = node
         self.keys.pop(name, None)
-        before = node.table.number
-        effects = node.take(self.now, *told)
-        if node.table.number < before:
-            self.broken = self.broken or f"{name} goes back from {before} to {node.table.number}"
+        return node
+
+    def _carried_out(self, name: str, before: int, effects: Sequence[Any]) -> None:
+        number = self.nodes[name].table.sequence
+        if number < before:
+            self.broken = self.broken or f"{name} goes back from {before} to {number}"
         for effect in effects:
-            getattr(self, f"_{effect[0]}")(name, *effect[1:])
+            self._carry_out(name, effect)
         self._check(name)
 
+    def _carry_out(self, name: str, effect: Any) -> None:
+        match effect:
+            case SendUpstream(source, message):
+                self._up(name, source, message)
+            case SendDownstream(peer, message):
+                self._down(name, peer, message)
+            case ConnectUpstream(source):
+                self._connect(name, source)
+            case DisconnectUpstream(source):
+                self._drop(name, source)
+            case CloseDownstream(peer):
+                self._down(name, peer, END)
+            case PersistStep(table) | PersistTable(table):
+                self.pending[name] = table
+            case ReadRecord(slot):
+                self._get(name, slot)
+            case WriteRecord(slot, put):
+                self._put(name, slot, put)
+            case AnswerProposal(ticket, result):
+                self._answer(name, ticket, result)
+            case ReleaseLease():
+                self._release(name)
+
     def _connect(self, name: str, server: str) -> None:
         old = self.links.pop(name, None)
         if old is not None:
-            self.put(old.server, "down", "left", old.peer)
+            self.put(old.server, SubscriberLeft(old.peer))
         self.count += 1
         self.links[name] = Link(server, self.count)
-        self.put(server, "down", "joined", self.count)
+        self.put(server, SubscriberJoined(self.count))
         if name in self.links:
-            self.put(name, "up", "connected", server)
+            self.put(name, UpstreamConnected(server))
 
     def _up(self, name: str, server: str, message: Any) -> None:
         link = self.links.get(name)
@@ -162,32 +228,29 @@
                 self.links[client] = link._replace(down=(*link.down, message))
                 return
 
-    def _close(self, name: str, peer: int, why: str) -> None:
-        self._down(name, peer, END)
-
-    def _drop(self, name: str, server: str, why: str) -> None:
+    def _drop(self, name: str, server: str) -> None:
         link = self.links.pop(name, None)
         if link is not None:
-            self.put(link.server, "down", "left", link.peer)
+            self.put(link.server, SubscriberLeft(link.peer))
 
     def end(self, name: str) -> None:
         """A connection breaks, and all that is under way on it is lost."""
         link = self.links.pop(name)
-        self.put(link.server, "down", "left", link.peer)
-        self.put(name, "up", "lost", link.server, "it broke")
+        self.put(link.server, SubscriberLeft(link.peer))
+        self.put(name, UpstreamLost(link.server, "it broke"))
 
     def hear(self, name: str, up: bool) -> None:
         """The next message of a connection arrives."""
         link = self.links[name]
         if up:
             self.links[name] = link._replace(up=link.up[1:])
-            self.put(link.server, "down", "heard", link.peer, link.up[0])
+            self.put(link.server, SubscriberMessage(link.peer, link.up[0]))
         else:
             self.links[name] = link._replace(down=link.down[1:])
             if link.down[0] == END:
                 self.end(name)
             else:
-                self.put(name, "up", "heard", link.server, link.down[0])
+                self.put(name, UpstreamMessage(link.server, link.down[0]))
 
     def damage(self, name: str) -> None:
         """Of the next message an entry is lost."""
@@ -195,33 +258,23 @@
         message = link.down[0]
         if isinstance(message, Delta):
             worse: Any = Delta(
-                message.first, message.last, message.items[:-1], message.digest, message.forget
+                message.first, message.last, message.items[:-1], message.digest, message.evict_tenants
             )
         else:
-            worse = Part(message.number, message.index, message.parts, message.items[:-1], message.digest)
+            worse = SnapshotPart(
+                message.sequence, message.index, message.parts, message.items[:-1], message.digest
+            )
         self.links[name] = link._replace(down=(worse, *link.down[1:]))
 
-    def _step(self, name: str, table: Table, *_: Any) -> None:
-        self.pending[name] = table
-
-    def _anew(self, name: str, table: Table) -> None:
-        self.pending[name] = table
-
-    def _loaded(self, name: str) -> None:
-        pass
-
-    def _log(self, name: str, *_: Any) -> None:
-        pass
-
     def keep(self, name: str) -> None:
         """The disk has what it was given."""
         self.disks[name] = self.pending.pop(name)
-        self.put(name, "durable", self.disks[name].number)
+        self.put(name, StateDurable(self.disks[name].sequence))
 
     def restart(self, name: str) -> None:
         """It ends, and is there again with what its disk has."""
         node = self.nodes[name]
-        keepers = node.writer.keepers if isinstance(node, Station) and node.writer is not None else ()
+        keepers = node.writer.keepers if isinstance(node, FeedRelay) and node.writer is not None else ()
         self.nodes[name] = self._new(name, self.disks[name], keepers)
         self.keys.pop(name, None)
         self.pending.pop(name, None)
@@ -230,15 +283,15 @@
         self.answers = tuple(one for one in self.answers if one[0] != name)
         link = self.links.pop(name, None)
         if link is not None:
-            self.put(link.server, "down", "left", link.peer)
+            self.put(link.server, SubscriberLeft(link.peer))
         for client, other in list(self.links.items()):
             if other.server == name and client in self.links:
                 del self.links[client]
-                self.put(client, "up", "lost", name, "it ended")
+                self.put(client, UpstreamLost(name, "it ended"))
 
     # ---- the council
 
-    def _get(self, name: str, slot: int, key: str) -> None:
+    def _get(self, name: str, slot: int) -> None:
         self.reads[name] = (*self.reads.get(name, ()), slot)
 
     def read(self, name: str) -> None:
@@ -246,8 +299,8 @@
         slots = self.reads.pop(name)
         for slot in slots:
             if name in self.held:
-                got = self.council.get(key_of(slot))
-                self.put(name, "writer", "got", slot, got.value, got.version)
+                got = self.council.get(record_key(slot))
+                self.put(name, RecordRead(slot, got.value, got.version))
 
     def _put(self, name: str, slot: int, put: Put) -> None:
         self.requests = (*self.requests, (name, self.held.get(name, 0), slot, put))
@@ -264,9 +317,9 @@
         before = self.council.get(put.key)
         answer = self._apply(put)
         if isinstance(answer, Denied):
-            told: tuple[Any, ...] = ("put_denied", slot, answer.reason)
+            told: RecordWritten | WriteDenied = WriteDenied(slot, answer.reason)
         else:
-            told = "put_done", slot, put.version + 1
+            told = RecordWritten(slot, put.version + 1)
             if before.version:
                 self._cut(decode_group(before.value))
             self._written(decode_group(put.value))
@@ -277,34 +330,34 @@
         name, epoch, told = self.answers[place]
         self.answers = (*self.answers[:place], *self.answers[place + 1 :])
         if self.held.get(name) == epoch:
-            self.put(name, "writer", *(("put_unknown", told[1]) if lost else told))
+            self.put(name, WriteUnanswered(told.slot) if lost else told)
 
     def late(self, place: int) -> None:
         """Who asked is told that no answer will come; the request is still on its way."""
         name, epoch, slot, _ = self.requests[place]
         if self.held.get(name) == epoch:
-            self.put(name, "writer", "put_unknown", slot)
+            self.put(name, WriteUnanswered(slot))
 
     def move(self, name: str) -> None:
         """The lease is another's; who held it is not told."""
-        lease = self.council.state.leases.get(LEASE)
+        lease = self.council.state.leases.get(LEASE_NAME)
         if lease is not None:
-            self._apply(Break(LEASE, lease.epoch, "it was silent"))
-        answer = self._apply(Acquire(LEASE, f"{name}.{self.index}", 10 * SECOND, True))
+            self._apply(Break(LEASE_NAME, lease.epoch, "it was silent"))
+        answer = self._apply(Acquire(LEASE_NAME, f"{name}.{self.index}", 10 * SECOND, True))
         assert isinstance(answer, Granted)
         self.held[name] = answer.epoch
-        self.put(name, "writer", "held", answer.epoch)
+        self.put(name, LeaseAcquired(answer.epoch))
 
     def lose(self, name: str) -> None:
         """It learns that the lease is not its own any more."""
         del self.held[name]
         self.reads.pop(name, None)
-        self.put(name, "writer", "lost", "its right is over")
+        self.put(name, LeaseLost("its right is over"))
 
-    def _release(self, name: str, why: str) -> None:
-        lease = self.council.state.leases.get(LEASE)
+    def _release(self, name: str) -> None:
+        lease = self.council.state.leases.get(LEASE_NAME)
         if lease is not None and lease.epoch == self.held.get(name):
-            self._apply(Break(LEASE, lease.epoch, "released"))
+            self._apply(Break(LEASE_NAME, lease.epoch, "released"))
         if name in self.held:
             self.lose(name)
 
@@ -313,18 +366,18 @@
     def propose(self, name: str, again: bool = False) -> None:
         place = self.made - again
         self.made = place + 1
-        self.put(name, "writer", "proposed", place, Propose(f"c{place}", CHANGES[place]))
-
-    def _answer(self, name: str, ticket: int, answer: Proposed) -> None:
-        if answer.number:
-            known = self.acked.setdefault(answer.request, answer.number)
-            here = self.sequence[answer.number - 1 : answer.number]
-            if known != answer.number or not here or here[0].request != answer.request:
-                self.broken = f"{answer.request} was acknowledged as {answer.number}, which it is not"
+        self.put(name, ProposalReceived(place, Propose(f"c{place}", CHANGES[place])))
+
+    def _answer(self, name: str, ticket: int, answer: ProposeResult) -> None:
+        if answer.sequence:
+            known = self.acked.setdefault(answer.request_id, answer.sequence)
+            here = self.sequence[answer.sequence - 1 : answer.sequence]
+            if known != answer.sequence or not here or here[0].request_id != answer.request_id:
+                self.broken = f"{answer.request_id} was acknowledged as {answer.sequence}, which it is not"
         elif not answer.unknown:
-            self.refused = (*self.refused, answer.request)
-            if any(one.request == answer.request for one in self.sequence):
-                self.broken = f"{answer.request} was refused, and it was made"
+            self.refused = (*self.refused, answer.request_id)
+            if any(one.request_id == answer.request_id for one in self.sequence):
+                self.broken = f"{answer.request_id} was refused, and it was made"
 
     def look(self, name: str) -> None:
         """Of a tenant; what is known has to count at the number that is held, here and later."""
@@ -332,19 +385,19 @@
         self.nodes[name] = node
         self.keys.pop(name, None)
         assert isinstance(node, Instance)
-        node.lookups.look("tenant/t")
+        node.lookups.lookup("tenant/t")
 
     # ---- invariants
 
     def _written(self, group: Group) -> None:
         for change in group.changes:
-            if change.number != len(self.sequence) + 1:
-                self.broken = f"number {change.number} was given after {len(self.sequence)}"
+            if change.sequence != len(self.sequence) + 1:
+                self.broken = f"number {change.sequence} was given after {len(self.sequence)}"
                 return
-            if any(one.request == change.request for one in self.sequence):
-                self.broken = f"{change.request} was made twice"
-            if change.request in self.refused:
-                self.broken = f"{change.request} was refused, and is made after all"
+            if any(one.request_id == change.request_id for one in self.sequence):
+                self.broken = f"{change.request_id} was made twice"
+            if change.request_id in self.refused:
+                self.broken = f"{change.request_id} was refused, and is made after all"
             state = dict(self.states[-1])
             for key, value in change.items:
                 if value is None:
@@ -354,8 +407,8 @@
             self.sequence, self.states = (*self.sequence, change), (*self.states, state)
 
     def _cut(self, group: Group) -> None:
-        last = group.changes[-1].number
-        durable = sum(self.disks[name].number >= last for name in self.keepers)
+        last = group.changes[-1].sequence
+        durable = sum(self.disks[name].sequence >= last for name in self.keepers)
         if durable <= len(self.keepers) // 2:
             self.broken = f"{last} leaves the council and is on the disks of {durable} keepers"
 
@@ -367,23 +420,25 @@
             if isinstance(node, Instance) and node.lookups.follower.phase != "following":
                 return
             self.strange = tuple(one for one in self.strange if one != name)
-        if table.number > len(self.sequence):
-            self.broken = self.broken or f"{name} is at {table.number}, {len(self.sequence)} was decided"
+        if table.sequence > len(self.sequence):
+            self.broken = self.broken or f"{name} is at {table.sequence}, {len(self.sequence)} was decided"
             return
-        state = self.states[table.number]
+        state = self.states[table.sequence]
         if isinstance(node, Instance):
             for key, found in node.lookups.tenants.items():
                 if found.value != state.get(key):
-                    self.broken = self.broken or f"{name} says of {key} at {table.number} what does not count"
+                    self.broken = (
+                        self.broken or f"{name} says of {key} at {table.sequence} what does not count"
+                    )
         if name[0] == "i":
-            state = {key: value for key, value in state.items() if not key.startswith(APART)}
+            state = {key: value for key, value in state.items() if not key.startswith(PARTIAL_PREFIXES)}
         here = {key: value for key, value, _ in table.entries("all")}
         if here != state:
-            self.broken = self.broken or f"{name} holds at {table.number} what does not count there"
-        if isinstance(node, Station) and node.holds and node.writer is not None:
-            lease = self.council.state.leases.get(LEASE)
+            self.broken = self.broken or f"{name} holds at {table.sequence} what does not count there"
+        if isinstance(node, FeedRelay) and node.is_writer and node.writer is not None:
+            lease = self.council.state.leases.get(LEASE_NAME)
             newest = lease is not None and lease.epoch == node.writer.epoch
-            if newest and table.number < max(self.acked.values(), default=0):
+            if newest and table.sequence < max(self.acked.values(), default=0):
                 self.broken = self.broken or f"{name} writes, and misses what was acknowledged"
 
     def wrong(self) -> str:
@@ -395,7 +450,7 @@
                 pending = self.pending.get(name)
                 disk = self.disks[name]
                 self.keys[name] = hash(
-                    (node.frozen(), disk.number, disk.digest("all"), pending and pending.number)
+                    (node.state_key(), disk.sequence, disk.digest("all"), pending and pending.sequence)
                 )
         links = tuple(
             (name, link.server, link.peer, tuple(map(_told, link.up)), tuple(map(_told, link.down)))
@@ -443,15 +498,15 @@
         if link.down:
             told = type(link.down[0]).__name__
             yield from step(f"{name} hears {link.server}: {told}", "", FeedWorld.hear, name, False)
-            if left["damages"] and isinstance(link.down[0], Delta | Part) and link.down[0].items:
+            if left["damages"] and isinstance(link.down[0], Delta | SnapshotPart) and link.down[0].items:
                 yield from step(f"{told} to {name} is damaged", "damages", FeedWorld.damage, name)
         if left["ends"]:
             yield from step(f"{name} and {link.server} lose each other", "ends", FeedWorld.end, name)
     for name in world.pending:
         yield from step(f"{name} has it on disk", "", FeedWorld.keep, name)
     for name, node in world.nodes.items():
-        if node.due() <= world.now:
-            yield from step(f"{name} heeds its clock", "", FeedWorld.put, name, "elapsed")
+        if node.next_deadline() <= world.now:
+            yield from step(f"{name} heeds its clock", "", FeedWorld.put, name, TimerExpired())
         if left["looks"] and isinstance(node, Instance):
             yield from step(f"{name} looks up a tenant", "looks", FeedWorld.look, name)
         if left["restarts"] and (not scenario.restarted or name in scenario.restarted):
@@ -461,12 +516,12 @@
         if left["losses"]:
             yield from step(f"{name}'s Put {slot} is late", "losses", FeedWorld.late, place)
     for place, (name, _, answer) in enumerate(world.answers):
-        yield from step(f"{name} hears the council: {answer[0]}", "", FeedWorld.answer, place)
+        yield from step(f"{name} hears the council: {type(answer).__name__}", "", FeedWorld.answer, place)
         if left["losses"]:
             yield from step(f"the answer to {name} is lost", "losses", FeedWorld.answer, place, True)
     for name in world.reads:
         yield from step(f"{name} hears what the records hold", "", FeedWorld.read, name)
-    lease = world.council.state.leases.get(LEASE)
+    lease = world.council.state.leases.get(LEASE_NAME)
     for name in world.keepers:
         epoch = world.held.get(name)
         node = world.nodes[name]
@@ -474,9 +529,9 @@
             yield from step(f"{name} learns that it lost the lease", "", FeedWorld.lose, name)
         if not epoch and left["moves"]:
             yield from step(f"{name} gets the lease", "moves", FeedWorld.move, name)
-        if isinstance(node, Station) and node.holds and left["changes"] and world.made < len(CHANGES):
+        if isinstance(node, FeedRelay) and node.is_writer and left["changes"] and world.made < len(CHANGES):
             yield from step(f"change {world.made} is proposed to {name}", "changes", FeedWorld.propose, name)
-        if isinstance(node, Station) and node.holds and left["again"] and world.made:
+        if isinstance(node, FeedRelay) and node.is_writer and left["again"] and world.made:
             yield from step(f"{name} is asked again", "again", FeedWorld.propose, name, True)
     if left["ticks"]:
         yield from step("time passes", "ticks", _tick)
@@ -517,8 +572,8 @@
     if world.answers:
         yield partial(world.answer, 0)
     for name, node in world.nodes.items():
-        if not but(name) and node.due() <= world.now:
-            yield partial(world.put, name, "elapsed")
+        if not but(name) and node.next_deadline() <= world.now:
+            yield partial(world.put, name, TimerExpired())
 
 
 def fleet(keepers: int = 3, relays: int = 1, instances: int = 1) -> FeedWorld:
@@ -527,11 +582,11 @@
     names = tuple(f"k{place}" for place in range(keepers))
     above = tuple(f"r{place}" for place in range(relays))
     for name in names:
-        world.add(name, Table(), tuple(one for one in names if one != name), names)
+        world.add(name, FeedTable(), tuple(one for one in names if one != name), names)
     for name in above:
-        world.add(name, Table(), names)
+        world.add(name, FeedTable(), names)
     for place in range(instances):
-        world.add(f"i{place}", Table(), above or names)
+        world.add(f"i{place}", FeedTable(), above or names)
     world.move("k0")
     settle(world)
     return world
--- a/thistleline/lab/scale/feedsockets.py
+++ b/thistleline/lab/scale/feedsockets.py
@@ -29,8 +29,8 @@
 
 from thistleline.config_feed.archive import Archive
 from thistleline.config_feed.messages import Change, Group, Propose, encode
-from thistleline.config_feed.table import APART, entry_hash
-from thistleline.config_feed.writer import key_of
+from thistleline.config_feed.recovery import record_key
+from thistleline.config_feed.table import PARTIAL_PREFIXES, entry_hash
 from thistleline.lab.feedfleet import FeedFleet
 from thistleline.lab.harness import Hung, folder_of, free_port
 from thistleline.lab.scale import slopes
@@ -67,7 +67,7 @@
             fleet.ports[name] = free_port()
         await fleet.start_voters()
         await fleet.form()
-        if first and not isinstance(await fleet.ask(Put(key_of(0), first, 0)), Done):
+        if first and not isinstance(await fleet.ask(Put(record_key(0), first, 0)), Done):
             raise Hung("the council takes no first record")
         for name in self.keepers:
             await self._start_keeper(name)
@@ -83,7 +83,7 @@
 
     async def number(self) -> int:
         found = await self.looked(await self.writer())
-        return found.number if found is not None else 0
+        return found.sequence if found is not None else 0
 
     async def started(self, name: str) -> dict[str, Any]:
         """Its next life, by what its disk has: seconds till it answers, and its memory then."""
@@ -196,7 +196,7 @@
         if missing:
             found.append(f"nobody was told of {missing[:3]}")
         held = self.entries()
-        sums = sum(entry_hash(key, *one) for key, one in held.items() if not key.startswith(APART))
+        sums = sum(entry_hash(key, *one) for key, one in held.items() if not key.startswith(PARTIAL_PREFIXES))
         digest = (sums % (1 << 128)).to_bytes(16, "big")
         for one in (seen for report in reports for seen in report.followers):
             numbers = [number for number, _ in one.states]
@@ -274,12 +274,12 @@
         asked = time.monotonic_ns()
         answer = await self.region.ask(told, 15.0)
         kept = self.kept
-        if not answer.number:
-            kept.lost.append(f"{told.request}: {answer.why}")
+        if not answer.sequence:
+            kept.lost.append(f"{told.request_id}: {answer.reason}")
             return
-        kept.asked[answer.number], kept.at[answer.number] = asked, time.monotonic_ns()
-        kept.items[answer.number] = told.items
-        kept.last = max(kept.last, answer.number)
+        kept.asked[answer.sequence], kept.at[answer.sequence] = asked, time.monotonic_ns()
+        kept.items[answer.sequence] = told.items
+        kept.last = max(kept.last, answer.sequence)
 
 
 async def phase(
@@ -437,8 +437,8 @@
     """A keeper's, by the feed's own archive: a table and one change on top, which is the council's first
     record. That record, the entries without the tenants, the number and the bytes on disk."""
     table = made_table(routes, tenants, seed)
-    change = Change(table.number + 1, "first", (("common/first", b"{}"),))
-    made = table.applied(change)
+    change = Change(table.sequence + 1, "first", (("common/first", b"{}"),))
+    made = table.apply(change)
     record = encode(Group(0, (change,), table.digest("all"), made.digest("all")))
     disk = Disk(folder, "feed")
     disk.acquire()
@@ -450,7 +450,7 @@
     finally:
         disk.release()
     held = {key: (value, version) for key, value, version in made.entries("wide")}
-    return record, held, made.number, stored
+    return record, held, made.sequence, stored
 
 
 # ---- the runs
