--- a/thistleline/lab/handover.py
+++ b/thistleline/lab/handover.py
@@ -38,18 +38,29 @@
 REPEAT_SHARE = 0.3  # of bookings that are asked for again after their end
 OLD, NEW = "elder", "heir"  # the sides of a handover
 KILL_POINTS = (  # (side, where lab/server.py kills itself)
-    *((OLD, point) for point in ("in:heir_ready", "before:hand", "after:hand", "before:forward")),
-    *((NEW, point) for point in ("in:recovered", "in:inherited", "in:agent_up", "before:elder_told")),
-    *((OLD, point) for point in ("in:away_over", "after:heir_ended", "in:run_over")),
-    *((NEW, point) for point in ("in:forwarded", "in:lodge", "in:elder_ended", "before:write")),
+    (OLD, "in:SuccessorReady"),
+    (OLD, "before:HandOver"),
+    (OLD, "after:HandOver"),
+    (OLD, "before:ForwardTask"),
+    (NEW, "in:EffectsRecovered"),
+    (NEW, "in:Inherited"),
+    (NEW, "in:AgentGreeted"),
+    (NEW, "before:RelayAgentEvent"),
+    (OLD, "in:ForwardedAnswered"),
+    (OLD, "after:ReportRunEnd"),
+    (OLD, "in:RunCompleted"),
+    (NEW, "in:TaskForwarded"),
+    (NEW, "in:HostedRunStarted"),
+    (NEW, "in:PredecessorRunEnded"),
+    (NEW, "before:WriteLedger"),
 )
 POINTS_PASSED_ONCE = (
-    "in:heir_ready",
-    "before:hand",
-    "after:hand",
-    "in:recovered",
-    "in:inherited",
-    "in:agent_up",
+    "in:SuccessorReady",
+    "before:HandOver",
+    "after:HandOver",
+    "in:EffectsRecovered",
+    "in:Inherited",
+    "in:AgentGreeted",
 )
 LOOKUP = {"name": "lookup", "effect": "read_like", "credit": 1.0, "promise": 1.0, "deadline": 3.0}
 HANDOVER_SETTINGS = {**SETTINGS, "classes": [*SETTINGS["classes"], LOOKUP]}
--- a/thistleline/lab/ledger.py
+++ b/thistleline/lab/ledger.py
@@ -40,9 +40,20 @@
 BOOKING_TIMEOUT = 8.0  # s that a caller retries a booking
 REPEAT_SHARE = 0.3  # of bookings that are asked for again after their end
 KILL_POINTS = (  # lab/server.py kills itself there
-    *("in:task", "in:run_over", "in:recorded", "in:round", "in:agent_up", "in:recovered"),
-    *("before:write", "after:write", "before:start", "after:start", "before:finished", "after:finished"),
+    "in:TaskReceived",
+    "in:RunCompleted",
+    "in:WriteCompleted",
+    "in:DeadlineReached",
+    "in:AgentGreeted",
+    "in:EffectsRecovered",
+    "before:WriteLedger",
+    "after:WriteLedger",
+    "before:StartRun",
+    "after:StartRun",
+    "before:AnswerFinished",
+    "after:AnswerFinished",
 )
+FIRST_PASS_POINTS = ("in:WriteCompleted", "in:AgentGreeted", "in:EffectsRecovered")  # others: at a random one
 DISK_FAULTS = ("once", "slow", "full", "read-only")
 SETTINGS: dict[str, Any] = {
     "allowed": {"maxRetryAfter": 1.0, "retryAfter": True},
@@ -222,8 +233,7 @@
     plan: dict[str, Any] = {"sync": sync}
     if incarnation <= kills and incarnation % 2:
         point = KILL_POINTS[incarnation // 2 % len(KILL_POINTS)]
-        happens_once = point.startswith(("in:agent", "in:rec"))
-        plan["kill"] = [point, 1 if happens_once else rng.randint(1, 60)]
+        plan["kill"] = [point, 1 if point in FIRST_PASS_POINTS else rng.randint(1, 60)]
     if incarnation % 5 == 2:
         plan |= {"disk": DISK_FAULTS[incarnation // 5 % len(DISK_FAULTS)], "at": rng.randint(1, 12)}
     return plan
--- a/thistleline/supervisor/settings.py
+++ b/thistleline/supervisor/settings.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from thistleline.lease.protocol import MAX_VALUE_SIZE
-from thistleline.server.service import CONNECTION_COST, RESERVE
+from thistleline.server.service import CONNECTION_COST, RESERVED_DESCRIPTORS
 from thistleline.wire.settings import (
     SettingsError,
     read_gauge_names,
@@ -59,8 +59,9 @@
         memory = float(limits["memory_mb"]) * MEGABYTE
     except (KeyError, TypeError, ValueError):
         return "the limits have no 'sockets' or no 'memory_mb'"
-    if clients + RESERVE > sockets:
-        return f"{clients} callers and {RESERVE} of its own need more than {sockets} descriptors"
+    reserved = RESERVED_DESCRIPTORS
+    if clients + reserved > sockets:
+        return f"{clients} callers and {reserved} of its own need more than {sockets} descriptors"
     needed = clients * CONNECTION_COST
     if needed > memory / CONNECTIONS_MEMORY_DIVISOR:
         needed_mb = needed >> 20
