--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -23,11 +23,11 @@
 from thistleline.consensus.replica import Replica
 from thistleline.consensus.state import RaftTiming
 from thistleline.consensus.store import ReplicaStore
-from thistleline.lab.explore import explore
-from thistleline.lab.leasecost import one_way
-from thistleline.lab.leaseworld import begin, following
-from thistleline.lab.mutants import MUTANTS, SCENARIOS, without
-from thistleline.lab.virtual import MS, SimulatedCluster
+from thistleline.lab.simulation.explorer import explore
+from thistleline.lab.simulation.lease_costs import one_way
+from thistleline.lab.simulation.lease_mutants import MUTANTS, SCENARIOS, without
+from thistleline.lab.simulation.lease_world import begin, following
+from thistleline.lab.simulation.replica_cluster import MS, SimulatedCluster
 from thistleline.lease.events import Event, RequestReceived
 from thistleline.lease.protocol import Acquire, ChangeReplicas, Denied, Done, Granted, Release, Unavailable
 from thistleline.lease.server import LeaseServer
--- a/tests/test_feed_service.py
+++ b/tests/test_feed_service.py
@@ -45,9 +45,9 @@
 from thistleline.config_feed.service import FeedService
 from thistleline.config_feed.status import MAX_READ_KEYS
 from thistleline.config_feed.table import FeedTable
-from thistleline.lab.feedfleet import FeedFleet
-from thistleline.lab.harness import Process, RunTimeoutError, free_port
-from thistleline.lab.net import LinkFault
+from thistleline.lab.processes.feed_fleet import FeedFleet
+from thistleline.lab.processes.harness import Process, RunTimeoutError, free_port
+from thistleline.lab.processes.network_relay import LinkFault
 from thistleline.transport.codec import FrameDecoder, Hello, encode_frame
 from thistleline.transport.disconnects import DISCONNECT_ERRORS
 
--- a/tests/test_feed_storms.py
+++ b/tests/test_feed_storms.py
@@ -13,8 +13,8 @@
 from thistleline.cli.main import entry
 from thistleline.lab import feeds
 from thistleline.lab.feeds import ALONE, Storm, storm
-from thistleline.lab.harness import RunTimeoutError
-from thistleline.lab.net import Relay
+from thistleline.lab.processes.harness import RunTimeoutError
+from thistleline.lab.processes.network_relay import Relay
 
 GOOD = {"wrong": [], "hung": False, "acknowledged": 5, "faults": {}}
 FOUND = {**GOOD, "wrong": ["s1 went back from 3 to 0"]}
--- a/tests/test_feed_worlds.py
+++ b/tests/test_feed_worlds.py
@@ -10,11 +10,11 @@
 from thistleline.config_feed.limits import MS, SECOND
 from thistleline.config_feed.messages import Propose, ProposeResult
 from thistleline.config_feed.table import FeedTable
-from thistleline.lab import feedmutants
-from thistleline.lab.feedmutants import MUTANTS, SCENARIOS, explored
-from thistleline.lab.feedrun import LENGTH, Oracle, Shared, VirtualFeed, quantile
 from thistleline.lab.scale import feed
 from thistleline.lab.scale.feed import Load, begin, case, made_table
+from thistleline.lab.simulation import feed_mutants as feedmutants
+from thistleline.lab.simulation.feed_fleet import LENGTH, Oracle, Shared, VirtualFeed, quantile
+from thistleline.lab.simulation.feed_mutants import MUTANTS, SCENARIOS, explored
 
 # ---- explored
 
--- a/tests/test_feed_writer.py
+++ b/tests/test_feed_writer.py
@@ -66,7 +66,7 @@
     WriterEvent,
     WriteUnanswered,
 )
-from thistleline.lab.feedworld import changed, fleet, settle
+from thistleline.lab.simulation.feed_world import changed, fleet, settle
 from thistleline.lease.protocol import Acquire, Break, Denied, Done, Granted, Put
 from thistleline.lease.table import LeaseTable as Council
 from thistleline.lease.table import encode_decision
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -17,10 +17,10 @@
 from thistleline.handover.channel import HandoverChannel, reach
 from thistleline.handover.messages import Hello, Refused
 from thistleline.handover.state_machine import HandoverStateMachine
-from thistleline.lab.farm import FakeFarmAgent
 from thistleline.lab.handover import HANDOVER_SETTINGS, Load, ServerIncarnations, run_handovers
-from thistleline.lab.handoverworld import play
-from thistleline.lab.mutants import without
+from thistleline.lab.processes.render_farm import FakeFarmAgent
+from thistleline.lab.simulation.handover_world import play
+from thistleline.lab.simulation.lease_mutants import without
 from thistleline.ledger import format as ledger_format
 from thistleline.state.attempts import Attempt, Run
 from thistleline.state.state_machine import ServerStateMachine
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -16,8 +16,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from thistleline.lab.harness import Fleet
 from thistleline.lab.leases import LeaseStorm, ResourceWrite, judge
+from thistleline.lab.processes.harness import Fleet
 from thistleline.lease.client import LeaseClient
 from thistleline.lease.errors import LeaseLostError, LeaseTimeoutError
 from thistleline.lease.fencing import FencingGuard
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -30,9 +30,9 @@
 from thistleline.durable.effects import WriteLedger
 from thistleline.durable.events import EffectsRecovered, WriteCompleted, WriteFailed
 from thistleline.durable.state_machine import DurableStateMachine
-from thistleline.lab.caller import AttemptOutcome, Caller
-from thistleline.lab.farm import FakeFarmAgent, RunRecord
 from thistleline.lab.ledger import judge, storm
+from thistleline.lab.processes.load_generator import AttemptOutcome, Caller
+from thistleline.lab.processes.render_farm import FakeFarmAgent, RunRecord
 from thistleline.ledger import format as form
 from thistleline.ledger.format import Intent, Outcome, RecordGroup
 from thistleline.ledger.state import LedgerState
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -12,8 +12,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from thistleline.lab.harness import free_port
 from thistleline.lab.members import TIMING, SimulatedMembership, detect_crash, partition
+from thistleline.lab.processes.harness import free_port
 from thistleline.membership.events import FactsChanged, LeaveRequested, MessageReceived
 from thistleline.membership.gossip import SECOND, Gossip
 from thistleline.membership.messages import (
--- a/tests/test_polled.py
+++ b/tests/test_polled.py
@@ -4,8 +4,8 @@
 
 from thistleline.config_feed.limits import SECOND
 from thistleline.config_feed.messages import Propose
-from thistleline.lab.polledrun import PolledFleet, Settings
 from thistleline.lab.scale import feed
+from thistleline.lab.simulation.polled_settings import PolledFleet, Settings
 from thistleline.lease.protocol import MAX_VALUE_SIZE
 from thistleline.supervisor.service import POLL
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -15,13 +15,19 @@
 import pytest
 
 from thistleline.config.loader import parse_config
-from thistleline.lab.explore import explore
-from thistleline.lab.harness import free_port
 from thistleline.lab.ledger import SETTINGS
-from thistleline.lab.machines import SupervisedFleet
-from thistleline.lab.mutants import without
-from thistleline.lab.rollsim import HARMS, Harm, simulate_rollout
-from thistleline.lab.stewardworld import BesideWorld, StewardWorld, following, following_beside, wander
+from thistleline.lab.processes.harness import free_port
+from thistleline.lab.processes.machines import SupervisedFleet
+from thistleline.lab.simulation.explorer import explore
+from thistleline.lab.simulation.lease_mutants import without
+from thistleline.lab.simulation.rollouts import HARMS, Harm, simulate_rollout
+from thistleline.lab.simulation.supervisor_world import (
+    BesideWorld,
+    StewardWorld,
+    following,
+    following_beside,
+    wander,
+)
 from thistleline.lease.protocol import MAX_VALUE_SIZE, Put
 from thistleline.lease.table import validate
 from thistleline.rollout.canary import CanaryAnalysis
--- a/thistleline/lab/feeds.py
+++ b/thistleline/lab/feeds.py
@@ -2,8 +2,8 @@
 to go back?
 
 Council, keepers, relays and subscribers are processes of the program; relays of the lab between each pair,
-changes, the plan of faults and the oracle (lab/feedfleet.py) are here. The oracle knows what was acknowledged
-and what subscribers said they saw, and nothing of the program's.
+changes, the plan of faults and the oracle (processes/feed_fleet.py) are here. The oracle knows what was
+acknowledged and what subscribers said they saw, and nothing of the program's.
 """
 
 import time
@@ -15,9 +15,9 @@
 
 import anyio
 
-from thistleline.lab.feedfleet import FeedFleet
-from thistleline.lab.harness import RunTimeoutError, run_folder
-from thistleline.lab.net import LinkFault
+from thistleline.lab.processes.feed_fleet import FeedFleet
+from thistleline.lab.processes.harness import RunTimeoutError, run_folder
+from thistleline.lab.processes.network_relay import LinkFault
 
 Tell = Callable[[str], None]
 
--- a/thistleline/lab/handover.py
+++ b/thistleline/lab/handover.py
@@ -1,8 +1,8 @@
 """Handovers between servers on one machine under load, with kills and pauses on both sides of each.
 
-Real processes and sockets. The fake farm agent (lab/farm.py) runs in this process and outlives every server.
-The oracle judges bookings as for the ledger (lab/ledger.py), and lookups by whether each was answered. It has
-to find a server that goes on starting effects after it has handed over ("keeps its right").
+Real processes and sockets. The fake farm agent (processes/render_farm.py) runs in this process and outlives
+every server. The oracle judges bookings as for the ledger (lab/ledger.py), and lookups by whether each was
+answered. It has to find a server that goes on starting effects after it has handed over ("keeps its right").
 """
 
 import json
@@ -22,10 +22,10 @@
 from anyio.abc import TaskGroup
 
 from thistleline.handover.serving import read_owner
-from thistleline.lab.caller import Caller
-from thistleline.lab.farm import FakeFarmAgent
-from thistleline.lab.harness import RunTimeoutError, free_port, read_events, run_folder
 from thistleline.lab.ledger import SETTINGS, deploy_config, judge
+from thistleline.lab.processes.harness import RunTimeoutError, free_port, read_events, run_folder
+from thistleline.lab.processes.load_generator import Caller
+from thistleline.lab.processes.render_farm import FakeFarmAgent
 from thistleline.transport.address import Address
 
 STOP_MS = 1500  # the server's time to stop
@@ -37,7 +37,7 @@
 LOOKUP_TIMEOUT = 6.0  # s that a caller retries a lookup
 REPEAT_SHARE = 0.3  # of bookings that are asked for again after their end
 OLD, NEW = "elder", "heir"  # the sides of a handover
-KILL_POINTS = (  # (side, where lab/server.py kills itself)
+KILL_POINTS = (  # (side, where processes/faulty_server.py kills itself)
     (OLD, "in:SuccessorReady"),
     (OLD, "before:HandOver"),
     (OLD, "after:HandOver"),
@@ -96,7 +96,7 @@
             "ROUTER_LIFE": str(self.count),
             "LAB_FAULT": json.dumps(fault_plan),
         }
-        command = [sys.executable, "-m", "thistleline.lab.server"]
+        command = [sys.executable, "-m", "thistleline.lab.processes.faulty_server"]
         with (self.folder / f"{self.count}.log").open("wb") as log:
             self.processes[self.count] = subprocess.Popen(command, env=env, stdout=log, stderr=log)
         return self.count
--- a/thistleline/lab/leases.py
+++ b/thistleline/lab/leases.py
@@ -1,9 +1,9 @@
 """Leases under faults: do two holders ever act at the same time, and how long is there none?
 
-Replicas and contenders are processes of the program (lab/contender.py); relays, the recording resource and
-the fault plan are in this process. The oracle, `judge`, reads what reached the resource, by the resource's
-own clock, and nothing of the program's. The verdict rests on its counts, on an exploration of the reducers
-(lab/mutants.py), and on the times without a holder.
+Replicas and contenders are processes of the program (processes/lease_contender.py); relays, the recording
+resource and the fault plan are in this process. The oracle, `judge`, reads what reached the resource, by the
+resource's own clock, and nothing of the program's. The verdict rests on its counts, on an exploration of the
+reducers (simulation/lease_mutants.py), and on the times without a holder.
 """
 
 import json
@@ -20,8 +20,8 @@
 from anyio.abc import SocketStream, TaskGroup
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-from thistleline.lab.harness import Fleet, Process, RunTimeoutError, run_folder
-from thistleline.lab.net import LinkFault
+from thistleline.lab.processes.harness import Fleet, Process, RunTimeoutError, run_folder
+from thistleline.lab.processes.network_relay import LinkFault
 from thistleline.lease.fencing import FencingGuard
 from thistleline.transport.disconnects import DISCONNECT_ERRORS
 
@@ -157,7 +157,7 @@
             contenders: How many.
             fenced: Whether the resource has a fencing guard.
             pauses: Whether processes are paused too.
-            without: The protection that is left out (lab/member.py).
+            without: The protection that is left out (processes/program.py).
             delay_only: Whether bursts of delay are the only fault.
         """
         self.folder = folder
@@ -470,8 +470,8 @@
 
 def run(quick: bool, seed: int, tell: Callable[[str], None]) -> dict[str, Any]:
     """Run all parts; return the figures, the criteria and whether all held."""
-    from thistleline.lab.leasecost import cost
-    from thistleline.lab.mutants import prove
+    from thistleline.lab.simulation.lease_costs import cost
+    from thistleline.lab.simulation.lease_mutants import prove
 
     figures: dict[str, Any] = {}
     arms = (
--- a/thistleline/lab/ledger.py
+++ b/thistleline/lab/ledger.py
@@ -1,8 +1,9 @@
 """Bookings while the server is killed and its disk fails: does any run twice, is any lost after it ran?
 
-Real processes and sockets. The fake farm agent (lab/farm.py) runs in this process, outlives every server and
-records every run. The oracle, `judge`, compares that record with what callers were answered (lab/caller.py);
-it reads nothing of the server's. The verdict rests on its counts and on the bounds of disk use.
+Real processes and sockets. The fake farm agent (processes/render_farm.py) runs in this process, outlives
+every server and records every run. The oracle, `judge`, compares that record with what callers were answered
+(processes/load_generator.py); it reads nothing of the server's. The verdict rests on its counts and on the
+bounds of disk use.
 """
 
 import json
@@ -22,9 +23,9 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from thistleline.lab.caller import AttemptOutcome, Caller
-from thistleline.lab.farm import FakeFarmAgent, RunRecord
-from thistleline.lab.harness import free_port, read_events
+from thistleline.lab.processes.harness import free_port, read_events
+from thistleline.lab.processes.load_generator import AttemptOutcome, Caller
+from thistleline.lab.processes.render_farm import FakeFarmAgent, RunRecord
 from thistleline.ledger import format as ledger_format
 from thistleline.ledger.format import Intent, Outcome
 from thistleline.ledger.state import LedgerState
@@ -39,7 +40,7 @@
 POLL_INTERVAL = 0.005  # s between two looks at a process
 BOOKING_TIMEOUT = 8.0  # s that a caller retries a booking
 REPEAT_SHARE = 0.3  # of bookings that are asked for again after their end
-KILL_POINTS = (  # lab/server.py kills itself there
+KILL_POINTS = (  # processes/faulty_server.py kills itself there
     "in:TaskReceived",
     "in:RunCompleted",
     "in:WriteCompleted",
@@ -89,7 +90,10 @@
 
 
 class ServerProcess:
-    """The server under test, one incarnation after another, each with its own fault plan (lab/server.py)."""
+    """The server under test, one incarnation after another, each with its own fault plan.
+
+    The faults are those of processes/faulty_server.py.
+    """
 
     def __init__(self, folder: Path, agent_port: int, port: int, ledger: bool) -> None:
         """Write the server's files; `ledger`: whether it has one."""
@@ -107,7 +111,7 @@
 
     def start(self, fault_plan: dict[str, Any]) -> None:
         """Start the next incarnation."""
-        command = [sys.executable, "-m", "thistleline.lab.server"]
+        command = [sys.executable, "-m", "thistleline.lab.processes.faulty_server"]
         env = {**self.env, "LAB_FAULT": json.dumps(fault_plan)}
         self.process = subprocess.Popen(command, env=env, stdout=self.log, stderr=self.log)
 
--- a/thistleline/lab/server.py
+++ b/thistleline/lab/processes/faulty_server.py
@@ -1,4 +1,7 @@
-"""The server itself with a fault built in: `python -m thistleline.lab.server`, told by LAB_FAULT.
+"""The server itself with a fault built in.
+
+Started by `python -m thistleline.lab.processes.faulty_server`; the environment variable LAB_FAULT has the
+fault, JSON:
 
     {"kill": [point, times]}    ends at once the so-many-th time that a point is passed; points: an event
                                 "in:CLASS", an effect "before:CLASS" or "after:CLASS"
--- a/thistleline/lab/feedfleet.py
+++ b/thistleline/lab/processes/feed_fleet.py
@@ -18,7 +18,7 @@
 from thistleline.config_feed.messages import Item, Propose, ProposeResult, ReadResult
 from thistleline.config_feed.operations import export_table, propose, read
 from thistleline.config_feed.table import FeedTable
-from thistleline.lab.harness import Fleet, Process, RunTimeoutError, free_port
+from thistleline.lab.processes.harness import Fleet, Process, RunTimeoutError, free_port
 from thistleline.transport.address import Address
 
 PAIRS = 4
--- a/thistleline/lab/harness.py
+++ b/thistleline/lab/processes/harness.py
@@ -23,7 +23,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from thistleline.lab.net import Relay
+from thistleline.lab.processes.network_relay import Relay
 from thistleline.lease.client import LeaseClient
 from thistleline.lease.protocol import (
     Answer,
@@ -89,7 +89,7 @@
 
         Args:
             name: Its name in the fleet, and of its log file.
-            arguments: Of thistleline.lab.member.
+            arguments: Of thistleline.lab.processes.program.
             env: Variables added to this process's environment.
             folder: Where the log is written.
         """
@@ -107,7 +107,7 @@
         self.incarnation += 1
         if self.process is not None and self.process.stdin is not None:
             self.process.stdin.close()
-        command = [sys.executable, "-m", "thistleline.lab.member", *self.arguments]
+        command = [sys.executable, "-m", "thistleline.lab.processes.program", *self.arguments]
         # Its standard input ends when this process does, in whatever way: no orphan is left running.
         self.process = subprocess.Popen(
             command, env=self.env, stdin=subprocess.PIPE, stdout=self.log, stderr=self.log
@@ -200,7 +200,7 @@
 
         Args:
             env: More environment variables, by replica.
-            without: The safety measure that the replicas leave out (lab/member.py).
+            without: The safety measure that the replicas leave out (processes/program.py).
         """
         for name in self.names:
             settings = await self._write_settings(name)
--- a/thistleline/lab/machines.py
+++ b/thistleline/lab/processes/machines.py
@@ -1,9 +1,9 @@
 """Machines under supervisors, with the program itself as their servers, fake farm agents and callers.
 
 A fleet of real processes that is rolled from release to release while parts of it fail,
-built on lab/harness.py.
-What a release does wrong is a fault plan of lab/server.py in its start script (`RELEASES`). The oracle is the
-ledger's (lab/ledger.py), over all machines.
+built on processes/harness.py.
+What a release does wrong is a fault plan of processes/faulty_server.py in its start script (`RELEASES`). The
+oracle is the ledger's (lab/ledger.py), over all machines.
 """
 
 import fcntl
@@ -23,10 +23,10 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from thistleline.lab.caller import Caller
-from thistleline.lab.farm import FakeFarmAgent
-from thistleline.lab.harness import Fleet, Process, RunTimeoutError, free_port
 from thistleline.lab.ledger import SETTINGS, deploy_config, judge
+from thistleline.lab.processes.harness import Fleet, Process, RunTimeoutError, free_port
+from thistleline.lab.processes.load_generator import Caller
+from thistleline.lab.processes.render_farm import FakeFarmAgent
 from thistleline.lease.protocol import Get, Got, Put
 from thistleline.rollout.order import ORDER_KEY, Order
 from thistleline.rollout.record import RECORD_KEY, RolloutRecord
@@ -46,7 +46,7 @@
 _decode_rollout = msgspec.msgpack.Decoder(RolloutRecord).decode
 _encode = msgspec.msgpack.Encoder().encode
 
-# The fault plan (lab/server.py) of each release, by its name; None: it does not start.
+# The fault plan (processes/faulty_server.py) of each release, by its name; None: it does not start.
 RELEASES: dict[str, dict[str, Any] | None] = {
     "base": {},
     "good": {},
@@ -179,7 +179,7 @@
             variable, command = "", "exit 3"
         else:
             variable = json.dumps({"figures": REPORT_INTERVAL, **fault_plan})
-            command = f"exec {sys.executable} -m thistleline.lab.server"
+            command = f"exec {sys.executable} -m thistleline.lab.processes.faulty_server"
         lines = ["#!/bin/sh", f"# {name}", f"export PYTHONPATH='{code}' LAB_FAULT='{variable}'", command]
         (source / "run").write_text("\n".join(lines) + "\n")
         (source / "run").chmod(0o755)
--- a/thistleline/lab/member.py
+++ b/thistleline/lab/processes/program.py
@@ -1,4 +1,6 @@
-"""The program as its users start it, with the lab's clock and disk: `python -m thistleline.lab.member SUB`.
+"""The program as its users start it, with the clock and disk of the lab.
+
+Started by `python -m thistleline.lab.processes.program SUB`.
 
 Environment variables inject the faults:
 
@@ -125,11 +127,11 @@
     inject_disk_faults()
     leave_out_protection()
     if sys.argv[1:2] == ["contender"]:
-        from thistleline.lab.contender import main as contend
+        from thistleline.lab.processes.lease_contender import main as contend
 
         return contend(sys.argv[2])
     if sys.argv[1:2] == ["subscriber"]:
-        from thistleline.lab.subscriber import main as follow
+        from thistleline.lab.processes.feed_subscriber import main as follow
 
         return follow(sys.argv[2])
     from thistleline.cli.main import main as command
--- a/thistleline/lab/roll.py
+++ b/thistleline/lab/roll.py
@@ -1,8 +1,8 @@
 """Rollouts of whole fleets as real processes, and the verdict over them and the simulated ones.
 
-With real processes (lab/machines.py) releases are rolled out while controllers, supervisors and replicas are
-killed, paused and cut off. The simulated rollouts are those of lab/rollsim.py. The verdict rests on what
-became of harmful and harmless releases, and on the ledger's oracle over all callers.
+With real processes (processes/machines.py) releases are rolled out while controllers, supervisors and
+replicas are killed, paused and cut off. The simulated rollouts are those of simulation/rollouts.py. The
+verdict rests on what became of harmful and harmless releases, and on the ledger's oracle over all callers.
 """
 
 import subprocess
@@ -17,9 +17,9 @@
 
 import anyio
 
-from thistleline.lab.harness import Fleet, run_folder
-from thistleline.lab.machines import HARMFUL, HARMLESS, ROOT, SupervisedFleet
-from thistleline.lab.rollsim import figures
+from thistleline.lab.processes.harness import Fleet, run_folder
+from thistleline.lab.processes.machines import HARMFUL, HARMLESS, ROOT, SupervisedFleet
+from thistleline.lab.simulation.rollouts import figures
 
 
 class RealResult(NamedTuple):
--- a/thistleline/lab/scale/added.py
+++ b/thistleline/lab/scale/added.py
@@ -23,7 +23,7 @@
 import anyio
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from thistleline.lab.caller import Caller
+from thistleline.lab.processes.load_generator import Caller
 from thistleline.lab.scale import slopes
 from thistleline.lab.scale.connections import PATIENCE, checked
 from thistleline.lab.scale.instance import HOST, Instance, instance, machine
--- a/thistleline/lab/scale/agent.py
+++ b/thistleline/lab/scale/agent.py
@@ -11,7 +11,7 @@
 import anyio
 import anyio.to_thread
 
-from thistleline.lab.farm import FakeFarmAgent
+from thistleline.lab.processes.render_farm import FakeFarmAgent
 
 
 class TimedFarm(FakeFarmAgent):
--- a/thistleline/lab/scale/control.py
+++ b/thistleline/lab/scale/control.py
@@ -22,8 +22,8 @@
 
 from thistleline.config.loader import parse_config
 from thistleline.config.schema import RolloutConfig
-from thistleline.lab.harness import Fleet, Process, run_folder
-from thistleline.lab.machines import ROOT, SupervisedFleet
+from thistleline.lab.processes.harness import Fleet, Process, run_folder
+from thistleline.lab.processes.machines import ROOT, SupervisedFleet
 from thistleline.lab.scale import slopes
 from thistleline.lab.scale.instance import cpu_seconds, machine, resident
 from thistleline.lab.scale.members import hollow, word_bytes
--- a/thistleline/lab/scale/council.py
+++ b/thistleline/lab/scale/council.py
@@ -21,12 +21,12 @@
 from thistleline.consensus.persistence import ENTRY_COST, MAX_LOG_SIZE
 from thistleline.consensus.replica import MAX_PENDING_REQUESTS
 from thistleline.consensus.state import RaftTiming
-from thistleline.lab.harness import Fleet, RunTimeoutError, run_folder
+from thistleline.lab.processes.harness import Fleet, RunTimeoutError, run_folder
 from thistleline.lab.scale import slopes
 from thistleline.lab.scale.instance import cpu_seconds, machine
 from thistleline.lab.scale.size import size
 from thistleline.lab.scale.slopes import Part, Row, Shape, cpu_of, judge, loop_cpu, memory_of
-from thistleline.lab.virtual import MS, SentAnswer, SimulatedCluster
+from thistleline.lab.simulation.replica_cluster import MS, SentAnswer, SimulatedCluster
 from thistleline.lease.client import LeaseClient
 from thistleline.lease.effects import SendAnswer
 from thistleline.lease.events import Event, RequestReceived
--- a/thistleline/lab/scale/feed.py
+++ b/thistleline/lab/scale/feed.py
@@ -1,9 +1,9 @@
 """The change feed by the size of the fleet and of the table: messages and bytes of each role, time until a
 change is in force, memory of a table; beside what carries configuration today, a record that all ask for.
 
-Whole fleets in virtual time (lab/feedrun.py, lab/polledrun.py) with the reducers that run, one for each case,
-some at a time in processes of their own. Counts are the same for the same seed. How routes, tenants and their
-changes look is set here (`MIX`, the values), it was not measured.
+Whole fleets in virtual time (simulation/feed_fleet.py, simulation/polled_settings.py) with the reducers that
+run, one for each case, some at a time in processes of their own. Counts are the same for the same seed. How
+routes, tenants and their changes look is set here (`MIX`, the values), it was not measured.
 """
 
 import gc
@@ -20,12 +20,12 @@
 from thistleline.config_feed.limits import MS, SECOND
 from thistleline.config_feed.messages import Propose
 from thistleline.config_feed.table import FeedTable
-from thistleline.lab.feedmutants import prove
-from thistleline.lab.feedrun import VirtualFeed, quantile
-from thistleline.lab.polledrun import PolledFleet
 from thistleline.lab.scale.council import FULL
 from thistleline.lab.scale.size import FOLDER, size
 from thistleline.lab.scale.slopes import Part, Row, Shape, judge, loop_cpu, memory_of, row, steps_of
+from thistleline.lab.simulation.feed_fleet import VirtualFeed, quantile
+from thistleline.lab.simulation.feed_mutants import prove
+from thistleline.lab.simulation.polled_settings import PolledFleet
 from thistleline.supervisor.service import POLL
 
 NAME = "feed"
--- a/thistleline/lab/scale/feedsockets.py
+++ b/thistleline/lab/scale/feedsockets.py
@@ -31,8 +31,8 @@
 from thistleline.config_feed.messages import Change, Group, Propose, encode
 from thistleline.config_feed.recovery import record_key
 from thistleline.config_feed.table import PARTIAL_PREFIXES, entry_hash
-from thistleline.lab.feedfleet import FeedFleet
-from thistleline.lab.harness import RunTimeoutError, free_port, run_folder
+from thistleline.lab.processes.feed_fleet import FeedFleet
+from thistleline.lab.processes.harness import RunTimeoutError, free_port, run_folder
 from thistleline.lab.scale import slopes
 from thistleline.lab.scale.feed import DAY, HOT, Load, made_table, route_key, route_value
 from thistleline.lab.scale.followers import Report, Told
--- a/thistleline/lab/scale/followers.py
+++ b/thistleline/lab/scale/followers.py
@@ -28,8 +28,8 @@
 from thistleline.config_feed.lookups import LookupCache
 from thistleline.config_feed.messages import Kind, SnapshotPart
 from thistleline.config_feed.table import PARTIAL_PREFIXES, FeedTable
-from thistleline.lab.feedrun import Shared
 from thistleline.lab.scale.feed import HOT, LOOKS, tenant_key
+from thistleline.lab.simulation.feed_fleet import Shared
 from thistleline.transport.codec import FrameDecoder, encode_frame
 
 PARTS_KEPT, TABLES_KEPT = 4_000, 8
--- a/thistleline/lab/scale/instance.py
+++ b/thistleline/lab/scale/instance.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from thistleline.lab.harness import RunTimeoutError, free_port, run_folder
 from thistleline.lab.ledger import SETTINGS
+from thistleline.lab.processes.harness import RunTimeoutError, free_port, run_folder
 
 PATIENCE = 15.0  # s for the instance to serve
 HOST = "127.0.0.1"
@@ -52,8 +52,9 @@
     run_ms: float, connections: int, fault: dict[str, Any] | None = None, program: str = ""
 ) -> Iterator[Instance]:
     """One that serves, at an agent whose runs take so long, and that may have so many connections open; with
-    a fault of lab/server.py built in where one is told, or another program in its place. It is ended by
-    SIGKILL, the agent by its standard input. Raises RunTimeoutError where it doesn't come to serve."""
+    a fault of processes/faulty_server.py built in where one is told, or another program in its place. It is
+    ended by SIGKILL, the agent by its standard input. Raises RunTimeoutError where it doesn't come to
+    serve."""
     with run_folder("scale", "lab scale") as folder:
         words = [sys.executable, "-m", "thistleline.lab.scale.agent", f"{run_ms:g}"]
         agent = subprocess.Popen(words, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
@@ -71,7 +72,7 @@
             env.pop("THISTLELINE_CONF", None)
             env["LAB_FAULT"] = json.dumps(fault or {})
             with log.open("wb") as out:
-                usual = "thistleline" if fault is None else "thistleline.lab.server"
+                usual = "thistleline" if fault is None else "thistleline.lab.processes.faulty_server"
                 command = [sys.executable, "-m", program or usual]
                 server = subprocess.Popen(command, env=env, stdout=out, stderr=out)
             until = time.monotonic() + PATIENCE
--- a/thistleline/lab/feedrun.py
+++ b/thistleline/lab/simulation/feed_fleet.py
@@ -73,7 +73,7 @@
     WriteDenied,
     WriterEvent,
 )
-from thistleline.lab.mutants import without
+from thistleline.lab.simulation.lease_mutants import without
 from thistleline.lease import holder_effects
 from thistleline.lease.holder import LeaseHolder
 from thistleline.lease.holder_effects import SendRequest
--- a/thistleline/lab/feedmutants.py
+++ b/thistleline/lab/simulation/feed_mutants.py
@@ -20,9 +20,17 @@
 from thistleline.config_feed.writer import FeedWriter
 from thistleline.config_feed.writer_effects import WriterEffect
 from thistleline.config_feed.writer_events import WriteDenied, WriterEvent, WriteUnanswered
-from thistleline.lab.explore import Explored, explore
-from thistleline.lab.feedworld import FeedWorld, Scenario, begin, changed, fleet, following, settle
-from thistleline.lab.mutants import account, mutant, without
+from thistleline.lab.simulation.explorer import Explored, explore
+from thistleline.lab.simulation.feed_world import (
+    FeedWorld,
+    Scenario,
+    begin,
+    changed,
+    fleet,
+    following,
+    settle,
+)
+from thistleline.lab.simulation.lease_mutants import account, mutant, without
 from thistleline.lease.table import LeaseTable as Council
 
 DEPTH = 60
--- a/thistleline/lab/feedworld.py
+++ b/thistleline/lab/simulation/feed_world.py
@@ -59,7 +59,7 @@
     WriteDenied,
     WriteUnanswered,
 )
-from thistleline.lab.feedrun import Instance
+from thistleline.lab.simulation.feed_fleet import Instance
 from thistleline.lease.protocol import Acquire, Break, Denied, Granted, Put
 from thistleline.lease.table import LeaseTable as Council
 from thistleline.lease.table import encode_decision
--- a/thistleline/lab/leasecost.py
+++ b/thistleline/lab/simulation/lease_costs.py
@@ -15,7 +15,7 @@
 from thistleline.consensus.replica import Replica
 from thistleline.consensus.state import RaftTiming
 from thistleline.consensus.store import ReplicaStore
-from thistleline.lab.virtual import MS, SimulatedCluster
+from thistleline.lab.simulation.replica_cluster import MS, SimulatedCluster
 from thistleline.lease.effects import SendAnswer
 from thistleline.lease.events import Event, RequestReceived
 from thistleline.lease.protocol import Acquire, Granted, Op, Release, Renew, Renewed
--- a/thistleline/lab/mutants.py
+++ b/thistleline/lab/simulation/lease_mutants.py
@@ -15,8 +15,8 @@
 from thistleline.consensus.records import VoteRecord
 from thistleline.consensus.replica import Replica
 from thistleline.consensus.state import Phase, ReplicaState
-from thistleline.lab.explore import Explored, explore
-from thistleline.lab.leaseworld import (
+from thistleline.lab.simulation.explorer import Explored, explore
+from thistleline.lab.simulation.lease_world import (
     LeaseWorld,
     Scenario,
     begin,
--- a/thistleline/lab/polledrun.py
+++ b/thistleline/lab/simulation/polled_settings.py
@@ -1,6 +1,6 @@
 """What is there today, in virtual time: stewards that ask the council for their want each `POLL` s and load a
-whole record of the settings when the want names another. Beside lab/feedrun.py: the same regions, delays and
-line rates, the same changes. The council's table is the real one, sizes are those of its messages.
+whole record of the settings when the want names another. Beside simulation/feed_fleet.py: the same regions,
+delays and line rates, the same changes. The council's table is the real one, sizes are those of its messages.
 
 Best case for today in all that is not counted here: a steward has the settings in force once it has read
 them, no server is replaced one after the other; one that was on its way to older settings gets the newest;
@@ -16,7 +16,7 @@
 
 from thistleline.config_feed.limits import MS, SECOND
 from thistleline.config_feed.messages import Propose
-from thistleline.lab.feedrun import HEAD, LINE, PLENTY, SYNC, Clock, delays
+from thistleline.lab.simulation.feed_fleet import HEAD, LINE, PLENTY, SYNC, Clock, delays
 from thistleline.lease.protocol import MAX_VALUE_SIZE, Done, Get, Got, Put
 from thistleline.lease.table import LeaseTable, encode_decision
 from thistleline.lease.wire import Reply, Request, encode
