--- a/thistleline/lab/processes/machines.py
+++ b/thistleline/lab/processes/machines.py
@@ -33,7 +33,7 @@
 from thistleline.supervisor.model import Version
 from thistleline.supervisor.releases import Releases
 
-ROOT = Path(__file__).parent.parent.parent
+ROOT = Path(__file__).resolve().parents[3]
 REPORT_INTERVAL = 0.5  # s between two reports of a server's metrics
 RATE = 12.0  # bookings a second to a machine
 BOOKING_TIMEOUT = 6.0  # s that a caller retries a booking
