--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -15,14 +15,23 @@
 
 from thistleline.cli.main import entry
 from thistleline.interface import ServerSettings
-from thistleline.lab.scale import PARTS, settled, slopes
-from thistleline.lab.scale.budget import Measured, Unknown, candidates, lines
-from thistleline.lab.scale.page import PAGE, Runs, Unusable, drift, figure_tables, filled, read_runs, tables
+from thistleline.lab.scale import PARTS, slopes, without_times
+from thistleline.lab.scale.budget import Measurements, NotMeasuredError, budget_lines, rank_candidates
+from thistleline.lab.scale.page import (
+    PAGE,
+    PageError,
+    Runs,
+    drift,
+    figure_tables,
+    fill_tables,
+    read_runs,
+    tables,
+)
 from thistleline.lab.scale.page import main as page_command
 from thistleline.lab.scale.settings_costs import Carried, steps_of_look
 from thistleline.lab.scale.settings_text import text_of
 from thistleline.lab.scale.size import FOLDER, read_plan, size
-from thistleline.lab.scale.slopes import Part, Row, judge, memory_of, no_worse, row, steps_of
+from thistleline.lab.scale.slopes import Part, Row, grows_within, judge, memory_of, row, steps_of
 from thistleline.lab.scale.tenants import (
     born,
     policy_of,
@@ -149,7 +158,7 @@
 def held_to(name: str, promised: Any, sizes: tuple[int, ...], values: list[int], at: str) -> None:
     found = row(name, "count", "steps", "one", sizes, values, size(at))
     told = dict(zip(sizes, values, strict=True))
-    assert no_worse(found, promised), f"{name} is promised {promised}: {told}"
+    assert grows_within(found, promised), f"{name} is promised {promised}: {told}"
 
 
 def test_a_task_costs_the_same_whatever_tenants_there_are() -> None:
@@ -246,7 +255,7 @@
     values = [steps_of_task(doctored(settings_for(3, n, 1))) for n in SIZES]
     found = row("a task", "count", "steps", "tenant", SIZES, values, size("tenants"))
     assert found["shape"] == "linear"
-    assert not no_worse(found, "flat")
+    assert not grows_within(found, "flat")
     assert judge([found], {"a task": "flat"}) == {"a task: flat": False}
     with pytest.raises(AssertionError, match="promised flat"):
         held_to("a task", "flat", SIZES, values, "tenants")
@@ -255,7 +264,7 @@
 def test_a_line_hidden_under_a_base_is_not_taken_for_flat() -> None:
     found = of([1000 + 0.1 * n for n in SIZES], at=1_300_000)
     assert found["exponent"] < 0.15
-    assert not no_worse(found, "flat")
+    assert not grows_within(found, "flat")
 
 
 def test_a_read_that_compares_each_with_each_is_called_square() -> None:
@@ -266,27 +275,27 @@
     values = [steps_of(lambda bench=bench: read(bench)) for bench in benches]  # type: ignore[misc]
     found = row("read", "count", "steps", "stage", SIZES, values, size("routes"))
     assert found["shape"] == "square"
-    assert not no_worse(found, "linear")
-    assert no_worse(found, "square")
+    assert not grows_within(found, "linear")
+    assert grows_within(found, "square")
 
 
 def test_a_cube_is_worse_than_a_square() -> None:
-    assert not no_worse(of([float(n) ** 3 for n in SIZES]), "square")
+    assert not grows_within(of([float(n) ** 3 for n in SIZES]), "square")
 
 
 # ---- budgets
 
 
-def measured(**figures: Any) -> Measured:
+def measured(**figures: Any) -> Measurements:
     found = of([2.0 * n for n in SIZES], at=1000)
     timed = Row(**{**found, "name": "t", "kind": "time", "unit": "loops"})
-    return Measured({"limit": 3000, "other": 4}, {"p": [found, timed]}, {"p": {"loop_s": 0.5, **figures}})
+    return Measurements({"limit": 3000, "other": 4}, {"p": [found, timed]}, {"p": {"loop_s": 0.5, **figures}})
 
 
 def line(limit: float, *parts: list[Any]) -> Any:
     told = {"name": "b", "unit": "bytes", "limit": [limit], "carried_by": "it",
             "part": [{"what": f"w{place}", "is": terms} for place, terms in enumerate(parts)]}  # fmt: skip
-    return lines([told], measured())[0]
+    return budget_lines([told], measured())[0]
 
 
 @pytest.mark.parametrize(
@@ -313,19 +322,19 @@
     assert known.product(["slope p/x"]) == pytest.approx(2.0)
     assert known.product(["slope p/t"]) == pytest.approx(1.0)  # in seconds
     assert known.product(["figure p/none"]) is None
-    with pytest.raises(Unknown):
+    with pytest.raises(NotMeasuredError):
         known.value("row p/none")
     with pytest.raises(ValueError, match="no term"):
         known.value("speed of light")
-    assert known.beyond(["row p/x"])
+    assert known.is_extrapolated(["row p/x"])
 
 
 def test_a_figure_made_of_several_is_told_by_its_way() -> None:
-    measured = Measured({}, {}, {"feed": {"cases": {"calm": {"last_ms": 400}}, "a/b": 3}})
+    measured = Measurements({}, {}, {"feed": {"cases": {"calm": {"last_ms": 400}}, "a/b": 3}})
     assert measured.value("figure feed/cases/calm/last_ms") == 400
     assert measured.value("figure feed/a/b") == 3
     for unknown in ("feed/cases/calm", "feed/cases/calm/last_ms/more", "feed/cases/storm/last_ms", "none/x"):
-        with pytest.raises(Unknown):
+        with pytest.raises(NotMeasuredError):
             measured.value(f"figure {unknown}")
 
 
@@ -333,7 +342,7 @@
     def told(name: str, need: list[Any], carries: list[Any]) -> dict[str, Any]:
         return {"name": name, "unit": "u", "need": need, "carries": carries, "carried_by": "x", "bound": "y"}
 
-    found = candidates([told("a", [4], [2]), told("b", [], [2]), told("c", [90], [9])], measured())
+    found = rank_candidates([told("a", [4], [2]), told("b", [], [2]), told("c", [90], [9])], measured())
     assert [(one.name, one.ratio) for one in found] == [("c", 10.0), ("a", 2.0), ("b", None)]
 
 
@@ -371,14 +380,14 @@
 
 
 def test_the_tables_are_filled_and_the_words_between_stay() -> None:
-    made = filled(TEXT, tables(Runs({"one.json": a_run()}), PLAN))
+    made = fill_tables(TEXT, tables(Runs({"one.json": a_run()}), PLAN))
     assert "old" not in made
     assert "| x | 10, 30, 100, 300 | 1 | 2 steps a thing | linear, n^1.00 | 0.0% |" in made
     assert "| 20,000 steps at 10,000 | beyond 300 |" in made
     assert made.startswith("# Words\n")
     assert "\nmore words\n" in made
     assert "| one.json | p | 1 | long | 1 of 1 |" in made
-    assert filled(made, tables(Runs({"one.json": a_run()}), PLAN)) == made
+    assert fill_tables(made, tables(Runs({"one.json": a_run()}), PLAN)) == made
 
 
 def test_a_figure_made_of_several_is_a_table_of_its_own() -> None:
@@ -407,9 +416,9 @@
 
 
 def test_a_run_that_changed_is_caught() -> None:
-    before = filled(TEXT, tables(Runs({"one.json": a_run()}), PLAN))
+    before = fill_tables(TEXT, tables(Runs({"one.json": a_run()}), PLAN))
     after = a_run(rows={"p": [of([3.0 * n for n in SIZES])]})
-    assert drift(before, filled(before, tables(Runs({"one.json": after}), PLAN)))
+    assert drift(before, fill_tables(before, tables(Runs({"one.json": after}), PLAN)))
 
 
 @pytest.mark.parametrize(
@@ -422,22 +431,22 @@
     ],
 )
 def test_a_page_that_cannot_be_filled_says_why(text: str, why: str) -> None:
-    with pytest.raises(Unusable, match=why):
-        filled(text, tables(Runs({"one.json": a_run()}), PLAN))
+    with pytest.raises(PageError, match=why):
+        fill_tables(text, tables(Runs({"one.json": a_run()}), PLAN))
 
 
 def test_two_runs_of_one_part_or_none_at_all_are_refused(tmp_path: Path) -> None:
-    with pytest.raises(Unusable, match="already"):
+    with pytest.raises(PageError, match="already"):
         Runs({"one.json": a_run(), "two.json": a_run()})
     (tmp_path / "one.json").write_text("[1]")
-    with pytest.raises(Unusable, match="no run"):
+    with pytest.raises(PageError, match="no run"):
         read_runs(tmp_path)
 
 
 def test_the_page_says_what_the_runs_gave() -> None:
     page = PAGE.read_text(encoding="utf-8")
     assert re.search("<!-- table ", page)
-    assert drift(page, filled(page, tables(read_runs(FOLDER), read_plan()))) == []
+    assert drift(page, fill_tables(page, tables(read_runs(FOLDER), read_plan()))) == []
 
 
 def test_steps_are_the_same_whatever_is_there_to_collect() -> None:
@@ -463,8 +472,8 @@
     import thistleline.lab.scale as scale
 
     parts = ("council", "tenants")
-    beside, lines = list(scale._measured(parts, True, 1, lambda line: None)), list[str]()
-    alone = [next(scale._measured((part,), True, 1, lines.append)) for part in parts]
+    beside, lines = list(scale._measure_parts(parts, True, 1, lambda line: None)), list[str]()
+    alone = [next(scale._measure_parts((part,), True, 1, lines.append)) for part in parts]
     assert [one["bars"] for one in beside] == [one["bars"] for one in alone]
     counts = [
         [(row["name"], row["values"]) for one in told for row in one["rows"] if row["kind"] == "count"]
@@ -515,7 +524,7 @@
 
 def test_a_budget_of_a_quick_run_does_not_rest_on_times() -> None:
     timed = Row(**{**of([2.0 * n for n in SIZES]), "name": "t", "kind": "time", "unit": "loops"})
-    rows = settled({"p": [of([2.0 * n for n in SIZES]), timed]})
+    rows = without_times({"p": [of([2.0 * n for n in SIZES]), timed]})
     assert [one["name"] for one in rows["p"]] == ["x"]
 
 
--- a/thistleline/lab/scale/budget.py
+++ b/thistleline/lab/scale/budget.py
@@ -1,13 +1,14 @@
-"""What the measured slopes spend of each budget at the size planned for, and which need is furthest beyond
-what carries it. The budgets are settings (`docs/capacity/size.toml`); nothing here knows a number.
+"""What measured slopes spend of each budget at the planned size, and which need most exceeds its capacity.
 
-A value is a product of terms: a number, or two words of which the first says where it is from:
+The budgets are settings (`docs/capacity/size.toml`); this module holds no numbers.
 
-    size NAME          of the part `size`
-    code MODULE.NAME   a bound in the code
-    row PART/NAME      a slope carried to the size; loops in seconds of CPU
-    slope PART/NAME    a one more of it, in the same units
-    figure PART/NAME   another figure of a run; of one made of several PART/NAME/WHICH
+A value is a product of terms: a number, or a source and a name:
+
+    size NAME          of the table `size`
+    code MODULE.NAME   a limit in the code
+    row PART/NAME      a cost extrapolated to the planned size; loops in seconds of CPU
+    slope PART/NAME    its cost for one more, in the same units
+    figure PART/NAME   another figure of a run; PART/NAME/WHICH of one made of several
 
 A term that begins with `per ` divides. A product without terms, or with one that no run has, is not measured.
 """
@@ -20,18 +21,26 @@
 Verdict = Literal["held", "missed", "not measured"]
 
 
-class Unknown(Exception):
-    """No run has it."""
+class NotMeasuredError(Exception):
+    """No run has measured the term."""
+
 
+class Measurements:
+    """Sizes, rows and figures by which terms are evaluated."""
 
-class Measured:
     def __init__(self, size: dict[str, Any], rows: dict[str, list[Row]], figures: dict[str, Any]) -> None:
-        """`rows` and `figures` by part, as one or several runs left them."""
-        self.size, self.figures = size, figures
+        """Take `rows` and `figures` by part, as one or several runs left them."""
+        self.size = size
+        self.figures = figures
         self.rows = {f"{part}/{row['name']}": (part, row) for part, found in rows.items() for row in found}
 
     def value(self, term: Any) -> float:
-        """Raises Unknown, and ValueError for a term that says nothing."""
+        """Evaluate one term.
+
+        Raises:
+            NotMeasuredError: No run has it.
+            ValueError: The term is malformed.
+        """
         if isinstance(term, int | float):
             return float(term)
         kind, _, what = str(term).partition(" ")
@@ -43,74 +52,80 @@
             module, _, name = what.rpartition(".")
             return float(getattr(importlib.import_module(module), name))
         if kind in ("row", "slope"):
-            if what not in self.rows:
-                raise Unknown(what)
-            part, row = self.rows[what]
-            if kind == "slope" and row["shape"] not in ("linear", "flat"):
-                raise Unknown(f"{what} has no one slope")
-            value = row["at_size"] if kind == "row" else row["slope"]
-            return value * (self.figures[part]["loop_s"] if row["unit"] == "loops" else 1.0)
+            return self._row_value(kind, what)
         if kind == "figure":
-            told = self._figure(what)
-            if not isinstance(told, int | float):
-                raise Unknown(what)
-            return float(told)
+            figure = self._figure(what)
+            if not isinstance(figure, int | float):
+                raise NotMeasuredError(f"no run has {what}")
+            return float(figure)
         raise ValueError(f"{term!r} is no term")
 
+    def _row_value(self, kind: str, what: str) -> float:
+        if what not in self.rows:
+            raise NotMeasuredError(f"no run has {what}")
+        part, row = self.rows[what]
+        if kind == "slope" and row["shape"] not in ("linear", "flat"):
+            raise NotMeasuredError(f"{what} has no one slope")
+        value = row["at_size"] if kind == "row" else row["slope"]
+        return value * (self.figures[part]["loop_s"] if row["unit"] == "loops" else 1.0)
+
     def _figure(self, what: str) -> Any:
         part, _, name = what.partition("/")
-        told: Any = self.figures.get(part, {})
-        if name in told:
-            return told[name]
+        found: Any = self.figures.get(part, {})
+        if name in found:
+            return found[name]
         for step in name.split("/"):  # of a figure that is made of several
-            told = told.get(step) if isinstance(told, dict) else None
-        return told
+            found = found.get(step) if isinstance(found, dict) else None
+        return found
 
     def product(self, terms: list[Any]) -> float | None:
-        """Nothing where it is not measured."""
+        """Return the product of the terms, or None where one is not measured or there are none."""
         if not terms:
             return None
-        whole = 1.0
+        product = 1.0
         try:
             for term in terms:
-                whole *= self.value(term)
-        except Unknown:
+                product *= self.value(term)
+        except NotMeasuredError:
             return None
-        return whole
+        return product
 
-    def beyond(self, terms: list[Any]) -> bool:
-        """Whether a slope in it was carried beyond the sizes that were measured."""
+    def is_extrapolated(self, terms: list[Any]) -> bool:
+        """Return whether a row among the terms is extrapolated beyond its measured sizes."""
         names = [str(term).removeprefix("per ").removeprefix("row ").removeprefix("slope ") for term in terms]
         return any(name in self.rows and not self.rows[name][1]["inside"] for name in names)
 
 
 class Line(NamedTuple):
-    """A budget; `spent` by what spends it, nothing where that is not measured."""
+    """A budget and what is spent of it; `spent` is None for each item that is not measured."""
 
     name: str
     unit: str
     limit: float
     spent: dict[str, float | None]
-    beyond: tuple[str, ...]  # what of it was carried beyond the measured sizes
+    beyond: tuple[str, ...]  # items extrapolated beyond the measured sizes
     carried_by: str  # the mechanism, or missing
-    bound: str  # the first in code that stands in the way
+    bound: str  # the limit in the code that is reached first
 
     @property
     def sum(self) -> float:
+        """Total of the measured items."""
         return sum(one for one in self.spent.values() if one is not None)
 
     @property
     def unknown(self) -> list[str]:
+        """Items that are not measured."""
         return [what for what, one in self.spent.items() if one is None]
 
     @property
     def verdict(self) -> Verdict:
-        """What is known may be too much already; it is never enough for 'held' while a part is not known."""
+        """The verdict: a known part can miss the limit alone, but 'held' needs every item measured."""
         if self.sum > self.limit:
             return "missed"
         return "not measured" if self.unknown or not self.spent else "held"
 
-    def words(self) -> str:
+    def describe(self) -> str:
+        """Format as one line."""
         left = f", not measured: {', '.join(self.unknown)}" if self.unknown else ""
         return (
             f"{self.verdict}: {number(self.sum)} of {number(self.limit)} {self.unit}{left}; "
@@ -119,7 +134,7 @@
 
 
 class Candidate(NamedTuple):
-    """A mechanism that may be missing first."""
+    """A mechanism that may be the first to fall short."""
 
     name: str
     unit: str
@@ -131,9 +146,11 @@
 
     @property
     def ratio(self) -> float | None:
+        """Need over capacity; None where either is not measured."""
         return None if self.need is None or not self.carries else self.need / self.carries
 
-    def words(self) -> str:
+    def describe(self) -> str:
+        """Format as one line."""
         if self.ratio is None or self.need is None or self.carries is None:
             return f"not measured; first bound {self.bound}"
         return (
@@ -142,32 +159,39 @@
         )
 
 
-def lines(told: list[dict[str, Any]], measured: Measured) -> list[Line]:
-    """Raises KeyError, ValueError, AttributeError, ImportError for settings that name what isn't there."""
+def budget_lines(budgets: list[dict[str, Any]], measurements: Measurements) -> list[Line]:
+    """Evaluate each budget of the settings.
+
+    Raises:
+        KeyError: A budget lacks a key.
+        ValueError: A term is malformed, or a limit is not measured.
+        AttributeError: A `code` term names a constant that does not exist.
+        ImportError: A `code` term names a module that does not exist.
+    """
     found = []
-    for one in told:
-        limit = measured.product(one["limit"])
+    for one in budgets:
+        limit = measurements.product(one["limit"])
         if limit is None:
             raise ValueError(f"{one['name']}: its limit is not known")
-        spent = {part["what"]: measured.product(part["is"]) for part in one["part"]}
-        beyond = tuple(part["what"] for part in one["part"] if measured.beyond(part["is"]))
+        spent = {part["what"]: measurements.product(part["is"]) for part in one["part"]}
+        beyond = tuple(part["what"] for part in one["part"] if measurements.is_extrapolated(part["is"]))
         bound = one.get("bound", "none known")
         found.append(Line(one["name"], one["unit"], limit, spent, beyond, one["carried_by"], bound))
     return found
 
 
-def candidates(told: list[dict[str, Any]], measured: Measured) -> list[Candidate]:
-    """The furthest beyond first; what is not measured last."""
+def rank_candidates(settings: list[dict[str, Any]], measurements: Measurements) -> list[Candidate]:
+    """Evaluate the candidates, the largest ratio first and those not measured last."""
     found = [
         Candidate(
             one["name"],
             one["unit"],
-            measured.product(one["need"]),
-            measured.product(one["carries"]),
-            measured.beyond([*one["need"], *one["carries"]]),
+            measurements.product(one["need"]),
+            measurements.product(one["carries"]),
+            measurements.is_extrapolated([*one["need"], *one["carries"]]),
             one["carried_by"],
             one["bound"],
         )
-        for one in told
+        for one in settings
     ]
     return sorted(found, key=lambda one: -1.0 if one.ratio is None else one.ratio, reverse=True)
--- a/thistleline/lab/scale/page.py
+++ b/thistleline/lab/scale/page.py
@@ -1,5 +1,4 @@
-"""The tables of docs/CAPACITY.md, made from the JSON lines of long runs by
-`python -m thistleline.lab.scale.page`.
+"""Generate the tables of docs/CAPACITY.md from the JSON of long runs: `python -m thistleline.lab.scale.page`.
 
 A table stands between `<!-- table NAME -->` and `<!-- end -->`. NAME is a part of a run, `budget`,
 `candidates` or `runs`. With --check nothing is written; exit code 1 and what differs where page and runs have
@@ -15,7 +14,7 @@
 
 import click
 
-from thistleline.lab.scale.budget import Measured, candidates, lines
+from thistleline.lab.scale.budget import Measurements, budget_lines, rank_candidates
 from thistleline.lab.scale.size import FOLDER, read_plan
 from thistleline.lab.scale.slopes import Row, number, per_one
 
@@ -24,58 +23,67 @@
 OPENS = re.compile(r"<!-- table (.*?) -->")
 
 
-class Unusable(Exception):
+class PageError(Exception):
     """The runs, or the page, can't be made into tables."""
 
 
 class Runs:
-    """All that the long runs left, by part."""
+    """Rows and figures of the long runs, by part."""
 
-    def __init__(self, told: dict[str, dict[str, Any]]) -> None:
-        """`told`: by name of the file. Raises Unusable."""
-        self.told = told
+    def __init__(self, runs: dict[str, dict[str, Any]]) -> None:
+        """Merge the runs, given by file name.
+
+        Raises:
+            PageError: Two runs have the same part.
+        """
+        self.by_file = runs
         self.rows: dict[str, list[Row]] = {}
         self.figures: dict[str, Any] = {}
-        for name, run in sorted(told.items()):
+        for name, run in sorted(runs.items()):
             for part, rows in run["rows"].items():
                 if part in self.rows:
-                    raise Unusable(f"{name}: another run has the part {part!r} already")
+                    raise PageError(f"{name}: another run has the part {part!r} already")
                 self.rows[part] = rows
                 self.figures[part] = run["figures"][part]
 
 
 def read_runs(folder: Path) -> Runs:
-    """Raises Unusable, OSError."""
-    told = {}
+    """Read every JSON file of the folder as a run.
+
+    Raises:
+        PageError: A file is not a run of `lab scale`, or two have the same part.
+        OSError: A file can't be read.
+    """
+    found = {}
     for place in sorted(folder.glob("*.json")):
         try:
             run = json.loads(place.read_text())
         except ValueError as error:
-            raise Unusable(f"{place.name}: {error}") from error
+            raise PageError(f"{place.name}: {error}") from error
         if not isinstance(run, dict) or not {"rows", "figures", "bars", "seed", "quick"} <= set(run):
-            raise Unusable(f"{place.name} is no run of `lab scale`")
-        told[place.name] = run
-    return Runs(told)
+            raise PageError(f"{place.name} is no run of `lab scale`")
+        found[place.name] = run
+    return Runs(found)
 
 
-def text(heads: Iterable[str], rows: Iterable[Iterable[str]]) -> str:
-    """In Markdown."""
-    told = [list(heads), *map(list, rows)]
-    told.insert(1, ["---"] * len(told[0]))
-    return "".join("| " + " | ".join(one.replace("|", "\\|") for one in line) + " |\n" for line in told)
+def markdown_table(heads: Iterable[str], rows: Iterable[Iterable[str]]) -> str:
+    """Format a Markdown table."""
+    table = [list(heads), *map(list, rows)]
+    table.insert(1, ["---"] * len(table[0]))
+    return "".join("| " + " | ".join(one.replace("|", "\\|") for one in line) + " |\n" for line in table)
 
 
 def part_table(rows: list[Row], loop_s: float | None) -> str:
-    """`loop_s`: seconds of CPU that the reference loop took in that run."""
+    """Format a part's rows; `loop_s` is the CPU time of the reference loop in that run, in seconds."""
 
     def at_size(row: Row) -> str:
-        told = f"{number(row['at_size'])} {row['unit']}"
+        shown = f"{number(row['at_size'])} {row['unit']}"
         if row["unit"] == "loops" and loop_s is not None:
-            told += f", {number(row['at_size'] * loop_s)} s of CPU"
-        return f"{told} at {row['at']:,}"
+            shown += f", {number(row['at_size'] * loop_s)} s of CPU"
+        return f"{shown} at {row['at']:,}"
 
     heads = ("what", "sizes", "repeats", "slope", "shape", "residual", "at the size", "range", "note")
-    return text(heads, (
+    return markdown_table(heads, (
         (row["name"], ", ".join(f"{n:,}" for n in row["sizes"]), str(row["repeats"]), per_one(row),
          f"{row['shape']}, n^{row['exponent']:.2f}", f"{row['residual']:.1%}", at_size(row),
          "inside" if row["inside"] else f"beyond {row['range'][1]:,}", row["note"])
@@ -84,43 +92,49 @@
 
 
 def figure_tables(part: str, figures: dict[str, Any]) -> dict[str, str]:
-    """`PART/NAME` for each figure that is made of several, a line each where these are made of several too,
-    which are tables of their own besides; and `PART/WORD` for all figures `WORD: ...` that are one number."""
+    """Return the tables of a part's figures by name.
+
+    `PART/NAME` is a figure made of several, one line for each; those made of several again also get a table
+    of their own. `PART/WORD` collects all figures named `WORD: ...` that are one number.
+    """
     found: dict[str, str] = {}
-    words: dict[str, list[tuple[str, str]]] = {}
+    prefixed: dict[str, list[tuple[str, str]]] = {}
     for name, value in figures.items():
         if isinstance(value, dict) and value:
             found[f"{part}/{name}"] = _figure_table(value)
             found |= figure_tables(f"{part}/{name}", value)
         elif isinstance(value, int | float) and ": " in name:
-            word, _, what = name.partition(": ")
-            words.setdefault(word, []).append((what.replace("_", " "), amount_of(value)))
-    return found | {f"{part}/{word}": text(("what", "figure"), told) for word, told in words.items()}
+            prefix, _, what = name.partition(": ")
+            prefixed.setdefault(prefix, []).append((what.replace("_", " "), amount_of(value)))
+    return found | {
+        f"{part}/{prefix}": markdown_table(("what", "figure"), lines) for prefix, lines in prefixed.items()
+    }
 
 
-def _figure_table(told: dict[str, Any]) -> str:
-    inner = [one for one in told.values() if isinstance(one, dict)]
+def _figure_table(figure: dict[str, Any]) -> str:
+    inner = [one for one in figure.values() if isinstance(one, dict)]
     heads = list(dict.fromkeys(name for one in inner for name in one))
     rows = [
         (name, *(amount_of(one.get(head, "")) for head in heads))
-        for name, one in told.items()
+        for name, one in figure.items()
         if isinstance(one, dict)
     ]
     if not rows:
-        plain = ((name.replace("_", " "), amount_of(one)) for name, one in told.items())
-        return text(("what", "figure"), plain)
-    return text(("", *(head.replace("_", " ") for head in heads)), rows)
+        plain = ((name.replace("_", " "), amount_of(one)) for name, one in figure.items())
+        return markdown_table(("what", "figure"), plain)
+    return markdown_table(("", *(head.replace("_", " ") for head in heads)), rows)
 
 
 def amount_of(value: Any) -> str:
+    """Format a figure; floats to four significant digits."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         return str(value)
     return f"{value:,}" if isinstance(value, int) else f"{value:,.4g}"
 
 
 def tables(runs: Runs, plan: dict[str, Any]) -> dict[str, str]:
-    """By name."""
-    measured = Measured(plan["size"], runs.rows, runs.figures)
+    """Return every table of the page by name."""
+    measurements = Measurements(plan["size"], runs.rows, runs.figures)
     found = {part: part_table(rows, runs.figures[part].get("loop_s")) for part, rows in runs.rows.items()}
 
     def amount(value: float | None) -> str:
@@ -129,43 +143,47 @@
     for part, figures in runs.figures.items():
         found |= figure_tables(part, figures)
     heads = ("budget", "what spends it", "spent", "limit", "left", "verdict", "carried by", "first bound")
-    found["budget"] = text(heads, (
+    found["budget"] = markdown_table(heads, (
         (one.name, "; ".join(f"{what} {amount(value)}" + (" (beyond)" if what in one.beyond else "")
                              for what, value in one.spent.items()),
          number(one.sum), f"{number(one.limit)} {one.unit}", number(one.limit - one.sum), one.verdict,
          one.carried_by, f"`{one.bound}`")
-        for one in lines(plan["budget"], measured)
+        for one in budget_lines(plan["budget"], measurements)
     ))  # fmt: skip
-    found["candidates"] = text(("what", "need", "carried", "ratio", "by", "first bound"), (
+    found["candidates"] = markdown_table(("what", "need", "carried", "ratio", "by", "first bound"), (
         (one.name, f"{amount(one.need)} {one.unit}" + (" (beyond)" if one.beyond else ""),
          amount(one.carries), "not measured" if one.ratio is None else f"{number(one.ratio)} times",
          one.carried_by, f"`{one.bound}`")
-        for one in candidates(plan["candidate"], measured)
+        for one in rank_candidates(plan["candidate"], measurements)
     ))  # fmt: skip
-    found["runs"] = text(("run", "parts", "seed", "length", "bars held"), (
+    found["runs"] = markdown_table(("run", "parts", "seed", "length", "bars held"), (
         (name, ", ".join(run["rows"]), str(run["seed"]), "quick" if run["quick"] else "long",
          f"{sum(run['bars'].values())} of {len(run['bars'])}")
-        for name, run in sorted(runs.told.items())
+        for name, run in sorted(runs.by_file.items())
     ))  # fmt: skip
     return found
 
 
-def filled(page: str, found: dict[str, str]) -> str:
-    """The page with its tables made anew. Raises Unusable for one that no run has, or that doesn't end."""
+def fill_tables(page: str, found: dict[str, str]) -> str:
+    """Return the page with its tables regenerated.
+
+    Raises:
+        PageError: A table is in no run, or its markers don't match.
+    """
     whole = [one["name"] for one in TABLE.finditer(page)]
     opened = OPENS.findall(page)
     if whole != opened:
-        raise Unusable(f"a table does not end before the next: {', '.join(opened)}")
+        raise PageError(f"a table does not end before the next: {', '.join(opened)}")
     if "<!-- table" in TABLE.sub("", page) or page.count("<!-- end -->") != len(whole):
-        raise Unusable("an end without its table")
+        raise PageError("an end without its table")
     unknown = [name for name in whole if name not in found]
     if unknown:
-        raise Unusable(f"no run has the tables {', '.join(unknown)}; there are {', '.join(found)}")
+        raise PageError(f"no run has the tables {', '.join(unknown)}; there are {', '.join(found)}")
     return TABLE.sub(lambda one: one[1] + found[one["name"]] + one["end"], page)
 
 
 def drift(page: str, made: str) -> list[str]:
-    """What differs, a line each; nothing where page and runs agree."""
+    """Return the lines that differ between the page and the generated one; none where they agree."""
     before, after = page.splitlines(), made.splitlines()
     return list(difflib.unified_diff(before, after, "the page", "the runs", lineterm="", n=0))
 
@@ -178,8 +196,8 @@
     """Make the tables of docs/CAPACITY.md from the runs in docs/capacity/."""
     try:
         before = place.read_text(encoding="utf-8")
-        made = filled(before, tables(read_runs(folder), read_plan()))
-    except (OSError, Unusable) as error:
+        made = fill_tables(before, tables(read_runs(folder), read_plan()))
+    except (OSError, PageError) as error:
         click.echo(str(error), err=True)
         raise SystemExit(2) from error
     if check:
--- a/thistleline/lab/scale/settings_text.py
+++ b/thistleline/lab/scale/settings_text.py
@@ -1,25 +1,26 @@
-"""Settings of a size, as text: stages and tenants as sites write them, numbers by the seed."""
+"""Generated server settings of a given size: stages and tenants as sites write them, numbers by seed."""
 
 import json
 from random import Random
 from typing import Any
 
 EFFECTS = ("read_like", "read_like", "idempotency_key", "non_idempotent")
-LEVELS = 5  # utilities that differ
+UTILITY_COUNT = 5  # distinct utilities
 
 
 def settings_of(stages: int, tenants: int, seed: int) -> dict[str, Any]:
-    """What a server is told when it starts."""
-    chance = Random(seed)
+    """Return the settings document that a server reads at its start."""
+    random = Random(seed)
     classes = [
-        {"name": f"route-{place:06}", "effect": EFFECTS[place % len(EFFECTS)], "credit": 1.0 + place % LEVELS,
-         "promise": round(chance.uniform(0.2, 2.0), 3), "deadline": round(chance.uniform(2.0, 9.0), 3),
+        {"name": f"route-{place:06}", "effect": EFFECTS[place % len(EFFECTS)], 
+         "credit": 1.0 + place % UTILITY_COUNT,
+         "promise": round(random.uniform(0.2, 2.0), 3), "deadline": round(random.uniform(2.0, 9.0), 3),
          "window": 2.0, "lateShare": 0.1}
         for place in range(stages)
     ]  # fmt: skip
     projects = [
-        {"name": f"t-{place:07}", "portion": round(chance.uniform(1e-7, 1e-6), 9),
-         "allowancePerS": round(chance.uniform(0.1, 9.0), 2)}
+        {"name": f"t-{place:07}", "portion": round(random.uniform(1e-7, 1e-6), 9),
+         "allowancePerS": round(random.uniform(0.1, 9.0), 2)}
         for place in range(tenants)
     ]  # fmt: skip
     return {
@@ -40,4 +41,5 @@
 
 
 def text_of(stages: int, tenants: int, seed: int) -> bytes:
+    """Return `settings_of` as compact JSON."""
     return json.dumps(settings_of(stages, tenants, seed), separators=(",", ":")).encode()
--- a/thistleline/lab/scale/size.py
+++ b/thistleline/lab/scale/size.py
@@ -1,4 +1,4 @@
-"""The size to build for, as `docs/capacity/size.toml` has it: numbers as settings, none of them in code."""
+"""The planned size, read from `docs/capacity/size.toml`."""
 
 import tomllib
 from functools import cache
@@ -10,11 +10,20 @@
 
 @cache
 def read_plan(path: Path = FOLDER / "size.toml") -> dict[str, Any]:
-    """The whole file: `size`, `budget` and `candidate`. Raises OSError, tomllib.TOMLDecodeError."""
+    """Return the whole file: `size`, `budget` and `candidate`.
+
+    Raises:
+        OSError: The file can't be read.
+        tomllib.TOMLDecodeError: The file is not TOML.
+    """
     with path.open("rb") as file:
         return tomllib.load(file)
 
 
 def size(name: str) -> int:
-    """A number of the part `size`. Raises KeyError."""
+    """Return a number of the table `size`.
+
+    Raises:
+        KeyError: The table has no such number.
+    """
     return int(read_plan()["size"][name])
--- a/thistleline/lab/scale/slopes.py
+++ b/thistleline/lab/scale/slopes.py
@@ -1,9 +1,8 @@
-"""What a thing costs by how many there are: measured at some sizes, fitted, and carried to the size planned
-for.
+"""Scaling laws: a cost measured at some sizes, fitted, and extrapolated to the planned size.
 
-Counts are the measure: bytecode steps of the code that runs, records, messages, bytes. They are the same for
-the same seed. Times are CPU time in units of one reference loop of the same run; seconds of this machine are
-said beside them.
+The main measure are counts: bytecode steps, records, messages, bytes. They are the same for the same seed.
+Times are CPU time in units of a reference loop of the same run; this machine's seconds are reported beside
+them.
 """
 
 import gc
@@ -14,23 +13,30 @@
 from collections.abc import Callable, Sequence
 from time import process_time
 from types import FrameType
-from typing import Any, Literal, TypedDict
+from typing import Any, Literal, NamedTuple, TypedDict
 
 import numpy as np
 
 Kind = Literal["count", "memory", "time"]
 Shape = Literal["flat", "linear", "square", "n log n", "other"]
 
-FLAT = 0.15  # a log-log exponent below it is flat
-LINEAR, SQUARE = (0.85, 1.15), (1.85, 2.15)
-CLOSE = 0.02  # residual under which a line or square over a base is taken for what it is
-CLEARLY = 0.5  # of the line's residual, that n log n has to come under
-BENT = 1.07  # least exponent of n log n, which it has up to a million
-LOOP_STEPS = 200_000  # of the reference loop
+FLAT = 0.15  # largest log-log exponent of a flat cost
+LINEAR = (0.85, 1.15)  # range of the log-log exponent of a linear cost
+SQUARE = (1.85, 2.15)  # range of the log-log exponent of a quadratic cost
+CLOSE_RESIDUAL = 0.02  # a line or square over a base fits where its residual is below this
+CLEARLY_BETTER = 0.5  # largest share of the line's residual that n log n may leave to be chosen
+MIN_N_LOG_N_EXPONENT = 1.07  # least log-log exponent of n log n, which it has up to a million
+LOOP_STEPS = 200_000  # iterations of the reference loop
+MIN_SIZES = 4  # sizes that a fit needs
+MIN_SPREAD = 10  # least ratio of the largest size to the smallest
 
 
 class Row(TypedDict):
-    """One slope. `unit` a one of `per`; of a square a pair of them, of n log n by the logarithm to base 2."""
+    """One fitted cost, as it is stored in the JSON of a run.
+
+    The slope is in `unit` for each `per`: for a square for each pair of them, for n log n times the logarithm
+    to base 2.
+    """
 
     name: str
     kind: Kind
@@ -42,35 +48,58 @@
     shape: Shape
     slope: float
     base: float
-    exponent: float  # of the values against the sizes, both as logarithms
-    residual: float  # root mean square of what is left over, as parts of the values
-    range: list[int]  # least and most size measured
-    at: int  # the size planned for
-    at_size: float  # what follows there
-    inside: bool
+    exponent: float  # of the values against the sizes, log-log
+    residual: float  # root mean square of the relative errors
+    range: list[int]  # smallest and largest size measured
+    at: int  # the planned size
+    at_size: float  # the cost extrapolated to `at`
+    inside: bool  # whether `at` lies within the measured range
     note: str
 
 
 class Part(TypedDict):
+    """Result of one part of the scale run: its rows, other figures, and bars by name."""
+
     rows: list[Row]
     figures: dict[str, Any]
     bars: dict[str, bool]
 
 
-def fit(
-    sizes: Sequence[float], values: Sequence[float], of: Callable[[Any], Any]
-) -> tuple[float, float, float]:
-    """Slope, base and residual of `base + slope * of(size)`, each value weighed by its inverse."""
-    n, v = np.asarray(sizes, float), np.asarray(values, float)
-    weight = 1 / np.maximum(np.abs(v), 1e-12 * max(1.0, float(np.abs(v).max())))
-    matrix = np.stack([of(n), np.ones_like(n)], axis=1) * weight[:, None]
+class Fit(NamedTuple):
+    """A least-squares fit of `base + slope * term(size)`; `residual` is the RMS of the relative errors."""
+
+    slope: float
+    base: float
+    residual: float
+
+
+class SquareAndLineFit(NamedTuple):
+    """A least-squares fit of `base + linear * size + square * size**2`."""
+
+    square: float
+    linear: float
+    base: float
+    residual: float
+
+
+def _relative_weights(values: Any) -> Any:
+    """Return the inverse of each value's size, with a floor that keeps zeros finite."""
+    return 1 / np.maximum(np.abs(values), 1e-12 * max(1.0, float(np.abs(values).max())))
+
+
+def fit(sizes: Sequence[float], values: Sequence[float], term: Callable[[Any], Any]) -> Fit:
+    """Fit `base + slope * term(size)`, each value weighted by its inverse."""
+    n = np.asarray(sizes, float)
+    v = np.asarray(values, float)
+    weight = _relative_weights(v)
+    matrix = np.stack([term(n), np.ones_like(n)], axis=1) * weight[:, None]
     (slope, base), *_ = np.linalg.lstsq(matrix, v * weight, rcond=None)
-    left = (base + slope * of(n) - v) * weight
-    return float(slope), float(base), float(np.sqrt(np.mean(left**2)))
+    errors = (base + slope * term(n) - v) * weight
+    return Fit(float(slope), float(base), float(np.sqrt(np.mean(errors**2))))
 
 
 def exponent_of(sizes: Sequence[float], values: Sequence[float]) -> float:
-    """The log-log slope, of what is above zero."""
+    """Return the log-log slope of the values above zero; 0.0 where there are fewer than two."""
     points = [(n, v) for n, v in zip(sizes, values, strict=True) if v > 0]
     if len(points) < 2:
         return 0.0
@@ -78,14 +107,17 @@
     return float(np.polyfit(n, v, 1)[0])
 
 
-def square_and_line(sizes: Sequence[float], values: Sequence[float]) -> tuple[float, float, float, float]:
-    """Of `base + each * n + pair * n * n`: pair, each, base and residual."""
-    n, v = np.asarray(sizes, float), np.asarray(values, float)
-    weight = 1 / np.maximum(np.abs(v), 1e-12 * max(1.0, float(np.abs(v).max())))
+def square_and_line(sizes: Sequence[float], values: Sequence[float]) -> SquareAndLineFit:
+    """Fit `base + linear * size + square * size**2`, each value weighted by its inverse."""
+    n = np.asarray(sizes, float)
+    v = np.asarray(values, float)
+    weight = _relative_weights(v)
     matrix = np.stack([n * n, n, np.ones_like(n)], axis=1)
     found, *_ = np.linalg.lstsq(matrix * weight[:, None], v * weight, rcond=None)
-    left = (matrix @ found - v) * weight
-    return float(found[0]), float(found[1]), float(found[2]), float(np.sqrt(np.mean(left**2)))
+    errors = (matrix @ found - v) * weight
+    return SquareAndLineFit(
+        float(found[0]), float(found[1]), float(found[2]), float(np.sqrt(np.mean(errors**2)))
+    )
 
 
 def _plain(n: Any) -> Any:
@@ -100,6 +132,20 @@
     return n * np.log2(np.maximum(n, 2))
 
 
+def _power_law(
+    sizes: Sequence[float], values: Sequence[float], exponent: float, at: int
+) -> tuple[float, float]:
+    """Return the value at `at` and the residual of a power law through the mean of the logarithms."""
+    n = np.asarray(sizes, float)
+    v = np.asarray(values, float)
+    above = v > 0
+    intercept = float(np.mean(np.log(v[above])) - exponent * np.mean(np.log(n[above])))
+    at_size = float(np.exp(intercept + exponent * np.log(at)))
+    fitted = np.exp(intercept + exponent * np.log(n[above]))
+    residual = float(np.sqrt(np.mean((fitted / v[above] - 1) ** 2)))
+    return at_size, residual
+
+
 def row(
     name: str,
     kind: Kind,
@@ -111,31 +157,33 @@
     repeats: int = 1,
     note: str = "",
 ) -> Row:
-    """Raises ValueError where the sizes are too few or too near each other to say anything."""
-    if len(sizes) != len(values) or len(sizes) < 4 or max(sizes) < 10 * min(sizes):
+    """Fit the values to the sizes, choose the shape, and extrapolate to the size `at`.
+
+    Raises:
+        ValueError: The sizes are too few or too near each other for a fit.
+    """
+    if len(sizes) != len(values) or len(sizes) < MIN_SIZES or max(sizes) < MIN_SPREAD * min(sizes):
         raise ValueError(f"{name}: four sizes at least, spread by ten times, each with its value")
     exponent = exponent_of(sizes, values)
-    line, squares, logs = (fit(sizes, values, of) for of in (_plain, _squared, _n_log_n))
+    line, squares, logs = (fit(sizes, values, term) for term in (_plain, _squared, _n_log_n))
     shape, (slope, base, residual) = _shape(exponent, line, squares, logs)
     if shape == "flat":
         base = float(np.mean(values))
-        slope, residual = line[0], float(np.std(values) / base) if base else 0.0
+        slope = line.slope
+        residual = float(np.std(values) / base) if base else 0.0
         at_size = base
-    elif shape == "other" and (both := square_and_line(sizes, values))[3] < CLOSE and min(both[:2]) > 0:
-        shape, (slope, each, base, residual) = "square", both
-        at_size = base + each * at + slope * at**2
-        note = f"{note}; beside it {each:.4g} {unit} a {per}".removeprefix("; ")
     elif shape == "other":
-        # A power law, through the logarithms' mean.
-        n, v = np.asarray(sizes, float), np.asarray(values, float)
-        above = v > 0
-        lift = float(np.mean(np.log(v[above])) - exponent * np.mean(np.log(n[above])))
-        at_size = float(np.exp(lift + exponent * np.log(at)))
-        found = np.exp(lift + exponent * np.log(n[above]))
-        residual = float(np.sqrt(np.mean((found / v[above] - 1) ** 2)))
+        both = square_and_line(sizes, values)
+        if both.residual < CLOSE_RESIDUAL and both.square > 0 and both.linear > 0:
+            shape = "square"
+            slope, linear, base, residual = both
+            at_size = base + linear * at + slope * at**2
+            note = f"{note}; beside it {linear:.4g} {unit} a {per}".removeprefix("; ")
+        else:
+            at_size, residual = _power_law(sizes, values, exponent, at)
     else:
-        of = {"linear": _plain, "square": _squared, "n log n": _n_log_n}[shape]
-        at_size = base + slope * float(of(np.float64(at)))
+        term = {"linear": _plain, "square": _squared, "n log n": _n_log_n}[shape]
+        at_size = base + slope * float(term(np.float64(at)))
     return Row(
         name=name, kind=kind, unit=unit, per=per, sizes=list(sizes), values=[float(one) for one in values],
         repeats=repeats, shape=shape, slope=slope, base=base, exponent=exponent, residual=residual,
@@ -144,27 +192,29 @@
     )  # fmt: skip
 
 
-Fit = tuple[float, float, float]
-
-
 def _shape(exponent: float, line: Fit, squares: Fit, logs: Fit) -> tuple[Shape, Fit]:
+    """Choose the shape by the log-log exponent, then by the residuals."""
     if exponent < FLAT:
         return "flat", line
-    if BENT <= exponent < LINEAR[1] + FLAT and logs[2] < CLEARLY * line[2] and line[2] > CLOSE:
+    if (
+        MIN_N_LOG_N_EXPONENT <= exponent < LINEAR[1] + FLAT
+        and logs.residual < CLEARLY_BETTER * line.residual
+        and line.residual > CLOSE_RESIDUAL
+    ):
         return "n log n", logs
     if LINEAR[0] <= exponent <= LINEAR[1]:
         return "linear", line
     if SQUARE[0] <= exponent <= SQUARE[1]:
         return "square", squares
     # A base that outweighs the small sizes hides the exponent; the fit shows what it is.
-    if line[2] < CLOSE and line[2] <= squares[2] and line[0] > 0:
+    if line.residual < CLOSE_RESIDUAL and line.residual <= squares.residual and line.slope > 0:
         return "linear", line
-    if squares[2] < CLOSE and squares[0] > 0:
+    if squares.residual < CLOSE_RESIDUAL and squares.slope > 0:
         return "square", squares
     return "other", line
 
 
-BOUND: dict[Shape, float] = {
+MAX_EXPONENT: dict[Shape, float] = {
     "flat": FLAT,
     "linear": LINEAR[1],
     "n log n": LINEAR[1] + FLAT,
@@ -172,28 +222,34 @@
 }
 
 
-def no_worse(found: Row, promised: Shape) -> bool:
-    """Whether a slope grows no faster than was promised. Of what was promised flat a line is looked for,
-    which a base hides from the exponent: carried to the size planned for, it may not double what was
-    measured."""
-    if found["exponent"] > BOUND[promised]:
+def grows_within(found: Row, promised: Shape) -> bool:
+    """Return whether a cost grows no faster than was promised.
+
+    A base can hide a line from the exponent, so a cost promised flat is also fitted with one: extrapolated to
+    the planned size, the line may not exceed twice the largest value measured.
+    """
+    if found["exponent"] > MAX_EXPONENT[promised]:
         return False
     if promised == "flat":
-        slope, base, _ = fit(found["sizes"], found["values"], _plain)
-        return base + slope * found["at"] <= 2 * max(found["values"])
+        line = fit(found["sizes"], found["values"], _plain)
+        return line.base + line.slope * found["at"] <= 2 * max(found["values"])
     if promised == "linear":
         return found["shape"] in ("flat", "linear")
-    return found["shape"] != "other" or found["exponent"] <= BOUND[promised]
+    return found["shape"] != "other" or found["exponent"] <= MAX_EXPONENT[promised]
 
 
 def judge(rows: list[Row], promised: dict[str, Shape]) -> dict[str, bool]:
-    """A bar for each promise on a count. Raises KeyError where the row isn't there."""
+    """Return a bar for each promised row, by name and shape.
+
+    Raises:
+        KeyError: A promised row was not measured.
+    """
     known = {one["name"]: one for one in rows}
-    return {f"{name}: {shape}": no_worse(known[name], shape) for name, shape in promised.items()}
+    return {f"{name}: {shape}": grows_within(known[name], shape) for name, shape in promised.items()}
 
 
 def per_one(found: Row) -> str:
-    """The slope with its unit."""
+    """Format the slope with its unit."""
     if found["shape"] == "flat":
         return f"{number(found['base'])} {found['unit']} in all"
     if found["shape"] == "other":
@@ -205,7 +261,7 @@
 
 
 def number(value: float) -> str:
-    """Three digits that count, the thousands apart; small whole numbers as they are."""
+    """Format to three significant digits with thousands separators; small whole numbers exactly."""
     if value == int(value) and abs(value) < 100_000:
         return f"{int(value):,}"
     shown = float(f"{value:.3g}")
@@ -216,49 +272,54 @@
 
 
 def steps_of(call: Callable[[], Any]) -> int:
-    """Bytecode steps that a call takes in Python code, with all it calls. What is done in C is not seen, nor
-    what a collection would run just then: guards against a count that hangs on what ran before."""
+    """Count the bytecode steps that a call takes in Python code, with everything it calls.
+
+    Work done in C is not counted. Garbage collection is off meanwhile, so that the count does not depend on
+    what ran before.
+    """
     count = 0
 
-    def local(frame: FrameType, event: str, told: Any) -> Any:
+    def count_opcode(frame: FrameType, event: str, argument: Any) -> Any:
         nonlocal count
         count += event == "opcode"
-        return local
+        return count_opcode
 
-    def entered(frame: FrameType, event: str, told: Any) -> Any:
-        frame.f_trace_opcodes, frame.f_trace_lines = True, False
-        return local
+    def enter_frame(frame: FrameType, event: str, argument: Any) -> Any:
+        frame.f_trace_opcodes = True
+        frame.f_trace_lines = False
+        return count_opcode
 
-    before, collects = sys.gettrace(), gc.isenabled()
+    trace_before = sys.gettrace()
+    collects = gc.isenabled()
     gc.disable()
-    sys.settrace(entered)
+    sys.settrace(enter_frame)
     try:
         call()
     finally:
-        sys.settrace(before)
+        sys.settrace(trace_before)
         if collects:
             gc.enable()
     return count
 
 
 def memory_of(make: Callable[[], Any]) -> tuple[int, int]:
-    """Bytes that what is made holds, and the most that were held while it was made, by tracemalloc."""
+    """Return the bytes that the made object holds and the peak while it was made, by tracemalloc."""
     gc.collect()
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
         made = make()
-        most = tracemalloc.get_traced_memory()[1]
+        peak = tracemalloc.get_traced_memory()[1]
         gc.collect()
         held = tracemalloc.get_traced_memory()[0]
         del made
     finally:
         tracemalloc.stop()
-    return held - before, most - before
+    return held - before, peak - before
 
 
 def cpu_of(call: Callable[[], Any], repeats: int) -> float:
-    """Seconds of CPU, the least of some runs."""
+    """Return the least CPU time of some runs, in seconds."""
     found = []
     for _ in range(repeats):
         began = process_time()
@@ -268,7 +329,7 @@
 
 
 def rounded(sizes: Sequence[int], seconds: Sequence[float]) -> dict[int, float]:
-    """Seconds by size, to be read by people."""
+    """Return seconds by size, rounded for readers."""
     return dict(zip(sizes, (round(one, 5) for one in seconds), strict=True))
 
 
@@ -279,13 +340,15 @@
 
 
 def loop_cpu() -> float:
-    """Seconds of CPU that the reference loop takes, now."""
+    """Return the CPU time that the reference loop takes now, in seconds."""
     return cpu_of(_loop, 5)
 
 
 def loops_of(call: Callable[[], Any], repeats: int) -> tuple[float, float]:
-    """What a call takes in reference loops, the middle of some runs, and in seconds of CPU, the least. Each
-    run is held against the loop just before and just after it, as no machine is as fast all the time."""
+    """Return a call's cost in reference loops (median of the runs) and in CPU seconds (least).
+
+    Each run is compared with the loop right before and right after it, as a machine's speed varies.
+    """
     loops, seconds = [], []
     before = loop_cpu()
     for _ in range(repeats):
