--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -28,18 +28,18 @@
     tables,
 )
 from thistleline.lab.scale.page import main as page_command
-from thistleline.lab.scale.settings_costs import Carried, steps_of_look
+from thistleline.lab.scale.settings_costs import HollowRollout, steps_of_look
 from thistleline.lab.scale.settings_text import text_of
 from thistleline.lab.scale.size import FOLDER, read_plan, size
 from thistleline.lab.scale.slopes import Part, Row, grows_within, judge, memory_of, row, steps_of
 from thistleline.lab.scale.tenants import (
-    born,
-    policy_of,
+    count_quota_updates,
+    make_policy,
+    make_settings,
     quota_update,
-    settings_for,
+    start_policy,
     steps_of_task,
     tick,
-    weighings,
 )
 from thistleline.policy import SECOND, TICK, WINDOW, Policy
 from thistleline.supervisor.settings import unfit_settings
@@ -162,19 +162,19 @@
 
 
 def test_a_task_costs_the_same_whatever_tenants_there_are() -> None:
-    held_to("a task", "flat", SIZES, [steps_of_task(policy_of(3, n, 1)) for n in SIZES], "tenants")
+    held_to("a task", "flat", SIZES, [steps_of_task(make_policy(3, n, 1)) for n in SIZES], "tenants")
 
 
 def test_a_task_costs_the_same_whatever_stages_there_are() -> None:
-    held_to("a task", "flat", SIZES, [steps_of_task(policy_of(n, 3, 1)) for n in SIZES], "routes")
+    held_to("a task", "flat", SIZES, [steps_of_task(make_policy(n, 3, 1)) for n in SIZES], "routes")
 
 
 @pytest.mark.parametrize(("per", "at"), [("tenant", "tenants"), ("stage", "routes")])
 def test_a_tick_that_weighs_nothing_costs_the_same(per: str, at: str) -> None:
     values = []
     for n in SIZES:
-        policy = policy_of(3, n, 1) if per == "tenant" else policy_of(n, 3, 1)
-        out = born(policy)
+        policy = make_policy(3, n, 1) if per == "tenant" else make_policy(n, 3, 1)
+        out = start_policy(policy)
         values.append(steps_of(lambda policy=policy, out=out: tick(policy, out)))  # type: ignore[misc]
     held_to("a tick", "flat", SIZES, values, at)
 
@@ -183,8 +183,8 @@
 def test_a_tick_that_steers_grows_no_faster_than_what_is_held(per: str, at: str) -> None:
     values = []
     for n in SIZES:
-        policy = policy_of(3, n, 1) if per == "tenant" else policy_of(n, 3, 1)
-        out = born(policy)
+        policy = make_policy(3, n, 1) if per == "tenant" else make_policy(n, 3, 1)
+        out = start_policy(policy)
         for _ in range(WINDOW - 1):
             tick(policy, out)
         values.append(steps_of(lambda policy=policy, out=out: tick(policy, out)))  # type: ignore[misc]
@@ -192,17 +192,17 @@
 
 
 def test_owners_are_weighed_once_a_window_and_not_each_tick() -> None:
-    assert weighings(10 * WINDOW) == 10
+    assert count_quota_updates(10 * WINDOW) == 10
 
 
 def test_a_weighing_grows_no_faster_than_the_tenants() -> None:
-    values = [steps_of(quota_update(policy_of(3, n, 1))) for n in SIZES]
+    values = [steps_of(quota_update(make_policy(3, n, 1))) for n in SIZES]
     held_to("_weigh_owners", "linear", SIZES, values, "tenants")
 
 
 @pytest.mark.parametrize(("per", "at", "promised"), SQUARE_BY_STAGE)
 def test_a_start_grows_no_faster_than_it_does(per: str, at: str, promised: str) -> None:
-    benches = [settings_for(3, n, 1) if per == "tenant" else settings_for(n, 3, 1) for n in SIZES]
+    benches = [make_settings(3, n, 1) if per == "tenant" else make_settings(n, 3, 1) for n in SIZES]
     values = [steps_of(lambda bench=bench: Policy(bench, 1, SECOND)) for bench in benches]  # type: ignore[misc]
     held_to("a start", promised, SIZES, values, at)
 
@@ -225,7 +225,7 @@
 
 def test_a_change_takes_a_look_and_a_want_for_each_instance_and_no_more() -> None:
     fleets = (15, 30, 60, 150)
-    carried = [Carried(n).carry() for n in fleets]
+    carried = [HollowRollout(n).run() for n in fleets]
     assert all(one.settings == [2] * n for one, n in zip(carried, fleets, strict=True))
     held_to("looks", "linear", fleets, [one.looks for one in carried], "instances")
     held_to("wants", "linear", fleets, [one.wants for one in carried], "instances")
@@ -252,7 +252,7 @@
 
 
 def test_a_task_that_looks_through_all_tenants_is_called_linear() -> None:
-    values = [steps_of_task(doctored(settings_for(3, n, 1))) for n in SIZES]
+    values = [steps_of_task(doctored(make_settings(3, n, 1))) for n in SIZES]
     found = row("a task", "count", "steps", "tenant", SIZES, values, size("tenants"))
     assert found["shape"] == "linear"
     assert not grows_within(found, "flat")
@@ -271,7 +271,7 @@
     def read(bench: ServerSettings) -> int:
         return sum(one.name == other.name for one in bench.stages for other in bench.stages)
 
-    benches = [settings_for(n, 3, 1) for n in SIZES]
+    benches = [make_settings(n, 3, 1) for n in SIZES]
     values = [steps_of(lambda bench=bench: read(bench)) for bench in benches]  # type: ignore[misc]
     found = row("read", "count", "steps", "stage", SIZES, values, size("routes"))
     assert found["shape"] == "square"
@@ -541,7 +541,7 @@
 
 
 def test_a_policy_that_ticks_goes_forward() -> None:
-    policy = policy_of(1, 1, 1)
-    out = born(policy)
+    policy = make_policy(1, 1, 1)
+    out = start_policy(policy)
     tick(policy, out)
     assert policy.now == SECOND + TICK
--- a/thistleline/lab/scale/control.py
+++ b/thistleline/lab/scale/control.py
@@ -27,7 +27,7 @@
 from thistleline.lab.scale import slopes
 from thistleline.lab.scale.instance import cpu_seconds, machine, resident
 from thistleline.lab.scale.members import hollow, word_bytes
-from thistleline.lab.scale.settings_costs import Carried
+from thistleline.lab.scale.settings_costs import HollowRollout
 from thistleline.lab.scale.size import size
 from thistleline.lab.scale.slopes import (
     Kind,
@@ -381,12 +381,12 @@
 
 def resting(instances: int) -> Callable[[], Any]:
     """A look at a fleet where no change is under way."""
-    carried = Carried(instances, instances).carry()
-    seen = carried.seen()
+    carried = HollowRollout(instances, instances).run()
+    seen = carried.server_statuses()
 
     def look() -> None:
-        carried.tell(ServersObserved(seen))
-        carried.tell(RolloutTimerExpired())
+        carried.handle(ServersObserved(seen))
+        carried.handle(RolloutTimerExpired())
 
     return look
 
--- a/thistleline/lab/scale/settings_costs.py
+++ b/thistleline/lab/scale/settings_costs.py
@@ -1,7 +1,10 @@
-"""What settings cost by stage and by tenant, and what one change of them costs as it is carried today: one
-record of the council, and each server followed by the next one beside it."""
+"""What settings cost by stage and by tenant, and what one change of them costs.
+
+A change is rolled out as one record of the lease server, one server after the other.
+"""
 
 from collections.abc import Callable, Iterable
+from functools import partial
 from typing import Any
 
 import msgspec
@@ -14,9 +17,8 @@
     Shape,
     judge,
     loop_cpu,
-    loops_of,
+    loops_by_size,
     memory_of,
-    rounded,
     row,
     steps_of,
 )
@@ -50,51 +52,57 @@
     "a change: bytes of the roll's records by instance": "linear",
     "a look at a fleet at rest by instance: steps": "linear",
 }
-ZONES = 3  # of the hollow fleet; wants and looks don't depend on it at one server down at once
-DAY = 86_400
+ZONES = 3  # of the hollow fleet; the counts don't depend on it while one server is down at a time
+DAY = 86_400  # s
 encode = msgspec.msgpack.Encoder().encode
 
 OLD = Version("r1", "0" * 64, 1, "0" * 64)
 NEW = Version("r1", "0" * 64, 2, "1" * 64)
 
 
-class Content:
-    """A judge that finds nothing worse, at once: what is left is what carrying a change takes."""
+class PassingAnalysis:
+    """A canary analysis that passes at once, so that only the cost of the rollout itself is measured."""
 
     def __init__(self, zones: Iterable[str], alpha: float, min_slots: int, cold: ColdBaseline) -> None:
+        """Take the arguments of a canary analysis and ignore them."""
         self.slots = 0
 
     def add_slot(self, samples: Any, expected: Any) -> None:
+        """Count the slot."""
         self.slots += 1
 
     def judge(self, zone_of: Any) -> Judgement:
+        """Return that nothing is worse."""
         return Judgement("not worse", [], "nothing to judge")
 
 
-def seen_of(place: int, settings: int, figures: tuple[int, ...] = ()) -> ServerStatus:
+def status_of(place: int, settings: int, figures: tuple[int, ...] = ()) -> ServerStatus:
+    """Return the status of a healthy hollow server at this version of the settings."""
     return ServerStatus(f"i{place:05}", f"z{place % ZONES}", True, "r1", settings, True, True, figures)
 
 
-class Carried:
-    """One change through a hollow fleet whose servers come up with it by the conductor's next look."""
+class HollowRollout:
+    """One rollout through a hollow fleet whose servers are up again by the controller's next observation."""
 
     def __init__(self, instances: int, down: int = 1) -> None:
-        """`down`: at once, of the whole and of a zone."""
+        """Start the rollout; `down` servers of the fleet, and of a zone, may be down at once."""
         self.looks = self.wants = self.want_bytes = self.roll_bytes = self.records = 0
-        self.at = {f"i{place:05}": place for place in range(instances)}
+        self.place_of = {f"i{place:05}": place for place in range(instances)}
         self.settings = [1] * instances
         self.now = SECOND
-        judge: Any = Content
+        analysis: Any = PassingAnalysis
         self.controller = RolloutController(
-            self.now, lambda: self.now // 1_000_000, None, RolloutTiming(), judge
+            self.now, lambda: self.now // 1_000_000, None, RolloutTiming(), analysis
         )
-        self.tell(ServersObserved(self.seen()))
-        self.tell(OrderReceived(Order(1, "start", "lab", NEW, OLD, STAGES, down, down)))
+        self.handle(ServersObserved(self.server_statuses()))
+        self.handle(OrderReceived(Order(1, "start", "lab", NEW, OLD, STAGES, down, down)))
 
-    def seen(self) -> list[ServerStatus]:
-        return [seen_of(place, settings) for place, settings in enumerate(self.settings)]
+    def server_statuses(self) -> list[ServerStatus]:
+        """Return the status of every server."""
+        return [status_of(place, settings) for place, settings in enumerate(self.settings)]
 
-    def tell(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
+        """Hand the event to the controller and carry out its effects at once."""
         effects = self.controller.handle(self.now, event)
         while effects:
             match effects.pop(0):
@@ -105,152 +113,166 @@
                 case SetDesiredVersion(id, version, restart_token):
                     self.wants += 1
                     self.want_bytes += len(encode(DesiredVersion(1, 1, version, restart_token)))
-                    self.settings[self.at[id]] = version.settings
+                    self.settings[self.place_of[id]] = version.settings
 
     @property
-    def roll(self) -> RolloutRecord:
+    def record(self) -> RolloutRecord:
+        """The record of the rollout."""
         assert self.controller.record is not None
         return self.controller.record
 
-    def carry(self) -> "Carried":
-        """Until it is over. Raises RuntimeError where it isn't by far too many looks."""
-        bound = 100 + 20 * len(self.settings)
-        while not self.roll.is_over:
+    def run(self) -> "HollowRollout":
+        """Observe the fleet until the rollout is over.
+
+        Raises:
+            RuntimeError: It takes far too many observations.
+        """
+        max_looks = 100 + 20 * len(self.settings)
+        while not self.record.is_over:
             self.looks += 1
             self.now += round(LOOK * SECOND)
-            self.tell(ServersObserved(self.seen()))
-            self.tell(TimerExpired())
-            if self.looks > bound:
-                raise RuntimeError(f"a change is {self.roll.phase} after {bound} looks: {self.roll.reason}")
+            self.handle(ServersObserved(self.server_statuses()))
+            self.handle(TimerExpired())
+            if self.looks > max_looks:
+                raise RuntimeError(
+                    f"a change is {self.record.phase} after {max_looks} looks: {self.record.reason}"
+                )
         return self
 
 
 def steps_of_look(instances: int) -> int:
-    """Of a look at a fleet where nothing changes and no change is under way."""
-    carried = Carried(instances).carry()
-    seen = carried.seen()
+    """Count the steps of an observation of a fleet with no rollout under way."""
+    rollout = HollowRollout(instances).run()
+    statuses = rollout.server_statuses()
 
     def look() -> None:
-        carried.controller.handle(carried.now, ServersObserved(seen))
-        carried.controller.handle(carried.now, TimerExpired())
+        rollout.controller.handle(rollout.now, ServersObserved(statuses))
+        rollout.controller.handle(rollout.now, TimerExpired())
 
     return steps_of(look)
 
 
-def counted(quick: bool, seed: int, tell: Callable[[str], None]) -> list[Row]:
-    routes, tenants, instances = size("routes"), size("tenants"), size("instances")
+def _text_by(per: str, count: int, seed: int) -> bytes:
+    """Return settings with `count` of the stages or the tenants (`per`) and 3 of the other."""
+    return text_of(count, 3, seed) if per == "stage" else text_of(3, count, seed)
+
+
+def _reading(per: str, seed: int, count: int) -> Callable[[], Any]:
+    """Return a call that decodes and reads settings with `count` of `per`."""
+    text = _text_by(per, count, seed)
+    return lambda: read_server_settings(msgspec.json.decode(text))
+
+
+def count_rows(quick: bool, seed: int, tell: Callable[[str], None]) -> list[Row]:
+    """Measure the slopes that are counts: the same for the same seed."""
+    rows = _text_rows(quick, seed)
+    tell("settings: steps counted")
+    rows += _rollout_rows(quick, tell)
+    return rows
+
+
+def _text_rows(quick: bool, seed: int) -> list[Row]:
+    """Measure the bytes of a text and the steps to read and to check it."""
+    routes, tenants = size("routes"), size("tenants")
     found = []
     by_stage = (100, 300, 600, 1000) if quick else (100, 1000, 10_000, 58_000)
     by_tenant = (100, 300, 600, 1000) if quick else (100, 1000, 10_000, 100_000)
     for per, sizes, at in (("stage", by_stage, routes), ("tenant", by_tenant, tenants)):
-        texts = [text_of(n, 3, seed) if per == "stage" else text_of(3, n, seed) for n in sizes]
+        texts = [_text_by(per, n, seed) for n in sizes]
         bounds = f"{SETTINGS_SIZE_LIMIT} at most by SETTINGS_SIZE_LIMIT, the council's MAX_VALUE_SIZE"
         found.append(row(f"text by {per}: bytes", "count", "bytes", per, sizes,
-                         [len(one) for one in texts], at, note=bounds))  # fmt: skip
-        told = [msgspec.json.decode(one) for one in texts]
+                         [len(text) for text in texts], at, note=bounds))  # fmt: skip
+        documents = [msgspec.json.decode(text) for text in texts]
         found.append(row(f"read_server_settings by {per}: steps", "count", "steps", per, sizes,
-                         [steps_of(lambda one=one: read_server_settings(one)) for one in told], at))  # type: ignore[misc]  # fmt: skip
+                         [steps_of(lambda one=one: read_server_settings(one)) for one in documents], at))  # type: ignore[misc]  # fmt: skip
     for per, sizes, at in (("stage", (10, 30, 100, 200), routes), ("tenant", (10, 30, 100, 300), tenants)):
-        texts = [text_of(n, 3, seed) if per == "stage" else text_of(3, n, seed) for n in sizes]
+        texts = [_text_by(per, n, seed) for n in sizes]
         found.append(row(f"unfit_settings by {per}: steps", "count", "steps", per, sizes,
                          [steps_of(lambda one=one: unfit_settings(one)) for one in texts], at))  # type: ignore[misc]  # fmt: skip
-    tell("settings: steps counted")
+    return found
+
+
+def _rollout_rows(quick: bool, tell: Callable[[str], None]) -> list[Row]:
+    """Measure what one change of the settings takes, by the size of the fleet."""
+    instances = size("instances")
     fleets = (60, 150, 300, 600) if quick else (150, 300, 600, 1500)
-    carried = [Carried(n).carry() for n in fleets]
+    rollouts = [HollowRollout(n).run() for n in fleets]
 
     def change(name: str, unit: str, values: list[int], note: str) -> Row:
         name = f"a change: {name} by instance"
         return row(name, "count", unit, "instance", fleets, values, instances, note=note)
 
-    found.append(
-        change(
-            "the conductor's looks",
-            "looks",
-            [one.looks for one in carried],
-            "one server down at once, each up again by the next look, nothing to judge",
-        )
-    )
-    found.append(
-        row(
-            "a change, all down at once: the conductor's looks by instance",
-            "count",
-            "looks",
-            "instance",
-            fleets,
-            [Carried(n, n).carry().looks for n in fleets],
-            instances,
-            note="a look waits for the council's answer to every want, which is not in it",
-        )
-    )
-    found.append(change("wants written", "records", [one.wants for one in carried], "each by the council"))
-    found.append(change("bytes of the wants", "bytes", [one.want_bytes for one in carried], ""))
-    found.append(change("bytes of the roll's records", "bytes", [one.roll_bytes for one in carried],
-                        "a record a step, with all targets in it"))  # fmt: skip
-    found.append(row("a look at a fleet at rest by instance: steps", "count", "steps", "instance", fleets,
-                     [steps_of_look(n) for n in fleets], instances))  # fmt: skip
+    found = [
+        change("the conductor's looks", "looks", [one.looks for one in rollouts],
+               "one server down at once, each up again by the next look, nothing to judge"),
+        row("a change, all down at once: the conductor's looks by instance", "count", "looks", "instance",
+            fleets, [HollowRollout(n, n).run().looks for n in fleets], instances,
+            note="a look waits for the council's answer to every want, which is not in it"),
+        change("wants written", "records", [one.wants for one in rollouts], "each by the council"),
+        change("bytes of the wants", "bytes", [one.want_bytes for one in rollouts], ""),
+        change("bytes of the roll's records", "bytes", [one.roll_bytes for one in rollouts],
+               "a record a step, with all targets in it"),
+        row("a look at a fleet at rest by instance: steps", "count", "steps", "instance", fleets,
+            [steps_of_look(n) for n in fleets], instances),
+    ]  # fmt: skip
     tell(f"settings: a change through {fleets[-1]} hollow instances")
     return found
 
 
-def held(quick: bool, seed: int, tell: Callable[[str], None]) -> list[Row]:
+def memory_rows(quick: bool, seed: int, tell: Callable[[str], None]) -> list[Row]:
+    """Measure the memory of read settings, and the peak while they are read."""
     found = []
     for per, sizes, at in (
         ("stage", (100, 300, 1000, 3000) if quick else (1000, 3000, 10_000, 58_000), size("routes")),
         ("tenant", (300, 1000, 3000, 10_000) if quick else (3000, 30_000, 100_000, 300_000), size("tenants")),
     ):
-        kept, most = [], []
-        for n in sizes:
-            text = text_of(n, 3, seed) if per == "stage" else text_of(3, n, seed)
-            one, other = memory_of(lambda text=text: read_server_settings(msgspec.json.decode(text)))  # type: ignore[misc]
-            kept.append(one)
-            most.append(other)
+        held, peak = zip(*(memory_of(_reading(per, seed, n)) for n in sizes), strict=True)
         tell(f"settings: memory of {sizes[-1]} by {per}")
-        found.append(row(f"ServerSettings by {per}: bytes", "memory", "bytes", per, sizes, kept, at))
-        found.append(row(f"reading by {per}: bytes at the most", "memory", "bytes", per, sizes, most, at,
+        found.append(row(f"ServerSettings by {per}: bytes", "memory", "bytes", per, sizes, held, at))
+        found.append(row(f"reading by {per}: bytes at the most", "memory", "bytes", per, sizes, peak, at,
                          note="decoded text and bench, without the text"))  # fmt: skip
     return found
 
 
-def timed(quick: bool, seed: int, tell: Callable[[str], None]) -> tuple[list[Row], dict[str, Any]]:
-    found, seconds = [], {}
+def time_rows(quick: bool, seed: int, tell: Callable[[str], None]) -> tuple[list[Row], dict[str, Any]]:
+    """Measure times in reference loops; return the rows, and figures of the CPU seconds."""
+    rows = []
+    figures: dict[str, Any] = {}
+    repeats = 3
     long = {"stage": (1000, 3000, 10_000, 58_000), "tenant": (10_000, 100_000, 300_000, 1_300_000)}
     short = {"stage": (100, 300, 1000, 3000), "tenant": (300, 1000, 3000, 10_000)}
     for per, at in (("stage", size("routes")), ("tenant", size("tenants"))):
-        sizes, told = (short if quick else long)[per], []
-        repeats = 3
-        for n in sizes:
-            text = text_of(n, 3, seed) if per == "stage" else text_of(3, n, seed)
-            told.append(loops_of(lambda text=text: read_server_settings(msgspec.json.decode(text)), repeats))  # type: ignore[misc]
-        loops, took = zip(*told, strict=True)
+        sizes = (short if quick else long)[per]
         name = f"reading by {per}: time"
-        tell(f"{name}: {took[-1]:.3f} s at {sizes[-1]}")
-        seconds[f"{name}, CPU seconds by size"] = rounded(sizes, took)
-        found.append(row(name, "time", "loops", per, sizes, loops, at, repeats,
-                         note="decoded and read_server_settings"))  # fmt: skip
-    sizes, told = ((60, 200, 400, 600) if quick else (200, 600, 1200, 2000)), []
-    for n in sizes:
-        text = text_of(n, 3, seed)
-        told.append(loops_of(lambda text=text: unfit_settings(text), 5))  # type: ignore[misc]
-    loops, took = zip(*told, strict=True)
+        loops, seconds = loops_by_size(name, sizes, partial(_reading, per, seed), repeats, tell)
+        figures |= seconds
+        rows.append(row(name, "time", "loops", per, sizes, loops, at, repeats,
+                        note="decoded and read_server_settings"))  # fmt: skip
+    sizes = (60, 200, 400, 600) if quick else (200, 600, 1200, 2000)
     name = "unfit_settings by stage: time"
-    tell(f"{name}: {took[-1]:.3f} s at {sizes[-1]}")
-    seconds[f"{name}, CPU seconds by size"] = rounded(sizes, took)
-    found.append(row(name, "time", "loops", "stage", sizes, loops, size("routes"), 5,
-                     note="SETTINGS_SIZE_LIMIT refuses it before the size is reached"))  # fmt: skip
-    return found, {"loop_s": loop_cpu(), **seconds}
+    loops, seconds = loops_by_size(
+        name, sizes, lambda n: partial(unfit_settings, _text_by("stage", n, seed)), 5, tell
+    )
+    figures |= seconds
+    rows.append(row(name, "time", "loops", "stage", sizes, loops, size("routes"), 5,
+                    note="SETTINGS_SIZE_LIMIT refuses it before the size is reached"))  # fmt: skip
+    return rows, {"loop_s": loop_cpu(), **figures}
 
 
-def most_that_fit(rows: list[Row], bound: int) -> dict[str, int]:
-    """How many stages, or tenants, a text of so many bytes may have."""
+def most_that_fit(rows: list[Row], max_bytes: int) -> dict[str, int]:
+    """Return how many stages, or tenants, a text of `max_bytes` may have."""
     found = {}
     for one in rows:
         if one["name"] in ("text by stage: bytes", "text by tenant: bytes"):
-            found[one["per"]] = int((bound - one["base"]) / one["slope"])
+            found[one["per"]] = int((max_bytes - one["base"]) / one["slope"])
     return found
 
 
-def carried_today(rows: list[Row], loop: float) -> dict[str, Any]:
-    """One change, from the measured slopes and the bounds in code. `loop`: seconds of the reference loop."""
+def rollout_figures(rows: list[Row], loop_s: float) -> dict[str, Any]:
+    """Derive one change's cost from the measured slopes and the limits in the code.
+
+    `loop_s` is the CPU time of the reference loop, in seconds.
+    """
     known = {one["name"]: one for one in rows}
     instances, day = size("instances"), size("changes_day")
     looks = known["a change: the conductor's looks by instance"]["at_size"]
@@ -266,7 +288,7 @@
     readings = known["reading by stage: time"], known["reading by tenant: time"]
     return {
         "bytes of the settings at the size": sum(one["at_size"] for one in texts),
-        "seconds of CPU to read the settings at the size": loop * sum(one["at_size"] for one in readings),
+        "seconds of CPU to read the settings at the size": loop_s * sum(one["at_size"] for one in readings),
         "a change: bytes of a record, at the most": content,
         "a change: bytes over the fleet": instances * content + wants + roll,
         "a change: bytes to an instance": content + wants / instances,
@@ -285,9 +307,10 @@
 
 
 def measure(quick: bool, seed: int, tell: Callable[[str], None]) -> Part:
-    rows = counted(quick, seed, tell)
-    rows += held(quick, seed, tell)
-    times, figures = timed(quick, seed, tell)
+    """Measure the whole part; quick: at small sizes."""
+    rows = count_rows(quick, seed, tell)
+    rows += memory_rows(quick, seed, tell)
+    times, figures = time_rows(quick, seed, tell)
     rows += times
-    figures |= carried_today(rows, figures["loop_s"])
+    figures |= rollout_figures(rows, figures["loop_s"])
     return Part(rows=rows, figures=figures, bars=judge(rows, PROMISED))
--- a/thistleline/lab/scale/slopes.py
+++ b/thistleline/lab/scale/slopes.py
@@ -358,3 +358,20 @@
         seconds.append(took)
         before = after
     return statistics.median(loops), min(seconds)
+
+
+def loops_by_size(
+    name: str,
+    sizes: Sequence[int],
+    make_call: Callable[[int], Callable[[], Any]],
+    repeats: int,
+    tell: Callable[[str], None],
+) -> tuple[tuple[float, ...], dict[str, dict[int, float]]]:
+    """Time the call that is made for each size.
+
+    Returns:
+        The reference loops by size, and a figure of the CPU seconds by size.
+    """
+    loops, seconds = zip(*(loops_of(make_call(n), repeats) for n in sizes), strict=True)
+    tell(f"{name}: {seconds[-1]:.3f} s at {sizes[-1]}")
+    return loops, {f"{name}, CPU seconds by size": rounded(sizes, seconds)}
--- a/thistleline/lab/scale/tenants.py
+++ b/thistleline/lab/scale/tenants.py
@@ -1,4 +1,4 @@
-"""What one instance's `Policy` costs by tenant and by stage, with no traffic but what is said."""
+"""What one instance's `Policy` costs by tenant and by stage, without traffic except where stated."""
 
 from collections.abc import Callable
 from functools import partial
@@ -13,9 +13,8 @@
     Shape,
     judge,
     loop_cpu,
-    loops_of,
+    loops_by_size,
     memory_of,
-    rounded,
     row,
     steps_of,
 )
@@ -34,40 +33,45 @@
     "a start by tenant: steps": "linear",
     "a start by stage: steps": "square",
 }
-BORN = SECOND  # any time; a policy's clock only goes forward
+START = SECOND  # ns; any time will do, a policy's clock only goes forward
 
 
-class Deaf:
-    """A writer that takes all and does nothing."""
+class NullSink:
+    """A decision sink that accepts every decision and does nothing."""
 
     def __getattr__(self, name: str) -> Callable[..., None]:
-        return self._hear
+        """Return a no-op for any decision."""
+        return self._ignore
 
-    def _hear(self, *told: Any) -> None:
+    def _ignore(self, *arguments: Any) -> None:
         pass
 
 
-def settings_for(stages: int, tenants: int, seed: int) -> ServerSettings:
+def make_settings(stages: int, tenants: int, seed: int) -> ServerSettings:
+    """Return generated settings of this size, as a server reads them."""
     return read_server_settings(settings_of(stages, tenants, seed))
 
 
-def policy_of(stages: int, tenants: int, seed: int) -> Policy:
-    return Policy(settings_for(stages, tenants, seed), seed, BORN)
+def make_policy(stages: int, tenants: int, seed: int) -> Policy:
+    """Return a new policy with settings of this size."""
+    return Policy(make_settings(stages, tenants, seed), seed, START)
 
 
 def tick(policy: Policy, out: Any) -> None:
+    """Advance the policy by one tick."""
     policy.round(policy.now + TICK, [TimerFired("tick", {"on_cores": 1.0})], out)
 
 
-def born(policy: Policy) -> Any:
-    out: Any = Deaf()
-    policy.round(BORN, [], out)
+def start_policy(policy: Policy) -> Any:
+    """Run the policy's first round and return the sink for the next ones."""
+    out: Any = NullSink()
+    policy.round(START, [], out)
     return out
 
 
 def steps_of_ticks(policy: Policy) -> tuple[int, int]:
-    """Of a tick between two weighings, and of the tick that weighs and steers."""
-    out = born(policy)
+    """Count the steps of a tick between two quota updates, and of the tick that updates and steers."""
+    out = start_policy(policy)
     for _ in range(WINDOW - 2):
         tick(policy, out)
     between = steps_of(lambda: tick(policy, out))
@@ -75,59 +79,61 @@
 
 
 def steps_of_task(policy: Policy) -> int:
-    """Read, held, started, ended; the first, with what its owner's state takes to be there."""
-    out = born(policy)
+    """Count the steps of a first task from arrival to end, its tenant's state included."""
+    out = start_policy(policy)
     last, stages = max(0, len(policy.settings.tenants) - 1), len(policy.settings.stages)
-    task = Task("a", stages - 1, last, 0, 0.5, 7, None, 1.0, BORN, None, False, None)
+    task = Task("a", stages - 1, last, 0, 0.5, 7, None, 1.0, START, None, False, None)
 
-    def one() -> None:
-        policy.round(BORN + MS, [TaskArrived(task)], out)
-        policy.round(BORN + 2 * MS, [RunEnded("a", "finished", MS)], out)
+    def run_task() -> None:
+        policy.round(START + MS, [TaskArrived(task)], out)
+        policy.round(START + 2 * MS, [RunEnded("a", "finished", MS)], out)
 
-    return steps_of(one)
+    return steps_of(run_task)
 
 
 def quota_update(policy: Policy) -> Callable[[], None]:
-    """One weighing of all tenants."""
+    """Return a call that updates the quotas of all tenants."""
     return partial(policy.state.quotas.update, policy.now)
 
 
-def weighings(ticks: int) -> int:
-    """How often so many ticks weigh the owners."""
-    policy, count = policy_of(1, 1, 1), 0
-    out = born(policy)
+def count_quota_updates(ticks: int) -> int:
+    """Return how often so many ticks update the quotas."""
+    policy = make_policy(1, 1, 1)
+    count = 0
+    out = start_policy(policy)
 
-    def counted(now: int) -> None:
+    def count_update(now: int) -> None:
         nonlocal count
         count += 1
 
-    policy.state.quotas.update = counted  # type: ignore[method-assign]
+    policy.state.quotas.update = count_update  # type: ignore[method-assign]
     for _ in range(ticks):
         tick(policy, out)
     return count
 
 
-def counted(sizes: tuple[int, ...], start_sizes: tuple[int, ...], seed: int) -> list[Row]:
-    """Slopes that are counts: the same for the same seed."""
+def count_rows(sizes: tuple[int, ...], start_sizes: tuple[int, ...], seed: int) -> list[Row]:
+    """Measure the slopes that are counts: the same for the same seed."""
     tenants, routes = size("tenants"), size("routes")
-    by_tenant = [policy_of(3, n, seed) for n in sizes]
-    by_stage = [policy_of(n, 3, seed) for n in start_sizes]
+    by_tenant = [make_policy(3, n, seed) for n in sizes]
+    by_stage = [make_policy(n, 3, seed) for n in start_sizes]
     ticks_tenant, ticks_stage = map(steps_of_ticks, by_tenant), map(steps_of_ticks, by_stage)
     between_tenant, _ = zip(*ticks_tenant, strict=True)
     between_stage, steering_stage = zip(*ticks_stage, strict=True)
 
     def steps(name: str, per: str, values: Any, note: str = "") -> Row:
         at = tenants if per == "tenant" else routes
-        told = sizes if per == "tenant" else start_sizes
-        return row(name, "count", "steps", per, told, list(values), at, note=note)
+        measured_sizes = sizes if per == "tenant" else start_sizes
+        return row(name, "count", "steps", per, measured_sizes, list(values), at, note=note)
 
     def start(n_stages: int, n_tenants: int) -> int:
-        bench = settings_for(n_stages, n_tenants, seed)
-        return steps_of(lambda: Policy(bench, seed, BORN))
+        settings = make_settings(n_stages, n_tenants, seed)
+        return steps_of(lambda: Policy(settings, seed, START))
 
     return [
-        steps("a task by tenant: steps", "tenant", [steps_of_task(policy_of(3, n, seed)) for n in sizes]),
-        steps("a task by stage: steps", "stage", [steps_of_task(policy_of(n, 3, seed)) for n in start_sizes]),
+        steps("a task by tenant: steps", "tenant", [steps_of_task(make_policy(3, n, seed)) for n in sizes]),
+        steps("a task by stage: steps", "stage",
+              [steps_of_task(make_policy(n, 3, seed)) for n in start_sizes]),
         steps("a tick between two weighings by tenant: steps", "tenant", between_tenant),
         steps("a tick between two weighings by stage: steps", "stage", between_stage),
         steps("_weigh_owners, all idle: steps", "tenant", [steps_of(quota_update(one)) for one in by_tenant]),
@@ -138,64 +144,77 @@
     ]  # fmt: skip
 
 
-def held(quick: bool, seed: int, tell: Callable[[str], None]) -> list[Row]:
+def _policy_memory(stages: int, tenants: int, seed: int) -> int:
+    """Return the bytes that a policy holds beyond its settings."""
+    settings = make_settings(stages, tenants, seed)
+    return memory_of(lambda: Policy(settings, seed, START))[0]
+
+
+def _settings_memory(tenants: int, seed: int) -> int:
+    """Return the bytes that the settings of so many tenants hold once they are read."""
+    document = settings_of(3, tenants, seed)
+    return memory_of(lambda: read_server_settings(document))[0]
+
+
+def memory_rows(quick: bool, seed: int, tell: Callable[[str], None]) -> list[Row]:
+    """Measure the memory of policy and settings by tenant, and of the policy by stage."""
     found = []
     sizes = (300, 1000, 3000, 10_000) if quick else (1000, 10_000, 100_000, 300_000)
     notes = {"Policy": "a deque of no traffic and a float", "the bench's owners": "name and two numbers"}
     for what, note in notes.items():
-        values = []
-        for n in sizes:
-            if what == "Policy":
-                bench = settings_for(3, n, seed)
-                values.append(memory_of(lambda bench=bench: Policy(bench, seed, BORN))[0])  # type: ignore[misc]
-            else:
-                told = settings_of(3, n, seed)
-                values.append(memory_of(lambda told=told: read_server_settings(told))[0])  # type: ignore[misc]
+        if what == "Policy":
+            values = [_policy_memory(3, n, seed) for n in sizes]
+        else:
+            values = [_settings_memory(n, seed) for n in sizes]
         tell(f"{what}: memory of {sizes[-1]} tenants")
         name = f"{what} by tenant: bytes"
         found.append(row(name, "memory", "bytes", "tenant", sizes, values, size("tenants"), note=note))
     sizes = (30, 100, 300, 1000) if quick else (100, 300, 1000, 3000)
-    values = []
-    for n in sizes:
-        bench = settings_for(n, 3, seed)
-        values.append(memory_of(lambda bench=bench: Policy(bench, seed, BORN))[0])  # type: ignore[misc]
+    values = [_policy_memory(n, 3, seed) for n in sizes]
     found.append(row("Policy by stage: bytes", "memory", "bytes", "stage", sizes, values, size("routes"),
                      note="before any run; a full pace adds its floats"))  # fmt: skip
     return found
 
 
-def timed(quick: bool, seed: int, tell: Callable[[str], None]) -> tuple[list[Row], dict[str, Any]]:
-    """In units of the reference loop, and the seconds of CPU they took here."""
-    found, seconds = [], {}
+def time_rows(quick: bool, seed: int, tell: Callable[[str], None]) -> tuple[list[Row], dict[str, Any]]:
+    """Measure times in reference loops; return the rows, and figures of the CPU seconds."""
     repeats = 3 if quick else 7
-    few, many = (1000, 3000, 10_000, 30_000), (60_000, 150_000, 300_000, 600_000)
+    tenant_sizes = (1000, 3000, 10_000, 30_000) if quick else (60_000, 150_000, 300_000, 600_000)
+    stage_sizes = (100, 300, 600, 1000) if quick else (300, 1000, 2000, 4000)
+
+    def update_quotas(tenants: int) -> Callable[[], Any]:
+        return quota_update(make_policy(3, tenants, seed))
+
+    def start_by_stage(stages: int) -> Callable[[], Any]:
+        return partial(Policy, make_settings(stages, 3, seed), seed, START)
+
+    def start_by_tenant(tenants: int) -> Callable[[], Any]:
+        return partial(Policy, make_settings(3, tenants, seed), seed, START)
+
     cases: list[tuple[str, str, tuple[int, ...], Callable[[int], Callable[[], Any]]]] = [
-        ("_weigh_owners, all idle: time", "tenant",
-         few if quick else many,
-         lambda n: quota_update(policy_of(3, n, seed))),
-        ("a start by stage: time", "stage", (100, 300, 600, 1000) if quick else (300, 1000, 2000, 4000),
-         lambda n: (lambda bench: lambda: Policy(bench, seed, BORN))(settings_for(n, 3, seed))),
-        ("a start by tenant: time", "tenant",
-         few if quick else many,
-         lambda n: (lambda bench: lambda: Policy(bench, seed, BORN))(settings_for(3, n, seed))),
-    ]  # fmt: skip
-    for name, per, sizes, make in cases:
-        loops, took = zip(*(loops_of(make(n), repeats) for n in sizes), strict=True)
-        tell(f"{name}: {took[-1]:.3f} s at {sizes[-1]}")
-        seconds[f"{name}, CPU seconds by size"] = rounded(sizes, took)
+        ("_weigh_owners, all idle: time", "tenant", tenant_sizes, update_quotas),
+        ("a start by stage: time", "stage", stage_sizes, start_by_stage),
+        ("a start by tenant: time", "tenant", tenant_sizes, start_by_tenant),
+    ]
+    rows = []
+    figures: dict[str, Any] = {}
+    for name, per, sizes, make_call in cases:
+        loops, seconds = loops_by_size(name, sizes, make_call, repeats, tell)
+        figures |= seconds
         at = size("tenants") if per == "tenant" else size("routes")
-        found.append(row(name, "time", "loops", per, sizes, loops, at, repeats))
-    return found, {"loop_s": loop_cpu(), **seconds}
+        rows.append(row(name, "time", "loops", per, sizes, loops, at, repeats))
+    return rows, {"loop_s": loop_cpu(), **figures}
 
 
 def measure(quick: bool, seed: int, tell: Callable[[str], None]) -> Part:
+    """Measure the whole part; quick: at small sizes."""
     sizes = (10, 30, 100, 300) if quick else (100, 1000, 10_000, 100_000)
     start_sizes = (10, 30, 100, 200) if quick else (30, 100, 300, 1000)
-    rows = counted(sizes, start_sizes, seed)
+    rows = count_rows(sizes, start_sizes, seed)
     tell("policy: steps counted")
-    rows += held(quick, seed, tell)
-    times, figures = timed(quick, seed, tell)
+    rows += memory_rows(quick, seed, tell)
+    times, figures = time_rows(quick, seed, tell)
     rows += times
     ticks = 10 * WINDOW
-    figures["weighings_a_second"] = weighings(ticks) * SECOND / (ticks * TICK)
+    figures["weighings_a_second"] = count_quota_updates(ticks) * SECOND / (ticks * TICK)
     return Part(rows=rows, figures=figures, bars=judge(rows, PROMISED))
