--- a/tests/test_scale_parts.py
+++ b/tests/test_scale_parts.py
@@ -10,7 +10,7 @@
 from thistleline.consensus.reads import Reads
 from thistleline.consensus.replica import Replica
 from thistleline.lab.scale import added, connections, council, members
-from thistleline.lab.scale.instance import instance
+from thistleline.lab.scale.instance import run_instance
 from thistleline.lab.scale.slopes import judge, row
 from thistleline.membership import gossip, view
 from thistleline.membership.gossip import Gossip
@@ -196,7 +196,7 @@
 
 
 def test_who_is_told_of_more_instances_needs_more_connections_than_there_are() -> None:
-    told = connections.who_knows_whom(32 * 1024)
+    told = connections.subset_figures(32 * 1024)
     bounds, subsets = told["callers_an_instance_may_have"], told["instances_a_caller_may_be_told_of"]
     for name, bound in bounds.items():
         assert 170_000 * subsets[name] / 6600 < bound
@@ -215,10 +215,10 @@
 
 
 def test_a_request_waits_for_its_run_and_little_more() -> None:
-    with instance(20.0, 256) as here:
+    with run_instance(20.0, 256) as here:
         told = anyio.run(added.load, here, 40, 1.0, 3)
         with socket.create_connection(("127.0.0.1", here.port), timeout=5) as link:
-            connections.checked(link, 1)
+            connections.exchange_check(link, 1)
         assert os.path.exists(f"/proc/{here.pid}")
     assert told.finished == told.sent > 10
     assert told.others == {}
@@ -226,17 +226,17 @@
 
 
 def test_a_forwarder_in_an_instances_place_answers_each_request_with_its_run() -> None:
-    with instance(20.0, 256, program=added.FORWARDER) as here:
+    with run_instance(20.0, 256, program=added.FORWARDER) as here:
         told = anyio.run(added.load, here, 40, 1.0, 3)
         with socket.create_connection(("127.0.0.1", here.port), timeout=5) as link:
-            connections.checked(link, 1)
+            connections.exchange_check(link, 1)
     assert told.finished == told.sent > 10
     assert told.others == {}
     assert 0 < told.added_p50 <= told.added_p99
 
 
 def test_an_instance_that_stands_still_at_each_request_is_seen_in_what_it_adds() -> None:
-    with instance(20.0, 256, {"stall": 25}) as here:
+    with run_instance(20.0, 256, {"stall": 25}) as here:
         told = anyio.run(added.load, here, 10, 1.0, 3)
     assert told.finished > 3
     assert told.added_p50 >= 25
--- a/thistleline/lab/scale/connections.py
+++ b/thistleline/lab/scale/connections.py
@@ -1,9 +1,8 @@
-"""An instance's memory by its open connections, what follows for how many callers and instances may know of
-each other, and what reports to the announce service take.
+"""An instance's memory by its open connections, and the traffic of reports to the announce service.
 
-A real process of the program, its memory from /proc. Idle is: accepted and silent; used: it has carried
-one check both ways. The rest is arithmetic from the bounds in the code; what is taken for granted stands
-beside it.
+The memory is a real process's, from /proc. An idle connection was accepted and is silent; a used one has
+carried one health check both ways. How many callers and instances may know of each other follows from the
+limits in the code; the assumptions stand beside it.
 """
 
 import socket
@@ -13,7 +12,7 @@
 from typing import Any
 
 from thistleline.lab.scale import slopes
-from thistleline.lab.scale.instance import HOST, Instance, instance, machine
+from thistleline.lab.scale.instance import HOST, Instance, machine, run_instance
 from thistleline.lab.scale.size import size
 from thistleline.lab.scale.slopes import Part, Row, judge
 from thistleline.server.announcer import MAX_ANSWER_BYTES, REPORT_INTERVAL
@@ -23,27 +22,27 @@
 from thistleline.wire.announce import AnnounceConnection
 
 NAME = "connections"
-RUN_MS = 20.0
-PATIENCE = 10.0
-SPREAD = 4  # standard deviations over the mean: about one of 30,000 instances has more
+RUN_MS = 20.0  # duration of the agent's runs
+SOCKET_TIMEOUT = 10.0  # s
+SPREAD = 4  # standard deviations above the mean: about one of 30,000 instances has more
 
 
-def check(seq: int) -> bytes:
-    """A check as a client stub sends it, that asks for nothing beyond the instance."""
-    return stub.encode_probe(seq, deep=False)
+def encode_check(sequence: int) -> bytes:
+    """Encode a shallow health check as a client stub sends it."""
+    return stub.encode_probe(sequence, deep=False)
 
 
-def checked(link: socket.socket, seq: int) -> None:
-    """Sends one and reads its whole answer."""
-    link.sendall(check(seq))
-    (length,) = struct.unpack(">I", _exactly(link, 4))
-    _exactly(link, length)
+def exchange_check(connection: socket.socket, sequence: int) -> None:
+    """Send a health check and read its whole answer."""
+    connection.sendall(encode_check(sequence))
+    (length,) = struct.unpack(">I", _receive_exactly(connection, 4))
+    _receive_exactly(connection, length)
 
 
-def _exactly(link: socket.socket, count: int) -> bytes:
+def _receive_exactly(connection: socket.socket, count: int) -> bytes:
     data = b""
     while len(data) < count:
-        more = link.recv(count - len(data))
+        more = connection.recv(count - len(data))
         if not more:
             raise OSError("the instance has closed the connection")
         data += more
@@ -51,33 +50,36 @@
 
 
 def memory_by_connections(sizes: list[int]) -> dict[str, list[float]]:
-    """Bytes beyond those without a connection, by the number that is open. They are accepted in their order:
-    once the last one's check is answered all before it are open."""
+    """Return the bytes beyond those with one connection, by the number that is open, idle and used.
+
+    Connections are accepted in order: once the last one's check is answered, all before it are open.
+    """
     idle, used = list[float](), list[float]()
     for counts, each in ((idle, False), (used, True)):
-        with instance(RUN_MS, sizes[-1] + 8) as here:
-            links: list[socket.socket] = []
+        with run_instance(RUN_MS, sizes[-1] + 8) as server:
+            connections: list[socket.socket] = []
             try:
-                base = _settled(here, links, 1, True)
+                base = _memory_with(server, connections, 1, True)
                 for count in sizes:
-                    counts.append(float(_settled(here, links, count + 1, each) - base))
+                    counts.append(float(_memory_with(server, connections, count + 1, each) - base))
             finally:
-                for link in links:
-                    link.close()
+                for connection in connections:
+                    connection.close()
     return {"idle": idle, "used": used}
 
 
-def _settled(here: Instance, links: list[socket.socket], count: int, each: bool) -> int:
-    while len(links) < count:
-        links.append(socket.create_connection((HOST, here.port), timeout=PATIENCE))
+def _memory_with(server: Instance, connections: list[socket.socket], count: int, each: bool) -> int:
+    """Open connections up to `count`, using the last or `each` new one; return the resident bytes."""
+    while len(connections) < count:
+        connections.append(socket.create_connection((HOST, server.port), timeout=SOCKET_TIMEOUT))
         if each:
-            checked(links[-1], len(links))
-    checked(links[-1], len(links))
-    return here.resident()
+            exchange_check(connections[-1], len(connections))
+    exchange_check(connections[-1], len(connections))
+    return server.resident()
 
 
 def reports(instances: int) -> int:
-    """Bytes that so many instances send the announce service in a second, each on a connection it keeps."""
+    """Return the bytes a second of so many instances' reports, each on a persistent connection."""
     sent = 0
     for place in range(instances):
         sent += len(
@@ -88,13 +90,17 @@
     return round(sent / REPORT_INTERVAL)
 
 
-def who_knows_whom(cost: float) -> dict[str, Any]:
-    """How many callers an instance may have and how many instances a caller may be told of.
+def subset_figures(cost: float) -> dict[str, Any]:
+    """Return how many callers an instance may have and how many instances a caller's subset may have.
+
+    Assumptions: each caller keeps one connection to each instance of its subset; subsets are drawn at random,
+    so an instance's count has the square root of its mean as standard deviation, and the maximum is taken
+    SPREAD of them above it; after the loss of a zone its connections move to the rest; all callers send
+    alike.
 
-    Taken for granted: each caller keeps one connection to each instance it was told of; who is told of which
-    is drawn at random, so an instance's count spreads as the root of its mean, and the most is taken SPREAD
-    standard deviations above it; with a zone lost what is left has as many more; each caller sends as much as
-    any other."""
+    Args:
+        cost: Measured bytes of a connection.
+    """
     instances, callers, zones = size("instances"), size("callers"), size("zones")
     second = size("requests_s") / instances
     bounds = {
@@ -104,16 +110,16 @@
         "the 64 MB for control by CONNECTION_COST": size("instance_bytes") // CONNECTION_COST,
     }
 
-    def subset(bound: int) -> int:
+    def largest_subset(limit: int) -> int:
         found = 0
         while True:
             mean = callers * (found + 1) / instances * zones / (zones - 1)
-            if mean + SPREAD * sqrt(mean) > bound:
+            if mean + SPREAD * sqrt(mean) > limit:
                 return found
             found += 1
 
-    def load(told: int) -> dict[str, Any]:
-        mean = callers * told / instances
+    def load(subset: int) -> dict[str, Any]:
+        mean = callers * subset / instances
         return {
             "connections_an_instance": round(mean),
             "memory_mb": round(mean * CONNECTION_COST / (1 << 20), 1),
@@ -124,13 +130,14 @@
     return {
         "all_callers_at_each_instance_gb": round(callers * CONNECTION_COST / 1e9, 2),
         "callers_an_instance_may_have": bounds,
-        "instances_a_caller_may_be_told_of": {name: subset(bound) for name, bound in bounds.items()},
-        "by_instances_told": {str(told): load(told) for told in (5, 10, 19, 20, 30, 38)},
+        "instances_a_caller_may_be_told_of": {name: largest_subset(bound) for name, bound in bounds.items()},
+        "by_instances_told": {str(subset): load(subset) for subset in (5, 10, 19, 20, 30, 38)},
         "a_lost_instance_takes_of_its_callers_subset": {"of 10": 0.1, "of 20": 0.05},
     }
 
 
 def measure(quick: bool, seed: int, tell: Callable[[str], None]) -> Part:
+    """Measure the whole part; quick: with fewer connections and without the bar on memory."""
     sizes = [50, 150, 300, 500] if quick else [50, 150, 500, 1500, 5000]
     tell(f"connections: {sizes[0]} to {sizes[-1]} open at a real instance")
     found = memory_by_connections(sizes)
@@ -155,7 +162,7 @@
         "machine": machine(),
         "connection_cost_in_the_code": CONNECTION_COST,
         "measured_bytes_a_connection": {"idle": round(rows[0]["slope"]), "used": round(rows[1]["slope"])},
-        "knowing": who_knows_whom(cost),
+        "knowing": subset_figures(cost),
         "announce": {
             "reports_a_second": round(size("instances") / REPORT_INTERVAL),
             "bytes_a_report": round(announced["slope"] * REPORT_INTERVAL),
--- a/thistleline/lab/scale/forwarder.py
+++ b/thistleline/lab/scale/forwarder.py
@@ -1,8 +1,8 @@
-"""What stands where an instance would, and decides nothing: `python -m thistleline.lab.scale.forwarder` with
-ROUTER_CONFIG. Each task goes to the agent as it is read, each end of a run back to whoever sent the task.
+"""A baseline in an instance's place that makes no decisions: `python -m thistleline.lab.scale.forwarder`.
 
-The same callers and the same agent on the same ways: what a request takes here, callers, agent, loopback and
-a loop in Python take without an instance.
+It reads ROUTER_CONFIG, forwards each task to the agent as it is read, and each end of a run to the task's
+sender. With the same callers, agent and connections, a request's latency here is what callers, agent,
+loopback and a Python event loop take without an instance.
 """
 
 import asyncio
@@ -16,68 +16,82 @@
 from thistleline.wire.requests import BUFFER_SIZE, ClientCodec, HealthRequest, TaskRequest
 
 
-class Ends(asyncio.Protocol):
+class ForwarderConnection(asyncio.Protocol):
     """One connection: to the agent, or to a caller."""
 
-    def __init__(self, hall: "Hall", bound: int) -> None:
-        self.hall, self.buffer = hall, Buffer(bound)
+    def __init__(self, forwarder: "Forwarder", buffer_size: int) -> None:
+        """Take the forwarder and the size of the read buffer, in bytes."""
+        self.forwarder = forwarder
+        self.buffer = Buffer(buffer_size)
 
     def connection_made(self, transport: Any) -> None:
+        """Keep the transport for writing."""
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
+        """Buffer the data, handling all whole messages whenever the buffer is filled."""
         while data:
             room = self.buffer.room()
             count = min(len(room), len(data))
             room[:count] = data[:count]
             self.buffer.filled(count)
             data = data[count:]
-            self.take()
+            self.handle_messages()
 
-    def take(self) -> None:
+    def handle_messages(self) -> None:
+        """Handle the whole messages in the buffer."""
         raise NotImplementedError
 
 
-class CallerEnd(Ends):
-    def take(self) -> None:
-        for request in self.hall.codec.decode_requests(self.buffer):
+class CallerConnection(ForwarderConnection):
+    """A caller's connection: its tasks go to the agent, its health checks are answered."""
+
+    def handle_messages(self) -> None:
+        """Forward the tasks and answer the health checks."""
+        for request in self.forwarder.codec.decode_requests(self.buffer):
             if isinstance(request, TaskRequest):
                 task = request.task
-                self.hall.open[task.id] = self, request.sequence
-                stage = self.hall.configuration.settings.stages[task.stage].name
-                self.hall.agent.transport.write(agent.encode_start(task.id, stage, bytes(request.body)))
+                self.forwarder.open[task.id] = self, request.sequence
+                stage = self.forwarder.configuration.settings.stages[task.stage].name
+                self.forwarder.agent.transport.write(agent.encode_start(task.id, stage, bytes(request.body)))
             elif isinstance(request, HealthRequest):
                 self.transport.write(responses.encode_health(request.sequence, True, None))
 
 
-class AgentEnd(Ends):
-    def take(self) -> None:
+class AgentConnection(ForwarderConnection):
+    """The connection to the agent: ends of runs go to the callers."""
+
+    def handle_messages(self) -> None:
+        """Send each result to the caller that sent the task."""
         for notice in agent.decode_notices(self.buffer):
-            if isinstance(notice, agent.RunEnded) and notice.task_id in self.hall.open:
-                caller, sequence = self.hall.open.pop(notice.task_id)
+            if isinstance(notice, agent.RunEnded) and notice.task_id in self.forwarder.open:
+                caller, sequence = self.forwarder.open.pop(notice.task_id)
                 caller.transport.write(responses.encode_finished(sequence, bytes(notice.result), None))
 
 
-class Hall:
-    """Both sides, and the tasks between them: by id, who sent them under which number."""
+class Forwarder:
+    """The agent connection, and the open tasks by id: the caller's connection and sequence number."""
 
     def __init__(self, configuration: Configuration) -> None:
+        """Take the configuration that an instance would have."""
         self.configuration = configuration
         self.codec = ClientCodec(configuration.settings)
-        self.open: dict[str, tuple[Ends, int]] = {}
-        self.agent: Ends
+        self.open: dict[str, tuple[ForwarderConnection, int]] = {}
+        self.agent: ForwarderConnection
 
     async def serve(self) -> None:
-        """To the end of the process, which is whoever started it."""
+        """Serve until the process is killed."""
         loop = asyncio.get_running_loop()
         _, self.agent = await loop.create_connection(
-            lambda: AgentEnd(self, AGENT_BUFFER_SIZE), *self.configuration.agent
+            lambda: AgentConnection(self, AGENT_BUFFER_SIZE), *self.configuration.agent
         )
         self.agent.transport.write(agent.encode_subscribe(0))
-        server = await loop.create_server(lambda: CallerEnd(self, BUFFER_SIZE), *self.configuration.listen)
+        server = await loop.create_server(
+            lambda: CallerConnection(self, BUFFER_SIZE), *self.configuration.listen
+        )
         print('{"event":"serving"}', flush=True)
         await server.serve_forever()
 
 
 if __name__ == "__main__":
-    asyncio.run(Hall(read_configuration(os.environ)).serve())
+    asyncio.run(Forwarder(read_configuration(os.environ)).serve())
--- a/thistleline/lab/scale/instance.py
+++ b/thistleline/lab/scale/instance.py
@@ -1,4 +1,4 @@
-"""One instance as its users start it, with its agent, for what is measured on real sockets and in /proc."""
+"""One instance as its users start it, with its agent, for measurements on real sockets and in /proc."""
 
 import json
 import os
@@ -13,78 +13,115 @@
 from thistleline.lab.ledger import SETTINGS
 from thistleline.lab.processes.harness import RunTimeoutError, free_port, run_folder
 
-PATIENCE = 15.0  # s for the instance to serve
+SERVING_TIMEOUT = 15.0  # s for the instance to serve
 HOST = "127.0.0.1"
-_TICK = os.sysconf("SC_CLK_TCK")
+_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
 
 class Instance(NamedTuple):
+    """A running instance: the port that it listens on, its process and its folder."""
+
     port: int
     pid: int
     folder: Path
 
     def cpu_seconds(self) -> float:
+        """Return the CPU time of the process so far, in seconds."""
         return cpu_seconds(self.pid)
 
     def resident(self) -> int:
+        """Return the resident memory of the process, in bytes."""
         return resident(self.pid)
 
 
 def cpu_seconds(pid: int) -> float:
-    """User and system time of a process so far (proc(5), fields 14 and 15), in steps of a tick."""
+    """Return the user and system time of a process in seconds, in steps of a clock tick (proc(5))."""
     fields = Path(f"/proc/{pid}/stat").read_bytes().rpartition(b")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / _TICK
+    return (int(fields[11]) + int(fields[12])) / _TICKS_PER_SECOND
 
 
 def resident(pid: int) -> int:
-    """Bytes of a process that lie in RAM; what the kernel holds for its sockets is not in it."""
+    """Return the resident memory of a process in bytes, without the kernel's for its sockets."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return int(next(line for line in lines if line.startswith("VmRSS:")).split()[1]) * 1024
 
 
 def machine() -> dict[str, Any]:
-    """Where a run was made: its times count only where nothing else loaded the machine."""
+    """Describe the machine of a run: its times count only where nothing else loaded the machine."""
     return {"cores": os.cpu_count(), "load_1_min": round(os.getloadavg()[0], 2)}
 
 
 @contextmanager
-def instance(
+def run_instance(
     run_ms: float, connections: int, fault: dict[str, Any] | None = None, program: str = ""
 ) -> Iterator[Instance]:
-    """One that serves, at an agent whose runs take so long, and that may have so many connections open; with
-    a fault of processes/faulty_server.py built in where one is told, or another program in its place. It is
-    ended by SIGKILL, the agent by its standard input. Raises RunTimeoutError where it doesn't come to
-    serve."""
+    """Run an instance and its agent for as long as the context lasts.
+
+    The instance is ended by SIGKILL, the agent by its standard input.
+
+    Args:
+        run_ms: Duration of the agent's runs, in milliseconds.
+        connections: Number of connections that the instance must be able to hold open.
+        fault: Fault of lab/processes/faulty_server.py to build in.
+        program: Module to run in place of the instance.
+
+    Raises:
+        RunTimeoutError: The instance does not serve within SERVING_TIMEOUT.
+    """
     with run_folder("scale", "lab scale") as folder:
-        words = [sys.executable, "-m", "thistleline.lab.scale.agent", f"{run_ms:g}"]
-        agent = subprocess.Popen(words, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
+        command = [sys.executable, "-m", "thistleline.lab.scale.agent", f"{run_ms:g}"]
+        agent = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
         server: subprocess.Popen[bytes] | None = None
         try:
             assert agent.stdout is not None
             agent_port = int(agent.stdout.readline())
             port, log = free_port(), folder / "server.log"
-            told = {"name": "n1", "listen": f"{HOST}:{port}", "agent": f"{HOST}:{agent_port}",
-                    "announce": f"{HOST}:9", "seed": "1f", "stop_ms": 1000, "settings": SETTINGS,
-                    "limits": {"cores": 1.0, "memory_mb": max(256, connections // 6),
-                               "sockets": connections + 64}}  # fmt: skip
-            (folder / "config.json").write_text(json.dumps(told))
-            env = {**os.environ, "ROUTER_CONFIG": str(folder / "config.json")}
+            config = folder / "config.json"
+            config.write_text(json.dumps(_configuration(port, agent_port, connections)))
+            env = {**os.environ, "ROUTER_CONFIG": str(config)}
             env.pop("THISTLELINE_CONF", None)
             env["LAB_FAULT"] = json.dumps(fault or {})
             with log.open("wb") as out:
                 usual = "thistleline" if fault is None else "thistleline.lab.processes.faulty_server"
                 command = [sys.executable, "-m", program or usual]
                 server = subprocess.Popen(command, env=env, stdout=out, stderr=out)
-            until = time.monotonic() + PATIENCE
-            while b'"serving"' not in log.read_bytes():
-                if server.poll() is not None or time.monotonic() > until:
-                    raise RunTimeoutError(
-                        f"the instance does not serve in {PATIENCE} s: {log.read_text()[-500:]}"
-                    )
-                time.sleep(0.01)
+            _wait_until_serving(server, log)
             yield Instance(port, server.pid, folder)
         finally:
             if server is not None:
                 server.kill()
                 server.wait()
             agent.communicate()
+
+
+def _configuration(port: int, agent_port: int, connections: int) -> dict[str, Any]:
+    """Return the configuration of an instance that may have so many connections open."""
+    return {
+        "name": "n1",
+        "listen": f"{HOST}:{port}",
+        "agent": f"{HOST}:{agent_port}",
+        "announce": f"{HOST}:9",
+        "seed": "1f",
+        "stop_ms": 1000,
+        "settings": SETTINGS,
+        "limits": {
+            "cores": 1.0,
+            "memory_mb": max(256, connections // 6),
+            "sockets": connections + 64,
+        },
+    }
+
+
+def _wait_until_serving(server: subprocess.Popen[bytes], log: Path) -> None:
+    """Wait for the log to say that the server serves.
+
+    Raises:
+        RunTimeoutError: It has ended, or does not serve within SERVING_TIMEOUT.
+    """
+    deadline = time.monotonic() + SERVING_TIMEOUT
+    while b'"serving"' not in log.read_bytes():
+        if server.poll() is not None or time.monotonic() > deadline:
+            raise RunTimeoutError(
+                f"the instance does not serve in {SERVING_TIMEOUT} s: {log.read_text()[-500:]}"
+            )
+        time.sleep(0.01)
