--- a/tests/test_feed_sockets.py
+++ b/tests/test_feed_sockets.py
@@ -21,7 +21,7 @@
     put_all,
     with_region,
 )
-from thistleline.lab.scale.followers import Parts, Report, Seen
+from thistleline.lab.scale.followers import FollowerReport, Report, SharedSnapshot
 from thistleline.store.disk import Disk
 
 BASE = {"route/a": (b"{}", 4), "common/x": (b"1", 5)}
@@ -42,7 +42,7 @@
 
 def saw(**facts: Any) -> list[Report]:
     told = {"number": 7, "digest": digest_of(NEWEST), "states": [(6, 5_000_000), (7, 31_000_000)], **facts}
-    return [Report([Seen("i0", **told)])]
+    return [Report([FollowerReport("i0", **told)])]
 
 
 # ---- the oracle
@@ -96,7 +96,7 @@
     table = made_table(300, 0, 1)
     entries = list(table.entries("wide"))
     cut = [tuple(entries[first : first + 50]) for first in range(0, len(entries), 50)]
-    loads = [Parts(), Parts()]
+    loads = [SharedSnapshot(), SharedSnapshot()]
     for part in cut:
         loads = [one.update(9, tuple(part), "wide") for one in loads]
     assert {one.entry_count("wide") for one in loads} == {301}
--- a/thistleline/lab/scale/feedsockets.py
+++ b/thistleline/lab/scale/feedsockets.py
@@ -35,7 +35,7 @@
 from thistleline.lab.processes.harness import RunTimeoutError, free_port, run_folder
 from thistleline.lab.scale import slopes
 from thistleline.lab.scale.feed import DAY, HOT, Load, made_table, route_key, route_value
-from thistleline.lab.scale.followers import Report, Told
+from thistleline.lab.scale.followers import FollowersSettings, Report
 from thistleline.lab.scale.instance import cpu_seconds, machine, resident
 from thistleline.lab.scale.size import size
 from thistleline.lab.scale.slopes import Part, Row
@@ -151,7 +151,7 @@
     with (region.folder / "followers.log").open("ab") as log:
         try:
             for share in filter(None, shares):
-                told = msgspec.json.encode(Told(sources, first, share, tenants, seed)).decode()
+                told = msgspec.json.encode(FollowersSettings(sources, first, share, tenants, seed)).decode()
                 words = [sys.executable, "-m", "thistleline.lab.scale.followers", told]
                 some.append(Some(await anyio.open_process(words, stderr=log)))
                 first += share
--- a/thistleline/lab/scale/followers.py
+++ b/thistleline/lab/scale/followers.py
@@ -1,11 +1,12 @@
-"""Many hollow instances in one process: the client that runs, a connection each; states shared where they are
-equal, so that hundreds of tables fit. `python -m thistleline.lab.scale.followers JSON`.
+"""Many hollow instances in one process: `python -m thistleline.lab.scale.followers JSON`.
 
-It is told by lines and answers each with one: `go` starts all, `stands` asks for their numbers and whom they
-follow, `tell` for all that was seen since it was asked last. It ends with its standard input.
+Each runs the real feed client with a connection of its own; equal tables are shared, so that hundreds fit.
 
-What is shared is not paid for by each: a change is taken into one table for all of a process, and a snapshot
-is made into a table once. Who is alone in a process pays for all of it.
+Commands are lines on standard input, each answered by a line of JSON: `go` starts all, `stands` returns their
+sequence numbers and upstreams, `tell` a report since the last one. The process ends with its standard input.
+
+The cost of what is shared is not paid by each: a change is applied to one table for the whole process, and a
+snapshot becomes a table once. A follower alone in its process pays for all of it.
 """
 
 import sys
@@ -32,12 +33,13 @@
 from thistleline.lab.simulation.feed_fleet import Shared
 from thistleline.transport.codec import FrameDecoder, encode_frame
 
-PARTS_KEPT, TABLES_KEPT = 4_000, 8
+MAX_SHARED_PARTS = 4_000
+MAX_SHARED_TABLES = 8
 Items = tuple[tuple[str, bytes, int], ...]
 
 
-class Told(msgspec.Struct, frozen=True):
-    """Who follows whom here. `tenants`: how many there are to be looked up."""
+class FollowersSettings(msgspec.Struct, frozen=True):
+    """Settings of the process: upstreams, first number and count of followers, tenants to look up."""
 
     sources: dict[str, tuple[str, int]]
     first: int
@@ -46,10 +48,21 @@
     seed: int
 
 
-class Seen(msgspec.Struct):
-    """What one of them saw: each state by its number and when look-ups answered by it, ns of the monotonic
-    clock. `wrong`: look-ups that did not. `silent`: the longest without a word on one connection, ns.
-    `tenants`: what is held of them, value and version."""
+class FollowerReport(msgspec.Struct):
+    """What one follower observed since the last report.
+
+    Attributes:
+        name: Name of the follower.
+        at: Name of its upstream.
+        number: Sequence number of its table.
+        digest: Digest of its table.
+        states: Each new state's sequence number and the monotonic time, in ns, from which look-ups used it.
+        loads: Number of states that came as a snapshot.
+        wrong: Number of look-ups that did not return the new state.
+        connects: Number of connection attempts.
+        silent: Longest time without a message on one connection, in ns.
+        tenants: Cached tenants: value and version.
+    """
 
     name: str
     at: str = ""
@@ -64,105 +77,126 @@
 
 
 class Report(msgspec.Struct):
-    """Bytes and processor time (ns) are of the process, since it began."""
+    """Report of the process: `got` and `sent` bytes, `cpu` and `reducers` CPU time (ns) since its start."""
 
-    followers: list[Seen]
+    followers: list[FollowerReport]
     got: int = 0
     sent: int = 0
     cpu: int = 0
     reducers: int = 0
 
 
-class Parts:
-    """A snapshot as far as it came. It becomes a table once for all who have the same parts."""
+class SharedSnapshot:
+    """A snapshot as far as it was received; one table is made of it for all followers with equal parts."""
 
     known: ClassVar[dict[Items, Items]] = {}
     made: ClassVar[dict[tuple[int, tuple[Items, ...]], Shared]] = {}
 
     def __init__(self, sequence: int = 0, parts: tuple[Items, ...] = ()) -> None:
-        self.sequence, self.parts = sequence, parts
+        """Take the sequence number and the parts received."""
+        self.sequence = sequence
+        self.parts = parts
 
-    def update(self, sequence: int, items: Items, kind: Kind) -> "Parts":
-        if len(self.known) > PARTS_KEPT:
+    def update(self, sequence: int, items: Items, kind: Kind) -> "SharedSnapshot":
+        """Return the snapshot with one more part."""
+        if len(self.known) > MAX_SHARED_PARTS:
             self.known.clear()
-        return Parts(sequence, (*self.parts, self.known.setdefault(items, items)))
+        return SharedSnapshot(sequence, (*self.parts, self.known.setdefault(items, items)))
 
     def entry_count(self, kind: Kind) -> int:
+        """Return the number of entries received."""
         return sum(map(len, self.parts))
 
     def digest(self, kind: Kind) -> bytes:
+        """Return the digest of the table."""
         return self.table(kind).digest(kind)
 
     def table(self, kind: Kind) -> Shared:
+        """Return the shared table of these parts."""
         key = self.sequence, self.parts
         found = self.made.get(key)
         if found is None:
             entries = (one for part in self.parts for one in part)
             found = self.made[key] = Shared(*FeedTable.update(FeedTable(), self.sequence, entries, kind))
-            while len(self.made) > TABLES_KEPT:
+            while len(self.made) > MAX_SHARED_TABLES:
                 del self.made[next(iter(self.made))]
         return found
 
 
 class Traffic:
-    got = sent = 0
+    """Bytes received and sent on all connections of the process."""
+
+    got = 0
+    sent = 0
 
 
-def share() -> None:
-    """For all of this process: tables are shared, bytes of the links counted."""
-    had = Follower._add_part
+def share_tables() -> None:
+    """Patch the feed client of this process to share tables and to count the bytes of connections."""
+    add_part = Follower._add_part
 
-    def part(self: Follower, told: SnapshotPart) -> None:
-        had(self, told)
-        if isinstance(self.table, Parts):
+    def add_shared_part(self: Follower, part: SnapshotPart) -> None:
+        add_part(self, part)
+        if isinstance(self.table, SharedSnapshot):
             self.table = self.table.table(self.kind)
 
-    class Counted(FrameDecoder):
+    class CountingDecoder(FrameDecoder):
         def feed(self, data: bytes) -> list[bytes]:
             Traffic.got += len(data)
             return super().feed(data)
 
-    def counted(payload: bytes) -> bytes:
+    def encode_counted(payload: bytes) -> bytes:
         data = encode_frame(payload)
         Traffic.sent += len(data)
         return data
 
-    for where, name, other in ((Follower, "_add_part", part), (following, "FeedTable", Parts),
-                               (follower_service, "FeedTable", Shared), (upstream, "FrameDecoder", Counted),
-                               (send_queue, "encode_frame", counted),
-                               (request, "encode_frame", counted)):  # fmt: skip
-        setattr(where, name, other)
+    replacements: list[tuple[Any, str, Any]] = [
+        (Follower, "_add_part", add_shared_part),
+        (following, "FeedTable", SharedSnapshot),
+        (follower_service, "FeedTable", Shared),
+        (upstream, "FrameDecoder", CountingDecoder),
+        (send_queue, "encode_frame", encode_counted),
+        (request, "encode_frame", encode_counted),
+    ]
+    for owner, name, replacement in replacements:
+        setattr(owner, name, replacement)
 
 
-class Timed:
-    """A reducer, and the processor time that it takes; what it does and hears is noted in `seen`."""
+class TimedStateMachine:
+    """A state machine with the CPU time that it takes (ns); its connections are recorded in `seen`."""
 
     spent: ClassVar[int] = 0
 
-    def __init__(self, reducer: LookupCache, seen: Seen) -> None:
-        self.next_deadline, self.inner, self.seen = reducer.next_deadline, reducer, seen
-        self.heard_at = 0
+    def __init__(self, inner: LookupCache, seen: FollowerReport) -> None:
+        """Wrap the lookup cache; `seen` is the report to fill."""
+        self.next_deadline = inner.next_deadline
+        self.inner = inner
+        self.seen = seen
+        self.received_at = 0
 
     def handle(self, now: int, event: FollowerEvent) -> list[FollowerEffect]:
+        """Handle the event, recording the time, connection attempts and silences."""
         begun = time.thread_time_ns()
         effects = self.inner.handle(now, event)
-        Timed.spent += time.thread_time_ns() - begun
+        TimedStateMachine.spent += time.thread_time_ns() - begun
         if isinstance(event, UpstreamMessage):
-            self.seen.silent = max(self.seen.silent, now - (self.heard_at or now))
-            self.heard_at = now
+            self.seen.silent = max(self.seen.silent, now - (self.received_at or now))
+            self.received_at = now
         elif any(isinstance(effect, ConnectUpstream) for effect in effects):
             self.seen.connects += 1
-            self.heard_at = 0
+            self.received_at = 0
         return effects
 
 
-class Hollow:
-    def __init__(self, name: str, told: Told, seed: int) -> None:
-        self.seen = Seen(name)
-        self.client = FeedClient(name, told.sources, random=Random(seed), on_state=self._saw)
-        self.timed = self.client.state_machine = Timed(self.client.lookups, self.seen)
+class HollowInstance:
+    """One feed client and what it observed."""
 
-    def _saw(self, table: FeedTable, items: Any) -> None:
+    def __init__(self, name: str, settings: FollowersSettings, seed: int) -> None:
+        """Make the client; it does not run yet."""
+        self.seen = FollowerReport(name)
+        self.client = FeedClient(name, settings.sources, random=Random(seed), on_state=self._on_state)
+        self.timed = self.client.state_machine = TimedStateMachine(self.client.lookups, self.seen)
+
+    def _on_state(self, table: FeedTable, items: Any) -> None:
         seen = self.seen
         for key, value, version in items or ():
             if not key.startswith(PARTIAL_PREFIXES):
@@ -172,25 +206,31 @@
         seen.states.append((table.sequence, time.monotonic_ns()))
         seen.loads += items is None
 
-    def tell(self) -> Seen:
+    def report(self) -> FollowerReport:
+        """Return what was observed since the last report."""
         seen, client = self.seen, self.client
         seen.at, seen.number = client.follower.upstream, client.table.sequence
         seen.digest = client.table.digest("wide")
         seen.tenants = {key: one[:2] for key, one in client.lookups.tenants.items()}
-        self.seen = self.timed.seen = Seen(seen.name)
+        self.seen = self.timed.seen = FollowerReport(seen.name)
         return seen
 
 
 class Followers:
-    def __init__(self, told: Told) -> None:
-        self.told = told
-        places = range(told.first, told.first + told.many)
-        self.all = [Hollow(f"i{place}", told, told.seed * 10_000 + place) for place in places]
+    """All followers of the process, and the commands on standard input."""
+
+    def __init__(self, settings: FollowersSettings) -> None:
+        """Make the followers; they do not run yet."""
+        self.settings = settings
+        places = range(settings.first, settings.first + settings.many)
+        self.all = [HollowInstance(f"i{place}", settings, settings.seed * 10_000 + place) for place in places]
 
     async def run(self) -> None:
+        """Answer commands until standard input ends."""
+        commands = {"go": self._go, "stands": self._stands, "tell": self._tell}
         async with anyio.create_task_group() as group:
             while line := await anyio.to_thread.run_sync(sys.stdin.buffer.readline):
-                answer = getattr(self, f"_{line.decode().strip()}")(group)
+                answer = commands[line.decode().strip()](group)
                 sys.stdout.buffer.write(msgspec.json.encode(answer) + b"\n")
                 sys.stdout.buffer.flush()
             group.cancel_scope.cancel()
@@ -198,7 +238,7 @@
     def _go(self, group: TaskGroup) -> int:
         for one in self.all:
             group.start_soon(one.client.run)
-        group.start_soon(self._look)
+        group.start_soon(self._look_up_tenants)
         return time.monotonic_ns()
 
     def _stands(self, group: TaskGroup) -> tuple[dict[int, int], dict[str, int]]:
@@ -206,21 +246,23 @@
         return dict(numbers), dict(Counter(one.client.follower.upstream for one in self.all))
 
     def _tell(self, group: TaskGroup) -> Report:
-        told = [one.tell() for one in self.all]
-        return Report(told, Traffic.got, Traffic.sent, time.process_time_ns(), Timed.spent)
+        reports = [one.report() for one in self.all]
+        return Report(reports, Traffic.got, Traffic.sent, time.process_time_ns(), TimedStateMachine.spent)
 
-    async def _look(self) -> None:
-        """A tenant now and then, one of a few every other time."""
-        chance, many = Random(self.told.seed + self.told.first), self.told.tenants
+    async def _look_up_tenants(self) -> None:
+        """Look up a random tenant at random times, every other time one of the few hot ones."""
+        random = Random(self.settings.seed + self.settings.first)
+        many = self.settings.tenants
         while True:
-            await anyio.sleep(chance.expovariate(LOOKS * len(self.all)))
-            place = chance.randrange(min(many, chance.choice((HOT, many))))
-            chance.choice(self.all).client.lookup(tenant_key(place))
+            await anyio.sleep(random.expovariate(LOOKS * len(self.all)))
+            place = random.randrange(min(many, random.choice((HOT, many))))
+            random.choice(self.all).client.lookup(tenant_key(place))
 
 
 def main() -> None:
-    share()
-    anyio.run(Followers(msgspec.json.decode(sys.argv[1], type=Told)).run)
+    """Run the followers that the first argument describes."""
+    share_tables()
+    anyio.run(Followers(msgspec.json.decode(sys.argv[1], type=FollowersSettings)).run)
 
 
 if __name__ == "__main__":
