--- a/tests/test_feed_worlds.py
+++ b/tests/test_feed_worlds.py
@@ -14,26 +14,26 @@
 from thistleline.lab.scale.feed import Load, begin, case, made_table
 from thistleline.lab.simulation import feed_mutants as feedmutants
 from thistleline.lab.simulation.feed_fleet import LENGTH, Oracle, Shared, VirtualFeed, quantile
-from thistleline.lab.simulation.feed_mutants import MUTANTS, SCENARIOS, explored
+from thistleline.lab.simulation.feed_mutants import MUTANTS, SCENARIOS, explore_scenario
 
 # ---- explored
 
 
 @pytest.mark.parametrize("what", SCENARIOS)
 def test_nothing_is_lost_doubled_or_half_seen_near_a_hard_case(what: str) -> None:
-    found = explored(what, 3000)
+    found = explore_scenario(what, 3000)
     assert not found.wrong, "\n".join([found.wrong, *found.trace])
     assert found.whole or found.states >= 3000
 
 
 @pytest.mark.parametrize("place", range(len(MUTANTS)), ids=[one.what for one in MUTANTS])
 def test_a_protection_left_out_is_found(place: int) -> None:
-    found = feedmutants.hunted(place, 6000)
+    found = feedmutants.explore_mutant(place, 6000)
     assert found.wrong, f"{MUTANTS[place].what}: {found.states} states, depth {found.depth}"
 
 
 def test_an_exploration_is_the_same_each_time() -> None:
-    assert explored("deposed writer", 1000) == explored("deposed writer", 1000)
+    assert explore_scenario("deposed writer", 1000) == explore_scenario("deposed writer", 1000)
 
 
 # ---- the oracle can fail
--- a/tests/test_feed_writer.py
+++ b/tests/test_feed_writer.py
@@ -66,7 +66,7 @@
     WriterEvent,
     WriteUnanswered,
 )
-from thistleline.lab.simulation.feed_world import changed, fleet, settle
+from thistleline.lab.simulation.feed_world import build_fleet, commit_changes, settle
 from thistleline.lease.protocol import Acquire, Break, Denied, Done, Granted, Put
 from thistleline.lease.table import LeaseTable as Council
 from thistleline.lease.table import encode_decision
@@ -710,16 +710,16 @@
         return name == "k2"
 
     monkeypatch.setattr(record_ring, "RING_SLOTS", 2)
-    world = changed(fleet(relays=0, instances=0), 3, away)
-    world.move("k1")
-    world.lose("k0")
+    world = commit_changes(build_fleet(relays=0, instances=0), 3, away)
+    world.move_lease("k1")
+    world.lose_lease("k0")
     for _ in range(4):
         settle(world, away)
         world.ticks += 1  # k0 asked k2 first, which is silent
     for _ in range(2):
         world.propose("k1")
         settle(world, away)
-    assert world.acked == {f"c{place}": place + 1 for place in range(5)}
+    assert world.acknowledged == {f"c{place}": place + 1 for place in range(5)}
 
 
 def test_a_keeper_that_lost_its_disk_counts_no_more_also_where_it_finds_no_place() -> None:
@@ -735,7 +735,7 @@
 
 
 def test_a_keeper_says_who_writes_while_it_follows_that_one_and_no_longer() -> None:
-    world = fleet(relays=0, instances=0)
+    world = build_fleet(relays=0, instances=0)
 
     def said(name: str) -> tuple[str, str]:
         node = world.nodes[name]
@@ -743,9 +743,9 @@
         return node.leader, node.source.leader
 
     assert [said(name) for name in ("k0", "k1", "k2")] == [("", ""), ("k0", "k0"), ("k0", "k0")]
-    world.end("k1")
+    world.break_connection("k1")
     assert said("k1") == ("", "")
-    world.put("k1", TimerExpired())  # it asks k2, who does not write
+    world.deliver("k1", TimerExpired())  # it asks k2, who does not write
     assert said("k1") == ("", "")
 
 
--- a/thistleline/lab/simulation/feed_mutants.py
+++ b/thistleline/lab/simulation/feed_mutants.py
@@ -1,5 +1,8 @@
-"""The feed explored from a few steps before its hard cases, and each protection taken out in turn: the
-exploration has to find what it guards against."""
+"""Mutation testing of the config feed by exhaustive exploration.
+
+The feed is explored from a few steps before its hard cases. Then each safeguard is removed in turn: the
+exploration has to find the violation that the safeguard prevents.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -24,17 +27,18 @@
 from thistleline.lab.simulation.feed_world import (
     FeedWorld,
     Scenario,
-    begin,
-    changed,
-    fleet,
-    following,
+    build_fleet,
+    commit_changes,
     settle,
+    start_exploration,
+    successors,
 )
 from thistleline.lab.simulation.lease_mutants import account, mutant, without
-from thistleline.lease.table import LeaseTable as Council
+from thistleline.lease.table import LeaseTable
 
-DEPTH = 60
-# Small, so that a world of some steps comes to where it counts: two records in the ring, an entry a part.
+DEPTH = 60  # events from the root, at most
+MIN_MUTANT_STATES = 6_000
+# Limits small enough to be reached in a few steps: two records in the ring, one entry a part.
 SMALL: tuple[tuple[Any, str, Any], ...] = (
     (ring, "RING_SLOTS", 2),
     (serving, "PART_SIZE", 1),
@@ -45,24 +49,27 @@
 # ---- where explorations begin
 
 
-def _on_its_way(world: FeedWorld) -> FeedWorld:
-    """One change more, which the relay has and the instance not yet."""
+def _send_change(world: FeedWorld) -> FeedWorld:
+    """Send one more change, which the relay has and the instance not yet."""
     world.propose("k0")
     world.decide(0)
-    world.answer(0)
-    while not world.links["i0"].down:
-        world.hear("r0", bool(world.links["r0"].up))
+    world.answer_write(0)
+    while not world.connections["i0"].to_client:
+        if world.connections["r0"].to_server:
+            world.receive_from_client("r0")
+        else:
+            world.receive_from_server("r0")
     return world
 
 
 def _followed() -> FeedWorld:
-    """Two changes are made, all have them."""
-    return changed(fleet(), 2)
+    """Return a world where two changes are at all nodes."""
+    return commit_changes(build_fleet(), 2)
 
 
-def _cold() -> FeedWorld:
-    """The instance is there again with nothing; the relay knows no steps."""
-    world = changed(fleet(keepers=1), 2)
+def _cold_instance() -> FeedWorld:
+    """Return a world where the instance restarts empty, below a relay without history."""
+    world = commit_changes(build_fleet(keepers=1), 2)
     world.disks["r0"] = world.nodes["r0"].table
     world.restart("r0")
     settle(world, lambda name: name[0] == "i")
@@ -71,239 +78,277 @@
     return world
 
 
-def _strange() -> FeedWorld:
-    """The instance comes with a state of this number that is another."""
-    world = changed(fleet(keepers=1), 2)
+def _foreign_state() -> FeedWorld:
+    """Return a world where the instance has a state of another feed at the newest sequence."""
+    world = commit_changes(build_fleet(keepers=1), 2)
     world.disks["i0"] = FeedTable().update(2, (("common/a", b'{"of another feed":1}', 1),), "wide")
-    world.strange = ("i0",)
+    world.foreign = ("i0",)
     world.restart("i0")
     return world
 
 
-def _deposed() -> FeedWorld:
-    """A Put of k0 is on its way to the council; the lease has gone to k1, which reads."""
-    world = changed(fleet(keepers=2, relays=0, instances=0), 1)
+def _deposed_writer() -> FeedWorld:
+    """Return a world where a write of k0 is in transit while k1 has the lease and reads."""
+    world = commit_changes(build_fleet(keepers=2, relays=0, instances=0), 1)
     world.propose("k0")
-    world.move("k1")
+    world.move_lease("k1")
     return world
 
 
 def _ring_full() -> FeedWorld:
-    """Each of the two records holds a change that only the writer has on disk."""
-    world = fleet(relays=0, instances=0)
-    return changed(world, 2, lambda name: name in ("k1", "k2"))
+    """Return a world where both records hold a change that is durable at the writer alone."""
+    world = build_fleet(relays=0, instances=0)
+    return commit_changes(world, 2, lambda name: name in ("k1", "k2"))
 
 
 def _unanswered() -> FeedWorld:
-    """A Put of k0 was decided, the answer is on its way."""
-    world = changed(fleet(keepers=2, relays=0, instances=0), 1)
+    """Return a world where a write of k0 is applied and its answer in transit."""
+    world = commit_changes(build_fleet(keepers=2, relays=0, instances=0), 1)
     world.propose("k0")
     world.decide(0)
     return world
 
 
 def _late_keeper() -> FeedWorld:
-    """k2 has nothing, the records go round without it; nobody follows anybody at the moment."""
-    world = changed(fleet(relays=0, instances=0), 3, lambda name: name == "k2")
-    world.end("k2")
+    """Return a world where k2 is empty and disconnected, and the record ring has wrapped around."""
+    world = commit_changes(build_fleet(relays=0, instances=0), 3, lambda name: name == "k2")
+    world.break_connection("k2")
     return world
 
 
 def _nobody_writes() -> FeedWorld:
-    """k2 is two changes behind, whoever wrote has lost the lease and nobody has it."""
-    world = changed(fleet(relays=0, instances=0), 1)
-    world = changed(world, 2, lambda name: name == "k2")
-    world.lose("k0")
-    world.end("k2")
+    """Return a world where k2 is two changes behind and nobody holds the lease."""
+    world = commit_changes(build_fleet(relays=0, instances=0), 1)
+    world = commit_changes(world, 2, lambda name: name == "k2")
+    world.lose_lease("k0")
+    world.break_connection("k2")
     return world
 
 
-def _tenants() -> FeedWorld:
-    """A change is on its way to the instance, which asks for a tenant that the next one takes away."""
-    world = _on_its_way(changed(fleet(keepers=1), 4))
-    world.look("i0")
-    world.put("i0", TimerExpired())
+def _tenant_lookup() -> FeedWorld:
+    """Return a world where the instance asks for a tenant that the next change deletes."""
+    world = _send_change(commit_changes(build_fleet(keepers=1), 4))
+    world.look_up_tenant("i0")
+    world.deliver("i0", TimerExpired())
     return world
 
 
 def _two_relays() -> FeedWorld:
-    """r1 is a change behind r0, and the instance follows r0."""
-    world = changed(fleet(keepers=1, relays=2), 1)
-    return changed(world, 1, lambda name: name == "r1")
+    """Return a world where r1 is a change behind r0, and the instance follows r0."""
+    world = commit_changes(build_fleet(keepers=1, relays=2), 1)
+    return commit_changes(world, 1, lambda name: name == "r1")
 
 
-def _under_way() -> FeedWorld:
-    """A change is on its way to the instance."""
-    return _on_its_way(changed(fleet(keepers=1), 1))
+def _change_in_transit() -> FeedWorld:
+    """Return a world where a change is in transit to the instance."""
+    return _send_change(commit_changes(build_fleet(keepers=1), 1))
 
 
 def _older_relay() -> FeedWorld:
-    """The instance has lost r0 and asks r1, which is a change behind."""
+    """Return a world where the instance lost r0 and asks r1, which is a change behind."""
     world = _two_relays()
-    while world.links.get("i0", world.links["r0"]).server != "r1":
-        if "i0" in world.links:
-            world.end("i0")
-        world.put("i0", TimerExpired())
+    while world.connections.get("i0", world.connections["r0"]).server != "r1":
+        if "i0" in world.connections:
+            world.break_connection("i0")
+        world.deliver("i0", TimerExpired())
     return world
 
 
 SCENARIOS = {
-    one.what: one
-    for one in (
-        Scenario("tenants", _tenants, changes=1, ends=1, looks=2),
-        Scenario("followed", _followed, changes=2, ends=1, restarts=1, restarted=("r0", "i0", "k1")),
-        Scenario("a change under way", _under_way, changes=1, ends=1, damages=1),
-        Scenario("cold instance", _cold, changes=2, ends=1, damages=1),
-        Scenario("another's state", _strange, changes=1, ends=1, damages=1),
-        Scenario("deposed writer", _deposed, changes=2, losses=1, restarts=1, moves=1),
-        Scenario("ring full", _ring_full, changes=2, restarts=1, moves=1, ticks=1),
-        Scenario("unanswered", _unanswered, changes=1, again=1, losses=1, moves=1, restarts=1),
-        Scenario("late keeper", _late_keeper, changes=1, moves=1, restarts=1, ends=1),
-        Scenario("nobody writes", _nobody_writes, changes=1, moves=1, restarts=1, ends=1),
-        Scenario("older relay", _older_relay, changes=1, ends=1, ticks=1),
-        Scenario("two relays", _two_relays, changes=2, ends=2, restarts=1, restarted=("r0", "r1", "i0")),
+    scenario.name: scenario
+    for scenario in (
+        Scenario("tenants", _tenant_lookup, changes=1, disconnects=1, lookups=2),
+        Scenario("followed", _followed, changes=2, disconnects=1, restarts=1, restartable=("r0", "i0", "k1")),
+        Scenario("a change under way", _change_in_transit, changes=1, disconnects=1, corruptions=1),
+        Scenario("cold instance", _cold_instance, changes=2, disconnects=1, corruptions=1),
+        Scenario("another's state", _foreign_state, changes=1, disconnects=1, corruptions=1),
+        Scenario("deposed writer", _deposed_writer, changes=2, lost_answers=1, restarts=1, lease_moves=1),
+        Scenario("ring full", _ring_full, changes=2, restarts=1, lease_moves=1, ticks=1),
+        Scenario("unanswered", _unanswered, changes=1, retries=1, lost_answers=1, lease_moves=1, restarts=1),
+        Scenario("late keeper", _late_keeper, changes=1, lease_moves=1, restarts=1, disconnects=1),
+        Scenario("nobody writes", _nobody_writes, changes=1, lease_moves=1, restarts=1, disconnects=1),
+        Scenario("older relay", _older_relay, changes=1, disconnects=1, ticks=1),
+        Scenario(
+            "two relays", _two_relays, changes=2, disconnects=2, restarts=1, restartable=("r0", "r1", "i0")
+        ),
     )
 }
 
 
-# ---- what is left out
+# ---- safeguards removed
 
 
-def _by_number(self: History, number: int, digest: bytes, kind: Kind) -> bool:
+def _contains_by_number(self: History, number: int, digest: bytes, kind: Kind) -> bool:
+    """Look a state up by its sequence number, whatever its digest."""
     return number in self._digests
 
 
-def _taken_anyhow(self: Follower, told: Any, had: Callable[..., None] = Follower._apply_delta) -> None:
-    if self.phase == "following" and told.first == self.table.sequence:
-        table = self.table.update(told.last, told.items, self.kind)
-        had(self, msgspec.structs.replace(told, digest=table.digest(self.kind)))
+def _apply_unverified_delta(
+    self: Follower, message: Any, original: Callable[..., None] = Follower._apply_delta
+) -> None:
+    """Apply a delta whatever its digest."""
+    if self.phase == "following" and message.first == self.table.sequence:
+        table = self.table.update(message.last, message.items, self.kind)
+        original(self, msgspec.structs.replace(message, digest=table.digest(self.kind)))
     else:
-        had(self, told)
+        original(self, message)
 
 
-def _part_taken_anyhow(
-    self: Follower, told: SnapshotPart, had: Callable[..., None] = Follower._add_part
+def _add_unverified_part(
+    self: Follower, message: SnapshotPart, original: Callable[..., None] = Follower._add_part
 ) -> None:
+    """Add a part of a snapshot whatever its digest."""
     if self.phase == "loading" and self.snapshot is not None:
-        table = self.snapshot.update(told.sequence, told.items, self.kind)
-        told = msgspec.structs.replace(told, digest=table.digest(self.kind))
-    had(self, told)
+        table = self.snapshot.update(message.sequence, message.items, self.kind)
+        message = msgspec.structs.replace(message, digest=table.digest(self.kind))
+    original(self, message)
 
 
-def _part_counts(self: Follower, told: SnapshotPart, had: Callable[..., None] = Follower._add_part) -> None:
-    had(self, told)
+def _use_partial_snapshot(
+    self: Follower, message: SnapshotPart, original: Callable[..., None] = Follower._add_part
+) -> None:
+    """Use the state after each part of a snapshot."""
+    original(self, message)
     if self.snapshot is not None:
         self.table = self.snapshot
         self._effects.append(SnapshotLoaded())
 
 
-def _older_too(
-    self: Follower, told: FollowAccepted, had: Callable[..., None] = Follower._on_accepted
+def _accept_older_snapshot(
+    self: Follower, message: FollowAccepted, original: Callable[..., None] = Follower._on_accepted
 ) -> None:
+    """Accept a snapshot that is older than the state held."""
     table = self.table
-    if told.load_snapshot and told.sequence < table.sequence:
-        self.table = table._replace(sequence=told.sequence)
-        had(self, told)
+    if message.load_snapshot and message.sequence < table.sequence:
+        self.table = table._replace(sequence=message.sequence)
+        original(self, message)
         self.table = table
     else:
-        had(self, told)
+        original(self, message)
 
 
-def _serves_ahead(self: Source, peer: int, served: Any, told: Any, had: Any = Source._on_follow) -> str:
-    """Who is ahead is not refused."""
+def _serve_client_ahead(
+    self: Source, peer: int, served: Any, message: Any, original: Any = Source._on_follow
+) -> str:
+    """Serve a client that is ahead instead of refusing it."""
     newest = self.history.table.sequence
-    answer = had(self, peer, served, msgspec.structs.replace(told, sequence=min(told.sequence, newest)))
+    answer = original(
+        self, peer, served, msgspec.structs.replace(message, sequence=min(message.sequence, newest))
+    )
     return str(answer)
 
 
-def _of_any_number(
-    self: LookupCache, told: Any, had: Callable[..., None] = LookupCache._on_tenant_entries
+def _accept_entries_of_any_sequence(
+    self: LookupCache, message: Any, original: Callable[..., None] = LookupCache._on_tenant_entries
 ) -> None:
-    had(self, msgspec.structs.replace(told, sequence=self.follower.table.sequence))
+    """Accept a tenant's entries of any sequence number."""
+    original(self, msgspec.structs.replace(message, sequence=self.follower.table.sequence))
 
 
-def _always(self: Any, *_: Any) -> bool:
+def _return_true(self: Any, *_: Any) -> bool:
+    """Skip a check."""
     return True
 
 
-def _at_once_durable(self: Follower) -> None:
+def _acknowledge_before_durable(self: Follower) -> None:
+    """Acknowledge the state in memory as durable."""
     self._send(Acknowledge(self.table.sequence, self.table.sequence))
 
 
-def _any_epoch(self: Council, put: Any, had: Callable[..., Any] = Council._put) -> Any:
-    return had(self, msgspec.structs.replace(put, name=""))
+def _put_without_fencing(self: LeaseTable, put: Any, original: Callable[..., Any] = LeaseTable._put) -> Any:
+    """Write a record without its fencing token."""
+    return original(self, msgspec.structs.replace(put, name=""))
 
 
-def _own_table(self: FeedWriter) -> None:
-    """Goes on from what it has, whatever the records hold."""
+def _resume_without_records(self: FeedWriter) -> None:
+    """Resume writing from the own state, whatever the records hold."""
     self._recovered = ()
     self._start_writing()
 
 
-def _taken_for_refused(
+def _treat_unanswered_as_refused(
     self: FeedWriter,
     now: int,
     event: WriterEvent,
-    had: Callable[..., list[WriterEffect]] = FeedWriter.handle,
+    original: Callable[..., list[WriterEffect]] = FeedWriter.handle,
 ) -> list[WriterEffect]:
-    """No answer means that it was not made."""
+    """Refuse the changes of a write that got no answer."""
     if not isinstance(event, WriteDenied | WriteUnanswered):
-        return had(self, now, event)
+        return original(self, now, event)
     flight = self.in_flight
     if flight is not None and event.slot == self._ring.slot:
         self._commit.in_flight = None
-        for one in flight.changes:
-            self._answer(ProposeResult(one.change.request_id, reason="no answer"))
+        for proposal in flight.changes:
+            self._answer(ProposeResult(proposal.change.request_id, reason="no answer"))
         self._refuse_pending("no answer")
-    effects, self._effects = self._effects, []
+    effects = self._effects
+    self._effects = []
     return effects
 
 
 MUTANTS = (
     mutant("resume: a state is gone on from by its digest too", "another's state",
-            History, "contains", _by_number),
+            History, "contains", _contains_by_number),
     mutant("a change is taken with its digest alone", "a change under way",
-            Follower, "_apply_delta", _taken_anyhow),
+            Follower, "_apply_delta", _apply_unverified_delta),
     mutant("a snapshot is taken with its digest alone", "cold instance",
-            Follower, "_add_part", _part_taken_anyhow),
+            Follower, "_add_part", _add_unverified_part),
     mutant("whole changes: no part counts before the last", "cold instance",
-            Follower, "_add_part", _part_counts),
-    mutant("no older state is taken", "older relay", Follower, "_on_accepted", _older_too,
-            Source, "_on_follow", _serves_ahead),
+            Follower, "_add_part", _use_partial_snapshot),
+    mutant("no older state is taken", "older relay", Follower, "_on_accepted", _accept_older_snapshot,
+            Source, "_on_follow", _serve_client_ahead),
     mutant("a tenant is told and taken at the number held", "tenants",
-            LookupCache, "_on_tenant_entries", _of_any_number,
-            Source, "_has_newest", _always),
-    mutant("the fence", "deposed writer", Council, "_put", _any_epoch),
+            LookupCache, "_on_tenant_entries", _accept_entries_of_any_sequence,
+            Source, "_has_newest", _return_true),
+    mutant("the fence", "deposed writer", LeaseTable, "_put", _put_without_fencing),
     mutant("the cut rule: a majority has it on disk first", "ring full",
-            FeedWriter, "_slot_is_free", _always),
-    mutant("durable is what the disk has", "ring full", Follower, "_acknowledge", _at_once_durable),
-    mutant("who takes over goes on from the records", "unanswered", FeedWriter, "_resume", _own_table),
+            FeedWriter, "_slot_is_free", _return_true),
+    mutant("durable is what the disk has", "ring full",
+            Follower, "_acknowledge", _acknowledge_before_durable),
+    mutant("who takes over goes on from the records", "unanswered",
+            FeedWriter, "_resume", _resume_without_records),
     mutant("a Put without an answer is settled by reading", "unanswered", FeedWriter, "handle",
-            _taken_for_refused),
+            _treat_unanswered_as_refused),
 )  # fmt: skip
 
 
-def explored(what: str, states: int, patches: tuple[tuple[Any, str, Any], ...] = ()) -> Explored:
+def explore_scenario(name: str, states: int, patches: tuple[tuple[Any, str, Any], ...] = ()) -> Explored:
+    """Explore a scenario of small limits, up to a number of states, under patches."""
     with without((*SMALL, *patches)):
-        return explore(_begun(what), following, DEPTH, states)
+        return explore(_root(name), successors, DEPTH, states)
 
 
-def _begun(what: str) -> FeedWorld:
-    return begin(SCENARIOS[what])
+def _root(name: str) -> FeedWorld:
+    """Return the root world of a scenario."""
+    return start_exploration(SCENARIOS[name])
 
 
-def hunted(place: int, states: int) -> Explored:
-    """Where it begins is come to with the protection in."""
-    left_out = MUTANTS[place]
+def explore_mutant(place: int, states: int) -> Explored:
+    """Explore the scenario of a mutant until the violation shows.
+
+    The root world is built with the safeguard in place.
+
+    Args:
+        place: Which one of `MUTANTS`.
+        states: Exploration ends at so many states.
+    """
+    removed = MUTANTS[place]
     with without(SMALL):
-        world = _begun(left_out.scenario)
-        with without(left_out.patches):
-            return explore(world, following, DEPTH, states)
+        world = _root(removed.scenario)
+        with without(removed.patches):
+            return explore(world, successors, DEPTH, states)
 
 
 def prove(states: int, tell: Callable[[str], None]) -> tuple[dict[str, Any], bool, bool]:
-    """Explores each scenario to so many states, and each mutant till its fault shows, 6,000 at the least, in
-    this process. Whether all held that should, and whether all broke that should."""
-    runs = (explored(what, states) for what in SCENARIOS)
-    hunts = (hunted(place, max(6_000, states)) for place in range(len(MUTANTS)))
+    """Explore every scenario and every mutant in this process.
+
+    Args:
+        states: States of each scenario, and of a mutant if more than `MIN_MUTANT_STATES`.
+        tell: Called with each line of progress.
+
+    Returns:
+        The figures, whether every scenario held, and whether every mutant was caught.
+    """
+    runs = (explore_scenario(name, states) for name in SCENARIOS)
+    hunts = (explore_mutant(place, max(MIN_MUTANT_STATES, states)) for place in range(len(MUTANTS)))
     return account(SCENARIOS, MUTANTS, runs, hunts, lambda line: tell(f"feed: {line}"))
--- a/thistleline/lab/simulation/feed_world.py
+++ b/thistleline/lab/simulation/feed_world.py
@@ -1,16 +1,20 @@
-"""The feed as one small world to explore: the council's table of leases and records, keepers, a relay or two
-and an instance, all by the reducers that run, copied at each step.
+"""The config feed as a small world for exhaustive exploration.
 
-A connection carries in order and may end at any message, with what is under way lost. A request to the
-council arrives late, or its answer does, or never; what it decides is one step. A disk has what it was given
-last, or an older state: that one is found after a restart. The oracle goes by the records that the council
-took and keeps plain dicts.
+Keepers, a relay or two and an instance run by the state machines of the program, with the real lease table
+of the consensus cluster; all are copied at each step.
+
+A connection delivers in order and may break at any message, with what is in transit lost. A request to the
+lease table arrives late, or its answer does, or never; what it decides is one step. A disk holds what it was
+given last, or an older state: that one is found after a restart. The oracle goes by the records that the
+lease table accepted and uses plain dicts.
 """
 
 from collections.abc import Callable, Iterator, Sequence
 from functools import partial
 from typing import Any, NamedTuple
 
+import msgspec
+
 from thistleline.config_feed.effects import (
     CloseDownstream,
     ConnectUpstream,
@@ -61,11 +65,24 @@
 )
 from thistleline.lab.simulation.feed_fleet import Instance
 from thistleline.lease.protocol import Acquire, Break, Denied, Granted, Put
-from thistleline.lease.table import LeaseTable as Council
-from thistleline.lease.table import encode_decision
-
-TICK = 600_000_000  # ns: a beat is due
-SPENT = ("changes", "again", "ends", "restarts", "losses", "moves", "ticks", "damages", "looks")
+from thistleline.lease.table import LeaseTable, encode_decision
+
+TICK = 600_000_000  # ns; longer than a heartbeat interval, so that every heartbeat is due after one
+START_TIME = 10 * SECOND  # ns, on the virtual clock
+LEASE_LENGTH = 10 * SECOND  # ns
+MAX_SETTLE_STEPS = 2000
+# Kinds of step that a scenario permits only so many times; names of the fields of `Scenario`.
+BUDGETS = (
+    "changes",
+    "retries",
+    "disconnects",
+    "restarts",
+    "lost_answers",
+    "lease_moves",
+    "ticks",
+    "corruptions",
+    "lookups",
+)
 CHANGES: tuple[tuple[tuple[str, bytes | None], ...], ...] = (
     (("common/a", b'{"a":1}'),),
     (("common/a", b'{"a":2}'), ("common/b", b'{"b":2}')),
@@ -74,67 +91,131 @@
     (("common/c", b'{"c":5}'),),
     (("tenant/t", None), ("common/c", b'{"c":6}')),
 )
-Plain = dict[str, bytes]
+END_OF_STREAM = "end"  # travels on a connection after the last message of a server that closes it
 
+Node = FeedRelay | Instance
+Entries = dict[str, bytes]
+Excluded = Callable[[str], bool]  # whether a node is left out
 
-class Scenario(NamedTuple):
-    """Where it begins, what may happen, and how often at most."""
 
-    what: str
-    root: Callable[[], "FeedWorld"]
+class Scenario(NamedTuple):
+    """A root world with the steps that an exploration may take from it.
+
+    Attributes:
+        name: The name in reports.
+        build: Makes the root world.
+        changes: How many new changes may be proposed.
+        retries: How often the last proposal may be repeated.
+        disconnects: How many connections may break.
+        restarts: How many nodes may restart.
+        lost_answers: How many answers of the lease table may be lost.
+        lease_moves: How often the lease may go to a keeper that lacks it.
+        ticks: How often the clock may advance by `TICK`.
+        corruptions: How many messages may lose an entry in transit.
+        lookups: How often an instance may look up a tenant.
+        restartable: Nodes that may restart; all if empty.
+    """
+
+    name: str
+    build: Callable[[], "FeedWorld"]
     changes: int = 0
-    again: int = 0  # the last one asked for once more
-    ends: int = 0  # of connections
+    retries: int = 0
+    disconnects: int = 0
     restarts: int = 0
-    losses: int = 0  # of answers of the council
-    moves: int = 0  # of the lease
+    lost_answers: int = 0
+    lease_moves: int = 0
     ticks: int = 0
-    damages: int = 0  # of a message on its way
-    looks: int = 0  # for a tenant, by an instance
-    restarted: tuple[str, ...] = ()  # who may; all if none
+    corruptions: int = 0
+    lookups: int = 0
+    restartable: tuple[str, ...] = ()
+
 
+class Connection(NamedTuple):
+    """A connection to a server, with the messages in transit in both directions, oldest first."""
 
-class Link(NamedTuple):
     server: str
     peer: int
-    up: tuple[Any, ...] = ()
-    down: tuple[Any, ...] = ()
+    to_server: tuple[Any, ...] = ()
+    to_client: tuple[Any, ...] = ()
 
 
-Node = FeedRelay | Instance
-END = "end"
+class WriteRequest(NamedTuple):
+    """A Put of a keeper, sent under an epoch, which the lease table has not received yet."""
+
+    keeper: str
+    epoch: int
+    slot: int
+    put: Put
+
+
+class WriteAnswer(NamedTuple):
+    """The lease table's answer to a Put, which the keeper has not received yet."""
+
+    keeper: str
+    epoch: int
+    outcome: RecordWritten | WriteDenied
 
 
 class FeedWorld:
+    """One state of the explored system; every step works on a copy of its own.
+
+    Names of nodes begin with k (keeper), r (relay) or i (instance).
+    """
+
     __slots__ = (
-        *("nodes", "sources", "disks", "pending", "links", "council", "requests", "answers", "reads", "held"),
-        *("index", "ticks", "left", "scenario", "sequence", "states", "acked", "made", "count", "broken"),
-        *("keys", "strange", "refused"),
+        "acknowledged",
+        "budget",
+        "committed",
+        "connection_count",
+        "connections",
+        "disks",
+        "expected_states",
+        "foreign",
+        "held_epochs",
+        "lease_table",
+        "log_index",
+        "node_keys",
+        "nodes",
+        "pending_reads",
+        "pending_writes",
+        "proposed",
+        "refused",
+        "scenario",
+        "sources",
+        "ticks",
+        "violation",
+        "write_answers",
+        "write_requests",
     )
 
     def __init__(self) -> None:
+        """Make a world without nodes, with an empty lease table."""
         self.nodes: dict[str, Node] = {}
         self.sources: dict[str, tuple[str, ...]] = {}
         self.disks: dict[str, FeedTable] = {}
-        self.pending: dict[str, FeedTable] = {}  # given to the disk, not there yet
-        self.links: dict[str, Link] = {}  # by who follows
-        self.council = Council()
-        self.requests: tuple[tuple[str, int, int, Put], ...] = ()  # keeper, epoch, slot
-        self.answers: tuple[tuple[str, int, RecordWritten | WriteDenied], ...] = ()
-        self.reads: dict[str, tuple[int, ...]] = {}  # slots that a keeper asked for
-        self.held: dict[str, int] = {}  # epochs that keepers believe in
-        self.index = self.ticks = self.count = self.made = 0
-        self.left: dict[str, int] = {}
+        self.pending_writes: dict[str, FeedTable] = {}  # handed to the disk, not durable yet
+        self.connections: dict[str, Connection] = {}  # by client
+        self.lease_table = LeaseTable()
+        self.write_requests: tuple[WriteRequest, ...] = ()
+        self.write_answers: tuple[WriteAnswer, ...] = ()
+        self.pending_reads: dict[str, tuple[int, ...]] = {}  # slots, by keeper
+        self.held_epochs: dict[str, int] = {}  # epochs that keepers believe they hold
+        self.log_index = 0
+        self.ticks = 0
+        self.connection_count = 0
+        self.proposed = 0
+        self.budget: dict[str, int] = {}
         self.scenario: Scenario | None = None
-        self.sequence: tuple[Change, ...] = ()
-        self.states: tuple[Plain, ...] = ({},)
-        self.acked: dict[str, int] = {}  # by request
-        self.refused: tuple[str, ...] = ()  # requests that were said not to be made
-        self.broken = ""
-        self.keys: dict[str, int] = {}
-        self.strange: tuple[str, ...] = ()  # whose state is no state of this feed, until it follows
+        self.committed: tuple[Change, ...] = ()
+        self.expected_states: tuple[Entries, ...] = ({},)  # by sequence number
+        self.acknowledged: dict[str, int] = {}  # sequence numbers, by request
+        self.refused: tuple[str, ...] = ()  # requests that were refused
+        self.violation = ""
+        self.node_keys: dict[str, int] = {}  # cached parts of `key`
+        self.foreign: tuple[str, ...] = ()  # nodes with a state of another feed, until they follow
 
     def copy(self) -> "FeedWorld":
+        """Return a copy that shares the nodes; a node is copied when it gets an event."""
         made = FeedWorld.__new__(FeedWorld)
         for name in self.__slots__:
             value = getattr(self, name)
@@ -143,465 +224,614 @@
 
     @property
     def now(self) -> int:
-        return 10 * SECOND + self.ticks * TICK
+        """The virtual time in ns."""
+        return START_TIME + self.ticks * TICK
 
     @property
     def keepers(self) -> tuple[str, ...]:
+        """The names of the keepers."""
         return tuple(name for name in self.nodes if name[0] == "k")
 
     def add(
         self, name: str, table: FeedTable, sources: tuple[str, ...], keepers: tuple[str, ...] = ()
     ) -> None:
-        """A keeper k, a relay r or an instance i."""
-        self.sources[name], self.disks[name] = sources, table
-        self.nodes[name] = self._new(name, table, keepers)
-
-    def _new(self, name: str, table: FeedTable, keepers: tuple[str, ...]) -> Node:
+        """Add a node.
+
+        Args:
+            name: Its first letter says whether it is a keeper, a relay or an instance.
+            table: Its state in memory and on disk.
+            sources: The nodes that it may follow.
+            keepers: All keepers, for a keeper.
+        """
+        self.sources[name] = sources
+        self.disks[name] = table
+        self.nodes[name] = self._make_node(name, table, keepers)
+
+    def _make_node(self, name: str, table: FeedTable, keepers: tuple[str, ...]) -> Node:
+        """Make the state machine of a node."""
         sources = self.sources[name]
         if name[0] == "i":
-            return Instance(name, table, sources, self.now, _no_spread)
+            return Instance(name, table, sources, self.now, _no_jitter)
         level = 0 if name[0] == "k" else 1
-        return FeedRelay(name, level, table, sources, self.now, _no_spread, keepers if not level else ())
+        return FeedRelay(name, level, table, sources, self.now, _no_jitter, keepers if not level else ())
 
-    # ---- steps, each on a copy of its own
+    # ---- events and effects
 
-    def put(self, name: str, event: RelayEvent) -> None:
-        node = self._copied(name)
+    def deliver(self, name: str, event: RelayEvent) -> None:
+        """Deliver an event to a node, carry out the effects, check the invariants."""
+        node = self._copy_node(name)
         before = node.table.sequence
-        self._carried_out(name, before, node.handle(self.now, event))
+        effects = node.handle(self.now, event)
+        self._run_effects(name, before, effects)
 
-    def _copied(self, name: str) -> Node:
+    def _copy_node(self, name: str) -> Node:
+        """Replace a node by a copy, which may be changed."""
         node = self.nodes[name].copy()
         self.nodes[name] = node
-        self.keys.pop(name, None)
+        self.node_keys.pop(name, None)
         return node
 
-    def _carried_out(self, name: str, before: int, effects: Sequence[Any]) -> None:
+    def _run_effects(self, name: str, before: int, effects: Sequence[Any]) -> None:
+        """Carry out the effects of a node that was at sequence `before`."""
         number = self.nodes[name].table.sequence
         if number < before:
-            self.broken = self.broken or f"{name} goes back from {before} to {number}"
+            self._report(f"{name} goes back from {before} to {number}")
         for effect in effects:
-            self._carry_out(name, effect)
-        self._check(name)
+            self._run_effect(name, effect)
+        self._check_node(name)
 
-    def _carry_out(self, name: str, effect: Any) -> None:
+    def _run_effect(self, name: str, effect: Any) -> None:
+        """Carry out one effect; those without a case have none here."""
         match effect:
             case SendUpstream(source, message):
-                self._up(name, source, message)
+                self._send_upstream(name, source, message)
             case SendDownstream(peer, message):
-                self._down(name, peer, message)
+                self._send_downstream(name, peer, message)
             case ConnectUpstream(source):
                 self._connect(name, source)
-            case DisconnectUpstream(source):
-                self._drop(name, source)
+            case DisconnectUpstream():
+                self._disconnect_upstream(name)
             case CloseDownstream(peer):
-                self._down(name, peer, END)
+                self._send_downstream(name, peer, END_OF_STREAM)
             case PersistStep(table) | PersistTable(table):
-                self.pending[name] = table
+                self.pending_writes[name] = table
             case ReadRecord(slot):
-                self._get(name, slot)
+                self.pending_reads[name] = (*self.pending_reads.get(name, ()), slot)
             case WriteRecord(slot, put):
-                self._put(name, slot, put)
-            case AnswerProposal(ticket, result):
-                self._answer(name, ticket, result)
+                self._request_write(name, slot, put)
+            case AnswerProposal(_, result):
+                self._check_proposal_answer(result)
             case ReleaseLease():
-                self._release(name)
+                self._release_lease(name)
+
+    # ---- connections
 
     def _connect(self, name: str, server: str) -> None:
-        old = self.links.pop(name, None)
+        """Connect a node to a server, in place of its old connection."""
+        old = self.connections.pop(name, None)
         if old is not None:
-            self.put(old.server, SubscriberLeft(old.peer))
-        self.count += 1
-        self.links[name] = Link(server, self.count)
-        self.put(server, SubscriberJoined(self.count))
-        if name in self.links:
-            self.put(name, UpstreamConnected(server))
-
-    def _up(self, name: str, server: str, message: Any) -> None:
-        link = self.links.get(name)
-        if link is not None and link.server == server:
-            self.links[name] = link._replace(up=(*link.up, message))
-
-    def _down(self, name: str, peer: int, message: Any) -> None:
-        for client, link in self.links.items():
-            if (link.server, link.peer) == (name, peer):
-                self.links[client] = link._replace(down=(*link.down, message))
+            self.deliver(old.server, SubscriberLeft(old.peer))
+        self.connection_count += 1
+        self.connections[name] = Connection(server, self.connection_count)
+        self.deliver(server, SubscriberJoined(self.connection_count))
+        if name in self.connections:
+            self.deliver(name, UpstreamConnected(server))
+
+    def _send_upstream(self, name: str, server: str, message: Any) -> None:
+        """Put a message in transit to the server, if the node is connected to it."""
+        connection = self.connections.get(name)
+        if connection is not None and connection.server == server:
+            self.connections[name] = connection._replace(to_server=(*connection.to_server, message))
+
+    def _send_downstream(self, name: str, peer: int, message: Any) -> None:
+        """Put a message in transit to the client that has this peer number at the server."""
+        for client, connection in self.connections.items():
+            if (connection.server, connection.peer) == (name, peer):
+                self.connections[client] = connection._replace(to_client=(*connection.to_client, message))
                 return
 
-    def _drop(self, name: str, server: str) -> None:
-        link = self.links.pop(name, None)
-        if link is not None:
-            self.put(link.server, SubscriberLeft(link.peer))
-
-    def end(self, name: str) -> None:
-        """A connection breaks, and all that is under way on it is lost."""
-        link = self.links.pop(name)
-        self.put(link.server, SubscriberLeft(link.peer))
-        self.put(name, UpstreamLost(link.server, "it broke"))
-
-    def hear(self, name: str, up: bool) -> None:
-        """The next message of a connection arrives."""
-        link = self.links[name]
-        if up:
-            self.links[name] = link._replace(up=link.up[1:])
-            self.put(link.server, SubscriberMessage(link.peer, link.up[0]))
-        else:
-            self.links[name] = link._replace(down=link.down[1:])
-            if link.down[0] == END:
-                self.end(name)
-            else:
-                self.put(name, UpstreamMessage(link.server, link.down[0]))
-
-    def damage(self, name: str) -> None:
-        """Of the next message an entry is lost."""
-        link = self.links[name]
-        message = link.down[0]
-        if isinstance(message, Delta):
-            worse: Any = Delta(
-                message.first, message.last, message.items[:-1], message.digest, message.evict_tenants
-            )
+    def _disconnect_upstream(self, name: str) -> None:
+        """End the connection of a node by its own wish."""
+        connection = self.connections.pop(name, None)
+        if connection is not None:
+            self.deliver(connection.server, SubscriberLeft(connection.peer))
+
+    def break_connection(self, name: str) -> None:
+        """Break the connection of a client; all that is in transit on it is lost."""
+        connection = self.connections.pop(name)
+        self.deliver(connection.server, SubscriberLeft(connection.peer))
+        self.deliver(name, UpstreamLost(connection.server, "it broke"))
+
+    def receive_from_client(self, name: str) -> None:
+        """Deliver the client's next message to its server."""
+        connection = self.connections[name]
+        message, *rest = connection.to_server
+        self.connections[name] = connection._replace(to_server=tuple(rest))
+        self.deliver(connection.server, SubscriberMessage(connection.peer, message))
+
+    def receive_from_server(self, name: str) -> None:
+        """Deliver the server's next message to its client."""
+        connection = self.connections[name]
+        message, *rest = connection.to_client
+        self.connections[name] = connection._replace(to_client=tuple(rest))
+        if message == END_OF_STREAM:
+            self.break_connection(name)
         else:
-            worse = SnapshotPart(
-                message.sequence, message.index, message.parts, message.items[:-1], message.digest
-            )
-        self.links[name] = link._replace(down=(worse, *link.down[1:]))
+            self.deliver(name, UpstreamMessage(connection.server, message))
+
+    def corrupt(self, name: str) -> None:
+        """Remove the last entry from the next message to a client, which has entries."""
+        connection = self.connections[name]
+        message = connection.to_client[0]
+        corrupted = msgspec.structs.replace(message, items=message.items[:-1])
+        self.connections[name] = connection._replace(to_client=(corrupted, *connection.to_client[1:]))
+
+    # ---- disks and processes
 
-    def keep(self, name: str) -> None:
-        """The disk has what it was given."""
-        self.disks[name] = self.pending.pop(name)
-        self.put(name, StateDurable(self.disks[name].sequence))
+    def complete_write(self, name: str) -> None:
+        """Make durable what the disk of a node was given last."""
+        self.disks[name] = self.pending_writes.pop(name)
+        self.deliver(name, StateDurable(self.disks[name].sequence))
 
     def restart(self, name: str) -> None:
-        """It ends, and is there again with what its disk has."""
+        """Restart a node from what is durable; its connections end."""
         node = self.nodes[name]
         keepers = node.writer.keepers if isinstance(node, FeedRelay) and node.writer is not None else ()
-        self.nodes[name] = self._new(name, self.disks[name], keepers)
-        self.keys.pop(name, None)
-        self.pending.pop(name, None)
-        self.reads.pop(name, None)
-        self.held.pop(name, None)
-        self.answers = tuple(one for one in self.answers if one[0] != name)
-        link = self.links.pop(name, None)
-        if link is not None:
-            self.put(link.server, SubscriberLeft(link.peer))
-        for client, other in list(self.links.items()):
-            if other.server == name and client in self.links:
-                del self.links[client]
-                self.put(client, UpstreamLost(name, "it ended"))
-
-    # ---- the council
-
-    def _get(self, name: str, slot: int) -> None:
-        self.reads[name] = (*self.reads.get(name, ()), slot)
-
-    def read(self, name: str) -> None:
-        """All that a keeper asked for is answered."""
-        slots = self.reads.pop(name)
+        self.nodes[name] = self._make_node(name, self.disks[name], keepers)
+        self.node_keys.pop(name, None)
+        self.pending_writes.pop(name, None)
+        self.pending_reads.pop(name, None)
+        self.held_epochs.pop(name, None)
+        self.write_answers = tuple(answer for answer in self.write_answers if answer.keeper != name)
+        self._disconnect_upstream(name)
+        for client, connection in list(self.connections.items()):
+            if connection.server == name and client in self.connections:
+                del self.connections[client]
+                self.deliver(client, UpstreamLost(name, "it ended"))
+
+    # ---- the lease table
+
+    def answer_reads(self, name: str) -> None:
+        """Answer all reads of a keeper."""
+        slots = self.pending_reads.pop(name)
         for slot in slots:
-            if name in self.held:
-                got = self.council.get(record_key(slot))
-                self.put(name, RecordRead(slot, got.value, got.version))
+            if name in self.held_epochs:
+                record = self.lease_table.get(record_key(slot))
+                self.deliver(name, RecordRead(slot, record.value, record.version))
 
-    def _put(self, name: str, slot: int, put: Put) -> None:
-        self.requests = (*self.requests, (name, self.held.get(name, 0), slot, put))
+    def _request_write(self, name: str, slot: int, put: Put) -> None:
+        """Put a write in transit to the lease table."""
+        request = WriteRequest(name, self.held_epochs.get(name, 0), slot, put)
+        self.write_requests = (*self.write_requests, request)
 
     def _apply(self, decision: Any) -> Any:
-        self.council = self.council.copy()
-        self.index += 1
-        return self.council.apply(self.index, encode_decision(decision))
+        """Apply a decision to a copy of the lease table and return its answer."""
+        self.lease_table = self.lease_table.copy()
+        self.log_index += 1
+        return self.lease_table.apply(self.log_index, encode_decision(decision))
 
     def decide(self, place: int) -> None:
-        """A Put arrives at the council; its answer is on its way."""
-        name, epoch, slot, put = self.requests[place]
-        self.requests = (*self.requests[:place], *self.requests[place + 1 :])
-        before = self.council.get(put.key)
+        """Apply a write in transit; its answer is in transit then.
+
+        Args:
+            place: Which one of `write_requests`.
+        """
+        name, epoch, slot, put = self.write_requests[place]
+        self.write_requests = (*self.write_requests[:place], *self.write_requests[place + 1 :])
+        before = self.lease_table.get(put.key)
         answer = self._apply(put)
         if isinstance(answer, Denied):
-            told: RecordWritten | WriteDenied = WriteDenied(slot, answer.reason)
+            outcome: RecordWritten | WriteDenied = WriteDenied(slot, answer.reason)
         else:
-            told = RecordWritten(slot, put.version + 1)
+            outcome = RecordWritten(slot, put.version + 1)
             if before.version:
-                self._cut(decode_group(before.value))
-            self._written(decode_group(put.value))
-        if self.held.get(name) == epoch:
-            self.answers = (*self.answers, (name, epoch, told))
-
-    def answer(self, place: int, lost: bool = False) -> None:
-        name, epoch, told = self.answers[place]
-        self.answers = (*self.answers[:place], *self.answers[place + 1 :])
-        if self.held.get(name) == epoch:
-            self.put(name, WriteUnanswered(told.slot) if lost else told)
-
-    def late(self, place: int) -> None:
-        """Who asked is told that no answer will come; the request is still on its way."""
-        name, epoch, slot, _ = self.requests[place]
-        if self.held.get(name) == epoch:
-            self.put(name, WriteUnanswered(slot))
-
-    def move(self, name: str) -> None:
-        """The lease is another's; who held it is not told."""
-        lease = self.council.state.leases.get(LEASE_NAME)
+                self._check_overwritten(decode_group(before.value))
+            self._commit(decode_group(put.value))
+        if self.held_epochs.get(name) == epoch:
+            self.write_answers = (*self.write_answers, WriteAnswer(name, epoch, outcome))
+
+    def answer_write(self, place: int, lost: bool = False) -> None:
+        """Deliver an answer to a write, or that there will be none.
+
+        Args:
+            place: Which one of `write_answers`.
+            lost: Whether the answer is lost.
+        """
+        name, epoch, outcome = self.write_answers[place]
+        self.write_answers = (*self.write_answers[:place], *self.write_answers[place + 1 :])
+        if self.held_epochs.get(name) == epoch:
+            self.deliver(name, WriteUnanswered(outcome.slot) if lost else outcome)
+
+    def time_out_write(self, place: int) -> None:
+        """Tell the sender of a write that it timed out; the write stays in transit.
+
+        Args:
+            place: Which one of `write_requests`.
+        """
+        name, epoch, slot, _ = self.write_requests[place]
+        if self.held_epochs.get(name) == epoch:
+            self.deliver(name, WriteUnanswered(slot))
+
+    def move_lease(self, name: str) -> None:
+        """Grant the lease to a keeper; the holder before is not told."""
+        lease = self.lease_table.state.leases.get(LEASE_NAME)
         if lease is not None:
             self._apply(Break(LEASE_NAME, lease.epoch, "it was silent"))
-        answer = self._apply(Acquire(LEASE_NAME, f"{name}.{self.index}", 10 * SECOND, True))
+        answer = self._apply(Acquire(LEASE_NAME, f"{name}.{self.log_index}", LEASE_LENGTH, True))
         assert isinstance(answer, Granted)
-        self.held[name] = answer.epoch
-        self.put(name, LeaseAcquired(answer.epoch))
-
-    def lose(self, name: str) -> None:
-        """It learns that the lease is not its own any more."""
-        del self.held[name]
-        self.reads.pop(name, None)
-        self.put(name, LeaseLost("its right is over"))
-
-    def _release(self, name: str) -> None:
-        lease = self.council.state.leases.get(LEASE_NAME)
-        if lease is not None and lease.epoch == self.held.get(name):
+        self.held_epochs[name] = answer.epoch
+        self.deliver(name, LeaseAcquired(answer.epoch))
+
+    def lose_lease(self, name: str) -> None:
+        """Tell a keeper that it holds the lease no more."""
+        del self.held_epochs[name]
+        self.pending_reads.pop(name, None)
+        self.deliver(name, LeaseLost("its right is over"))
+
+    def _release_lease(self, name: str) -> None:
+        """Break the lease if it is this keeper's."""
+        lease = self.lease_table.state.leases.get(LEASE_NAME)
+        if lease is not None and lease.epoch == self.held_epochs.get(name):
             self._apply(Break(LEASE_NAME, lease.epoch, "released"))
-        if name in self.held:
-            self.lose(name)
+        if name in self.held_epochs:
+            self.lose_lease(name)
 
-    # ---- changes
+    # ---- requests of users
 
     def propose(self, name: str, again: bool = False) -> None:
-        place = self.made - again
-        self.made = place + 1
-        self.put(name, ProposalReceived(place, Propose(f"c{place}", CHANGES[place])))
+        """Propose the next change to a keeper, or the last one once more."""
+        place = self.proposed - again
+        self.proposed = place + 1
+        self.deliver(name, ProposalReceived(place, Propose(f"c{place}", CHANGES[place])))
+
+    def look_up_tenant(self, name: str) -> None:
+        """Look up a tenant at an instance; `_check_node` checks what it knows from then on."""
+        node = self._copy_node(name)
+        assert isinstance(node, Instance)
+        node.lookups.lookup("tenant/t")
+
+    # ---- invariants
 
-    def _answer(self, name: str, ticket: int, answer: ProposeResult) -> None:
+    def _report(self, violation: str) -> None:
+        """Record a violation unless there is one already."""
+        self.violation = self.violation or violation
+
+    def _check_proposal_answer(self, answer: ProposeResult) -> None:
+        """Check that an acknowledged change is committed and a refused one is not."""
         if answer.sequence:
-            known = self.acked.setdefault(answer.request_id, answer.sequence)
-            here = self.sequence[answer.sequence - 1 : answer.sequence]
+            known = self.acknowledged.setdefault(answer.request_id, answer.sequence)
+            here = self.committed[answer.sequence - 1 : answer.sequence]
             if known != answer.sequence or not here or here[0].request_id != answer.request_id:
-                self.broken = f"{answer.request_id} was acknowledged as {answer.sequence}, which it is not"
+                self.violation = f"{answer.request_id} was acknowledged as {answer.sequence}, which it is not"
         elif not answer.unknown:
             self.refused = (*self.refused, answer.request_id)
-            if any(one.request_id == answer.request_id for one in self.sequence):
-                self.broken = f"{answer.request_id} was refused, and it was made"
-
-    def look(self, name: str) -> None:
-        """Of a tenant; what is known has to count at the number that is held, here and later."""
-        node = self.nodes[name].copy()
-        self.nodes[name] = node
-        self.keys.pop(name, None)
-        assert isinstance(node, Instance)
-        node.lookups.lookup("tenant/t")
-
-    # ---- invariants
+            if any(change.request_id == answer.request_id for change in self.committed):
+                self.violation = f"{answer.request_id} was refused, and it was made"
 
-    def _written(self, group: Group) -> None:
+    def _commit(self, group: Group) -> None:
+        """Record the changes of a written record and check that each is new and the next one."""
         for change in group.changes:
-            if change.sequence != len(self.sequence) + 1:
-                self.broken = f"number {change.sequence} was given after {len(self.sequence)}"
+            if change.sequence != len(self.committed) + 1:
+                self.violation = f"number {change.sequence} was given after {len(self.committed)}"
                 return
-            if any(one.request_id == change.request_id for one in self.sequence):
-                self.broken = f"{change.request_id} was made twice"
+            if any(earlier.request_id == change.request_id for earlier in self.committed):
+                self.violation = f"{change.request_id} was made twice"
             if change.request_id in self.refused:
-                self.broken = f"{change.request_id} was refused, and is made after all"
-            state = dict(self.states[-1])
+                self.violation = f"{change.request_id} was refused, and is made after all"
+            state = dict(self.expected_states[-1])
             for key, value in change.items:
                 if value is None:
                     state.pop(key, None)
                 else:
                     state[key] = value
-            self.sequence, self.states = (*self.sequence, change), (*self.states, state)
+            self.committed = (*self.committed, change)
+            self.expected_states = (*self.expected_states, state)
 
-    def _cut(self, group: Group) -> None:
+    def _check_overwritten(self, group: Group) -> None:
+        """Check that the changes of an overwritten record are durable at a majority of the keepers."""
         last = group.changes[-1].sequence
         durable = sum(self.disks[name].sequence >= last for name in self.keepers)
         if durable <= len(self.keepers) // 2:
-            self.broken = f"{last} leaves the council and is on the disks of {durable} keepers"
+            self.violation = f"{last} leaves the council and is on the disks of {durable} keepers"
 
-    def _check(self, name: str) -> None:
-        """What somebody holds is the state of its number, and nothing else."""
+    def _check_node(self, name: str) -> None:
+        """Check that the state of a node is exactly the committed one of its sequence number."""
         node = self.nodes[name]
         table = node.table
-        if name in self.strange:
+        if name in self.foreign:
             if isinstance(node, Instance) and node.lookups.follower.phase != "following":
                 return
-            self.strange = tuple(one for one in self.strange if one != name)
-        if table.sequence > len(self.sequence):
-            self.broken = self.broken or f"{name} is at {table.sequence}, {len(self.sequence)} was decided"
+            self.foreign = tuple(other for other in self.foreign if other != name)
+        if table.sequence > len(self.committed):
+            self._report(f"{name} is at {table.sequence}, {len(self.committed)} was decided")
             return
-        state = self.states[table.sequence]
+        expected = self.expected_states[table.sequence]
         if isinstance(node, Instance):
-            for key, found in node.lookups.tenants.items():
-                if found.value != state.get(key):
-                    self.broken = (
-                        self.broken or f"{name} says of {key} at {table.sequence} what does not count"
-                    )
-        if name[0] == "i":
-            state = {key: value for key, value in state.items() if not key.startswith(PARTIAL_PREFIXES)}
-        here = {key: value for key, value, _ in table.entries("all")}
-        if here != state:
-            self.broken = self.broken or f"{name} holds at {table.sequence} what does not count there"
-        if isinstance(node, FeedRelay) and node.is_writer and node.writer is not None:
-            lease = self.council.state.leases.get(LEASE_NAME)
-            newest = lease is not None and lease.epoch == node.writer.epoch
-            if newest and table.sequence < max(self.acked.values(), default=0):
-                self.broken = self.broken or f"{name} writes, and misses what was acknowledged"
+            self._check_lookups(name, node, expected)
+            expected = {key: value for key, value in expected.items() if not key.startswith(PARTIAL_PREFIXES)}
+        entries = {key: value for key, value, _ in table.entries("all")}
+        if entries != expected:
+            self._report(f"{name} holds at {table.sequence} what does not count there")
+        if isinstance(node, FeedRelay):
+            self._check_writer(name, node)
+
+    def _check_lookups(self, name: str, node: Instance, expected: Entries) -> None:
+        """Check what an instance knows of tenants."""
+        for key, found in node.lookups.tenants.items():
+            if found.value != expected.get(key):
+                self._report(f"{name} says of {key} at {node.table.sequence} what does not count")
+
+    def _check_writer(self, name: str, node: FeedRelay) -> None:
+        """Check that a writer with the newest lease has all acknowledged changes."""
+        if not node.is_writer or node.writer is None:
+            return
+        lease = self.lease_table.state.leases.get(LEASE_NAME)
+        newest = lease is not None and lease.epoch == node.writer.epoch
+        if newest and node.table.sequence < max(self.acknowledged.values(), default=0):
+            self._report(f"{name} writes, and misses what was acknowledged")
+
+    # ---- for the explorer
 
     def wrong(self) -> str:
-        return self.broken
+        """Return the first violation found, or an empty string."""
+        return self.violation
 
     def key(self) -> int:
-        for name, node in self.nodes.items():
-            if name not in self.keys:
-                pending = self.pending.get(name)
-                disk = self.disks[name]
-                self.keys[name] = hash(
-                    (node.state_key(), disk.sequence, disk.digest("all"), pending and pending.sequence)
-                )
-        links = tuple(
-            (name, link.server, link.peer, tuple(map(_told, link.up)), tuple(map(_told, link.down)))
-            for name, link in sorted(self.links.items())
+        """Return a hash of the whole state."""
+        for name in self.nodes:
+            if name not in self.node_keys:
+                self.node_keys[name] = self._node_key(name)
+        connections = tuple(
+            (
+                name,
+                connection.server,
+                connection.peer,
+                tuple(map(_encoded, connection.to_server)),
+                tuple(map(_encoded, connection.to_client)),
+            )
+            for name, connection in sorted(self.connections.items())
         )
         rest = (
-            *(
-                self.requests,
-                self.answers,
-                tuple(sorted(self.reads.items())),
-                tuple(sorted(self.held.items())),
-            ),
-            *(self.ticks, tuple(sorted(self.left.items())), len(self.sequence), self.made, self.broken),
-            *(tuple(sorted(self.acked.items())), self.strange, self.refused),
+            self.write_requests,
+            self.write_answers,
+            tuple(sorted(self.pending_reads.items())),
+            tuple(sorted(self.held_epochs.items())),
+            self.ticks,
+            tuple(sorted(self.budget.items())),
+            len(self.committed),
+            self.proposed,
+            self.violation,
+            tuple(sorted(self.acknowledged.items())),
+            self.foreign,
+            self.refused,
         )
-        return hash((tuple(sorted(self.keys.items())), links, self.council.state_key(), rest))
+        node_keys = tuple(sorted(self.node_keys.items()))
+        return hash((node_keys, connections, self.lease_table.state_key(), rest))
+
+    def _node_key(self, name: str) -> int:
+        """Return a hash of a node and its disk."""
+        pending = self.pending_writes.get(name)
+        disk = self.disks[name]
+        state = self.nodes[name].state_key()
+        return hash((state, disk.sequence, disk.digest("all"), pending and pending.sequence))
 
 
-def _told(message: Any) -> Any:
-    return message if message == END else encode(message)
+def _encoded(message: Any) -> Any:
+    """Return a hashable form of a message in transit."""
+    return message if message == END_OF_STREAM else encode(message)
 
 
-def _no_spread(span: int) -> int:
+def _no_jitter(_duration: int) -> int:
+    """Return no jitter for any duration, so that the worlds are few."""
     return 0
 
 
 # ---- what may happen next
 
 
-def following(world: FeedWorld) -> Iterator[tuple[str, FeedWorld]]:
-    scenario, left = world.scenario, world.left
-    assert scenario is not None
-
-    def step(name: str, spent: str, do: Callable[..., None], *told: Any) -> Iterator[tuple[str, FeedWorld]]:
-        made = world.copy()
-        if spent:
-            made.left = {**left, spent: left[spent] - 1}
-        do(made, *told)
-        yield name, made
-
-    for name, link in world.links.items():
-        if link.up:
-            told = type(link.up[0]).__name__
-            yield from step(f"{link.server} hears {name}: {told}", "", FeedWorld.hear, name, True)
-        if link.down:
-            told = type(link.down[0]).__name__
-            yield from step(f"{name} hears {link.server}: {told}", "", FeedWorld.hear, name, False)
-            if left["damages"] and isinstance(link.down[0], Delta | SnapshotPart) and link.down[0].items:
-                yield from step(f"{told} to {name} is damaged", "damages", FeedWorld.damage, name)
-        if left["ends"]:
-            yield from step(f"{name} and {link.server} lose each other", "ends", FeedWorld.end, name)
-    for name in world.pending:
-        yield from step(f"{name} has it on disk", "", FeedWorld.keep, name)
+class Step(NamedTuple):
+    """One step that may happen in a world.
+
+    Attributes:
+        event: What happens, for traces.
+        run: Changes the world that it is given.
+        spends: The budget it takes one of; empty for none.
+    """
+
+    event: str
+    run: Callable[[FeedWorld], None]
+    spends: str = ""
+
+
+def successors(world: FeedWorld) -> Iterator[tuple[str, FeedWorld]]:
+    """Yield each event that may happen in a world, with the world after it."""
+    for step in _permitted_steps(world):
+        successor = world.copy()
+        if step.spends:
+            successor.budget[step.spends] -= 1
+        step.run(successor)
+        yield step.event, successor
+
+
+def _permitted_steps(world: FeedWorld) -> Iterator[Step]:
+    """Yield the steps that the budget allows."""
+    for step in _possible_steps(world):
+        if not step.spends or world.budget[step.spends]:
+            yield step
+
+
+def _possible_steps(world: FeedWorld) -> Iterator[Step]:
+    """Yield all steps, always in the same order."""
+    for name, connection in world.connections.items():
+        yield from _connection_steps(name, connection)
+    for name in world.pending_writes:
+        yield Step(f"{name} has it on disk", partial(FeedWorld.complete_write, name=name))
     for name, node in world.nodes.items():
-        if node.next_deadline() <= world.now:
-            yield from step(f"{name} heeds its clock", "", FeedWorld.put, name, TimerExpired())
-        if left["looks"] and isinstance(node, Instance):
-            yield from step(f"{name} looks up a tenant", "looks", FeedWorld.look, name)
-        if left["restarts"] and (not scenario.restarted or name in scenario.restarted):
-            yield from step(f"{name} ends and is there again", "restarts", FeedWorld.restart, name)
-    for place, (name, _, slot, _) in enumerate(world.requests):
-        yield from step(f"the council hears {name}: Put {slot}", "", FeedWorld.decide, place)
-        if left["losses"]:
-            yield from step(f"{name}'s Put {slot} is late", "losses", FeedWorld.late, place)
-    for place, (name, _, answer) in enumerate(world.answers):
-        yield from step(f"{name} hears the council: {type(answer).__name__}", "", FeedWorld.answer, place)
-        if left["losses"]:
-            yield from step(f"the answer to {name} is lost", "losses", FeedWorld.answer, place, True)
-    for name in world.reads:
-        yield from step(f"{name} hears what the records hold", "", FeedWorld.read, name)
-    lease = world.council.state.leases.get(LEASE_NAME)
+        yield from _node_steps(world, name, node)
+    yield from _lease_table_steps(world)
     for name in world.keepers:
-        epoch = world.held.get(name)
-        node = world.nodes[name]
-        if epoch and (lease is None or lease.epoch != epoch):
-            yield from step(f"{name} learns that it lost the lease", "", FeedWorld.lose, name)
-        if not epoch and left["moves"]:
-            yield from step(f"{name} gets the lease", "moves", FeedWorld.move, name)
-        if isinstance(node, FeedRelay) and node.is_writer and left["changes"] and world.made < len(CHANGES):
-            yield from step(f"change {world.made} is proposed to {name}", "changes", FeedWorld.propose, name)
-        if isinstance(node, FeedRelay) and node.is_writer and left["again"] and world.made:
-            yield from step(f"{name} is asked again", "again", FeedWorld.propose, name, True)
-    if left["ticks"]:
-        yield from step("time passes", "ticks", _tick)
+        yield from _keeper_steps(world, name)
+    yield Step("time passes", _tick, "ticks")
+
+
+def _connection_steps(name: str, connection: Connection) -> Iterator[Step]:
+    """Yield the steps of a client's connection."""
+    server = connection.server
+    if connection.to_server:
+        kind = type(connection.to_server[0]).__name__
+        yield Step(f"{server} hears {name}: {kind}", partial(FeedWorld.receive_from_client, name=name))
+    if connection.to_client:
+        message = connection.to_client[0]
+        kind = type(message).__name__
+        yield Step(f"{name} hears {server}: {kind}", partial(FeedWorld.receive_from_server, name=name))
+        if isinstance(message, Delta | SnapshotPart) and message.items:
+            yield Step(f"{kind} to {name} is damaged", partial(FeedWorld.corrupt, name=name), "corruptions")
+    yield Step(
+        f"{name} and {server} lose each other", partial(FeedWorld.break_connection, name=name), "disconnects"
+    )
+
+
+def _node_steps(world: FeedWorld, name: str, node: Node) -> Iterator[Step]:
+    """Yield the steps of a node by itself."""
+    assert world.scenario is not None
+    restartable = world.scenario.restartable
+    if node.next_deadline() <= world.now:
+        yield Step(f"{name} heeds its clock", partial(FeedWorld.deliver, name=name, event=TimerExpired()))
+    if isinstance(node, Instance):
+        yield Step(f"{name} looks up a tenant", partial(FeedWorld.look_up_tenant, name=name), "lookups")
+    if not restartable or name in restartable:
+        yield Step(f"{name} ends and is there again", partial(FeedWorld.restart, name=name), "restarts")
+
+
+def _lease_table_steps(world: FeedWorld) -> Iterator[Step]:
+    """Yield the steps of requests to the lease table and of its answers."""
+    for place, request in enumerate(world.write_requests):
+        name, slot = request.keeper, request.slot
+        yield Step(f"the council hears {name}: Put {slot}", partial(FeedWorld.decide, place=place))
+        yield Step(
+            f"{name}'s Put {slot} is late", partial(FeedWorld.time_out_write, place=place), "lost_answers"
+        )
+    for place, answer in enumerate(world.write_answers):
+        name, kind = answer.keeper, type(answer.outcome).__name__
+        yield Step(f"{name} hears the council: {kind}", partial(FeedWorld.answer_write, place=place))
+        yield Step(
+            f"the answer to {name} is lost",
+            partial(FeedWorld.answer_write, place=place, lost=True),
+            "lost_answers",
+        )
+    for name in world.pending_reads:
+        yield Step(f"{name} hears what the records hold", partial(FeedWorld.answer_reads, name=name))
+
+
+def _keeper_steps(world: FeedWorld, name: str) -> Iterator[Step]:
+    """Yield the steps of a keeper's lease and the proposals that it may get as the writer."""
+    lease = world.lease_table.state.leases.get(LEASE_NAME)
+    epoch = world.held_epochs.get(name)
+    node = world.nodes[name]
+    if epoch and (lease is None or lease.epoch != epoch):
+        yield Step(f"{name} learns that it lost the lease", partial(FeedWorld.lose_lease, name=name))
+    if not epoch:
+        yield Step(f"{name} gets the lease", partial(FeedWorld.move_lease, name=name), "lease_moves")
+    if not isinstance(node, FeedRelay) or not node.is_writer:
+        return
+    if world.proposed < len(CHANGES):
+        event = f"change {world.proposed} is proposed to {name}"
+        yield Step(event, partial(FeedWorld.propose, name=name), "changes")
+    if world.proposed:
+        yield Step(f"{name} is asked again", partial(FeedWorld.propose, name=name, again=True), "retries")
 
 
 def _tick(world: FeedWorld) -> None:
+    """Advance the clock by a tick."""
     world.ticks += 1
 
 
 # ---- where explorations begin
 
 
-def settle(world: FeedWorld, but: Callable[[str], bool] = lambda name: False, disks: bool = True) -> None:
-    """All goes on in order till nothing is left to do, with who is in `but` left out."""
-    for _ in range(2000):
-        doing = next(_doing(world, but, disks), None)
-        if doing is None:
+def _nobody(_name: str) -> bool:
+    """Leave no node out."""
+    return False
+
+
+def settle(world: FeedWorld, excluded: Excluded = _nobody) -> None:
+    """Run a world without faults until nothing is left to do.
+
+    Args:
+        world: Is changed in place.
+        excluded: Whether a node is left out: it gets no messages, its clock and its disk stand still.
+
+    Raises:
+        AssertionError: There is more to do after `MAX_SETTLE_STEPS`.
+    """
+    for _ in range(MAX_SETTLE_STEPS):
+        step = next(_faultless_steps(world, excluded), None)
+        if step is None:
             return
-        doing()
-    raise AssertionError("it never falls silent")
+        step()
+    raise AssertionError(f"the world has not settled after {MAX_SETTLE_STEPS} steps")
 
 
-def _doing(world: FeedWorld, but: Callable[[str], bool], disks: bool) -> Iterator[Callable[[], None]]:
-    for name, link in list(world.links.items()):
-        if but(name) or but(link.server):
+def _faultless_steps(world: FeedWorld, excluded: Excluded) -> Iterator[Callable[[], None]]:
+    """Yield the steps that are no faults; the caller runs the first one alone."""
+    for name, connection in list(world.connections.items()):
+        if excluded(name) or excluded(connection.server):
             continue
-        if link.up:
-            yield partial(world.hear, name, True)
-        if link.down:
-            yield partial(world.hear, name, False)
-    for name in list(world.pending) if disks else ():
-        if not but(name):
-            yield partial(world.keep, name)
-    for name in list(world.reads):
-        yield partial(world.read, name)
-    if world.requests:
+        if connection.to_server:
+            yield partial(world.receive_from_client, name)
+        if connection.to_client:
+            yield partial(world.receive_from_server, name)
+    for name in list(world.pending_writes):
+        if not excluded(name):
+            yield partial(world.complete_write, name)
+    for name in list(world.pending_reads):
+        yield partial(world.answer_reads, name)
+    if world.write_requests:
         yield partial(world.decide, 0)
-    if world.answers:
-        yield partial(world.answer, 0)
+    if world.write_answers:
+        yield partial(world.answer_write, 0)
     for name, node in world.nodes.items():
-        if not but(name) and node.next_deadline() <= world.now:
-            yield partial(world.put, name, TimerExpired())
+        if not excluded(name) and node.next_deadline() <= world.now:
+            yield partial(world.deliver, name, TimerExpired())
 
 
-def fleet(keepers: int = 3, relays: int = 1, instances: int = 1) -> FeedWorld:
-    """All with nothing, k0 writes, all follow."""
+def build_fleet(keepers: int = 3, relays: int = 1, instances: int = 1) -> FeedWorld:
+    """Return a world of empty nodes that all follow; k0 is the writer."""
     world = FeedWorld()
-    names = tuple(f"k{place}" for place in range(keepers))
-    above = tuple(f"r{place}" for place in range(relays))
-    for name in names:
-        world.add(name, FeedTable(), tuple(one for one in names if one != name), names)
-    for name in above:
-        world.add(name, FeedTable(), names)
+    keeper_names = tuple(f"k{place}" for place in range(keepers))
+    relay_names = tuple(f"r{place}" for place in range(relays))
+    for name in keeper_names:
+        others = tuple(other for other in keeper_names if other != name)
+        world.add(name, FeedTable(), others, keeper_names)
+    for name in relay_names:
+        world.add(name, FeedTable(), keeper_names)
     for place in range(instances):
-        world.add(f"i{place}", FeedTable(), above or names)
-    world.move("k0")
+        world.add(f"i{place}", FeedTable(), relay_names or keeper_names)
+    world.move_lease("k0")
     settle(world)
     return world
 
 
-def changed(world: FeedWorld, many: int, but: Callable[[str], bool] = lambda name: False) -> FeedWorld:
-    """So many changes later, one after the other, all but some have them, on disk too."""
-    for _ in range(many):
+def commit_changes(world: FeedWorld, count: int, excluded: Excluded = _nobody) -> FeedWorld:
+    """Commit changes one after the other until they are durable at all nodes that aren't left out.
+
+    Args:
+        world: Is changed in place.
+        count: How many changes.
+        excluded: Whether a node is left out.
+
+    Returns:
+        The same world.
+    """
+    for _ in range(count):
         world.propose("k0")
-        settle(world, but)
+        settle(world, excluded)
     return world
 
 
-def begin(scenario: Scenario) -> FeedWorld:
-    world = scenario.root()
+def start_exploration(scenario: Scenario) -> FeedWorld:
+    """Return the root world of a scenario with its whole budget."""
+    world = scenario.build()
     world.scenario = scenario
-    world.left = {name: getattr(scenario, name) for name in SPENT}
+    world.budget = {name: getattr(scenario, name) for name in BUDGETS}
     return world
