--- a/tests/test_feed_storms.py
+++ b/tests/test_feed_storms.py
@@ -49,7 +49,7 @@
         relays = {place: Relay(("127.0.0.1", 1), Random(1)) for place in places}
         feed = SimpleNamespace(processes={"k1": None}, keepers=["k1"], relays=[], subscribers=[])
         vars(one).update(feed=feed, fleet=SimpleNamespace(relays=relays, names=[]))
-        anyio.run(one._hurt, how, "keeper")
+        anyio.run(one._inject, how, "keeper")
         swallowed = [(place, way) for place, relay in relays.items() for way in ("forward", "backward")
                      if getattr(relay, way).drop]  # fmt: skip
         assert swallowed == [(places[0], its_own), (places[1], of_others)]
@@ -59,7 +59,7 @@
     async def hangs(self: Storm, seconds: float, tell: Any) -> None:
         raise RunTimeoutError("no keeper writes in 25 s")
 
-    monkeypatch.setattr(Storm, "_storm", hangs)
+    monkeypatch.setattr(Storm, "_run_faults", hangs)
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
     found = storm(1, 1.0, silent)
     assert (found["wrong"], found["hung"]) == (["no keeper writes in 25 s"], True)
--- a/thistleline/lab/feeds.py
+++ b/thistleline/lab/feeds.py
@@ -1,9 +1,9 @@
-"""The change feed under storms of faults on real processes: is anything lost, made twice, half seen, or seen
-to go back?
+"""The config feed under storms of faults on real processes.
 
-Council, keepers, relays and subscribers are processes of the program; relays of the lab between each pair,
-changes, the plan of faults and the oracle (processes/feed_fleet.py) are here. The oracle knows what was
-acknowledged and what subscribers said they saw, and nothing of the program's.
+The consensus cluster, keepers, relays and subscribers are processes of the program, with a network relay of
+the lab between each pair. Proposals, the plan of faults and the verdict are here, the oracle is in
+processes/feed_fleet.py. It looks for changes that are lost, made twice, half visible or taken back; it knows
+what was acknowledged and what subscribers reported, and nothing of the program's own view.
 """
 
 import time
@@ -11,7 +11,7 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
 import anyio
 
@@ -21,231 +21,364 @@
 
 Tell = Callable[[str], None]
 
+KEEPERS = 3
 SUBSCRIBERS = 3  # the first with a folder
 PROPOSERS = 2
-PATIENT = 4.0  # s for a proposal; then it is not known whether it was made
-LAST = 2.4  # s that a fault lasts at most; silence is noticed after 1.6
-CALM = 0.5  # s between two faults
-TWO = 0.4  # of the faults come with a second one
-PATIENCE = 25.0  # s for an acknowledgement once all is well; then it has hung
-SEEDS, SECONDS = 3, 45.0  # of the long run
+PROPOSAL_TIMEOUT = 4.0  # s; then it is unknown whether the change was made
+PROPOSAL_INTERVAL = 0.02  # s between an answer and the next proposal
+MIN_FAULT_DURATION = 0.2  # s
+MAX_FAULT_DURATION = 2.4  # s; a silent peer is noticed after 1.6
+CALM_DURATION = 0.5  # s between two faults
+SECOND_FAULT_PROBABILITY = 0.4
+RECOVERY_TIMEOUT = 25.0  # s for an acknowledgement once all faults are removed; then the fleet hangs
+POLL_INTERVAL = 0.02  # s
+MAX_ADDED_DELAY = 0.06  # s, of the fault "late"
+DELAY_JITTER = 0.05  # s, of the fault "late"
+SEEDS = 3  # of the long run
+SECONDS = 45.0  # of each storm of the long run
+QUICK_SECONDS = 15.0
+MUTANT_SECONDS = 5.0
+STEPS_PER_REPORT = 5
 
-WHO = ("writer", "keeper", "relay", "subscriber", "leader", "voter")
-HOW = ("kill", "stop", "cut", "mute", "deaf", "slow", "fail")
-DISK, DISKS = ("slow", "fail"), ("writer", "keeper", "leader", "voter")
-ALONE = ("late", "lose_keeper", "lose_voter", "strand")  # of which none comes with a second one
+# The parts of the names of faults, which are keys of the printed result.
+TARGETS = ("writer", "keeper", "relay", "subscriber", "leader", "voter")
+KINDS = ("kill", "stop", "cut", "mute", "deaf", "slow", "fail")
+DISK_KINDS = ("slow", "fail")
+DISK_TARGETS = ("writer", "keeper", "leader", "voter")
+ALONE = ("late", "lose_keeper", "lose_voter", "strand")  # faults of the fleet, never with a second one
+
+
+class Fault(NamedTuple):
+    """A fault of one target, or of the whole fleet if the target is empty."""
+
+    kind: str
+    target: str = ""
+
+    @property
+    def name(self) -> str:
+        """The name in the result and in the history of the run."""
+        return f"{self.kind} {self.target}" if self.target else self.kind
+
+
+class FaultPlan:
+    """Draws faults from a seeded random source, every kind once before any comes again."""
+
+    def __init__(self, random: Random, only: tuple[str, ...]) -> None:
+        """Begin a plan.
+
+        Args:
+            random: The source of all draws.
+            only: Faults of `ALONE` to draw in turn, with no others; empty for all faults.
+        """
+        self._random = random
+        self._only = only
+        self._fleet_faults = [Fault(kind) for kind in only or ALONE]
+        self._process_faults = [
+            Fault(kind, target)
+            for target in TARGETS
+            for kind in KINDS
+            if kind not in DISK_KINDS or target in DISK_TARGETS
+        ]
+
+    def step(self, place: int) -> list[Fault]:
+        """Return the faults of a step of the storm, which come at once."""
+        if place % len(self._process_faults) == 0:
+            self._random.shuffle(self._process_faults)
+        if self._only:
+            return [self._fleet_faults[place % len(self._fleet_faults)]]
+        if place % 3 == 2:
+            return [self._fleet_faults[place // 3 % len(self._fleet_faults)]]
+        faults = [self._process_faults[place % len(self._process_faults)]]
+        if self._random.random() < SECOND_FAULT_PROBABILITY:
+            faults.append(self._random.choice(self._process_faults))
+        return faults
 
 
 class Storm:
     """One fleet and its faults, by a seeded plan."""
 
     def __init__(self, folder: Path, seed: int, without: str = "", only: tuple[str, ...] = ()) -> None:
-        """`only`: of ALONE these alone, and no other faults."""
-        self.folder, self.seed, self.without, self.only = folder, seed, without, only
-        self.chance = Random(seed)
+        """Prepare a storm.
+
+        Args:
+            folder: Where the processes write.
+            seed: Of all random draws.
+            without: The safeguard that the processes leave out; empty for none.
+            only: Faults of `ALONE` to inject, with no others; empty for all faults.
+        """
+        self.folder = folder
+        self.seed = seed
+        self.without = without
+        self.random = Random(seed)
+        self.plan = FaultPlan(self.random, only)
         self.faults: Counter[str] = Counter()
-        self.acknowledged: list[float] = []  # when
+        self.acknowledged: list[float] = []  # monotonic times in s
         self.over = False
 
     async def run(self, seconds: float, tell: Tell) -> dict[str, Any]:
+        """Run the fleet under faults and return the result.
+
+        Args:
+            seconds: How long faults are injected.
+            tell: Called with each line of progress.
+
+        Raises:
+            RunTimeoutError: The fleet hangs.
+        """
         async with anyio.create_task_group() as group:
-            feed = self.feed = FeedFleet(self.folder, group, self.seed, 3, self.without)
-            self.fleet = feed.fleet
+            self.feed = FeedFleet(self.folder, group, self.seed, KEEPERS, self.without)
+            self.fleet = self.feed.fleet
             try:
-                await feed.start(SUBSCRIBERS)
-                async with anyio.create_task_group() as changes:
+                await self.feed.start(SUBSCRIBERS)
+                async with anyio.create_task_group() as proposers:
                     for _ in range(PROPOSERS):
-                        changes.start_soon(self._changes)
-                    await self._storm(seconds, tell)
+                        proposers.start_soon(self._propose)
+                    await self._run_faults(seconds, tell)
                     self.over = True
-                await feed.settle()
-                wrong = await feed.judge()
-                events = [one for name in feed.subscribers for one in feed.processes[name].events()]
+                await self.feed.settle()
+                wrong = await self.feed.judge()
+                result = self._result(wrong)
             finally:
-                feed.close()
+                self.feed.close()
                 group.cancel_scope.cancel()
-        gaps = [then - first for first, then in zip(self.acknowledged, self.acknowledged[1:], strict=False)]
+        return result
+
+    def _result(self, wrong: list[str]) -> dict[str, Any]:
+        """Return the result of a storm that did not hang."""
+        oracle = self.feed.oracle
+        events = [event for name in self.feed.subscribers for event in self.feed.processes[name].events()]
+        gaps = [
+            later - earlier for earlier, later in zip(self.acknowledged, self.acknowledged[1:], strict=False)
+        ]
         return {
             "wrong": wrong,
             "hung": False,
-            "acknowledged": feed.oracle.newest,
-            "refused": len(feed.oracle.refused),
-            "states_seen": sum(one["event"] == "state" for one in events),
+            "acknowledged": oracle.newest,
+            "refused": len(oracle.refused),
+            "states_seen": sum(event["event"] == "state" for event in events),
             "longest_without_an_acknowledgement_s": round(max(gaps, default=0.0), 2),
             "faults": dict(sorted(self.faults.items())),
         }
 
-    async def _changes(self) -> None:
+    async def _propose(self) -> None:
+        """Propose changes one after the other until the storm is over."""
         while not self.over:
-            (answer,) = await self.feed.pairs(1, PATIENT)
+            (answer,) = await self.feed.pairs(1, PROPOSAL_TIMEOUT)
             if answer.sequence:
                 self.acknowledged.append(time.monotonic())
-            await anyio.sleep(0.02)
+            await anyio.sleep(PROPOSAL_INTERVAL)
 
     # ---- faults
 
-    async def _storm(self, seconds: float, tell: Tell) -> None:
-        begun, place = time.monotonic(), 0
-        kinds = [f"{how} {who}" for who in WHO for how in HOW if how not in DISK or who in DISKS]
-        alone = list(self.only or ALONE)
-        while time.monotonic() - begun < seconds:
-            if place % len(kinds) == 0:
-                self.chance.shuffle(kinds)
-            if self.only or place % 3 == 2:
-                names = [alone[place // (1 if self.only else 3) % len(alone)]]
-            else:
-                names = [kinds[place % len(kinds)]]
-                names += [self.chance.choice(kinds)] if self.chance.random() < TWO else []
+    async def _run_faults(self, seconds: float, tell: Tell) -> None:
+        """Inject faults and recover from them, step by step, for so many seconds."""
+        began = time.monotonic()
+        place = 0
+        while time.monotonic() - began < seconds:
+            faults = self.plan.step(place)
             place += 1
-            self.fleet.record(" and ".join(names))
-            for name in names:
-                self.faults[name] += 1
-                how, _, who = name.partition(" ")
-                await (self._hurt(how, who) if who else self._whole(how))
-            await anyio.sleep(self.chance.uniform(0.2, LAST))
-            await self._healed()
-            if place % 5 == 0:
-                tell(f"{place} faults, {self.feed.oracle.newest} changes, wrong: {self.feed.oracle.wrong}")
-
-    async def _healed(self) -> None:
-        """All is well again, and changes are acknowledged. A connection of which something was swallowed
-        ends: TCP loses nothing in the middle of one that goes on."""
+            self.fleet.record(" and ".join(fault.name for fault in faults))
+            for fault in faults:
+                self.faults[fault.name] += 1
+                if fault.target:
+                    await self._inject(fault.kind, fault.target)
+                else:
+                    await self._inject_alone(fault.kind)
+            await anyio.sleep(self.random.uniform(MIN_FAULT_DURATION, MAX_FAULT_DURATION))
+            await self._recover()
+            if place % STEPS_PER_REPORT == 0:
+                oracle = self.feed.oracle
+                tell(f"{place} faults, {oracle.newest} changes, wrong: {oracle.wrong}")
+
+    async def _recover(self) -> None:
+        """Remove all faults and wait until changes are acknowledged.
+
+        A connection of which something was dropped ends: TCP loses nothing in the middle of one that goes on.
+
+        Raises:
+            RunTimeoutError: No change is acknowledged in `RECOVERY_TIMEOUT`.
+        """
         for relay in self.fleet.relays.values():
             if relay.forward.drop or relay.backward.drop:
                 relay.disconnect()
-        self.fleet.heal()
-        for name, process in self.feed.processes.items():
-            self.fleet.set_disk_fault(name, "")
-            if process.is_paused:
-                process.resume()
-            if not process.is_running:
-                process.start()
-        count, until = len(self.acknowledged), time.monotonic() + PATIENCE
+        self.fleet.restore()
+        count = len(self.acknowledged)
+        deadline = time.monotonic() + RECOVERY_TIMEOUT
         while len(self.acknowledged) == count:
-            if time.monotonic() > until:
-                raise RunTimeoutError(f"no change is acknowledged in {PATIENCE} s")
+            if time.monotonic() > deadline:
+                raise RunTimeoutError(f"no change is acknowledged in {RECOVERY_TIMEOUT} s")
             await anyio.sleep(0.01)
-        await anyio.sleep(CALM)
+        await anyio.sleep(CALM_DURATION)
 
-    async def _victim(self, who: str) -> str:
-        if who == "writer":
+    async def _choose_process(self, target: str) -> str:
+        """Return the name of a process in this role.
+
+        Raises:
+            RunTimeoutError: No process writes or leads.
+        """
+        if target == "writer":
             return await self.feed.writer()
-        if who == "leader":
+        if target == "leader":
             return await self.fleet.leader()
-        all_of_them = {"keeper": self.feed.keepers, "relay": self.feed.relays, "voter": self.fleet.names,
-                       "subscriber": self.feed.subscribers}  # fmt: skip
-        return self.chance.choice(all_of_them[who])
+        names = {
+            "keeper": self.feed.keepers,
+            "relay": self.feed.relays,
+            "voter": self.fleet.names,
+            "subscriber": self.feed.subscribers,
+        }
+        return self.random.choice(names[target])
 
-    async def _hurt(self, how: str, who: str) -> None:
+    async def _inject(self, kind: str, target: str) -> None:
+        """Inject a fault of one process, of its disk or of its links."""
         try:
-            name = await self._victim(who)
+            name = await self._choose_process(target)
         except RunTimeoutError:
-            return  # the first of two faults took the one that there was
+            return  # the first of two faults took the only process in this role
         process = self.feed.processes[name]
-        if how == "kill":
+        if kind == "kill":
             process.kill()
-        elif how == "stop":
+        elif kind == "stop":
             process.pause()
-        elif how in DISK:
-            self.fleet.set_disk_fault(name, how)
+        elif kind in DISK_KINDS:
+            self.fleet.set_disk_fault(name, kind)
         else:
-            for (source, to), relay in self.fleet.relays.items():
-                if how == "cut" and name in (source, to):
-                    relay.disconnect()
-                elif name in (source, to):  # mute: nothing of it comes to others; deaf: nothing to it
-                    if (source == name) == (how == "mute"):
-                        relay.forward = LinkFault(drop=True)
-                    else:
-                        relay.backward = LinkFault(drop=True)
-
-    async def _whole(self, name: str) -> None:
-        whole: Callable[[], Awaitable[None]] = getattr(self, f"_{name}")
-        await whole()
+            self._inject_link_fault(kind, name)
+
+    def _inject_link_fault(self, kind: str, name: str) -> None:
+        """Disconnect a process from all others ("cut"), or drop what it sends ("mute") or gets ("deaf")."""
+        for (source, destination), relay in self.fleet.relays.items():
+            if name not in (source, destination):
+                continue
+            if kind == "cut":
+                relay.disconnect()
+            elif (source == name) == (kind == "mute"):
+                relay.forward = LinkFault(drop=True)
+            else:
+                relay.backward = LinkFault(drop=True)
+
+    async def _inject_alone(self, kind: str) -> None:
+        """Inject a fault of `ALONE`; each is the method of its name."""
+        inject: Callable[[], Awaitable[None]] = getattr(self, f"_{kind}")
+        await inject()
 
     async def _late(self) -> None:
+        """Delay all links."""
         for relay in self.fleet.relays.values():
-            relay.forward, relay.backward = (
-                LinkFault(self.chance.uniform(0.0, 0.06), 0.05) for _ in range(2)
-            )
+            relay.forward = LinkFault(self.random.uniform(0.0, MAX_ADDED_DELAY), DELAY_JITTER)
+            relay.backward = LinkFault(self.random.uniform(0.0, MAX_ADDED_DELAY), DELAY_JITTER)
 
     async def _lose_keeper(self) -> None:
-        """Its disk is lost; others follow only once it has all again."""
-        feed, name = self.feed, self.chance.choice(self.feed.keepers)
-        feed.empty(name)
-        await anyio.sleep(self.chance.uniform(0.0, 1.0))
-        number = feed.oracle.newest
-        feed.processes[name].start()
-        until = time.monotonic() + PATIENCE
+        """Destroy a keeper's disk and wait until it has all changes again.
+
+        Raises:
+            RunTimeoutError: It lacks some after `RECOVERY_TIMEOUT`.
+        """
+        name = self.random.choice(self.feed.keepers)
+        self.feed.empty(name)
+        await anyio.sleep(self.random.uniform(0.0, 1.0))
+        number = self.feed.oracle.newest
+        self.feed.processes[name].start()
+        deadline = time.monotonic() + RECOVERY_TIMEOUT
         while True:
-            found = await feed.looked(name)
-            if found is not None and found.counters.get("durable", 0) >= number:
+            status = await self.feed.looked(name)
+            if status is not None and status.counters.get("durable", 0) >= number:
                 return
-            if time.monotonic() > until:
-                raise RunTimeoutError(f"{name} has not all on disk {PATIENCE} s after its disk was lost")
-            await anyio.sleep(0.02)
+            if time.monotonic() > deadline:
+                raise RunTimeoutError(
+                    f"{name} has not all on disk {RECOVERY_TIMEOUT} s after its disk was lost"
+                )
+            await anyio.sleep(POLL_INTERVAL)
 
     async def _lose_voter(self) -> None:
-        await self.fleet.replace_replica(self.chance.choice(self.fleet.names))
+        """Replace a replica of the consensus cluster by an empty one."""
+        await self.fleet.replace_replica(self.random.choice(self.fleet.names))
 
     async def _strand(self) -> None:
-        """r2 is cut off from all above, changes go on at r1, then that one stands still: those who come to r2
-        have more than it has."""
-        feed, relays = self.feed, self.fleet.relays
+        """Let subscribers come to a relay that is behind them.
+
+        r2 is cut off from its sources while changes go on at r1; then r1 is paused.
+        """
+        relays = self.fleet.relays
         for (source, _), relay in relays.items():
             if source == "r2":
                 relay.disconnect()
-        for name in feed.subscribers:
+        for name in self.feed.subscribers:
             relays[name, "r2"].disconnect()
         await anyio.sleep(0.3)
-        number = feed.oracle.newest + 1
-        for name in feed.subscribers:
-            await feed.reaches(name, number)
+        number = self.feed.oracle.newest + 1
+        for name in self.feed.subscribers:
+            await self.feed.reaches(name, number)
             relays[name, "r2"].heal()
-        feed.processes["r1"].pause()
-        await anyio.sleep(LAST + 1.0)
+        self.feed.processes["r1"].pause()
+        await anyio.sleep(MAX_FAULT_DURATION + 1.0)
 
 
 def storm(
     seed: int, seconds: float, tell: Tell, without: str = "", only: tuple[str, ...] = ()
 ) -> dict[str, Any]:
-    """What came of it; what hangs is wrong too. The folder of a run that found something is kept."""
+    """Run one storm and return its result; a fleet that hangs is wrong too.
+
+    The folder of a run that found something is left in place, unless a safeguard was left out.
+
+    Args:
+        seed: Of all random draws.
+        seconds: How long faults are injected.
+        tell: Called with each line of progress.
+        without: The safeguard that the processes leave out; empty for none.
+        only: Faults of `ALONE` to inject, with no others; empty for all faults.
+    """
     with run_folder("feeds", f"thistleline lab feeds --seed {seed}") as folder:
         one = Storm(folder, seed, without, only)
-        found: dict[str, Any] = {}
+        result: dict[str, Any] = {}
         try:
-            found = anyio.run(one.run, seconds, tell)
+            result = anyio.run(one.run, seconds, tell)
         except* RunTimeoutError as group:
-            wrong = [*one.feed.oracle.wrong, *(str(why) for why in _leaves(group))]
-            found = {"wrong": wrong, "hung": True, "acknowledged": len(one.acknowledged),
-                     "faults": dict(sorted(one.faults.items()))}  # fmt: skip
-        if found["wrong"] and not without:
-            (folder / "keep").write_text("\n".join(found["wrong"]))
-            tell(f"wrong: {found['wrong']}")
-        return found
+            result = {
+                "wrong": [*one.feed.oracle.wrong, *(str(error) for error in _leaves(group))],
+                "hung": True,
+                "acknowledged": len(one.acknowledged),
+                "faults": dict(sorted(one.faults.items())),
+            }
+        if result["wrong"] and not without:
+            (folder / "keep").write_text("\n".join(result["wrong"]))
+            tell(f"wrong: {result['wrong']}")
+        return result
 
 
 def _leaves(group: BaseExceptionGroup[RunTimeoutError]) -> list[BaseException]:
-    return [leaf for one in group.exceptions
-            for leaf in (_leaves(one) if isinstance(one, BaseExceptionGroup) else [one])]  # fmt: skip
+    """Return the exceptions in a group and in the groups within it."""
+    leaves: list[BaseException] = []
+    for error in group.exceptions:
+        if isinstance(error, BaseExceptionGroup):
+            leaves.extend(_leaves(error))
+        else:
+            leaves.append(error)
+    return leaves
 
 
 def run(quick: bool, seed: int, tell: Tell) -> dict[str, Any]:
-    """All figures, bars and whether they held."""
+    """Run all storms and return the figures, the bars and whether they held.
+
+    Args:
+        quick: One short storm in place of `SEEDS` long ones.
+        seed: The first one.
+        tell: Called with each line of progress.
+    """
     figures: dict[str, Any] = {}
     seeds = [seed] if quick else list(range(seed, seed + SEEDS))
-    for one in seeds:
-        tell(f"a storm, seed {one}")
-        figures[f"seed {one}"] = storm(one, 15.0 if quick else SECONDS, tell)
+    for storm_seed in seeds:
+        tell(f"a storm, seed {storm_seed}")
+        figures[f"seed {storm_seed}"] = storm(storm_seed, QUICK_SECONDS if quick else SECONDS, tell)
+    storms = list(figures.values())
     tell("who is behind serves, and an older snapshot is taken: the oracle has to find it")
-    blind = storm(seed, 5.0, tell, "newer", ("strand",))
-    figures["without 'newer'"] = blind
-    storms = [figures[f"seed {one}"] for one in seeds]
+    mutant = storm(seed, MUTANT_SECONDS, tell, "newer", ("strand",))
+    figures["without 'newer'"] = mutant
     bars = {
         "nothing lost, made twice, half seen or seen to go back": not any(one["wrong"] for one in storms),
         "after each fault all went on, and ended alike": not any(one["hung"] for one in storms),
-        "the oracle finds a state that went back": any("went back" in one for one in blind["wrong"]),
+        "the oracle finds a state that went back": any("went back" in wrong for wrong in mutant["wrong"]),
     }
     if not quick:
-        kinds = {fault for one in storms for fault in one["faults"]}
-        bars["every fault that comes alone came"] = set(ALONE) <= kinds
+        fault_names = {name for one in storms for name in one["faults"]}
+        bars["every fault that comes alone came"] = set(ALONE) <= fault_names
     return {"figures": figures, "bars": bars, "held": all(bars.values())}
