--- a/tests/test_polled.py
+++ b/tests/test_polled.py
@@ -25,23 +25,23 @@
 def test_a_change_makes_a_whole_record_that_all_load() -> None:
     polled = fleet()
     polled.run(5 * SECOND)
-    assert {one.held for one in polled.stewards} == {1}
+    assert {one.held for one in polled.instances} == {1}
     before = polled.totals()
     polled.propose(Propose("a", (("common/x", b"{}"),)))
     polled.settle()
-    assert {one.held for one in polled.stewards} == {2}
+    assert {one.held for one in polled.instances} == {2}
     _, leader, instances = (new - old for new, old in zip(polled.totals(), before, strict=True))
     content = polled.settings.content()
     assert b"common/x" in content
-    assert min(leader, instances) > len(polled.stewards) * len(content)
-    assert sum(polled.took.values()) == len(polled.stewards)
+    assert min(leader, instances) > len(polled.instances) * len(content)
+    assert sum(polled.took.values()) == len(polled.instances)
     assert max(polled.took) < 2000
 
 
 def test_no_steward_asks_more_often_than_it_does() -> None:
     polled = fleet()
     polled.run(20 * SECOND)
-    each = polled.reads / 20 / len(polled.stewards)
+    each = polled.reads / 20 / len(polled.instances)
     assert 0.5 / POLL < each < 1 / POLL
 
 
@@ -77,7 +77,7 @@
     polled.run(polled.now + 20 * SECOND)
     polled.settle()
     assert not polled.behind()
-    assert sum(polled.took.values()) == 60 * len(polled.stewards)
+    assert sum(polled.took.values()) == 60 * len(polled.instances)
 
 
 def test_the_feed_s_lines_stand_beside_those_of_today() -> None:
--- a/thistleline/lab/scale/feed.py
+++ b/thistleline/lab/scale/feed.py
@@ -470,7 +470,7 @@
         "counted": sum(fleet.took.values()),
         "settled_s": round(settled / SECOND, 2),
         "behind": fleet.behind(),
-        "instance_bytes_s": round(instances / len(fleet.stewards), 1),
+        "instance_bytes_s": round(instances / len(fleet.instances), 1),
         "source_bytes_s": round(leader),
         "leader_reads_s": round(reads, 1),
         "records": fleet.number - first,
--- a/thistleline/lab/simulation/polled_settings.py
+++ b/thistleline/lab/simulation/polled_settings.py
@@ -1,16 +1,19 @@
-"""What is there today, in virtual time: stewards that ask the council for their want each `POLL` s and load a
-whole record of the settings when the want names another. Beside simulation/feed_fleet.py: the same regions,
-delays and line rates, the same changes. The council's table is the real one, sizes are those of its messages.
+"""A fleet that polls its settings, in virtual time: the baseline that the config feed is compared with.
 
-Best case for today in all that is not counted here: a steward has the settings in force once it has read
-them, no server is replaced one after the other; one that was on its way to older settings gets the newest;
-wants of all are written at once and cost the leader's processor nothing; voters' messages among each other
+Every instance's supervisor reads its desired version from the consensus cluster each `POLL` s and loads a
+whole settings record when the desired version names another. Regions, delays, line rates and changes are
+those of simulation/feed_fleet.py. The lease table is the real one, sizes are those of its messages.
+
+Best case for polling in all that is not counted here: an instance has the settings in force once it has read
+them, no server is replaced one after the other; one that was about to load older settings gets the newest;
+desired versions of all are written at once and cost the leader's processor nothing; messages among replicas
 and an instance's folder are left out.
 """
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 from random import Random
+from typing import NamedTuple
 
 import msgspec
 
@@ -24,28 +27,34 @@
 from thistleline.supervisor.records import desired_version_key, digest_settings, settings_key
 from thistleline.supervisor.service import POLL
 
-SETTINGS = settings_key(0)  # one for all versions: the council's records together are bounded to some ten
-ENTRY_HEAD = 4  # bytes of an entry in a record beside its key and value, at most
-RECORD_HEAD = 5  # of a record
-WANT_AT = int(POLL * SECOND)
+SETTINGS = settings_key(0)  # one for all versions: the cluster limits the size of all records together
+ENTRY_OVERHEAD = 4  # bytes of an entry in a record beside its key and value, at most
+RECORD_OVERHEAD = 5  # bytes of a record
+POLL_INTERVAL = int(POLL * SECOND)  # ns
 
 
 class Settings:
-    """One record: entries with the newest value of each, as many as fit. One more, and the one that was not
-    changed for longest goes, so that each change stands in the record that it makes."""
+    """A settings record: the newest value of each entry, as many entries as fit.
+
+    When it is full the entry that was not changed for longest is evicted, so that each change is in the
+    record that it makes.
+    """
 
     def __init__(self, entries: Iterable[tuple[str, bytes]]) -> None:
+        """Add entries in order until one does not fit."""
         self.entries: dict[str, bytes] = {}
-        self.size = RECORD_HEAD
+        self.size = RECORD_OVERHEAD
         for key, value in entries:
             if self.size + self._cost(key, value) > MAX_VALUE_SIZE:
                 break
             self.put(key, value)
 
     def _cost(self, key: str, value: bytes) -> int:
-        return len(key) + len(value) + ENTRY_HEAD
+        """Return the size of an entry in bytes."""
+        return len(key) + len(value) + ENTRY_OVERHEAD
 
     def put(self, key: str, value: bytes | None) -> None:
+        """Set an entry, or delete it for None, and evict others if there is no room."""
         known = self.entries.pop(key, None)
         if known is not None:
             self.size -= self._cost(key, known)
@@ -57,24 +66,49 @@
             self.size -= self._cost(oldest, self.entries.pop(oldest))
 
     def content(self) -> bytes:
+        """Return the encoded record."""
         return encode(self.entries)
 
 
-class Steward:
-    """A hollow instance."""
+class PollingInstance:
+    """An instance, as far as its polling goes."""
 
-    __slots__ = ("asked", "bytes", "free", "held", "loading", "name", "region", "version", "wanted")
+    __slots__ = (
+        "bytes",
+        "held",
+        "line_free",
+        "loading",
+        "name",
+        "region",
+        "requests",
+        "wanted",
+        "wanted_version",
+    )
 
     def __init__(self, name: str, region: int) -> None:
-        self.name, self.region = name, region
-        self.asked = self.bytes = 0
-        self.free = 0.0  # when all that it sent is out
-        self.version = 0  # of its want's record
-        self.held = self.wanted = 0  # numbers of the settings, which are their record's versions
+        """Make an instance that holds nothing."""
+        self.name = name
+        self.region = region
+        self.requests = 0
+        self.bytes = 0  # sent and received
+        self.line_free = 0.0  # ns; when all that it sent is out
+        self.wanted_version = 0  # of the record with its desired version
+        self.held = 0  # number of the settings in force, which is their record's version
+        self.wanted = 0  # number of the settings that its desired version names
         self.loading = False
 
 
+class PolledTotals(NamedTuple):
+    """Reads and bytes at the leader, and bytes of all instances together."""
+
+    leader_reads: int
+    leader_bytes: int
+    instance_bytes: int
+
+
 class PolledFleet(Clock):
+    """The consensus cluster's leader and all instances that poll it."""
+
     def __init__(
         self,
         entries: Iterable[tuple[str, bytes]],
@@ -85,152 +119,185 @@
         reads_s: float = 0,
         zones: int = 0,
     ) -> None:
-        """`entries`: what the first record is made of, in the order in which they find room; `reads_s`: what
-        the leader's processor answers in a second, 0 for all that come; `zones` as of VirtualFeed."""
+        """Write the first record and start all polls at random times within an interval.
+
+        Args:
+            entries: Of the first record, in the order in which they are added.
+            seed: Of all random draws.
+            instances: How many poll.
+            regions: Over which instances and replicas are spread.
+            voters: Replicas of the consensus cluster; the leader is in region 0.
+            reads_s: Reads that the leader's processor answers in a second; 0 for no limit.
+            zones: As of VirtualFeed.
+        """
         super().__init__()
-        self.chance, self.reads_s = Random(seed), reads_s
-        self.regions, self.apart = regions, delays(self.chance, regions)
-        others = sorted(2 * self._way(0, place * regions // voters) for place in range(1, voters))
-        self.confirmed = others[voters // 2 - 1]  # ns till a majority has what it is told, or says who leads
-        self.table, self.index = LeaseTable(), 0
-        self.settings, self.number = Settings(entries), 0
-        self.waiting: list[tuple[int, Propose]] = []  # asked for, when; they go with the next record
-        self.under_way = False
-        self.made: list[list[int]] = []  # of each record, when its changes were asked for
-        self.busy = 0.0  # the leader's processor, until
-        self.free = 0.0  # the leader's line
-        self.reads = self.bytes = self.changes = 0  # at the leader, reads when they are answered
-        self.coming = 0  # changes on their way there
-        self.sizes: dict[tuple[str, int], int] = {}
-        self.took: Counter[int] = Counter()  # ms from asking to in force: how many (change, instance)
-        self.stewards = [
-            Steward(f"i{place:05}", place % (zones or regions) % regions) for place in range(instances)
+        self.random = Random(seed)
+        self.reads_s = reads_s
+        self.regions = regions
+        self.delays = delays(self.random, regions)
+        self.quorum_delay = self._quorum_delay(voters)
+        self.table = LeaseTable()
+        self.log_index = 0
+        self.settings = Settings(entries)
+        self.number = 0  # of the newest settings
+        self.waiting: list[tuple[int, Propose]] = []  # with the time of proposal in ns; for the next record
+        self.writing = False
+        self.proposal_times: list[list[int]] = []  # of each record's changes, in ns
+        self.processor_free = 0.0  # ns; when the leader's processor is idle
+        self.line_free = 0.0  # ns; when all that the leader sent is out
+        self.reads = 0  # answered by the leader
+        self.bytes = 0  # sent and received by the leader
+        self.changes = 0  # received by the leader
+        self.changes_in_transit = 0
+        self.answer_sizes: dict[tuple[str, int], int] = {}
+        self.took: Counter[int] = Counter()  # ms from proposal to in force: how many (change, instance)
+        self.instances = [
+            PollingInstance(f"i{place:05}", place % (zones or regions) % regions)
+            for place in range(instances)
         ]
-        self._record()
-        for steward in self.stewards:
-            self.at(self.chance.randrange(WANT_AT), self._asks, steward, desired_version_key(steward.name))
+        self._start_record()
+        for instance in self.instances:
+            key = desired_version_key(instance.name)
+            self.at(self.random.randrange(POLL_INTERVAL), self._send_read, instance, key)
+
+    def _quorum_delay(self, voters: int) -> int:
+        """Return the ns until a majority has confirmed a write or the leader's term."""
+        round_trips = sorted(2 * self._delay(0, place * self.regions // voters) for place in range(1, voters))
+        return round_trips[voters // 2 - 1]
 
-    def _way(self, one: int, other: int) -> int:
-        return self.apart[one][other] or MS // 2
+    def _delay(self, one: int, other: int) -> int:
+        """Return the delay between two regions in ns."""
+        return self.delays[one][other] or MS // 2
 
-    def _late(self, least: int) -> int:
-        return least + int(least * self.chance.random() / 5)
+    def _with_jitter(self, least: int) -> int:
+        """Return a delay that is up to a fifth longer than the least one."""
+        return least + int(least * self.random.random() / 5)
 
-    # ---- who changes the settings
+    # ---- changes of the settings
 
     def propose(self, propose: Propose) -> None:
-        self.coming += 1
-        way = self._way(self.chance.randrange(self.regions), 0)
-        self.at(self.now + way, self._proposed, self.now, propose)
+        """Propose a change from a random region."""
+        self.changes_in_transit += 1
+        delay = self._delay(self.random.randrange(self.regions), 0)
+        self.at(self.now + delay, self._on_proposal, self.now, propose)
 
-    def _proposed(self, asked: int, propose: Propose) -> None:
+    def _on_proposal(self, asked: int, propose: Propose) -> None:
+        """Take a change that reached the leader; `asked` is the time of proposal in ns."""
         self.waiting.append((asked, propose))
-        self.coming -= 1
+        self.changes_in_transit -= 1
         self.changes += 1
-        if not self.under_way:
-            self._record()
+        if not self.writing:
+            self._start_record()
 
-    def _record(self) -> None:
-        """All that waits makes a whole record; once it is decided the wants of all name it."""
-        self.under_way = True
+    def _start_record(self) -> None:
+        """Begin to write a record with all changes that wait."""
+        self.writing = True
         self.number += 1
-        waiting, self.waiting = self.waiting, []
+        waiting = self.waiting
+        self.waiting = []
         for _, propose in waiting:
             for key, value in propose.items:
                 self.settings.put(key, value)
-        self.made.append([asked for asked, _ in waiting])
-        self.at(self.now + self.confirmed + SYNC, self._written, self.settings.content())
+        self.proposal_times.append([asked for asked, _ in waiting])
+        self.at(self.now + self.quorum_delay + SYNC, self._on_record_written, self.settings.content())
 
-    def _written(self, content: bytes) -> None:
+    def _on_record_written(self, content: bytes) -> None:
+        """Store the record and begin to write the desired version of all instances."""
         self._put(SETTINGS, content)
         digest = digest_settings(content)
         value = encode(DesiredVersion(1, self.number, Version("1.0.0", digest, self.number, digest)))
-        self.at(self.now + MS + self.confirmed + SYNC, self._wanted, value)
+        self.at(self.now + MS + self.quorum_delay + SYNC, self._on_record_confirmed, value)
 
-    def _wanted(self, value: bytes) -> None:
-        for steward in self.stewards:
-            self._put(desired_version_key(steward.name), value)
-        self.under_way = False
+    def _on_record_confirmed(self, value: bytes) -> None:
+        """Store the desired version of all instances, and begin the next record if changes wait."""
+        for instance in self.instances:
+            self._put(desired_version_key(instance.name), value)
+        self.writing = False
         if self.waiting:
-            self._record()
+            self._start_record()
 
     def _put(self, key: str, value: bytes) -> None:
-        self.index += 1
+        """Write a record of the lease table."""
+        self.log_index += 1
         put = Put(key, value, self.table.get(key).version)
-        self.bytes += len(encode(Request(self.index, put))) + HEAD
-        answer = self.table.apply(self.index, encode_decision(put))
+        self.bytes += len(encode(Request(self.log_index, put))) + HEAD
+        answer = self.table.apply(self.log_index, encode_decision(put))
         assert isinstance(answer, Done), answer
 
-    # ---- who asks
+    # ---- reads of instances
 
-    def _asks(self, steward: Steward, key: str) -> None:
-        steward.asked += 1
-        size = len(encode(Request(steward.asked, Get(key)))) + HEAD
-        steward.bytes += size
-        steward.free = max(steward.free, float(self.now)) + size / LINE
-        when = int(steward.free) + self._late(self._way(steward.region, 0))
-        self.at(when, self._asked, steward, key, steward.asked, size)
+    def _send_read(self, instance: PollingInstance, key: str) -> None:
+        """Send a read of an instance to the leader."""
+        instance.requests += 1
+        size = len(encode(Request(instance.requests, Get(key)))) + HEAD
+        instance.bytes += size
+        instance.line_free = max(instance.line_free, float(self.now)) + size / LINE
+        when = int(instance.line_free) + self._with_jitter(self._delay(instance.region, 0))
+        self.at(when, self._on_read, instance, key, instance.requests, size)
 
-    def _asked(self, steward: Steward, key: str, number: int, size: int) -> None:
-        """At the leader: a read is answered after a majority has confirmed that it leads."""
+    def _on_read(self, instance: PollingInstance, key: str, number: int, size: int) -> None:
+        """Take a read at the leader; it is answered once a majority confirmed that it leads."""
         self.bytes += size
         when = self.now
         if self.reads_s:
-            self.busy = max(self.busy, float(self.now)) + SECOND / self.reads_s
-            when = int(self.busy)
-        self.at(when + self.confirmed, self._answers, steward, key, number)
+            self.processor_free = max(self.processor_free, float(self.now)) + SECOND / self.reads_s
+            when = int(self.processor_free)
+        self.at(when + self.quorum_delay, self._send_answer, instance, key, number)
 
-    def _answers(self, steward: Steward, key: str, number: int) -> None:
+    def _send_answer(self, instance: PollingInstance, key: str, number: int) -> None:
+        """Send the answer to a read."""
         got = self.table.get(key)
-        size = self._size(key, got) + len(encode(number))
+        size = self._answer_size(key, got) + len(encode(number))
         self.reads += 1
         self.bytes += size
-        self.free = max(self.free, float(self.now)) + size / PLENTY
-        when = int(self.free) + self._late(self._way(0, steward.region))
-        self.at(when, self._told, steward, key, got, size)
-
-    def _size(self, key: str, got: Got) -> int:
-        """Of the answer, without its number."""
-        mark = key.partition("/")[0], len(got.value)
-        if mark not in self.sizes:
-            self.sizes[mark] = len(encode(Reply(0, Got(got.value, 0)))) - 2 + HEAD
-        return self.sizes[mark] + len(encode(got.version))
-
-    def _told(self, steward: Steward, key: str, got: Got, size: int) -> None:
-        steward.bytes += size
+        self.line_free = max(self.line_free, float(self.now)) + size / PLENTY
+        when = int(self.line_free) + self._with_jitter(self._delay(0, instance.region))
+        self.at(when, self._on_answer, instance, key, got, size)
+
+    def _answer_size(self, key: str, got: Got) -> int:
+        """Return the size of an answer in bytes, without its number."""
+        kind = key.partition("/")[0], len(got.value)
+        if kind not in self.answer_sizes:
+            self.answer_sizes[kind] = len(encode(Reply(0, Got(got.value, 0)))) - 2 + HEAD
+        return self.answer_sizes[kind] + len(encode(got.version))
+
+    def _on_answer(self, instance: PollingInstance, key: str, got: Got, size: int) -> None:
+        """Take an answer at an instance: its desired version or the settings."""
+        instance.bytes += size
         if key.startswith("want/"):
-            if got.version != steward.version and got.version:
-                steward.version = got.version
-                steward.wanted = msgspec.msgpack.decode(got.value, type=DesiredVersion).number
-            self.at(self.now + WANT_AT, self._asks, steward, key)
+            if got.version != instance.wanted_version and got.version:
+                instance.wanted_version = got.version
+                instance.wanted = msgspec.msgpack.decode(got.value, type=DesiredVersion).number
+            self.at(self.now + POLL_INTERVAL, self._send_read, instance, key)
         else:
-            steward.loading = False
-            for record in range(steward.held, got.version):
-                for asked in self.made[record]:
+            instance.loading = False
+            for record in range(instance.held, got.version):
+                for asked in self.proposal_times[record]:
                     self.took[(self.now - asked) // MS] += 1
-            steward.held = got.version
-        if steward.wanted > steward.held and not steward.loading:
-            steward.loading = True
-            self._asks(steward, SETTINGS)
+            instance.held = got.version
+        if instance.wanted > instance.held and not instance.loading:
+            instance.loading = True
+            self._send_read(instance, SETTINGS)
 
-    # ---- what came out
+    # ---- results
 
     def behind(self) -> int:
-        return sum(steward.held < self.number for steward in self.stewards)
+        """Return how many instances lack the newest settings."""
+        return sum(instance.held < self.number for instance in self.instances)
 
     def settle(self, patience: int = 60 * SECOND) -> int:
-        """ns until all hold the newest, or that patience."""
+        """Run until all instances have the newest settings, `patience` ns at most; return the ns."""
         began = self.now
-        self.run(self.now + patience, lambda: not (self.coming or self.under_way or self.behind()))
+        self.run(self.now + patience, lambda: not (self.changes_in_transit or self.writing or self.behind()))
         return self.now - began
 
     def shares(self) -> dict[str, int]:
-        """How many entries of each section have room in the record."""
-        found: dict[str, int] = defaultdict(int)
+        """Return how many entries of each section are in the record."""
+        counts: dict[str, int] = defaultdict(int)
         for key in self.settings.entries:
-            found[key.partition("/")[0]] += 1
-        return found
+            counts[key.partition("/")[0]] += 1
+        return counts
 
-    def totals(self) -> tuple[int, int, int]:
-        """At the leader reads and bytes, of all instances together bytes."""
-        return self.reads, self.bytes, sum(steward.bytes for steward in self.stewards)
+    def totals(self) -> PolledTotals:
+        """Return the sums of all traffic."""
+        return PolledTotals(self.reads, self.bytes, sum(instance.bytes for instance in self.instances))
