--- a/thistleline/lab/simulation/lease_mutants.py
+++ b/thistleline/lab/simulation/lease_mutants.py
@@ -20,10 +20,10 @@
     LeaseWorld,
     Scenario,
     begin,
-    empty,
+    cluster_with_leader,
     following,
-    held,
-    led,
+    lease_held,
+    new_cluster,
     settle,
 )
 from thistleline.lease import holder as holding
@@ -70,28 +70,28 @@
     """So long on, v0 having led all the while."""
     for _ in range(ticks):
         world.ticks += 1
-        world.replica(0, TimerFired())
+        world.step_replica(0, TimerFired())
         settle(world)
     return world
 
 
 def _nearly_over() -> LeaseWorld:
     """h1 has not been heard for its length but for the leader's next look; h2 waits."""
-    world = _beaten(held(FAST_LEADER), 1)
+    world = _beaten(lease_held(FAST_LEADER), 1)
     world.ticks += 1
     return world
 
 
 def _late_answer() -> LeaseWorld:
     """h1 was granted it a tick ago, the answer is still on its way; h2 waits."""
-    world = led(FAST_LEADER)
-    world.holder(0, AcquireStarted())
+    world = cluster_with_leader(FAST_LEADER)
+    world.step_holder(0, AcquireStarted())
     while world.net[0].to != "h1":
         world.deliver(0)
     answer = world.net[0]
     world.net = world.net[1:]
     settle(world)
-    world.holder(1, AcquireStarted())
+    world.step_holder(1, AcquireStarted())
     settle(world)
     _beaten(world, 1)
     world.net = (answer,)
@@ -99,20 +99,20 @@
 
 
 def _renewed() -> LeaseWorld:
-    world = _beaten(held(FAST_LEADER), 1)
-    world.holder(0, DeadlineReached())
+    world = _beaten(lease_held(FAST_LEADER), 1)
+    world.step_holder(0, DeadlineReached())
     settle(world)
     return world
 
 
 def _deposed() -> LeaseWorld:
     """v0 leads and is cut off; v1 has been elected, v0 does not know, and h1 still asks v0."""
-    world = held((4, 5, 5, 3, 3))
+    world = lease_held((4, 5, 5, 3, 3))
     world.ticks += 1
-    world.holder(0, DeadlineReached())
+    world.step_holder(0, DeadlineReached())
     settle(world, lambda source, to: "v1" not in (source, to))
     world.ticks += 1
-    world.replica(1, TimerFired())
+    world.step_replica(1, TimerFired())
     settle(world, lambda source, to: "v0" not in (source, to))
     assert world.leaders() == ["v0", "v1"]
     return world
@@ -120,8 +120,8 @@
 
 def _behind() -> LeaseWorld:
     """v2 has not heard of anything that was decided."""
-    world = led()
-    world.holder(0, AcquireStarted())
+    world = cluster_with_leader()
+    world.step_holder(0, AcquireStarted())
     settle(world, lambda source, to: "v2" not in (source, to))
     world.ticks += 2
     return world
@@ -129,9 +129,9 @@
 
 def _standing() -> LeaseWorld:
     """v0 stands; its word is on the way to v1, that to v2 is lost."""
-    world = empty()
+    world = new_cluster()
     world.ticks += 2
-    world.replica(0, TimerFired())
+    world.step_replica(0, TimerFired())
     world.net = tuple(one for one in world.net if one.to == "v1")
     world.deliver(0, back=True)
     world.net = tuple(one for one in world.net if one.to == "v1")
@@ -142,12 +142,12 @@
 
 def _passed_on(rates: tuple[int, ...]) -> LeaseWorld:
     """h0 has given it back: h1 has it from the line and does not know; h2 is next."""
-    world = led(rates)
-    world.hold("h0", "h1", "h2")
+    world = cluster_with_leader(rates)
+    world.add_holders("h0", "h1", "h2")
     for place in range(3):
-        world.holder(place, AcquireStarted())
+        world.step_holder(place, AcquireStarted())
         settle(world)
-    world.holder(0, ReleaseRequested())
+    world.step_holder(0, ReleaseRequested())
     settle(world)
     return world
 
@@ -158,42 +158,42 @@
     world = _passed_on((5, 4, 4, 3, 3, 3))
     _beaten(world, 1)
     world.ticks += 1
-    world.holder(1, GrantHinted())
-    world.replica(0, TimerFired())
+    world.step_holder(1, GrantHinted())
+    world.step_replica(0, TimerFired())
     return world
 
 
 def _unaware_deposed() -> LeaseWorld:
     """As before, but v0 is cut off and v1 was elected a tick ago; h1's word is on the way to v0."""
     world = _passed_on((4, 5, 5, 3, 3, 3))
-    world.replica(0, TimerFired())
+    world.step_replica(0, TimerFired())
     settle(world)
     world.ticks += 1
-    world.replica(1, TimerFired())
+    world.step_replica(1, TimerFired())
     settle(world, lambda source, to: "v0" not in (source, to))
     assert world.leaders() == ["v0", "v1"]
     world.ticks += 1
-    world.holder(1, GrantHinted(), to="v0")
+    world.step_holder(1, GrantHinted(), to="v0")
     return world
 
 
 def _asked_again() -> LeaseWorld:
     """h1 was granted it, the answer was lost; it asks again as its length is nearly over. h2 waits."""
-    world = led(FAST_LEADER)
-    world.holder(0, AcquireStarted())
+    world = cluster_with_leader(FAST_LEADER)
+    world.step_holder(0, AcquireStarted())
     settle(world, lambda source, to: to != "h1")
-    world.holder(1, AcquireStarted())
+    world.step_holder(1, AcquireStarted())
     settle(world)
     _beaten(world, 1)
     world.ticks += 1
-    world.holder(0, DeadlineReached())
+    world.step_holder(0, DeadlineReached())
     return world
 
 
 def _doubled_wish() -> LeaseWorld:
     """h1 asked twice, as an answer came late; one copy is still in flight."""
-    world = led()
-    world.holder(0, AcquireStarted())
+    world = cluster_with_leader()
+    world.step_holder(0, AcquireStarted())
     copy = world.net[0]
     settle(world)
     world.net = (copy,)
@@ -202,8 +202,8 @@
 
 def _freed() -> LeaseWorld:
     """h1 holds and has acted; nobody waits."""
-    world = led()
-    world.holder(0, AcquireStarted())
+    world = cluster_with_leader()
+    world.step_holder(0, AcquireStarted())
     settle(world)
     world.act(0)
     settle(world)
@@ -212,12 +212,12 @@
 
 def _act_in_flight() -> LeaseWorld:
     """An act of h1 is still on its way to the resource; h1's time is over, h2 holds."""
-    world = held(FAST_LEADER)
+    world = lease_held(FAST_LEADER)
     world.act(0)
     act = world.net[0]
     world.net = ()
     _beaten(world, 2)
-    world.holder(1, GrantHinted())
+    world.step_holder(1, GrantHinted())
     settle(world)
     assert world.holders[1].phase == "held"
     world.net = (act,)
@@ -226,12 +226,12 @@
 
 def _undecided() -> LeaseWorld:
     """The paper's figure 8: v0 leads again; v2 has another entry where v0 has one of an earlier term."""
-    world = empty()
+    world = new_cluster()
     for place in (0, 2, 0):
         while world.servers[place].replica.state.phase is not Phase.LEADER:
             if not world.net:
                 world.ticks += 3
-                world.replica(place, TimerFired())
+                world.step_replica(place, TimerFired())
             world.net = tuple(one for one in world.net if "v1" in (one.source, one.to))
             if world.net:
                 world.deliver(0)
@@ -240,30 +240,59 @@
             world.net = ()
             world.restart(place)
     request = VoteRequest(world.servers[0].replica.state.term, 1, 1, False)
-    world.replica(2, MessageReceived("v0", request))
+    world.step_replica(2, MessageReceived("v0", request))
     world.net = tuple(one for one in world.net if one.source != "v2")
     return world
 
 
 SCENARIOS = {
-    one.what: one
+    one.name: one
     for one in (
-        Scenario("election", empty, ticks=3, crashes=1, doubles=1, elections=2, moves=()),
-        Scenario("standing", _standing, crashes=1, elections=2, net=4, moves=(), elapse=(2,)),
-        Scenario("behind", _behind, ticks=1, elections=3, moves=(), elapse=(0, 2)),
+        Scenario("election", new_cluster, ticks=3, crashes=1, doubles=1, elections=2, active_holders=()),
         Scenario(
-            "undecided of an earlier term", _undecided, ticks=2, elections=4, net=3, moves=(), elapse=(2,)
+            "standing",
+            _standing,
+            crashes=1,
+            elections=2,
+            net=4,
+            active_holders=(),
+            elapse=(2,),
+        ),
+        Scenario("behind", _behind, ticks=1, elections=3, active_holders=(), elapse=(0, 2)),
+        Scenario(
+            "undecided of an earlier term",
+            _undecided,
+            ticks=2,
+            elections=4,
+            net=3,
+            active_holders=(),
+            elapse=(2,),
+        ),
+        Scenario(
+            "held",
+            lease_held,
+            ticks=3,
+            crashes=1,
+            doubles=1,
+            losses=1,
+            elections=2,
+            net=5,
+            acts=1,
         ),
-        Scenario("held", held, ticks=3, crashes=1, doubles=1, losses=1, elections=2, net=5, acts=1),
         Scenario("nearly over", _nearly_over, ticks=1, crashes=1, elections=1, net=5, elapse=(0,)),
         Scenario("late answer", _late_answer, ticks=2, elections=1, net=5, elapse=(0,)),
         Scenario("renewed", _renewed, ticks=2, elections=1, net=5, elapse=(0,)),
         Scenario("deposed leader", _deposed, ticks=2, elections=2, elapse=(1,)),
-        Scenario("unaware of its grant", _unaware, elections=1, elapse=(9,), moves=(2,)),
+        Scenario("unaware of its grant", _unaware, elections=1, elapse=(9,), active_holders=(2,)),
         Scenario(
-            "unaware, and the leader deposed", _unaware_deposed, ticks=1, elections=2, elapse=(1,), moves=(2,)
+            "unaware, and the leader deposed",
+            _unaware_deposed,
+            ticks=1,
+            elections=2,
+            elapse=(1,),
+            active_holders=(2,),
         ),
-        Scenario("asked again", _asked_again, elections=1, elapse=(0,), moves=(1,)),
+        Scenario("asked again", _asked_again, elections=1, elapse=(0,), active_holders=(1,)),
         Scenario("wish doubled", _doubled_wish, ticks=2, releases=1, elections=1, elapse=(0,)),
         Scenario("freed", _freed, ticks=1, releases=1, acts=1, elections=1, net=5, elapse=(0,)),
         Scenario("act in flight", _act_in_flight, ticks=1, crashes=1, acts=2, elections=1, elapse=(0,)),
