--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -20,6 +20,8 @@
 from thistleline.lab.processes.machines import SupervisedFleet
 from thistleline.lab.simulation.explorer import explore
 from thistleline.lab.simulation.lease_mutants import without
+from thistleline.lab.simulation.rollout_world import RolloutWorld, returned_in_last_stage
+from thistleline.lab.simulation.rollout_world import following as following_rollout
 from thistleline.lab.simulation.rollouts import HARMS, Harm, simulate_rollout
 from thistleline.lab.simulation.supervisor_world import (
     BesideWorld,
@@ -40,6 +42,7 @@
 from thistleline.rollout.metrics import SlotSample
 from thistleline.rollout.order import Order, start_fault
 from thistleline.rollout.record import HistoryEntry, RolloutRecord
+from thistleline.rollout.server_changes import DownBudget
 from thistleline.rollout.server_status import ServerStatus
 from thistleline.rollout.stages import STAGES, choose_controls, choose_targets
 from thistleline.rollout.timing import RolloutTiming
@@ -450,6 +453,32 @@
         assert wanted in wander(range(1500), 150)
 
 
+@pytest.mark.parametrize("root", [RolloutWorld, returned_in_last_stage])
+def test_a_rollout_stays_within_its_limits_whenever_controllers_and_servers_die(
+    root: Callable[[], RolloutWorld],
+) -> None:
+    found = explore(root(), following_rollout, 60, 8_000)
+    assert not found.wrong, found.trace
+    assert found.states >= 8_000
+
+
+def _no_limit(self: DownBudget, zone: str) -> bool:
+    return True
+
+
+def _roll_forward(self: RolloutController, record: RolloutRecord) -> None:
+    self._steer(record, dict.fromkeys(self.servers, record.version))
+
+
+@pytest.mark.parametrize(("where", "name", "put", "wanted"), [
+    (DownBudget, "has_room", _no_limit, "are down at once"),
+    (RolloutController, "_roll_back", _roll_forward, "what is being taken back"),
+])  # fmt: skip
+def test_a_broken_rollout_controller_is_found(where: type, name: str, put: Any, wanted: str) -> None:
+    with without(((where, name, put),)):
+        assert wanted in explore(returned_in_last_stage(), following_rollout, 60, 8_000).wrong
+
+
 def kept(good: Version | None = OLD) -> Supervisor:
     made = Supervisor(SECOND, 0)
     made.handle(0, StateRecovered(SupervisorState(DesiredVersion(1, 1, OLD), OLD, 3, good), True))
--- a/thistleline/lab/simulation/rollout_world.py
+++ b/thistleline/lab/simulation/rollout_world.py
@@ -1,8 +1,11 @@
-"""Two conductors and four servers as a world to explore: a conductor dies or stands still at any step,
-another takes the lease, servers go down by themselves, and the judge says whatever it likes."""
+"""Rollout controllers and four servers as a world to explore.
 
-from collections.abc import Callable, Iterator
-from typing import Any, Literal
+A controller dies or stands still at any step, another takes the lease, servers go down by themselves, and the
+canary analysis gives any verdict at all.
+"""
+
+from collections.abc import Callable, Iterable, Iterator
+from typing import Any, Literal, NamedTuple
 
 from thistleline.rollout.canary import CanaryAnalysis, Judgement, Verdict
 from thistleline.rollout.controller import RolloutController
@@ -20,186 +23,270 @@
 from thistleline.rollout.timing import SECOND, RolloutTiming
 from thistleline.supervisor.model import Version
 
-OLD, NEW = Version("1", "a"), Version("2", "b")
+OLD = Version("1", "a")
+NEW = Version("2", "b")
 ORDER = Order(1, "start", "", NEW, OLD, ("one", "all"), max_down=2, max_down_per_zone=1)
 TIMING = RolloutTiming(change_timeout=1000 * SECOND)
-State = Literal["up", "changing", "down"]
+SERVERS = 4  # s0 to s3, in two zones by turns
+COUNTERS_ONE_SERVED = (0, 0, 0, 0, 0, 0, 0, 1)
+ServerState = Literal["up", "changing", "down"]
+
+
+class ServerRun(NamedTuple):
+    """A server's version, the last that ran if none does, and whether it runs."""
+
+    version: Version
+    state: ServerState
 
 
-class AnyJudge(CanaryAnalysis):
-    """Says what the world has chosen."""
+class ArbitraryAnalysis(CanaryAnalysis):
+    """An analysis whose verdict the world has chosen."""
 
-    says: Verdict = "can't tell"
+    verdict: Verdict = "can't tell"
 
-    def __init__(self, *told: Any) -> None:
+    def __init__(self, *_: Any) -> None:
+        """Begin, whatever the controller asks for."""
         super().__init__(("z0", "z1"), 0.02, 3)
 
     def add_slot(self, samples: Any, expected: Any) -> None:
-        return None
+        """Count nothing."""
 
     def judge(self, zone_of: dict[str, str]) -> Judgement:
-        return Judgement(AnyJudge.says, [], "as the world has it")
+        """Return the chosen verdict."""
+        return Judgement(ArbitraryAnalysis.verdict, [], "as the world has it")
 
 
-class ConductorWorld:
+class RolloutWorld:
+    """A state of controllers, the stored record, the desired versions and the servers.
+
+    Attributes:
+        epoch: Of the controller that holds the lease; writes of older ones are refused.
+        record: As stored; None before the first.
+        desired: The stored version of each server that has one.
+        servers: What each does, by id.
+        controllers: By epoch: the newest and the one before it.
+        pending: By epoch: effects that are not carried out yet.
+        successions, deaths, verdicts: How many may still happen.
+        broken: The invariant that was violated; "" if none.
+    """
+
     def __init__(self) -> None:
+        """Begin with the first controller, all servers up with the old version."""
         self.epoch = 1
-        self.roll: RolloutRecord | None = None
-        self.wants: dict[str, Version] = {}
-        self.servers: dict[str, tuple[Version, State]] = {f"s{place}": (OLD, "up") for place in range(4)}
-        self.conductors: dict[int, RolloutController] = {}  # by epoch; of an older one its writes are refused
-        self.asked: dict[int, tuple[Effect, ...]] = {}
-        self.successions, self.deaths, self.verdicts = 2, 1, 3
+        self.record: RolloutRecord | None = None
+        self.desired: dict[str, Version] = {}
+        self.servers = {f"s{place}": ServerRun(OLD, "up") for place in range(SERVERS)}
+        self.controllers: dict[int, RolloutController] = {}
+        self.pending: dict[int, tuple[Effect, ...]] = {}
+        self.successions = 2
+        self.deaths = 1
+        self.verdicts = 3
         self.broken = ""
         self.start()
 
-    def copy(self) -> "ConductorWorld":
-        made = ConductorWorld.__new__(ConductorWorld)
-        made.__dict__.update(self.__dict__)
-        made.wants, made.servers = dict(self.wants), dict(self.servers)
-        made.conductors = {epoch: one.copy() for epoch, one in self.conductors.items()}
-        made.asked = dict(self.asked)
-        return made
+    def copy(self) -> "RolloutWorld":
+        """Return a copy that shares nothing that changes."""
+        copied = RolloutWorld.__new__(RolloutWorld)
+        copied.__dict__.update(self.__dict__)
+        copied.desired = dict(self.desired)
+        copied.servers = dict(self.servers)
+        copied.controllers = {epoch: one.copy() for epoch, one in self.controllers.items()}
+        copied.pending = dict(self.pending)
+        return copied
+
+    # ---- controllers
 
     def start(self) -> None:
-        """The holder of the newest epoch begins with what is recorded."""
-        one = self.conductors[self.epoch] = RolloutController(0, lambda: 0, self.roll, TIMING, AnyJudge)
-        one.handle(0, ServersObserved(self.seen()))
-        one.handle(0, DesiredVersionsRecovered(self.wants))
-        self.asked[self.epoch] = ()
-        for epoch in list(self.conductors):
+        """Start the controller of the newest epoch with what is stored."""
+        controller = RolloutController(0, lambda: 0, self.record, TIMING, ArbitraryAnalysis)
+        self.controllers[self.epoch] = controller
+        controller.handle(0, ServersObserved(self.statuses()))
+        controller.handle(0, DesiredVersionsRecovered(self.desired))
+        self.pending[self.epoch] = ()
+        for epoch in list(self.controllers):
             if epoch < self.epoch - 1:
-                del self.conductors[epoch], self.asked[epoch]
+                self._remove(epoch)
 
     def succeed(self, dies: bool) -> None:
+        """Give the lease to another controller; the one that had it dies or merely stands still."""
         if dies:
-            del self.conductors[self.epoch], self.asked[self.epoch]
+            self._remove(self.epoch)
         self.epoch += 1
         self.start()
 
-    def seen(self) -> list[ServerStatus]:
+    def _remove(self, epoch: int) -> None:
+        """Remove a controller."""
+        del self.controllers[epoch]
+        del self.pending[epoch]
+
+    def statuses(self) -> list[ServerStatus]:
+        """Return the status of each server, as a controller observes it."""
         return [
-            ServerStatus(id, f"z{int(id[1:]) % 2}", state != "down",
-                         version.release if state == "up" else "", 0,
-                         state == "up", True, (0, 0, 0, 0, 0, 0, 0, 1))
+            ServerStatus(
+                id,
+                f"z{_zone(id)}",
+                state != "down",
+                version.release if state == "up" else "",
+                0,
+                state == "up",
+                True,
+                COUNTERS_ONE_SERVED,
+            )
             for id, (version, state) in sorted(self.servers.items())
-        ]  # fmt: skip
-
-    def step(self, epoch: int, says: Verdict) -> None:
-        """A conductor looks, and asks for what follows."""
-        one = self.conductors[epoch]
-        AnyJudge.says = says
-        effects = one.handle(0, ServersObserved(self.seen()))
-        effects += one.handle(0, OrderReceived(ORDER))
-        effects += one.handle(0, TimerExpired())
-        AnyJudge.says = "can't tell"
-        self.asked[epoch] = (*self.asked[epoch], *(one for one in effects if not isinstance(one, LogEvent)))
+        ]
+
+    def step(self, epoch: int, verdict: Verdict) -> None:
+        """Let a controller observe the servers, get the order and its timer, and be given a verdict."""
+        controller = self.controllers[epoch]
+        ArbitraryAnalysis.verdict = verdict
+        effects = controller.handle(0, ServersObserved(self.statuses()))
+        effects += controller.handle(0, OrderReceived(ORDER))
+        effects += controller.handle(0, TimerExpired())
+        ArbitraryAnalysis.verdict = "can't tell"
+        self._add_pending(epoch, effects)
+
+    def _add_pending(self, epoch: int, effects: Iterable[Effect]) -> None:
+        """Add a controller's effects, but for the log, to those to be carried out."""
+        added = (effect for effect in effects if not isinstance(effect, LogEvent))
+        self.pending[epoch] = (*self.pending[epoch], *added)
 
     def carry_out(self, epoch: int) -> None:
-        effect, *rest = self.asked[epoch]
-        self.asked[epoch] = tuple(rest)
+        """Carry out a controller's next effect; one that is refused has lost the lease."""
+        effect, *rest = self.pending[epoch]
+        self.pending[epoch] = tuple(rest)
         if self.refused(epoch):
-            del self.conductors[epoch], self.asked[epoch]  # it learns that it conducts no more
+            self._remove(epoch)
             return
         match effect:
             case StoreRecord(record):
-                self.roll = record
-                told = self.conductors[epoch].handle(0, RecordStored())
-                follows = (one for one in told if not isinstance(one, LogEvent))
-                self.asked[epoch] = (*self.asked[epoch], *follows)
-            case SetDesiredVersion(id, version):
-                self._want(id, version)
+                self.record = record
+                self._add_pending(epoch, self.controllers[epoch].handle(0, RecordStored()))
+            case SetDesiredVersion(server_id, version):
+                self._set_desired(server_id, version)
 
     def refused(self, epoch: int) -> bool:
+        """Return whether fencing refuses the writes of an epoch."""
         return epoch != self.epoch
 
-    def _want(self, id: str, version: Version) -> None:
-        if version == NEW and (self.roll is None or id not in self.roll.targets):
-            self.broken = f"{id} is to run what it was not chosen for"
-        if version == NEW and self.roll is not None and self.roll.phase in ("backing", "back"):
-            self.broken = f"{id} is to run what is being taken back"
-        self.wants[id] = version
+    def _set_desired(self, server_id: str, version: Version) -> None:
+        """Store a desired version, and check that the record allows it."""
+        if version == NEW and (self.record is None or server_id not in self.record.targets):
+            self.broken = f"{server_id} is to run what it was not chosen for"
+        if version == NEW and self.record is not None and self.record.phase in ("backing", "back"):
+            self.broken = f"{server_id} is to run what is being taken back"
+        self.desired[server_id] = version
+
+    # ---- servers
+
+    def follow(self, server_id: str) -> None:
+        """Let a server go down for the desired version, as its supervisor has it; check how many are down."""
+        self.servers[server_id] = ServerRun(self.servers[server_id].version, "changing")
+        changing = sorted(id for id, (_, state) in self.servers.items() if state == "changing")
+        in_zone = sum(_zone(id) == _zone(server_id) for id in changing)
+        if len(changing) > ORDER.max_down or in_zone > ORDER.max_down_per_zone:
+            self.broken = f"{', '.join(changing)} are down at once"
 
-    def follow(self, id: str) -> None:
-        """Its steward does what is wanted: it goes down for it."""
-        self.servers[id] = self.servers[id][0], "changing"
-        down = [one for one, (_, state) in self.servers.items() if state == "changing"]
-        here = sum(int(one[1:]) % 2 == int(id[1:]) % 2 for one in down)
-        if len(down) > ORDER.max_down or here > ORDER.max_down_per_zone:
-            self.broken = f"{', '.join(sorted(down))} are down at once"
+    def come_up(self, server_id: str) -> None:
+        """Let a server come up, with the desired version if it went down for it."""
+        version, state = self.servers[server_id]
+        runs = self.desired[server_id] if state == "changing" else version
+        self.servers[server_id] = ServerRun(runs, "up")
 
-    def up(self, id: str) -> None:
-        version, state = self.servers[id]
-        self.servers[id] = (self.wants[id] if state == "changing" else version), "up"
+    def die(self, server_id: str) -> None:
+        """Let a server go down by itself."""
+        self.servers[server_id] = ServerRun(self.servers[server_id].version, "down")
 
-    def die(self, id: str) -> None:
-        self.servers[id] = self.servers[id][0], "down"
+    # ---- exploration
 
     def wrong(self) -> str:
+        """Return which invariant is violated; "" if all hold."""
         return self.broken
 
-    def key(self) -> Any:
-        told = tuple(
-            (epoch, one.state_key(), self.asked[epoch]) for epoch, one in sorted(self.conductors.items())
+    def key(self) -> int:
+        """Return a hash of all that what follows can depend on."""
+        controllers = tuple(
+            (epoch, controller.state_key(), self.pending[epoch])
+            for epoch, controller in sorted(self.controllers.items())
         )
-        rest = (self.epoch, self.roll, tuple(sorted(self.wants.items())), tuple(sorted(self.servers.items())))
-        return hash((told, rest, self.successions, self.deaths, self.verdicts, self.broken))
+        desired = tuple(sorted(self.desired.items()))
+        stored = (self.epoch, self.record, desired, tuple(sorted(self.servers.items())))
+        return hash((controllers, stored, self.successions, self.deaths, self.verdicts, self.broken))
 
 
-def away() -> ConductorWorld:
-    """The last stage; s0 was away, so its zone's s2 is wanted to change and has not yet; s0 is back."""
-    world = ConductorWorld()
-    while world.roll is None or world.roll.stage_index == 0 or not world.roll.targets:
-        if world.asked[1]:
+def _zone(server_id: str) -> int:
+    """Return the number of a server's zone."""
+    return int(server_id[1:]) % 2
+
+
+def returned_in_last_stage() -> RolloutWorld:
+    """Return a world in the last stage, before a server is back that was away.
+
+    s0 was away, so its zone's s2 is desired to change and has not yet; s0 is back.
+    """
+    world = RolloutWorld()
+    while world.record is None or world.record.stage_index == 0 or not world.record.targets:
+        if world.pending[1]:
             world.carry_out(1)
-        elif world.wants.get("s0") == NEW and world.servers["s0"][0] != NEW:
-            world.servers["s0"] = NEW, "up"
+        elif world.desired.get("s0") == NEW and world.servers["s0"].version != NEW:
+            world.servers["s0"] = ServerRun(NEW, "up")
         else:
             world.step(1, "not worse")
-    world.asked[1] = ()
-    world.servers["s0"], world.wants = (OLD, "up"), {}
-    world.servers["s0"] = OLD, "down"
-    world.succeed(True)
+    world.pending[1] = ()
+    world.desired = {}
+    world.servers["s0"] = ServerRun(OLD, "down")
+    world.succeed(dies=True)
     for _ in range(3):
         world.step(2, "can't tell")
-        while world.asked[2]:
+        while world.pending[2]:
             world.carry_out(2)
-    world.servers["s0"] = OLD, "up"
+    world.servers["s0"] = ServerRun(OLD, "up")
     world.deaths = 0
     return world
 
 
-Way = Iterator[tuple[str, ConductorWorld]]
-
+Steps = Iterator[tuple[str, RolloutWorld]]
 
-def following(world: ConductorWorld) -> Way:
-    def step(name: str, do: Callable[..., None], *told: Any, **spent: int) -> Way:
-        made = world.copy()
-        for what, count in spent.items():
-            setattr(made, what, getattr(made, what) - count)
-        do(made, *told)
-        yield name, made
 
-    for epoch in world.conductors:
-        if world.asked[epoch]:
-            yield from step(
-                f"{epoch} carries out {type(world.asked[epoch][0]).__name__}", ConductorWorld.carry_out, epoch
-            )
-        else:
-            yield from step(f"{epoch} looks", ConductorWorld.step, epoch, "can't tell")
-            if world.verdicts and world.conductors[epoch].analysis is not None:
-                for says in ("worse", "not worse"):
-                    yield from step(f"{epoch} looks: {says}", ConductorWorld.step, epoch, says, verdicts=1)
+def following(world: RolloutWorld) -> Steps:
+    """Yield each step that may happen next: its name and the world after it."""
+    for epoch in world.controllers:
+        yield from _controller_steps(world, epoch)
     if world.successions:
-        yield from step("it dies, another holds the lease", ConductorWorld.succeed, True, successions=1)
-        yield from step(
-            "it stands still, another holds the lease", ConductorWorld.succeed, False, successions=1
-        )
-    for id, (version, state) in world.servers.items():
-        wanted = world.wants.get(id, version)
-        if state == "up" and wanted != version:
-            yield from step(f"{id} goes down for it", ConductorWorld.follow, id)
-        if state != "up":
-            yield from step(f"{id} comes up", ConductorWorld.up, id)
-        if state == "up" and world.deaths:
-            yield from step(f"{id} dies", ConductorWorld.die, id, deaths=1)
+        succeed = RolloutWorld.succeed
+        yield from _step(world, "it dies, another holds the lease", "successions", succeed, True)
+        yield from _step(world, "it stands still, another holds the lease", "successions", succeed, False)
+    for server_id in world.servers:
+        yield from _server_steps(world, server_id)
+
+
+def _step(world: RolloutWorld, name: str, spent: str, do: Callable[..., None], *arguments: Any) -> Steps:
+    """Yield the world after a step; `spent` names the count that it lowers."""
+    successor = world.copy()
+    if spent:
+        setattr(successor, spent, getattr(successor, spent) - 1)
+    do(successor, *arguments)
+    yield name, successor
+
+
+def _controller_steps(world: RolloutWorld, epoch: int) -> Steps:
+    """Yield what a controller can do: its next effect, or an observation with any verdict."""
+    if world.pending[epoch]:
+        effect = type(world.pending[epoch][0]).__name__
+        yield from _step(world, f"{epoch} carries out {effect}", "", RolloutWorld.carry_out, epoch)
+        return
+    yield from _step(world, f"{epoch} looks", "", RolloutWorld.step, epoch, "can't tell")
+    if world.verdicts and world.controllers[epoch].analysis is not None:
+        for verdict in ("worse", "not worse"):
+            name = f"{epoch} looks: {verdict}"
+            yield from _step(world, name, "verdicts", RolloutWorld.step, epoch, verdict)
+
+
+def _server_steps(world: RolloutWorld, server_id: str) -> Steps:
+    """Yield what a server can do."""
+    version, state = world.servers[server_id]
+    if state == "up" and world.desired.get(server_id, version) != version:
+        yield from _step(world, f"{server_id} goes down for it", "", RolloutWorld.follow, server_id)
+    if state != "up":
+        yield from _step(world, f"{server_id} comes up", "", RolloutWorld.come_up, server_id)
+    if state == "up" and world.deaths:
+        yield from _step(world, f"{server_id} dies", "deaths", RolloutWorld.die, server_id)
