--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -39,7 +39,6 @@
     SubscriberJoined,
     SubscriberLeft,
     SubscriberMessage,
-    TimerExpired,
     UpstreamConnected,
     UpstreamLost,
     UpstreamMessage,
@@ -87,6 +86,7 @@
 from thistleline.config_feed.snapshot import SNAPSHOT_TTL, Snapshot
 from thistleline.config_feed.source import Source
 from thistleline.config_feed.table import FeedTable
+from thistleline.reducer.events import DeadlineReached
 from thistleline.transport.disconnects import DISCONNECT_ERRORS
 
 Entries = tuple[tuple[str, bytes | None], ...]
@@ -360,9 +360,9 @@
             self.now = max(self.now, due)
             for at, follows, name in dues:
                 if at <= self.now and follows:
-                    self.tell(name, TimerExpired())
+                    self.tell(name, DeadlineReached())
                 elif at <= self.now:
-                    self.serving(name, TimerExpired())
+                    self.serving(name, DeadlineReached())
             self.pump()
         self.now = until
 
@@ -614,7 +614,7 @@
     net.serve("a", written.history(written.number))
     net.follow("x", "a", "b", table=written.tables[at], spread=spread)
     net.now = RECONNECT_JITTER_NS
-    net.tell("x", TimerExpired())
+    net.tell("x", DeadlineReached())
     while net.follower("x").next_part < 3:
         for one in list(net.opening):
             net.opened(*one)
@@ -822,7 +822,7 @@
         net.pump()
         for id in "xyz":
             net.now = RECONNECT_JITTER_NS
-            net.tell(id, TimerExpired())
+            net.tell(id, DeadlineReached())
         for one in list(net.opening):
             net.opened(*one)
         for id in "xyz":
@@ -925,8 +925,8 @@
     source = Source(History(), 0, 0)
     source.handle(0, SubscriberJoined(1))
     assert source.next_deadline() == STALL_TIMEOUT_NS
-    assert source.handle(STALL_TIMEOUT_NS - 1, TimerExpired()) == []
-    assert source.handle(STALL_TIMEOUT_NS, TimerExpired()) == [CloseDownstream(1, "silent")]
+    assert source.handle(STALL_TIMEOUT_NS - 1, DeadlineReached()) == []
+    assert source.handle(STALL_TIMEOUT_NS, DeadlineReached()) == [CloseDownstream(1, "silent")]
     assert not source.subscribers
     assert not source.last_received_at
 
@@ -982,14 +982,14 @@
 def test_a_source_that_does_not_answer_at_all_is_left_too() -> None:
     net = Net(Written())
     one = net.follow("x", "a", "b", spread=lambda span: 0)
-    assert one.handle(0, TimerExpired()) == [ConnectUpstream("a")]
-    assert one.handle(SOURCE_TIMEOUT_NS - 1, TimerExpired()) == []
-    assert one.handle(SOURCE_TIMEOUT_NS, TimerExpired()) == [DisconnectUpstream("a", "silent")]
-    assert one.handle(SOURCE_TIMEOUT_NS, TimerExpired()) == [ConnectUpstream("b")]
+    assert one.handle(0, DeadlineReached()) == [ConnectUpstream("a")]
+    assert one.handle(SOURCE_TIMEOUT_NS - 1, DeadlineReached()) == []
+    assert one.handle(SOURCE_TIMEOUT_NS, DeadlineReached()) == [DisconnectUpstream("a", "silent")]
+    assert one.handle(SOURCE_TIMEOUT_NS, DeadlineReached()) == [ConnectUpstream("b")]
     assert [type(effect) for effect in one.handle(SOURCE_TIMEOUT_NS, UpstreamConnected("b"))] == [
         SendUpstream
     ]
-    assert one.handle(2 * SOURCE_TIMEOUT_NS, TimerExpired()) == [DisconnectUpstream("b", "silent")]
+    assert one.handle(2 * SOURCE_TIMEOUT_NS, DeadlineReached()) == [DisconnectUpstream("b", "silent")]
 
 
 def test_after_a_pause_what_lies_unread_counts_before_the_clock() -> None:
@@ -1168,7 +1168,7 @@
 
 def test_a_follower_finds_out_itself_that_its_source_is_not_above_it() -> None:
     one = Follower("r", "all", FeedTable(), ("s",), 0, lambda span: 0, level=1)
-    one.handle(0, TimerExpired())
+    one.handle(0, DeadlineReached())
     one.handle(0, UpstreamConnected("s"))
     assert one.handle(0, UpstreamMessage("s", FollowAccepted(0, False, 0, 1, 0, False))) == [
         DisconnectUpstream("s", "not above it")
@@ -1205,7 +1205,7 @@
     def asks(leader: str) -> str:
         """Whom it asks at once, having been told by the next that this one writes."""
         now = one.next_deadline()
-        connects = one.handle(now, TimerExpired())
+        connects = one.handle(now, DeadlineReached())
         assert isinstance(connects[0], ConnectUpstream)
         at = connects[0].source
         one.handle(now, UpstreamConnected(at))
@@ -1266,7 +1266,7 @@
     net.serve("a", written.history(2))
     late = net.follow("late", "a", kind="all", table=written.tables[2], spread=lambda span: 0)
     net.tell("late", StateDurable(2))
-    net.tell("late", TimerExpired())
+    net.tell("late", DeadlineReached())
     net.opened("late", "a")
     with small(DELTA_SIZE_LIMIT=1):  # a change each
         net.reach(net.links["late"])  # the FollowAccepted and the first Delta are on their way
@@ -1425,7 +1425,7 @@
     written = Written()
     written.some(3)
     one = Follower("x", "wide", written.tables[3], ("a", "b"), 0, lambda span: 0)
-    one.handle(0, TimerExpired())
+    one.handle(0, DeadlineReached())
     one.handle(0, UpstreamConnected("a"))
     if phase != "greeting":
         one.handle(0, UpstreamMessage("a", FollowAccepted(3, phase == "loading", 0, 0, 0, False)))
@@ -1444,7 +1444,7 @@
 @pytest.mark.parametrize("index", [-1, 1, HUGE])
 def test_a_part_out_of_turn_ends_the_load(index: int) -> None:
     one = Follower("x", "wide", FeedTable(), ("a",), 0, lambda span: 0)
-    one.handle(0, TimerExpired())
+    one.handle(0, DeadlineReached())
     one.handle(0, UpstreamConnected("a"))
     one.handle(0, UpstreamMessage("a", FollowAccepted(3, True, 0, 0, 0, False)))
     effects = one.handle(0, UpstreamMessage("a", SnapshotPart(3, index, 0, (), b"")))
@@ -1454,10 +1454,10 @@
 
 def test_what_comes_late_of_another_source_is_passed_over() -> None:
     one = Follower("x", "wide", FeedTable(), ("a", "b"), 0, lambda span: 0)
-    one.handle(0, TimerExpired())
+    one.handle(0, DeadlineReached())
     one.handle(0, UpstreamConnected("a"))
     one.handle(0, UpstreamLost("a", "cut"))
-    one.handle(0, TimerExpired())
+    one.handle(0, DeadlineReached())
     assert (one.upstream, one.phase) == ("b", "connecting")
     frozen = one.state_key()
     events: tuple[FollowerEvent, ...] = (
@@ -1624,7 +1624,7 @@
     written.write(("tenant/1", b"1"))
     net, view = looking(written)
     view.lookup("tenant/1")
-    net.tell("x", TimerExpired())
+    net.tell("x", DeadlineReached())
     net.tell("x", UpstreamMessage("a", TenantEntries(number, (("tenant/1", b"of another state", number),))))
     assert view.lookup("tenant/1") == UNKNOWN
     net.run(0)
@@ -1658,7 +1658,7 @@
     written.write(("tenant/1", b"1"))
     net, view = looking(written)
     view.lookup("tenant/1")
-    net.tell("x", TimerExpired())
+    net.tell("x", DeadlineReached())
     net.links["x"].up.clear()  # it forgot
     net.run(2 * STALL_TIMEOUT_NS)
     assert view.lookup("tenant/1") == LookupResult(b"1", 1, True)
@@ -1984,7 +1984,7 @@
                 SubscriberMessage(peer, Acknowledge(chance.randint(8, 12))),
                 SubscriberMessage(peer, FetchPart(10, chance.randint(0, 2))),
                 SubscriberMessage(peer, FetchTenants(("tenant/1",))),
-                TimerExpired(),
+                DeadlineReached(),
                 SubscriberJoined(peer),
                 SubscriberLeft(peer),
             ]
@@ -2013,7 +2013,7 @@
     assert (twin.state_key(), hash(twin.state_key())) == (frozen, hash(frozen))
     delta = written.history(0).delta(0, "wide")
     assert delta is not None
-    assert twin.handle(net.now, TimerExpired()) != []
+    assert twin.handle(net.now, DeadlineReached()) != []
     assert view.state_key() == frozen != twin.state_key()
     twin.handle(net.now, UpstreamMessage("a", delta))
     assert (twin.follower.phase, view.follower.phase) == ("waiting", "following")
--- a/tests/test_feed_writer.py
+++ b/tests/test_feed_writer.py
@@ -18,7 +18,7 @@
 from thistleline.config_feed.archive import Archive
 from thistleline.config_feed.archive_format import ArchivedStep
 from thistleline.config_feed.effects import CloseDownstream, SendDownstream
-from thistleline.config_feed.events import SubscriberJoined, SubscriberMessage, TimerExpired
+from thistleline.config_feed.events import SubscriberJoined, SubscriberMessage
 from thistleline.config_feed.group_commit import READ_RETRY_NS
 from thistleline.config_feed.history import History
 from thistleline.config_feed.limits import (
@@ -70,6 +70,7 @@
 from thistleline.lease.protocol import Acquire, Break, Denied, Done, Granted, Put
 from thistleline.lease.table import LeaseTable as Council
 from thistleline.lease.table import encode_decision
+from thistleline.reducer.events import DeadlineReached
 from thistleline.store.disk import Disk
 
 KEEPERS = ("a", "b", "c")
@@ -414,7 +415,7 @@
     one.propose("r")
     one.carry(one.out.pop(), answered=False, unknown=told)
     if not told:
-        one.tell(TimerExpired(), after=6 * SECOND)
+        one.tell(DeadlineReached(), after=6 * SECOND)
     assert one.phase == "settling"
     one.serve()
     assert one.answers["r"] == ProposeResult("r", 1)
@@ -451,11 +452,11 @@
             else:
                 one.carry(request)
         else:
-            one.tell(TimerExpired(), after=SECOND // 20)
+            one.tell(DeadlineReached(), after=SECOND // 20)
     assert tries < 60
     while not one.answers:
         one.serve()
-        one.tell(TimerExpired(), after=SECOND // 20)
+        one.tell(DeadlineReached(), after=SECOND // 20)
     assert one.answers["r"].sequence == 1
 
 
@@ -505,7 +506,7 @@
     one.serve()
     assert one.phase == "reading"
     assert one.writer.next_deadline() == READ_RETRY_NS
-    one.tell(TimerExpired(), after=READ_RETRY_NS)
+    one.tell(DeadlineReached(), after=READ_RETRY_NS)
     assert len(one.out) == RING_SLOTS - 3
     assert one.serve().phase == "writing"
 
@@ -541,12 +542,12 @@
     one.write(20)
     two = Keeper(one.voters, "b").hold()
     two.serve()
-    two.tell(TimerExpired(), after=CATCH_UP_TIMEOUT_NS - 1)
+    two.tell(DeadlineReached(), after=CATCH_UP_TIMEOUT_NS - 1)
     two.history.reset(states(one.voters.sequence())[2])
     two.tell(CatchUpAdvanced())  # nearer: it has its span anew
-    two.tell(TimerExpired(), after=CATCH_UP_TIMEOUT_NS - 1)
+    two.tell(DeadlineReached(), after=CATCH_UP_TIMEOUT_NS - 1)
     assert two.phase == "catching_up"
-    two.tell(TimerExpired(), after=1)
+    two.tell(DeadlineReached(), after=1)
     assert two.phase == "standby"
     assert "no other keeper" in two.kinds(ReleaseLease)[0].reason
 
@@ -674,9 +675,9 @@
     one.write(RING_SLOTS, durable=False)
     one.tell(KeeperDurable("a", RING_SLOTS))
     one.propose("r", "tenant/r")
-    one.tell(TimerExpired(), after=STALL_TIMEOUT_NS - 1)
+    one.tell(DeadlineReached(), after=STALL_TIMEOUT_NS - 1)
     assert "r" not in one.answers  # keepers may just be slow
-    one.tell(TimerExpired(), after=1)
+    one.tell(DeadlineReached(), after=1)
     assert "change 1 is on the disks of 1 of 3 keepers" in one.answers["r"].reason
     one.propose("s")
     assert "1 of 3 keepers" in one.answers["s"].reason
@@ -745,7 +746,7 @@
     assert [said(name) for name in ("k0", "k1", "k2")] == [("", ""), ("k0", "k0"), ("k0", "k0")]
     world.break_connection("k1")
     assert said("k1") == ("", "")
-    world.deliver("k1", TimerExpired())  # it asks k2, who does not write
+    world.deliver("k1", DeadlineReached())  # it asks k2, who does not write
     assert said("k1") == ("", "")
 
 
@@ -835,7 +836,7 @@
 
     @rule(who=who, after=st.sampled_from([SECOND // 10, SECOND, 6 * SECOND]))
     def elapse(self, who: str, after: int) -> None:
-        self.keepers[who].tell(TimerExpired(), after=after)
+        self.keepers[who].tell(DeadlineReached(), after=after)
 
     @rule(who=who, above=who)
     def follow(self, who: str, above: str) -> None:
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -26,7 +26,6 @@
 from thistleline.lease.holder_events import (
     AcquireStarted,
     AnswerReceived,
-    DeadlineReached,
     GrantHinted,
     HolderEvent,
     ReleaseRequested,
@@ -43,6 +42,7 @@
 )
 from thistleline.lease.session import HeldLease, lease
 from thistleline.lease.wire import encode
+from thistleline.reducer.events import DeadlineReached
 from thistleline.store.clock import boot_now
 from thistleline.transport.codec import Hello, encode_frame
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -32,13 +32,13 @@
 )
 from thistleline.lease.protocol import MAX_VALUE_SIZE, Put
 from thistleline.lease.table import validate
+from thistleline.reducer.events import DeadlineReached
 from thistleline.rollout.canary import CanaryAnalysis
 from thistleline.rollout.confidence import ConfidenceSequence
 from thistleline.rollout.controller import RolloutController
 from thistleline.rollout.effects import SetDesiredVersion, StoreRecord
 from thistleline.rollout.events import Event as RolloutEvent
 from thistleline.rollout.events import OrderReceived, RecordStored, ServersObserved
-from thistleline.rollout.events import TimerExpired as RolloutTimerExpired
 from thistleline.rollout.metrics import SlotSample
 from thistleline.rollout.order import Order, start_fault
 from thistleline.rollout.record import HistoryEntry, RolloutRecord
@@ -57,7 +57,6 @@
     ServerSpawned,
     StatePersisted,
     StateRecovered,
-    TimerExpired,
     VersionVerified,
 )
 from thistleline.supervisor.model import DesiredVersion, SupervisorState, Version
@@ -221,7 +220,7 @@
     def step(self) -> None:
         self.now += SECOND
         self.put(ServersObserved(list(self.members.values())))
-        self.put(RolloutTimerExpired())
+        self.put(DeadlineReached())
 
     def show(self, id: str, **changes: Any) -> None:
         self.members[id] = self.members[id]._replace(**changes)
@@ -509,13 +508,13 @@
         now += SECOND // 10
         assert through(supervisor, now, ServerExited(1)) == []
         now += 6 * SECOND
-        assert through(supervisor, now, TimerExpired()) == [NEW]
+        assert through(supervisor, now, DeadlineReached()) == [NEW]
     through(supervisor, now, ServerExited(1))
     assert supervisor.phase == "failed"
     through(supervisor, now, ConsensusPolled(True))
-    assert through(supervisor, now + 20 * SECOND, TimerExpired()) == []
+    assert through(supervisor, now + 20 * SECOND, DeadlineReached()) == []
     through(supervisor, now + 21 * SECOND, ConsensusPolled(False))
-    assert through(supervisor, now + 40 * SECOND, TimerExpired()) == [OLD]
+    assert through(supervisor, now + 40 * SECOND, DeadlineReached()) == [OLD]
     assert (
         through(supervisor, now + 41 * SECOND, DesiredVersionReceived(DesiredVersion(1, 2, NEW))) == []
     )  # not that one again
@@ -525,9 +524,9 @@
     supervisor = kept()
     through(supervisor, SECOND, DesiredVersionReceived(DesiredVersion(1, 2, NEW)))
     assert supervisor.phase == "stopping"
-    assert supervisor.handle(2 * SECOND, TimerExpired()) == []
-    assert KillServer(3) in supervisor.handle(3 * SECOND, TimerExpired())
-    assert KillServer(3) not in supervisor.handle(4 * SECOND, TimerExpired())
+    assert supervisor.handle(2 * SECOND, DeadlineReached()) == []
+    assert KillServer(3) in supervisor.handle(3 * SECOND, DeadlineReached())
+    assert KillServer(3) not in supervisor.handle(4 * SECOND, DeadlineReached())
 
 
 def test_a_release_is_known_by_all_that_is_in_it(tmp_path: Path) -> None:
--- a/thistleline/config_feed/events.py
+++ b/thistleline/config_feed/events.py
@@ -6,12 +6,7 @@
 
 from thistleline.config_feed.messages import FollowerMessage, SourceMessage
 from thistleline.config_feed.table import FeedTable
-
-
-@dataclass(frozen=True, slots=True)
-class TimerExpired:
-    """The time that `next_deadline` named has come."""
-
+from thistleline.reducer.events import DeadlineReached
 
 # ---- of a follower, about its upstream
 
@@ -80,7 +75,7 @@
     | SourcesChanged
     | FollowingSuspended
     | FollowingResumed
-    | TimerExpired
+    | DeadlineReached
 )
 
 
@@ -143,5 +138,5 @@
     | HistoryAdvanced
     | HistoryReplaced
     | WriterChanged
-    | TimerExpired
+    | DeadlineReached
 )
--- a/thistleline/config_feed/follower.py
+++ b/thistleline/config_feed/follower.py
@@ -2,7 +2,7 @@
 
 After `DeltaApplied` and `SnapshotLoaded` the new state is `table`. After `DisconnectUpstream`, and after
 `UpstreamLost` was passed in, nothing more of that connection may be passed in. Staleness is judged by
-`TimerExpired` alone: what arrived during a pause of the process and lies unread is to be passed in first.
+`DeadlineReached` alone: what arrived during a pause of the process and lies unread is to be passed in first.
 Times are integer nanoseconds.
 """
 
@@ -26,7 +26,6 @@
     FollowingSuspended,
     SourcesChanged,
     StateDurable,
-    TimerExpired,
     UpstreamConnected,
     UpstreamLost,
     UpstreamMessage,
@@ -46,6 +45,7 @@
     SourceMessage,
 )
 from thistleline.config_feed.table import FeedTable
+from thistleline.reducer.events import DeadlineReached
 
 Phase = Literal["quiet", "waiting", "connecting", "greeting", "loading", "following"]
 PART_WINDOW = 4  # parts requested ahead, so that loading from far away is not one round trip per part
@@ -176,7 +176,7 @@
         match event:
             case UpstreamMessage():
                 self._on_message(event.source, event.message)
-            case TimerExpired():
+            case DeadlineReached():
                 self._on_timer()
             case StateDurable():
                 self._on_durable(event.sequence)
@@ -194,7 +194,7 @@
         return effects
 
     def next_deadline(self) -> int:
-        """Return when `TimerExpired` is to be passed in, in ns."""
+        """Return when `DeadlineReached` is to be passed in, in ns."""
         if self.phase == "quiet" or not self.sources:
             return NEVER
         return self.retry_at if self.phase == "waiting" else self.last_received_at + SOURCE_TIMEOUT_NS
--- a/thistleline/config_feed/follower_service.py
+++ b/thistleline/config_feed/follower_service.py
@@ -20,13 +20,14 @@
     SendUpstream,
     SnapshotLoaded,
 )
-from thistleline.config_feed.events import FollowerEvent, StateDurable, TimerExpired
+from thistleline.config_feed.events import FollowerEvent, StateDurable
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.history import Items
 from thistleline.config_feed.inbox import EventInbox
 from thistleline.config_feed.messages import Delta, Kind
 from thistleline.config_feed.table import FeedTable
 from thistleline.config_feed.upstream import UpstreamConnection
+from thistleline.reducer.events import DeadlineReached
 from thistleline.store.clock import boot_now
 from thistleline.transport.address import Address
 
@@ -147,7 +148,7 @@
             for event in await self.inbox.next_batch(self.state_machine.next_deadline()):
                 self._handle(event)
             if self.state_machine.next_deadline() <= boot_now():
-                self._handle(TimerExpired())
+                self._handle(DeadlineReached())
 
     def _handle(self, event: FollowerEvent) -> None:
         for effect in self.state_machine.handle(boot_now(), event):
--- a/thistleline/config_feed/group_commit.py
+++ b/thistleline/config_feed/group_commit.py
@@ -11,7 +11,6 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from thistleline.config_feed.events import TimerExpired
 from thistleline.config_feed.limits import MS, NEVER, SECOND
 from thistleline.config_feed.messages import Group, encode
 from thistleline.config_feed.pending_queue import PendingChange
@@ -25,12 +24,13 @@
     WriteUnanswered,
 )
 from thistleline.lease.protocol import Put
+from thistleline.reducer.events import DeadlineReached
 
 READ_RETRY_NS = SECOND  # after which a read without an answer is repeated
 WRITE_TIMEOUT_NS = 5 * SECOND  # after which a write without an answer is settled by reading
 WRITE_RETRY_DELAY_NS = 100 * MS  # before a repeated write without an answer is settled
 
-CommitEvent = RecordWritten | WriteDenied | WriteUnanswered | RecordRead | TimerExpired
+CommitEvent = RecordWritten | WriteDenied | WriteUnanswered | RecordRead | DeadlineReached
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,7 +93,7 @@
         return (self._deadline, self.is_settling, changes, flight.put, flight.attempts, flight.denial)
 
     def next_deadline(self) -> int:
-        """Return when `TimerExpired` is to be passed in, in ns."""
+        """Return when `DeadlineReached` is to be passed in, in ns."""
         return self._deadline
 
     def begin(
@@ -141,7 +141,7 @@
                 return self._settle(now)
             case WriteUnanswered(slot) if slot == self._ring.slot and not self.is_settling:
                 return self._on_unanswered(now, flight)
-            case TimerExpired() if now >= self._deadline:
+            case DeadlineReached() if now >= self._deadline:
                 return self._settle(now)
         return []
 
--- a/thistleline/config_feed/lookups.py
+++ b/thistleline/config_feed/lookups.py
@@ -134,7 +134,7 @@
         return effects
 
     def next_deadline(self) -> int:
-        """Return when `TimerExpired` is to be passed in, in ns."""
+        """Return when `DeadlineReached` is to be passed in, in ns."""
         if self._can_request():
             return self.follower.now
         deadline = self.follower.next_deadline()
--- a/thistleline/config_feed/relay.py
+++ b/thistleline/config_feed/relay.py
@@ -36,7 +36,6 @@
     SubscriberJoined,
     SubscriberLeft,
     SubscriberMessage,
-    TimerExpired,
     UpstreamConnected,
     UpstreamLost,
     UpstreamMessage,
@@ -56,6 +55,7 @@
     ProposalReceived,
     WriterEvent,
 )
+from thistleline.reducer.events import DeadlineReached
 
 RelayEvent = (
     SubscriberMessage
@@ -65,7 +65,7 @@
     | UpstreamConnected
     | UpstreamLost
     | StateDurable
-    | TimerExpired
+    | DeadlineReached
     | WriterEvent
 )
 RelayEffect = (
@@ -197,7 +197,7 @@
     # ---- events
 
     def next_deadline(self) -> int:
-        """Return when `TimerExpired` is to be passed in, in ns."""
+        """Return when `DeadlineReached` is to be passed in, in ns."""
         writer = self.writer.next_deadline() if self.writer is not None else NEVER
         return min(self.source.next_deadline(), self.follower.next_deadline(), writer)
 
@@ -213,7 +213,7 @@
                 self._serve(now, event)
             case StateDurable():
                 self._on_state_durable(now, event)
-            case TimerExpired():
+            case DeadlineReached():
                 self._on_timer(now, event)
             case _:
                 self._write(now, event)
@@ -248,7 +248,7 @@
         if self.writer is not None:
             self._write(now, KeeperDurable(self.id, event.sequence))
 
-    def _on_timer(self, now: int, event: TimerExpired) -> None:
+    def _on_timer(self, now: int, event: DeadlineReached) -> None:
         self._follow(now, event)
         self._serve(now, event)
         if self.writer is not None:
--- a/thistleline/config_feed/service.py
+++ b/thistleline/config_feed/service.py
@@ -31,7 +31,6 @@
     SubscriberJoined,
     SubscriberLeft,
     SubscriberMessage,
-    TimerExpired,
     UpstreamConnected,
     UpstreamLost,
     UpstreamMessage,
@@ -48,16 +47,12 @@
 from thistleline.config_feed.status import read_result
 from thistleline.config_feed.table import FeedTable
 from thistleline.config_feed.upstream import UpstreamConnection
-from thistleline.config_feed.writer_effects import (
-    AnswerProposal,
-    LogEvent,
-    ReadRecord,
-    ReleaseLease,
-    WriteRecord,
-)
+from thistleline.config_feed.writer_effects import AnswerProposal, ReadRecord, ReleaseLease, WriteRecord
 from thistleline.config_feed.writer_events import LeaseAcquired, LeaseLost
 from thistleline.config_feed.writer_lease import WriterLease
 from thistleline.lease.client import LeaseClient
+from thistleline.reducer.effects import LogEvent
+from thistleline.reducer.events import DeadlineReached
 from thistleline.store.clock import boot_now
 from thistleline.transport.address import Address
 
@@ -191,7 +186,7 @@
             for event in await self.inbox.next_batch(self.relay.next_deadline()):
                 self.handle(event)
             if self.relay.next_deadline() <= boot_now():
-                self._pass_on(TimerExpired())
+                self._pass_on(DeadlineReached())
             self._log_phase()
 
     # ---- events
--- a/thistleline/config_feed/source.py
+++ b/thistleline/config_feed/source.py
@@ -25,7 +25,6 @@
     SubscriberJoined,
     SubscriberLeft,
     SubscriberMessage,
-    TimerExpired,
     WriterChanged,
 )
 from thistleline.config_feed.history import History, item_size
@@ -55,6 +54,7 @@
 from thistleline.config_feed.snapshot import SnapshotCache
 from thistleline.config_feed.subscriber import Subscriber
 from thistleline.config_feed.table import TENANT_PREFIX
+from thistleline.reducer.events import DeadlineReached
 
 MAX_LEVEL = 64
 RESERVED_FOR_KEEPERS = 8  # places for keepers alone: else no change is committed where all others are taken
@@ -148,7 +148,7 @@
                 self._on_message(event.peer, event.message)
             case HistoryAdvanced():
                 self._push()
-            case TimerExpired():
+            case DeadlineReached():
                 self._on_timer()
             case SubscriberJoined():
                 self._on_joined(event.peer)
@@ -163,7 +163,7 @@
         return effects
 
     def next_deadline(self) -> int:
-        """Return when `TimerExpired` is to be passed in, in ns."""
+        """Return when `DeadlineReached` is to be passed in, in ns."""
         return min(
             next(iter(self.last_received_at.values()), NEVER) + STALL_TIMEOUT_NS,
             next(iter(self.last_sent_at.values()), NEVER) + HEARTBEAT_INTERVAL_NS,
--- a/thistleline/config_feed/writer.py
+++ b/thistleline/config_feed/writer.py
@@ -24,7 +24,6 @@
 from typing import Any, Literal
 
 from thistleline.config_feed.durability import DurableAcknowledgements
-from thistleline.config_feed.events import TimerExpired
 from thistleline.config_feed.group_commit import (
     READ_RETRY_NS,
     CommitEffect,
@@ -54,7 +53,6 @@
 from thistleline.config_feed.writer_effects import (
     AnswerProposal,
     FollowKeepers,
-    LogEvent,
     ReadRecord,
     ReleaseLease,
     TableAdvanced,
@@ -72,6 +70,8 @@
     WriterEvent,
     WriteUnanswered,
 )
+from thistleline.reducer.effects import LogEvent
+from thistleline.reducer.events import DeadlineReached
 
 OwnPhase = Literal["standby", "reading", "catching_up", "writing"]
 Phase = Literal[OwnPhase, "settling"]
@@ -214,7 +214,7 @@
                 self._carry_out(self._commit.handle(self._now, event))
             case KeeperDurable(keeper, sequence):
                 self._on_durable(keeper, sequence)
-            case TimerExpired():
+            case DeadlineReached():
                 self._on_timer(event)
             case RecordRead():
                 self._on_read(event)
@@ -228,11 +228,11 @@
         return effects
 
     def next_deadline(self) -> int:
-        """Return when `TimerExpired` is to be passed in, in ns."""
+        """Return when `DeadlineReached` is to be passed in, in ns."""
         stall_deadline = NEVER if self.is_stalled else self._stall_deadline
         return min(self._recovery_deadline, self._commit.next_deadline(), stall_deadline)
 
-    def _on_timer(self, event: TimerExpired) -> None:
+    def _on_timer(self, event: DeadlineReached) -> None:
         if self.phase == "writing" and self.is_stalled and self.pending:
             self._refuse_pending(self._stall_reason())
         self._carry_out(self._commit.handle(self._now, event))
--- a/thistleline/config_feed/writer_effects.py
+++ b/thistleline/config_feed/writer_effects.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from typing import Any
 
 from thistleline.config_feed.messages import ProposeResult
 from thistleline.lease.protocol import Put
+from thistleline.reducer.effects import LogEvent
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,14 +54,6 @@
     reason: str
 
 
-@dataclass(frozen=True, slots=True)
-class LogEvent:
-    """Write a line to the log."""
-
-    event: str
-    fields: dict[str, Any] = field(default_factory=dict)
-
-
 WriterEffect = (
     ReadRecord | WriteRecord | AnswerProposal | TableAdvanced | FollowKeepers | ReleaseLease | LogEvent
 )
--- a/thistleline/config_feed/writer_events.py
+++ b/thistleline/config_feed/writer_events.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from thistleline.config_feed.events import TimerExpired
 from thistleline.config_feed.messages import Propose
+from thistleline.reducer.events import DeadlineReached
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,5 +90,5 @@
     | KeeperDurable
     | CatchUpAdvanced
     | ProposalReceived
-    | TimerExpired
+    | DeadlineReached
 )
--- a/thistleline/consensus/effects.py
+++ b/thistleline/consensus/effects.py
@@ -5,6 +5,7 @@
 
 from thistleline.consensus.messages import Message
 from thistleline.consensus.records import WriteBatch
+from thistleline.reducer.effects import LogEvent
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,14 +63,6 @@
     leader: str
 
 
-@dataclass(frozen=True, slots=True)
-class LogEvent:
-    """Write a line to the program's log."""
-
-    event: str
-    facts: dict[str, Any]
-
-
 Effect = (
     SendMessage
     | WriteRecords
--- a/thistleline/consensus/events.py
+++ b/thistleline/consensus/events.py
@@ -4,6 +4,7 @@
 from typing import Any, Literal
 
 from thistleline.consensus.messages import Member, Members, Message
+from thistleline.reducer.events import DeadlineReached
 
 
 @dataclass(frozen=True, slots=True)
@@ -14,11 +15,6 @@
     message: Message
 
 
-@dataclass(frozen=True, slots=True)
-class TimerFired:
-    """Time passed; to be given at `next_deadline` at the latest."""
-
-
 @dataclass(frozen=True, slots=True)
 class WriteCompleted:
     """The outstanding write batch is durable."""
@@ -64,7 +60,7 @@
 
 Event = (
     MessageReceived
-    | TimerFired
+    | DeadlineReached
     | WriteCompleted
     | WriteFailed
     | FormCluster
--- a/thistleline/consensus/replica.py
+++ b/thistleline/consensus/replica.py
@@ -31,7 +31,6 @@
     MessageReceived,
     Propose,
     RequestRead,
-    TimerFired,
     WriteCompleted,
     WriteFailed,
 )
@@ -58,6 +57,7 @@
     ReplicaState,
     StateMachine,
 )
+from thistleline.reducer.events import DeadlineReached
 
 MAX_PENDING_REQUESTS = 20_000  # proposals and reads without an answer; past it new ones are refused
 
@@ -112,7 +112,7 @@
                 self._handle_message(sender, message)
             case WriteCompleted():
                 self._handle_write_completed()
-            case TimerFired():
+            case DeadlineReached():
                 self._handle_timer()
             case Propose(proposals):
                 self._propose(proposals)
@@ -132,7 +132,7 @@
         return effects
 
     def next_deadline(self) -> int:
-        """Return when the next TimerFired is wanted, in ns."""
+        """Return when the next DeadlineReached is wanted, in ns."""
         state = self.state
         if state.phase is Phase.LEADER:
             deadline = self._replication.heartbeat_deadline
--- a/thistleline/consensus/state.py
+++ b/thistleline/consensus/state.py
@@ -5,11 +5,12 @@
 from types import MappingProxyType
 from typing import Any, NamedTuple, Protocol
 
-from thistleline.consensus.effects import Effect, LogEvent, RequestRefused, SendMessage
+from thistleline.consensus.effects import Effect, RequestRefused, SendMessage
 from thistleline.consensus.log import Log
 from thistleline.consensus.messages import Member, Members, Message
 from thistleline.consensus.records import Record, SnapshotRecord, VoteRecord
 from thistleline.consensus.write_queue import WriteQueue
+from thistleline.reducer.effects import LogEvent
 
 NO_NAMES: Mapping[str, str] = MappingProxyType({})  # replicas keep their own names in a state key
 
--- a/thistleline/lab/members.py
+++ b/thistleline/lab/members.py
@@ -13,9 +13,10 @@
 from typing import Any, NamedTuple
 
 from thistleline.membership.effects import MemberChanged, SendMessage
-from thistleline.membership.events import DeadlineReached, GossipEvent, MessageReceived
+from thistleline.membership.events import GossipEvent, MessageReceived
 from thistleline.membership.gossip import MS, SECOND, Gossip, GossipTiming
 from thistleline.membership.messages import DEAD, MemberFacts, MemberRecord
+from thistleline.reducer.events import DeadlineReached
 
 TIMING = GossipTiming(period=500 * MS, ack_timeout=150 * MS)
 
--- a/thistleline/lab/scale/control.py
+++ b/thistleline/lab/scale/control.py
@@ -45,9 +45,9 @@
 from thistleline.lease.protocol import Answer, Get, Got, Op
 from thistleline.lease.wire import Reply, Request
 from thistleline.lease.wire import encode as encode_client
+from thistleline.reducer.events import DeadlineReached
 from thistleline.rollout.controller import RolloutController
 from thistleline.rollout.events import ServersObserved
-from thistleline.rollout.events import TimerExpired as RolloutTimerExpired
 from thistleline.rollout.order import ORDER_KEY
 from thistleline.rollout.record import RECORD_KEY, RolloutRecord
 from thistleline.rollout.server_status import ServerStatus
@@ -64,7 +64,6 @@
     ServerSpawned,
     StatePersisted,
     StateRecovered,
-    TimerExpired,
     VersionVerified,
 )
 from thistleline.supervisor.model import DesiredVersion, SupervisorState, Version
@@ -155,7 +154,7 @@
     def settle(self) -> None:
         for _ in range(2):
             self.now = max(self.now + GOOD_AFTER, self.supervisor.next_deadline())
-            self.handle(TimerExpired())
+            self.handle(DeadlineReached())
 
     def state_bytes(self) -> int:
         return len(msgspec.json.encode(self.supervisor.state))
@@ -165,7 +164,7 @@
         assert self.supervisor.state.desired is not None
         self.supervisor.handle(self.now, ConsensusPolled(True))
         self.supervisor.handle(self.now, DesiredVersionReceived(self.supervisor.state.desired))
-        self.supervisor.handle(self.now, TimerExpired())
+        self.supervisor.handle(self.now, DeadlineReached())
 
 
 def followed(wants: int, beside: bool = True) -> Kept:
@@ -303,7 +302,7 @@
     def look(self) -> None:
         self.controller.next_slot = self.now + SECOND
         self.controller.handle(self.now, ServersObserved(self.seen))
-        self.controller.handle(self.now, RolloutTimerExpired())
+        self.controller.handle(self.now, DeadlineReached())
 
 
 class Id(str):
@@ -386,7 +385,7 @@
 
     def look() -> None:
         carried.handle(ServersObserved(seen))
-        carried.handle(RolloutTimerExpired())
+        carried.handle(DeadlineReached())
 
     return look
 
--- a/thistleline/lab/scale/members.py
+++ b/thistleline/lab/scale/members.py
@@ -24,7 +24,7 @@
 from thistleline.membership import view as view_module
 from thistleline.membership.anti_entropy import HEADER_SIZE
 from thistleline.membership.effects import GossipEffect, SendMessage
-from thistleline.membership.events import DeadlineReached, FactsChanged, MessageReceived
+from thistleline.membership.events import FactsChanged, MessageReceived
 from thistleline.membership.gossip import (
     FORGET_AFTER,
     JOIN_INTERVAL,
@@ -47,6 +47,7 @@
     encode,
 )
 from thistleline.membership.view import BUCKETS, MAX_MEMBERS, MembershipView
+from thistleline.reducer.events import DeadlineReached
 from thistleline.server.service import FIGURES_INTERVAL
 
 NAME = "members"
--- a/thistleline/lab/scale/settings_costs.py
+++ b/thistleline/lab/scale/settings_costs.py
@@ -23,10 +23,11 @@
     steps_of,
 )
 from thistleline.lease.table import MAX_RECORDS, MAX_RECORDS_SIZE
+from thistleline.reducer.events import DeadlineReached
 from thistleline.rollout.canary import ColdBaseline, Judgement
 from thistleline.rollout.controller import RolloutController
 from thistleline.rollout.effects import SetDesiredVersion, StoreRecord
-from thistleline.rollout.events import Event, OrderReceived, RecordStored, ServersObserved, TimerExpired
+from thistleline.rollout.events import Event, OrderReceived, RecordStored, ServersObserved
 from thistleline.rollout.order import Order
 from thistleline.rollout.record import RolloutRecord
 from thistleline.rollout.server_status import ServerStatus
@@ -132,7 +133,7 @@
             self.looks += 1
             self.now += round(LOOK * SECOND)
             self.handle(ServersObserved(self.server_statuses()))
-            self.handle(TimerExpired())
+            self.handle(DeadlineReached())
             if self.looks > max_looks:
                 raise RuntimeError(
                     f"a change is {self.record.phase} after {max_looks} looks: {self.record.reason}"
@@ -147,7 +148,7 @@
 
     def look() -> None:
         rollout.controller.handle(rollout.now, ServersObserved(statuses))
-        rollout.controller.handle(rollout.now, TimerExpired())
+        rollout.controller.handle(rollout.now, DeadlineReached())
 
     return steps_of(look)
 
--- a/thistleline/lab/simulation/feed_fleet.py
+++ b/thistleline/lab/simulation/feed_fleet.py
@@ -35,7 +35,6 @@
     SubscriberJoined,
     SubscriberLeft,
     SubscriberMessage,
-    TimerExpired,
     UpstreamConnected,
     UpstreamLost,
     UpstreamMessage,
@@ -57,13 +56,7 @@
 from thistleline.config_feed.recovery import LEASE_NAME, record_key
 from thistleline.config_feed.relay import FeedRelay, RelayEvent
 from thistleline.config_feed.table import PARTIAL_PREFIXES, Entries, FeedTable
-from thistleline.config_feed.writer_effects import (
-    AnswerProposal,
-    LogEvent,
-    ReadRecord,
-    ReleaseLease,
-    WriteRecord,
-)
+from thistleline.config_feed.writer_effects import AnswerProposal, ReadRecord, ReleaseLease, WriteRecord
 from thistleline.config_feed.writer_events import (
     LeaseAcquired,
     LeaseLost,
@@ -77,11 +70,13 @@
 from thistleline.lease import holder_effects
 from thistleline.lease.holder import LeaseHolder
 from thistleline.lease.holder_effects import SendRequest
-from thistleline.lease.holder_events import AcquireStarted, AnswerReceived, DeadlineReached, HolderEvent
+from thistleline.lease.holder_events import AcquireStarted, AnswerReceived, HolderEvent
 from thistleline.lease.liveness import LivenessTracker
 from thistleline.lease.protocol import Answer, Denied, Op, Put, Renew, Renewed
 from thistleline.lease.table import LeaseTable as Leases
 from thistleline.lease.table import encode_decision
+from thistleline.reducer.effects import LogEvent
+from thistleline.reducer.events import DeadlineReached
 from thistleline.transport.codec import encode_frame
 
 HEAD = len(encode_frame(b""))
@@ -419,7 +414,7 @@
             return
         place.wake = NEVER
         if place.node.next_deadline() <= self.now:
-            self.put(place, TimerExpired())
+            self.put(place, DeadlineReached())
         else:
             self._arm(place)
 
--- a/thistleline/lab/simulation/feed_mutants.py
+++ b/thistleline/lab/simulation/feed_mutants.py
@@ -13,7 +13,6 @@
 from thistleline.config_feed import snapshot as snapshots
 from thistleline.config_feed import source as serving
 from thistleline.config_feed.effects import SnapshotLoaded
-from thistleline.config_feed.events import TimerExpired
 from thistleline.config_feed.follower import Follower
 from thistleline.config_feed.history import History
 from thistleline.config_feed.lookups import LookupCache
@@ -35,6 +34,7 @@
 )
 from thistleline.lab.simulation.lease_mutants import account, mutant, without
 from thistleline.lease.table import LeaseTable
+from thistleline.reducer.events import DeadlineReached
 
 DEPTH = 60  # events from the root, at most
 MIN_MUTANT_STATES = 6_000
@@ -129,7 +129,7 @@
     """Return a world where the instance asks for a tenant that the next change deletes."""
     world = _send_change(commit_changes(build_fleet(keepers=1), 4))
     world.look_up_tenant("i0")
-    world.deliver("i0", TimerExpired())
+    world.deliver("i0", DeadlineReached())
     return world
 
 
@@ -150,7 +150,7 @@
     while world.connections.get("i0", world.connections["r0"]).server != "r1":
         if "i0" in world.connections:
             world.break_connection("i0")
-        world.deliver("i0", TimerExpired())
+        world.deliver("i0", DeadlineReached())
     return world
 
 
--- a/thistleline/lab/simulation/feed_world.py
+++ b/thistleline/lab/simulation/feed_world.py
@@ -29,7 +29,6 @@
     SubscriberJoined,
     SubscriberLeft,
     SubscriberMessage,
-    TimerExpired,
     UpstreamConnected,
     UpstreamLost,
     UpstreamMessage,
@@ -66,6 +65,7 @@
 from thistleline.lab.simulation.feed_fleet import Instance
 from thistleline.lease.protocol import Acquire, Break, Denied, Granted, Put
 from thistleline.lease.table import LeaseTable, encode_decision
+from thistleline.reducer.events import DeadlineReached
 
 TICK = 600_000_000  # ns; longer than a heartbeat interval, so that every heartbeat is due after one
 START_TIME = 10 * SECOND  # ns, on the virtual clock
@@ -696,7 +696,7 @@
     assert world.scenario is not None
     restartable = world.scenario.restartable
     if node.next_deadline() <= world.now:
-        yield Step(f"{name} heeds its clock", partial(FeedWorld.deliver, name=name, event=TimerExpired()))
+        yield Step(f"{name} heeds its clock", partial(FeedWorld.deliver, name=name, event=DeadlineReached()))
     if isinstance(node, Instance):
         yield Step(f"{name} looks up a tenant", partial(FeedWorld.look_up_tenant, name=name), "lookups")
     if not restartable or name in restartable:
@@ -792,7 +792,7 @@
         yield partial(world.answer_write, 0)
     for name, node in world.nodes.items():
         if not excluded(name) and node.next_deadline() <= world.now:
-            yield partial(world.deliver, name, TimerExpired())
+            yield partial(world.deliver, name, DeadlineReached())
 
 
 def build_fleet(keepers: int = 3, relays: int = 1, instances: int = 1) -> FeedWorld:
--- a/thistleline/lab/simulation/lease_costs.py
+++ b/thistleline/lab/simulation/lease_costs.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from thistleline.consensus.effects import WriteRecords
-from thistleline.consensus.events import FormCluster, TimerFired, WriteCompleted
+from thistleline.consensus.events import FormCluster, WriteCompleted
 from thistleline.consensus.messages import Entry, Member
 from thistleline.consensus.records import EntriesRecord, SnapshotRecord, WriteBatch
 from thistleline.consensus.replica import Replica
@@ -22,6 +22,7 @@
 from thistleline.lease.server import LeaseServer
 from thistleline.lease.table import LeaseTable, encode_decision
 from thistleline.lease.wire import Reply, Request, encode
+from thistleline.reducer.events import DeadlineReached
 from thistleline.store.disk import Disk
 
 SPANS = RaftTiming(50 * MS, 500 * MS, 1000 * MS)
@@ -41,7 +42,7 @@
         self.now, self.answers = 0, list[Any]()
         self.put(FormCluster("c", (Member("a", ""),)))
         self.now += 600 * MS
-        self.put(TimerFired())
+        self.put(DeadlineReached())
 
     def put(self, *inputs: Event) -> None:
         waiting = list(inputs)
@@ -81,7 +82,7 @@
         alone.now += SECOND
         for first in range(0, names, 100):
             alone.ask(Renew(tuple((f"n{place}", f"x{place}") for place in range(first, first + 100))))
-        alone.put(TimerFired())
+        alone.put(DeadlineReached())
     renewed = (time.process_time() - begun) / rounds / names
     assert len(alone.server.table.state.leases) == names
     begun = time.process_time()
--- a/thistleline/lab/simulation/lease_mutants.py
+++ b/thistleline/lab/simulation/lease_mutants.py
@@ -9,7 +9,7 @@
 from thistleline.consensus import replication
 from thistleline.consensus.effects import ReadReady
 from thistleline.consensus.elections import Elections
-from thistleline.consensus.events import MessageReceived, TimerFired
+from thistleline.consensus.events import MessageReceived
 from thistleline.consensus.messages import VoteRequest
 from thistleline.consensus.reads import PendingRead, Reads
 from thistleline.consensus.records import VoteRecord
@@ -31,9 +31,10 @@
 from thistleline.lease import table as tables
 from thistleline.lease.fencing import HighestEpochs
 from thistleline.lease.holder import LeaseHolder
-from thistleline.lease.holder_events import AcquireStarted, DeadlineReached, GrantHinted, ReleaseRequested
+from thistleline.lease.holder_events import AcquireStarted, GrantHinted, ReleaseRequested
 from thistleline.lease.liveness import LivenessTracker
 from thistleline.lease.table import LeaseTable
+from thistleline.reducer.events import DeadlineReached
 
 DEPTH = 40
 FAST_LEADER = (5, 4, 4, 3, 3)  # the leader's clock a quarter fast, the holders' a quarter slow
@@ -70,7 +71,7 @@
     """So long on, v0 having led all the while."""
     for _ in range(ticks):
         world.ticks += 1
-        world.step_replica(0, TimerFired())
+        world.step_replica(0, DeadlineReached())
         settle(world)
     return world
 
@@ -112,7 +113,7 @@
     world.step_holder(0, DeadlineReached())
     settle(world, lambda source, to: "v1" not in (source, to))
     world.ticks += 1
-    world.step_replica(1, TimerFired())
+    world.step_replica(1, DeadlineReached())
     settle(world, lambda source, to: "v0" not in (source, to))
     assert world.leaders() == ["v0", "v1"]
     return world
@@ -131,7 +132,7 @@
     """v0 stands; its word is on the way to v1, that to v2 is lost."""
     world = new_cluster()
     world.ticks += 2
-    world.step_replica(0, TimerFired())
+    world.step_replica(0, DeadlineReached())
     world.net = tuple(one for one in world.net if one.to == "v1")
     world.deliver(0, back=True)
     world.net = tuple(one for one in world.net if one.to == "v1")
@@ -159,17 +160,17 @@
     _beaten(world, 1)
     world.ticks += 1
     world.step_holder(1, GrantHinted())
-    world.step_replica(0, TimerFired())
+    world.step_replica(0, DeadlineReached())
     return world
 
 
 def _unaware_deposed() -> LeaseWorld:
     """As before, but v0 is cut off and v1 was elected a tick ago; h1's word is on the way to v0."""
     world = _passed_on((4, 5, 5, 3, 3, 3))
-    world.step_replica(0, TimerFired())
+    world.step_replica(0, DeadlineReached())
     settle(world)
     world.ticks += 1
-    world.step_replica(1, TimerFired())
+    world.step_replica(1, DeadlineReached())
     settle(world, lambda source, to: "v0" not in (source, to))
     assert world.leaders() == ["v0", "v1"]
     world.ticks += 1
@@ -231,7 +232,7 @@
         while world.servers[place].replica.state.phase is not Phase.LEADER:
             if not world.net:
                 world.ticks += 3
-                world.step_replica(place, TimerFired())
+                world.step_replica(place, DeadlineReached())
             world.net = tuple(one for one in world.net if "v1" in (one.source, one.to))
             if world.net:
                 world.deliver(0)
--- a/thistleline/lab/simulation/lease_world.py
+++ b/thistleline/lab/simulation/lease_world.py
@@ -11,7 +11,7 @@
 from typing import Any, Literal, NamedTuple
 
 from thistleline.consensus.effects import LeadershipGained, SendMessage, WriteRecords
-from thistleline.consensus.events import FormCluster, MessageReceived, TimerFired, WriteCompleted
+from thistleline.consensus.events import FormCluster, MessageReceived, WriteCompleted
 from thistleline.consensus.messages import Entry, Member, VoteRequest
 from thistleline.consensus.records import WriteBatch
 from thistleline.consensus.replay import Replay
@@ -25,13 +25,13 @@
 from thistleline.lease.holder_events import (
     AcquireStarted,
     AnswerReceived,
-    DeadlineReached,
     GrantHinted,
     HolderEvent,
     ReleaseRequested,
 )
 from thistleline.lease.server import LeaseServer
 from thistleline.lease.table import LeaseTable
+from thistleline.reducer.events import DeadlineReached
 
 TICK = 40_000_000  # ns of true time
 LEASE_TTL = 100_000_000  # ns: two ticks by a clock that is a quarter fast
@@ -501,7 +501,9 @@
     """Yield what a replica can do of itself."""
     timed = _scenario(world).elapse
     if (not timed or place in timed) and world.servers[place].next_deadline() <= world.clock(place):
-        yield from _step(world, f"v{place} heeds its clock", "", LeaseWorld.step_replica, place, TimerFired())
+        yield from _step(
+            world, f"v{place} heeds its clock", "", LeaseWorld.step_replica, place, DeadlineReached()
+        )
     if world.budget["crashes"]:
         yield from _step(world, f"v{place} dies", "crashes", LeaseWorld.restart, place)
 
@@ -562,7 +564,7 @@
     """Return the new cluster after v0 was elected."""
     world = new_cluster(rates)
     world.ticks += 3  # past every election timeout
-    world.step_replica(0, TimerFired())
+    world.step_replica(0, DeadlineReached())
     settle(world)
     assert world.servers[0].replica.state.phase is Phase.LEADER
     return world
@@ -574,7 +576,7 @@
     for place in range(2):
         world.step_holder(place, AcquireStarted())
         settle(world)
-    world.step_replica(0, TimerFired())
+    world.step_replica(0, DeadlineReached())
     settle(world)
     assert [holder.phase for holder in world.holders] == ["held", "waiting"]
     if rates[1] == rates[2]:
--- a/thistleline/lab/simulation/replica_cluster.py
+++ b/thistleline/lab/simulation/replica_cluster.py
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple
 
 from thistleline.consensus.effects import SendMessage, WriteRecords
-from thistleline.consensus.events import FormCluster, MessageReceived, TimerFired, WriteCompleted
+from thistleline.consensus.events import FormCluster, MessageReceived, WriteCompleted
 from thistleline.consensus.messages import Member
 from thistleline.consensus.replica import Replica
 from thistleline.consensus.state import Phase, RaftTiming
@@ -19,6 +19,7 @@
 from thistleline.lease.events import Event
 from thistleline.lease.server import LeaseServer
 from thistleline.lease.table import LeaseTable
+from thistleline.reducer.events import DeadlineReached
 
 MS = 1_000_000  # ns
 
@@ -109,7 +110,7 @@
         return lambda: self.handle(id, WriteCompleted())
 
     def _fire_timer(self, id: str, deadline: int) -> Callable[[], None]:
-        return lambda: self.handle(id, TimerFired()) if self.timers.get(id) == deadline else None
+        return lambda: self.handle(id, DeadlineReached()) if self.timers.get(id) == deadline else None
 
     def run(self, until: int, is_over: Callable[[], bool] = lambda: False) -> bool:
         """Run the queue to a time (ns), or until a condition holds; return whether it holds."""
--- a/thistleline/lab/simulation/rollout_world.py
+++ b/thistleline/lab/simulation/rollout_world.py
@@ -7,16 +7,12 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any, Literal, NamedTuple
 
+from thistleline.reducer.effects import LogEvent
+from thistleline.reducer.events import DeadlineReached
 from thistleline.rollout.canary import CanaryAnalysis, Judgement, Verdict
 from thistleline.rollout.controller import RolloutController
-from thistleline.rollout.effects import Effect, LogEvent, SetDesiredVersion, StoreRecord
-from thistleline.rollout.events import (
-    DesiredVersionsRecovered,
-    OrderReceived,
-    RecordStored,
-    ServersObserved,
-    TimerExpired,
-)
+from thistleline.rollout.effects import Effect, SetDesiredVersion, StoreRecord
+from thistleline.rollout.events import DesiredVersionsRecovered, OrderReceived, RecordStored, ServersObserved
 from thistleline.rollout.order import Order
 from thistleline.rollout.record import RolloutRecord
 from thistleline.rollout.server_status import ServerStatus
@@ -141,7 +137,7 @@
         ArbitraryAnalysis.verdict = verdict
         effects = controller.handle(0, ServersObserved(self.statuses()))
         effects += controller.handle(0, OrderReceived(ORDER))
-        effects += controller.handle(0, TimerExpired())
+        effects += controller.handle(0, DeadlineReached())
         ArbitraryAnalysis.verdict = "can't tell"
         self._add_pending(epoch, effects)
 
--- a/thistleline/lab/simulation/rollouts.py
+++ b/thistleline/lab/simulation/rollouts.py
@@ -14,10 +14,11 @@
 from random import Random
 from typing import Any, NamedTuple
 
+from thistleline.reducer.events import DeadlineReached
 from thistleline.rollout.canary import CanaryAnalysis, Judgement, Verdict
 from thistleline.rollout.controller import RolloutController
 from thistleline.rollout.effects import SetDesiredVersion, StoreRecord
-from thistleline.rollout.events import OrderReceived, RecordStored, ServersObserved, TimerExpired
+from thistleline.rollout.events import OrderReceived, RecordStored, ServersObserved
 from thistleline.rollout.metrics import SlotSample
 from thistleline.rollout.order import Order
 from thistleline.rollout.record import RolloutRecord
@@ -347,7 +348,7 @@
         effects = self.controller.handle(self.now, ServersObserved(statuses))
         if may_order and self.record is None:
             effects += self.controller.handle(self.now, OrderReceived(self.order))
-        effects += self.controller.handle(self.now, TimerExpired())
+        effects += self.controller.handle(self.now, DeadlineReached())
         while effects:
             effect = effects.pop(0)
             if self.rng.random() < self.successions:  # the controller dies between two effects
--- a/thistleline/lab/simulation/supervisor_world.py
+++ b/thistleline/lab/simulation/supervisor_world.py
@@ -3,6 +3,8 @@
 from collections.abc import Callable, Iterator
 from typing import Any, Self, TypeVar
 
+from thistleline.reducer.effects import LogEvent
+from thistleline.reducer.events import DeadlineReached
 from thistleline.supervisor import effects, events
 from thistleline.supervisor.model import DesiredVersion, SupervisorState, Version
 from thistleline.supervisor.state_machine import Supervisor
@@ -45,7 +47,7 @@
     def handle(self, event: events.Event) -> None:
         assert self.supervisor is not None
         for effect in self.supervisor.handle(self.now, event):
-            if not isinstance(effect, effects.LogEvent | effects.PublishStatus):
+            if not isinstance(effect, LogEvent | effects.PublishStatus):
                 self.asked = (*self.asked, effect)
 
     def start(self) -> None:
@@ -96,7 +98,7 @@
     def tick(self) -> None:
         self.now += 2 * SECOND
         if self.supervisor is not None and self.supervisor.next_deadline() <= self.now:
-            self.handle(events.TimerExpired())
+            self.handle(DeadlineReached())
 
     def wrong(self) -> str:
         if self.broken:
--- a/thistleline/lease/effects.py
+++ b/thistleline/lease/effects.py
@@ -3,14 +3,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from thistleline.consensus.effects import (
-    LeaderChanged,
-    LeadershipGained,
-    LogEvent,
-    SendMessage,
-    WriteRecords,
-)
+from thistleline.consensus.effects import LeaderChanged, LeadershipGained, SendMessage, WriteRecords
 from thistleline.lease.protocol import Answer
+from thistleline.reducer.effects import LogEvent
 
 
 @dataclass(frozen=True, slots=True)
--- a/thistleline/lease/holder.py
+++ b/thistleline/lease/holder.py
@@ -13,7 +13,6 @@
 from thistleline.lease.holder_events import (
     AcquireStarted,
     AnswerReceived,
-    DeadlineReached,
     GrantHinted,
     HolderEvent,
     ReleaseRequested,
@@ -33,7 +32,8 @@
     Waiting,
     holder_ttl,
 )
-from thistleline.statecopy import copy_state
+from thistleline.reducer.copying import copy_state
+from thistleline.reducer.events import DeadlineReached
 
 Phase = Literal["new", "acquiring", "waiting", "held", "releasing", "ended"]
 MAX_OPEN_REQUESTS = 16  # whose answers are still of use
--- a/thistleline/lease/holder_events.py
+++ b/thistleline/lease/holder_events.py
@@ -3,6 +3,7 @@
 from dataclasses import dataclass
 
 from thistleline.lease.protocol import Answer
+from thistleline.reducer.events import DeadlineReached
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,11 +31,6 @@
     """The cluster hinted that the lease may have been granted to this waiter."""
 
 
-@dataclass(frozen=True, slots=True)
-class DeadlineReached:
-    """The time of `next_deadline` has come."""
-
-
 @dataclass(frozen=True, slots=True)
 class ReleaseRequested:
     """The lease, or the place among its waiters, is to be given back."""
--- a/thistleline/lease/liveness.py
+++ b/thistleline/lease/liveness.py
@@ -10,7 +10,7 @@
 
 from thistleline.lease.protocol import WAITER_TIMEOUT, Expire, Release
 from thistleline.lease.table import Lease, LeaseTable
-from thistleline.statecopy import copy_state
+from thistleline.reducer.copying import copy_state
 
 REPROPOSE_INTERVAL = 1_000_000_000  # ns until what was proposed and is not decided is proposed again
 _SMALL = 64  # waiters; below it those that wait no more are not searched for
--- a/thistleline/lease/server.py
+++ b/thistleline/lease/server.py
@@ -95,7 +95,7 @@
         return self.replica.state_key(names), liveness
 
     def next_deadline(self) -> int:
-        """Return when the next TimerFired is wanted, in ns."""
+        """Return when the next DeadlineReached is wanted, in ns."""
         replica_deadline = self.replica.next_deadline()
         liveness_deadline = self.liveness.next_deadline()
         if liveness_deadline is None or not self.is_leader:
--- a/thistleline/lease/service.py
+++ b/thistleline/lease/service.py
@@ -14,8 +14,8 @@
 from anyio.abc import SocketStream, TaskGroup
 
 from thistleline.config.schema import ConsensusConfig
-from thistleline.consensus.effects import LeaderChanged, LogEvent, SendMessage, WriteRecords
-from thistleline.consensus.events import MessageReceived, TimerFired, WriteCompleted, WriteFailed
+from thistleline.consensus.effects import LeaderChanged, SendMessage, WriteRecords
+from thistleline.consensus.events import MessageReceived, WriteCompleted, WriteFailed
 from thistleline.consensus.records import SnapshotRecord, WriteBatch
 from thistleline.consensus.replica import Replica
 from thistleline.consensus.state import Phase, RaftTiming
@@ -28,6 +28,8 @@
 from thistleline.lease.server import LeaseServer
 from thistleline.lease.table import LeaseTable
 from thistleline.lease.wire import GrantHint, Reply, decode_replica_message, decode_request, encode
+from thistleline.reducer.effects import LogEvent
+from thistleline.reducer.events import DeadlineReached
 from thistleline.store.clock import boot_now, wall_ms
 from thistleline.store.disk import Disk
 from thistleline.transport.address import Address
@@ -180,7 +182,7 @@
             self.inbox = []
             self._handle(group, last_turn, *events)
             if self.server.next_deadline() <= boot_now() and not self.inbox:
-                self._handle(group, boot_now(), TimerFired())
+                self._handle(group, boot_now(), DeadlineReached())
             self.links.update(group, self._wanted_peers())
 
     async def _wait_for_event(self) -> None:
--- a/thistleline/lease/session.py
+++ b/thistleline/lease/session.py
@@ -27,13 +27,13 @@
 from thistleline.lease.holder_events import (
     AcquireStarted,
     AnswerReceived,
-    DeadlineReached,
     GrantHinted,
     HolderEvent,
     ReleaseRequested,
     RequestFailed,
 )
 from thistleline.lease.protocol import Op, Unavailable
+from thistleline.reducer.events import DeadlineReached
 from thistleline.store.clock import boot_now
 
 SECOND = 1_000_000_000  # ns
--- a/thistleline/membership/events.py
+++ b/thistleline/membership/events.py
@@ -3,6 +3,7 @@
 from dataclasses import dataclass
 
 from thistleline.membership.messages import MemberFacts, Message
+from thistleline.reducer.events import DeadlineReached
 
 
 @dataclass(frozen=True, slots=True)
@@ -13,11 +14,6 @@
     message: Message
 
 
-@dataclass(frozen=True, slots=True)
-class DeadlineReached:
-    """The time of `next_deadline` has come."""
-
-
 @dataclass(frozen=True, slots=True)
 class FactsChanged:
     """The member itself says something new of itself."""
--- a/thistleline/membership/gossip.py
+++ b/thistleline/membership/gossip.py
@@ -12,13 +12,7 @@
 
 from thistleline.membership.anti_entropy import HEADER_SIZE, bucket_messages
 from thistleline.membership.effects import GossipEffect, MemberChanged, SendMessage, WriteLog
-from thistleline.membership.events import (
-    DeadlineReached,
-    FactsChanged,
-    GossipEvent,
-    LeaveRequested,
-    MessageReceived,
-)
+from thistleline.membership.events import FactsChanged, GossipEvent, LeaveRequested, MessageReceived
 from thistleline.membership.messages import (
     ALIVE,
     DEAD,
@@ -41,6 +35,7 @@
 from thistleline.membership.probes import LocalHealth, Probe, ProbeOrder
 from thistleline.membership.suspicion import SuspicionTable
 from thistleline.membership.view import BUCKETS, MAX_MEMBERS, MembershipView, is_valid, merge_records
+from thistleline.reducer.events import DeadlineReached
 
 MS = 1_000_000  # ns
 SECOND = 1_000_000_000  # ns
--- a/thistleline/membership/service.py
+++ b/thistleline/membership/service.py
@@ -12,7 +12,7 @@
 
 from thistleline.config.schema import MembershipConfig
 from thistleline.membership.effects import GossipEffect, SendMessage, WriteLog
-from thistleline.membership.events import DeadlineReached, LeaveRequested, MessageReceived
+from thistleline.membership.events import LeaveRequested, MessageReceived
 from thistleline.membership.gossip import Gossip, GossipTiming
 from thistleline.membership.messages import (
     BucketRecords,
@@ -23,6 +23,7 @@
     decode,
     encode,
 )
+from thistleline.reducer.events import DeadlineReached
 from thistleline.store.clock import boot_now, wall_ms
 from thistleline.transport.address import Address, format_address, parse_address
 
--- a/thistleline/rollout/controller.py
+++ b/thistleline/rollout/controller.py
@@ -11,15 +11,16 @@
 
 import msgspec
 
+from thistleline.reducer.effects import LogEvent
+from thistleline.reducer.events import DeadlineReached
 from thistleline.rollout.canary import CanaryAnalysis, ColdBaseline, Judgement
-from thistleline.rollout.effects import Effect, LogEvent, StoreRecord
+from thistleline.rollout.effects import Effect, StoreRecord
 from thistleline.rollout.events import (
     DesiredVersionsRecovered,
     Event,
     OrderReceived,
     RecordStored,
     ServersObserved,
-    TimerExpired,
 )
 from thistleline.rollout.order import TRANSITIONS, Order, start_fault
 from thistleline.rollout.record import MAX_HISTORY, HistoryEntry, RolloutRecord
@@ -109,7 +110,7 @@
         match event:
             case ServersObserved(servers):
                 self._on_servers_observed(servers)
-            case TimerExpired():
+            case DeadlineReached():
                 self._on_timer()
             case OrderReceived(order):
                 self._on_order(order)
--- a/thistleline/rollout/effects.py
+++ b/thistleline/rollout/effects.py
@@ -1,8 +1,8 @@
 """Outputs of the rollout controller, to be carried out in order under its lease."""
 
 from dataclasses import dataclass
-from typing import Any
 
+from thistleline.reducer.effects import LogEvent
 from thistleline.rollout.record import RolloutRecord
 from thistleline.supervisor.model import Version
 
@@ -23,12 +23,4 @@
     restart_token: int = 0
 
 
-@dataclass(frozen=True, slots=True)
-class LogEvent:
-    """Write a line to the structured log."""
-
-    event: str
-    fields: dict[str, Any]
-
-
 Effect = StoreRecord | SetDesiredVersion | LogEvent
--- a/thistleline/rollout/events.py
+++ b/thistleline/rollout/events.py
@@ -2,6 +2,7 @@
 
 from dataclasses import dataclass
 
+from thistleline.reducer.events import DeadlineReached
 from thistleline.rollout.order import Order
 from thistleline.rollout.server_status import ServerStatus
 from thistleline.supervisor.model import Version
@@ -33,9 +34,4 @@
     """The last `StoreRecord` was decided."""
 
 
-@dataclass(frozen=True, slots=True)
-class TimerExpired:
-    """Time has passed: look at what is due."""
-
-
-Event = ServersObserved | DesiredVersionsRecovered | OrderReceived | RecordStored | TimerExpired
+Event = ServersObserved | DesiredVersionsRecovered | OrderReceived | RecordStored | DeadlineReached
--- a/thistleline/rollout/service.py
+++ b/thistleline/rollout/service.py
@@ -12,6 +12,8 @@
 from thistleline.lease.session import HeldLease, lease
 from thistleline.membership.messages import ALIVE, DEAD, MemberFacts
 from thistleline.membership.service import MemberService
+from thistleline.reducer.effects import LogEvent
+from thistleline.reducer.events import DeadlineReached
 from thistleline.rollout import effects, events
 from thistleline.rollout.controller import RolloutController
 from thistleline.rollout.leased_records import LeasedRecords, UndecidedError
@@ -128,7 +130,7 @@
         if stored_order is not None:
             with suppress(msgspec.MsgspecError):
                 pending += self._handle(events.OrderReceived(_decode_order(stored_order)))
-        pending += self._handle(events.TimerExpired())
+        pending += self._handle(DeadlineReached())
         while pending:
             pending += await self._carry_out(pending.pop(0))
 
@@ -150,7 +152,7 @@
     async def _carry_out(self, effect: effects.Effect) -> list[effects.Effect]:
         """Carry out an effect and return those that follow from it."""
         match effect:
-            case effects.LogEvent(event, fields):
+            case LogEvent(event, fields):
                 self.service.log(event, **fields)
             case effects.StoreRecord(record):
                 await self.records.put(RECORD_KEY, encode(record))
--- a/thistleline/supervisor/effects.py
+++ b/thistleline/supervisor/effects.py
@@ -1,8 +1,8 @@
 """Outputs of the supervisor's state machine, to be carried out in order."""
 
 from dataclasses import dataclass
-from typing import Any
 
+from thistleline.reducer.effects import LogEvent
 from thistleline.supervisor.model import SupervisorState, Version
 
 
@@ -47,12 +47,4 @@
     """Let the other members know what runs here now."""
 
 
-@dataclass(frozen=True, slots=True)
-class LogEvent:
-    """Write a line to the structured log."""
-
-    event: str
-    fields: dict[str, Any]
-
-
 Effect = PersistState | VerifyVersion | SpawnServer | TerminateServer | KillServer | PublishStatus | LogEvent
--- a/thistleline/supervisor/events.py
+++ b/thistleline/supervisor/events.py
@@ -2,6 +2,7 @@
 
 from dataclasses import dataclass
 
+from thistleline.reducer.events import DeadlineReached
 from thistleline.supervisor.model import DesiredVersion, SupervisorState
 
 
@@ -82,11 +83,6 @@
     incarnation: int = 0
 
 
-@dataclass(frozen=True, slots=True)
-class TimerExpired:
-    """The time that `next_deadline` named has come."""
-
-
 Event = (
     StateRecovered
     | DesiredVersionReceived
@@ -97,5 +93,5 @@
     | SpawnFailed
     | ServerReady
     | ServerExited
-    | TimerExpired
+    | DeadlineReached
 )
--- a/thistleline/supervisor/service.py
+++ b/thistleline/supervisor/service.py
@@ -21,6 +21,8 @@
 from thistleline.membership.events import FactsChanged
 from thistleline.membership.messages import MemberFacts
 from thistleline.membership.service import MemberService
+from thistleline.reducer.effects import LogEvent
+from thistleline.reducer.events import DeadlineReached
 from thistleline.store.clock import boot_now, wall_ms
 from thistleline.store.latest import LatestValueStore
 from thistleline.supervisor import effects, events
@@ -123,11 +125,11 @@
             with anyio.move_on_after(max(0.0, (self.supervisor.next_deadline() - boot_now()) / 1e9)):
                 await self._woken.wait()
                 continue
-            self.handle(events.TimerExpired())
+            self.handle(DeadlineReached())
 
     def _carry_out(self, effect: effects.Effect) -> None:
         match effect:
-            case effects.LogEvent(event, fields):
+            case LogEvent(event, fields):
                 self.log(event, **fields)
             case effects.PublishStatus():
                 self._publish()
--- a/thistleline/supervisor/state_machine.py
+++ b/thistleline/supervisor/state_machine.py
@@ -15,6 +15,8 @@
 
 import msgspec
 
+from thistleline.reducer.effects import LogEvent
+from thistleline.reducer.events import DeadlineReached
 from thistleline.supervisor import effects, events
 from thistleline.supervisor.crash_history import CrashHistory
 from thistleline.supervisor.model import DesiredVersion, Phase, SupervisorState, Version
@@ -116,7 +118,7 @@
 
     def _dispatch(self, event: events.Event) -> None:
         match event:
-            case events.TimerExpired():
+            case DeadlineReached():
                 self._on_timer()
             case events.ConsensusPolled(reachable):
                 self._on_consensus_polled(reachable)
@@ -143,7 +145,7 @@
         return self.alive and self.phase in ("running", "verifying", "succeeding")
 
     def next_deadline(self) -> int:
-        """Return the boot time (ns) at which `TimerExpired` is due."""
+        """Return the boot time (ns) at which `DeadlineReached` is due."""
         deadline = self._phase_deadline()
         predecessor_deadline = self.takeover.predecessor_deadline(self.stop_timeout)
         return deadline if predecessor_deadline is None else min(deadline, predecessor_deadline)
@@ -167,7 +169,7 @@
         return self.stopping_since + self.stop_timeout + KILL_DELAY
 
     def _log(self, event: str, **fields: Any) -> None:
-        self._effects.append(effects.LogEvent(event, fields))
+        self._effects.append(LogEvent(event, fields))
 
     # ---- state on disk
 
