--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -169,6 +169,15 @@
         line = HandoverChannel(first, group)
         line.send(Hello(ledger_versions=ledger_format.READABLE_VERSIONS))
         await line.receive()
+        slow = reach(tmp_path / "handover" / "heir.sock")
+        assert slow is not None
+        # Greets only once the server has had time to answer a connection that has not greeted.
+        with anyio.move_on_after(0.5):
+            await anyio.wait_readable(slow)
+        late = HandoverChannel(slow, group)
+        late.send(Hello(ledger_versions=ledger_format.READABLE_VERSIONS))
+        assert isinstance(await late.receive(), Refused)
+        late.close()
         second = servers.start({})
         assert await servers.wait_for_exit(second, 10)
         assert servers.processes[second].returncode == 2
