--- a/thistleline/handover/service.py
+++ b/thistleline/handover/service.py
@@ -291,8 +291,8 @@
     async def _serve_successor(self, channel: HandoverChannel) -> None:
         """Serve one successor; whatever it says ends no more than its channel."""
         try:
-            # Its greeting is read before any refusal: a channel that is closed before the successor has greeted
-            # breaks its write, and the successor never reads why it was refused.
+            # The greeting is read before any refusal: closing the channel earlier makes the successor's write
+            # fail, and it never reads why it was refused.
             hello = await channel.receive()
             if not isinstance(hello, Hello) or not self._welcome(channel, hello):
                 return
