--- a/thistleline/bench_adapter/__init__.py
+++ b/thistleline/bench_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter of the bench's simulator: hosts the policies of many simulated servers in one process."""
+"""Adapter for the bench simulator: hosts the policies of many simulated servers in one process."""
--- a/thistleline/bench_adapter/__main__.py
+++ b/thistleline/bench_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Run the adapter on standard input and output until the input ends."""
+"""Run the adapter on standard input and output until end of input."""
 
 import sys
 
--- a/thistleline/bench_adapter/errors.py
+++ b/thistleline/bench_adapter/errors.py
@@ -1,5 +1,5 @@
-"""Errors of the bench's wire."""
+"""Errors of the bench protocol."""
 
 
 class BenchProtocolError(Exception):
-    """A line that the bench's wire does not allow here."""
+    """A line violates the bench protocol."""
--- a/thistleline/bench_adapter/events.py
+++ b/thistleline/bench_adapter/events.py
@@ -1,4 +1,4 @@
-"""Event lines of the bench's wire as policy events."""
+"""Decodes event lines of the bench protocol into policy events."""
 
 from thistleline.interface import (
     CallEnded,
@@ -30,29 +30,29 @@
     "ABORTED": "aborted",
 }
 
-# Flags of a QUERY.
+# Flag bits of a QUERY line.
 HAS_WORK_HINT = 1
 IS_RETRY = 2
 
-QUERY_PARTS = 14  # parts of a QUERY line that are read
+QUERY_FIELD_COUNT = 14  # further fields of a QUERY line are ignored
 
 
 def parse_event(now: int, parts: list[str], gauge_names: tuple[str, ...]) -> PolicyEvent | None:
-    """Return the event of a line.
+    """Decode the event of a line.
 
     Args:
-        now: The round's clock, ns.
-        parts: The line's parts: message, instance, values.
+        now: The time of the round, ns.
+        parts: The fields of the line: message, instance, values.
         gauge_names: The names of the gauges, in the order of their values.
 
     Returns:
-        The event; None for a message that concerns no policy.
+        The event; None for a message that policies do not handle.
 
     Raises:
-        ValueError: A part is missing or no number.
+        ValueError: A field is missing or not a number.
         KeyError: An outcome is unknown.
-        IndexError: A part is missing.
-        SettingsError: A time is no number.
+        IndexError: A field is missing.
+        SettingsError: A time is not a number.
     """
     match parts[0]:
         case "QUERY":
@@ -89,7 +89,7 @@
         waited,
         duplicate_of,
         priority_rank,
-    ) = parts[:QUERY_PARTS]
+    ) = parts[:QUERY_FIELD_COUNT]
     flags = 0 if _is_absent(flag_bits) else int(flag_bits)
     has_work_hint = flags & HAS_WORK_HINT and not _is_absent(work)
     return Task(
--- a/thistleline/bench_adapter/host.py
+++ b/thistleline/bench_adapter/host.py
@@ -1,4 +1,4 @@
-"""Hosts the policy of each instance that the bench runs in this process."""
+"""Hosts the policies of the simulated instances that the bench runs in this process."""
 
 import json
 from collections.abc import Callable
@@ -12,23 +12,23 @@
 
 
 class PolicyHost:
-    """The policies by instance; they share nothing."""
+    """The policies by instance name, which share no state."""
 
     def __init__(self) -> None:
-        """Create a host without instances."""
+        """Create a host that has no instances."""
         self._policies: dict[str, Policy] = {}
         self._gauge_names: dict[str, tuple[str, ...]] = {}
 
     def round(self, now: int, lines: list[list[str]], write: Callable[[str], None]) -> None:
-        """Gather a round's events by instance, in order, and call each instance's policy once.
+        """Group the events of a round by instance, in order, and call each instance's policy once.
 
         Args:
-            now: The round's clock, ns.
-            lines: The parts of each line: message, instance, values.
-            write: Takes each line of the reply.
+            now: The time of the round, ns.
+            lines: The fields of each line: message, instance, values.
+            write: Receives each line of the reply.
 
         Raises:
-            BenchProtocolError: A line is for an instance that was never born.
+            BenchProtocolError: A line is for an instance that does not exist.
             ValueError: A value is malformed; also KeyError, IndexError, TypeError, ArithmeticError and the
                 errors of the settings.
         """
@@ -42,7 +42,7 @@
                 self._create(now, parts)
                 events_by_instance[instance] = []
             elif instance not in self._policies:
-                raise BenchProtocolError(f"{message} for {instance}, which was never born")
+                raise BenchProtocolError(f"{message} line for instance {instance}, which does not exist")
             else:
                 event = parse_event(now, parts, self._gauge_names[instance])
                 if event is not None:
@@ -54,7 +54,7 @@
                 write(f"BROKEN\t{instance}\t{describe(error)}\n")
 
     def _create(self, now: int, parts: list[str]) -> None:
-        """Make the policy of an instance: BORN, instance, seed, settings."""
+        """Create the policy of an instance from a line with the fields BORN, instance, seed, settings."""
         _, instance, seed = parts[:3]
         env = json.loads("\t".join(parts[3:]))
         self._gauge_names[instance] = read_gauge_names(env)
@@ -62,5 +62,5 @@
 
 
 def describe(error: Exception) -> str:
-    """Return an error's type and text on one line."""
+    """Return the type and the text of an error as a single line."""
     return f"{type(error).__name__}: {' '.join(str(error).split())}"
