--- a/thistleline/policy/__init__.py
+++ b/thistleline/policy/__init__.py
@@ -1,11 +1,12 @@
-"""The overload-control policy: every decision, table and tuned value of a server.
+"""The overload-control policy of a server: all of its decisions, their state and their constants.
 
-One `Policy` lives in each server, from `Policy(settings, seed, now)` to the end of the process. The host
-calls `round(now, events, out)` once at the start with no events and then once a round with all events since,
-in order; decisions go straight into the sink `out`. The types of both sides: thistleline/interface.py.
+Each server process has one `Policy`, created by `Policy(settings, seed, now)`. The host calls
+`round(now, events, out)` once at the start without events, and then once per round with all events since the
+last one, in order. The policy passes its decisions to the sink `out` at once. `thistleline/interface.py`
+declares the types that both sides use.
 
-The ordinary path of a task is `admission` and `completion`; the overload mechanism is `detectors`, `rate_cap`
-and `shedding`. All tuned values are in `tuning`.
+`admission` and `completion` handle each task; `detectors`, `rate_cap` and `shedding` handle overload. All
+constants are in `tuning`.
 """
 
 from thistleline.policy.policy import Policy
--- a/thistleline/policy/admission.py
+++ b/thistleline/policy/admission.py
@@ -1,4 +1,4 @@
-"""The ordinary path of a task: read, shed or queued, then started by due time while there is room."""
+"""Admission of tasks: each is rejected or queued when read, then started in order of due time."""
 
 from thistleline.interface import DecisionSink, Stage, Task
 from thistleline.policy.completion import Completion
@@ -9,17 +9,17 @@
 
 
 class Admission:
-    """Decides on tasks that were read and on queued ones."""
+    """Decides which tasks are queued, started or rejected."""
 
     def __init__(self, state: PolicyState, completion: Completion) -> None:
-        """Create the path that rejects by way of `completion`."""
+        """Create the admission control, which rejects tasks through `completion`."""
         self._state = state
         self._completion = completion
         cores = state.settings.cores
         self._short_queue: float = cores + SHORT_QUEUE_FACTOR * cores**0.5
 
     def process(self, arrived: list[Task], out: DecisionSink) -> None:
-        """Decide on the tasks that arrived, then on all queued ones."""
+        """Queue or reject the tasks that arrived, then start or reject queued ones."""
         for task in arrived:
             self._admit(task, out)
         if self._state.tasks.queue_length:
@@ -28,7 +28,7 @@
     # ---- arrival
 
     def _admit(self, task: Task, out: DecisionSink) -> None:
-        """Answer from a duplicate, reject, or queue a task that was read."""
+        """Replay a duplicate's result for a task that was read, or reject it, or queue it."""
         state = self._state
         tasks = state.tasks
         stage = state.settings.stages[task.stage]
@@ -44,7 +44,7 @@
         if record.answer_by <= state.now or state.is_too_late_to_run(task) or self._is_shed(record):
             self._completion.reject(record, out)
         elif state.is_memory_short(state.settings.idempotency_key_kb if record.effect else 0.0):
-            # What was read last gives way, never the table of what ran.
+            # When memory is short, new tasks are rejected; keys of effects that ran are never dropped.
             self._completion.reject(record, out)
         else:
             tasks.queue_length += 1
@@ -52,7 +52,7 @@
                 state.idempotency.remember(state.now, record, out)
 
     def _register(self, task: Task, stage: Stage) -> TaskRecord:
-        """Put a task into the table and count it in all histories."""
+        """Add a task to the table and record its arrival in all statistics."""
         state = self._state
         now = state.now
         deadline = task.deadline if task.deadline is not None else task.arrived_at + stage.timeout
@@ -70,7 +70,7 @@
         return record
 
     def _due_time(self, task: Task, stage: Stage) -> tuple[int, bool]:
-        """Return when the task is due, counted from its first attempt, ns, and whether it is a retry."""
+        """Return the task's due time in ns, counted from its first attempt, and whether it is a retry."""
         state = self._state
         due = task.arrived_at + stage.latency_objective
         due += int(stage.objective_per_work * (task.estimated_work or 0))
@@ -80,7 +80,8 @@
             if age is not None:
                 is_retry = True
                 due -= age
-        # A marked retry of unknown age was most likely rejected where things are as they are here.
+        # A marked retry of unknown age was most likely rejected by a server in the same condition as this
+        # one, so its age is estimated from the rejections here.
         if task.is_retry and due > task.arrived_at:
             typical_age = state.rejections.typical_retry_age()
             if typical_age is not None:
@@ -88,13 +89,14 @@
         return due, is_retry
 
     def _is_shed(self, record: TaskRecord) -> bool:
-        """Return whether the task lies under the cut and no core is free.
+        """Return whether the task is below the cutoff and the queue for the cores is not short.
 
-        A core free at once is proof of no overload now, whatever the cap learned a second ago. Prevents a cut
-        that outlives its overload when clients shift between servers.
+        With a short queue a core becomes free at once, which shows that there is no overload now, even if the
+        rate cap was set a second ago. Prevents the cutoff from outlasting its overload when clients move
+        between servers.
         """
         state = self._state
-        if record.shed_position >= state.shedder.cut:
+        if record.shed_position >= state.shedder.cutoff:
             return False
         tasks = state.tasks
         return max(tasks.queue_length + tasks.running, state.on_cores) >= self._short_queue
@@ -102,7 +104,7 @@
     # ---- queue
 
     def _process_queue(self, out: DecisionSink) -> None:
-        """Reject queued tasks that cannot make it; start others by due time while there is room."""
+        """Reject queued tasks that cannot meet their due time; start others in order of due time."""
         state = self._state
         tasks = state.tasks
         now = state.now
@@ -115,7 +117,7 @@
             is_probe = tasks.running == 0 and now < record.due
             estimate = state.estimator.estimate(record.task, slowdown)
             if (not is_probe and now + estimate > record.due) or state.is_too_late_to_run(record.task):
-                self._completion.reject(record, out)  # can't be answered in time to be of use
+                self._completion.reject(record, out)  # would be answered too late to be useful
             elif tasks.running < max_running and not state.is_memory_short(tasks.memory_to_run(record)):
                 self._start(record, out)
         tasks.queue_length = sum(1 for record in queued if record.state == "queued")
@@ -126,8 +128,8 @@
         stage = settings.stages[record.task.stage]
         record.state = "running"
         record.started_at = state.now
-        # A restartable run without utility once late ends at its due time where it can be stopped. Prevents
-        # cores busy with runs that a slowdown has overtaken.
+        # An idempotent run whose late answer has no utility is answered and stopped at its due time,
+        # if runs can be stopped. Prevents a slowdown from keeping the cores busy with late runs.
         if settings.cancellation != "none" and stage.effect == "idempotent" and not stage.late_utility_share:
             record.answer_by = min(record.answer_by, record.due)
         state.tasks.start(record)
--- a/thistleline/policy/completion.py
+++ b/thistleline/policy/completion.py
@@ -1,4 +1,4 @@
-"""The ends of tasks: rejected, given up by their client, answered at their deadline, or run to an end."""
+"""Completion of tasks: rejection, cancellation by the client, the deadline, and ends of runs and calls."""
 
 from thistleline.interface import CallOutcome, DecisionSink, RunOutcome
 from thistleline.policy.downstream import may_call_again
@@ -9,15 +9,15 @@
 
 
 class Completion:
-    """Ends tasks and learns from their ends."""
+    """Completes tasks and updates the statistics from their outcomes."""
 
     def __init__(self, state: PolicyState) -> None:
-        """Create it over the policy's state."""
+        """Create the completion of tasks in the policy's state."""
         self._state = state
         self._tolerable_wait = tolerable_unread_wait(state.detector.least_objective)
 
     def reject(self, record: TaskRecord, out: DecisionSink) -> None:
-        """Shed a task that did not run."""
+        """Reject a task that has not run."""
         state = self._state
         now = state.now
         retry_after = state.rejections.retry_after(
@@ -31,9 +31,9 @@
         self._remove(record, out)
 
     def answer_due(self, out: DecisionSink) -> None:
-        """Answer each task before its deadline or this server's stop, whatever its state.
+        """Answer each task shortly before its deadline or the stop of this server, in any state.
 
-        Prevents a task that is lost.
+        Prevents tasks that are never answered.
         """
         state = self._state
         now = state.now
@@ -47,9 +47,10 @@
                 self.client_gone(record.task.id, out)
 
     def client_gone(self, task_id: str, out: DecisionSink) -> None:
-        """End a task for which nobody waits.
+        """End a task whose client no longer waits.
 
-        A restartable run is stopped; an effect goes on, for the sake of its duplicates.
+        An idempotent run is stopped if runs can be stopped. A run with an effect continues, so that its
+        result can answer duplicates.
         """
         state = self._state
         record = state.tasks.by_id.get(task_id)
@@ -65,7 +66,7 @@
         record.state = "answered"
 
     def run_ended(self, task_id: str, outcome: RunOutcome, duration: int, out: DecisionSink) -> None:
-        """Take a task whose run, or whose replayed answer, ended out of the table."""
+        """Remove a task whose run, or whose replay of a result, ended."""
         state = self._state
         record = state.tasks.by_id.pop(task_id, None)
         if record is None:
@@ -74,7 +75,7 @@
         state.downstream.end_call(state.now, task_id, is_given_up=True)
         state.tasks.release(record)
         if outcome == "moot" and record.effect is not None:
-            record.effect.has_run = False  # nothing ran; prevents a key of what the agent does not know
+            record.effect.has_run = False  # never started; prevents keeping a key unknown to the agent
             state.idempotency.withdraw(state.now, record, out)
         if record.started_at:
             self._observe_run(record, outcome, duration)
@@ -86,7 +87,7 @@
             self._state.downstream.request(record)
 
     def call_ended(self, task_id: str, outcome: CallOutcome, out: DecisionSink) -> None:
-        """Let a task go on from its call, call again, or give it up."""
+        """Continue a task after its call, repeat the call, or answer the task with a failure."""
         state = self._state
         downstream = state.downstream
         record = state.tasks.by_id.get(task_id)
@@ -112,11 +113,11 @@
         self._state.idempotency.withdraw(self._state.now, record, out)
 
     def _is_fleet_overloaded(self) -> bool:
-        """Return whether a retry at another server would fare no better.
+        """Return whether a retry at another server is as likely to be rejected.
 
-        So it is when retries exceed a budget, or when rejections do while this server keeps its usual pace:
-        then too much is sent rather than too little done. Prevents retries that walk the whole endpoint
-        list; could harm where one server alone is overloaded for long.
+        This holds when retries exceed their budget, or when rejections do while this server keeps its usual
+        pace: then the fleet receives too much load, rather than this server being slow. Prevents retries from
+        trying the whole endpoint list; could harm where a single server is overloaded for a long time.
         """
         state = self._state
         arrival_rate = state.shedder.arrival_rate(state.now)
@@ -127,7 +128,7 @@
         return state.rejections.exceeds_budget(state.now, arrival_rate) and state.estimator.keeps_usual_pace()
 
     def _observe_run(self, record: TaskRecord, outcome: RunOutcome, duration: int) -> None:
-        """Learn from a run that ended, finished or stopped as overdue."""
+        """Update the statistics from a run that finished, or that was stopped after its due time."""
         state = self._state
         now = state.now
         is_capped = state.rate_cap.cap is not None
@@ -136,7 +137,7 @@
             state.detector.observe_finish(now, now - record.task.arrived_at, is_capped)
             state.estimator.observe(record, duration, is_capped)
         elif outcome == "stopped" and now >= record.due:
-            # Counts as longer than estimated. Prevents judging by those runs alone that finished in time, and
-            # so starting ever more that cannot.
+            # The run counts as longer than its estimate. Prevents learning only from runs that finished in
+            # time, and so starting more and more tasks that cannot.
             estimate = state.estimator.estimate(record.task, state.slowdown())
             state.estimator.observe(record, max(duration, int(STOPPED_RUN_FACTOR * estimate)), is_capped)
--- a/thistleline/policy/connections.py
+++ b/thistleline/policy/connections.py
@@ -7,24 +7,25 @@
 
 
 class IdleTimeoutAdvisor:
-    """Closes idle connections soon where clients seldom return.
+    """Sets a short idle timeout while clients seldom return.
 
-    A connection whose client seldom returns costs room and work for nothing. Prevents a connection table that
-    fills until clients get no connection; could harm where opening one costs very much. In a retry storm a
-    full table is left alone: what it turns away costs nothing to read.
+    A connection whose client seldom returns takes up a slot and work without benefit. Prevents the connection
+    table from filling until clients get no connection; could harm where opening a connection is very
+    expensive. There is no timeout in a retry storm: connections that a full table rejects cost no
+    reading of requests.
     """
 
     def __init__(self) -> None:
-        """Create an advisor that has seen no client."""
+        """Create an advisor without samples."""
         self._clients: deque[int] = deque(maxlen=CLIENT_SAMPLES)
         self._idle_timeout = 0  # ns; 0 for none
 
     def observe(self, client: int) -> None:
-        """Note the client of a task."""
+        """Record the client of a task."""
         self._clients.append(client)
 
     def update(self, is_retry_storm: bool, out: DecisionSink) -> None:
-        """Set the idle timeout if it changes."""
+        """Send the idle timeout if it has changed."""
         seldom_return = len(set(self._clients)) > ONE_TIME_CLIENT_SHARE * CLIENT_SAMPLES
         idle_timeout = SHORT_IDLE_TIMEOUT if seldom_return and not is_retry_storm else 0
         if idle_timeout != self._idle_timeout:
--- a/thistleline/policy/detectors.py
+++ b/thistleline/policy/detectors.py
@@ -1,7 +1,8 @@
-"""Overload detectors: run queue per core and queueing delay, sampled from inside, confirmed by latency.
+"""Overload detectors: run queue per core and queueing delay, sampled in the server, confirmed by latency.
 
-After Hodor ("Who Gets Dropped: Hodor and Overload Protection at LinkedIn"): consecutive windows in violation
-make a firing, and a firing counts only when the fast average of latency passes the slow one.
+Follows Hodor ("Who Gets Dropped: Hodor and Overload Protection at LinkedIn"): a detector fires after several
+consecutive windows in violation, and a firing counts only if the fast average of latency exceeds the slow
+one.
 """
 
 from collections import deque
@@ -18,7 +19,7 @@
     LATENCY_RATIO_TO_CONFIRM,
     MAX_RUN_QUEUE_PER_CORE,
     MAX_WAIT_SHARE,
-    MIN_CALM_SAMPLES,
+    MIN_BASELINE_SAMPLES,
     PEAK_WINDOWS,
     SLOW_LATENCY_SAMPLES,
     TICK,
@@ -29,14 +30,15 @@
 
 
 class OverloadDetector:
-    """Both detectors and their confirmation.
+    """The run queue detector, the queueing delay detector and their confirmation by latency.
 
     Attributes:
-        peaks: Highest run queue per core of each calm window, for the concurrency limit.
+        least_objective: The shortest latency objective of all stages, ns.
+        peaks: Highest run queue per core in each window without a violation, for the concurrency limit.
     """
 
     def __init__(self, settings: ServerSettings) -> None:
-        """Create detectors without history."""
+        """Create detectors without samples."""
         objectives = [stage.latency_objective for stage in settings.stages]
         self.least_objective = min(objectives)  # ns
         self.peaks: deque[float] = deque(maxlen=PEAK_WINDOWS)
@@ -46,9 +48,9 @@
         self._wait_samples: deque[float] = deque(maxlen=WINDOW)
         self._run_queue_violations = 0
         self._wait_violations = 0
-        self._latencies: deque[tuple[int, int]] = deque(maxlen=SLOW_LATENCY_SAMPLES)  # when ended, latency
-        self._calm_latencies: deque[int] = deque(maxlen=SLOW_LATENCY_SAMPLES)
-        self._unread_waits: deque[tuple[int, int]] = deque(maxlen=UNREAD_SAMPLES)  # when read, waited
+        self._latencies: deque[tuple[int, int]] = deque(maxlen=SLOW_LATENCY_SAMPLES)  # end time, latency; ns
+        self._baseline_latencies: deque[int] = deque(maxlen=SLOW_LATENCY_SAMPLES)
+        self._unread_waits: deque[tuple[int, int]] = deque(maxlen=UNREAD_SAMPLES)  # read time, wait; ns
 
     @property
     def in_violation(self) -> bool:
@@ -56,14 +58,14 @@
         return self._run_queue_violations > 0 or self._wait_violations > 0
 
     def observe_read(self, now: int, arrived_at: int) -> None:
-        """Note how long a task had lain unread."""
+        """Record how long a task waited on the machine before it was read."""
         self._unread_waits.append((now, now - arrived_at))
 
     def observe_finish(self, now: int, latency: int, is_capped: bool) -> None:
-        """Note the latency of a finished run, in the slow average only if it is calm."""
+        """Record the latency of a finished run; it enters the slow average only without cap and violation."""
         self._latencies.append((now, latency))
         if not is_capped and not self.in_violation:
-            self._calm_latencies.append(latency)
+            self._baseline_latencies.append(latency)
 
     def sample(
         self,
@@ -78,44 +80,50 @@
         Args:
             now: The time, ns.
             on_cores: Tasks on the cores or waiting for one.
-            queued: Records whose queued ones are looked at.
-            estimator: Estimates of run time.
-            slowdown: The slowdown for these estimates.
+            queued: Records of tasks; those not queued are ignored.
+            estimator: The source of run time estimates.
+            slowdown: The slowdown to use for the estimates.
         """
         self._run_queue_samples.append(on_cores / self._cores)
-        # Rejected tasks never enter the queue, so the wait of unread tasks is that of those just read.
-        # Prevents a backlog of reading, which the concurrency limit can't relieve and the queue doesn't show.
-        worst = self.unread_wait(now) / self.least_objective
+        # Rejected tasks never enter the queue, so the wait of unread tasks is taken from those just read.
+        # Prevents a backlog of unread tasks, which the concurrency limit can't reduce and the queue doesn't
+        # show.
+        worst_wait_share = self.unread_wait(now) / self.least_objective
         for record in queued:
             if record.state == "queued":
                 arrived_at = record.task.arrived_at
-                spare = record.due - estimator.estimate(record.task, slowdown) - arrived_at
-                worst = max(worst, (now - arrived_at) / max(spare, TICK))
-        self._wait_samples.append(worst)
+                slack = record.due - estimator.estimate(record.task, slowdown) - arrived_at
+                worst_wait_share = max(worst_wait_share, (now - arrived_at) / max(slack, TICK))
+        self._wait_samples.append(worst_wait_share)
 
     def close_window(self) -> None:
-        """Judge the window that the last samples make up."""
-        queue_high = _high(self._run_queue_samples) > MAX_RUN_QUEUE_PER_CORE
-        wait_high = _high(self._wait_samples) > MAX_WAIT_SHARE
+        """Count violations in the window of the last `WINDOW` samples."""
+        queue_high = _high_percentile(self._run_queue_samples) > MAX_RUN_QUEUE_PER_CORE
+        wait_high = _high_percentile(self._wait_samples) > MAX_WAIT_SHARE
         self._run_queue_violations = self._run_queue_violations + 1 if queue_high else 0
         self._wait_violations = self._wait_violations + 1 if wait_high else 0
         if not self.in_violation:
             self.peaks.append(max(self._run_queue_samples))
 
     def unread_wait(self, now: int) -> int:
-        """Return the median time in ns that the tasks of the last window had lain unread."""
+        """Return the median time in ns that tasks read in the last window waited before reading."""
         since = now - WINDOW * TICK
         recent = [wait for _, wait in takewhile(lambda read: read[0] > since, reversed(self._unread_waits))]
         return median_high(recent) if recent else 0
 
     def is_firing(self, now: int, records: Collection[TaskRecord]) -> bool:
-        """Return whether a detector fires and latency confirms it."""
+        """Return whether a detector fires and the latency confirms the overload."""
         violations = max(self._run_queue_violations, self._wait_violations)
         return violations >= VIOLATIONS_TO_FIRE and self._is_confirmed(now, records)
 
     def _is_confirmed(self, now: int, records: Collection[TaskRecord]) -> bool:
-        """Compare fast with slow latency. What is in hand counts by its age, so a standstill shows."""
-        slow = fmean(self._calm_latencies) if len(self._calm_latencies) >= MIN_CALM_SAMPLES else 0.0
+        """Return whether the fast average of latency is sufficiently above the slow one.
+
+        The ages of queued and running tasks count too, so that a stall is detected although no run ends.
+        """
+        slow = (
+            fmean(self._baseline_latencies) if len(self._baseline_latencies) >= MIN_BASELINE_SAMPLES else 0.0
+        )
         since = now - FAST_LATENCY_WINDOW
         fast = [latency for ended_at, latency in self._latencies if ended_at > since]
         fast += [wait for read_at, wait in self._unread_waits if read_at > since and wait > slow]
@@ -126,5 +134,5 @@
         return bool(fast) and fmean(fast) > slow * LATENCY_RATIO_TO_CONFIRM
 
 
-def _high(samples: deque[float]) -> float:
+def _high_percentile(samples: deque[float]) -> float:
     return sorted(samples)[int(HIGH_PERCENTILE * (len(samples) - 1))]
--- a/thistleline/policy/downstream.py
+++ b/thistleline/policy/downstream.py
@@ -18,19 +18,20 @@
 class DownstreamCalls:
     """Starts calls in order of due time.
 
-    A shared dependency has a quota: this server's share of it, as a mean over the quota window. A call in
-    flight is booked to the end of its timeout, so the quota holds when the whole dependency stands still; a
-    timeout follows what calls took lately, so that those which end soon leave room for the next.
+    A shared dependency has a quota: this server's share of concurrent calls, as a mean over the quota window.
+    A call in flight counts against the quota up to the end of its timeout, so the quota holds even when the
+    whole dependency stalls. Timeouts follow recent call durations, so that short calls leave quota for the
+    next ones.
     """
 
     def __init__(self, settings: ServerSettings) -> None:
-        """Create the state of a server without calls."""
+        """Create the state of a server that has made no calls."""
         self._settings = settings
         self._is_shared = settings.downstream == "shared"
         self._quota = int(settings.downstream_quota * settings.downstream_quota_window)  # ns of calls
         self._waiting: list[TaskRecord] = []
-        self._ended: deque[tuple[int, int]] = deque()  # from, until of calls of the last quota window
-        self._in_flight: dict[str, tuple[int, int]] = {}  # from, until when at the latest
+        self._ended: deque[tuple[int, int]] = deque()  # start and end of calls in the last quota window
+        self._in_flight: dict[str, tuple[int, int]] = {}  # start and latest end
         self._durations: deque[int] = deque(maxlen=CALL_SAMPLES)
 
     def request(self, record: TaskRecord) -> None:
@@ -39,28 +40,28 @@
         self._waiting.append(record)
 
     def withdraw(self, record: TaskRecord) -> None:
-        """Take a task out of the queue, if it is there."""
+        """Remove a task from the queue of calls, if it is there."""
         self._waiting = [other for other in self._waiting if other is not record]
 
     def start_calls(self, now: int, out: DecisionSink) -> None:
-        """Start all calls for which there is room; skip others where an answer without them has utility."""
+        """Start the calls that the quota permits; skip others if an answer without them has utility."""
         if not self._waiting:
             return
         settings = self._settings
-        room = self._quota
+        quota_left = self._quota
         expected = 0
         if self._is_shared:
-            room -= self._booked(now)
+            quota_left -= self._used_quota(now)
             expected = self._expected_duration(now)
         for record in sorted(self._waiting, key=by_due):
             timeout = max(MS, (record.due - now) // 2)
             if self._is_shared:
-                bounded = self._timeout_within(room, timeout, expected)
+                bounded = self._timeout_within(quota_left, timeout, expected)
                 if bounded is None:
                     self._skip_if_useful(record, settings.stages[record.task.stage], out)
                     continue
                 timeout = bounded
-                room -= timeout + settings.downstream_linger
+                quota_left -= timeout + settings.downstream_linger
             self._waiting.remove(record)
             record.state = "calling"
             self._in_flight[record.task.id] = now, now + timeout + settings.downstream_linger
@@ -69,7 +70,8 @@
     def end_call(self, now: int, task_id: str, is_given_up: bool) -> int:
         """End the task's call, if one is in flight.
 
-        What is given up may stay in flight downstream for a while.
+        A call that was given up counts against the quota for the linger time, as it may still be in flight
+        downstream.
 
         Returns:
             How long the call took, ns.
@@ -82,31 +84,32 @@
         return now - started_at
 
     def observe(self, outcome: CallOutcome, duration: int) -> None:
-        """Learn from a call how long calls take, unless it was never processed."""
+        """Record the duration of a call, unless it was never processed."""
         if outcome in ("finished", "failed", "timed_out"):
             self._durations.append(duration)
 
-    def _booked(self, now: int) -> int:
-        """Return the nanoseconds of calls, ended and in flight, inside the quota window."""
+    def _used_quota(self, now: int) -> int:
+        """Return the total duration, in ns, of ended and running calls within the quota window."""
         since = now - self._settings.downstream_quota_window
         while self._ended and self._ended[0][1] <= since:
             self._ended.popleft()
         in_flight = ((started_at, max(until, now)) for started_at, until in self._in_flight.values())
         return sum(max(0, until - max(since, started_at)) for started_at, until in (*self._ended, *in_flight))
 
-    def _timeout_within(self, room: int, timeout: int, expected: int) -> int | None:
-        """Return the timeout for which the quota has room, or None.
+    def _timeout_within(self, quota_left: int, timeout: int, expected: int) -> int | None:
+        """Return a timeout that fits into the quota, or None.
 
         Args:
-            room: What is left of the quota, ns.
-            timeout: The longest timeout that makes sense, ns.
-            expected: How long a call takes, ns; 0 if unknown.
+            quota_left: The unused part of the quota, ns.
+            timeout: The longest useful timeout, ns.
+            expected: The expected duration of a call, ns; 0 if unknown.
         """
         timeout = min(timeout, MAX_CALL_TIMEOUT_FACTOR * expected or timeout)
         least = min(timeout, MIN_CALL_TIMEOUT_FACTOR * expected or timeout)
-        usable = room - self._settings.downstream_linger
-        # Too many ended calls to remember would make the booked time too low, so none is started then.
-        if (room < self._quota and usable < least) or len(self._ended) >= MAX_SAMPLES:
+        usable = quota_left - self._settings.downstream_linger
+        # The history of ended calls is limited. Calls beyond the limit would be missing in the used quota, so
+        # no call is started while the history is full.
+        if (quota_left < self._quota and usable < least) or len(self._ended) >= MAX_SAMPLES:
             return None
         return max(least, min(timeout, usable))
 
@@ -117,20 +120,24 @@
             self._waiting.remove(record)
 
     def _expected_duration(self, now: int) -> int:
-        """Return how long a call takes, calls in flight for longer counted too; 0 if unknown."""
+        """Return the expected duration of a call in ns; 0 if unknown.
+
+        Calls that have been in flight for longer than the high percentile of recent durations count by their
+        age.
+        """
         if not self._durations:
             return 0
         durations = list(self._durations)
-        high = _high(durations)
+        high = _high_percentile(durations)
         durations += [age for started_at, _ in self._in_flight.values() if (age := now - started_at) > high]
-        return max(MS, _high(durations))
+        return max(MS, _high_percentile(durations))
 
 
 def may_call_again(record: TaskRecord, stage: Stage, outcome: CallOutcome, now: int) -> bool:
-    """Return whether a failed call may be repeated: restartable, or known not to have run, and in time."""
+    """Return whether a failed call may be repeated: in time, and idempotent or known not to have run."""
     is_safe = stage.effect == "idempotent" or outcome in ("rejected", "unreachable")
     return record.failed_calls <= MAX_CALL_ATTEMPTS and now < record.due and is_safe
 
 
-def _high(durations: list[int]) -> int:
+def _high_percentile(durations: list[int]) -> int:
     return sorted(durations)[int(HIGH_PERCENTILE * (len(durations) - 1))]
--- a/thistleline/policy/drain.py
+++ b/thistleline/policy/drain.py
@@ -5,11 +5,11 @@
 
 
 class Drain:
-    """Until when tasks are taken, and until when they are answered.
+    """The times until which a draining server accepts and answers tasks.
 
-    Clients learn late who drains and who is new, and few other servers can't take one's load at once. So a
-    draining server goes on taking tasks for most of the grace. Prevents idle cores through the grace while
-    the other servers and cold successors are jammed.
+    Clients learn late which servers drain and which are new, and in a small fleet the other servers cannot
+    take over a server's load at once. A draining server therefore accepts tasks for most of the grace period.
+    Prevents idle cores during the grace period while the other servers and cold successors are overloaded.
 
     Attributes:
         accept_until: Tasks that reach the machine later are not run, ns; None while not draining.
@@ -17,7 +17,7 @@
     """
 
     def __init__(self) -> None:
-        """Create the state of a server that does not drain."""
+        """Create the state of a server that is not draining."""
         self.accept_until: int | None = None
         self.stop_at = 0
 
@@ -27,18 +27,18 @@
         return self.accept_until is not None
 
     def begin(self, now: int, stop_at: int, settings: ServerSettings) -> int:
-        """Begin the drain; return in how many nanoseconds health is to turn bad."""
+        """Begin the drain; return the nanoseconds after which health checks must report unhealthy."""
         self.stop_at = stop_at
         grace = min(DRAIN_GRACE_SHARE * settings.drain_grace, TIME_TO_STOP_SHARE * (stop_at - now))
         self.accept_until = now + int(grace)
         return self.accept_until - now if settings.fleet_size < LARGE_FLEET else MS
 
     def is_near_stop(self, now: int) -> bool:
-        """Return whether all that is left must be answered now."""
+        """Return whether the process stops so soon that all open tasks must be answered now."""
         return self.accept_until is not None and now >= self.stop_at - STOP_MARGIN
 
     def forbids_run(self, arrived_at: int, end: int) -> bool:
-        """Return whether a task that arrived at one time and would end at another may not be started."""
+        """Return whether a task with this arrival time and estimated end, ns, may not be started."""
         if self.accept_until is None:
             return False
         return arrived_at > self.accept_until or end > self.stop_at - STOP_MARGIN
--- a/thistleline/policy/estimates.py
+++ b/thistleline/policy/estimates.py
@@ -1,4 +1,4 @@
-"""Estimates of run time, learned per stage from this server's own runs."""
+"""Estimates of run time per stage, from the recent runs of this server."""
 
 from collections import deque
 from statistics import median_high
@@ -14,13 +14,13 @@
 
 
 class StageProfile:
-    """A stage with its priority level and what was learned of its runs.
+    """A stage with its priority level and its recent run times.
 
     Attributes:
         stage: The stage's settings.
-        level: Rank of its utility among the distinct utilities, 0 the lowest.
-        paces: Recent calm run times, ns of run for each ns of estimated work.
-        usual_pace: The trusted percentile of the paces; 0 before there are any.
+        level: Rank of its utility among the distinct utilities of all stages, 0 for the lowest.
+        paces: Recent run times, ns per ns of estimated work; under a rate cap only while there are few.
+        usual_pace: A low percentile of the paces; 0 while there are none.
     """
 
     __slots__ = ("level", "paces", "stage", "usual_pace")
@@ -34,29 +34,29 @@
 
 
 class RunTimeEstimator:
-    """Estimates how long runs take: usual pace of the stage, times the server's present slowdown."""
+    """Estimates run times as the stage's usual pace times the server's present slowdown."""
 
     def __init__(self, profiles: list[StageProfile]) -> None:
-        """Create an estimator that knows of no run."""
+        """Create an estimator without samples."""
         self._profiles = profiles
         self._slowdowns: deque[float] = deque(maxlen=SLOWDOWN_SAMPLES)
 
     def slowdown(self, is_capped: bool) -> float:
-        """Return how many times its usual pace a run should take.
+        """Return the expected ratio of a run's pace to the usual pace of its stage.
 
-        Optimistic while there is room for all; cautious under a cap, when the room belongs to tasks that will
-        make their objective. Prevents giving up on big tasks in quiet hours: waits off the cores do not grow
-        with the work, so a middling pace overrates.
+        The ratio is optimistic while there is capacity for all tasks. It is cautious under a rate cap, when
+        capacity should go to tasks that will meet their objective. Prevents rejecting large tasks at low
+        load: waits off the cores do not grow with the work, so an average pace overestimates large tasks.
         """
         slowdowns = sorted(self._slowdowns) or [1.0]
         return slowdowns[len(slowdowns) // 4 if is_capped else 0]
 
     def estimate(self, task: Task, slowdown: float) -> int:
-        """Return the estimated run time in ns; 0 where nothing is known."""
+        """Return the estimated run time in ns; 0 while the stage has no samples."""
         return int(self._profiles[task.stage].usual_pace * slowdown * (task.estimated_work or 1))
 
     def observe(self, record: TaskRecord, duration: int, is_capped: bool) -> None:
-        """Learn from a run that took `duration` ns."""
+        """Update the slowdown and the stage's pace from a run that took `duration` ns."""
         profile = self._profiles[record.task.stage]
         pace = duration / (record.task.estimated_work or 1)
         if profile.usual_pace:
@@ -66,5 +66,5 @@
             profile.usual_pace = sorted(profile.paces)[int(PACE_PERCENTILE * len(profile.paces))]
 
     def keeps_usual_pace(self) -> bool:
-        """Return whether recent runs show that the server itself is well."""
+        """Return whether recent runs show that the server itself is not slow."""
         return bool(self._slowdowns) and median_high(self._slowdowns) < MAX_HEALTHY_SLOWDOWN
--- a/thistleline/policy/idempotency.py
+++ b/thistleline/policy/idempotency.py
@@ -1,4 +1,4 @@
-"""Effects that may run once: which attempt runs, which wait for it, and which keys are remembered."""
+"""Keyed effects, which must not run twice: the attempt that runs, those that wait for it, and stored keys."""
 
 from thistleline.interface import DecisionSink, ServerSettings
 from thistleline.policy.tasks import Effect, TaskRecord
@@ -6,10 +6,12 @@
 
 
 class IdempotencyTable:
-    """All attempts of one keyed effect share an `Effect`; a key is remembered by the task that may run.
+    """The effects and the stored idempotency keys.
+
+    All attempts of one keyed effect share an `Effect`. Only the attempt that may run stores a key.
 
     Attributes:
-        remembered: Remembered tasks by id, each until when, ns.
+        remembered: Expiry times of stored keys, ns, by task id.
     """
 
     def __init__(self, settings: ServerSettings) -> None:
@@ -20,23 +22,23 @@
 
     @property
     def memory_kb(self) -> float:
-        """Memory of the remembered keys."""
+        """Memory of the stored keys, kB."""
         return len(self.remembered) * self._settings.idempotency_key_kb
 
     def restore(self, task_id: str, expires_at: int) -> None:
-        """Take an effect of an earlier incarnation for run, whoever knows of it.
+        """Record an effect of an earlier process as run, even if it is not known to have run.
 
-        Prevents an effect from running twice over a restart.
+        Prevents an effect from running twice across a restart.
         """
         effect = self._effects[task_id] = Effect(expires_at)
         effect.has_run = True
         self.remembered[task_id] = expires_at
 
     def join(self, record: TaskRecord, out: DecisionSink) -> bool:
-        """Find or make the task's effect; return whether another attempt answers the task.
+        """Assign the task to its effect; return whether another attempt's result answers the task.
 
-        Prevents an effect from running twice: a duplicate waits for the attempt that is queued and is
-        answered by the one that ran.
+        Prevents an effect from running twice: a duplicate waits while another attempt is queued, and is
+        answered with the result of the attempt that ran.
         """
         task = record.task
         effect = self._effects.get(task.duplicate_of) if task.duplicate_of is not None else None
@@ -55,26 +57,26 @@
         return False
 
     def remember(self, now: int, record: TaskRecord, out: DecisionSink) -> None:
-        """Remember the key of a queued attempt past arrival plus window."""
+        """Store the key of a queued attempt beyond its deadline and the end of its window."""
         expires_at = max(record.task.arrived_at + self._window(record), record.deadline) + SECOND
         self.remember_until(now, record.task.id, expires_at, out)
 
     def remember_until(self, now: int, task_id: str, expires_at: int, out: DecisionSink) -> None:
-        """Remember the task's key until this time, ns."""
+        """Store the task's key until `expires_at`, ns."""
         self.remembered[task_id] = expires_at
         out.remember_key(task_id, expires_at - now)
 
     def start(self, effect: Effect, out: DecisionSink) -> None:
-        """Note that the effect's holder was started; its followers are answered from it."""
+        """Record that the effect's holder was started; its result answers the followers."""
         effect.has_run = True
         for follower in effect.followers:
             replay(follower, out)
         effect.followers.clear()
 
     def withdraw(self, now: int, record: TaskRecord, out: DecisionSink) -> None:
-        """Take back a queued attempt that did not run.
+        """Remove a queued attempt that has not run from its effect.
 
-        Its key is forgotten, and the next attempt in line takes its place.
+        If it was the holder, its key is deleted and the next attempt becomes the holder.
         """
         effect = record.effect
         if effect is None or effect.has_run:
@@ -90,7 +92,7 @@
                 self.remember(now, effect.holder, out)
 
     def expire(self, now: int) -> None:
-        """Drop keys and effects whose time is over."""
+        """Delete expired keys and effects."""
         self.remembered = {task_id: until for task_id, until in self.remembered.items() if until > now}
         self._effects = {
             task_id: effect for task_id, effect in self._effects.items() if effect.expires_at > now
@@ -101,6 +103,6 @@
 
 
 def replay(record: TaskRecord, out: DecisionSink) -> None:
-    """Answer a task from the run of the one that it repeats."""
+    """Answer a task with the result of the run of its duplicate."""
     record.state = "replaying"
     out.replay_result(record.task.id)
--- a/thistleline/policy/policy.py
+++ b/thistleline/policy/policy.py
@@ -1,4 +1,4 @@
-"""The policy of one server: takes a round of events, makes decisions."""
+"""The policy of one server, which turns rounds of events into decisions."""
 
 from thistleline.interface import (
     CallEnded,
@@ -23,16 +23,16 @@
 
 
 class Policy:
-    """Every decision of one server, from its start to the end of the process.
+    """Makes all overload-control decisions of one server process.
 
     Attributes:
         settings: The server's settings.
-        state: The mechanisms and what they know.
-        load_hint: The load hint last published, as a priority rank; 0 before there is any.
+        state: The state of all mechanisms.
+        load_hint: The last load hint published, as a priority rank; 0 before the first.
     """
 
     def __init__(self, settings: ServerSettings, seed: int, now: int) -> None:
-        """Create the policy of a server that starts at `now`, ns; chance follows from the seed."""
+        """Create the policy of a server that starts at `now`, ns; `seed` seeds its random numbers."""
         self.settings = settings
         self.state = PolicyState(settings, seed, now)
         self._completion = Completion(self.state)
@@ -48,38 +48,38 @@
 
     @property
     def tasks(self) -> dict[str, TaskRecord]:
-        """The tasks in hand, by id."""
+        """The tasks that have not ended, by id."""
         return self.state.tasks.by_id
 
     @property
     def running(self) -> int:
-        """How many runs were started and have not ended."""
+        """The number of runs that were started and have not ended."""
         return self.state.tasks.running
 
     @property
-    def memory(self) -> float:
-        """Memory of the tasks in hand, kB."""
+    def memory_kb(self) -> float:
+        """Memory of the tasks that have not ended, kB."""
         return self.state.tasks.memory_kb
 
     @property
     def cap(self) -> float | None:
-        """The rate cap, tasks per second; None while there is none."""
+        """The rate cap, tasks per second; None while no cap applies."""
         return self.state.rate_cap.cap
 
     @property
-    def shut(self) -> int | None:
-        """While draining: tasks that reach the machine later than this time, ns, are not run."""
+    def accept_until(self) -> int | None:
+        """While draining, the time in ns after which arriving tasks are not run; otherwise None."""
         return self.state.drain.accept_until
 
     def round(self, now: int, events: list[PolicyEvent], out: DecisionSink) -> None:
-        """Take all events since the last round.
+        """Process all events since the last round.
 
-        The first round has no events.
+        The first round must have no events.
 
         Args:
             now: The time, ns.
             events: The events in order.
-            out: Takes the decisions at once.
+            out: Receives each decision at once.
         """
         self.state.now = now
         if not self._has_begun:
@@ -111,7 +111,7 @@
         self.state.downstream.start_calls(now, out)
 
     def _leave_fleet(self, out: DecisionSink) -> None:
-        """Send clients away from a draining server."""
+        """Make clients use other servers while this one drains."""
         out.set_health(False, True)
         if self.settings.load_hint == "threshold":
             out.publish_load_hint(1.0)
@@ -127,7 +127,7 @@
             self.state.idempotency.expire(self.state.now)
 
     def _sample(self, gauges: dict[str, float]) -> None:
-        """Sample the detectors and adapt the concurrency limit."""
+        """Take a sample for the detectors and adapt the concurrency limit."""
         state = self.state
         tasks = state.tasks
         detector = state.detector
@@ -140,7 +140,7 @@
         state.concurrency.adapt(state.on_cores, tasks.running, tasks.queue_length, detector.peaks)
 
     def _control(self, out: DecisionSink) -> None:
-        """Act on a closed window: rate cap, quotas, idle timeout, health, cut and load hint."""
+        """Update rate cap, quotas, idle timeout, health, cutoff and load hint at the end of a window."""
         state = self.state
         now = state.now
         is_firing = state.detector.is_firing(now, state.tasks.by_id.values())
@@ -149,14 +149,14 @@
         state.quotas.update(now)
         state.connections.update(state.shedder.is_retry_storm(now), out)
         self._update_cold_health(out)
-        state.shedder.update_cut(now, state.rate_cap.cap)
+        state.shedder.update_cutoff(now, state.rate_cap.cap)
         self._update_load_hint(out)
 
     def _update_cold_health(self, out: DecisionSink) -> None:
-        """Take a cold server off the endpoint list while it is jammed with unread tasks.
+        """Report a cold server as unhealthy while it has a backlog of unread tasks.
 
-        Prevents cold successors from taking a warm server's traffic; could harm where all of a fleet starts
-        at once.
+        This takes it off the endpoint list. Prevents cold successors from receiving a warm server's traffic;
+        could harm where a whole fleet starts at once.
         """
         state = self.state
         age = state.now - state.started_at
@@ -168,7 +168,7 @@
     def _update_load_hint(self, out: DecisionSink) -> None:
         if self.settings.load_hint != "threshold" or self.state.drain.is_draining:
             return
-        load_hint = self.state.shedder.rank_at_cut() * LOAD_HINT_SHARE
+        load_hint = self.state.shedder.rank_at_cutoff() * LOAD_HINT_SHARE
         if load_hint != self.load_hint:
             self.load_hint = load_hint
             out.publish_load_hint(load_hint)
--- a/thistleline/policy/quotas.py
+++ b/thistleline/policy/quotas.py
@@ -1,4 +1,4 @@
-"""Tenant quotas: the part of each tenant's traffic that is over its quota."""
+"""Tenant quotas: the share of each tenant's traffic that exceeds its quota."""
 
 from collections import deque
 
@@ -7,14 +7,14 @@
 
 
 class TenantQuotas:
-    """Counts first attempts by tenant, taking this server for one of equals.
+    """Counts first attempts by tenant, assuming that all servers receive equal shares of the traffic.
 
     Attributes:
-        excess: Share of each tenant's traffic that is over its quota, 0 to 1.
+        excess: The share of each tenant's traffic that exceeds its quota, 0 to 1.
     """
 
     def __init__(self, settings: ServerSettings) -> None:
-        """Create the counts of all tenants of the settings."""
+        """Create the counts of all tenants in the settings."""
         self.excess = [0.0 for _ in settings.tenants]
         self._tenants = settings.tenants
         self._fleet_size = settings.fleet_size
@@ -26,11 +26,11 @@
             self._arrivals[tenant].append(now)
 
     def is_within(self, tenant: int, bucket: int) -> bool:
-        """Return whether the tenant's users of this bucket are within its quota."""
+        """Return whether users in this bucket are within the tenant's quota."""
         return not self.excess or bucket >= self.excess[tenant] * BUCKETS
 
     def update(self, now: int) -> None:
-        """Weigh each tenant's arrivals of the quota window against its allowance."""
+        """Compare each tenant's arrivals in the quota window with its allowance."""
         since = now - QUOTA_WINDOW
         for index, (tenant, arrivals) in enumerate(zip(self._tenants, self._arrivals, strict=True)):
             while arrivals and arrivals[0] <= since:
--- a/thistleline/policy/rate_cap.py
+++ b/thistleline/policy/rate_cap.py
@@ -1,4 +1,7 @@
-"""The cap on the rate of admitted tasks: seeded by a firing, probed upward with exponential backoff."""
+"""The cap on the rate of admitted tasks.
+
+A firing of the detectors sets the cap; probes then raise it, with exponential backoff between them.
+"""
 
 from collections import deque
 
@@ -16,16 +19,16 @@
 
 
 class RateCap:
-    """The cap, in tasks per second.
+    """A cap on admitted tasks per second.
 
     Attributes:
-        cap: The cap; None while there is none.
-        changed_at: When it was last changed, ns.
+        cap: The cap in tasks per second; None while no cap applies.
+        changed_at: When the cap was last set, decreased or probed, ns.
         fired_at: When the detectors last fired, ns.
     """
 
     def __init__(self, now: int) -> None:
-        """Create it without a cap."""
+        """Create the state of a server without a cap."""
         self.cap: float | None = None
         self.changed_at = now
         self.fired_at = now
@@ -44,7 +47,7 @@
             now: The time, ns.
             is_firing: Whether the detectors fire.
             in_violation: Whether either detector's last window was in violation.
-            arrival_rate: Tasks per second that arrive.
+            arrival_rate: Arriving tasks per second.
         """
         since = now - THROUGHPUT_WINDOW
         throughput = (
@@ -57,7 +60,7 @@
             self._probe(now, 0.0 if in_violation else throughput, arrival_rate)
 
     def _lower(self, now: int, throughput: float) -> None:
-        """Seed the cap; or roll a probe back and double the backoff; or decrease the cap."""
+        """Set the first cap; or undo the last probe and double the backoff; or decrease the cap."""
         if self.cap is None:
             self.cap = max(1.0, throughput)
             self._probe_backoff = MIN_PROBE_BACKOFF
@@ -72,12 +75,12 @@
                 self.cap = max(1.0, min(self.cap, throughput) * CAP_DECREASE)
             self.changed_at = now
 
-    def _probe(self, now: int, calm_throughput: float, arrival_rate: float) -> None:
-        """Raise the cap, or lift it once it is calm for long or the cap passes the arrival rate."""
+    def _probe(self, now: int, throughput_without_violation: float, arrival_rate: float) -> None:
+        """Raise the cap, or remove it after a long time without firing or above the arrival rate."""
         assert self.cap is not None
-        # What is finished in calm is proof of room. Prevents a cap, and a load hint, that outlive a slowdown
-        # of all servers; could harm where runs end in bursts of seconds.
-        self.cap = max(self.cap, calm_throughput)
+        # Throughput without a violation shows that there is capacity for it. Prevents a cap, and a load hint,
+        # from outlasting a slowdown of all servers; could harm where runs end in bursts that last seconds.
+        self.cap = max(self.cap, throughput_without_violation)
         if now - self.fired_at >= CAP_LIFT_AFTER or self.cap > arrival_rate * PROBE_STEP:
             self.cap = None
         elif now - max(self.changed_at, self.fired_at) >= self._probe_backoff:
--- a/thistleline/policy/rejections.py
+++ b/thistleline/policy/rejections.py
@@ -1,4 +1,4 @@
-"""Advice that goes with a rejection: when to retry, and whether another server would fare better."""
+"""Advice sent with a rejection: when to retry, and whether to try another server."""
 
 from collections import deque
 from collections.abc import Callable
@@ -19,50 +19,50 @@
 
 
 class RejectionAdvisor:
-    """Remembers rejections and gives Retry-After times, spread by chance."""
+    """Records rejections and computes Retry-After times with random jitter."""
 
     def __init__(self, settings: ServerSettings, seed: int) -> None:
-        """Create an advisor whose chance follows from the seed."""
+        """Create an advisor whose random numbers are seeded with `seed`."""
         self._settings = settings
-        self._chance: Callable[[], float] = Random(seed).random
-        # When it was rejected, and how old its next attempt will be.
+        self._random: Callable[[], float] = Random(seed).random
+        # Time of each rejection, and the expected age of the task's next attempt; ns.
         self._rejections: deque[tuple[int, int]] = deque(maxlen=MAX_SAMPLES)
 
     def typical_retry_age(self) -> int | None:
-        """Return the median age in ns of retries as recent rejections here make it; None without any."""
+        """Return the expected median age of retries of recently rejected tasks, ns; None without any."""
         if not self._rejections:
             return None
         ages = [age for _, age in islice(reversed(self._rejections), USUAL_TIMEOUT_SAMPLES)]
         return median_high(ages)
 
     def retry_after(self, unread_wait: int, tolerable_wait: float, is_draining: bool, is_capped: bool) -> int:
-        """Return the nanoseconds that a rejected client should wait; 0 for none.
+        """Return the nanoseconds that a client should wait before it retries a rejected task; 0 for none.
 
-        What is rejected comes back when what lies unread has been read: a rejection costs a reading too, so a
-        backlog of reading ends only if less is sent. Prevents retry storms.
+        Retries are delayed until the backlog of unread tasks has been read. A rejected task must be read too,
+        so the backlog ends only if less is sent. Prevents retry storms.
 
         Args:
-            unread_wait: How long tasks lie unread, ns.
-            tolerable_wait: A shorter one is no backlog, ns.
-            is_draining: Whether the server drains.
-            is_capped: Whether a rate cap stands.
+            unread_wait: How long tasks wait before they are read, ns.
+            tolerable_wait: The wait below which there is no backlog of unread tasks, ns.
+            is_draining: Whether the server is draining.
+            is_capped: Whether a rate cap applies.
         """
         max_retry_after = self._settings.max_retry_after
         wait = max_retry_after if is_draining else unread_wait
         if wait < tolerable_wait:
             wait = SHORT_RETRY_AFTER if is_capped and self._settings.load_hint == "none" else 0
-        return min(int(wait * (0.5 + self._chance())), max_retry_after)
+        return min(int(wait * (0.5 + self._random())), max_retry_after)
 
     def observe(self, now: int, age: int) -> None:
-        """Remember a rejection whose next attempt will be `age` ns old."""
+        """Record a rejection of a task whose next attempt will be `age` ns old."""
         self._rejections.append((now, age))
 
     def exceeds_budget(self, now: int, arrival_rate: float) -> bool:
-        """Return whether rejections exceed their budget, as a share of the arrivals."""
+        """Return whether recent rejections exceed their budget, a share of the arrivals."""
         budget = int(RETRY_BUDGET * arrival_rate * REJECTION_WINDOW / SECOND)
         return len(self._rejections) > budget and self._rejections[-1 - budget][0] > now - REJECTION_WINDOW
 
 
 def tolerable_unread_wait(latency_objective: int) -> float:
-    """Return the time unread in ns past which there is a backlog of reading."""
+    """Return the wait before reading, in ns, above which there is a backlog of unread tasks."""
     return MAX_UNREAD_SHARE * latency_objective
--- a/thistleline/policy/shedding.py
+++ b/thistleline/policy/shedding.py
@@ -1,6 +1,8 @@
-"""Load shedding by priority level, tenant quota and user bucket: what lies under the cut is rejected at read.
+"""Load shedding by priority level, tenant quota and user bucket.
 
-A shed position orders tasks from the first shed to the last: (2 * level + within quota) * BUCKETS + bucket.
+A task whose shed position is below the cutoff is rejected when read.
+
+Tasks are shed in ascending order of their shed position: (2 * level + within quota) * BUCKETS + bucket.
 """
 
 from collections import Counter, deque
@@ -10,7 +12,7 @@
 from thistleline.policy.tuning import (
     ARRIVAL_WINDOW,
     BUCKETS,
-    CUT_FALL_TIME,
+    CUTOFF_FALL_TIME,
     RETRY_BUDGET,
     RETRY_STORM_SHARE,
     SECOND,
@@ -22,24 +24,25 @@
 
 
 class LoadShedder:
-    """Counts arrivals by shed position and keeps the cut that fits them under the rate cap.
+    """Counts arrivals by shed position and sets the cutoff that keeps admitted tasks within the rate cap.
 
     Attributes:
-        cut: Shed positions below it are rejected.
+        cutoff: Tasks with a shed position below it are rejected.
     """
 
     def __init__(self, profiles: list[StageProfile]) -> None:
         """Create a shedder that sheds nothing."""
-        self.cut = 0
+        self.cutoff = 0
         self._profiles = profiles
         self._levels = max((profile.level for profile in profiles), default=0) + 1
-        self._arrivals: deque[tuple[int, int, bool]] = deque()  # when, shed position, whether a retry
-        self._retries = 0  # of these
+        self._arrivals: deque[tuple[int, int, bool]] = deque()  # time (ns), shed position, whether a retry
+        self._retries = 0  # in `_arrivals`
 
     def bucket_of(self, task: Task) -> int:
-        """Return the user's bucket, the same in every server and incarnation.
+        """Return the user's bucket, which is the same in every server and after a restart.
 
-        It is the hashed user key, or the place of the priority rank inside its stage where there is no key.
+        It is a hash of the user key or, without a user key, the position of the task's
+        priority rank within the range of its stage.
         """
         if task.user is not None:
             return (task.user * _HASH_MULTIPLIER >> 40) % BUCKETS
@@ -51,7 +54,7 @@
         self._retries += is_retry
 
     def arrival_rate(self, now: int) -> float:
-        """Return the tasks per second of the arrival window, having dropped older ones."""
+        """Return the arrivals per second in the arrival window, and drop older ones."""
         while self._arrivals and self._arrivals[0][0] <= now - ARRIVAL_WINDOW:
             self._retries -= self._arrivals.popleft()[2]
         return len(self._arrivals) * SECOND / ARRIVAL_WINDOW
@@ -61,29 +64,32 @@
         return self.arrival_rate(now) * RETRY_STORM_SHARE * ARRIVAL_WINDOW / SECOND < self._retries
 
     def exceeds_retry_budget(self) -> bool:
-        """Return whether retries exceed their budget, as a share of the arrivals."""
+        """Return whether retries exceed their budget, a share of the arrivals."""
         return self._retries > RETRY_BUDGET * len(self._arrivals)
 
-    def update_cut(self, now: int, cap: float | None) -> None:
-        """Raise the cut at once to what the cap wants, or lower it by a few buckets."""
-        fall = max(1, BUCKETS * WINDOW * TICK // CUT_FALL_TIME)
-        self.cut = max(self._cut_for(now, cap), self.cut - fall)
+    def update_cutoff(self, now: int, cap: float | None) -> None:
+        """Raise the cutoff at once to what the cap requires, or lower it by a few buckets at most."""
+        max_decrease = max(1, BUCKETS * WINDOW * TICK // CUTOFF_FALL_TIME)
+        self.cutoff = max(self._cutoff_for(now, cap), self.cutoff - max_decrease)
 
-    def rank_at_cut(self) -> float:
-        """Return the priority rank at the cut: stages take equal parts of the ranks, in order of utility."""
-        level, part = divmod(self.cut, 2 * BUCKETS)
+    def rank_at_cutoff(self) -> float:
+        """Return the priority rank at the cutoff; stages have equal ranges of ranks, in order of utility."""
+        level, part = divmod(self.cutoff, 2 * BUCKETS)
         below = sum(1 for profile in self._profiles if profile.level < level)
         at_level = sum(1 for profile in self._profiles if profile.level == level)
         return (below + at_level * max(0, part - BUCKETS) / BUCKETS) / len(self._profiles)
 
-    def _cut_for(self, now: int, cap: float | None) -> int:
-        """Return the lowest cut whose rest fits the cap; empty levels and buckets are skipped."""
+    def _cutoff_for(self, now: int, cap: float | None) -> int:
+        """Return the lowest cutoff that keeps the rate of tasks above it within the cap.
+
+        Levels and buckets without arrivals are skipped.
+        """
         excess = 0.0 if cap is None else self.arrival_rate(now) - cap
         counts = Counter(position for _, position, _ in self._arrivals if excess > 0)
-        cut = 0
+        cutoff = 0
         for position in sorted(counts):
             if excess <= 0:
                 break
             excess -= counts[position] * SECOND / ARRIVAL_WINDOW
-            cut = position + 1
-        return min(cut, 2 * BUCKETS * self._levels - 1)
+            cutoff = position + 1
+        return min(cutoff, 2 * BUCKETS * self._levels - 1)
--- a/thistleline/policy/state.py
+++ b/thistleline/policy/state.py
@@ -1,4 +1,4 @@
-"""The state of one policy: its mechanisms, and the questions that need several of them."""
+"""The state of one policy: its mechanisms, and checks that involve several of them."""
 
 from thistleline.interface import ServerSettings, Task
 from thistleline.policy.concurrency import ConcurrencyLimit
@@ -18,17 +18,17 @@
 
 
 class PolicyState:
-    """All that a policy knows.
+    """The mechanisms of a policy and the time of its present round.
 
     Attributes:
         settings: The server's settings.
         now: The time of the present round, ns.
         started_at: When the server started, ns.
-        on_cores: Tasks on the cores or waiting for one, as last gauged.
+        on_cores: Tasks on the cores or waiting for one, as last measured.
     """
 
     def __init__(self, settings: ServerSettings, seed: int, now: int) -> None:
-        """Create the state of a server that starts now."""
+        """Create the state of a server that starts at `now`, ns."""
         self.settings = settings
         self.now = now
         self.started_at = now
@@ -50,16 +50,16 @@
         self.drain = Drain()
 
     def slowdown(self) -> float:
-        """Return how many times its usual pace a run should take now."""
+        """Return the expected ratio of a run's pace to its usual pace now."""
         return self.estimator.slowdown(self.rate_cap.cap is not None)
 
     def is_memory_short(self, more_kb: float) -> bool:
-        """Return whether there is no memory for so much more."""
+        """Return whether there is not enough memory for `more_kb` kB more."""
         used = self.tasks.memory_kb + self.idempotency.memory_kb + more_kb
         return used > self.settings.memory_kb * MEMORY_MARGIN
 
     def is_too_late_to_run(self, task: Task) -> bool:
-        """Return whether the drain forbids to start the task: it came late, or can't end in time."""
+        """Return whether a drain forbids to start the task: it arrived too late, or would end too late."""
         if not self.drain.is_draining:
             return False
         end = self.now + self.estimator.estimate(task, self.slowdown())
--- a/thistleline/policy/tasks.py
+++ b/thistleline/policy/tasks.py
@@ -1,4 +1,4 @@
-"""Records of the tasks in hand: queued, running, in a downstream call, or awaiting a duplicate's result."""
+"""Records of tasks that have not ended: queued, running, in a downstream call, or awaiting a replay."""
 
 from typing import Literal
 
@@ -9,19 +9,19 @@
 
 
 class Effect:
-    """One keyed effect, however many attempts ask for it.
+    """One keyed effect, shared by all attempts that request it.
 
     Attributes:
-        has_run: Whether an attempt was started; all others are answered from its result.
+        has_run: Whether an attempt was started; all other attempts are answered with its result.
         holder: The queued attempt that will run.
         followers: Attempts that wait for the holder, in order of arrival.
-        expires_at: When the effect is forgotten, ns.
+        expires_at: When the record of the effect is deleted, ns.
     """
 
     __slots__ = ("expires_at", "followers", "has_run", "holder")
 
     def __init__(self, expires_at: int) -> None:
-        """Create an effect that has not run and that no attempt holds."""
+        """Create an effect that has not run and has no holder."""
         self.has_run = False
         self.holder: TaskRecord | None = None
         self.followers: list[TaskRecord] = []
@@ -29,18 +29,18 @@
 
 
 class TaskRecord:
-    """A task in hand.
+    """A task that has not ended.
 
     Attributes:
         task: The task as it was read.
         due: When its latency objective ends, ns; queued tasks start in this order.
         deadline: When its client stops waiting, ns.
-        shed_position: Its place in the order of shedding: level, quota, user bucket.
-        answer_by: When it is answered in whatever state, ns.
-        state: Its state; "answered" is one whose run has not ended yet.
-        started_at: When its run started, ns; 0 for never.
-        failed_calls: Downstream calls that failed.
-        effect: The keyed effect that it asks for.
+        shed_position: Its position in the order of shedding: level, quota, user bucket.
+        answer_by: When it is answered in any state, ns.
+        state: Its state; "answered" means that it was answered before its run ended.
+        started_at: When its run started, ns; 0 if it has not started.
+        failed_calls: The number of downstream calls that failed.
+        effect: The keyed effect that it requests; None for other tasks.
     """
 
     __slots__ = (
@@ -74,13 +74,13 @@
 
 
 class TaskTable:
-    """All tasks in hand, with the memory that they take.
+    """All tasks that have not ended, with the memory that they use.
 
     Attributes:
         by_id: The records by task id.
-        running: Runs that were started and have not ended.
-        queue_length: Tasks queued at the end of the last round, and read since.
-        memory_kb: Memory of all tasks in hand.
+        running: The number of runs that were started and have not ended.
+        queue_length: The number of tasks queued at the end of the last round or since.
+        memory_kb: Memory of all tasks in the table.
     """
 
     def __init__(self, settings: ServerSettings) -> None:
@@ -89,7 +89,7 @@
         self.running = 0
         self.queue_length = 0
         self.memory_kb = 0.0
-        self._running_extra = settings.running_memory_factor - 1
+        self._extra_memory_factor = settings.running_memory_factor - 1
 
     def add(self, record: TaskRecord) -> None:
         """Add a task that was read."""
@@ -102,8 +102,8 @@
         self.memory_kb -= record.task.queued_memory_kb
 
     def memory_to_run(self, record: TaskRecord) -> float:
-        """Return the memory in kB that a queued task takes besides once it runs."""
-        return record.task.queued_memory_kb * self._running_extra
+        """Return the additional memory in kB that a queued task uses once it runs."""
+        return record.task.queued_memory_kb * self._extra_memory_factor
 
     def start(self, record: TaskRecord) -> None:
         """Count a task as running."""
@@ -111,7 +111,7 @@
         self.memory_kb += self.memory_to_run(record)
 
     def release(self, record: TaskRecord) -> None:
-        """Give back what a task took that is no longer in the table."""
+        """Release the memory and the run of a task that was taken out of the table."""
         if record.started_at:
             self.running -= 1
             self.memory_kb -= self.memory_to_run(record)
--- a/thistleline/state/policy_host.py
+++ b/thistleline/state/policy_host.py
@@ -177,7 +177,7 @@
             case TaskArrived(task):
                 return task.id not in self._attempts or task.id in self.policy.tasks
             case DrainRequested():
-                return self.policy.shut is not None
+                return self.policy.accept_until is not None
             case TimerFired():
                 return True
             case _:
--- a/thistleline/state/state_machine.py
+++ b/thistleline/state/state_machine.py
@@ -151,7 +151,7 @@
         gauged = {name: round(value, 3) for name, value in values}
         age_ms = (self.context.now - self.session.measured_at) // 1_000_000
         return {
-            "believed": [len(self.policy.tasks), self.policy.running, int(self.policy.memory)],
+            "believed": [len(self.policy.tasks), self.policy.running, int(self.policy.memory_kb)],
             "gauged": {**gauged, "age_ms": age_ms},
             "good": self.health.healthy,
             "level": self.health.load_hint,
