--- a/tests/test_state_machine.py
+++ b/tests/test_state_machine.py
@@ -1,4 +1,4 @@
-"""Stories told to the state machine without a socket: what is owed, what ran, and what the agent was told."""
+"""Unit tests of the server's state machine without sockets: answers, runs and commands to the agent."""
 
 from dataclasses import replace
 from typing import Any
@@ -43,10 +43,10 @@
 )
 from thistleline.state.limits import MAX_OPEN_TASKS
 
-# ---- a task gets its one answer
+# ---- each task gets exactly one answer
 
 
-def test_a_task_is_launched_and_answered_once() -> None:
+def test_a_task_is_started_and_answered_once() -> None:
     desk = Desk()
     name = desk.send(1)
     assert desk.wait() == [StartRun(name, "lookup", b"body")]
@@ -58,47 +58,49 @@
     assert desk.answers() == ["finished"]
 
 
-@pytest.mark.parametrize("how", ["failed", "stopped", "moot"])
-def test_a_run_that_ends_badly_is_answered(how: RunOutcome) -> None:
+@pytest.mark.parametrize("outcome", ["failed", "stopped", "moot"])
+def test_a_run_without_a_result_is_answered_as_abandoned(outcome: RunOutcome) -> None:
     desk = Desk()
     name = desk.send(1)
     desk.wait()
-    desk.end(name, how)
+    desk.end(name, outcome)
     assert desk.answers() == ["abandoned"]
 
 
-def test_all_that_lies_read_goes_to_the_module_in_one_round(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_tasks_read_together_reach_the_policy_in_one_round(monkeypatch: pytest.MonkeyPatch) -> None:
     desk = Desk()
     rounds: list[list[type]] = []
     monkeypatch.setattr(
         desk.machine.policy,
         "round",
-        lambda now, came_in, out: rounds.append([type(event) for event in came_in]),
+        lambda now, events, sink: rounds.append([type(event) for event in events]),
     )
     for connection in range(5):
         desk.send(connection)
     desk.wait(5 * MS)
     desk.send(1)
-    assert [came_in.count(TaskArrived) for came_in in rounds] == [5]
+    assert [types.count(TaskArrived) for types in rounds] == [5]
 
 
-@pytest.mark.parametrize("late", ["the agent is not up", "the samples are not answered", "the link is lost"])
-def test_time_limits_hold_without_the_agent(late: str) -> None:
-    desk = Desk(up=late != "the agent is not up")
+@pytest.mark.parametrize(
+    "fault", ["the agent is not up", "measurements are not answered", "the link is lost"]
+)
+def test_tasks_are_answered_before_their_timeout_without_the_agent(fault: str) -> None:
+    desk = Desk(up=fault != "the agent is not up")
     desk.answers_samples = False
-    sent = desk.now
+    sent_at = desk.now
     desk.send(1)
-    desk.send(1, "mark")
-    if late == "the link is lost":
+    desk.send(1, "key")
+    if fault == "the link is lost":
         desk.wait()
         desk.put(AgentLost("gone"))
     while len(desk.answers()) < 2:
-        assert desk.now < sent + BOOKING.timeout
+        assert desk.now < sent_at + BOOKING.timeout
         desk.wait(25 * MS)
     assert "finished" not in desk.answers()
 
 
-def test_a_run_stopped_at_its_due_time_is_answered_once() -> None:
+def test_a_run_stopped_after_its_latency_objective_is_answered_once() -> None:
     desk = Desk()
     name = desk.send(1)
     desk.wait(LOOKUP.latency_objective + 100 * MS)
@@ -107,7 +109,7 @@
     assert desk.answers() == ["abandoned"]
 
 
-def test_a_try_that_is_in_hand_already_is_no_second_task() -> None:
+def test_an_attempt_id_that_is_already_in_progress_is_refused() -> None:
     desk = Desk()
     desk.send(1, id="same")
     desk.send(2, id="same")
@@ -117,54 +119,54 @@
     assert desk.answers() == ["finished"]
 
 
-def test_a_time_from_the_future_counts_as_now() -> None:
+def test_an_arrival_time_in_the_future_counts_as_now() -> None:
     desk = Desk()
     desk.send(1, arrived_at=desk.now + 5 * SECOND)
     desk.wait(LOOKUP.timeout)
     assert len(desk.answers()) == 1
 
 
-@pytest.mark.parametrize("ahead", [-3600 * SECOND, 3600 * SECOND])
-def test_what_came_at_no_likely_time_is_no_jam_of_reading(ahead: int) -> None:
+@pytest.mark.parametrize("offset", [-3600 * SECOND, 3600 * SECOND])
+def test_tasks_with_implausible_arrival_times_are_refused_and_not_counted_as_read_delay(offset: int) -> None:
     desk = Desk()
-    for place in range(100):
-        desk.send(place % 8, arrived_at=desk.now + ahead)
+    for index in range(100):
+        desk.send(index % 8, arrived_at=desk.now + offset)
     desk.wait()
     assert len(desk.kinds(AnswerMisunderstood)) == 100
     assert desk.machine.policy.state.detector.unread_wait(desk.machine.policy.now) == 0
     assert desk.launched() == []
 
 
-def test_answers_carry_the_level_from_when_it_was_said() -> None:
+def test_answers_carry_the_load_hint_once_it_is_published() -> None:
     desk = Desk()
     assert desk.put(HealthCheckReceived(1, 9, False)) == [AnswerHealth(1, 9, True, None)]
     desk.machine.decisions.publish_load_hint(0.25)
     assert desk.put(HealthCheckReceived(1, 9, False)) == [AnswerHealth(1, 9, True, 0.25)]
 
 
-# ---- no effect twice
+# ---- no effect runs twice
 
 
 def test_a_repeat_waits_for_the_run_and_later_ones_get_its_result() -> None:
     desk = Desk()
-    name = desk.send(1, "mark")
+    name = desk.send(1, "key")
     desk.wait()
-    desk.send(2, "mark", is_retry=True)
+    desk.send(2, "key", is_retry=True)
     desk.wait()
     assert desk.answers() == []
     desk.end(name)
     desk.wait()
-    desk.send(3, "mark", is_retry=True)
+    desk.send(3, "key", is_retry=True)
     desk.wait()
-    told = desk.kinds(AnswerFinished)
-    assert [effect.connection for effect in told] == [1, 2, 3]
-    assert {bytes(effect.result) for effect in told} == {b"result of t1"}
+    answers = desk.kinds(AnswerFinished)
+    assert [effect.connection for effect in answers] == [1, 2, 3]
+    assert {bytes(effect.result) for effect in answers} == {b"result of t1"}
     assert desk.launched() == [name]
 
 
-def test_two_tries_read_at_once_run_once() -> None:
+def test_two_attempts_read_together_run_once() -> None:
     desk = Desk()
-    first, _ = desk.send(1, "mark"), desk.send(2, "mark", is_retry=True)
+    first, _ = desk.send(1, "key"), desk.send(2, "key", is_retry=True)
     desk.wait()
     desk.end(first)
     desk.wait()
@@ -172,108 +174,111 @@
     assert desk.answers() == ["finished", "finished"]
 
 
-@pytest.mark.parametrize(("lain", "runs"), [(10 * SECOND, 1), (0, 2)])
-def test_the_window_counts_to_when_a_repeat_came_not_to_when_it_was_read(lain: int, runs: int) -> None:
-    """Read two seconds past the window; the one that came in time is answered from what ran."""
+@pytest.mark.parametrize(("unread_for", "runs"), [(10 * SECOND, 1), (0, 2)])
+def test_the_idempotency_window_is_compared_with_the_arrival_time_of_a_repeat(
+    unread_for: int, runs: int
+) -> None:
+    """Both repeats are read 2 s after the window; the one that arrived within it gets the cached result."""
     desk = Desk()
-    name = desk.send(1, "mark")
+    name = desk.send(1, "key")
     desk.wait()
     desk.end(name)
     desk.wait(BOOKING.idempotency_window + 2 * SECOND)
-    desk.send(2, "mark", is_retry=True, arrived_at=desk.now - min(lain, 3 * SECOND))
+    desk.send(2, "key", is_retry=True, arrived_at=desk.now - min(unread_for, 3 * SECOND))
     desk.wait()
     assert len(desk.launched()) == runs
 
 
 def test_a_failed_effect_is_not_run_again_in_its_window() -> None:
     desk = Desk()
-    name = desk.send(1, "mark")
+    name = desk.send(1, "key")
     desk.wait()
     desk.end(name, "failed")
-    desk.send(2, "mark", is_retry=True)
+    desk.send(2, "key", is_retry=True)
     desk.wait()
     assert desk.launched() == [name]
     assert desk.answers() == ["abandoned", "abandoned"]
 
 
-def test_a_stranger_with_a_known_mark_gets_no_result_and_harms_no_rightful_try() -> None:
+def test_a_known_key_with_another_body_gets_no_result_and_does_not_affect_the_original() -> None:
     desk = Desk(cores=8)
-    name, strange = desk.send(1, "mark"), desk.send(2, "mark", b"another body", is_retry=True)
+    name, foreign = desk.send(1, "key"), desk.send(2, "key", b"another body", is_retry=True)
     desk.wait()
-    assert desk.launched() == [name, strange]
-    desk.put(CommandDeclined("start", strange))
+    assert desk.launched() == [name, foreign]
+    desk.put(CommandDeclined("start", foreign))
     desk.end(name)
     desk.wait()
-    desk.send(3, "mark", is_retry=True)
-    desk.send(2, "mark", b"another body", is_retry=True)
+    desk.send(3, "key", is_retry=True)
+    desk.send(2, "key", b"another body", is_retry=True)
     desk.wait()
     assert [effect.connection for effect in desk.kinds(AnswerFinished)] == [1, 3]
     assert desk.launched().count(name) == 1
 
 
-def test_a_stranger_under_the_id_of_what_ran_unbinds_nothing() -> None:
-    """Seen on a day of bad clients: the declined stranger took the effect's place, and a repeat ran again."""
+def test_reusing_the_id_of_an_earlier_run_does_not_release_its_effect() -> None:
+    """Guards against a second run: a declined start under a known id replaced the effect's entry, and a later
+    repeat ran again."""
     desk = Desk(cores=4)
-    name = desk.send(1, "mark")
+    name = desk.send(1, "key")
     desk.wait()
     desk.end(name)
-    desk.send(2, "mark", b"another body", id=name, is_retry=True)
+    desk.send(2, "key", b"another body", id=name, is_retry=True)
     desk.wait()
     desk.put(CommandDeclined("start", name))
-    desk.send(2, "another mark", id=name)  # id and body are known to the agent: it would run
+    desk.send(2, "another key", id=name)  # the agent would run it: it knows this id and body
     desk.wait()
-    desk.send(1, "mark", is_retry=True)
+    desk.send(1, "key", is_retry=True)
     desk.wait()
     assert desk.launched() == [name]
     assert desk.answers() == ["finished", "abandoned", "abandoned", "finished"]
 
 
-def test_tries_that_come_together_after_a_run_outlived_its_window_run_once() -> None:
+def test_attempts_read_together_run_once_after_a_run_outlived_its_window() -> None:
     desk = Desk(cores=4)
-    first = desk.send(1, "mark")
+    first = desk.send(1, "key")
     desk.wait(30 * SECOND)
-    second, _ = desk.send(1, "mark"), desk.send(2, "mark", is_retry=True)
+    second, _ = desk.send(1, "key"), desk.send(2, "key", is_retry=True)
     desk.wait()
     assert desk.launched() == [first, second]
 
 
-@pytest.mark.parametrize("how", ["declined", "moot"])
-def test_an_effect_that_never_ran_is_not_remembered(how: str) -> None:
-    """Guards the table of what ran against all that the agent does not know."""
+@pytest.mark.parametrize("end", ["declined", "moot"])
+def test_an_effect_that_never_ran_is_not_remembered(end: str) -> None:
+    """Keeps effects that the agent refused or doesn't know out of the idempotency table."""
     desk = Desk()
-    name = desk.send(1, "mark")
+    name = desk.send(1, "key")
     desk.wait()
-    if how == "declined":
+    if end == "declined":
         desk.put(CommandDeclined("start", name))
     else:
         desk.end(name, "moot")
     desk.wait()
     assert (desk.machine.idempotency.by_key, desk.machine.policy.state.idempotency.remembered) == ({}, {})
-    again = desk.send(1, "mark", is_retry=True)
+    again = desk.send(1, "key", is_retry=True)
     desk.wait()
     assert desk.launched() == [name, again]
 
 
-def test_results_are_bounded_and_their_effects_stay_known() -> None:
+def test_cached_results_are_bounded_and_their_keys_are_kept() -> None:
     desk = Desk(results_bound=30)
-    for place in range(4):
-        name = desk.send(1, f"mark{place}")
+    for index in range(4):
+        name = desk.send(1, f"key{index}")
         desk.wait()
         desk.end(name)
     desk.wait()
     assert desk.machine.idempotency.result_bytes <= 30
-    desk.send(1, "mark0", is_retry=True)
+    desk.send(1, "key0", is_retry=True)
     desk.wait()
     assert len(desk.launched()) == 4
     assert desk.answers() == ["finished"] * 4 + ["abandoned"]
 
 
-def test_a_connection_that_ends_lets_its_tasks_go_but_not_their_effects() -> None:
+def test_the_run_of_an_ended_connection_answers_repeats() -> None:
     desk = Desk()
-    name = desk.send(1, "mark")
+    name = desk.send(1, "key")
     desk.wait()
     desk.put(ConnectionEnded(1, "reset"))
-    desk.send(2, "mark", is_retry=True)
+    desk.send(2, "key", is_retry=True)
     desk.wait()
     desk.end(name)
     assert desk.launched() == [name]
@@ -283,23 +288,23 @@
 def test_a_task_whose_connection_ended_before_the_round_never_starts() -> None:
     desk = Desk()
     desk.send(1)
-    desk.send(1, "mark")
+    desk.send(1, "key")
     desk.put(ConnectionEnded(1, ""))
-    other = desk.send(2, "mark")
+    other = desk.send(2, "key")
     desk.wait()
     assert desk.launched() == [other]
 
 
-def test_tries_read_at_once_run_once_though_one_of_them_is_let_go() -> None:
+def test_attempts_read_together_run_once_when_one_connection_ends() -> None:
     desk = Desk(cores=8)
-    first, _ = desk.send(1, "mark"), desk.send(2, "mark", is_retry=True)
+    first, _ = desk.send(1, "key"), desk.send(2, "key", is_retry=True)
     desk.put(ConnectionEnded(2, "reset"))
-    desk.send(3, "mark", is_retry=True)
+    desk.send(3, "key", is_retry=True)
     desk.wait()
     assert desk.launched() == [first]
 
 
-def test_reads_of_one_subject_share_a_run_while_it_is_fresh() -> None:
+def test_reads_of_one_subject_share_a_run_until_the_cached_result_expires() -> None:
     desk = Desk(cached_result_ttl=2 * SECOND)
 
     def read(connection: int) -> str:
@@ -322,51 +327,51 @@
     assert len(desk.launched()) == 2
 
 
-# ---- the agent's link
+# ---- the link to the agent
 
 
-def test_after_a_lost_link_what_may_run_twice_and_may_not_have_arrived_is_launched_again() -> None:
-    """A launch that crossed the end of the link may be lost; one that a sample confirmed runs. What ended
-    meanwhile comes with the replay."""
+def test_a_new_link_restarts_idempotent_and_unsent_runs_whose_start_may_be_lost() -> None:
+    """A start sent just before the link ended may be lost; one confirmed by a measurement has arrived. Runs
+    that ended meanwhile are reported in the repeated notices."""
     desk = Desk(cores=8)
-    sure = desk.send(1)
+    confirmed = desk.send(1)
     desk.wait(50 * MS)
     desk.answers_samples = False
-    unsure, booking = desk.send(1), desk.send(1, "mark")
+    unconfirmed, booking = desk.send(1), desk.send(1, "key")
     desk.wait()
     desk.put(AgentLost("reset"))
-    away = desk.send(2, "other")
+    unsent = desk.send(2, "other")
     desk.wait()
-    assert desk.launched() == [sure, unsure, booking]
+    assert desk.launched() == [confirmed, unconfirmed, booking]
     desk.effects.clear()
     desk.answers_samples = True
     desk.put(AgentGreeted(False, 61 * SECOND))
-    assert sorted(desk.launched()) == sorted([unsure, away])
+    assert sorted(desk.launched()) == sorted([unconfirmed, unsent])
 
 
-@pytest.mark.parametrize("told", [True, False])
-def test_an_effect_that_may_have_been_launched_is_not_launched_again(told: bool) -> None:
-    """A second start that crosses the end of the first would run it twice. If its end is not told in a while
-    its room is given back, it is abandoned, and its repeats with it."""
+@pytest.mark.parametrize("end_reported", [True, False])
+def test_a_keyed_run_whose_start_may_be_lost_is_not_started_again(end_reported: bool) -> None:
+    """A second start that crosses the notice of the first run's end would run the effect twice. If no end is
+    reported within the wait, the run's capacity is freed, and it and its repeats are abandoned."""
     desk = Desk()
     desk.answers_samples = False
-    name = desk.send(1, "mark")
+    name = desk.send(1, "key")
     desk.wait()
     desk.put(AgentLost("reset"))
     desk.answers_samples = True
     desk.put(AgentGreeted(False, 61 * SECOND))
-    if told:
+    if end_reported:
         desk.wait(100 * MS)
         desk.end(name)
     desk.wait(BOOKING.latency_objective // 2 + 300 * MS)
-    desk.send(2, "mark", is_retry=True)
+    desk.send(2, "key", is_retry=True)
     desk.wait()
     assert desk.launched() == [name]
-    assert desk.answers() == (["finished"] if told else ["abandoned"]) * 2
+    assert desk.answers() == (["finished"] if end_reported else ["abandoned"]) * 2
     assert (desk.machine.runs, desk.machine.policy.running) == ({}, 0)
 
 
-def test_a_stop_lost_with_the_link_is_told_again() -> None:
+def test_a_stop_is_repeated_on_a_new_link() -> None:
     desk = Desk()
     name = desk.send(1)
     desk.wait(LOOKUP.latency_objective + 100 * MS)
@@ -376,25 +381,25 @@
     assert desk.kinds(StartRun, StopRun) == [StopRun(name)]
 
 
-def test_the_replay_is_read_before_anything_is_launched_again() -> None:
+def test_missed_notices_are_read_before_runs_are_restarted() -> None:
     desk = Desk()
     desk.answers_samples = False
-    name = desk.send(1, "mark")
+    name = desk.send(1, "key")
     desk.wait()
     desk.put(AgentLost("reset"))
     desk.effects.clear()
     desk.put(AgentGreeted(False, 61 * SECOND))
-    mark = desk.kinds(MeasureGauges)[-1].tag
+    tag = desk.kinds(MeasureGauges)[-1].tag
     desk.end(name, number=5)
     desk.end(name, number=5)
-    desk.put(GaugesMeasured(mark, [0.5, 2.0]))
+    desk.put(GaugesMeasured(tag, [0.5, 2.0]))
     desk.wait()
     assert desk.launched() == []
     assert desk.answers() == ["finished"]
     assert desk.machine.session.last_notice == 5
 
 
-def test_a_run_given_up_while_the_link_is_down_is_never_launched() -> None:
+def test_a_run_given_up_while_the_link_is_down_is_never_started() -> None:
     desk = Desk()
     desk.put(AgentLost("reset"))
     desk.send(1)
@@ -414,7 +419,7 @@
         CommandDeclined("measure", "1"),
     ],
 )
-def test_what_the_agent_says_beside_is_taken_calmly(notice: Any) -> None:
+def test_unexpected_notices_of_the_agent_do_not_affect_a_run(notice: Any) -> None:
     desk = Desk()
     name = desk.send(1)
     desk.wait()
@@ -424,17 +429,21 @@
     assert len(desk.answers()) == 1
 
 
-@pytest.mark.parametrize(("fresh", "age", "room"), [(True, 0, 3), (True, 30 * SECOND, 8), (False, SECOND, 8)])
-def test_the_greeting_tells_whether_the_machine_is_cold(fresh: bool, age: int, room: int) -> None:
+@pytest.mark.parametrize(
+    ("cold_start", "uptime", "max_running"), [(True, 0, 3), (True, 30 * SECOND, 8), (False, SECOND, 8)]
+)
+def test_the_greeting_sets_whether_the_machine_is_cold(
+    cold_start: bool, uptime: int, max_running: int
+) -> None:
     desk = Desk(up=False)
     desk.wait(SECOND)
-    desk.put(AgentGreeted(fresh, age))
+    desk.put(AgentGreeted(cold_start, uptime))
     concurrency = desk.machine.policy.state.concurrency
     concurrency.limit = 99.0
-    assert concurrency.max_running(desk.machine.policy.now) == room
+    assert concurrency.max_running(desk.machine.policy.now) == max_running
 
 
-def test_no_health_before_the_agent_and_a_deep_check_asks_it() -> None:
+def test_health_is_bad_before_the_agent_is_up_and_deep_checks_reach_it() -> None:
     desk = Desk(up=False)
     desk.put(ConnectionOpened(1))
     assert desk.put(HealthCheckReceived(1, 1, True)) == [AnswerHealth(1, 1, False, None)]
@@ -446,8 +455,8 @@
     assert desk.put(AgentLost("reset")) == [AnswerHealth(1, 3, False, None)]
     desk.put(AgentGreeted(False, 0))
     desk.put(HealthCheckReceived(1, 4, True))
-    health = [effect for effect in desk.wait(2 * SECOND) if isinstance(effect, AnswerHealth)]
-    assert (1, 4, False) in [(effect.connection, effect.seq, effect.healthy) for effect in health]
+    answers = [effect for effect in desk.wait(2 * SECOND) if isinstance(effect, AnswerHealth)]
+    assert (1, 4, False) in [(effect.connection, effect.seq, effect.healthy) for effect in answers]
 
 
 # ---- connections
@@ -456,14 +465,14 @@
 def test_a_full_connection_is_not_read_until_something_on_it_is_answered() -> None:
     desk = Desk(memory_kb=1e9)
     names = [desk.send(1) for _ in range(MAX_OPEN_TASKS)]
-    assert desk.machine.connections.by_number[1].stalled
+    assert desk.machine.connections.by_number[1].read_paused
     desk.wait()
     before = len(desk.kinds(ReadConnection))
     desk.end(names[0])
     assert len(desk.kinds(ReadConnection)) == before + 1
 
 
-def test_past_the_descriptors_an_idle_connection_gives_way() -> None:
+def test_above_the_connection_limit_an_idle_connection_is_closed() -> None:
     desk = Desk(connections=3)
     for connection in (1, 2, 3):
         desk.send(connection)
@@ -475,7 +484,7 @@
     assert set(desk.machine.connections.by_number) == {1, 3, 4}
 
 
-def test_a_flood_of_silent_connections_costs_no_other_its_place() -> None:
+def test_a_flood_of_silent_connections_evicts_no_active_connection() -> None:
     desk = Desk(connections=4)
     for connection in (1, 2, 3, 1, 2, 3):
         name = desk.send(connection)
@@ -487,7 +496,7 @@
     assert set(desk.machine.connections.by_number) == {1, 2, 3, 19}
 
 
-def test_a_crowd_that_asks_once_and_stays_costs_no_client_stub_its_connection() -> None:
+def test_connections_with_a_single_message_are_evicted_before_others() -> None:
     desk = Desk(connections=5)
     for connection in (1, 1, 2, 2, *range(10, 20)):
         name = desk.send(connection)
@@ -496,7 +505,7 @@
     assert set(desk.machine.connections.by_number) == {1, 2, 17, 18, 19}
 
 
-def test_a_burst_of_newcomers_is_read_before_any_of_it_gives_way() -> None:
+def test_new_connections_are_not_evicted_before_their_first_message_can_be_read() -> None:
     desk = Desk(connections=5)
     for connection in range(5):
         desk.put(ConnectionOpened(connection))
@@ -509,21 +518,21 @@
     assert [effect.connection for effect in desk.kinds(CloseConnection)] == [0, 1, 2, 10]
 
 
-def test_what_the_module_believes_is_told_beside_what_the_agent_said() -> None:
+def test_diagnostics_show_the_policy_load_next_to_the_gauges() -> None:
     desk = Desk()
     names = [desk.send(1) for _ in range(3)]
     desk.wait()
-    told = desk.machine.believed()
-    assert told["believed"] == [3, 2, 3 * 10 + 2 * 150]
-    assert (told["gauged"]["on_cores"], told["gauged"]["age_ms"] <= 25) == (2.0, True)
+    shown = desk.machine.diagnostics()
+    assert shown["believed"] == [3, 2, 3 * 10 + 2 * 150]
+    assert (shown["gauged"]["on_cores"], shown["gauged"]["age_ms"] <= 25) == (2.0, True)
     for name in names:
         desk.wait()
         desk.end(name)
     desk.wait()
-    assert desk.machine.believed()["believed"] == [0, 0, 0]
+    assert desk.machine.diagnostics()["believed"] == [0, 0, 0]
 
 
-def test_a_connection_that_never_carries_a_whole_message_is_closed() -> None:
+def test_a_connection_without_a_complete_message_is_closed() -> None:
     desk = Desk()
     for connection in (1, 2, 3):
         desk.put(ConnectionOpened(connection))
@@ -535,19 +544,19 @@
     assert [effect.connection for effect in desk.kinds(CloseConnection)] == [1, 2]
 
 
-@pytest.mark.parametrize("offence", ["malformed", "in hand already", "declined"])
-def test_who_goes_on_offending_is_read_no_more_and_closed_once_nothing_is_open(offence: str) -> None:
+@pytest.mark.parametrize("violation", ["malformed", "already in progress", "declined"])
+def test_a_connection_with_too_many_violations_is_not_read_and_closed_once_idle(violation: str) -> None:
     desk = Desk(cores=64)
     name, other = desk.send(1), desk.send(2)
-    for _ in range(limits.MAX_OFFENCES):
-        if offence == "malformed":
+    for _ in range(limits.MAX_VIOLATIONS):
+        if violation == "malformed":
             desk.put(MalformedReceived(1, 9, b"process", "not strict binary"))
-        elif offence == "in hand already":
+        elif violation == "already in progress":
             desk.send(1, id=other)
         else:
-            strange = desk.send(1)
+            declined = desk.send(1)
             desk.wait()
-            desk.put(CommandDeclined("start", strange))
+            desk.put(CommandDeclined("start", declined))
     desk.effects.clear()
     desk.put(InputDrained(1))
     desk.wait(limits.SWEEP_INTERVAL)
@@ -559,35 +568,35 @@
     assert desk.answers()[-2:] == ["finished", "finished"]
 
 
-def test_a_flood_of_nonsense_is_counted_and_told_once_a_second() -> None:
+def test_malformed_messages_are_all_counted_and_logged_once_a_second() -> None:
     desk = Desk()
-    for place in range(100):
-        desk.put(ConnectionOpened(place))
-        desk.put(MalformedReceived(place, None, None, "not strict binary"))
+    for connection in range(100):
+        desk.put(ConnectionOpened(connection))
+        desk.put(MalformedReceived(connection, None, None, "not strict binary"))
         desk.now += 20 * MS
     lines = [effect for effect in desk.kinds(LogEvent) if effect.event == "malformed"]
     assert len(lines) == 2
     assert desk.machine.context.figures["malformed"] == 100
 
 
-def test_idle_connections_are_told_before_they_are_closed() -> None:
+def test_idle_connections_are_dismissed_before_they_are_closed() -> None:
     desk = Desk()
     desk.put(ConnectionOpened(1))
     busy = desk.send(2)
     desk.wait()
     desk.machine.decisions.set_idle_timeout(SECOND)
-    told = desk.wait(2 * SECOND)
-    assert told[:2] == [DismissConnection(1), CloseConnection(1)]
-    assert CloseConnection(2) not in told
+    effects = desk.wait(2 * SECOND)
+    assert effects[:2] == [DismissConnection(1), CloseConnection(1)]
+    assert CloseConnection(2) not in effects
     desk.end(busy)
 
 
 @pytest.mark.parametrize("seq", [7, None])
-def test_what_is_malformed_harms_its_own_connection_at_most(seq: int | None) -> None:
+def test_a_malformed_message_affects_only_its_own_connection(seq: int | None) -> None:
     desk = Desk()
     other, _ = desk.send(1), desk.send(2)
-    told = desk.put(MalformedReceived(2, seq, b"process", "not strict binary"))
-    assert told == [
+    effects = desk.put(MalformedReceived(2, seq, b"process", "not strict binary"))
+    assert effects == [
         CloseConnection(2) if seq is None else AnswerMisunderstood(2, 7, b"process", "not strict binary")
     ]
     desk.wait()
@@ -595,50 +604,50 @@
     assert 1 in [effect.connection for effect in desk.kinds(AnswerFinished)]
 
 
-# ---- leaving
+# ---- draining
 
 
-def test_leaving_answers_all_in_time_and_ends() -> None:
+def test_draining_answers_all_tasks_before_the_stop_and_ends() -> None:
     desk = Desk(memory_kb=1e9, cores=64)
-    for place in range(40):
-        desk.send(place % 4, f"mark{place}" if place % 2 else None)
+    for index in range(40):
+        desk.send(index % 4, f"key{index}" if index % 2 else None)
     desk.wait()
-    by = desk.now + 3 * SECOND
-    assert desk.put(ShutdownRequested(by)) == [AnnounceAccepting(False)]
-    assert desk.put(ShutdownRequested(by + SECOND)) == []
+    stop_at = desk.now + 3 * SECOND
+    assert desk.put(ShutdownRequested(stop_at)) == [AnnounceAccepting(False)]
+    assert desk.put(ShutdownRequested(stop_at + SECOND)) == []
     desk.wait(SECOND)
     assert desk.kinds(StopAccepting, DismissConnection) == []
-    still = desk.send(5)
+    before_closing = desk.send(5)
     desk.wait(900 * MS)
     assert [type(effect) for effect in desk.kinds(StopAccepting, DismissConnection)] == [StopAccepting] + [
         DismissConnection
     ] * 5
-    late = desk.send(6)
+    after_closing = desk.send(6)
     assert DismissConnection(6) in desk.effects
     desk.wait(2 * SECOND)
     assert len(desk.answers()) == 42
-    assert (still in desk.launched(), late in desk.launched()) == (True, False)
+    assert (before_closing in desk.launched(), after_closing in desk.launched()) == (True, False)
     assert desk.lifecycle.phase == "ended"
-    assert desk.now < by
+    assert desk.now < stop_at
 
 
-def test_leaving_with_nothing_owed_ends_at_once() -> None:
+def test_draining_without_open_tasks_ends_at_once() -> None:
     desk = Desk(up=False)
-    by = desk.now + 3 * SECOND
-    desk.put(ShutdownRequested(by))
+    stop_at = desk.now + 3 * SECOND
+    desk.put(ShutdownRequested(stop_at))
     desk.wait(limits.SWEEP_INTERVAL)
-    assert desk.kinds(EndProcess) == [EndProcess(by - limits.EXIT_MARGIN * 2 // 3)]
+    assert desk.kinds(EndProcess) == [EndProcess(stop_at - limits.EXIT_MARGIN * 2 // 3)]
 
 
-def test_a_client_that_does_not_close_is_not_waited_for() -> None:
+def test_draining_closes_a_connection_that_its_client_keeps_open() -> None:
     desk = Desk()
     name = desk.send(1)
     desk.wait()
-    by = desk.now + 3 * SECOND
-    desk.put(ShutdownRequested(by))
+    stop_at = desk.now + 3 * SECOND
+    desk.put(ShutdownRequested(stop_at))
     desk.end(name)
     desk.wait(1800 * MS + limits.DISMISSAL_GRACE + 2 * limits.SWEEP_INTERVAL)
     assert desk.kinds(CloseConnection, EndProcess) == [
         CloseConnection(1),
-        EndProcess(by - limits.EXIT_MARGIN * 2 // 3),
+        EndProcess(stop_at - limits.EXIT_MARGIN * 2 // 3),
     ]
--- a/thistleline/durable/__init__.py
+++ b/thistleline/durable/__init__.py
@@ -1,1 +1,1 @@
-"""A server with a ledger: its state machine and the thread that writes. Imported only where one is set."""
+"""A server with a ledger: its state machine and its writer. Imported only if a ledger is configured."""
--- a/thistleline/durable/effects.py
+++ b/thistleline/durable/effects.py
@@ -1,4 +1,4 @@
-"""The further effect of a server with a ledger."""
+"""The additional effect of a server with a ledger."""
 
 from dataclasses import dataclass
 
@@ -7,6 +7,6 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteLedger:
-    """Write to the ledger and tell of it by `WriteCompleted` or `WriteFailed`; one is under way at a time."""
+    """Write to the ledger, then report `WriteCompleted` or `WriteFailed`; only one write runs at a time."""
 
     write: LedgerWrite
--- a/thistleline/durable/events.py
+++ b/thistleline/durable/events.py
@@ -1,4 +1,4 @@
-"""The further events of a server with a ledger."""
+"""The additional events of a server with a ledger."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectsRecovered:
-    """The effects that earlier incarnations left; comes before any task."""
+    """The effects recovered from earlier processes of this server; precedes any task."""
 
     effects: Iterable[RecoveredEffect]
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteFailed:
-    """The last `WriteLedger` failed; nothing of it counts as durable."""
+    """The last `WriteLedger` failed; no part of it counts as durable."""
 
     reason: str
 
--- a/thistleline/durable/served_value.py
+++ b/thistleline/durable/served_value.py
@@ -1,21 +1,20 @@
-"""The value of what a server served, beside how many tasks: for whoever judges a release by it.
+"""Counters of the utility that a server served, besides task counts; used to compare releases.
 
-A server that finishes as many tasks as before and drops the valuable ones does worse; counts alone don't show
-it.
+A release that finishes as many tasks but drops the valuable ones is worse; task counts alone don't show that.
 """
 
 from thistleline.state.connections import Connection
 from thistleline.state.events import TaskReceived
 from thistleline.state.state_machine import ServerStateMachine
 
-UTILITY_UNIT = 1000  # counted for a utility of one
+COUNTS_PER_UTILITY = 1000  # counter increment for a utility of 1
 
 
 class ServedValueTracker(ServerStateMachine):
     """A state machine with three more counters.
 
-    `worth_came` and `worth_done` are thousandths of the utility of what came and of what was finished, `slow`
-    is the number of tasks that were finished after their latency objective.
+    `worth_came` and `worth_done` count the utility of the tasks received and finished, in thousandths; `slow`
+    counts the tasks finished after their latency objective.
     """
 
     def _admit(self, event: TaskReceived, connection: Connection) -> str:
@@ -35,4 +34,4 @@
         return answered
 
     def _count_utility(self, counter: str, utility: float) -> None:
-        self.context.count(counter, round(utility * UTILITY_UNIT))
+        self.context.count(counter, round(utility * COUNTS_PER_UTILITY))
--- a/thistleline/durable/state_machine.py
+++ b/thistleline/durable/state_machine.py
@@ -1,6 +1,6 @@
-"""The state machine of a server with a ledger: nothing with an effect starts before its intent is durable.
+"""The state machine of a server with a ledger: a keyed effect starts only once its intent is durable.
 
-The ledger's choices are made by `LedgerState` (ledger/state.py); here they meet the tables and the policy.
+`LedgerState` (ledger/state.py) decides what is written; this module connects it to the tables and the policy.
 """
 
 from typing import Any
@@ -12,16 +12,16 @@
 from thistleline.ledger.state import LedgerState
 from thistleline.state.attempts import Attempt, Run
 from thistleline.state.events import AgentGreeted
-from thistleline.state.limits import DOUBT_DIVISOR, EXIT_MARGIN, SECOND
+from thistleline.state.limits import EXIT_MARGIN, IN_DOUBT_WAIT_DIVISOR, SECOND
 from thistleline.state.options import MachineOptions
 from thistleline.state.phases import Lifecycle
 from thistleline.state.state_machine import EventHandler, ServerStateMachine
 
-# Measurements before a run that was not started: more than there will be, so that no end of a link is taken
-# to have lost its start.
+# Value of `measurements_before` for a run that was not started: higher than any measurement, so that its
+# start is never considered lost with a link.
 NOT_STARTED = 1 << 62
-RETRY_AFTER = SECOND  # for clients whose task the ledger can't take just now, ns
-NAMES_SLACK = 64  # effects past twice the ledger's whose names may lie here before they are looked through
+RETRY_AFTER = SECOND  # ns, for clients whose task the ledger can't record now
+STALE_NUMBERS_SLACK = 64  # numbers kept beyond twice the ledger's effects before stale ones are removed
 
 
 class DurableStateMachine(ServerStateMachine):
@@ -36,26 +36,27 @@
         max_disk_bytes: int,
         boot_offset: int,
     ) -> None:
-        """Begin with an empty ledger.
+        """Create the state with an empty ledger.
 
         Args:
             options: Settings and limits.
             now: Time of the server's clock, ns.
             lifecycle: The phase of the process.
-            max_disk_bytes: What the ledger may take on disk.
-            boot_offset: How far the boot time, by which the ledger goes, is ahead of the server's clock, ns.
+            max_disk_bytes: Maximum size of the ledger on disk.
+            boot_offset: Time since boot, which the ledger uses, minus the server's clock, ns.
         """
         super().__init__(options, now, lifecycle)
         self.boot_offset = boot_offset
         self.ledger = LedgerState(
             max_disk_bytes, options.max_result_bytes, self._boot_time(), self._cached_result
         )
-        self.effect_numbers: dict[str, int] = {}  # numbers of effects by the name of their run
-        self.effect_names: dict[int, str] = {}  # and back, while results may be asked for
-        self.undurable: dict[int, str] = {}  # of these: those whose intent is not durable yet
-        self.unsettled: dict[str, None] = {}  # runs of an earlier incarnation whose end is not known
-        self.doubt_deadlines: dict[str, int] = {}  # of these: until when earlier incarnations await it
-        # Effects of earlier incarnations that the policy was told of, until when.
+        self.effect_numbers: dict[str, int] = {}  # effect numbers by run name
+        self.effect_names: dict[int, str] = {}  # run names by effect number, while results may be read
+        self.unwritten_intents: dict[int, str] = {}  # run names by number, for intents not durable yet
+        self.unsettled: dict[str, None] = {}  # runs of earlier processes with unknown outcome
+        # Recorded time until which the outcome of an unsettled run is awaited, by name.
+        self.doubt_deadlines: dict[str, int] = {}
+        # Effects of earlier processes that the policy was notified of, by name: when they expire.
         self.remembered: dict[str, int] = {}
 
     def _event_handlers(self) -> dict[type, EventHandler]:
@@ -67,7 +68,7 @@
         }
 
     def handle(self, now: int, event: Any) -> list[Any]:
-        """Handle one event at `now`; return its effects, a write of the ledger last."""
+        """Handle one event at the time `now`; return its effects, with a write to the ledger last."""
         effects = super().handle(now, event)
         write = self.ledger.next_write(self._boot_time())
         if write is not None:
@@ -75,18 +76,18 @@
         return effects
 
     def next_deadline(self) -> int:
-        """Tell when the next `DeadlineReached` is wanted, ns."""
+        """Return when the next `DeadlineReached` is due, ns."""
         deadline = super().next_deadline()
         ledger_deadline = self.ledger.next_deadline()
         if ledger_deadline is None:
             return deadline
         return min(deadline, max(ledger_deadline - self.boot_offset, self.context.now))
 
-    def believed(self) -> dict[str, Any]:
-        """Return what the policy and the ledger take to be so."""
+    def diagnostics(self) -> dict[str, Any]:
+        """Return the policy's view of the load and the state of the ledger."""
         ledger = self.ledger
         return {
-            **super().believed(),
+            **super().diagnostics(),
             "ledger": {
                 "phase": ledger.phase,
                 "effects": len(ledger.effects),
@@ -100,17 +101,17 @@
     def _boot_time(self) -> int:
         return self.context.now + self.boot_offset
 
-    # ---- what an earlier incarnation left
+    # ---- effects recovered from earlier processes
 
     def _on_effects_recovered(self, event: EffectsRecovered) -> None:
         for effect in event.effects:
-            self._remember_effect(effect)
+            self._restore_effect(effect)
         self.attempt_ids.trim()
         self.context.count("recovered")
-        self._tell_remembered()
+        self._notify_remembered()
 
-    def _remember_effect(self, effect: RecoveredEffect) -> None:
-        """Enter an effect into the tables; one without an outcome may have run."""
+    def _restore_effect(self, effect: RecoveredEffect) -> None:
+        """Add a recovered effect to the tables; one without an outcome may have run."""
         now = self.context.now
         name = self._new_name()
         key = (effect.stage, effect.digest)
@@ -131,33 +132,33 @@
         if effect.doubt_deadline is not None:
             self.doubt_deadlines[name] = effect.doubt_deadline - self.boot_offset
 
-    def _tell_remembered(self) -> None:
+    def _notify_remembered(self) -> None:
         for name, expires_at in self.remembered.items():
-            self.tell_policy(EffectRemembered(name, expires_at))
+            self.notify_policy(EffectRemembered(name, expires_at))
 
-    def _is_untouched(self) -> bool:
+    def _can_restart_policy(self) -> bool:
         return not self.attempts and len(self.runs) == len(self.unsettled)
 
     def _on_agent_greeted(self, event: AgentGreeted) -> None:
         policy = self.policy
         super()._on_agent_greeted(event)
         if self.policy is not policy:
-            self._tell_remembered()
+            self._notify_remembered()
         self.remembered.clear()
         if event.cold_start:
-            for name in list(self.unsettled):  # what ran is gone with the agent that ran it
+            for name in list(self.unsettled):  # the runs ended with the agent's last process
                 self.end_run(name, "failed", 0, b"")
 
     def _restart_runs(self, mark: int) -> None:
-        """Await the runs of earlier incarnations that did not end in what the agent retained.
+        """Await the runs of earlier processes whose end is not in the notices that the agent retained.
 
-        Until when is written down: incarnations too short to see it out would each await it anew, and repeats
-        would stay without an answer.
+        The deadline is written to the ledger. Otherwise each of several short-lived processes would start the
+        wait again, and repeats would stay unanswered.
         """
         super()._restart_runs(mark)
         for name in self.unsettled:
             objective = self.settings.stages[self.runs[name].stage].latency_objective
-            awaited_until = self.context.now + objective // DOUBT_DIVISOR
+            awaited_until = self.context.now + objective // IN_DOUBT_WAIT_DIVISOR
             if name in self.doubt_deadlines:
                 awaited_until = min(awaited_until, self.doubt_deadlines[name])
             else:
@@ -166,12 +167,12 @@
                     self._boot_time(), self.effect_numbers[name], awaited_until + self.boot_offset
                 )
             self.in_doubt[name] = min(self.in_doubt.get(name, NOT_STARTED), awaited_until)
-        self._end_doubts()
+        self._fail_runs_in_doubt()
 
     # ---- starts and ends
 
     def launch(self, name: str, run: Run) -> None:
-        """Start a run; a keyed effect once its intent is durable."""
+        """Start a run; a keyed effect is started once its intent is durable."""
         entry = self.idempotency.by_key.get(run.key) if run.key is not None else None
         if entry is None or self.settings.stages[run.stage].effect != "keyed":
             super().launch(name, run)
@@ -183,38 +184,38 @@
         if number is None:
             self._refuse(name)
             return
-        run.measures_before = NOT_STARTED
+        run.measurements_before = NOT_STARTED
         self._number_effect(name, number)
-        self.undurable[number] = name
+        self.unwritten_intents[number] = name
 
     def _refuse(self, name: str) -> None:
-        """Reject what can't be recorded, with when to come back: it is not started."""
+        """Reject an attempt whose intent can't be recorded, with a retry delay; it is not started."""
         self.context.count("unrecorded")
         self.decisions.reject(name, False, min(RETRY_AFTER, self.settings.max_retry_after))
         self.end_run(name, "moot", 0, b"")
 
     def _on_write_completed(self, event: WriteCompleted) -> None:
         for number in self.ledger.write_completed(self._boot_time()):
-            name = self.undurable.pop(number, "")
+            name = self.unwritten_intents.pop(number, "")
             run = self.runs.get(name)
             if run is None:
                 continue
             if name not in self.attempts and not run.repeats:
-                self.end_run(name, "moot", 0, b"")  # nobody waits any more, nothing was started
+                self.end_run(name, "moot", 0, b"")  # no client waits any more, and nothing was started
                 continue
-            run.measures_before = self.session.measures
+            run.measurements_before = self.session.measurements_requested
             super().launch(name, run)
 
     def _on_write_failed(self, event: WriteFailed) -> None:
         self.context.log("ledger", state="failing", why=event.reason)
         for number in self.ledger.write_failed(self._boot_time()):
-            name = self.undurable.pop(number, "")
+            name = self.unwritten_intents.pop(number, "")
             if name in self.runs:
                 self._unnumber_effect(name)
                 self._refuse(name)
 
     def end_run(self, name: str, outcome: RunOutcome, duration: int, result: bytes | memoryview) -> None:
-        """Note that a run is over, and record how."""
+        """Record the end of a run in the tables and its outcome in the ledger."""
         self.unsettled.pop(name, None)
         self.doubt_deadlines.pop(name, None)
         number = self.effect_numbers.get(name)
@@ -235,20 +236,20 @@
         self.effect_names.pop(self.effect_numbers.pop(name, 0), None)
 
     def _cached_result(self, number: int) -> bytes | None:
-        """Return what is still cached of an effect's result, for the ledger's compaction."""
+        """Return the result of an effect if it is still cached, for the ledger's compaction."""
         key = self.idempotency.by_attempt.get(self.effect_names.get(number, ""))
         return None if key is None else self.idempotency.by_key[key].result
 
     def _sweep(self) -> None:
         super()._sweep()
         effects = self.ledger.effects
-        if len(self.effect_numbers) > 2 * len(effects) + NAMES_SLACK:
+        if len(self.effect_numbers) > 2 * len(effects) + STALE_NUMBERS_SLACK:
             numbers = self.effect_numbers.items()
             self.effect_numbers = {name: number for name, number in numbers if number in effects}
             self.effect_names = {number: name for name, number in self.effect_numbers.items()}
 
     def _end_if_done(self) -> None:
-        """Leave nothing unwritten behind a drain, unless the disk holds it up till just before the stop."""
+        """End only once the ledger is written, unless the disk delays that until just before the stop."""
         assert self.stop_at is not None
         if not self.ledger.has_unwritten() or self.context.now >= self.stop_at - EXIT_MARGIN:
             super()._end_if_done()
--- a/thistleline/durable/writer.py
+++ b/thistleline/durable/writer.py
@@ -1,4 +1,4 @@
-"""The ledger's writer, which writes on a thread, and recovery before the server listens."""
+"""The ledger's writer, which writes on a worker thread, and recovery before the server listens."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -24,22 +24,22 @@
 from thistleline.store.frames import CorruptFrameError
 
 MS = 1_000_000
-PROGRESS_INTERVAL = 1000 * MS  # between two lines of the log during recovery, ns
+PROGRESS_INTERVAL = 1000 * MS  # between progress lines in the log during recovery, ns
 
-Log = Callable[..., None]  # takes an event and its facts
+Log = Callable[..., None]  # takes a log event and its fields
 
 
 class LedgerWriter:
     """Writes to the ledger, one write at a time."""
 
     def __init__(self, store: LedgerStore, handle: Callable[[DurableEvent], None], group: TaskGroup) -> None:
-        """Begin without a write under way; `handle` is told of the end of each."""
+        """Create a writer without a write in progress; `handle` gets an event at the end of each write."""
         self._store = store
         self._handle = handle
         self._group = group
 
     def effect_handlers(self) -> dict[type, Callable[[Any], None]]:
-        """Return what carries out each class of effect."""
+        """Return the handler of each class of effect."""
         return {WriteLedger: self._start}
 
     def _start(self, effect: WriteLedger) -> None:
@@ -51,16 +51,16 @@
             await anyio.to_thread.run_sync(self._store.write, write)
         except OSError as error:
             reason = error.strerror or str(error)
-        except Exception as error:  # whatever a disk brings ends no more than this write
+        except Exception as error:  # any other failure also ends only this write
             reason = f"{type(error).__name__}: {error}"
         self._handle(WriteFailed(reason) if reason else WriteCompleted())
 
 
 class LedgerRecovery:
-    """One reading of what earlier incarnations left, with its progress in the log."""
+    """Reads the ledger that earlier processes wrote, and logs its progress."""
 
     def __init__(self, store: LedgerStore, ledger: LedgerState, log: Log) -> None:
-        """Begin to count; `run` reads."""
+        """Start the clock; `run` reads the ledger."""
         self._store = store
         self._ledger = ledger
         self._log = log
@@ -70,7 +70,7 @@
         self._bytes = 0
 
     def run(self) -> list[RecoveredEffect]:
-        """Return all effects that still matter; blocks.
+        """Return all effects that are still needed; blocks.
 
         Raises:
             ConfigurationError: The ledger can't be read.
@@ -113,18 +113,18 @@
 
 
 class LedgerServerMachine(ServedValueTracker, DurableStateMachine):
-    """The state machine of a server with a ledger, with the value that it served in its figures."""
+    """The state machine of a server with a ledger, with counters of the utility that it served."""
 
 
 @dataclass(frozen=True, slots=True)
 class LedgerParts:
-    """What makes a server one with a ledger."""
+    """The parts that a server with a ledger has in addition."""
 
     machine: DurableStateMachine
     store: LedgerStore
 
     def recover(self, log: Log) -> list[RecoveredEffect]:
-        """Read what earlier incarnations left; blocks.
+        """Read the effects that earlier processes recorded; blocks.
 
         Raises:
             ConfigurationError: The ledger can't be read.
@@ -132,18 +132,18 @@
         return LedgerRecovery(self.store, self.machine.ledger, log).run()
 
     def make_writer(self, handle: Callable[[DurableEvent], None], group: TaskGroup) -> LedgerWriter:
-        """Return what carries out the writes."""
+        """Return a writer that reports to `handle`."""
         return LedgerWriter(self.store, handle, group)
 
 
 def open_ledger(conf: LedgerConfig, options: MachineOptions, now: int, lifecycle: Lifecycle) -> LedgerParts:
-    """Take the ledger's folder and make the state machine.
+    """Lock the ledger's folder and create the state machine.
 
     Raises:
-        ConfigurationError: The folder can't be had.
+        ConfigurationError: The folder can't be locked.
     """
     store = make_store(conf, options)
-    hold(store.disk)
+    lock_ledger(store.disk)
     machine = LedgerServerMachine(
         options, now, lifecycle, max_disk_bytes=conf.disk, boot_offset=boot_now() - now
     )
@@ -151,19 +151,21 @@
 
 
 def make_store(conf: LedgerConfig, options: MachineOptions) -> LedgerStore:
-    """Return the store of the ledger's folder, which is not taken yet."""
+    """Return the store of the ledger's folder, without locking the folder."""
     return LedgerStore(Disk(conf.folder), tuple(stage.name for stage in options.settings.stages))
 
 
-def hold(disk: Disk) -> None:
-    """Take the ledger's folder.
+def lock_ledger(disk: Disk) -> None:
+    """Lock the ledger's folder.
 
     Raises:
-        ConfigurationError: Another program has it, or it can't be had.
+        ConfigurationError: Another program has locked the folder, or it can't be used.
     """
     try:
         disk.acquire()
     except DiskLockedError as error:
         raise ConfigurationError(str(error)) from error
     except OSError as error:
-        raise ConfigurationError(f"the ledger can't be kept in {disk.folder}: {error.strerror}") from error
+        raise ConfigurationError(
+            f"the ledger folder {disk.folder} can't be used: {error.strerror}"
+        ) from error
--- a/thistleline/handover/state_machine.py
+++ b/thistleline/handover/state_machine.py
@@ -147,10 +147,10 @@
         deadline = super().next_deadline()
         return min(deadline, self.freeze_deadline) if self.handover_stage == "freezing" else deadline
 
-    def believed(self) -> dict[str, Any]:
+    def diagnostics(self) -> dict[str, Any]:
         """Return what the policy and the ledger take to be so, and how far the handover is."""
         return {
-            **super().believed(),
+            **super().diagnostics(),
             "stands": self.handover_stage,
             "lodgers": len(self.hosted_runs),
             "away": len(self.forwarded),
@@ -179,14 +179,14 @@
 
     def _try_to_hand_over(self) -> None:
         """Hand over once what was begun is written, then known at the agent; nothing is begun meanwhile."""
-        if self.ledger.has_unwritten() or self.undurable:
+        if self.ledger.has_unwritten() or self.unwritten_intents:
             return
         session = self.session
         if session.linked:
             if self.freeze_mark is None:
                 session.measure()
-                self.freeze_mark = session.measures
-            if session.restart_mark is not None or session.last_measured < self.freeze_mark:
+                self.freeze_mark = session.measurements_requested
+            if session.catch_up_measurement is not None or session.last_measured < self.freeze_mark:
                 return
         runs = self._sent_runs()
         if len(runs) > MAX_HANDED:
@@ -290,7 +290,7 @@
         for repeat in repeats:
             repeating = self.attempts.get(repeat)
             if repeating is not None:
-                self.tell_policy(RunEnded(repeat, "failed", 0))
+                self.notify_policy(RunEnded(repeat, "failed", 0))
                 self._forward(repeat, repeating)
 
     def _forward(self, name: str, attempt: Attempt) -> None:
@@ -384,7 +384,7 @@
         self.hosted_runs.clear()
         if PREDECESSOR in self.connections.by_number:
             self.connections.end(PREDECESSOR, "the elder is gone")
-        if self.session.is_settled:
+        if self.session.is_caught_up:
             self._restart_runs(0)
 
     def _restart_runs(self, mark: int) -> None:
--- a/thistleline/handover/takeover.py
+++ b/thistleline/handover/takeover.py
@@ -11,7 +11,7 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from thistleline.durable.writer import hold
+from thistleline.durable.writer import lock_ledger
 from thistleline.handover import channel as channels
 from thistleline.handover.channel import HandoverChannel
 from thistleline.handover.messages import Grant, Hello, Message, Postponed, Ready, Refused, Welcome
@@ -180,7 +180,7 @@
         give_up_at = time.monotonic() + LEDGER_TIMEOUT
         while True:
             try:
-                hold(self._store.disk)
+                lock_ledger(self._store.disk)
                 return
             except ConfigurationError:
                 if time.monotonic() > give_up_at:
--- a/thistleline/server/service.py
+++ b/thistleline/server/service.py
@@ -398,7 +398,7 @@
                 runs=len(machine.runs),
                 entries=len(machine.idempotency.by_key),
                 open=len(machine.connections.by_number),
-                **machine.believed(),
+                **machine.diagnostics(),
                 descriptors=_count_descriptors(),
                 cpu_ms=int((usage.ru_utime + usage.ru_stime) * 1000),
                 peak_kb=usage.ru_maxrss,
@@ -415,7 +415,7 @@
         self.log.event(self.clock.now(), event, facts)
 
     def _log_event(self, effect: LogEvent) -> None:
-        self.log.event(self.clock.now(), effect.event, effect.facts)
+        self.log.event(self.clock.now(), effect.event, effect.fields)
 
 
 def _count_descriptors() -> int | None:
--- a/thistleline/state/__init__.py
+++ b/thistleline/state/__init__.py
@@ -1,1 +1,1 @@
-"""The server's state machine: its events and effects, its tables, and what it hosts, the admission policy."""
+"""The server's state machine: its events and effects, its tables, and the host of the admission policy."""
--- a/thistleline/state/attempts.py
+++ b/thistleline/state/attempts.py
@@ -1,14 +1,14 @@
 """The records of client attempts and of the runs that the agent makes of them.
 
-An attempt is named inside by a number that is made here and used once in the life of the process. The id that
-its client gave it is a peer's word: it names the attempt to that peer and to the agent alone.
+Inside the server an attempt is identified by a generated name, which is unique in the life of the process.
+The id that its client chose is untrusted: it identifies the attempt only to that client and to the agent.
 """
 
 from thistleline.state.idempotency import IdempotencyKey
 
 
 class Attempt:
-    """A task that is owed an answer."""
+    """A task that has not been answered."""
 
     __slots__ = ("arrived_at", "body", "connection", "deadline", "id", "key", "policy_knows", "seq", "stage")
 
@@ -23,17 +23,17 @@
         key: IdempotencyKey | None,
         body: bytes,
     ) -> None:
-        """Make the record of an attempt that the policy has not seen.
+        """Create the record of an attempt that the policy has not seen.
 
         Args:
-            connection: The connection that it came on, where its answer goes.
-            seq: Its message's sequence number on that connection.
-            id: What its client calls it.
+            connection: Number of the connection that it arrived on and is answered on.
+            seq: Sequence number of its message on that connection.
+            id: The id that its client chose.
             stage: Index of its request class.
-            arrived_at: When it came, ns.
-            deadline: When its client stops waiting, ns.
-            key: By what its repeats are known, if they are.
-            body: What the agent gets.
+            arrived_at: Time of arrival, ns.
+            deadline: Time at which its client stops waiting, ns.
+            key: Idempotency key that identifies its repeats; None if repeats are not recognized.
+            body: Body that is sent to the agent.
         """
         self.connection = connection
         self.seq = seq
@@ -47,7 +47,7 @@
 
 
 class Run:
-    """A run at the agent, whether or not its attempt is still owed an answer."""
+    """A run at the agent; its attempt may have been answered already."""
 
     __slots__ = (
         "body",
@@ -55,28 +55,28 @@
         "call_reply",
         "id",
         "key",
-        "measures_before",
+        "measurements_before",
         "repeats",
         "sent",
         "stage",
         "stopped",
     )
 
-    def __init__(self, attempt: Attempt, measures_before: int) -> None:
-        """Make the record of a run that was not sent yet.
+    def __init__(self, attempt: Attempt, measurements_before: int) -> None:
+        """Create the record of a run that has not been sent yet.
 
         Args:
-            attempt: What it runs for.
-            measures_before: How many measurements were asked of the agent before its start.
+            attempt: The attempt that it executes.
+            measurements_before: Number of measurements requested of the agent before the start.
         """
         self.id = attempt.id
         self.stage = attempt.stage
         self.body = attempt.body
         self.key = attempt.key
-        self.measures_before = measures_before
+        self.measurements_before = measurements_before
         self.sent = False
         self.stopped = False
-        self.call: tuple[int, bytes] | None = None  # that it waits for: number of its notice, body
-        # When it went on from its call, the number of the call's notice, and the result; None: without one.
+        self.call: tuple[int, bytes] | None = None  # downstream call it waits for: notice number, body
+        # Reply to its last call: time, number of the call's notice, and the result; None if it was skipped.
         self.call_reply: tuple[int, int, bytes | None] | None = None
-        self.repeats: list[str] = []  # names of the attempts that get its answer
+        self.repeats: list[str] = []  # names of the repeated attempts that get its result
--- a/thistleline/state/connections.py
+++ b/thistleline/state/connections.py
@@ -1,4 +1,4 @@
-"""The client connections: which are read, which give way, which are idle."""
+"""The client connections: flow control, eviction and idle timeouts."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterable
@@ -9,8 +9,8 @@
 from thistleline.state.limits import (
     DISMISSAL_GRACE,
     FIRST_MESSAGE_TIMEOUT,
-    MAX_OFFENCES,
     MAX_OPEN_TASKS,
+    MAX_VIOLATIONS,
     PARTIAL_MESSAGE_TIMEOUT,
     UNREAD_GRACE,
 )
@@ -18,23 +18,32 @@
 
 
 class Connection:
-    """What is known of one client connection."""
-
-    __slots__ = ("dismissed_at", "last_active", "messages", "offences", "open", "partial_since", "stalled")
+    """State of one client connection."""
+
+    __slots__ = (
+        "dismissed_at",
+        "last_active",
+        "messages",
+        "open",
+        "partial_since",
+        "read_paused",
+        "violations",
+    )
 
     def __init__(self, now: int) -> None:
-        """Make the record of a connection that was accepted at `now`."""
-        self.open: dict[str, None] = {}  # names of the attempts that are owed an answer here
-        self.last_active = now  # when it last carried a whole message or an answer
-        self.messages = 0  # whole ones that came
-        self.partial_since: int | None = None  # since when the beginning of a message has lain there
-        self.offences = 0  # messages of a kind that no client library sends
-        self.dismissed_at: int | None = None  # when its client was told to send nothing new
-        self.stalled = False  # not read: until something on it is answered, or for good after its offences
+        """Create the record of a connection that was accepted at `now`."""
+        self.open: dict[str, None] = {}  # names of its unanswered attempts
+        self.last_active = now  # time of the last complete message or answer
+        self.messages = 0  # complete messages received
+        self.partial_since: int | None = None  # arrival time of an incomplete message
+        self.violations = 0  # messages that no correct client library sends
+        self.dismissed_at: int | None = None  # time of the request to send nothing new
+        # Set while too many tasks are open, until one is answered; for good after too many violations.
+        self.read_paused = False
 
 
 class ClientConnections:
-    """All open client connections, by number, the longest idle first."""
+    """All open client connections by number, the longest idle first."""
 
     def __init__(
         self,
@@ -43,13 +52,13 @@
         max_connections: int,
         release: Callable[[Iterable[str]], None],
     ) -> None:
-        """Begin without connections.
+        """Create the table without connections.
 
         Args:
-            context: Takes the effects.
-            lifecycle: Tells whether new connections are wanted.
-            max_connections: Past it a connection gives way to a new one.
-            release: Lets the attempts go that were open on a connection that ended.
+            context: Receives the effects.
+            lifecycle: Shows whether the server is closing.
+            max_connections: Above this number a connection is closed for each new one.
+            release: Called with the open attempts of a connection that ended.
         """
         self.by_number: OrderedDict[int, Connection] = OrderedDict()
         self.idle_timeout = 0  # ns; 0 for none
@@ -57,18 +66,18 @@
         self._lifecycle = lifecycle
         self._max_connections = max_connections
         self._release = release
-        self._silent: OrderedDict[int, None] = OrderedDict()  # without a whole message, the oldest first
-        self._single_message: OrderedDict[int, None] = OrderedDict()  # with exactly one
+        self._silent: OrderedDict[int, None] = OrderedDict()  # no complete message yet, oldest first
+        self._single_message: OrderedDict[int, None] = OrderedDict()  # exactly one complete message
 
     def open(self, number: int) -> None:
-        """Take a new connection and begin to read it."""
+        """Add a new connection and start to read it."""
         connection = self.admit(number)
         self._context.count("connections")
         self._context.emit(ReadConnection(number))
         if self._lifecycle.is_closing:
             self._dismiss(number, connection)
         if len(self.by_number) > self._max_connections:
-            self.close(self._gives_way(number))
+            self.close(self._choose_eviction(number))
 
     def admit(self, number: int) -> Connection:
         """Add a connection's record."""
@@ -76,12 +85,13 @@
         self._silent[number] = None
         return connection
 
-    def _gives_way(self, newcomer: int) -> int:
-        """Choose the connection that gives way to a newcomer, to save descriptors.
+    def _choose_eviction(self, newcomer: int) -> int:
+        """Choose the connection to close for a new one, to save descriptors.
 
-        One that never carried a whole message goes first, then one that carried a single one, then the
-        longest idle, so that a crowd costs no client library its connection. The first message of one just
-        opened may lie unread; this prevents that a burst of newcomers is closed.
+        Connections without a complete message are closed first, then those with a single one, then the
+        longest idle. So a flood of short-lived connections doesn't evict those of client libraries. The first
+        message of a connection opened within `UNREAD_GRACE` may not have been read yet; such a connection is
+        kept, so that a burst of new connections isn't closed.
         """
         choice = next(iter(self._silent))
         if self._context.now - self.by_number[choice].last_active < UNREAD_GRACE:
@@ -92,7 +102,7 @@
         return choice
 
     def input_drained(self, number: int, partial: bool) -> None:
-        """Read on, unless too much is open; `partial`: the beginning of a message has come."""
+        """Continue reading unless reading is paused; `partial`: an incomplete message has arrived."""
         connection = self.by_number.get(number)
         if connection is None:
             return
@@ -100,14 +110,16 @@
             connection.partial_since = None
         elif connection.partial_since is None:
             connection.partial_since = self._context.now
-        connection.stalled = len(connection.open) >= MAX_OPEN_TASKS or connection.offences >= MAX_OFFENCES
-        if not connection.stalled:
+        connection.read_paused = (
+            len(connection.open) >= MAX_OPEN_TASKS or connection.violations >= MAX_VIOLATIONS
+        )
+        if not connection.read_paused:
             self._context.emit(ReadConnection(number))
 
     def message_received(self, number: int) -> Connection | None:
-        """Note that a whole message came; return its connection, None where that has ended.
+        """Record a complete message; return its connection, or None if that has ended.
 
-        Parts of messages don't count, so nobody can hold a connection by dripping bytes.
+        Incomplete messages don't count, so a client can't keep a connection open by sending single bytes.
         """
         connection = self.by_number.get(number)
         if connection is not None:
@@ -121,11 +133,11 @@
         return connection
 
     def answered(self, number: int, attempt: str) -> None:
-        """Note that an attempt on this connection gets its answer; read on if that waited for it."""
+        """Record that an attempt on this connection is answered; resume reading if it was paused."""
         connection = self.by_number[number]
         connection.open.pop(attempt, None)
         self._touch(number, connection)
-        if connection.stalled:
+        if connection.read_paused:
             self.input_drained(number, connection.partial_since is not None)
 
     def _touch(self, number: int, connection: Connection) -> None:
@@ -133,15 +145,15 @@
         connection.partial_since = None
         self.by_number.move_to_end(number)
 
-    def offend(self, number: int, event: str, **facts: Any) -> None:
-        """Count an offence. Who goes on sending what no client library sends is read no more."""
-        self._context.log_rarely(event, connection=number, **facts)
+    def record_violation(self, number: int, event: str, **fields: Any) -> None:
+        """Count and log a protocol violation. After `MAX_VIOLATIONS` the connection is no longer read."""
+        self._context.log_rarely(event, connection=number, **fields)
         connection = self.by_number.get(number)
         if connection is not None:
-            connection.offences += 1
+            connection.violations += 1
 
     def end(self, number: int, reason: str) -> None:
-        """Forget a connection that ended and release its attempts."""
+        """Remove a connection that ended and release its attempts."""
         connection = self.by_number.pop(number, None)
         if connection is None:
             return
@@ -159,7 +171,7 @@
         self.end(number, "")
 
     def dismiss_all(self) -> None:
-        """Tell every client to send nothing new."""
+        """Ask every client to send nothing new."""
         for number, connection in self.by_number.items():
             self._dismiss(number, connection)
 
@@ -169,7 +181,7 @@
             self._context.emit(DismissConnection(number))
 
     def sweep(self) -> None:
-        """Close the connections that are silent, dismissed or offending, and dismiss the idle ones."""
+        """Close connections that are silent, dismissed or in violation, and dismiss the idle ones."""
         now = self._context.now
         for number, connection in list(self.by_number.items()):
             partial_since = connection.partial_since
@@ -178,16 +190,16 @@
             ):
                 continue
             idle = now - connection.last_active
-            if self._is_over(number, connection, idle):
+            if self._should_close(number, connection, idle):
                 self.close(number)
             elif self.idle_timeout and idle >= self.idle_timeout:
                 self._dismiss(number, connection)
 
-    def _is_over(self, number: int, connection: Connection, idle: int) -> bool:
+    def _should_close(self, number: int, connection: Connection, idle: int) -> bool:
         now = self._context.now
         dismissed_at = now if connection.dismissed_at is None else connection.dismissed_at
         return (
             (now - dismissed_at >= DISMISSAL_GRACE <= idle)
             or (number in self._silent and idle >= FIRST_MESSAGE_TIMEOUT)
-            or connection.offences >= MAX_OFFENCES
+            or connection.violations >= MAX_VIOLATIONS
         )
--- a/thistleline/state/decisions.py
+++ b/thistleline/state/decisions.py
@@ -1,4 +1,4 @@
-"""The policy's decisions, carried out on the tables of the state machine."""
+"""Applies the policy's decisions to the tables of the state machine."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
     """The `DecisionSink` of a server; `task_id` is the name of an attempt."""
 
     def __init__(self, machine: ServerStateMachine) -> None:
-        """Let decisions act on this machine."""
+        """Create a sink that acts on `machine`."""
         self._machine = machine
 
     # ---- runs
 
     def start(self, task_id: str) -> None:
-        """Start the attempt's run, unless it is gone or its id belongs to another effect."""
+        """Start the attempt's run, unless the attempt is gone or its id belongs to another effect."""
         machine = self._machine
         attempt = machine.attempts.get(task_id)
         if attempt is None:
-            machine.tell_policy(RunEnded(task_id, "moot", 0))
+            machine.notify_policy(RunEnded(task_id, "moot", 0))
             return
         effect = machine.settings.stages[attempt.stage].effect
         if effect != "idempotent":
             if machine.attempt_ids.belongs_to_another(attempt.id, attempt.key):
-                machine.connections.offend(attempt.connection, "another's id", id=attempt.id)
+                machine.connections.record_violation(attempt.connection, "another's id", id=attempt.id)
                 self.abandon(task_id)
-                machine.tell_policy(RunEnded(task_id, "moot", 0))
+                machine.notify_policy(RunEnded(task_id, "moot", 0))
                 return
             machine.claim_id(attempt.id, attempt.key, attempt.stage)
-        run = machine.runs[task_id] = Run(attempt, machine.session.measures)
+        run = machine.runs[task_id] = Run(attempt, machine.session.measurements_requested)
         machine.at_agent[run.id] = task_id
         if attempt.key is not None and effect == "keyed":
             window_end = attempt.arrived_at + machine.settings.stages[attempt.stage].idempotency_window
@@ -47,7 +47,7 @@
         machine.launch(task_id, run)
 
     def stop(self, task_id: str) -> None:
-        """Stop the run; one that was not sent ends at once."""
+        """Stop the run; one that was not sent to the agent ends at once."""
         machine = self._machine
         run = machine.runs.get(task_id)
         if run is None:
@@ -80,7 +80,7 @@
             machine.context.emit(AnswerAbandoned(attempt.connection, attempt.seq, machine.health.load_hint))
 
     def replay_result(self, task_id: str) -> None:
-        """Answer from the run of the attempt that this one repeats, now or when it ends."""
+        """Answer with the result of the attempt that this one repeats, now or when its run ends."""
         machine = self._machine
         attempt = machine.attempts.get(task_id)
         if attempt is None or attempt.key is None:
@@ -112,21 +112,21 @@
     # ---- downstream calls
 
     def start_call(self, task_id: str, timeout: int) -> None:
-        """Make the call that the run waits for, with a timeout of `timeout` nanoseconds."""
+        """Start the call that the run waits for, with a timeout of `timeout` nanoseconds."""
         run = self._machine.runs.get(task_id)
         if run is not None:
             self._machine.downstream.start(run, timeout)
 
     def skip_call(self, task_id: str) -> None:
-        """Let the run go on without its call."""
+        """Let the run continue without its call."""
         run = self._machine.runs.get(task_id)
         if run is not None and run.call is not None:
             self._machine.downstream.resume(run, None)
 
-    # ---- the server as clients see it
+    # ---- health and timers
 
     def set_health(self, healthy: bool, from_cache: bool) -> None:
-        """Set what health checks report; while draining, bad health closes the server."""
+        """Set the result of health checks; while draining, bad health closes the server."""
         machine = self._machine
         machine.health.healthy = healthy
         machine.health.from_cache = from_cache
@@ -138,10 +138,10 @@
         self._machine.health.load_hint = value
 
     def set_idle_timeout(self, timeout: int) -> None:
-        """Dismiss connections that are idle for `duration` nanoseconds; 0 for never."""
+        """Dismiss connections that are idle for `timeout` nanoseconds; 0 for never."""
         self._machine.connections.idle_timeout = timeout
 
     def set_timer(self, name: str, duration: int) -> None:
-        """Let a timer fire in `duration` nanoseconds."""
+        """Set a timer that fires in `duration` nanoseconds."""
         machine = self._machine
         machine.policy_host.timers.add(machine.context.now + duration, name)
--- a/thistleline/state/downstream.py
+++ b/thistleline/state/downstream.py
@@ -1,7 +1,7 @@
 """The calls that runs make to the downstream dependency.
 
-A run that waits for its call says so in a notice of the agent. The policy has the call made or skipped; the
-agent is told to let the run go on, with the call's result or without one.
+The agent reports in a notice that a run waits for its call. The policy decides whether the call is made or
+skipped; then the agent gets a command to continue the run, with the call's result or without one.
 """
 
 from thistleline.state.agent_session import AgentSession
@@ -15,49 +15,52 @@
     """The calls in flight, by the attempt id of their run."""
 
     def __init__(self, context: EventContext, session: AgentSession) -> None:
-        """Begin without calls."""
+        """Create the table without calls."""
         self._context = context
         self._session = session
-        self._in_flight: dict[str, tuple[int, int]] = {}  # since when, until when an end is awaited
+        self._in_flight: dict[str, tuple[int, int]] = {}  # start time, time at which the call is given up
 
     def start(self, run: Run, timeout: int) -> None:
-        """Make the call that the run waits for, if it waits and none is in flight for it."""
+        """Start the call that the run waits for, unless one is in flight."""
         if run.call is not None and run.id not in self._in_flight:
             now = self._context.now
             self._in_flight[run.id] = now, now + timeout + CALL_TIMEOUT_SLACK
             self._context.emit(StartCall(run.id, timeout, run.call[1]))
 
     def cancel(self, attempt_id: str) -> None:
-        """Give the run's call up, if there is one: the run is over."""
+        """Cancel the call of a run that is over, if one is in flight."""
         if self._in_flight.pop(attempt_id, None) is not None:
             self._context.emit(CancelCall(attempt_id))
 
     def complete(self, attempt_id: str) -> int | None:
-        """Note a call's end; return its duration in ns, None for one that was given up."""
+        """Record the end of a call; return its duration in ns, or None if the call was given up."""
         times = self._in_flight.pop(attempt_id, None)
         return None if times is None else self._context.now - times[0]
 
     def overdue(self) -> list[str]:
-        """Return the attempt ids of the calls whose end is awaited no longer."""
+        """Return the attempt ids of the calls that have passed their timeout and its slack."""
         return [id for id, (_, until) in self._in_flight.items() if until <= self._context.now]
 
     def resume(self, run: Run, result: bytes | None) -> None:
-        """Let a run go on from its call, with a result or without one.
+        """Let a run continue after its call, with a result or without one.
 
-        Without a link the agent is told once there is one, by `resend`.
+        Without a link, `resend` sends the command once a link is up.
         """
         assert run.call is not None
         run.call_reply = self._context.now, run.call[0], result
         run.call = None
-        if self._session.is_settled:
-            self._tell(run)
+        if self._session.is_caught_up:
+            self._send_reply(run)
 
     def resend(self, run: Run) -> None:
-        """Tell a new link what may be lost with the old one: the run waits still, no notice came since."""
+        """Repeat on a new link a reply that may have been lost with the old one.
+
+        No notice of the run has arrived since that reply, so the run may still wait for it.
+        """
         if run.call_reply is not None and run.call_reply[0] >= self._session.lost_at - LINK_LOSS_WINDOW:
-            self._tell(run)
+            self._send_reply(run)
 
-    def _tell(self, run: Run) -> None:
+    def _send_reply(self, run: Run) -> None:
         assert run.call_reply is not None
         _, number, result = run.call_reply
         if result is None:
--- a/thistleline/state/effects.py
+++ b/thistleline/state/effects.py
@@ -1,7 +1,7 @@
-"""The effects that the server's state machine asks for.
+"""The effects that the server's state machine requests.
 
 The server carries them out in order, before it handles another event. Durations and times are integer
-nanoseconds; `load_hint` is what answers tell clients of the server's load, None where nothing is told.
+nanoseconds; `load_hint` reports the server's load to clients, None where it is not reported.
 """
 
 from dataclasses import dataclass
@@ -12,28 +12,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadConnection:
-    """Read on from the connection."""
+    """Continue reading from the connection."""
 
     connection: int
 
 
 @dataclass(frozen=True, slots=True)
 class CloseConnection:
-    """Close the connection once what was written has reached its peer."""
+    """Close the connection after all written data has reached its peer."""
 
     connection: int
 
 
 @dataclass(frozen=True, slots=True)
 class DismissConnection:
-    """Tell the client to send nothing new on the connection."""
+    """Ask the client to send nothing new on the connection."""
 
     connection: int
 
 
 @dataclass(frozen=True, slots=True)
 class StopAccepting:
-    """Accept no further connection."""
+    """Stop accepting connections."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,12 +48,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerRejected:
-    """Answer a task that was shed: it did not run."""
+    """Answer a task that was shed and did not run."""
 
     connection: int
     seq: int
-    fleet_overloaded: bool  # a retry at another server would fare no better
-    retry_after: int  # 0 for none
+    fleet_overloaded: bool  # a retry at another server would be rejected too
+    retry_after: int  # 0 if unspecified
     load_hint: float | None
 
 
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerMisunderstood:
-    """Answer a message that made no sense."""
+    """Answer a malformed message or an invalid task with an error."""
 
     connection: int
     seq: int
@@ -107,21 +107,21 @@
 
 @dataclass(frozen=True, slots=True)
 class MeasureGauges:
-    """Ask the agent for its gauges."""
+    """Request the gauges of the agent."""
 
     tag: str
 
 
 @dataclass(frozen=True, slots=True)
 class CheckAgent:
-    """Ask the agent for a deep health check."""
+    """Request a deep health check of the agent."""
 
     tag: str
 
 
 @dataclass(frozen=True, slots=True)
 class DeliverCallResult:
-    """Let a run go on with the result of its downstream call."""
+    """Let a run continue with the result of its downstream call."""
 
     attempt_id: str
     result: bytes
@@ -129,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SkipRunCall:
-    """Let a run go on without its downstream call; `number` is that of the notice that wanted it."""
+    """Let a run continue without its downstream call, which the notice `number` requested."""
 
     attempt_id: str
     number: int
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartCall:
-    """Make a downstream call, with a timeout."""
+    """Start a downstream call with a timeout."""
 
     attempt_id: str
     timeout: int
@@ -149,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelCall:
-    """Give a downstream call up."""
+    """Cancel a downstream call."""
 
     attempt_id: str
 
@@ -169,12 +169,12 @@
     """Write a line to the log."""
 
     event: str
-    facts: dict[str, Any]
+    fields: dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class EndProcess:
-    """End the process; peers that have not read what was written are waited for until `deadline`."""
+    """End the process; wait until `deadline` for peers to read the data written to them."""
 
     deadline: int
 
--- a/thistleline/state/events.py
+++ b/thistleline/state/events.py
@@ -1,8 +1,7 @@
 """The events that the server's state machine handles.
 
-The protocol adapters, the agent link and the timer task of the server make them. Times and durations are
-integer nanoseconds. An attempt id is what a client calls its attempt: a peer's word, never a key of the
-tables.
+They are created by the server's protocol adapters, agent link and timer task. Times and durations are integer
+nanoseconds. An attempt id is chosen by a client and untrusted, so the attempts are not stored under it.
 """
 
 from dataclasses import dataclass
@@ -24,15 +23,15 @@
     """A client sent a task."""
 
     connection: int
-    seq: int  # of the message on its connection
+    seq: int  # sequence number of the message on its connection
     task: Task
-    dedup_key: str | None  # idempotency key, or the subject by which equal reads are known
+    dedup_key: str | None  # idempotency key, or the subject that identifies equal reads
     body: bytes | memoryview
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckReceived:
-    """A client asked for the server's health; `deep`: with a check of the agent."""
+    """A client requested the server's health; `deep`: including a check of the agent."""
 
     connection: int
     seq: int
@@ -41,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MalformedReceived:
-    """A message made no sense; without `seq` it can't be answered."""
+    """A message was malformed; without `seq` it can't be answered."""
 
     connection: int
     seq: int | None
@@ -51,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InputDrained:
-    """Every whole message that was read is handled; `partial`: the beginning of another one has come."""
+    """Every complete message that was read has been handled; `partial`: an incomplete one has arrived."""
 
     connection: int
     partial: bool = False
@@ -59,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionEnded:
-    """A client connection ended; `reason` is empty where the client closed it."""
+    """A client connection ended; `reason` is empty if the client closed it."""
 
     connection: int
     reason: str
@@ -78,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentLost:
-    """The link to the agent ended, or none could be made."""
+    """The link to the agent ended, or could not be established."""
 
     reason: str
 
@@ -129,14 +128,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RemarkReceived:
-    """The agent sent a numbered notice that wants nothing."""
+    """The agent sent a numbered notice that needs no action."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class UnknownNotice:
-    """The agent sent a notice of a kind that is not known."""
+    """The agent sent a notice of an unknown kind."""
 
     text: str
 
@@ -163,14 +162,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownRequested:
-    """The server is to drain; the process is stopped at `stop_at`."""
+    """The server was asked to drain; the process is stopped at `stop_at`."""
 
     stop_at: int
 
 
 @dataclass(frozen=True, slots=True)
 class DeadlineReached:
-    """The time of `next_deadline` has come."""
+    """The time returned by `next_deadline` has been reached."""
 
 
 ClientEvent = (
--- a/thistleline/state/idempotency.py
+++ b/thistleline/state/idempotency.py
@@ -1,16 +1,16 @@
-"""What is remembered of effects: idempotency keys with their results, and who used an attempt id."""
+"""Tables of effects: idempotency keys with cached results, and the effect of each attempt id."""
 
 from collections import OrderedDict
 from collections.abc import Container
 from hashlib import blake2b
 
-# Stage, and a digest of the client's key and of the body: all attempts of one task carry the same body. A
-# stranger who knows a key joins no run and gets no cached result.
+# Stage, and a digest of the client's key and of the body, which is the same in all attempts of one task. So
+# another client that knows only the client's key can't join a run or get its cached result.
 IdempotencyKey = tuple[int, bytes]
 
 
 def make_key(stage: int, dedup_key: str, body: bytes | memoryview) -> IdempotencyKey:
-    """Return the key that all attempts of one task have in common."""
+    """Return the key that all attempts of one task share."""
     encoded = dedup_key.encode()
     digest = blake2b(len(encoded).to_bytes(4, "big"), digest_size=16)
     digest.update(encoded)
@@ -19,16 +19,16 @@
 
 
 class IdempotencyEntry:
-    """What is remembered for one key: who has it until when, which attempt ran, and how that ended."""
+    """The entry of one key: its attempt, expiry, the attempt that ran, and the outcome."""
 
     __slots__ = ("attempt", "ended_at", "expires_at", "outcome", "result", "runner")
 
     def __init__(self, attempt: str, expires_at: int) -> None:
-        """Make an entry of which nothing has run.
+        """Create an entry without a run.
 
         Args:
-            attempt: Name of the attempt that the policy knows the key by.
-            expires_at: When its window ends, ns.
+            attempt: Name of the attempt that identifies the key to the policy.
+            expires_at: Time at which its idempotency window ends, ns.
         """
         self.attempt = attempt
         self.expires_at = expires_at
@@ -42,7 +42,7 @@
     """Idempotency entries by key, with a limit on the bytes of cached results."""
 
     def __init__(self, max_result_bytes: int) -> None:
-        """Begin without entries; past `max_result_bytes` the oldest results go."""
+        """Create an empty table; above `max_result_bytes` the oldest results are evicted."""
         self.max_result_bytes = max_result_bytes
         self.by_key: dict[IdempotencyKey, IdempotencyEntry] = {}
         self.by_attempt: dict[str, IdempotencyKey] = {}
@@ -50,7 +50,7 @@
         self._results: OrderedDict[IdempotencyKey, int] = OrderedDict()  # bytes by key, oldest first
 
     def put(self, key: IdempotencyKey, attempt: str, expires_at: int) -> IdempotencyEntry:
-        """Let the key be remembered under this attempt until then; return its entry."""
+        """Store the key under this attempt until `expires_at`; return its entry."""
         entry = self.by_key.get(key)
         if entry is None:
             entry = self.by_key[key] = IdempotencyEntry(attempt, expires_at)
@@ -62,14 +62,14 @@
         return entry
 
     def forget(self, attempt: str) -> None:
-        """Remove the entry that is remembered under this attempt, if there is one."""
+        """Remove the entry stored under this attempt, if there is one."""
         key = self.by_attempt.pop(attempt, None)
         if key is not None:
             self._drop_result(key)
             del self.by_key[key]
 
     def record_outcome(self, key: IdempotencyKey, outcome: str, now: int, result: bytes | None) -> None:
-        """Remember how a run ended. Where memory is short the oldest results go, their keys stay."""
+        """Record the outcome of a run; above the memory limit evict the oldest results, keep their keys."""
         entry = self.by_key[key]
         entry.outcome = outcome
         entry.ended_at = now
@@ -82,7 +82,7 @@
                 self._drop_result(next(iter(self._results)))
 
     def expire(self, before: int, running: Container[str | None]) -> None:
-        """Forget the entries whose window ended before then and whose runs are over."""
+        """Remove the entries whose window ended before `before` and whose runs are over."""
         expired = [
             entry.attempt
             for entry in self.by_key.values()
@@ -97,43 +97,43 @@
 
 
 class AttemptIdTable:
-    """Which effect an attempt id was used with.
+    """The effect that each attempt id was used with.
 
-    The agent knows attempts by id alone. A stranger who sends a known id and body under a key of his own
-    would have it run twice; this table prevents that. It could harm a client whose id a stranger guessed
-    first: 64 random bits.
+    The agent identifies attempts by id alone. Another client that sends a known id and body under a different
+    key would cause a second run; this table prevents that. A client whose id another one guessed and used
+    first would be refused, but ids are 64 random bits.
     """
 
     def __init__(self, max_ids: int) -> None:
-        """Begin without ids; past `max_ids` the oldest go."""
+        """Create an empty table; above `max_ids` the oldest ids are evicted."""
         self.max_ids = max_ids
-        # By id: the effect's key (None for one that has none), and until when it is remembered.
+        # By id: the effect's key (None if it has none), and the time at which the id expires.
         self.by_id: OrderedDict[str, tuple[IdempotencyKey | None, int]] = OrderedDict()
 
     def claim(self, id: str, key: IdempotencyKey | None, expires_at: int) -> None:
-        """Let the id stand for this effect, whatever it stood for."""
+        """Assign the id to this effect, replacing any earlier assignment."""
         self.by_id[id] = key, expires_at
         self.by_id.move_to_end(id)
         if len(self.by_id) > self.max_ids:
             self.by_id.popitem(last=False)
 
     def release(self, id: str) -> None:
-        """Let the id stand for nothing."""
+        """Remove the id."""
         self.by_id.pop(id, None)
 
     def belongs_to_another(self, id: str, key: IdempotencyKey | None) -> bool:
-        """Tell whether the id was used with another effect; one without a key is its own alone."""
+        """Return whether the id was used with another effect; an effect without a key matches no other."""
         if id not in self.by_id:
             return False
         owner = self.by_id[id][0]
         return owner is None or owner != key
 
     def trim(self) -> None:
-        """Forget the oldest ids past the limit."""
+        """Remove the oldest ids above the limit."""
         while len(self.by_id) > self.max_ids:
             self.by_id.popitem(last=False)
 
     def expire(self, now: int) -> None:
-        """Forget the oldest ids whose time is over."""
+        """Remove the oldest ids that have expired."""
         while self.by_id and next(iter(self.by_id.values()))[1] < now:
             self.by_id.popitem(last=False)
--- a/thistleline/state/options.py
+++ b/thistleline/state/options.py
@@ -1,4 +1,4 @@
-"""What a server's state machine is told at its construction."""
+"""The options that a server's state machine is created with."""
 
 from dataclasses import dataclass
 
@@ -10,8 +10,8 @@
     """The settings and limits of one server's state machine."""
 
     settings: ServerSettings
-    gauges: tuple[str, ...]  # names of the values that the agent measures, in its order
-    granularity: int  # ns, the least time between two rounds of the policy
+    gauges: tuple[str, ...]  # names of the agent's gauges in the order of its values
+    granularity: int  # ns, minimum time between two rounds of the policy
     max_connections: int
-    max_result_bytes: int  # of cached results
-    seed: int  # of the policy's random draws
+    max_result_bytes: int  # limit on cached results
+    seed: int  # of the policy's random generator
--- a/thistleline/state/phases.py
+++ b/thistleline/state/phases.py
@@ -3,12 +3,12 @@
 from typing import Literal
 
 Phase = Literal["starting", "awaiting agent", "serving", "leaving", "closing", "ended"]
-FOLLOWING: dict[Phase, tuple[Phase, ...]] = {
-    "starting": ("awaiting agent", "leaving", "ended"),  # nothing listens yet
-    "awaiting agent": ("serving", "leaving", "ended"),  # listens; no task comes before the agent is up
+NEXT_PHASES: dict[Phase, tuple[Phase, ...]] = {
+    "starting": ("awaiting agent", "leaving", "ended"),  # not listening yet
+    "awaiting agent": ("serving", "leaving", "ended"),  # listening; no tasks before the agent is up
     "serving": ("leaving", "ended"),
-    "leaving": ("closing", "ended"),  # asked to drain: serves on while the policy has it so
-    "closing": ("ended",),  # no new connection, what was read gets its answer
+    "leaving": ("closing", "ended"),  # asked to drain; serves until the policy reports bad health
+    "closing": ("ended",),  # accepts no connections; tasks already read are answered
     "ended": (),
 }
 
@@ -19,16 +19,16 @@
     __slots__ = ("phase",)
 
     def __init__(self) -> None:
-        """Begin with the phase "starting"."""
+        """Start in the phase "starting"."""
         self.phase: Phase = "starting"
 
     def advance(self, phase: Phase) -> None:
         """Enter a phase.
 
         Raises:
-            ValueError: The phase can't follow the present one.
+            ValueError: The phase can't follow the current one.
         """
-        if phase not in FOLLOWING[self.phase]:
+        if phase not in NEXT_PHASES[self.phase]:
             raise ValueError(f"phase {phase!r} can't follow {self.phase!r}")
         self.phase = phase
 
@@ -39,5 +39,5 @@
 
     @property
     def is_closing(self) -> bool:
-        """Whether no new connection is accepted any more."""
+        """Whether the server has stopped accepting connections."""
         return self.phase in ("closing", "ended")
--- a/thistleline/state/policy_host.py
+++ b/thistleline/state/policy_host.py
@@ -1,6 +1,6 @@
 """The host of the admission policy: rounds, timers, and recovery from its faults.
 
-The policy is called once a round with all that came in since the last one.
+The policy is called once a round with all events since the last round.
 """
 
 import traceback
@@ -26,7 +26,7 @@
 
 
 class PolicyHost:
-    """Calls the policy, keeps its timers, and sees that its faults leave no task without an answer."""
+    """Calls the policy, keeps its timers, and ensures that its faults leave no task unanswered."""
 
     def __init__(
         self,
@@ -36,18 +36,18 @@
         attempts: dict[str, Attempt],
         sink: DecisionSink,
     ) -> None:
-        """Begin without a policy; `start` makes one.
+        """Create a host without a policy; `start` creates it.
 
         Args:
             options: The gauges, the granularity and the policy's seed.
-            context: Takes the effects.
-            session: Measures the gauges that go with a timer.
-            attempts: All that are owed an answer, by name.
-            sink: Takes the policy's decisions.
+            context: Receives the effects.
+            session: Measures the gauges that are passed with a timer.
+            attempts: All unanswered attempts, by name.
+            sink: Receives the policy's decisions.
         """
         self.pending: list[PolicyEvent] = []
-        # Keyed attempts that the policy has not seen yet; other attempts of one effect that come in before
-        # the next round know of it by this.
+        # Names of keyed attempts that the policy has not seen yet. Another attempt of the same effect that
+        # arrives before the next round is recognized as a repeat by them.
         self.pending_keys: dict[IdempotencyKey, str] = {}
         self.timers = TimerQueue()
         self.policy: Policy
@@ -59,17 +59,19 @@
         self._keyed = [stage.effect == "keyed" for stage in options.settings.stages]
         self._max_timeout = max(stage.timeout for stage in options.settings.stages)
         self._last_round = 0
-        self._due_timers: list[str] = []  # they wait for their gauges,
-        self._gauges_deadline = 0  # until then
-        self._faulty_until = 0  # for a while after the policy has failed
+        self._due_timers: list[str] = []  # timers that wait for the gauges
+        self._gauges_deadline = 0  # time at which they fire without gauges
+        self._faulty_until = (
+            0  # end of the period after a policy fault in which overdue tasks are abandoned here
+        )
 
     def start(self, settings: ServerSettings, started_at: int) -> None:
-        """Make the policy and call it for the first time; `started_at`: when its machine came up, ns."""
+        """Create the policy and run its first round; `started_at`: when its machine was started, ns."""
         self.policy = Policy(settings, self._options.seed, started_at)
         self.run_round()
 
     def restart(self, settings: ServerSettings, started_at: int) -> None:
-        """Begin anew with another policy, without timers and pending events."""
+        """Replace the policy by a new one, without timers and pending events."""
         self.timers = TimerQueue()
         self._due_timers = []
         self.pending = []
@@ -78,7 +80,7 @@
     # ---- time
 
     def next_deadline(self, latest: int) -> int:
-        """Tell when `tick` is wanted, `latest` at the latest."""
+        """Return when `tick` must be called next, but no later than `latest`."""
         deadline = latest
         timer_due = self.timers.next_due()
         if timer_due is not None:
@@ -90,24 +92,24 @@
         return deadline
 
     def tick(self) -> None:
-        """Do what is due: timers first, then one round for all that came in."""
+        """Fire the timers that are due, then run one round with all pending events."""
         now = self._context.now
         names = self.timers.take_due(now)
         if names:
             self._due_timers += names
-            if self._session.is_settled:
+            if self._session.is_caught_up:
                 self._session.measure()
                 self._gauges_deadline = now + self._options.granularity
             else:
                 self._gauges_deadline = now
         if self._due_timers and now >= self._gauges_deadline:
-            self._fire_timers({})  # without an answer: clients' deadlines depend on it
+            self._fire_timers({})  # without gauges: timers enforce clients' deadlines
         if self.pending and now >= self._last_round + self._options.granularity:
             self.run_round()
 
     def gauges_measured(self, number: int, values: list[float]) -> None:
-        """Let the timers fire that wait for this measurement, the last one asked for."""
-        if self._due_timers and number == self._session.measures:
+        """Fire the waiting timers if this is the last measurement requested."""
+        if self._due_timers and number == self._session.measurements_requested:
             self._fire_timers(dict(zip(self._options.gauges, values, strict=False)))
 
     def _fire_timers(self, gauges: dict[str, float]) -> None:
@@ -116,32 +118,32 @@
 
     # ---- events
 
-    def note_key(self, name: str) -> None:
-        """Remember the idempotency key of a pending attempt until the next round."""
+    def record_pending_key(self, name: str) -> None:
+        """Record the idempotency key of a pending attempt until the next round."""
         key = self._attempts[name].key
         if key is not None and self._keyed[key[0]]:
             self.pending_keys[key] = name
 
     def withdraw(self, names: Collection[str]) -> None:
-        """Take back attempts that the policy has not seen: nobody waits for them any more.
+        """Remove pending attempts whose client has gone before the policy saw them.
 
-        The policy takes all that is gone before it reads; this prevents starting what nobody awaits.
+        In a round the policy handles all departed clients before new tasks, so it would start these.
         """
         self.pending = [
             event
             for event in self.pending
             if not isinstance(event, TaskArrived) or event.task.id not in names
         ]
-        # Another attempt of the same effect may be among the rest; this prevents running both.
+        # Another attempt of the same effect may remain; recording its key again prevents a second run.
         self.pending_keys = {key: name for key, name in self.pending_keys.items() if name not in names}
         for event in self.pending:
             if isinstance(event, TaskArrived):
-                self.note_key(event.task.id)
+                self.record_pending_key(event.task.id)
 
     # ---- rounds
 
     def run_round(self) -> None:
-        """Call the policy with all that is pending."""
+        """Call the policy with all pending events."""
         events = self.pending
         self.pending = []
         for event in events:
@@ -155,10 +157,10 @@
             self._recover(events)
 
     def _recover(self, events: list[PolicyEvent]) -> None:
-        """Handle a fault of the policy, so that no task stays without an answer.
+        """Handle a fault of the policy so that no task stays unanswered.
 
-        What it did not come to is told once more, one by one; what it can't take is abandoned; its timer
-        fires again.
+        The events that it did not process are passed again one by one; a task on which it fails again is
+        abandoned. Its timers are set again.
         """
         self._faulty_until = self._context.now + self._max_timeout + SECOND
         self._report_fault("round")
@@ -168,11 +170,11 @@
                 if event.name not in pending_timers:
                     retry_at = self._context.now + max(self._options.granularity, MS)
                     self.timers.add(retry_at, event.name)
-            elif not self._was_taken(event):
+            elif not self._was_processed(event):
                 self._retry(event)
 
-    def _was_taken(self, event: PolicyEvent) -> bool:
-        """Tell whether the policy took an event before it failed, or has no use for it any more."""
+    def _was_processed(self, event: PolicyEvent) -> bool:
+        """Return whether the policy processed an event before it failed, or no longer needs it."""
         match event:
             case TaskArrived(task):
                 return task.id not in self._attempts or task.id in self.policy.tasks
@@ -196,8 +198,8 @@
         if self._context.may_log("fault"):
             self._context.log("fault", input=where, trace=traceback.format_exc()[-2000:])
 
-    def answer_overdue(self, before: int) -> None:
-        """Abandon what is due before then, while the policy fails: its timer may not come to that."""
+    def abandon_overdue(self, before: int) -> None:
+        """After a policy fault, abandon attempts due by `before`: its timer may fail to answer them."""
         if self._context.now >= self._faulty_until:
             return
         for name, attempt in list(self._attempts.items()):
--- a/thistleline/state/state_machine.py
+++ b/thistleline/state/state_machine.py
@@ -1,14 +1,14 @@
-"""The server's state machine: an event goes in, effects come out. No I/O and no clock here.
+"""The server's state machine: it handles events and returns effects, without I/O and without a clock.
 
-Every change of state of a server is made here, for whatever protocol. `events` has its inputs, `effects` what
-it asks for. The admission policy, which it hosts, is called once a round with all that came in; its decisions
-come back through `PolicyDecisions`.
+Every change of a server's state is made here, for all protocols. `events` defines its inputs, `effects` its
+outputs. The admission policy, which it hosts, is called once a round with all events since the last round;
+its decisions are applied by `PolicyDecisions`.
 
-The id of an attempt on the wire is a peer's word. It names the attempt to that peer and to the agent, and
-nothing else: inside, an attempt is known by a name that is made here for it, used once in the life of the
-process. What identifies an effect is its key (stage, and a digest of the client's key and the body). The ids
-of attempts in hand are in `by_id`, those at the agent in `at_agent`; `attempt_ids` remembers with which
-effect an id came, so that it starts no other.
+The id of an attempt on the wire is chosen by its client and untrusted. It identifies the attempt only to that
+client and to the agent. Inside the server an attempt is identified by a generated name, which is unique in
+the life of the process. An effect is identified by its key (stage, and a digest of the client's key and the
+body). `by_id` has the ids of unanswered attempts, `at_agent` those of runs at the agent. `attempt_ids` has
+the effect that each id was used with, so that the id can't start another effect.
 """
 
 from collections.abc import Callable, Iterable
@@ -68,11 +68,11 @@
 from thistleline.state.health import HealthChecks
 from thistleline.state.idempotency import AttemptIdTable, IdempotencyKey, IdempotencyTable, make_key
 from thistleline.state.limits import (
-    DOUBT_DIVISOR,
     EXIT_MARGIN,
     EXIT_MARGIN_DIVISOR,
+    IN_DOUBT_WAIT_DIVISOR,
     MAX_CLOCK_DEVIATION,
-    OWNED_ID_COST,
+    RESULT_BYTES_PER_ATTEMPT_ID,
     SWEEP_INTERVAL,
 )
 from thistleline.state.options import MachineOptions
@@ -83,14 +83,14 @@
 
 
 class ServerStateMachine:
-    """All state of a server; its parts are in modules of their own, here they meet."""
+    """All state of a server; combines the parts that the other modules of this package define."""
 
     def __init__(self, options: MachineOptions, now: int, lifecycle: Lifecycle) -> None:
-        """Begin without connections and without an agent.
+        """Create the state without connections and without an agent.
 
         Args:
             options: Settings and limits.
-            now: Time of the clock whose times `handle` is given, ns.
+            now: Current time of the clock that `handle` uses, ns.
             lifecycle: The phase of the process.
         """
         settings = options.settings
@@ -100,12 +100,13 @@
         self.context = EventContext(now)
         self.max_timeout = max(stage.timeout for stage in settings.stages)
         self.attempts_made = 0
-        self.attempts: dict[str, Attempt] = {}  # those owed an answer, by name
-        self.by_id: dict[str, str] = {}  # their names, by id
-        self.runs: dict[str, Run] = {}  # those at the agent, by the name of their attempt
-        self.at_agent: dict[str, str] = {}  # their names, by id
-        self.in_doubt: dict[str, int] = {}  # runs whose start may be lost: until when their end is awaited
-        self.attempt_ids = AttemptIdTable(max(64, options.max_result_bytes // OWNED_ID_COST))
+        self.attempts: dict[str, Attempt] = {}  # unanswered ones, by name
+        self.by_id: dict[str, str] = {}  # names of unanswered attempts, by id
+        self.runs: dict[str, Run] = {}  # runs at the agent, by the name of their attempt
+        self.at_agent: dict[str, str] = {}  # names of the runs at the agent, by id
+        # Runs whose start may have been lost, by name: time until which their end is awaited.
+        self.in_doubt: dict[str, int] = {}
+        self.attempt_ids = AttemptIdTable(max(64, options.max_result_bytes // RESULT_BYTES_PER_ATTEMPT_ID))
         self.idempotency = IdempotencyTable(options.max_result_bytes)
         self.connections = ClientConnections(self.context, lifecycle, options.max_connections, self._release)
         self.session = AgentSession(self.context)
@@ -113,31 +114,33 @@
         self.downstream = DownstreamCalls(self.context, self.session)
         self.decisions = PolicyDecisions(self)
         self.policy_host = PolicyHost(options, self.context, self.session, self.attempts, self.decisions)
-        self.stop_at: int | None = None  # when the process is stopped, once that is known
+        self.stop_at: int | None = None  # when the process is stopped, if known
         self.exit_margin = EXIT_MARGIN
         self._next_sweep = now
         self._handlers = self._event_handlers()
         self.policy_host.start(settings, now)
 
-    # ---- from outside
+    # ---- interface to the server
 
     def handle(self, now: int, event: Any) -> list[Any]:
-        """Handle one event at `now`; return its effects, to be carried out in order."""
+        """Handle one event at the time `now`; return its effects, to be carried out in order."""
         if now > self.context.now:
             self.context.now = now
         self._handlers[type(event)](event)
         return self.context.take_effects()
 
     def handle_failure(self, event: Any) -> list[ServerEffect]:
-        """Return what `handle` asked for until it raised; a task that was not taken gets an answer."""
+        """Return the effects of `handle` up to its exception; a task that was not accepted is answered."""
         if isinstance(event, TaskReceived):
             connection = self.connections.by_number.get(event.connection)
             if connection is not None and self.by_id.get(event.task.id) not in connection.open:
-                self._answer_misunderstood(event.connection, event.seq, None, "it could not be taken")
+                self._answer_misunderstood(
+                    event.connection, event.seq, None, "the task could not be accepted"
+                )
         return self.context.take_effects()
 
     def next_deadline(self) -> int:
-        """Tell when the next `DeadlineReached` is wanted, ns."""
+        """Return when the next `DeadlineReached` is due, ns."""
         return self.policy_host.next_deadline(self._next_sweep)
 
     @property
@@ -145,8 +148,8 @@
         """The admission policy."""
         return self.policy_host.policy
 
-    def believed(self) -> dict[str, Any]:
-        """Return the policy's beliefs beside what the agent measured; they should not drift apart."""
+    def diagnostics(self) -> dict[str, Any]:
+        """Return the policy's view of the load next to the agent's measurements; they should not diverge."""
         values = zip(self.options.gauges, self.session.gauge_values, strict=False)
         gauged = {name: round(value, 3) for name, value in values}
         age_ms = (self.context.now - self.session.measured_at) // 1_000_000
@@ -192,13 +195,13 @@
             self._end_if_done()
 
     def _sweep(self) -> None:
-        """Look through all tables for what has expired."""
+        """Check all tables for expired entries."""
         now = self.context.now
         self._next_sweep = now + SWEEP_INTERVAL
-        self.policy_host.answer_overdue(self._next_sweep)
+        self.policy_host.abandon_overdue(self._next_sweep)
         self.connections.sweep()
         self.health.expire()
-        self._end_doubts()
+        self._fail_runs_in_doubt()
         for attempt_id in self.downstream.overdue():
             self.context.emit(CancelCall(attempt_id))
             self._on_call_completed(CallCompleted(attempt_id, "timed_out", b""))
@@ -223,13 +226,13 @@
         self.lifecycle.advance("leaving")
         self._log_phase()
         self.stop_at = stop_at
-        self.tell_policy(DrainRequested(stop_at))
+        self.notify_policy(DrainRequested(stop_at))
 
     def _log_phase(self) -> None:
         self.context.log("phase", phase=self.lifecycle.phase, held=len(self.attempts), runs=len(self.runs))
 
     def close_down(self) -> None:
-        """Accept nothing new: a refused connection or a dismissal sends clients elsewhere at once."""
+        """Stop accepting: refused connections and dismissals make clients use other servers at once."""
         if self.lifecycle.is_closing:
             return
         self.lifecycle.advance("closing")
@@ -238,7 +241,7 @@
         self.connections.dismiss_all()
 
     def _end_if_done(self) -> None:
-        """End once nothing is owed and no connection is left, or just before the stop."""
+        """End the process once all tasks are answered and all connections closed, or just before the stop."""
         if self.stop_at is None or self.lifecycle.phase == "ended":
             return
         owed = len(self.attempts)
@@ -247,11 +250,11 @@
         if (idle and self.lifecycle.is_closing) or self.context.now >= self.stop_at - self.exit_margin:
             self.lifecycle.advance("ended")
             self.context.log("phase", phase=self.lifecycle.phase, owed=owed, connections=open_connections)
-            for name in list(self.attempts):  # where the stop is too near for the policy's own timer
+            for name in list(self.attempts):  # if the stop is too near for the policy's timer
                 self.decisions.abandon(name)
             self.context.emit(EndProcess(self.stop_at - self.exit_margin * 2 // 3))
         elif idle:
-            self.close_down()  # nobody comes: all know already
+            self.close_down()  # no connection is left, so all clients know of the drain
 
     # ---- connections
 
@@ -271,7 +274,7 @@
     def _on_malformed(self, event: MalformedReceived) -> None:
         if self.connections.message_received(event.connection) is None:
             return
-        self.connections.offend(event.connection, "malformed", text=event.reason)
+        self.connections.record_violation(event.connection, "malformed", text=event.reason)
         if event.seq is None:
             self.connections.close(event.connection)
         else:
@@ -281,13 +284,13 @@
         self.context.emit(AnswerMisunderstood(connection, seq, method, reason))
 
     def _release(self, names: Iterable[str]) -> None:
-        """Let the attempts of a connection go that ended. A run goes on, for its repeats' sake."""
+        """Remove the attempts of a connection that ended. Their runs continue, to answer repeats."""
         unseen = set()
         for name in names:
             attempt = self.attempts.pop(name)
             del self.by_id[attempt.id]
             if attempt.policy_knows:
-                self.tell_policy(ClientGone(name))
+                self.notify_policy(ClientGone(name))
             else:
                 unseen.add(name)
         if unseen:
@@ -299,24 +302,24 @@
         connection = self.connections.message_received(event.connection)
         if connection is None:
             return
-        refusal = self._refusal(event.task)
+        refusal = self._refusal_reason(event.task)
         if refusal is not None:
             self._answer_misunderstood(event.connection, event.seq, None, refusal)
-            self.connections.offend(event.connection, "nonsense", id=event.task.id, text=refusal)
+            self.connections.record_violation(event.connection, "nonsense", id=event.task.id, text=refusal)
             return
         self.context.count("tasks")
         self._admit(event, connection)
 
-    def _refusal(self, task: Task) -> str | None:
-        """Tell why a task makes no sense; None where it does."""
+    def _refusal_reason(self, task: Task) -> str | None:
+        """Return why a task is refused; None if it is accepted."""
         if task.id in self.by_id or task.id in self.at_agent:
-            return "this try is in hand already"
+            return "this attempt is already in progress"
         if abs(self.context.now - task.arrived_at) > MAX_CLOCK_DEVIATION:
-            return "it came at no likely time"  # the policy would take it for a jam of reading
+            return "the arrival time is implausible"  # the policy would mistake it for a delay in reading
         return None
 
     def _admit(self, event: TaskReceived, connection: Connection) -> str:
-        """Take a task into hand and tell the policy of it; return its name."""
+        """Add a task and notify the policy of it; return its name."""
         task = event.task
         stage = self.settings.stages[task.stage]
         key = None if event.dedup_key is None else make_key(task.stage, event.dedup_key, event.body)
@@ -331,30 +334,30 @@
         self.attempts[name] = attempt
         if key is not None and stage.effect == "keyed" and task.id not in self.attempt_ids.by_id:
             self.claim_id(task.id, key, task.stage)
-        self.policy_host.note_key(name)
+        self.policy_host.record_pending_key(name)
         connection.open[name] = None
-        self.tell_policy(TaskArrived(replace(task, id=name, duplicate_of=original, arrived_at=arrived_at)))
+        self.notify_policy(TaskArrived(replace(task, id=name, duplicate_of=original, arrived_at=arrived_at)))
         return name
 
     def _new_name(self) -> str:
-        """Make a name; ids, which may come again, name nothing in the tables and the policy."""
+        """Return a new name. The tables and the policy use names because ids may be reused."""
         self.attempts_made += 1
         return str(self.attempts_made)
 
     def claim_id(self, attempt_id: str, key: IdempotencyKey | None, stage: int) -> None:
-        """Let an attempt id stand for this effect, whatever it stood for."""
+        """Assign an attempt id to this effect, replacing any earlier assignment."""
         window = max(self.settings.stages[stage].idempotency_window, self.max_timeout)
         self.attempt_ids.claim(attempt_id, key, self.context.now + window + self.max_timeout)
 
     def _find_original(self, key: IdempotencyKey, arrived_at: int) -> str | None:
         """Return the attempt that one with this key repeats.
 
-        What reached the machine within the window counts, however late it was read.
+        The time of arrival at the machine counts against the window, however late the task was read.
         """
         entry = self.idempotency.by_key.get(key)
         if self.settings.stages[key[0]].effect == "keyed":
-            # What came in with it goes first: two attempts that name a run which outlived its window, and so
-            # its effect in the policy, would each be a new one.
+            # Pending attempts are checked first. If a run has outlived its window, the policy has forgotten
+            # its effect; two attempts that both repeated this run would each start a new run.
             if key in self.policy_host.pending_keys:
                 return self.policy_host.pending_keys[key]
             if entry is not None and (entry.expires_at > arrived_at or entry.runner in self.runs):
@@ -368,16 +371,16 @@
             return None
         return entry.attempt
 
-    def tell_policy(self, event: PolicyEvent) -> None:
-        """Let the policy know of an event in its next round."""
+    def notify_policy(self, event: PolicyEvent) -> None:
+        """Queue an event for the policy's next round."""
         self.policy_host.pending.append(event)
 
     # ---- answers
 
     def settle(self, name: str) -> Attempt | None:
-        """Return an attempt that is owed an answer, and owe it none any more: the caller answers it.
+        """Remove an unanswered attempt and return it; the caller must answer it.
 
-        This is the one place where that happens, so that no attempt is answered twice.
+        Attempts are removed for an answer only here, so that none is answered twice.
         """
         attempt = self.attempts.pop(name, None)
         if attempt is not None:
@@ -386,7 +389,7 @@
         return attempt
 
     def _finish(self, name: str, result: bytes | memoryview) -> bool:
-        """Answer an attempt with a result; tell whether it was owed one."""
+        """Answer an attempt with a result; return whether it was still unanswered."""
         attempt = self.settle(name)
         if attempt is None:
             return False
@@ -395,28 +398,28 @@
         return True
 
     def answer_repeat(self, name: str, result: bytes | memoryview | None) -> None:
-        """Answer an attempt from the run of the one that it repeats; None where there is no result."""
+        """Answer a repeated attempt with the result of the original's run; None if there is no result."""
         if result is not None:
             if self._finish(name, result):
-                self.tell_policy(RunEnded(name, "finished", 0))
+                self.notify_policy(RunEnded(name, "finished", 0))
         elif name in self.attempts:
             self.decisions.abandon(name)
-            self.tell_policy(RunEnded(name, "failed", 0))
+            self.notify_policy(RunEnded(name, "failed", 0))
 
     # ---- runs
 
     def launch(self, name: str, run: Run) -> None:
-        """Start a run, now or once there is a link."""
+        """Start a run, now or once a link is up."""
         if self.session.linked:
             self._send(run)
 
     def _send(self, run: Run) -> None:
         run.sent = True
-        run.measures_before = self.session.measures
+        run.measurements_before = self.session.measurements_requested
         self.context.emit(StartRun(run.id, self.settings.stages[run.stage].name, run.body))
 
     def end_run(self, name: str, outcome: RunOutcome, duration: int, result: bytes | memoryview) -> None:
-        """Note that a run is over, and answer all that wait for it."""
+        """Record the end of a run, and answer all attempts that wait for it."""
         run = self.runs.pop(name)
         del self.at_agent[run.id]
         self.downstream.cancel(run.id)
@@ -424,12 +427,12 @@
             self._finish(name, result)
         else:
             self.decisions.abandon(name)
-        if self.settings.stages[run.stage].effect != "idempotent":  # what may run again owns no id
+        if self.settings.stages[run.stage].effect != "idempotent":  # an idempotent task reserves no id
             if outcome == "moot":
-                self.attempt_ids.release(run.id)  # it names nothing that ran
+                self.attempt_ids.release(run.id)  # the id was not used: nothing ran
             else:
                 self.claim_id(run.id, run.key, run.stage)
-        self.tell_policy(RunEnded(name, outcome, duration))
+        self.notify_policy(RunEnded(name, outcome, duration))
         if run.key is not None:
             entry = self.idempotency.by_key.get(run.key)
             if entry is not None and entry.runner == name:
@@ -439,27 +442,28 @@
             self.answer_repeat(repeat, result if outcome == "finished" else None)
 
     def _restart_runs(self, mark: int) -> None:
-        """Settle what a link's end left open, once all missed notices were read.
+        """Resolve the runs left open by the end of a link, once all missed notices have been read.
 
-        What was started before the measurement `mark`, ended in no notice and was not known to have arrived
-        is started again, if it is idempotent or was never written. Any other is in doubt: it may run, and a
-        second start that crosses its end would run it again, so its end is awaited for a while. All stops are
-        repeated, which does no harm: a run whose stop was lost with the link would hold its cores.
+        Concerns runs that were started before the measurement `mark`, without a notice of their end and
+        without proof that their start arrived. Those that are idempotent or were never written are started
+        again. Any other is in doubt: it may be running, and a second start that crosses the notice of its end
+        would run it again, so its end is awaited for a while. All stops are repeated, which is harmless: a
+        run whose stop was lost with the link would continue to occupy its cores.
         """
         for name, run in self.runs.items():
-            if self.session.last_measured <= run.measures_before < mark:
+            if self.session.last_measured <= run.measurements_before < mark:
                 stage = self.settings.stages[run.stage]
                 if stage.effect == "idempotent" or not run.sent:
                     self._send(run)
                 else:
-                    awaited_until = self.context.now + stage.latency_objective // DOUBT_DIVISOR
+                    awaited_until = self.context.now + stage.latency_objective // IN_DOUBT_WAIT_DIVISOR
                     self.in_doubt.setdefault(name, awaited_until)
             if run.stopped:
                 self.context.emit(StopRun(run.id))
             self.downstream.resend(run)
 
-    def _end_doubts(self) -> None:
-        """Give back the room of runs whose start was lost: they count as run."""
+    def _fail_runs_in_doubt(self) -> None:
+        """Free the capacity of runs in doubt whose wait is over: they count as having run."""
         for name, awaited_until in list(self.in_doubt.items()):
             if name not in self.runs:
                 del self.in_doubt[name]
@@ -478,13 +482,13 @@
         if self.lifecycle.phase == "awaiting agent":
             self.lifecycle.advance("serving")
             self.context.log("phase", phase=self.lifecycle.phase)
-        if self._is_untouched() and not self.lifecycle.is_draining:
-            # Only the agent knows how long the machine has been up and whether it began cold.
+        if self._can_restart_policy() and not self.lifecycle.is_draining:
+            # Only the agent knows how long the machine has been up and whether it was started cold.
             self.settings = replace(self.settings, cold_start=event.cold_start)
             self.policy_host.restart(self.settings, self.context.now - event.uptime)
 
-    def _is_untouched(self) -> bool:
-        """Tell whether the policy may begin anew: nothing is in hand."""
+    def _can_restart_policy(self) -> bool:
+        """Return whether the policy may be replaced: no attempts and no runs exist."""
         return not self.attempts and not self.runs
 
     def _on_agent_lost(self, event: AgentLost) -> None:
@@ -503,7 +507,7 @@
         number = int(event.tag) if event.tag.isdecimal() else 0
         if number <= self.session.last_measured:
             return
-        mark = self.session.reaches_mark(number)
+        mark = self.session.finish_catch_up(number)
         if mark is not None:
             self._restart_runs(mark)
         self.session.record_gauges(number, event.values)
@@ -516,13 +520,15 @@
         name = self.at_agent.get(event.attempt_id, "") if event.command == "start" else ""
         attempt = self.attempts.get(name)
         if attempt is not None:
-            self.connections.offend(attempt.connection, "declined", what=event.command, id=event.attempt_id)
+            self.connections.record_violation(
+                attempt.connection, "declined", what=event.command, id=event.attempt_id
+            )
         else:
             self.context.log_rarely("declined", what=event.command, id=event.attempt_id)
         if name:
             self.end_run(name, "moot", 0, b"")
         elif event.command == "deep_check":
-            self.health.complete(event.attempt_id, True)  # the agent makes no such checks
+            self.health.complete(event.attempt_id, True)  # the agent doesn't support such checks
 
     def _on_remark(self, event: RemarkReceived) -> None:
         self.session.is_repeated(event.number)
@@ -539,14 +545,14 @@
         run = self.runs[name]
         run.call = event.number, event.body
         run.call_reply = None
-        run.measures_before = -1  # it is known to have been started
-        self.tell_policy(CallRequested(name))
+        run.measurements_before = -1  # its start has arrived: never start it again
+        self.notify_policy(CallRequested(name))
 
     def _on_call_completed(self, event: CallCompleted) -> None:
         duration = self.downstream.complete(event.attempt_id)
         if duration is None or event.attempt_id not in self.at_agent:
-            return  # it was given up, or its run is over
+            return  # the call was given up, or its run is over
         name = self.at_agent[event.attempt_id]
         if event.outcome == "finished":
             self.downstream.resume(self.runs[name], event.result)
-        self.tell_policy(CallEnded(name, event.outcome, duration))
+        self.notify_policy(CallEnded(name, event.outcome, duration))
--- a/thistleline/state/timers.py
+++ b/thistleline/state/timers.py
@@ -7,15 +7,15 @@
     """Names of timers by the time at which they are due."""
 
     def __init__(self) -> None:
-        """Begin without timers."""
+        """Create an empty queue."""
         self._heap: list[tuple[int, str]] = []
 
     def add(self, due: int, name: str) -> None:
-        """Let the timer `name` be due at `due`."""
+        """Add the timer `name`, due at `due`."""
         heappush(self._heap, (due, name))
 
     def next_due(self) -> int | None:
-        """Tell when the earliest timer is due; None without timers."""
+        """Return when the earliest timer is due; None without timers."""
         return self._heap[0][0] if self._heap else None
 
     def take_due(self, now: int) -> list[str]:
