--- a/thistleline/durable/state_machine.py
+++ b/thistleline/durable/state_machine.py
@@ -146,7 +146,7 @@
             self._notify_remembered()
         self.remembered.clear()
         if event.cold_start:
-            for name in list(self.unsettled):  # the runs ended with the agent's last process
+            for name in list(self.unsettled):  # runs end with the agent process that ran them
                 self.end_run(name, "failed", 0, b"")
 
     def _restart_runs(self, mark: int) -> None:
--- a/thistleline/durable/writer.py
+++ b/thistleline/durable/writer.py
@@ -60,7 +60,7 @@
     """Reads the ledger that earlier processes wrote, and logs its progress."""
 
     def __init__(self, store: LedgerStore, ledger: LedgerState, log: Log) -> None:
-        """Start the clock; `run` reads the ledger."""
+        """Create a reader and start to measure its time; `run` reads the ledger."""
         self._store = store
         self._ledger = ledger
         self._log = log
--- a/thistleline/state/agent_session.py
+++ b/thistleline/state/agent_session.py
@@ -62,11 +62,11 @@
 
     def finish_catch_up(self, number: int) -> int | None:
         """Return and clear `catch_up_measurement` if the measurement `number` reaches it; else None."""
-        mark = self.catch_up_measurement
-        if mark is None or number < mark:
+        awaited = self.catch_up_measurement
+        if awaited is None or number < awaited:
             return None
         self.catch_up_measurement = None
-        return mark
+        return awaited
 
     def record_gauges(self, number: int, values: list[float]) -> None:
         """Store the values of the measurement `number`."""
--- a/thistleline/state/connections.py
+++ b/thistleline/state/connections.py
@@ -85,19 +85,19 @@
         self._silent[number] = None
         return connection
 
-    def _choose_eviction(self, newcomer: int) -> int:
+    def _choose_eviction(self, new_number: int) -> int:
         """Choose the connection to close for a new one, to save descriptors.
 
         Connections without a complete message are closed first, then those with a single one, then the
-        longest idle. So a flood of short-lived connections doesn't evict those of client libraries. The first
-        message of a connection opened within `UNREAD_GRACE` may not have been read yet; such a connection is
-        kept, so that a burst of new connections isn't closed.
+        longest idle. So a flood of little-used connections doesn't evict those of client libraries. The first
+        message of a connection opened within `UNREAD_GRACE` may not have been read yet; connections with a
+        single message are closed before it, so that a burst of new connections isn't closed.
         """
         choice = next(iter(self._silent))
         if self._context.now - self.by_number[choice].last_active < UNREAD_GRACE:
             candidates = (number for number in self._single_message if not self.by_number[number].open)
             choice = next(candidates, choice)
-        if choice == newcomer:
+        if choice == new_number:
             choice = next(number for number, connection in self.by_number.items() if not connection.open)
         return choice
 
--- a/thistleline/state/events.py
+++ b/thistleline/state/events.py
@@ -1,7 +1,8 @@
 """The events that the server's state machine handles.
 
 They are created by the server's protocol adapters, agent link and timer task. Times and durations are integer
-nanoseconds. An attempt id is chosen by a client and untrusted, so the attempts are not stored under it.
+nanoseconds. An attempt id is chosen by a client and untrusted; the tables identify attempts by generated
+names.
 """
 
 from dataclasses import dataclass
--- a/thistleline/state/policy_host.py
+++ b/thistleline/state/policy_host.py
@@ -61,9 +61,8 @@
         self._last_round = 0
         self._due_timers: list[str] = []  # timers that wait for the gauges
         self._gauges_deadline = 0  # time at which they fire without gauges
-        self._faulty_until = (
-            0  # end of the period after a policy fault in which overdue tasks are abandoned here
-        )
+        # End of the period after a policy fault in which the host abandons overdue attempts itself.
+        self._faulty_until = 0
 
     def start(self, settings: ServerSettings, started_at: int) -> None:
         """Create the policy and run its first round; `started_at`: when its machine was started, ns."""
--- a/thistleline/state/state_machine.py
+++ b/thistleline/state/state_machine.py
@@ -244,12 +244,14 @@
         """End the process once all tasks are answered and all connections closed, or just before the stop."""
         if self.stop_at is None or self.lifecycle.phase == "ended":
             return
-        owed = len(self.attempts)
+        unanswered = len(self.attempts)
         open_connections = len(self.connections.by_number)
-        idle = not (owed or open_connections or self.policy_host.pending)
+        idle = not (unanswered or open_connections or self.policy_host.pending)
         if (idle and self.lifecycle.is_closing) or self.context.now >= self.stop_at - self.exit_margin:
             self.lifecycle.advance("ended")
-            self.context.log("phase", phase=self.lifecycle.phase, owed=owed, connections=open_connections)
+            self.context.log(
+                "phase", phase=self.lifecycle.phase, owed=unanswered, connections=open_connections
+            )
             for name in list(self.attempts):  # if the stop is too near for the policy's timer
                 self.decisions.abandon(name)
             self.context.emit(EndProcess(self.stop_at - self.exit_margin * 2 // 3))
