--- a/thistleline/state/policy_host.py
+++ b/thistleline/state/policy_host.py
@@ -126,7 +126,7 @@
     def withdraw(self, names: Collection[str]) -> None:
         """Remove pending attempts whose client has gone before the policy saw them.
 
-        In a round the policy handles all departed clients before new tasks, so it would start these.
+        In a round the policy handles all departed clients before new tasks, so it would start their tasks.
         """
         self.pending = [
             event
