--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,49 +1,51 @@
-"""Tests that fail for a real fault which is not mended yet: KNOWN-RED.txt at the root, a line each.
+"""Pytest plugin for tests that are known to fail because of an unfixed fault.
+
+KNOWN-RED.txt at the root has one line for each such test, and at most three:
 
     test | cause | issue        tests/test_x.py::test_y | what is wrong | 34
 
-Three at most. Those alone may fail, and they have to: one that passes, is not there or has no cause and issue
-fails the run. Each is printed with its cause.
+Only these tests may fail, and they must fail. A listed test that passes or does not exist fails the run, as
+does a line without a cause and an issue. Each listed test is printed with its cause.
 """
 
 from pathlib import Path
 
 import pytest
 
-MOST = 3
+MAX_KNOWN_RED = 3
 
 
-def read_known_red(place: Path) -> dict[str, str]:
-    """Cause and issue by test. Raises UsageError, with a line for each fault."""
+def read_known_red(path: Path) -> dict[str, str]:
+    """Return the cause and issue of each listed test. Raises UsageError with one line per error."""
     known: dict[str, str] = {}
-    faults = []
-    lines = place.read_text().splitlines() if place.exists() else []
+    errors = []
+    lines = path.read_text().splitlines() if path.exists() else []
     for number, line in enumerate(lines, 1):
         parts = [part.strip() for part in line.split("|")]
         if line.strip() and (len(parts) != 3 or not all(parts)):
-            faults.append(f"{place.name}:{number}: wanted are test | cause | issue")
+            errors.append(f"{path.name}:{number}: expected test | cause | issue")
         elif line.strip():
             known[parts[0]] = f"{parts[1]} (issue {parts[2]})"
-    if len(known) > MOST:
-        faults.append(f"{place.name}: {len(known)} tests, {MOST} at most")
-    if faults:
-        raise pytest.UsageError("\n".join(faults))
+    if len(known) > MAX_KNOWN_RED:
+        errors.append(f"{path.name}: {len(known)} tests, at most {MAX_KNOWN_RED} are allowed")
+    if errors:
+        raise pytest.UsageError("\n".join(errors))
     return known
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     known = read_known_red(config.rootpath / "KNOWN-RED.txt")
-    whole = not config.getoption("keyword") and not config.getoption("markexpr")
-    asked = [str(arg) for arg in config.args]
-    whole = whole and (
-        not asked or asked == list(config.getini("testpaths")) or asked == [str(config.rootpath)]
+    is_full_run = not config.getoption("keyword") and not config.getoption("markexpr")
+    arguments = [str(arg) for arg in config.args]
+    is_full_run = is_full_run and (
+        not arguments or arguments == list(config.getini("testpaths")) or arguments == [str(config.rootpath)]
     )
     for item in items:
         cause = known.pop(item.nodeid, None)
         if cause is not None:
             item.add_marker(pytest.mark.xfail(reason=f"known red: {cause}", strict=True))
-    if known and whole:
-        raise pytest.UsageError("\n".join(f"KNOWN-RED.txt: there is no test {name}" for name in known))
+    if known and is_full_run:
+        raise pytest.UsageError("\n".join(f"KNOWN-RED.txt: no such test: {name}" for name in known))
 
 
 def pytest_configure(config: pytest.Config) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -537,9 +537,9 @@
     [
         ("server.listener", "ClientListener._accept_some", "ValueError"),
         ("server.listener", "ClientListener._limit_connections", "RuntimeError"),
-        ("server.announcer", "Announcer._begin", "KeyError"),
+        ("server.announcer", "Announcer._start_report", "KeyError"),
         ("server.agent_link", "AgentLink._serve_link", "KeyError"),
-        ("server.backend", "BackendLink._make", "ValueError"),
+        ("server.backend", "BackendLink._connect", "ValueError"),
         ("server.service", "_count_descriptors", "ValueError"),
         ("state.state_machine", "ServerStateMachine._on_deadline", "ZeroDivisionError"),
         ("state.state_machine", "ServerStateMachine._sweep", "KeyError"),
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What is known to fail may, and nothing else."""
+"""Tests listed in KNOWN-RED.txt must fail, and no others may."""
 
 import os
 import subprocess
@@ -11,35 +11,45 @@
 TESTS = """
 import pytest
 
-def test_well(): pass
+def test_passing(): pass
 
 @pytest.mark.parametrize("case", [1, 2])
-def test_ill(case): assert case == 0
+def test_failing(case): assert case == 0
 """
 
 
 @pytest.mark.parametrize(
-    ("lines", "code", "said"),
+    ("lines", "exit_code", "expected_output"),
     [
-        (["test_it.py::test_ill[1] | a cause | 34", "test_it.py::test_ill[2] | another | 34"], 0, "a cause"),
-        (["test_it.py::test_ill[1] | a cause | 34"], 1, "test_ill[2]"),
         (
-            [f"test_it.py::{name} | a cause | 34" for name in ("test_ill[1]", "test_ill[2]", "test_well")],
+            ["test_it.py::test_failing[1] | a cause | 34", "test_it.py::test_failing[2] | another | 34"],
+            0,
+            "a cause",
+        ),
+        (["test_it.py::test_failing[1] | a cause | 34"], 1, "test_failing[2]"),
+        (
+            [
+                f"test_it.py::{name} | a cause | 34"
+                for name in ("test_failing[1]", "test_failing[2]", "test_passing")
+            ],
             1,
             "XPASS(strict)",
         ),
         (
-            [f"test_it.py::{name} | a cause | 34" for name in ("test_ill[1]", "test_ill[2]", "test_gone")],
+            [
+                f"test_it.py::{name} | a cause | 34"
+                for name in ("test_failing[1]", "test_failing[2]", "test_missing")
+            ],
             4,
-            "there is no test test_it.py::test_gone",
+            "no such test: test_it.py::test_missing",
         ),
-        (["test_it.py::test_ill[1] | | 34"], 4, "KNOWN-RED.txt:1: wanted are test | cause | issue"),
-        ([f"test_it.py::{name} | a cause | 34" for name in "abcd"], 4, "4 tests, 3 at most"),
+        (["test_it.py::test_failing[1] | | 34"], 4, "KNOWN-RED.txt:1: expected test | cause | issue"),
+        ([f"test_it.py::{name} | a cause | 34" for name in "abcd"], 4, "4 tests, at most 3 are allowed"),
         ([], 1, "2 failed"),
     ],
 )
-def test_what_is_known_to_fail_may_and_nothing_else(
-    tmp_path: Path, lines: list[str], code: int, said: str
+def test_listed_tests_must_fail_and_no_others_may(
+    tmp_path: Path, lines: list[str], exit_code: int, expected_output: str
 ) -> None:
     (tmp_path / "pyproject.toml").write_text("[tool.pytest.ini_options]\naddopts = '-q'\n")
     (tmp_path / "test_it.py").write_text(TESTS)
@@ -47,7 +57,7 @@
         "from tests.known_red import pytest_collection_modifyitems, pytest_configure\n"
     )
     (tmp_path / "KNOWN-RED.txt").write_text("\n".join(lines) + "\n")
-    ran = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "pytest", "-p", "no:cacheprovider"],
         cwd=tmp_path,
         env={**os.environ, "PYTHONPATH": str(ROOT)},
@@ -56,4 +66,7 @@
         timeout=60,
         check=False,
     )
-    assert (ran.returncode, said in ran.stdout + ran.stderr) == (code, True), ran.stdout + ran.stderr
+    assert (completed.returncode, expected_output in completed.stdout + completed.stderr) == (
+        exit_code,
+        True,
+    ), completed.stdout + completed.stderr
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -309,7 +309,7 @@
 
             monkeypatch.setattr(anyio, "sleep", sleep)
             host, port = agent.address.split(":")
-            group.start_soon(agentlink.AgentLink((host, int(port)), handle, group).hold, lambda: 0)
+            group.start_soon(agentlink.AgentLink((host, int(port)), handle, group).run, lambda: 0)
 
     anyio.run(story)
     agent.close()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,7 @@
-"""What is spoken: against an independent codec, in any pieces, and with all that may come wrong."""
+"""The wire formats, tested with an independent codec, split input and malformed input.
+
+Also the configuration, the clock and the log of a server.
+"""
 
 import dataclasses
 import json
@@ -38,8 +41,8 @@
 CODEC = ClientCodec(read_server_settings(SETTINGS))
 
 
-def copied(message: Any) -> Any:
-    """The message with slices of its buffer copied, as the buffer goes on."""
+def copy_slices(message: Any) -> Any:
+    """Copy the message's slices of the receive buffer, which is reused for the next messages."""
     slices = {
         field.name: bytes(getattr(message, field.name))
         for field in dataclasses.fields(message)
@@ -48,9 +51,9 @@
     return dataclasses.replace(message, **slices)
 
 
-def fed(pieces: list[bytes], size: int = wire_requests.BUFFER_SIZE) -> list[Any]:
-    """What comes out of a buffer filled piece by piece."""
-    buffer, told = Buffer(size), list[Any]()
+def decode_requests(pieces: list[bytes], size: int = wire_requests.BUFFER_SIZE) -> list[Any]:
+    """Decode all requests from a buffer that is filled piece by piece."""
+    buffer, messages = Buffer(size), list[Any]()
     for piece in pieces:
         while piece:
             room = buffer.room()
@@ -58,14 +61,14 @@
             room[:count] = piece[:count]
             buffer.filled(count)
             piece = piece[count:]
-            told += [copied(message) for message in CODEC.decode_requests(buffer)]
-    return told
+            messages += [copy_slices(message) for message in CODEC.decode_requests(buffer)]
+    return messages
 
 
-def test_a_task_is_read_from_an_independent_codec() -> None:
+def test_decodes_tasks_encoded_by_an_independent_codec() -> None:
     body = bytes(range(256)) * 8
-    told = words(9, since="1764576000123", dup="1", novel="passed over")
-    [request] = fed([process(3, told, body)])
+    fields = words(9, since="1764576000123", dup="1", novel="passed over")
+    [request] = decode_requests([process(3, fields, body)])
     task = request.task
     assert request == TaskRequest(3, task, "7f3a9c21e0b4d655", body)  # type: ignore[arg-type]
     assert (task.id, task.stage, task.tenant, task.client) == ("0000000000000009", 0, 0, 2)
@@ -76,13 +79,13 @@
         True,
     )
     assert (task.arrived_at, task.user) == (1764576000123 * MS, 0x7F3A9C21E0B4D655)
-    [request] = fed([process(4, booking(1, "5c0f", effort=None))])
+    [request] = decode_requests([process(4, booking(1, "5c0f", effort=None))])
     task = request.task
     assert (task.stage, task.estimated_work, task.user, task.is_retry) == (1, None, None, False)
     assert request.retry_key == "5c0f"
 
 
-def test_answers_are_read_by_an_independent_codec() -> None:
+def test_an_independent_codec_decodes_the_responses() -> None:
     body = bytes(range(256)) * 16
     assert answered(responses.encode_finished(7, body, 0.25)[4:]) == (
         "process",
@@ -104,9 +107,9 @@
     assert answered(responses.encode_farewell()[4:]) == ("farewell", TMessageType.ONEWAY, 0, {})
 
 
-def test_frames_come_in_any_pieces() -> None:
+def test_decodes_requests_split_at_any_byte() -> None:
     stream = process(1, words(1)) + probe(2, True) + process(3, booking(2, "mark"), b"") + probe(4, False)
-    whole = fed([stream])
+    whole = decode_requests([stream])
     assert [(type(message), message.sequence) for message in whole] == [
         (TaskRequest, 1),
         (HealthRequest, 2),
@@ -114,8 +117,8 @@
         (HealthRequest, 4),
     ]
     for cut in range(len(stream)):
-        assert fed([stream[:cut], stream[cut:]]) == whole
-    assert fed([stream[place : place + 1] for place in range(len(stream))]) == whole
+        assert decode_requests([stream[:cut], stream[cut:]]) == whole
+    assert decode_requests([stream[position : position + 1] for position in range(len(stream))]) == whole
 
 
 def frame(content: bytes) -> bytes:
@@ -150,7 +153,7 @@
         (asked("process", 5, (TType.I32, 1)), 5),
         (asked("attic", 5), 5),
         (asked("process", 5, (TType.MAP, words()), kind=TMessageType.REPLY), 5),
-        (process(5, {f"w{place}": "" for place in range(65)}), 5),
+        (process(5, {f"w{index}": "" for index in range(65)}), 5),
         (process(5, words(), b"x" * 20_000), 5),
         (frame(process(5, words())[4:-40]), 5),
         (frame(b"\x80\x01\x00\x01\x00\x00\x00\x03a"), None),
@@ -161,46 +164,48 @@
         (b"\xff\xff\xff\xff" + b"x" * 200, None),
     ],
 )
-def test_what_is_malformed_is_told_with_its_number_where_it_has_one(sent: bytes, seq: int | None) -> None:
-    first = fed([sent + probe(6, False)])
+def test_malformed_requests_are_reported_with_their_sequence_number_if_readable(
+    sent: bytes, seq: int | None
+) -> None:
+    first = decode_requests([sent + probe(6, False)])
     assert (type(first[0]), first[0].sequence) == (MalformedRequest, seq)
     if seq is not None:
         assert first[1:] == [HealthRequest(6, False)]
-        assert fed([sent[place : place + 1] for place in range(len(sent))]) == first[:1]
+        assert decode_requests([sent[position : position + 1] for position in range(len(sent))]) == first[:1]
 
 
-def test_noise_never_raises_anything_else() -> None:
-    chance = random.Random(3)
-    good = process(1, words()) + process(2, booking(3, "mark"))
+def test_corrupted_requests_raise_no_other_error() -> None:
+    rng = random.Random(3)
+    valid = process(1, words()) + process(2, booking(3, "mark"))
     for _ in range(3000):
-        noisy = bytearray(good)
-        for _ in range(chance.randint(1, 6)):
-            noisy[chance.randrange(len(noisy))] = chance.randrange(256)
-        for message in fed([bytes(noisy)]):
+        corrupted = bytearray(valid)
+        for _ in range(rng.randint(1, 6)):
+            corrupted[rng.randrange(len(corrupted))] = rng.randrange(256)
+        for message in decode_requests([bytes(corrupted)]):
             assert isinstance(message, TaskRequest | HealthRequest | MalformedRequest)
 
 
-def heard(pieces: list[bytes]) -> list[Any]:
-    buffer, told = Buffer(BUFFER_SIZE), list[Any]()
+def decode_notices(pieces: list[bytes]) -> list[Any]:
+    buffer, notices = Buffer(BUFFER_SIZE), list[Any]()
     for piece in pieces:
         buffer.room()[: len(piece)] = piece
         buffer.filled(len(piece))
-        told += [copied(notice) for notice in agent.decode_notices(buffer)]
-    return told
+        notices += [copy_slices(notice) for notice in agent.decode_notices(buffer)]
+    return notices
 
 
 def run_ended(number: int, task_id: str, outcome: RunOutcome, duration: int, result: bytes) -> RunEnded:
-    """A notice as `heard` copies it."""
+    """Build a notice as `decode_notices` returns it."""
     return RunEnded(number, task_id, outcome, duration, result)  # type: ignore[arg-type]
 
 
-def test_notices_come_in_any_pieces() -> None:
+def test_decodes_notices_split_at_any_byte() -> None:
     stream = (
         b"greeting new 1500\r\noutcome 1 ab good 12.5 6\r\na\r\nb\r\n\r\naside 2 all is well\r\n"
         b"outcome 3 cd gone 0 0\r\n\r\nsampled 7 0.5 3 0.1 12\r\nexercised x bad\r\nrefusal launch ef\r\n"
         b"sing\r\n"
     )
-    whole = heard([stream])
+    whole = decode_notices([stream])
     assert whole == [
         AgentGreeting(True, 1500 * MS),
         run_ended(1, "ab", "finished", 12_500_000, b"a\r\nb\r\n"),
@@ -212,11 +217,11 @@
         UnknownNotice("sing"),
     ]
     for cut in range(len(stream)):
-        assert heard([stream[:cut], stream[cut:]]) == whole
+        assert decode_notices([stream[:cut], stream[cut:]]) == whole
 
 
 @pytest.mark.parametrize(
-    "noise",
+    "data",
     [
         b"x" * 5000,
         b"outcome 1 ab good 5\r\n",
@@ -224,17 +229,17 @@
         b"outcome 1 ab good 5 1\r\nabc\r\n",
     ],
 )
-def test_a_link_that_makes_no_sense_is_given_up(noise: bytes) -> None:
+def test_malformed_notices_raise_an_error(data: bytes) -> None:
     with pytest.raises(MalformedMessageError):
-        heard([noise])
+        decode_notices([data])
 
 
-def test_an_unknown_end_counts_as_failed() -> None:
-    assert heard([b"outcome 1 ab odd 5 0\r\n\r\n"]) == [run_ended(1, "ab", "failed", 5 * MS, b"")]
+def test_an_unknown_run_outcome_counts_as_failed() -> None:
+    assert decode_notices([b"outcome 1 ab odd 5 0\r\n\r\n"]) == [run_ended(1, "ab", "failed", 5 * MS, b"")]
 
 
 @pytest.mark.parametrize("cut", [1, 20, 60])
-def test_reports_are_answered_in_pieces_and_their_connection_kept(cut: int) -> None:
+def test_decodes_split_announce_responses_and_reuses_the_connection(cut: int) -> None:
     reports = announce.AnnounceConnection("127.0.0.1:1")
     for _ in range(2):
         sent = reports.encode_report("n3", True)
@@ -247,17 +252,17 @@
 
 
 @pytest.mark.parametrize("answer", [b"", b"HTTP/1.1 2", b"nonsense\r\n\r\n"])
-def test_a_report_cut_short_is_told(answer: bytes) -> None:
+def test_a_truncated_announce_response_raises_an_error(answer: bytes) -> None:
     reports = announce.AnnounceConnection("127.0.0.1:1")
     reports.encode_report("n3", False)
     with pytest.raises(h11.RemoteProtocolError):
         [reports.receive(piece) for piece in dict.fromkeys((answer, b""))]
 
 
-# ---- what is read at start, the clock and the log
+# ---- configuration, clock and log
 
 
-def test_the_plate_is_read(tmp_path: Path) -> None:
+def test_reads_the_configuration_file(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(TOLD))
     configuration = read_configuration({"ROUTER_CONFIG": str(path), "ROUTER_LISTEN": "127.0.0.5:9091"})
@@ -288,16 +293,16 @@
         {"agent": None},
     ],
 )
-def test_a_plate_that_can_not_be_read_is_told_in_a_line(tmp_path: Path, change: dict[str, Any]) -> None:
+def test_an_invalid_configuration_is_reported_in_one_line(tmp_path: Path, change: dict[str, Any]) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(TOLD | change))
-    with pytest.raises(SettingsError) as told:
+    with pytest.raises(SettingsError) as raised:
         read_configuration({"ROUTER_CONFIG": str(path)})
-    assert "\n" not in str(told.value)
-    assert str(told.value)
+    assert "\n" not in str(raised.value)
+    assert str(raised.value)
 
 
-def test_the_clock_goes_on_when_the_systems_steps_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_clock_advances_when_the_system_clock_is_set_back(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = Clock()
     before, system = clock.now(), time.time_ns
     monkeypatch.setattr(time, "time_ns", lambda: system() - 3600 * SECOND)
@@ -305,11 +310,11 @@
     assert 3590 * SECOND < clock.skew() < 3610 * SECOND
 
 
-def test_a_log_that_nobody_reads_stalls_nothing_and_says_what_it_dropped() -> None:
+def test_an_unread_log_does_not_block_and_counts_dropped_lines() -> None:
     source, sink = os.pipe()
     log = Log("n1", sink)
     for count in range(5 * MAX_WAITING_LINES):
-        log.event(count, "story", {"text": "x" * 500})
+        log.event(count, "example", {"text": "x" * 500})
     assert log.dropped > 0
     text = b""
     while log.lines or log.dropped:
@@ -317,17 +322,19 @@
         log.flush()
     text += os.read(source, 1 << 20)
     lines = [json.loads(line) for line in text.splitlines()]
-    assert lines[0] == {"at_ms": 0, "name": "n1", "event": "story", "text": "x" * 500}
+    assert lines[0] == {"at_ms": 0, "name": "n1", "event": "example", "text": "x" * 500}
     assert lines[-1]["event"] == "dropped"
-    assert sum(1 for line in lines if line["event"] == "story") + lines[-1]["lines"] == 5 * MAX_WAITING_LINES
+    assert (
+        sum(1 for line in lines if line["event"] == "example") + lines[-1]["lines"] == 5 * MAX_WAITING_LINES
+    )
     os.close(source)
     log.event(1, "more", {})
     os.close(sink)
 
 
-def test_a_line_of_the_log_stays_a_line_however_long() -> None:
+def test_a_long_log_line_is_still_one_json_line() -> None:
     source, sink = os.pipe()
-    Log("n1", sink).event(0, "story", {"text": "x" * 9000})
-    assert json.loads(os.read(source, 1 << 20))["event"] == "story"
+    Log("n1", sink).event(0, "example", {"text": "x" * 9000})
+    assert json.loads(os.read(source, 1 << 20))["event"] == "example"
     os.close(source)
     os.close(sink)
--- a/thistleline/handover/service.py
+++ b/thistleline/handover/service.py
@@ -159,10 +159,10 @@
         self.note("succession", state="serves", followed=self._inherited is not None)
         return [
             self._accept,
-            self.hold_agent,
-            self.backend.hold,
+            self.run_agent_link,
+            self.backend.run,
             self._report,
-            self.pump,
+            self.process_deadlines,
             self.report_figures,
             self._await_successors,
         ]
@@ -202,10 +202,10 @@
             with anyio.move_on_after(GREETING_TIMEOUT):
                 await self._agent_greeted.wait()
 
-    async def hold_agent(self) -> None:
+    async def run_agent_link(self) -> None:
         """Hold the link to the agent until the successor has it."""
         with anyio.CancelScope() as self._agent_scope:
-            await super().hold_agent()
+            await super().run_agent_link()
 
     async def _report(self) -> None:
         with anyio.CancelScope() as self._reports_scope:
@@ -434,4 +434,4 @@
         self.note("succession", state="alone")
         self._owns_agent_link = True
         self.effect_handlers |= self.agent.effect_handlers()
-        await self.hold_agent()
+        await self.run_agent_link()
--- a/thistleline/lab/processes/faulty_server.py
+++ b/thistleline/lab/processes/faulty_server.py
@@ -38,7 +38,7 @@
 from thistleline.ledger import store
 from thistleline.server import service
 from thistleline.server.configuration import ConfigurationError, read_configuration
-from thistleline.server.log import complain
+from thistleline.server.log import print_error
 from thistleline.server.service import Service
 from thistleline.state.events import RunCompleted, TaskReceived
 from thistleline.store.disk import Disk
@@ -176,7 +176,7 @@
     try:
         anyio.run(serves(configuration, conf).run)
     except ConfigurationError as error:
-        complain(str(error))
+        print_error(str(error))
         return 2
     return 0
 
--- a/thistleline/server/__init__.py
+++ b/thistleline/server/__init__.py
@@ -1,1 +1,1 @@
-"""The server process: it carries out the state machine's effects, from the first phase to the exit."""
+"""The server process: runs the state machine and carries out its effects, from start to exit."""
--- a/thistleline/server/agent_link.py
+++ b/thistleline/server/agent_link.py
@@ -1,4 +1,4 @@
-"""The link to the agent that runs tasks: held open, made anew when it ends."""
+"""The connection to the agent that runs tasks; reconnects whenever the connection ends."""
 
 from collections.abc import Callable
 from typing import Any
@@ -33,14 +33,15 @@
 from thistleline.wire.lines import BUFFER_SIZE
 
 MAX_UNWRITTEN = 4 * 1024 * 1024  # bytes
-CONNECT_TIMEOUT = 1.0  # s, for the first attempt to connect
+CONNECT_TIMEOUT = 1.0  # s, of the first connection attempt
 MAX_CONNECT_TIMEOUT = 16.0  # s
-# Seconds after a link that carried nothing, by such links in a row; the last again and again.
+# Delays before reconnecting, in s, indexed by the number of consecutive links that carried no notice; the
+# last one repeats.
 RECONNECT_DELAYS = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4)
 
 
 def _to_event(notice: agent.Notice) -> AgentEvent:
-    """Return the event that a notice of the agent is to the state machine."""
+    """Convert a notice from the agent to an event of the state machine."""
     match notice:
         case agent.RunEnded(number, attempt_id, outcome, duration, result):
             return RunCompleted(number, attempt_id, outcome, duration, result)
@@ -61,15 +62,15 @@
 
 
 class AgentLink:
-    """One link after another to the agent."""
+    """Keeps a link to the agent open and carries out the effects that send commands over it."""
 
     def __init__(self, address: Address, handle: Callable[[Any], None], group: TaskGroup) -> None:
-        """Begin without a link.
+        """Start without a link.
 
         Args:
             address: Where the agent listens.
-            handle: Takes the agent's notices as events.
-            group: Where streams do what takes time.
+            handle: Receives the agent's notices as events.
+            group: Runs the streams' pending writes.
         """
         self.address = address
         self.handle = handle
@@ -78,16 +79,16 @@
         self._attempt = anyio.CancelScope()
         self._backoff = ReconnectBackoff(CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT)
 
-    def move(self, address: Address) -> None:
-        """Link to the agent at another address; the present link or attempt at one ends at once."""
+    def set_address(self, address: Address) -> None:
+        """Switch to the agent at another address; the current link or connection attempt ends at once."""
         if address != self.address:
             self.address = address
             self._backoff = ReconnectBackoff(CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT)
             self.flush()
             self._attempt.cancel()
 
-    async def hold(self, last_notice: Callable[[], int]) -> None:
-        """Make one link after another.
+    async def run(self, last_notice: Callable[[], int]) -> None:
+        """Connect to the agent again and again, each time serving the link until it ends.
 
         Args:
             last_notice: Returns the number of the last notice that was handled.
@@ -95,7 +96,7 @@
         idle_links = 0
         while True:
             with anyio.CancelScope() as self._attempt:
-                # Cores may idle without a link, so delays grow only by links in a row that carried nothing.
+                # Cores may be idle without a link, so the delay grows only while links carry nothing.
                 if await self._serve_link(last_notice()):
                     idle_links = 0
                 await anyio.sleep(RECONNECT_DELAYS[min(idle_links, len(RECONNECT_DELAYS) - 1)])
@@ -104,9 +105,9 @@
                 idle_links = 0
 
     async def _serve_link(self, last_notice: int) -> bool:
-        """Make one link and serve it to its end; tell whether it carried a notice.
+        """Connect and serve the link until it ends; return whether it carried a notice.
 
-        The state machine is told of the end before another link is made.
+        The state machine receives `AgentLost` before the next link is opened.
         """
         reason = "closed"
         carried = False
@@ -124,10 +125,11 @@
                     self.handle(_to_event(notice))
         except (OSError, TimeoutError, anyio.ClosedResourceError) as error:
             reason = str(error) or type(error).__name__
-        except Exception as error:  # whatever a link brings ends that link alone
+        except Exception as error:  # an error on a link ends only that link
             reason = f"{type(error).__name__}: {error}"
             if isinstance(error, MalformedMessageError):
-                carried = False  # an agent that says the same again at once costs no processor time
+                # Back off, so that an agent that repeats the malformed message uses little CPU time.
+                carried = False
         finally:
             if self.stream is not None:
                 self.stream.close()
@@ -138,7 +140,7 @@
     # ---- effects
 
     def effect_handlers(self) -> dict[type, Callable[[Any], None]]:
-        """Return what carries out each class of effect."""
+        """Return the handler of each class of effect."""
         return {
             StartRun: self._start,
             StopRun: self._stop,
@@ -171,6 +173,6 @@
         self._write(agent.encode_skip_call(effect.attempt_id, effect.number))
 
     def flush(self) -> None:
-        """Write all that lies ready."""
+        """Write the queued commands."""
         if self.stream is not None and not self.stream.flush():
-            self.stream.close()  # the reader learns of it and makes a new link
+            self.stream.close()  # ends the pending read; `run` then reconnects
--- a/thistleline/server/announcer.py
+++ b/thistleline/server/announcer.py
@@ -1,4 +1,4 @@
-"""Reports to the announce service while the server may take tasks."""
+"""Periodic reports to the announce service on whether the server accepts tasks."""
 
 from collections.abc import Callable
 from typing import Any
@@ -12,79 +12,82 @@
 from thistleline.wire.announce import AnnounceConnection
 
 # Seconds.
-REPORT_INTERVAL = 1.0  # an entry lapses three seconds after the last report
-RETRY_DELAY = 0.25  # after a report that failed
+REPORT_INTERVAL = 1.0  # the announce service drops an entry three seconds after its last report
+RETRY_DELAY = 0.25  # after a failed report
 ANSWER_TIMEOUT = 10.0
-CONNECT_TIMEOUT = 2.0  # for the first attempt to connect
+CONNECT_TIMEOUT = 2.0  # of the first connection attempt
 MAX_CONNECT_TIMEOUT = 8.0
-SILENCE_TIMEOUT = 2.0  # without an answer, after which the log says so
+SILENCE_TIMEOUT = 2.0  # without an answer, after which the service is logged as down
 
-MAX_REPORTS = 3  # that may be under way at once, so that a slow answer holds none of them up
+# Limit on reports in flight; beyond it the oldest is cancelled. More than one is allowed, so that a slow
+# answer does not delay the next reports.
+MAX_REPORTS = 3
 MAX_ANSWER_BYTES = 16 * 1024
 
 
 class Report:
-    """One report on its way; where it is answered its connection may carry the next."""
+    """A report in flight; once it is answered its connection can be reused for the next one."""
 
     __slots__ = ("accepting", "http", "scope", "stream", "succeeded")
 
     def __init__(self, accepting: bool) -> None:
-        """Make a report that says whether the server accepts tasks."""
+        """Create a report of whether the server accepts tasks."""
         self.accepting = accepting
-        self.succeeded: bool | None = None  # None until it has ended
+        self.succeeded: bool | None = None  # None while in flight
         self.scope = anyio.CancelScope()
         self.stream: Stream | None = None
         self.http: AnnounceConnection | None = None
 
 
 class Announcer:
-    """Says every second whether this server accepts tasks."""
+    """Reports every second whether this server accepts tasks."""
 
     def __init__(self, name: str, address: Address, group: TaskGroup, log: Callable[..., None]) -> None:
-        """Begin with a server that accepts.
+        """Start with a server that accepts tasks.
 
         Args:
-            name: Of the server.
-            address: Of the announce service.
-            group: Where reports are made.
-            log: Takes an event and its facts.
+            name: Name of the server.
+            address: Address of the announce service.
+            group: Runs the reports.
+            log: Logs an event with its fields.
         """
         self.name = name
         self.address = address
         self._group = group
         self._log = log
         self._accepting = True
-        self._version = 0  # of what is to be told and where
-        self._changed = anyio.Event()  # what is to be told, or where, or a report has ended
+        self._version = 0  # changes with the state to report and with the address
+        self._changed = anyio.Event()  # set when the state or the address changes or a report ends
         self._backoff = ReconnectBackoff(CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT)
-        self._idle: tuple[Stream, AnnounceConnection] | None = None  # can carry a further report
-        self._reports: dict[Report, None] = {}  # under way, the oldest first
-        self._acknowledged: bool | None = None  # the state that was last answered for
+        # A connection that can carry another report.
+        self._idle: tuple[Stream, AnnounceConnection] | None = None
+        self._reports: dict[Report, None] = {}  # in flight, oldest first
+        self._acknowledged: bool | None = None  # the state that the service last confirmed
         self._healthy = True
-        self._failure = ""  # of the last that failed since one was answered
+        self._failure = ""  # error of the last failed report; cleared when one succeeds
         self._answered_at = 0.0
 
     def effect_handlers(self) -> dict[type, Callable[[Any], None]]:
-        """Return what carries out each class of effect."""
+        """Return the handler of each class of effect."""
         return {AnnounceAccepting: self._announce}
 
     def _announce(self, effect: AnnounceAccepting) -> None:
         self._accepting = effect.accepting
         self._acknowledged = None
-        self._begin_version()
+        self._start_version()
 
-    def move(self, address: Address) -> None:
-        """Tell an announce service at another address, at once, what the old one was told."""
+    def set_address(self, address: Address) -> None:
+        """Switch to the announce service at another address and report the current state to it at once."""
         if address != self.address:
             self.address = address
             self._backoff = ReconnectBackoff(CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT)
             self._acknowledged = None
             self._drop_idle()
-            self._begin_version()
+            self._start_version()
 
-    def _begin_version(self) -> None:
+    def _start_version(self) -> None:
         self._version += 1
-        self._drop_reports()  # one of an older state must not arrive after this one
+        self._drop_reports()  # a report of an older state must not arrive after a newer one
         self._changed.set()
 
     def _drop_reports(self) -> None:
@@ -101,27 +104,27 @@
     async def keep_reporting(self) -> None:
         """Report every second, whether or not earlier reports were answered.
 
-        Ends with the first report that nothing is accepted any more: the entry may lapse then.
+        Returns once the service has confirmed that no more tasks are accepted: its entry may expire then.
         """
         self._answered_at = anyio.current_time()
         try:
             while True:
-                begun = anyio.current_time()
-                report = self._begin()
-                await self._wait(begun + REPORT_INTERVAL, report)
+                started_at = anyio.current_time()
+                report = self._start_report()
+                await self._wait(started_at + REPORT_INTERVAL, report)
                 if self._acknowledged is False and not self._accepting:
                     return
                 if anyio.current_time() - self._answered_at >= SILENCE_TIMEOUT:
                     self._set_health(False, self._failure or "no answer")
                 if report.succeeded is not None:
                     retry_at = anyio.current_time() + RETRY_DELAY
-                    await self._wait(begun + REPORT_INTERVAL if report.succeeded else retry_at)
+                    await self._wait(started_at + REPORT_INTERVAL if report.succeeded else retry_at)
         finally:
             self._drop_reports()
             self._drop_idle()
 
     async def _wait(self, deadline: float, report: Report | None = None) -> None:
-        """Wait for the deadline, for the report's end, or until there is something else to tell."""
+        """Wait until the deadline, the end of the report, or a change of the state or the address."""
         version = self._version
         while (
             anyio.current_time() < deadline
@@ -139,7 +142,7 @@
 
     # ---- one report
 
-    def _begin(self) -> Report:
+    def _start_report(self) -> Report:
         while len(self._reports) >= MAX_REPORTS:
             oldest = next(iter(self._reports))
             del self._reports[oldest]
@@ -150,7 +153,7 @@
         return report
 
     async def _run(self, report: Report) -> None:
-        """Make one report; whatever it brings ends its connection alone."""
+        """Send one report; an error ends only its own connection."""
         status = 0
         failure = ""
         with report.scope:
@@ -160,7 +163,7 @@
             except Exception as error:
                 failure = str(error) or type(error).__name__
         report.succeeded = not failure
-        is_current = report in self._reports  # else the state or the service is another one by now
+        is_current = report in self._reports  # otherwise the state or the address has changed
         self._reports.pop(report, None)
         self._release(report, is_reusable=is_current and bool(status) and not failure)
         if not is_current:
@@ -187,9 +190,9 @@
         """Send the report and return the status of its answer.
 
         Raises:
-            OSError: No connection can be made, or the answer has no end.
-            TimeoutError: The answer did not come in time.
-            h11.RemoteProtocolError: The answer makes no sense.
+            OSError: The connection failed, or the answer is too long.
+            TimeoutError: The answer did not arrive in time.
+            h11.RemoteProtocolError: The answer is malformed.
         """
         stream, http = await self._connect(report)
         stream.write(http.encode_report(self.name, report.accepting))
@@ -203,7 +206,7 @@
                 status = http.receive(stream.buffer.take(count))
                 if status is not None:
                     return status
-        raise OSError("an answer without end")
+        raise OSError("the answer is too long")
 
     async def _connect(self, report: Report) -> tuple[Stream, AnnounceConnection]:
         if self._idle is not None:
--- a/thistleline/server/backend.py
+++ b/thistleline/server/backend.py
@@ -1,4 +1,4 @@
-"""The link to the back end, the downstream dependency: made when a call wants it."""
+"""The connection to the back end, the downstream dependency; opened when a call needs it."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,9 +14,10 @@
 from thistleline.wire.lines import BUFFER_SIZE
 
 MAX_UNWRITTEN = 4 * 1024 * 1024  # bytes
-CONNECT_TIMEOUT = 1.0  # s, for the first attempt to connect; a call that waits for it has its own timeout
+CONNECT_TIMEOUT = 1.0  # s, of the first connection attempt; a call that waits for it has its own timeout
 MAX_CONNECT_TIMEOUT = 16.0  # s
-# Seconds after an attempt to connect that failed, by such in a row; the last again and again.
+# Delays after a failed connection attempt, in s, indexed by the number of consecutive failures; the last one
+# repeats.
 RECONNECT_DELAYS = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4)
 
 
@@ -24,24 +25,24 @@
     """One connection and the calls that are in flight on it."""
 
     def __init__(self, stream: Stream) -> None:
-        """Begin without calls."""
+        """Start without calls."""
         self.stream = stream
         self.in_flight: set[str] = set()
-        self.cancelled: set[str] = set()  # attempt ids of calls whose end may still come
+        self.cancelled: set[str] = set()  # attempt ids of calls whose result may still arrive
 
 
 class BackendLink:
-    """One connection after another to the back end, and the calls on them, by attempt id."""
+    """Opens connections to the back end and tracks the calls on them, by attempt id."""
 
     def __init__(
         self, address: Address | None, handle: Callable[[CallCompleted], None], group: TaskGroup
     ) -> None:
-        """Begin without a connection.
+        """Start without a connection.
 
         Args:
             address: Where the back end listens; None where there is none.
-            handle: Takes the ends of calls.
-            group: Where connections are read.
+            handle: Receives the outcomes of calls.
+            group: Runs the readers of the connections.
         """
         self.address = address
         self._handle = handle
@@ -52,22 +53,22 @@
         self._current: BackendConnection | None = None
         self._calls: dict[str, BackendConnection] = {}
 
-    def move(self, address: Address | None) -> None:
-        """Send new calls to another address; what is in flight may end where it is."""
+    def set_address(self, address: Address | None) -> None:
+        """Send new calls to another address; calls in flight may complete on their connections."""
         if address != self.address:
             self.address = address
             self._backoff = ReconnectBackoff(CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT)
             self._retire()
 
     def _retire(self) -> None:
-        """Let the next call have a new connection; what is in flight on the present one may end there."""
+        """Use a new connection for the next call; calls in flight may complete on the current one."""
         retired = self._current
         self._current = None
         if retired is not None and not retired.in_flight:
             retired.stream.close()
 
-    async def hold(self) -> None:
-        """Make a connection whenever a call waits for one."""
+    async def run(self) -> None:
+        """Open a connection whenever a call waits for one."""
         failures = 0
         while True:
             self._wanted = anyio.Event()
@@ -75,14 +76,17 @@
                 await self._wanted.wait()
             if self._current is not None:
                 self._send_pending()
-            elif await self._make():
+            elif await self._connect():
                 failures = 0
             else:
                 await anyio.sleep(RECONNECT_DELAYS[min(failures, len(RECONNECT_DELAYS) - 1)])
                 failures += 1
 
-    async def _make(self) -> bool:
-        """Make a connection for the pending calls; where none can be had nothing of them has run."""
+    async def _connect(self) -> bool:
+        """Open a connection and send the pending calls; return False if none could be opened.
+
+        In that case none of the calls has run.
+        """
         address = self.address
         try:
             if address is None:
@@ -111,7 +115,7 @@
         self.flush()
 
     async def _serve(self, connection: BackendConnection) -> None:
-        """Read one connection to its end; whatever it brings ends that connection alone."""
+        """Read one connection until it ends; an error ends only that connection."""
         try:
             while True:
                 connection.stream.request_read()
@@ -122,22 +126,22 @@
                 if connection is not self._current and not connection.in_flight:
                     break
         except Exception:
-            pass  # the calls in flight are told of it below
+            pass  # the calls in flight are completed as aborted below
         finally:
             if self._current is connection:
                 self._current = None
             connection.stream.close()
             for attempt_id in list(connection.in_flight):
-                self._forget(connection, attempt_id)
+                self._remove_call(connection, attempt_id)
                 self._handle(CallCompleted(attempt_id, "aborted", b""))
 
     def _call_ended(self, connection: BackendConnection, end: backend.CallEnded) -> None:
         connection.cancelled.discard(end.task_id)
         if end.task_id in connection.in_flight:
-            self._forget(connection, end.task_id)
+            self._remove_call(connection, end.task_id)
             self._handle(CallCompleted(end.task_id, end.outcome, end.result))
 
-    def _forget(self, connection: BackendConnection, attempt_id: str) -> None:
+    def _remove_call(self, connection: BackendConnection, attempt_id: str) -> None:
         connection.in_flight.discard(attempt_id)
         if self._calls.get(attempt_id) is connection:
             del self._calls[attempt_id]
@@ -145,13 +149,13 @@
     # ---- effects
 
     def effect_handlers(self) -> dict[type, Callable[[Any], None]]:
-        """Return what carries out each class of effect."""
+        """Return the handler of each class of effect."""
         return {StartCall: self._start_call, CancelCall: self._cancel_call}
 
     def _start_call(self, effect: StartCall) -> None:
         attempt_id = effect.attempt_id
         if self._current is not None and attempt_id in self._current.cancelled:
-            self._retire()  # the end of the call before bears the same id and may still come
+            self._retire()  # the result of the cancelled call has the same id and may still arrive
         if self._current is None or self._current.stream.closed:
             self._pending[attempt_id] = effect
             self._wanted.set()
@@ -167,9 +171,9 @@
         if connection is not None:
             connection.stream.write(backend.encode_cancel(attempt_id))
             connection.cancelled.add(attempt_id)
-            self._forget(connection, attempt_id)
+            self._remove_call(connection, attempt_id)
 
     def flush(self) -> None:
-        """Write all that lies ready."""
+        """Write the queued messages."""
         if self._current is not None and not self._current.stream.flush():
-            self._current.stream.close()  # the reader learns of it
+            self._current.stream.close()  # ends the pending read
--- a/thistleline/server/clock.py
+++ b/thistleline/server/clock.py
@@ -1,21 +1,21 @@
-"""The clock of a server: Unix nanoseconds that never go backward, whatever is done to the system's clock."""
+"""The clock of a server: Unix nanoseconds that never go backward, even when the system clock is set back."""
 
 import time
 
 
 class Clock:
-    """Monotonic time, with the system's clock at construction as its origin."""
+    """Monotonic time, with the system clock at construction as its origin."""
 
     __slots__ = ("_offset",)
 
     def __init__(self) -> None:
-        """Take the origin from the system's clock."""
+        """Take the origin from the system clock."""
         self._offset = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
-        """Return the time, ns."""
+        """Return the time in ns."""
         return time.monotonic_ns() + self._offset
 
     def skew(self) -> int:
-        """Return how far this clock is ahead of the system's, by which peers give times, ns."""
+        """Return how far this clock is ahead of the system clock, which peers' timestamps refer to, in ns."""
         return self.now() - time.time_ns()
--- a/thistleline/server/configuration.py
+++ b/thistleline/server/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that a server reads at its start: its name, addresses, limits and settings."""
+"""The configuration that a server reads at startup: its name, addresses, limits and settings."""
 
 import os
 from collections.abc import Mapping
@@ -18,34 +18,34 @@
 Address = tuple[str, int]
 MS = 1_000_000
 MAX_NUMBER = 1e12
-# Where the file gives no limits: the most that the platform gives.
+# The largest limits of the platform, used where the file states none.
 DEFAULT_MEMORY_MB = 192
 DEFAULT_DESCRIPTORS = 1024
 
 
 class ConfigurationError(Exception):
-    """What the server needs can't be used; the message says why in a line."""
+    """A resource that the server needs can't be used; the message is one line with the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """What a server reads at its start."""
+    """The configuration of a server."""
 
     name: str
     listen: Address
     agent: Address
     announce: Address
     backend: Address | None  # the downstream dependency, where the site has one
-    seed: int  # of random draws
-    stop_timeout: int  # ns from the request to drain to the stop of the process
-    descriptors: int  # that the process may open
-    memory: int  # bytes that the process may take
+    seed: int  # seed of the random number generator
+    stop_timeout: int  # ns from the shutdown request until the process must have stopped
+    descriptors: int  # file descriptors that the process may open
+    memory: int  # bytes of memory that the process may use
     settings: ServerSettings
-    gauges: tuple[str, ...]  # names of the values that the agent measures, in its order
-    granularity: int  # ns, the least time between two rounds of the policy
+    gauges: tuple[str, ...]  # names of the agent's gauges, in the order in which it sends their values
+    granularity: int  # minimum time between two rounds of the policy, ns
 
-    def facts(self) -> dict[str, Any]:
-        """Return what helps to read the log."""
+    def log_fields(self) -> dict[str, Any]:
+        """Return the fields to log at startup."""
         return {
             "stages": {
                 stage.name: [
@@ -66,11 +66,11 @@
     """Read the file that ROUTER_CONFIG names; unknown keys are ignored.
 
     Raises:
-        SettingsError: It can't be used; the message is one line.
+        SettingsError: The file can't be read or is invalid; the message is one line.
     """
     path = environ.get("ROUTER_CONFIG")
     if not path:
-        raise SettingsError("ROUTER_CONFIG names no file")
+        raise SettingsError("the environment variable ROUTER_CONFIG is unset or empty")
     try:
         with open(path, "rb") as file:
             return _build(orjson.loads(file.read()), environ)
@@ -106,7 +106,7 @@
 
 
 def _positive(name: str, value: Any, unit: int = 1) -> int:
-    """Return a number above zero, times the unit, as a whole number."""
+    """Return a positive number times the unit, as an integer of at least 1."""
     number = float(value)
     if not 0 < number < MAX_NUMBER:
         raise SettingsError(f"{name!r} is {value!r}, not a number above 0")
@@ -114,7 +114,7 @@
 
 
 def _descriptors(limit: int | None) -> int:
-    """Return the limit on descriptors, no more than the system gives."""
+    """Return the limit on file descriptors, at most that of the system."""
     wanted = limit or DEFAULT_DESCRIPTORS
     system_limit = os.sysconf("SC_OPEN_MAX")
     if system_limit <= 0:  # the system has no limit
@@ -125,5 +125,5 @@
 def _address(text: Any) -> Address:
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise SettingsError(f"{text!r} is no address")
+        raise SettingsError(f"{text!r} is not an address of the form host:port")
     return host.strip("[]"), int(port)
--- a/thistleline/server/listener.py
+++ b/thistleline/server/listener.py
@@ -44,13 +44,14 @@
     TaskRequest,
 )
 
-MAX_UNWRITTEN = 256 * 1024  # bytes; a full connection's answers take under 140 KiB
-BACKLOG = 1024  # connections that the kernel holds ready
+MAX_UNWRITTEN = 256 * 1024  # bytes; the answers to a connection at its task limit take under 140 KiB
+BACKLOG = 1024  # connections that the kernel queues until they are accepted
 MAX_ACCEPTED_AT_ONCE = 64
-ACCEPT_RETRY_DELAY = 0.05  # s, where no descriptor or memory is to be had
-LINGER_TIMEOUT = 1.0  # s, for a peer to read what it was sent and to close
-SPARE_LINGERING = 4  # connections that may linger where all others are open
-# What the kernel says of one connection that came to nothing; the next may be well.
+ACCEPT_RETRY_DELAY = 0.05  # s, while descriptors or memory are exhausted
+LINGER_TIMEOUT = 1.0  # s, for a peer to read its answers and close the connection
+# Connections that may linger in addition to the limit on connections.
+SPARE_LINGERING = 4
+# Errors of `accept` that concern only the one connection; the next call may succeed.
 CONNECTION_ERRORS = (
     errno.ECONNABORTED,
     errno.EPROTO,
@@ -71,7 +72,7 @@
     """Return a non-blocking listening socket.
 
     Raises:
-        OSError: The address can't be had.
+        OSError: The address can't be bound.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     listener = socket.create_server(address, family=family, backlog=BACKLOG)
@@ -80,7 +81,7 @@
 
 
 def _to_event(connection: int, request: Request) -> ClientEvent:
-    """Return the event that a request on a connection is to the state machine."""
+    """Convert a request on a connection to an event of the state machine."""
     match request:
         case TaskRequest(seq, task, dedup_key, body):
             return TaskReceived(connection, seq, task, dedup_key, body)
@@ -91,7 +92,7 @@
 
 
 class ClientListener:
-    """Accepts connections, reads messages from them and writes answers."""
+    """Accepts client connections, reads requests from them and writes the answers."""
 
     def __init__(
         self,
@@ -101,14 +102,14 @@
         group: TaskGroup,
         max_connections: int = sys.maxsize,
     ) -> None:
-        """Begin without connections.
+        """Start without connections.
 
         Args:
             listener: The listening socket.
-            codec: Reads messages.
-            handle: Takes them as events.
-            group: Where connections are read.
-            max_connections: That may be open, those that linger among them.
+            codec: Decodes requests.
+            handle: Receives events.
+            group: Runs the readers of the connections.
+            max_connections: Limit on connections, including those that linger.
         """
         self.listener: socket.socket | None = listener
         self._codec = codec
@@ -116,21 +117,22 @@
         self._group = group
         self._max_connections = max_connections
         self._streams: dict[int, Stream] = {}
-        self._written: dict[int, Stream] = {}  # since the last flush
-        self._lingering: OrderedDict[int, Stream] = (
-            OrderedDict()
-        )  # closed for the state machine, oldest first
-        self._quiet: anyio.Event | None = None  # set once none lingers, where somebody waits for that
-        self._accepted = 0  # connections so far
+        self._unflushed: dict[int, Stream] = {}  # streams written to since the last flush
+        # Connections that have ended for the state machine, oldest first.
+        self._lingering: OrderedDict[int, Stream] = OrderedDict()
+        # Set once no connection lingers; None unless `finish` waits for that.
+        self._all_closed: anyio.Event | None = None
+        self._accepted = 0  # number of connections accepted so far
 
     # ---- connections
 
     async def accept(self) -> None:
-        """Accept connections until told to stop."""
+        """Accept connections until `stop_accepting` or `abandon_listener` is called."""
         while (listener := self.listener) is not None:
             try:
                 await anyio.wait_readable(listener)
-                # Who is to give way for a newcomer is judged by what was read: what lies unread goes first.
+                # The state machine picks the connection to close for a new one by what it has read, so input
+                # that has already arrived on open connections is read first.
                 await anyio.lowlevel.checkpoint()
                 if self.listener is not None:
                     self._accept_some(listener)
@@ -140,10 +142,12 @@
                 await anyio.sleep(ACCEPT_RETRY_DELAY)
 
     def _accept_some(self, listener: socket.socket) -> bool:
-        """Accept some connections; false where there are no more. A flood of them holds up no other task.
+        """Accept a limited number of connections, so that a flood of them does not starve other tasks.
+
+        Returns False if no more connections are waiting.
 
         Raises:
-            OSError: There is no room, or nothing to listen on.
+            OSError: Descriptors or memory are exhausted, or the listening socket has failed.
         """
         for _ in range(MAX_ACCEPTED_AT_ONCE):
             try:
@@ -159,7 +163,7 @@
             try:
                 stream = Stream(sock, self._group, BUFFER_SIZE, MAX_UNWRITTEN)
             except OSError:
-                continue  # gone already
+                continue  # the peer has already disconnected
             self._add(stream)
         return True
 
@@ -172,7 +176,7 @@
         self._limit_connections()
 
     async def _serve(self, number: int, stream: Stream) -> None:
-        """Read one connection to its end; whatever happens here ends nothing else."""
+        """Read one connection until it ends; an error ends only that connection."""
         reason = ""
         try:
             await self._read_messages(number, stream)
@@ -189,8 +193,8 @@
                 await stream.linger(LINGER_TIMEOUT)
             finally:
                 self._lingering.pop(number, None)
-                if self._quiet is not None and not self._lingering:
-                    self._quiet.set()
+                if self._all_closed is not None and not self._lingering:
+                    self._all_closed.set()
 
     async def _read_messages(self, number: int, stream: Stream) -> None:
         while await stream.read():
@@ -201,7 +205,7 @@
             self._handle(InputDrained(number, len(stream.buffer) > 0))
 
     def _limit_connections(self) -> None:
-        """Save descriptors: the longest lingering give way to whoever is served."""
+        """Free descriptors for served connections: close the longest-lingering ones above the limit."""
         while len(self._streams) + len(self._lingering) > self._max_connections + SPARE_LINGERING:
             if not self._close_lingering():
                 return
@@ -213,7 +217,7 @@
         return True
 
     def close(self, number: int) -> None:
-        """Read nothing as a message any more; what was written reaches its peer while the stream lingers."""
+        """Stop reading requests; the stream lingers so that the peer still receives what was written."""
         stream = self._streams.pop(number, None)
         if stream is not None:
             self._lingering[number] = stream
@@ -221,23 +225,23 @@
             self._limit_connections()
 
     async def finish(self) -> None:
-        """End every connection, and wait until the peers have what was written or may not linger longer."""
+        """Close every connection and wait until all have closed or reached the linger timeout."""
         for number in list(self._streams):
             self.close(number)
         if self._lingering:
-            self._quiet = anyio.Event()
-            await self._quiet.wait()
+            self._all_closed = anyio.Event()
+            await self._all_closed.wait()
 
     def flush(self) -> list[int]:
-        """Write all that lies ready; return the connections that are gone or don't read."""
-        written = self._written
-        self._written = {}
-        return [number for number, stream in written.items() if not stream.flush()]
+        """Write the queued answers; return the connections whose peer is gone or not reading."""
+        unflushed = self._unflushed
+        self._unflushed = {}
+        return [number for number, stream in unflushed.items() if not stream.flush()]
 
     # ---- effects
 
     def effect_handlers(self) -> dict[type, Callable[[Any], None]]:
-        """Return what carries out each class of effect."""
+        """Return the handler of each class of effect."""
         return {
             ReadConnection: self._read,
             AnswerFinished: self._answer_finished,
@@ -259,7 +263,7 @@
         stream = self._streams.get(number)
         if stream is not None:
             stream.write(data)
-            self._written[number] = stream
+            self._unflushed[number] = stream
 
     def _answer_finished(self, effect: AnswerFinished) -> None:
         self._write(effect.connection, responses.encode_finished(effect.seq, effect.result, effect.load_hint))
@@ -286,7 +290,10 @@
         self.close(effect.connection)
 
     def stop_accepting(self, effect: StopAccepting | None = None) -> None:
-        """Take what the machine has accepted, then no more: a refused connection proves that nothing ran."""
+        """Accept the connections in the kernel's backlog, then close the listening socket.
+
+        Accepting the backlog lets a client conclude from a refused connection that its task did not run.
+        """
         listener = self.listener
         self.listener = None
         if listener is not None:
@@ -296,7 +303,7 @@
             self._close_listener(listener)
 
     def abandon_listener(self) -> None:
-        """Close the listening socket; what waits at it is another process's, which has the socket too."""
+        """Close the listening socket; another process shares it and accepts the waiting connections."""
         listener = self.listener
         self.listener = None
         if listener is not None:
--- a/thistleline/server/log.py
+++ b/thistleline/server/log.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line an event, on standard output. A pipe that nobody reads stalls nothing."""
+"""The log: one JSON line per event on standard output. A pipe that is not read does not block the server."""
 
 import os
 import select
@@ -8,12 +8,12 @@
 
 import orjson
 
-MAX_WAITING_LINES = 256  # past it lines are dropped, and counted
-MAX_LINE_BYTES = 4096  # a pipe that is ready takes this much at once
+MAX_WAITING_LINES = 256  # further lines are dropped and counted
+MAX_LINE_BYTES = 4096  # a writable pipe takes this much without blocking
 
 
 class Log:
-    """Lines that wait until the target takes them."""
+    """Writes log lines to a file descriptor and queues those that would block."""
 
     def __init__(self, name: str, target: int = 1) -> None:
         """Write for the server `name` to the file descriptor `target`."""
@@ -25,7 +25,7 @@
         self._poll.register(target, select.POLLOUT)
 
     def event(self, now: int, event: str, facts: dict[str, Any]) -> None:
-        """Log an event at `now`, ns, with its facts."""
+        """Log an event at time `now`, in ns, with its fields."""
         if len(self.lines) >= MAX_WAITING_LINES:
             self.dropped += 1
         else:
@@ -37,14 +37,15 @@
         try:
             text = orjson.dumps(line | facts, default=str)
         except TypeError:
-            # A number past 64 bits or half a character: a peer's, who must not end the program.
+            # The fields may hold a peer's integer beyond 64 bits or unpaired surrogate, which orjson refuses.
+            # That must not end the process.
             text = orjson.dumps({**line, "facts": ascii(facts)})
         if len(text) >= MAX_LINE_BYTES:
             text = orjson.dumps({**line, "cut": True})
         return text
 
     def flush(self) -> None:
-        """Write what the target takes now."""
+        """Write as many lines as the target accepts without blocking."""
         try:
             while self.lines and self._is_writable():
                 os.write(self._target, self.lines.popleft())
@@ -53,12 +54,12 @@
                     self.dropped = 0
                     self.lines.append(orjson.dumps(dropped) + b"\n")
         except OSError:
-            self.lines.clear()  # nobody is there to read
+            self.lines.clear()  # nothing reads the log any more
 
     def _is_writable(self) -> bool:
         return any(state & select.POLLOUT for _, state in self._poll.poll(0))
 
 
-def complain(text: str) -> None:
-    """Write a line on standard error: why the program can't start."""
+def print_error(text: str) -> None:
+    """Print on standard error why the program can't start."""
     print(f"thistleline: {text}", file=sys.stderr)
--- a/thistleline/server/service.py
+++ b/thistleline/server/service.py
@@ -1,4 +1,4 @@
-"""The server as one program: tasks that feed the state machine, and what carries out its effects."""
+"""The server process: feeds events to the state machine and carries out its effects."""
 
 import errno
 import gc
@@ -41,35 +41,38 @@
     from thistleline.config.schema import ProgramConfig
 
 MS, SECOND = 1_000_000, 1_000_000_000
-RESERVED_DESCRIPTORS = 24  # that are no client's: listener, links, log, the loop's own
-CONNECTION_COST = 32 * 1024  # bytes of an open connection, measured at 900 of them
-FIGURES_INTERVAL = 5.0  # s
-FAULT_DELAY = 0.05  # s, before a task that failed begins anew
-ADDRESS_TIMEOUT = 10.0  # s, for an address that the incarnation before still holds
+# File descriptors that are not available to clients: the listener, the links, the log and the event loop.
+RESERVED_DESCRIPTORS = 24
+CONNECTION_COST = 32 * 1024  # bytes of memory per open connection, with 900 connections open
+FIGURES_INTERVAL = 5.0  # s, between log lines with the server's metrics
+FAULT_DELAY = 0.05  # s, before a failed task is restarted
+ADDRESS_TIMEOUT = 10.0  # s, for the previous incarnation to release the listening address
 ADDRESS_RETRY_DELAY = 0.05  # s
-SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)  # held back until they can be handled
-RELOADABLE = ("agent", "announce", "backend", "stop_timeout")  # of a configuration; all else needs a restart
-TURNS_BEFORE_ROUND = (
-    3  # of the event loop, in which all that lies unread comes in before a deadline is handled
-)
-STANDSTILL = 100 * MS  # past a deadline by so much the process has stood still,
-TURNS_AFTER_STANDSTILL = 12  # and more may lie unread
+SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)  # blocked while the service can't handle them
+# Fields of the configuration that a reload applies; all others need a restart.
+RELOADABLE = ("agent", "announce", "backend", "stop_timeout")
+# Iterations of the event loop before a deadline is handled, so that input that has arrived is read first.
+LOOP_TURNS_BEFORE_ROUND = 3
+# Lateness of a deadline, in ns, from which the process counts as having been paused. More input may have
+# arrived meanwhile, so the event loop runs more iterations first.
+PAUSE_THRESHOLD = 100 * MS
+LOOP_TURNS_AFTER_PAUSE = 12
 
 EffectHandlers = dict[type, Callable[[Any], None]]
 
 
 class Service:
-    """One server, from its configuration to its exit."""
+    """A server, from its configuration to its exit."""
 
     def __init__(self, configuration: Configuration, conf: "ProgramConfig | None" = None) -> None:
-        """Make the state machine.
+        """Create the state machine.
 
         Args:
-            configuration: What the platform gives.
-            conf: Settings of the optional parts, such as the ledger.
+            configuration: The configuration from the platform.
+            conf: Settings of the optional components, such as the ledger.
 
         Raises:
-            ConfigurationError: A part can't be used.
+            ConfigurationError: A component can't be used.
         """
         self.configuration = configuration
         self.clock = Clock()
@@ -79,15 +82,19 @@
         self._reload_wanted = False
         by_memory = configuration.memory // 4 // CONNECTION_COST
         self.max_connections = max(1, min(configuration.descriptors - RESERVED_DESCRIPTORS, by_memory))
-        self.recover: Callable[[], Any] | None = None  # reads what an earlier incarnation left; blocks
-        self.make_writer: Callable[[TaskGroup], EffectHandlers] | None = None  # of the ledger
+        # Reads the effects that an earlier incarnation recorded; blocks.
+        self.recover: Callable[[], Any] | None = None
+        # Creates the ledger's writer and returns its effect handlers.
+        self.make_writer: Callable[[TaskGroup], EffectHandlers] | None = None
         self.machine = self._make_machine(conf, self._machine_options(conf), self.clock.now())
         self.effect_handlers: EffectHandlers = {}
         self._woken = anyio.Event()
         self._sleeps_until = 0
         self._is_flushing = False
-        self._unseen_since = 0  # when the first task was read that no round has seen
-        # The worst since the last figures, ns: timers late, rounds long, tasks read and not seen by a round.
+        # When the oldest task was read that no policy round has processed; 0 if there is none.
+        self._undecided_since = 0
+        # Maxima since the last log line with metrics, in ns: lateness of timers, duration of rounds, and time
+        # from reading a task to the round that processes it.
         self._max_lateness = 0
         self._max_round = 0
         self._max_delay = 0
@@ -112,7 +119,7 @@
         """Return the state machine of this server.
 
         Raises:
-            ConfigurationError: A part that it needs can't be used.
+            ConfigurationError: A component that it needs can't be used.
         """
         if conf is None or conf.ledger is None:
             return ServerStateMachine(options, now, self.lifecycle)
@@ -126,14 +133,14 @@
     # ---- start and stop
 
     async def run(self) -> None:
-        """Serve until the process is to end.
+        """Serve until the server has shut down.
 
         Raises:
-            OSError: It can't listen.
-            ConfigurationError: A part can't be used.
+            OSError: The server can't listen.
+            ConfigurationError: A component can't be used.
         """
         failure: Exception | None = None
-        self._startup = anyio.CancelScope()  # until it listens
+        self._startup = anyio.CancelScope()  # covers the time until the server listens
         with anyio.open_signal_receiver(*SIGNALS) as signals:
             signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
             try:
@@ -148,30 +155,33 @@
                     if not self.is_serving:
                         group.cancel_scope.cancel()
             finally:
-                # Without a handler a second signal, or SIGHUP, would end the process before it is through.
+                # The handlers are about to be removed; a second signal, or SIGHUP, would then end the process
+                # before it has finished.
                 signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
         if failure is not None:
             raise failure
 
     async def _prepare(self) -> tuple[Any, socket.socket]:
-        """Return what an earlier incarnation left, and the listening socket.
+        """Return the effects that an earlier incarnation recorded, and the listening socket.
 
-        Until it knows what ran the server does not listen: a refused connection proves that nothing ran.
+        The server does not listen until it knows which tasks ran before. A client may therefore conclude from
+        a refused connection that its task did not run.
 
         Raises:
-            OSError: It can't listen.
-            ConfigurationError: What is left can't be read.
+            OSError: The server can't listen.
+            ConfigurationError: The records can't be read.
         """
         recovered = await anyio.to_thread.run_sync(self.recover) if self.recover is not None else None
         return recovered, await self._listen()
 
     async def _listen(self) -> socket.socket:
-        """Return the listening socket; an address that the incarnation before holds comes free in a while.
+        """Return the listening socket; retry while the previous incarnation still holds the address.
 
-        Nothing is awaited once it listens, so a signal comes before that or is handled by who serves.
+        Nothing is awaited after the socket listens. A signal therefore arrives either before that and cancels
+        the startup, or once the server serves and handles it.
 
         Raises:
-            OSError: The address can't be had.
+            OSError: The address can't be bound.
         """
         is_noted = False
         give_up_at = anyio.current_time() + ADDRESS_TIMEOUT
@@ -188,9 +198,10 @@
             await anyio.sleep(ADDRESS_RETRY_DELAY)
 
     async def _handle_signals(self, signals: AsyncIterator[signal.Signals]) -> None:
-        """Drain, or read the configuration again.
+        """Drain on SIGTERM or SIGINT; reload the configuration on SIGHUP.
 
-        While nothing listens, as nothing is owed, the request to drain ends the start; SIGHUP waits.
+        Before the server listens no client waits for an answer, so a request to drain cancels the startup. A
+        SIGHUP takes effect once the server serves.
         """
         async for number in signals:
             if number == signal.SIGHUP:
@@ -206,22 +217,22 @@
         self.handle(ShutdownRequested(self.clock.now() + self.configuration.stop_timeout))
 
     def _serve(self, group: TaskGroup, recovered: Any, listener: socket.socket) -> None:
-        """Make the parts, tell the state machine that it listens, and start the tasks."""
+        """Create the components, notify the state machine that the server listens, and start the tasks."""
         self.is_serving = True
-        self._make_parts(group, listener)
+        self._create_components(group, listener)
         if recovered is not None:
-            self._tell_recovered(recovered)
+            self._handle_recovered(recovered)
         self.handle(ListeningStarted())
-        self.note("started", **self.configuration.facts())
+        self.note("started", **self.configuration.log_fields())
         if self._reload_wanted:
             self._reload()
-        if self._startup.cancel_called:  # the signal came when it was too late to end the start
+        if self._startup.cancel_called:  # the signal arrived too late to cancel the startup
             self._request_shutdown()
         for task in self._tasks(group):
             group.start_soon(self._keep_running, task)
         gc.freeze()
 
-    def _make_parts(self, group: TaskGroup, listener: socket.socket) -> None:
+    def _create_components(self, group: TaskGroup, listener: socket.socket) -> None:
         configuration = self.configuration
         codec = ClientCodec(configuration.settings)
         self.clients = ClientListener(listener, codec, self.handle_client, group, self.max_connections)
@@ -230,32 +241,32 @@
         self.announcer = Announcer(configuration.name, configuration.announce, group, self.note)
         if self.make_writer is not None:
             self.effect_handlers |= self.make_writer(group)
-        for part in (self.clients, self.agent, self.backend, self.announcer):
-            self.effect_handlers |= part.effect_handlers()
-        self.effect_handlers |= {LogEvent: self._log_event, EndProcess: self._make_end(group)}
+        for component in (self.clients, self.agent, self.backend, self.announcer):
+            self.effect_handlers |= component.effect_handlers()
+        self.effect_handlers |= {LogEvent: self._log_event, EndProcess: self._make_end_handler(group)}
 
-    def _tell_recovered(self, recovered: Any) -> None:
+    def _handle_recovered(self, recovered: Any) -> None:
         from thistleline.durable.events import EffectsRecovered
 
         self.handle(EffectsRecovered(recovered))
 
     def _tasks(self, group: TaskGroup) -> Iterable[Callable[[], Awaitable[None]]]:
-        """Return what runs side by side until the end."""
+        """Return the functions that run concurrently until the server ends."""
         return [
             self.clients.accept,
-            self.hold_agent,
-            self.backend.hold,
+            self.run_agent_link,
+            self.backend.run,
             self.announcer.keep_reporting,
-            self.pump,
+            self.process_deadlines,
             self.report_figures,
         ]
 
-    async def hold_agent(self) -> None:
-        """Hold the link to the agent."""
-        await self.agent.hold(lambda: self.machine.session.last_notice)
+    async def run_agent_link(self) -> None:
+        """Keep the link to the agent open."""
+        await self.agent.run(lambda: self.machine.session.last_notice)
 
     async def _keep_running(self, task: Callable[[], Awaitable[None]]) -> None:
-        """Run a task; one that fails begins anew and ends no other."""
+        """Run a task and restart it when it fails; a failure does not affect other tasks."""
         while True:
             try:
                 await task()
@@ -265,23 +276,23 @@
                 self.note("fault", task=name, trace=traceback.format_exc()[-2000:])
                 await anyio.sleep(FAULT_DELAY)
 
-    def _make_end(self, group: TaskGroup) -> Callable[[EndProcess], None]:
-        async def end(deadline: int) -> None:
-            """Let the peers have what was written to them, until the deadline, then end everything."""
+    def _make_end_handler(self, group: TaskGroup) -> Callable[[EndProcess], None]:
+        async def finish(deadline: int) -> None:
+            """Wait until the peers have received their answers, at most until the deadline, then stop all."""
             with anyio.move_on_after(max(0, deadline - self.clock.now()) / SECOND):
                 await self.clients.finish()
             group.cancel_scope.cancel()
 
-        def start(effect: EndProcess) -> None:
-            group.start_soon(end, effect.deadline)
+        def handle(effect: EndProcess) -> None:
+            group.start_soon(finish, effect.deadline)
 
-        return start
+        return handle
 
     def _reload(self) -> None:
-        """Take up what can be of a new configuration; one that makes no sense changes nothing."""
+        """Apply the reloadable fields of a new configuration; an invalid one changes nothing."""
         try:
             configuration = read_configuration(os.environ)
-        except Exception as error:  # whatever stands there ends nothing
+        except Exception as error:  # an invalid file must not end the server
             self.note("configuration refused", why=str(error) or type(error).__name__)
             return
         unchanged = {
@@ -291,9 +302,9 @@
             and getattr(configuration, field.name) != getattr(self.configuration, field.name)
         }
         self.configuration = replace(configuration, **unchanged)
-        self.agent.move(configuration.agent)
-        self.backend.move(configuration.backend)
-        self.announcer.move(configuration.announce)
+        self.agent.set_address(configuration.agent)
+        self.backend.set_address(configuration.backend)
+        self.announcer.set_address(configuration.announce)
         self.note(
             "configuration read",
             agent=configuration.agent,
@@ -304,9 +315,9 @@
     # ---- events and effects
 
     def handle_client(self, event: ClientEvent) -> None:
-        """Handle an event of a client; times that clients give are of the system's clock."""
+        """Handle an event of a client; converts its timestamps from the system clock to this clock."""
         if type(event) is TaskReceived:
-            self._unseen_since = self._unseen_since or self.clock.now()
+            self._undecided_since = self._undecided_since or self.clock.now()
             skew = self.clock.skew()
             if abs(skew) > MS:
                 task = replace(event.task, arrived_at=event.task.arrived_at + skew)
@@ -314,7 +325,7 @@
         self.handle(event)
 
     def handle(self, event: Any) -> None:
-        """Let the state machine handle one event; carry out its effects before anything else is read."""
+        """Pass one event to the state machine and carry out its effects before any further input is read."""
         try:
             effects = self.machine.handle(self.clock.now(), event)
         except Exception:
@@ -328,27 +339,27 @@
             self._woken.set()
 
     def _carry_out(self, effect: Any) -> None:
-        """Carry out one effect; one that fails holds up no other."""
+        """Carry out one effect; a failure does not affect other effects."""
         try:
             self.effect_handlers[type(effect)](effect)
         except Exception:
             self.note("fault", effect=type(effect).__name__, trace=traceback.format_exc()[-2000:])
 
     def _flush(self) -> None:
-        """Write all that lies ready."""
+        """Write everything that is queued."""
         self._is_flushing = True
         for connection in self.clients.flush():
             self.clients.close(connection)
-            self.handle(ConnectionEnded(connection, "gone, or does not read"))
+            self.handle(ConnectionEnded(connection, "the peer is gone or not reading"))
         self.agent.flush()
         self.backend.flush()
         self._is_flushing = False
 
-    async def pump(self) -> None:
-        """Tell the state machine of its deadlines.
+    async def process_deadlines(self) -> None:
+        """Notify the state machine when its deadlines pass.
 
-        All that lies unread by then is read first; where an event woke this task, all that came with it has
-        been.
+        Input that has arrived by then is read first. Where an event woke this task, the input that came with
+        the event has already been read.
         """
         turns = 0
         while True:
@@ -356,15 +367,15 @@
             remaining = deadline - self.clock.now()
             if remaining > 0:
                 timed_out = await self._sleep(deadline, remaining)
-                turns = TURNS_BEFORE_ROUND if timed_out else 0
+                turns = LOOP_TURNS_BEFORE_ROUND if timed_out else 0
                 continue
-            for _ in range(turns if -remaining < STANDSTILL else TURNS_AFTER_STANDSTILL):
+            for _ in range(turns if -remaining < PAUSE_THRESHOLD else LOOP_TURNS_AFTER_PAUSE):
                 await anyio.lowlevel.checkpoint()
             self._handle_deadline()
             turns = 1
 
     async def _sleep(self, deadline: int, remaining: int) -> bool:
-        """Sleep until an event brings an earlier deadline; tell whether the deadline came instead."""
+        """Sleep until the deadline; return False if an event set an earlier deadline before that."""
         self._woken = anyio.Event()
         self._sleeps_until = deadline
         with anyio.move_on_after(remaining / SECOND) as timeout:
@@ -376,17 +387,17 @@
         timer_due = self.machine.policy_host.timers.next_due()
         if timer_due is not None:
             self._max_lateness = max(self._max_lateness, self.clock.now() - timer_due)
-        begun = self.clock.now()
+        started_at = self.clock.now()
         self.handle(DeadlineReached())
-        self._max_round = max(self._max_round, self.clock.now() - begun)
-        if self._unseen_since and not self.machine.policy_host.pending:
-            self._max_delay = max(self._max_delay, self.clock.now() - self._unseen_since)
-            self._unseen_since = 0
+        self._max_round = max(self._max_round, self.clock.now() - started_at)
+        if self._undecided_since and not self.machine.policy_host.pending:
+            self._max_delay = max(self._max_delay, self.clock.now() - self._undecided_since)
+            self._undecided_since = 0
 
     # ---- the log
 
     async def report_figures(self) -> None:
-        """Log counters and what the policy takes to be so, again and again."""
+        """Log counters and the policy's estimates at a fixed interval."""
         while True:
             await anyio.sleep(FIGURES_INTERVAL)
             usage = resource.getrusage(resource.RUSAGE_SELF)
@@ -411,7 +422,7 @@
             self._max_delay = 0
 
     def note(self, event: str, **facts: Any) -> None:
-        """Log an event with its facts."""
+        """Log an event with its fields."""
         self.log.event(self.clock.now(), event, facts)
 
     def _log_event(self, effect: LogEvent) -> None:
@@ -419,7 +430,7 @@
 
 
 def _count_descriptors() -> int | None:
-    """Return how many descriptors the process has open; None where that can't be read."""
+    """Return the number of open file descriptors of the process; None if it can't be read."""
     try:
         return len(os.listdir("/proc/self/fd")) - 1
     except OSError:
--- a/thistleline/server/streams.py
+++ b/thistleline/server/streams.py
@@ -1,4 +1,4 @@
-"""One TCP stream: read into its buffer when asked, written without waiting, bounded both ways."""
+"""TCP streams with bounded buffers: reads on request, writes that never block, connecting with backoff."""
 
 import errno
 import os
@@ -11,24 +11,25 @@
 
 Address = tuple[str, int]
 
-MAX_DISCARDED = 256 * 1024  # bytes thrown away of a peer that goes on sending; past that it is reset
-DISCARD_CHUNK = 16 * 1024  # bytes thrown away at once
+# Bytes discarded from a peer that keeps sending to a closing stream; beyond that the connection is reset.
+MAX_DISCARDED = 256 * 1024
+DISCARD_CHUNK = 16 * 1024  # bytes discarded per read
 
 
 class Stream:
     """A connected socket with a bounded buffer for each direction."""
 
     def __init__(self, sock: socket.socket, group: TaskGroup, max_unread: int, max_unwritten: int) -> None:
-        """Take over a connected socket.
+        """Wrap a connected socket, which the stream now owns.
 
         Args:
             sock: The socket.
-            group: Where what can't be written at once is written later.
-            max_unread: Size of the buffer that is read into, in bytes.
-            max_unwritten: Bytes that may wait to be written; past it the peer counts as gone.
+            group: Runs the task that writes what the socket did not accept at once.
+            max_unread: Size of the receive buffer, in bytes.
+            max_unwritten: Bytes that may wait to be written; with more, `flush` reports the peer as gone.
 
         Raises:
-            OSError: The socket is gone already; it is closed then.
+            OSError: The connection has already ended; the socket is closed.
         """
         try:
             sock.setblocking(False)
@@ -45,22 +46,22 @@
         self._unwritten = bytearray()
         self._draining = False
         self._read_wanted = False
-        self._read_request: anyio.Event | None = None  # set where the reader waits to be asked
+        self._read_request: anyio.Event | None = None  # not None while `read` waits for a request
 
     # ---- reading
 
     def request_read(self) -> None:
-        """Let `read` read once."""
+        """Allow one read by `read`."""
         self._read_wanted = True
         if self._read_request is not None:
             self._read_request.set()
 
     async def read(self) -> int:
-        """Wait until a read is requested and something came; return its size, 0 at the end of the stream.
+        """Wait for a read request and for data; return the number of bytes read, 0 at the end of the stream.
 
         Raises:
-            OSError: The connection broke.
-            anyio.ClosedResourceError: It was closed or finished here.
+            OSError: The connection failed.
+            anyio.ClosedResourceError: The stream was closed or finished on this side.
         """
         while not (self._read_wanted or self.closed or self.finishing):
             self._read_request = anyio.Event()
@@ -85,11 +86,11 @@
     # ---- writing
 
     def write(self, data: bytes) -> None:
-        """Take the bytes for the next `flush`."""
+        """Queue bytes for the next `flush`."""
         self._unwritten += data
 
     def flush(self) -> bool:
-        """Write what the peer takes now, the rest as it reads on; false if it is gone or does not read."""
+        """Write what the socket accepts now, the rest later; False if the peer is gone or not reading."""
         if self.closed or not self._unwritten or self._draining:
             return len(self._unwritten) <= self._max_unwritten
         try:
@@ -102,7 +103,7 @@
         return len(self._unwritten) <= self._max_unwritten
 
     def _send(self) -> None:
-        """Write what the peer takes now."""
+        """Write as much as the socket accepts now."""
         try:
             sent = self._sock.send(self._unwritten)
             del self._unwritten[:sent]
@@ -116,16 +117,16 @@
                 if self.closed or self.finishing:
                     return
                 self._send()
-        except Exception:  # whatever a stream brings ends that stream alone
+        except Exception:  # an error on a stream ends only that stream
             if not self.finishing:
-                self._unwritten.clear()  # the reader learns of it and ends
+                self._unwritten.clear()  # the pending read fails as well and ends the stream
         finally:
             self._draining = False
 
-    # ---- the end
+    # ---- closing
 
     def finish(self) -> None:
-        """Read nothing as a message any more; who reads is told, and lets the stream `linger`."""
+        """Stop reading messages; a pending `read` raises, and its caller then calls `linger`."""
         if self.closed or self.finishing:
             return
         self.flush()
@@ -135,13 +136,13 @@
         anyio.notify_closing(self._sock)
 
     async def linger(self, timeout: float) -> None:
-        """Write the rest, end this side, discard what comes until the peer's end, then close (RFC 9112, 9.6).
+        """Write the rest, shut down sending, discard input until the peer closes, then close (RFC 9112, 9.6).
 
-        A close over unread bytes resets the connection, which takes answers with it that the peer has not
-        read.
+        Closing a socket with unread bytes resets the connection, and the peer loses answers that it has not
+        yet read.
 
         Args:
-            timeout: Seconds after which it is closed in any case.
+            timeout: Seconds after which the socket is closed in any case.
         """
         try:
             with anyio.move_on_after(timeout):
@@ -151,7 +152,7 @@
                 self._sock.shutdown(socket.SHUT_WR)
                 await self._discard()
         except (OSError, ValueError, anyio.ClosedResourceError, anyio.BusyResourceError):
-            pass  # the peer is gone, or it was closed meanwhile
+            pass  # the peer is gone, or the stream was closed meanwhile
         finally:
             self.close()
 
@@ -169,7 +170,7 @@
             discarded += count
 
     def close(self) -> None:
-        """Close the socket; who reads is told."""
+        """Close the socket; a pending `read` raises."""
         if not self.closed:
             self.closed = True
             if self._read_request is not None:
@@ -182,7 +183,7 @@
     """Return a non-blocking socket that is connected to the address.
 
     Raises:
-        OSError: It can't be reached.
+        OSError: The connection attempt failed.
     """
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -200,30 +201,30 @@
 
 
 class ReconnectBackoff:
-    """The timeout of the next attempt to connect.
+    """Connects with a timeout that grows while attempts time out.
 
-    Each attempt that ran out of time doubles it, up to a limit: a peer that always takes longer than the
-    first timeout is reached all the same.
+    Each attempt that times out doubles the timeout of the next one, up to a limit, so that a peer that always
+    takes longer than the first timeout is still reached. A successful attempt resets it.
     """
 
-    def __init__(self, first: float, most: float) -> None:
-        """Begin with the timeout `first`; it grows to `most`, both in seconds."""
-        self._first = first
-        self._most = most
-        self._timeout = first
+    def __init__(self, initial: float, maximum: float) -> None:
+        """Start with the timeout `initial`, which grows up to `maximum`, both in seconds."""
+        self._initial = initial
+        self._maximum = maximum
+        self._timeout = initial
 
     async def connect(self, address: Address) -> socket.socket:
         """Return a socket that is connected to the address.
 
         Raises:
-            OSError: It can't be reached.
-            TimeoutError: It did not answer in time.
+            OSError: The connection attempt failed.
+            TimeoutError: The attempt timed out.
         """
         try:
             with anyio.fail_after(self._timeout):
                 sock = await connect(address)
         except TimeoutError:
-            self._timeout = min(self._most, 2 * self._timeout)
+            self._timeout = min(self._maximum, 2 * self._timeout)
             raise
-        self._timeout = self._first
+        self._timeout = self._initial
         return sock
--- a/thistleline/wire/agent.py
+++ b/thistleline/wire/agent.py
@@ -1,4 +1,4 @@
-"""The render farm agent's line protocol: its notices in, commands out.
+"""The render farm agent's line protocol: decodes its notices and encodes commands to it.
 
 `decode_notices` yields one of the `Notice` classes for each message; the functions below it encode commands.
 """
@@ -9,9 +9,9 @@
 from thistleline.interface import RunOutcome
 from thistleline.wire.buffer import Buffer
 from thistleline.wire.durations import parse_seconds
-from thistleline.wire.lines import decode_messages, parse_body_size, unreadable
+from thistleline.wire.lines import decode_messages, make_unreadable_error, parse_body_size
 
-# What a refused command was for, by its word on the wire.
+# Names of the commands, by their word on the wire.
 COMMANDS = {
     "launch": "start",
     "freeze": "stop",
@@ -20,7 +20,7 @@
     "deliver": "deliver",
     "forgo": "skip_call",
 }
-WORD_COUNTS = {"outcome": 6, "request": 4}  # of the notices with a body
+WORD_COUNTS = {"outcome": 6, "request": 4}  # number of words of each notice that has a body
 RUN_OUTCOMES: dict[str, RunOutcome] = {"good": "finished", "bad": "failed", "cut": "stopped", "gone": "moot"}
 GREETINGS = {"new": True, "old": False}
 
@@ -30,8 +30,8 @@
     """The first notice on a link.
 
     Attributes:
-        is_new: Whether the agent was started anew, so that what ran is gone.
-        age: Nanoseconds since it was.
+        is_new: Whether the agent has restarted, which ends all earlier runs.
+        age: Nanoseconds since the agent started.
     """
 
     is_new: bool
@@ -43,11 +43,11 @@
     """A run has ended.
 
     Attributes:
-        number: Of the notice, in the sequence of those that the agent retains.
-        task_id: Id under which it was started.
-        outcome: How it ended.
-        duration: Nanoseconds of work it took.
-        result: A slice of the receive buffer.
+        number: Sequence number of the notice among those that the agent retains.
+        task_id: Id under which the run was started.
+        outcome: How the run ended.
+        duration: Nanoseconds of work that the run took.
+        result: The result, a slice of the receive buffer.
     """
 
     number: int
@@ -62,9 +62,9 @@
     """A run waits for a call to the back end.
 
     Attributes:
-        number: Of the notice, in the sequence of those that the agent retains.
+        number: Sequence number of the notice among those that the agent retains.
         task_id: Id under which the run was started.
-        body: What the call is to carry.
+        body: The request body of the call.
     """
 
     number: int
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GaugesSampled:
-    """The gauges that a sample with this tag asked for, in the order of the settings."""
+    """The gauge values requested with this tag, in the order of the settings."""
 
     tag: str
     values: list[float]
@@ -103,14 +103,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Remark:
-    """A notice without a meaning here; its number counts in the sequence."""
+    """A notice without a meaning to the server; its number still counts in the sequence."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class UnknownNotice:
-    """A line that is no notice known here, cut short."""
+    """A line that is not a known notice, truncated."""
 
     text: str
 
@@ -128,10 +128,10 @@
 
 
 def decode_notices(buffer: Buffer) -> Iterator[Notice]:
-    """Take every whole notice out of the buffer.
+    """Decode and consume every complete notice in the buffer.
 
     Raises:
-        MalformedMessageError: If the stream makes no sense.
+        MalformedMessageError: If the stream is malformed.
     """
     return decode_messages(buffer, _body_size, _decode_notice)
 
@@ -142,7 +142,7 @@
         return None
     size = parse_body_size(words, word_count)
     if size is None:
-        raise unreadable(f"an {words[0]}", line)
+        raise make_unreadable_error(f"an {words[0]}", line)
     return size
 
 
@@ -166,12 +166,12 @@
                 return Remark(int(number))
     except (ValueError, KeyError):
         if words[0] in WORD_COUNTS:
-            raise unreadable(f"an {words[0]}", line) from None
+            raise make_unreadable_error(f"an {words[0]}", line) from None
     return UnknownNotice(line[:80])
 
 
 def _parse_milliseconds(text: str) -> int:
-    """Return the whole nanoseconds of a text in decimal milliseconds."""
+    """Parse decimal milliseconds and return whole nanoseconds."""
     return parse_seconds(text) // 1000
 
 
@@ -181,22 +181,22 @@
 
 
 def encode_start(task_id: str, stage: str, body: bytes) -> bytes:
-    """Encode the start of a run of the named stage."""
+    """Encode the command to start a run of the named stage."""
     return b"launch %s %s %d\r\n%s\r\n" % (task_id.encode(), stage.encode(), len(body), body)
 
 
 def encode_stop(task_id: str) -> bytes:
-    """Encode the stop of a run."""
+    """Encode the command to stop a run."""
     return b"freeze %s\r\n" % task_id.encode()
 
 
 def encode_sample(tag: str) -> bytes:
-    """Encode a request for the gauges."""
+    """Encode the command to sample the gauges."""
     return b"sample %s\r\n" % tag.encode()
 
 
 def encode_deep_check(tag: str) -> bytes:
-    """Encode a request for a deep check."""
+    """Encode the command to run a deep check."""
     return b"exercise %s\r\n" % tag.encode()
 
 
@@ -206,5 +206,5 @@
 
 
 def encode_skip_call(task_id: str, number: int) -> bytes:
-    """Encode that a run goes on without its call; `number` is that of the notice that requested the call."""
+    """Encode that a run continues without its call, which notice `number` requested."""
     return b"forgo %s %d\r\n" % (task_id.encode(), number)
--- a/thistleline/wire/backend.py
+++ b/thistleline/wire/backend.py
@@ -1,7 +1,7 @@
-"""The back end's line protocol: calls out, their ends in.
+"""The back end's line protocol: encodes calls and decodes their outcomes.
 
-The format was learned from the names in the sites' files and from what the bench's own back end answers;
-`docs/design/calls.md` has both, and what is not known.
+The format is inferred from the names in the sites' files and from the responses of the bench's own back end;
+`docs/design/calls.md` lists both, and what is not known.
 """
 
 from collections.abc import Iterator
@@ -9,7 +9,7 @@
 
 from thistleline.interface import CallOutcome
 from thistleline.wire.buffer import Buffer
-from thistleline.wire.lines import decode_messages, parse_body_size, unreadable
+from thistleline.wire.lines import decode_messages, make_unreadable_error, parse_body_size
 
 CALL_OUTCOMES: dict[str, CallOutcome] = {
     "ok": "finished",
@@ -18,7 +18,7 @@
     "deadline": "timed_out",
     "stale": "failed",
 }
-MESSAGE_NAME = "the end of a call"  # in the text of errors
+MESSAGE_NAME = "the end of a call"  # in error messages
 MILLISECOND = 1_000_000  # nanoseconds
 
 
@@ -27,9 +27,9 @@
     """A call has ended.
 
     Attributes:
-        task_id: Id of the task that it was made for.
-        outcome: How it ended.
-        result: Empty unless it finished.
+        task_id: Id of the task that the call was made for.
+        outcome: How the call ended.
+        result: The result; empty unless the call finished.
     """
 
     task_id: str
@@ -38,10 +38,10 @@
 
 
 def decode_call_ends(buffer: Buffer) -> Iterator[CallEnded]:
-    """Take every whole end of a call out of the buffer.
+    """Decode and consume every complete end of a call in the buffer.
 
     Raises:
-        MalformedMessageError: If the stream makes no sense.
+        MalformedMessageError: If the stream is malformed.
     """
     return decode_messages(buffer, _body_size, _decode_call_end)
 
@@ -51,21 +51,21 @@
         return None
     size = parse_body_size(words, 3)
     if size is None:
-        raise unreadable(MESSAGE_NAME, line)
+        raise make_unreadable_error(MESSAGE_NAME, line)
     return size
 
 
 def _decode_call_end(line: str, words: list[str], body: memoryview) -> CallEnded:
     if len(words) < 2 or words[1] not in CALL_OUTCOMES:
-        raise unreadable(MESSAGE_NAME, line)
+        raise make_unreadable_error(MESSAGE_NAME, line)
     return CallEnded(words[0], CALL_OUTCOMES[words[1]], bytes(body))
 
 
 def encode_call(task_id: str, timeout: int, body: bytes) -> bytes:
-    """Encode a call that the back end gives up after `timeout` nanoseconds."""
+    """Encode a call that the back end abandons after `timeout` nanoseconds."""
     return b"invoke %s %d %d\r\n%s\r\n" % (task_id.encode(), max(1, timeout // MILLISECOND), len(body), body)
 
 
 def encode_cancel(task_id: str) -> bytes:
-    """Encode that the end of a call is no longer wanted."""
+    """Encode the cancellation of a call."""
     return b"cancel %s\r\n" % task_id.encode()
--- a/thistleline/wire/buffer.py
+++ b/thistleline/wire/buffer.py
@@ -1,18 +1,18 @@
-"""The buffer that a stream is received into.
+"""The receive buffer of a stream.
 
-Messages are slices of it, valid until the next call of `Buffer.room`.
+Messages are slices of the buffer and valid until the next call of `Buffer.room`.
 """
 
 
 class Buffer:
-    """A receive buffer of fixed size: filled at its end, consumed from its start.
+    """A receive buffer of fixed size, filled at the end and consumed from the start.
 
     Attributes:
-        data: All of the memory.
+        data: The memory of the buffer.
         view: A view of `data`.
-        start: Position of the first byte not yet taken.
+        start: Position of the first byte not yet consumed.
         end: Position after the last byte received.
-        discarding: Bytes still to come that nobody wants.
+        discarding: Number of bytes not yet received that will be skipped.
     """
 
     __slots__ = ("data", "discarding", "end", "start", "view")
@@ -26,7 +26,7 @@
         self.discarding = 0
 
     def room(self) -> memoryview:
-        """Return where the next bytes go; what was not yet taken moves to the front."""
+        """Return the free space for received bytes, after moving unconsumed bytes to the front."""
         if self.start:
             left = self.end - self.start
             self.view[:left] = self.view[self.start : self.end]
@@ -35,7 +35,7 @@
         return self.view[self.end :]
 
     def filled(self, count: int) -> None:
-        """Note that `count` bytes were received into `room`."""
+        """Record that `count` bytes were received into `room`."""
         self.end += count
         self._discard_received()
 
@@ -46,7 +46,7 @@
         return message
 
     def discard(self, count: int) -> None:
-        """Skip the next `count` bytes, though they may not have been received yet."""
+        """Skip the next `count` bytes, including those not yet received."""
         self.discarding += count
         self._discard_received()
 
@@ -56,5 +56,5 @@
         self.discarding -= count
 
     def __len__(self) -> int:
-        """Return the bytes that were received and not yet taken."""
+        """Return the number of bytes received and not yet consumed."""
         return self.end - self.start
--- a/thistleline/wire/durations.py
+++ b/thistleline/wire/durations.py
@@ -1,20 +1,20 @@
-"""Durations in texts: decimal seconds."""
+"""Parsing of durations in decimal seconds."""
 
 from decimal import Decimal, InvalidOperation
 
 from thistleline.wire.errors import DurationError
 
-MAX_SECONDS = 1 << 40  # prevents exponents whose digits would fill the memory
+MAX_SECONDS = 1 << 40  # rejects exponents whose digits would exhaust the memory
 NANOSECONDS_PER_SECOND = 1_000_000_000
 
 
 def parse_seconds(text: str) -> int:
-    """Return the whole nanoseconds of a text in decimal seconds.
+    """Parse decimal seconds and return whole nanoseconds.
 
-    Digits are never converted to a float, so that nothing drifts.
+    The digits are never converted to a float, so that there is no rounding error.
 
     Raises:
-        DurationError: If the text is no number, or out of bounds.
+        DurationError: If the text is not a number, or is out of bounds.
     """
     whole, _, fraction = text.partition(".")
     if whole.isdigit() and (fraction.isdigit() or not fraction):
@@ -23,7 +23,7 @@
         value = Decimal(text)
         in_bounds = abs(value) < MAX_SECONDS
     except (InvalidOperation, ValueError, OverflowError) as error:
-        raise DurationError(f"{text!r} is not a time") from error
+        raise DurationError(f"{text!r} is not a duration in seconds") from error
     if not in_bounds:
-        raise DurationError(f"{text[:40]!r} is not a time")
+        raise DurationError(f"{text[:40]!r} is not a duration in seconds")
     return int(value * NANOSECONDS_PER_SECOND)
--- a/thistleline/wire/errors.py
+++ b/thistleline/wire/errors.py
@@ -1,17 +1,17 @@
-"""The errors of the wire formats."""
+"""Errors of the wire formats."""
 
 
 class WireError(Exception):
-    """Something that a wire format does not allow."""
+    """Data that a wire format does not allow."""
 
 
 class SettingsError(WireError):
-    """The settings of a server make no sense; the message is one plain line."""
+    """The settings of a server are invalid; the message is a single line."""
 
 
 class MalformedMessageError(WireError):
-    """A peer's stream or message can't be read."""
+    """A peer's stream or message is malformed."""
 
 
 class DurationError(WireError, ValueError):
-    """A text is no duration in seconds."""
+    """A text is not a duration in seconds."""
--- a/thistleline/wire/lines.py
+++ b/thistleline/wire/lines.py
@@ -1,6 +1,6 @@
-"""The line format that agent and back end share: words separated by blanks, ending in CR LF.
+"""The line format shared by the agent and the back end: words separated by spaces, ending in CR LF.
 
-Of some messages the last word is a length: so many bytes of body and a CR LF follow the line.
+In some messages the last word is a length, and a body of that many bytes and a CR LF follow the line.
 """
 
 from collections.abc import Callable, Iterator
@@ -13,7 +13,7 @@
 
 MAX_LINE_SIZE = 4096  # bytes
 MAX_BODY_SIZE = 64 * 1024  # bytes
-BUFFER_SIZE = 2 * (MAX_LINE_SIZE + MAX_BODY_SIZE)  # bytes, of a stream's receive buffer
+BUFFER_SIZE = 2 * (MAX_LINE_SIZE + MAX_BODY_SIZE)  # bytes in a stream's receive buffer
 
 
 def decode_messages(
@@ -21,16 +21,16 @@
     body_size: Callable[[str, list[str]], int | None],
     decode: Callable[[str, list[str], memoryview], Message],
 ) -> Iterator[Message]:
-    """Take every whole message out of the buffer.
+    """Decode and consume every complete message in the buffer.
 
     Args:
-        buffer: What was received.
-        body_size: Returns, of a line and its words, the bytes of body that follow; None where no body does.
-        decode: Makes the message of a line, its words and its body; the body is valid until the next call
+        buffer: The receive buffer of the stream.
+        body_size: Takes a line and its words; returns the size of the body that follows, None without a body.
+        decode: Builds a message from a line, its words and its body; the body is valid until the next call
             of the buffer's `room`.
 
     Raises:
-        MalformedMessageError: If the stream makes no sense.
+        MalformedMessageError: If the stream is malformed.
     """
     while True:
         line_end = buffer.data.find(b"\r\n", buffer.start, buffer.end)
@@ -46,7 +46,7 @@
             if buffer.end < body_start + size + 2:
                 return
             if not buffer.data.startswith(b"\r\n", body_start + size, body_start + size + 2):
-                raise MalformedMessageError("a result is not as long as told")
+                raise MalformedMessageError("a body does not have the stated length")
         buffer.take(line_end + 2 - buffer.start)
         body = buffer.take(size or 0)
         if size is not None:
@@ -55,9 +55,9 @@
 
 
 def parse_body_size(words: list[str], word_count: int) -> int | None:
-    """Return the body size that the last of `word_count` words states.
+    """Return the body size stated by the last of `word_count` words.
 
-    None if the words are not so many, or the size is no number or too large.
+    Returns None if the number of words differs, or if the size is not a number or is too large.
     """
     if len(words) != word_count or not words[-1].isdecimal():
         return None
@@ -65,6 +65,6 @@
     return size if size <= MAX_BODY_SIZE else None
 
 
-def unreadable(name: str, line: str) -> MalformedMessageError:
-    """Return the error that a line, called `name`, can't be read."""
+def make_unreadable_error(name: str, line: str) -> MalformedMessageError:
+    """Return the error for a malformed line; `name` describes its message."""
     return MalformedMessageError(f"{name} can't be read: {line[:80]!r}")
--- a/thistleline/wire/requests.py
+++ b/thistleline/wire/requests.py
@@ -1,4 +1,4 @@
-"""The requests of client stubs: Thrift messages (wire/thrift.py) decoded into `Request` objects."""
+"""Decodes the requests of client stubs, Thrift messages (wire/thrift.py), into `Request` objects."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -10,10 +10,11 @@
 from thistleline.wire.thrift import FRAME_HEADER_SIZE, ThriftReader
 
 MAX_FRAME_SIZE = 8 * 1024  # bytes; a task with the largest body takes under 4 KiB
-BUFFER_SIZE = MAX_FRAME_SIZE + 4 * 1024  # bytes, of a connection's receive buffer
-MAX_DISCARDED_FRAME = 1 << 16  # bytes; a longer frame is taken for noise: closing costs less than reading it
+BUFFER_SIZE = MAX_FRAME_SIZE + 4 * 1024  # bytes in a connection's receive buffer
+# Bytes; a longer frame counts as garbage. Closing its connection costs less than reading the frame.
+MAX_DISCARDED_FRAME = 1 << 16
 MAX_BODY_SIZE = 2048  # bytes
-MAX_METHOD_SIZE = 64  # bytes of a method's name that an error repeats
+MAX_METHOD_SIZE = 64  # bytes of a method's name that an error message quotes
 MAX_HEADER_SIZE = 12 + MAX_METHOD_SIZE  # bytes of version, method and sequence number
 
 MAX_DIGITS = 16
@@ -26,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskRequest:
-    """A client asks for a task.
+    """A client's request to run a task.
 
     Attributes:
         sequence: The request's number on its connection; the response repeats it.
-        task: As it was read.
-        retry_key: By which retries are recognized: the idempotency key where the stage has one, else the
-            subject that is looked up, if any.
-        body: A slice of the receive buffer.
+        task: The task that was read.
+        retry_key: The key that identifies retries: the idempotency key if the stage requires one, otherwise
+            the subject that is looked up, if any.
+        body: The body, a slice of the receive buffer.
     """
 
     sequence: int
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthRequest:
-    """A client asks for the server's health; `deep`: that of what it depends on too."""
+    """A client's health check; a `deep` one includes the server's dependencies."""
 
     sequence: int
     deep: bool
@@ -52,12 +53,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MalformedRequest:
-    """A frame that is no request.
+    """A frame that is not a valid request.
 
     Attributes:
-        sequence: By which an exception can answer it; None if it can't be answered.
-        method: The method's name, as far as it can be read.
-        reason: What is wrong with it.
+        sequence: The sequence number for an exception in response; None if no response is possible.
+        method: The method's name; empty if it can't be read.
+        reason: Why the frame is invalid.
     """
 
     sequence: int | None
@@ -69,22 +70,22 @@
 
 
 class ClientCodec:
-    """Decodes the requests to one server, whose stages and tenants they name."""
+    """Decodes requests, resolving the names of stages and tenants with the server's settings."""
 
     def __init__(self, settings: ServerSettings) -> None:
-        """Take the names from the server's settings."""
-        self.stages = {stage.name: place for place, stage in enumerate(settings.stages)}
+        """Create a codec for a server with these settings."""
+        self.stages = {stage.name: index for index, stage in enumerate(settings.stages)}
         self.needs_key = [stage.effect == "keyed" for stage in settings.stages]
-        self.tenants = {tenant.name: place for place, tenant in enumerate(settings.tenants)}
+        self.tenants = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
 
     def decode_requests(self, buffer: Buffer) -> Iterator[Request]:
-        """Take every whole frame out of the buffer."""
+        """Decode and consume every complete frame in the buffer."""
         while len(buffer) >= FRAME_HEADER_SIZE:
             size = thrift.frame_size(buffer.view, buffer.start)
             if size > MAX_FRAME_SIZE:
                 malformed = _reject_oversized(buffer, size)
                 if malformed is None:
-                    return  # its header is still to come
+                    return  # its header has not been received yet
                 yield malformed
                 continue
             if len(buffer) < FRAME_HEADER_SIZE + size:
@@ -99,10 +100,10 @@
                 yield request
 
     def decode_frame(self, frame: memoryview) -> Request | None:
-        """Decode one frame; None for a oneway message of no known method, which is ignored.
+        """Decode one frame; return None for a oneway message of an unknown method, which is ignored.
 
         Raises:
-            MalformedMessageError: If it is no request.
+            MalformedMessageError: If the frame is not a valid request.
         """
         if not thrift.has_strict_version(frame):
             raise MalformedMessageError("not strict binary")
@@ -141,7 +142,7 @@
             raise MalformedMessageError("a field is no number") from error
 
     def _make_task_request(self, sequence: int, fields: dict[str, str], body: memoryview) -> TaskRequest:
-        """Make the request of its fields. Raises KeyError, ValueError, MalformedMessageError."""
+        """Build the request from its fields. Raises KeyError, ValueError, MalformedMessageError."""
         stage = self.stages[fields["service"]]
         key, subject, effort = fields.get("replay"), fields.get("lookup"), fields.get("effort")
         if self.needs_key[stage] and not key:
@@ -153,12 +154,12 @@
             id=reference,
             stage=stage,
             tenant=self.tenants[fields["project"]] if self.tenants else 0,
-            client=_parse_whole(fields["sender"]),
+            client=_parse_integer(fields["sender"]),
             priority_rank=_parse_number(fields["class_rank"], 1.0),
-            user=None if subject is None else _parse_whole(subject, 16),
+            user=None if subject is None else _parse_integer(subject, 16),
             estimated_work=None if effort is None else _parse_work(effort),
             queued_memory_kb=_parse_number(fields["room"], MAX_MEMORY),
-            arrived_at=_parse_whole(fields["since"]) * MILLISECOND,
+            arrived_at=_parse_integer(fields["since"]) * MILLISECOND,
             deadline=None,
             is_retry="dup" in fields,
             duplicate_of=None,
@@ -177,7 +178,7 @@
 
 
 def _reject_oversized(buffer: Buffer, size: int) -> MalformedRequest | None:
-    """Discard a frame that is too long; None while more of its header is needed to answer it."""
+    """Discard an oversized frame; return None while more of its header is needed to answer it."""
     sequence, method = _peek_header(buffer.view[buffer.start + FRAME_HEADER_SIZE : buffer.end])
     if size > MAX_DISCARDED_FRAME:
         sequence = None
@@ -188,7 +189,7 @@
 
 
 def _peek_header(frame: memoryview) -> tuple[int | None, bytes]:
-    """Return the sequence number and the method's name, where the header can be read."""
+    """Return the sequence number and the method's name; None and empty if the header is malformed."""
     reader = ThriftReader(frame)
     try:
         if reader.read_i32() & thrift.VERSION_MASK == thrift.VERSION:
@@ -199,21 +200,21 @@
     return None, b""
 
 
-def _parse_whole(text: str, base: int = 10) -> int:
+def _parse_integer(text: str, base: int = 10) -> int:
     if len(text) > MAX_DIGITS:
         raise MalformedMessageError("a number is too long")
-    if not (text.isascii() and text.isalnum()):  # no signs, blanks or underscores, which `int` allows
+    if not (text.isascii() and text.isalnum()):  # no signs, spaces or underscores, which `int` allows
         raise ValueError
     return int(text, base)
 
 
 def _parse_work(text: str) -> int | None:
-    """Return the nanoseconds of a text in decimal milliseconds; None for none."""
+    """Parse decimal milliseconds and return nanoseconds; None for zero."""
     return int(_parse_number(text, MAX_WORK) * MILLISECOND) or None
 
 
 def _parse_number(text: str, limit: float) -> float:
-    """Return a number from 0 to less than `limit`."""
+    """Parse a number that is at least 0 and less than `limit`."""
     if not text.isascii() or "_" in text or text != text.strip():
         raise ValueError
     value = float(text)
--- a/thistleline/wire/responses.py
+++ b/thistleline/wire/responses.py
@@ -1,7 +1,7 @@
-"""The responses to client stubs: Thrift messages (wire/thrift.py) encoded.
+"""Encodes the responses to client stubs as Thrift messages (wire/thrift.py).
 
-`sequence` is the number of the request that a response answers; `pressure` the load that the server
-advertises, None where it does not; its form on the wire is a text with six decimals.
+In all functions `sequence` is the number of the request that is answered, and `pressure` the load that the
+server advertises, None if it advertises none. The wire format of `pressure` is a text with six decimals.
 """
 
 from thistleline.wire import thrift
@@ -33,9 +33,9 @@
     """Encode that a task was rejected before it ran.
 
     Args:
-        sequence: Of the request.
-        nowhere_else: Whether the client should not retry on another server either.
-        retry_after: Nanoseconds for which the client should stay away; 0 for no advice.
+        sequence: Number of the request.
+        nowhere_else: Whether the client should not retry on other servers either.
+        retry_after: Nanoseconds that the client should wait before a retry; 0 for no advice.
         pressure: The advertised load.
     """
     advice = _pressure_field(pressure)
@@ -47,12 +47,12 @@
 
 
 def encode_abandoned(sequence: int, pressure: float | None) -> bytes:
-    """Encode that a task was given up and may have run."""
+    """Encode that a task was abandoned and may have run."""
     return _encode_process_exception(sequence, 2, _pressure_field(pressure))
 
 
 def encode_exception(sequence: int, method: bytes | None, text: str) -> bytes:
-    """Encode that a request could not be read; `text` is a decoder's reason."""
+    """Encode that a request was malformed; `text` is the reason given by the decoder."""
     kind = UNKNOWN_METHOD if text.startswith("method ") else PROTOCOL_ERROR
     message = encode_field(thrift.STRING, 1) + encode_binary(text.encode())
     content = message + encode_field(thrift.I32, 2) + encode_i32(kind) + STOP
@@ -60,16 +60,16 @@
 
 
 def encode_farewell() -> bytes:
-    """Encode that nothing new is wanted on the connection."""
+    """Encode the message that asks the client to send no new requests on the connection."""
     return encode_message(thrift.ONEWAY, b"farewell", 0, STOP)
 
 
 def _encode_answer(
-    method: bytes, sequence: int, body: bytes | memoryview, pressure: float | None, good: bool
+    method: bytes, sequence: int, body: bytes | memoryview, pressure: float | None, succeeded: bool
 ) -> bytes:
     answer = encode_field(thrift.STRING, 1) + encode_binary(body)
     answer += encode_text_map(2, _pressure_field(pressure))
-    answer += encode_field(thrift.BOOL, 3) + (TRUE if good else FALSE) + STOP
+    answer += encode_field(thrift.BOOL, 3) + (TRUE if succeeded else FALSE) + STOP
     return encode_message(thrift.REPLY, method, sequence, encode_field(thrift.STRUCT, 0) + answer + STOP)
 
 
--- a/thistleline/wire/settings.py
+++ b/thistleline/wire/settings.py
@@ -1,7 +1,8 @@
-"""The settings that a server is started with, in the operators' words, read for every wire.
+"""Reads the settings that a server receives at startup, whose keys and values are named by the operators.
 
-Unknown keys are ignored. What may be left out has the meaning of a site without it; an unknown word is taken
-for the one that asks the least of others, but for an effect, on which a correctness rule depends.
+Unknown keys are ignored. A missing optional key means that the site lacks the feature. An unknown value
+counts as the one that requires the least of other components; an unknown effect is an error, because a
+correctness rule depends on it.
 """
 
 from decimal import Decimal
@@ -15,7 +16,7 @@
 
 Section = dict[str, Any]
 
-# The operators' words and the field's.
+# The operators' values and the names that the program uses for them.
 EFFECT_KINDS = {"read_like": "idempotent", "idempotency_key": "keyed", "non_idempotent": "non_idempotent"}
 CANCELLATION = {"none": "none", "abort": "abort", "suspend": "suspend"}
 LOAD_HINTS = {"none": "none", "threshold": "threshold", "window": "window", "share_of": "share"}
@@ -29,22 +30,22 @@
     """Return the settings of a server.
 
     Raises:
-        SettingsError: If a value makes no sense.
+        SettingsError: If a value is invalid.
         KeyError: If a required key is missing.
-        TypeError: If a value has a type that its conversion refuses.
+        TypeError: If a value has a type that can't be converted.
         ValueError: If a value can't be converted.
-        ArithmeticError: If a duration is no number.
+        ArithmeticError: If a duration is not a number.
     """
     info, rules = _section(env, "familyInfo"), _section(env, "invariants")
     allowed, habits = env.get("allowed") or {}, env.get("clientHabits") or {}
     stages = _read_stages(env, info)
     tenants = _read_tenants(env)
-    cores = _above_zero("a server without cores: 'cpus'", float(info["cpus"]))
+    cores = _above_zero("'cpus'", float(info["cpus"]))
     return ServerSettings(
         stages=stages,
         tenants=tenants,
         cores=int(cores) if cores == int(cores) else cores,
-        memory_kb=_above_zero("a server without memory: 'memoryKb'", float(info["memoryKb"])),
+        memory_kb=_above_zero("'memoryKb'", float(info["memoryKb"])),
         running_memory_factor=_number(info, "blowup", 1.0),
         idempotency_key_kb=_number(info, "keyKb", 0.0),
         fleet_size=max(1, int(_number(env, "groupSize", 1.0))),
@@ -73,31 +74,31 @@
 
 
 def read_gauge_names(env: Section) -> tuple[str, ...]:
-    """Return the names of the gauges, in the order in which their values come."""
+    """Return the names of the gauges, in the order in which the agent sends their values."""
     return tuple(GAUGES.get(name, str(name)) for name in _section(env, "familyInfo").get("gauges") or ())
 
 
 def read_round_interval(env: Section) -> int:
-    """Return the least nanoseconds between two rounds of the decision module."""
+    """Return the minimum time between two rounds of the policy, in nanoseconds."""
     return _duration(env.get("granularity") or 0)
 
 
 def _read_stages(env: Section, info: Section) -> tuple[Stage, ...]:
     calls, skip_shares = info.get("classCalls") or [], info.get("classSkipWorth") or []
-    stages = tuple(_read_stage(row, place, calls, skip_shares) for place, row in enumerate(env["classes"]))
+    stages = tuple(_read_stage(row, index, calls, skip_shares) for index, row in enumerate(env["classes"]))
     if not stages:
-        raise SettingsError("there are no stages")
+        raise SettingsError("'classes' is empty; at least one stage is required")
     return stages
 
 
-def _read_stage(row: Section, place: int, calls: list[Any], skip_shares: list[Any]) -> Stage:
-    """Return one stage; `calls` and `skip_shares` have a value a stage, and may be shorter."""
+def _read_stage(row: Section, index: int, calls: list[Any], skip_shares: list[Any]) -> Stage:
+    """Return one stage; `calls` and `skip_shares` have one value per stage, or fewer."""
     name = str(row["name"])
     timeout = _above_zero(f"deadline of {name}", _duration(row["deadline"]))
     effect = EFFECT_KINDS.get(row["effect"])
     if effect is None:
         raise SettingsError(
-            f"the effect of {name} is {row['effect']!r}, one of {', '.join(EFFECT_KINDS)} is wanted"
+            f"the effect of {name} is {row['effect']!r}; it must be one of {', '.join(EFFECT_KINDS)}"
         )
     return Stage(
         name=name,
@@ -108,13 +109,13 @@
         effect=effect,  # type: ignore[arg-type]
         utility=_number(row, "credit", 1.0),
         late_utility_share=_number(row, "lateShare", 0.0),
-        calls=bool(calls[place]) if place < len(calls) else False,
-        utility_share_without_call=float(skip_shares[place] or 0.0) if place < len(skip_shares) else 0.0,
+        calls=bool(calls[index]) if index < len(calls) else False,
+        utility_share_without_call=float(skip_shares[index] or 0.0) if index < len(skip_shares) else 0.0,
     )
 
 
 def _read_tenants(env: Section) -> tuple[Tenant, ...]:
-    """Return the tenants; without a share each has as much as any other."""
+    """Return the tenants; tenants without a stated share get an equal share."""
     projects = env.get("projects") or []
     return tuple(
         Tenant(
@@ -129,18 +130,18 @@
 def _section(env: Section, key: str) -> Section:
     section = env[key]
     if not isinstance(section, dict):
-        raise SettingsError(f"{key!r} is no object")
+        raise SettingsError(f"{key!r} is not an object")
     return section
 
 
 def _duration(value: Any) -> int:
-    """Return the nanoseconds of a number of seconds."""
+    """Convert a number of seconds to nanoseconds."""
     try:
         duration = parse_seconds(format(Decimal(str(value)), "f"))
     except DurationError as error:
         raise SettingsError(str(error)) from error
     if duration < 0:
-        raise SettingsError(f"{value!r} is no span of time")
+        raise SettingsError(f"{value!r} is not a duration: it must not be negative")
     return duration
 
 
@@ -148,11 +149,11 @@
     value = row.get(key)
     number = default if value is None else float(value)
     if not number >= 0:
-        raise SettingsError(f"{key!r} is {value!r}, a number from 0 up is wanted")
+        raise SettingsError(f"{key!r} is {value!r}; it must be a number of at least 0")
     return number
 
 
 def _above_zero(name: str, value: Any) -> Any:
     if not 0 < value < MAX_NUMBER:
-        raise SettingsError(f"{name}: above 0 is wanted")
+        raise SettingsError(f"{name} must be above 0")
     return value
--- a/thistleline/wire/stub.py
+++ b/thistleline/wire/stub.py
@@ -1,4 +1,4 @@
-"""The client stub's side of the protocol: requests out, responses in. The lab speaks it, no server does."""
+"""The client stub's side of the protocol: encodes requests and decodes responses. Only the lab uses it."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -12,18 +12,23 @@
 MAX_RESPONSE_SIZE = 256 * 1024  # bytes
 
 ResponseKind = Literal["finished", "rejected", "abandoned", "misunderstood", "dismiss"]
-PROCESS_KINDS: tuple[ResponseKind, ...] = ("finished", "rejected", "abandoned")  # by field of the reply
+PROCESS_KINDS: tuple[ResponseKind, ...] = (
+    "finished",
+    "rejected",
+    "abandoned",
+)  # by the number of the reply's field
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A response of a server.
+    """A server's response.
 
     Attributes:
         sequence: Number of the request that it answers.
-        kind: "misunderstood" for an exception; "dismiss" where nothing new is wanted on the connection.
-        value: The result (bytes) of what finished; the fields (a dict of texts) of what was rejected or
-            abandoned; empty for the others.
+        kind: "misunderstood" for an exception; "dismiss" if the server accepts no new requests on the
+            connection.
+        value: The result (bytes) of a finished task; the fields (a dict of strings) of a rejected or
+            abandoned one; empty otherwise.
     """
 
     sequence: int
@@ -32,28 +37,28 @@
 
 
 def encode_process(sequence: int, fields: dict[str, str], body: bytes) -> bytes:
-    """Encode the request of a task."""
+    """Encode a request to run a task."""
     content = thrift.encode_text_map(1, fields)
     content += thrift.encode_field(thrift.STRING, 2) + thrift.encode_binary(body) + STOP
     return thrift.encode_message(thrift.CALL, b"process", sequence, content)
 
 
 def encode_probe(sequence: int, deep: bool) -> bytes:
-    """Encode the request of the server's health."""
+    """Encode a health check."""
     content = thrift.encode_field(thrift.BOOL, 1) + (b"\1" if deep else b"\0") + STOP
     return thrift.encode_message(thrift.CALL, b"probe", sequence, content)
 
 
 def decode_responses(buffer: Buffer) -> Iterator[Response]:
-    """Take every whole response out of the buffer.
+    """Decode and consume every complete response in the buffer.
 
     Raises:
-        MalformedMessageError: If the stream makes no sense.
+        MalformedMessageError: If the stream is malformed.
     """
     while len(buffer) >= FRAME_HEADER_SIZE:
         size = thrift.frame_size(buffer.view, buffer.start)
         if size > MAX_RESPONSE_SIZE:
-            raise MalformedMessageError("an answer is too long")
+            raise MalformedMessageError("a response is too long")
         if len(buffer) < FRAME_HEADER_SIZE + size:
             return
         yield _decode_response(ThriftReader(buffer.take(FRAME_HEADER_SIZE + size)[FRAME_HEADER_SIZE:]))
@@ -73,7 +78,7 @@
 def _decode_reply(reader: ThriftReader, sequence: int) -> Response:
     value_type, reply_field = reader.read_byte(), reader.read_i16()
     if value_type != thrift.STRUCT or reply_field not in (0, 1, 2):
-        raise MalformedMessageError("an answer of no kind")
+        raise MalformedMessageError("a response has an unknown type")
     result = b""
     fields: dict[str, str] = {}
     while field_type := reader.read_byte():
--- a/thistleline/wire/thrift.py
+++ b/thistleline/wire/thrift.py
@@ -1,6 +1,6 @@
-"""The Thrift binary protocol, strict, in framed transport: reading and writing of values.
+"""Reads and writes values of the strict Thrift binary protocol with framed transport.
 
-What the messages mean is in requests.py, responses.py and stub.py.
+The messages themselves are defined in requests.py, responses.py and stub.py.
 """
 
 from struct import Struct
@@ -14,11 +14,11 @@
 # Message types.
 CALL, REPLY, EXCEPTION, ONEWAY = 1, 2, 3, 4
 
-# Types of values.
+# Value types.
 BOOL, BYTE, DOUBLE, I16, I32, I64, STRING, STRUCT, MAP, SET, LIST = 2, 3, 4, 6, 8, 10, 11, 12, 13, 14, 15
 FIXED_SIZES = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}  # bytes
 
-FRAME_HEADER_SIZE = 4  # bytes: the length of the frame
+FRAME_HEADER_SIZE = 4  # bytes that hold the length of the frame
 MAX_MAP_ENTRIES = 64
 MAX_NESTING = 16
 
@@ -31,19 +31,19 @@
 
 
 def frame_size(data: memoryview, position: int) -> int:
-    """Return the bytes of the frame whose header starts at `position`, without the header."""
+    """Return the size of the frame whose header starts at `position`, without the header, in bytes."""
     return int(_unpack_u32(data, position)[0])
 
 
 def has_strict_version(frame: memoryview) -> bool:
-    """Return whether a frame begins as the strict binary protocol has it."""
+    """Return whether a frame starts with the version of the strict binary protocol."""
     return len(frame) >= 4 and _unpack_u32(frame, 0)[0] & VERSION_MASK == VERSION
 
 
 class ThriftReader:
     """Reads the values of one frame, in order.
 
-    Each method raises MalformedMessageError where the frame is cut short or a value is out of bounds.
+    Each method raises MalformedMessageError if the frame is truncated or a value is out of bounds.
     """
 
     __slots__ = ("position", "view")
@@ -54,7 +54,7 @@
         self.position = 0
 
     def advance(self, count: int) -> int:
-        """Pass over `count` bytes; return where they start."""
+        """Skip `count` bytes and return the position where they start."""
         start = self.position
         if count < 0 or start + count > len(self.view):
             raise MalformedMessageError("the message ends early")
@@ -66,21 +66,21 @@
         return self.view[self.advance(1)]
 
     def read_i16(self) -> int:
-        """Read a signed number of two bytes."""
+        """Read a signed 16-bit integer."""
         return int(_unpack_i16(self.view, self.advance(2))[0])
 
     def read_i32(self) -> int:
-        """Read a signed number of four bytes."""
+        """Read a signed 32-bit integer."""
         return int(_unpack_i32(self.view, self.advance(4))[0])
 
     def read_binary(self) -> memoryview:
-        """Read a byte string; it is a slice of the frame."""
+        """Read a byte string and return it as a slice of the frame."""
         count = self.read_i32()
         start = self.advance(count)
         return self.view[start : start + count]
 
     def read_text(self) -> str:
-        """Read a string of UTF-8."""
+        """Read a UTF-8 string."""
         try:
             return str(self.read_binary(), "utf-8")
         except UnicodeDecodeError as error:
@@ -94,7 +94,7 @@
         return {self.read_text(): self.read_text() for _ in range(count)}
 
     def skip(self, value_type: int, depth: int = 0) -> None:
-        """Pass over a value of any type, at so deep a nesting."""
+        """Skip a value of any type; `depth` is its nesting level."""
         if depth > MAX_NESTING:
             raise MalformedMessageError("nested too deep")
         if value_type in FIXED_SIZES:
@@ -130,7 +130,7 @@
 
 
 def encode_i32(value: int) -> bytes:
-    """Encode a signed number of four bytes."""
+    """Encode a signed 32-bit integer."""
     return _pack_i32(value)
 
 
@@ -140,13 +140,13 @@
 
 
 def encode_text_map(field_id: int, texts: dict[str, str]) -> bytes:
-    """Encode a field that is a map from strings to strings, its header included."""
+    """Encode a field with a map from strings to strings, including the field's header."""
     pairs = b"".join(encode_binary(text.encode()) for pair in texts.items() for text in pair)
     return _pack_field(MAP, field_id) + _pack_map(STRING, STRING, len(texts)) + pairs
 
 
 def encode_message(message_type: int, method: bytes, sequence: int, content: bytes) -> bytes:
-    """Encode a whole frame; `content` is the body's struct with its STOP."""
+    """Encode a complete frame; `content` is the struct of the body, including its STOP."""
     version = _pack_i32(VERSION - (1 << 32) | message_type)
     header = version + _pack_i32(len(method)) + method + _pack_i32(sequence)
     return _pack_i32(len(header) + len(content)) + header + content
