--- a/thistleline/state/state_machine.py
+++ b/thistleline/state/state_machine.py
@@ -134,9 +134,7 @@
         if isinstance(event, TaskReceived):
             connection = self.connections.by_number.get(event.connection)
             if connection is not None and self.by_id.get(event.task.id) not in connection.open:
-                self._answer_misunderstood(
-                    event.connection, event.seq, None, "the task could not be accepted"
-                )
+                self._answer_misunderstood(event.connection, event.seq, None, "it could not be taken")
         return self.context.take_effects()
 
     def next_deadline(self) -> int:
@@ -315,9 +313,9 @@
     def _refusal_reason(self, task: Task) -> str | None:
         """Return why a task is refused; None if it is accepted."""
         if task.id in self.by_id or task.id in self.at_agent:
-            return "this attempt is already in progress"
+            return "this try is in hand already"
         if abs(self.context.now - task.arrived_at) > MAX_CLOCK_DEVIATION:
-            return "the arrival time is implausible"  # the policy would mistake it for a delay in reading
+            return "it came at no likely time"  # the policy would mistake it for a delay in reading
         return None
 
     def _admit(self, event: TaskReceived, connection: Connection) -> str:
