--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: its format, its state, its files under faults, and a server that starts anew on it."""
+"""The ledger: its format, its state, its files under disk faults, and servers that restart on it."""
 
 import errno
 import json
@@ -33,7 +33,7 @@
 from thistleline.lab.ledger import judge, storm
 from thistleline.lab.processes.load_generator import AttemptOutcome, Caller
 from thistleline.lab.processes.render_farm import FakeFarmAgent, RunRecord
-from thistleline.ledger import format as form
+from thistleline.ledger import format as ledger_format
 from thistleline.ledger.format import Intent, Outcome, RecordGroup
 from thistleline.ledger.state import LedgerState
 from thistleline.ledger.store import LedgerStore
@@ -46,170 +46,173 @@
 from thistleline.store.frames import CorruptFrameError
 
 STAGES = ("lookup", "booking")
-HEADER = form.encode_header(STAGES, b"b" * 16)
+HEADER = ledger_format.encode_header(STAGES, b"b" * 16)
 START = 5000 * SECOND
 
 
-class Troubled(Disk):
-    """A disk that fails one of its calls, once or from then on, or ends the program there."""
+class FaultyDisk(Disk):
+    """A disk on which one call, or every call, fails or kills the program."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__(folder)
-        self.calls, self.at, self.how, self.always = 0, 0, "", False
+        self.calls, self.failing_call, self.fault, self.always_fails = 0, 0, "", False
 
-    def _trouble(self) -> bool:
+    def _maybe_fail(self) -> bool:
         self.calls += 1
-        if self.calls != self.at and not self.always:
+        if self.calls != self.failing_call and not self.always_fails:
             return False
-        if self.how == "kill":
+        if self.fault == "kill":
             raise KeyboardInterrupt
-        raise OSError(errno.ENOSPC if self.how == "full" else errno.EIO, self.how)
+        raise OSError(errno.ENOSPC if self.fault == "full" else errno.EIO, self.fault)
 
     def begin(self, number: int) -> None:
-        self._trouble()
+        self._maybe_fail()
         super().begin(number)
 
     def append(self, data: bytes) -> None:
         try:
-            self._trouble()
+            self._maybe_fail()
         except BaseException:
-            super().append(data[: len(data) // 2])  # torn
+            super().append(data[: len(data) // 2])  # a torn write
             raise
         super().append(data)
 
     def sync(self) -> None:
-        self._trouble()
+        self._maybe_fail()
 
     def sync_folder(self) -> None:
-        self._trouble()
+        self._maybe_fail()
 
     def remove(self, number: int) -> None:
-        self._trouble()
+        self._maybe_fail()
         super().remove(number)
 
 
-class KeptDesk(Desk):
-    """A desk whose state machine keeps a ledger in a folder; `slow`: works are written when told."""
+class LedgerDesk(Desk):
+    """A desk whose state machine has a ledger in a folder.
+
+    Writes are performed at once, or only by `write` while `defers_writes` is set.
+    """
 
     def __init__(
         self,
         folder: Path,
         *,
-        boot: int = START,
+        boot_time: int = START,
         disk: int = 1 << 20,
         up: bool = True,
-        left: bytes = b"",
+        boot_id: bytes = b"",
         now: int = 1000 * SECOND,
         **changes: Any,
     ) -> None:
         self.now, self.lifecycle = now, Lifecycle()
-        made = DurableStateMachine(
-            machine_options(**changes), now, self.lifecycle, max_disk_bytes=disk, boot_offset=boot - now
+        machine = DurableStateMachine(
+            machine_options(**changes), now, self.lifecycle, max_disk_bytes=disk, boot_offset=boot_time - now
         )
-        self.machine = self.kept = made
+        self.machine = self.durable_machine = machine
         self.effects, self.answers_samples, self.number, self.count = [], True, 0, 0
-        self.disk = Troubled(folder)
+        self.disk = FaultyDisk(folder)
         self.disk.acquire()
         self.store = LedgerStore(self.disk, STAGES)
-        self.store.boot = left or self.store.boot
-        self.slow = False
-        self.put(EffectsRecovered(self.store.recover(made.ledger)))
+        self.store.boot = boot_id or self.store.boot
+        self.defers_writes = False
+        self.put(EffectsRecovered(self.store.recover(machine.ledger)))
         self.put(ListeningStarted())
         if up:
             self.put(AgentGreeted(False, 60 * SECOND))
             self.wait(50 * MS)
 
     def put(self, event: Any) -> list[Any]:
-        told_back = super().put(event)
-        for effect in told_back:
-            if isinstance(effect, WriteLedger) and not self.slow:
+        effects = super().put(event)
+        for effect in effects:
+            if isinstance(effect, WriteLedger) and not self.defers_writes:
                 self.write(effect.write)
-        return [effect for effect in told_back if not isinstance(effect, WriteLedger)]
+        return [effect for effect in effects if not isinstance(effect, WriteLedger)]
 
-    def write(self, work: Any) -> None:
+    def write(self, write: Any) -> None:
         try:
-            self.store.write(work)
+            self.store.write(write)
         except OSError as error:
             self.put(WriteFailed(str(error)))
         else:
             self.put(WriteCompleted())
 
-    def die(self) -> None:
+    def stop(self) -> None:
         self.disk.release()
 
 
-# ---- its form
+# ---- the format
 
 
-NUMBERS, TIMES, SIXTEEN = (
+NUMBERS, TIMES, BYTES_16 = (
     st.integers(0, 2**64 - 1),
     st.integers(0, 2**62),
     st.binary(min_size=16, max_size=16),
 )
-INTENTS = st.builds(Intent, NUMBERS, st.integers(0, 9), SIXTEEN, TIMES, TIMES, SIXTEEN)
+INTENTS = st.builds(Intent, NUMBERS, st.integers(0, 9), BYTES_16, TIMES, TIMES, BYTES_16)
 OUTCOMES = st.builds(Outcome, NUMBERS, st.integers(0, 3), st.binary(max_size=40))
 GROUPS = st.lists(st.tuples(st.lists(INTENTS, max_size=4), st.lists(OUTCOMES, max_size=4)), max_size=5)
 
 
-def _read(data: bytes, place: int = 0) -> list[RecordGroup]:
+def _decode_groups(data: bytes, index: int = 0) -> list[RecordGroup]:
     return [
-        form.decode_group(payload)
-        for _, payload, _ in form.iter_frames(memoryview(data), place)
+        ledger_format.decode_group(payload)
+        for _, payload, _ in ledger_format.iter_frames(memoryview(data), index)
         if payload is not None
     ]
 
 
 @given(GROUPS)
 @settings(derandomize=True, database=None)
-def test_what_is_written_is_read(groups: list[tuple[list[Intent], list[Outcome]]]) -> None:
-    assert _read(b"".join(form.encode_frame(*group) for group in groups)) == [
+def test_encoded_groups_decode_to_the_same_records(groups: list[tuple[list[Intent], list[Outcome]]]) -> None:
+    assert _decode_groups(b"".join(ledger_format.encode_frame(*group) for group in groups)) == [
         RecordGroup(*group) for group in groups
     ]
 
 
 @given(GROUPS, st.data())
 @settings(derandomize=True, database=None, max_examples=300)
-def test_a_flipped_bit_or_a_cut_takes_its_own_group_and_no_other(groups: Any, data: st.DataObject) -> None:
-    parts = [form.encode_frame(*group) for group in groups]
-    whole = b"".join(parts)
-    place = data.draw(st.integers(0, max(0, len(whole) - 1)))
+def test_a_flipped_bit_or_truncation_loses_only_the_affected_groups(groups: Any, data: st.DataObject) -> None:
+    group_frames = [ledger_format.encode_frame(*group) for group in groups]
+    encoded_data = b"".join(group_frames)
+    index = data.draw(st.integers(0, max(0, len(encoded_data) - 1)))
     if data.draw(st.booleans()):
-        harmed = whole[:place]
+        damaged = encoded_data[:index]
     else:
-        flipped = bytearray(whole)
-        if whole:
-            flipped[place] ^= 1 << data.draw(st.integers(0, 7))
-        harmed = bytes(flipped)
-    kept, start = [], 0
-    for part, group in zip(parts, groups, strict=True):
-        if harmed[start : start + len(part)] == part:
-            kept.append(RecordGroup(*group))
-        start += len(part)
-    assert _read(harmed) == kept
+        flipped = bytearray(encoded_data)
+        if encoded_data:
+            flipped[index] ^= 1 << data.draw(st.integers(0, 7))
+        damaged = bytes(flipped)
+    intact, start = [], 0
+    for frame, group in zip(group_frames, groups, strict=True):
+        if damaged[start : start + len(frame)] == frame:
+            intact.append(RecordGroup(*group))
+        start += len(frame)
+    assert _decode_groups(damaged) == intact
 
 
 @given(st.binary(max_size=300))
 @settings(derandomize=True, database=None)
-def test_any_bytes_are_damaged_or_nothing(data: bytes) -> None:
-    assert _read(data) == []
+def test_arbitrary_bytes_decode_to_no_group_and_no_header(data: bytes) -> None:
+    assert _decode_groups(data) == []
     with pytest.raises(CorruptFrameError):
-        form.decode_header(data)
+        ledger_format.decode_header(data)
 
 
-@pytest.mark.parametrize(("head", "reason"), [
-    (HEADER[:8] + b"\3\0" + HEADER[10:], "form 3"),
-    (b"X" + HEADER[1:], "no segment"),
-    (HEADER[:-1] + b"!", "checksum"),
+@pytest.mark.parametrize(("header", "reason"), [
+    (HEADER[:8] + b"\3\0" + HEADER[10:], "format version 3"),
+    (b"X" + HEADER[1:], "not a ledger segment"),
+    (HEADER[:-1] + b"!", "header checksum mismatch"),
 ])  # fmt: skip
-def test_a_segment_of_another_form_is_refused_with_the_reason(
-    head: bytes, reason: str, tmp_path: Path
+def test_an_unsupported_or_damaged_segment_header_is_refused_with_the_reason(
+    header: bytes, reason: str, tmp_path: Path
 ) -> None:
-    (tmp_path / "000000000001.ledger").write_bytes(head)
+    (tmp_path / "000000000001.ledger").write_bytes(header)
     with pytest.raises(CorruptFrameError, match=reason):
         LedgerStore(Disk(tmp_path), STAGES).recover(LedgerState(1 << 20, 1 << 20, START, lambda _: None))
 
 
-def test_a_second_program_on_a_folder_is_told_so(tmp_path: Path) -> None:
+def test_a_folder_can_be_locked_by_one_program_only(tmp_path: Path) -> None:
     first = Disk(tmp_path)
     first.acquire()
     with pytest.raises(DiskLockedError, match="another program"):
@@ -218,220 +221,226 @@
     Disk(tmp_path).acquire()
 
 
-# ---- nothing starts before its intent is durable
+# ---- no effect starts before its intent is durable
 
 
-def test_a_booking_is_launched_once_its_intent_is_durable_a_lookup_at_once(tmp_path: Path) -> None:
-    desk = KeptDesk(tmp_path, cores=4)
-    desk.slow = True
-    read, booked = desk.send(1), desk.send(1, "mark")
+def test_a_booking_starts_once_its_intent_is_durable_and_a_lookup_at_once(tmp_path: Path) -> None:
+    desk = LedgerDesk(tmp_path, cores=4)
+    desk.defers_writes = True
+    lookup_id, booking_id = desk.send(1), desk.send(1, "mark")
     desk.wait()
-    assert desk.launched() == [read]
-    (work,) = [effect.write for effect in desk.kinds(WriteLedger)]
-    desk.write(work)
-    assert desk.launched() == [read, booked]
+    assert desk.launched() == [lookup_id]
+    (write,) = [effect.write for effect in desk.kinds(WriteLedger)]
+    desk.write(write)
+    assert desk.launched() == [lookup_id, booking_id]
 
 
-def test_what_waits_on_a_sync_goes_together_in_the_next(tmp_path: Path) -> None:
-    desk = KeptDesk(tmp_path, cores=16)
-    desk.slow = True
-    for place in range(9):
-        desk.send(place % 3, f"mark{place}")
+def test_intents_recorded_during_a_sync_are_written_as_one_group(tmp_path: Path) -> None:
+    desk = LedgerDesk(tmp_path, cores=16)
+    desk.defers_writes = True
+    for index in range(9):
+        desk.send(index % 3, f"mark{index}")
         desk.wait()
-    works = [effect.write for effect in desk.kinds(WriteLedger)]
-    assert [len(work.group.intents) for work in works] == [1]
-    desk.write(works[0])
-    works = [effect.write for effect in desk.kinds(WriteLedger)]
-    assert [len(work.group.intents) for work in works] == [1, 8]
-
-
-def test_a_sync_that_failed_once_starts_nothing_and_is_never_taken_for_durable(tmp_path: Path) -> None:
-    """Bookings are rejected with when to come back, lookups go on; the next segment serves again."""
-    desk = KeptDesk(tmp_path, cores=4)
-    desk.disk.at, desk.disk.how = desk.disk.calls + 4, "sync"  # begin, head, frame, sync
-    read, failed = desk.send(1), desk.send(2, "mark")
+    writes = [effect.write for effect in desk.kinds(WriteLedger)]
+    assert [len(write.group.intents) for write in writes] == [1]
+    desk.write(writes[0])
+    writes = [effect.write for effect in desk.kinds(WriteLedger)]
+    assert [len(write.group.intents) for write in writes] == [1, 8]
+
+
+def test_intents_of_a_failed_sync_are_rejected_and_not_treated_as_durable(tmp_path: Path) -> None:
+    """Bookings are rejected with a retry delay while lookups run; bookings resume with the next segment."""
+    desk = LedgerDesk(tmp_path, cores=4)
+    desk.disk.failing_call, desk.disk.fault = desk.disk.calls + 4, "sync"  # calls: begin, header, frame, sync
+    lookup_id, failed = desk.send(1), desk.send(2, "mark")
     desk.wait(1 * MS)
-    refused = desk.send(3, "other")
+    rejected = desk.send(3, "other")
     desk.wait(20 * MS)
-    assert desk.launched() == [read]
+    assert desk.launched() == [lookup_id]
     assert [(effect.connection, effect.retry_after > 0) for effect in desk.kinds(AnswerRejected)] == [
         (2, True),
         (3, True),
     ]
     desk.wait(300 * MS)
-    again = desk.send(2, "mark", is_retry=True)
+    retried = desk.send(2, "mark", is_retry=True)
     desk.wait()
-    assert desk.launched() == [read, again]
-    assert (failed, refused) == ("t2", "t3")
-    desk.die()
-    later = KeptDesk(tmp_path)
-    later.send(1, "other")
-    later.wait()
-    assert len(later.launched()) == 1  # its intent was told to be moot
-
-
-@pytest.mark.parametrize("how", ["full", "sync"])
-def test_a_disk_that_goes_on_failing_ends_nothing(tmp_path: Path, how: str) -> None:
-    desk = KeptDesk(tmp_path, cores=4)
-    desk.disk.how, desk.disk.always = how, True
-    for place in range(40):
-        desk.send(1, f"mark{place}")
-        read = desk.send(2)
+    assert desk.launched() == [lookup_id, retried]
+    assert (failed, rejected) == ("t2", "t3")
+    desk.stop()
+    restarted = LedgerDesk(tmp_path)
+    restarted.send(1, "other")
+    restarted.wait()
+    assert len(restarted.launched()) == 1  # its intent was recorded as moot
+
+
+@pytest.mark.parametrize("fault", ["full", "sync"])
+def test_a_permanently_failing_disk_rejects_bookings_but_not_lookups(tmp_path: Path, fault: str) -> None:
+    desk = LedgerDesk(tmp_path, cores=4)
+    desk.disk.fault, desk.disk.always_fails = fault, True
+    for index in range(40):
+        desk.send(1, f"mark{index}")
+        lookup_id = desk.send(2)
         desk.wait(100 * MS)
-        desk.end(read)
+        desk.end(lookup_id)
         desk.wait(100 * MS)
     assert len(desk.kinds(AnswerRejected)) == 40
     assert len(desk.launched()) == 40
-    assert desk.disk.calls < 20  # tries are further and further apart
-    assert len(desk.kept.ledger.segments) < 3
+    assert desk.disk.calls < 20  # the delay between retries grows
+    assert len(desk.durable_machine.ledger.segments) < 3
 
 
-# ---- a kill at any point
+# ---- kills at any point
 
 
-def _life(desk: KeptDesk, sent: list[str]) -> None:
-    for place in range(3):
-        name = desk.send(1, f"mark{place}", id=f"{len(sent)}-{place}")
+def _run_three_bookings(desk: LedgerDesk, sent: list[str]) -> None:
+    for index in range(3):
+        name = desk.send(1, f"mark{index}", id=f"{len(sent)}-{index}")
         sent.append(name)
         desk.wait(6 * MS)
-        if place != 1 and name in desk.launched():
+        if index != 1 and name in desk.launched():
             desk.end(name)
         desk.wait(6 * MS)
 
 
-@pytest.mark.parametrize("left", [b"", b"another boot...."])
-@pytest.mark.parametrize("back", [-600, 0, 86_400])
-@pytest.mark.parametrize("at", range(1, 22))
-def test_after_a_kill_at_any_call_no_booking_runs_twice(
-    tmp_path: Path, at: int, back: int, left: bytes
+@pytest.mark.parametrize("boot_id", [b"", b"another boot...."])
+@pytest.mark.parametrize("clock_shift", [-600, 0, 86_400])
+@pytest.mark.parametrize("failing_call", range(1, 22))
+def test_no_booking_runs_twice_after_a_kill_at_any_disk_call(
+    tmp_path: Path, failing_call: int, clock_shift: int, boot_id: bytes
 ) -> None:
-    """The wall clock is set back, or on by a day, over the restart; or the machine started anew."""
-    desk = KeptDesk(tmp_path, cores=4)
-    desk.disk.at, desk.disk.how = at, "kill"
+    """Over the restart the wall clock is set back 10 minutes or forward a day, or the machine reboots."""
+    desk = LedgerDesk(tmp_path, cores=4)
+    desk.disk.failing_call, desk.disk.fault = failing_call, "kill"
     with suppress(KeyboardInterrupt):
-        _life(desk, [])
-    desk.die()
+        _run_three_bookings(desk, [])
+    desk.stop()
     finished = {bytes(effect.result) for effect in desk.kinds(AnswerFinished)}
-    boot = START + 9 * SECOND if not left else 7 * SECOND
-    later = KeptDesk(tmp_path, cores=4, boot=boot, left=left, now=(1009 + back) * SECOND)
-    for place in range(3):
-        later.send(1, f"mark{place}", is_retry=True)
-        later.wait(3 * SECOND)
-    again = {int(name[1:]) - 1 for name in later.launched()}
-    assert not again & {int(name[-1]) for name in desk.launched()}
-    assert not later.kinds(AnswerRejected)
-    told = {bytes(effect.result) for effect in later.kinds(AnswerFinished)}
-    assert told <= finished
-    later.die()
+    boot_time = START + 9 * SECOND if not boot_id else 7 * SECOND
+    restarted = LedgerDesk(
+        tmp_path, cores=4, boot_time=boot_time, boot_id=boot_id, now=(1009 + clock_shift) * SECOND
+    )
+    for index in range(3):
+        restarted.send(1, f"mark{index}", is_retry=True)
+        restarted.wait(3 * SECOND)
+    started_again = {int(name[1:]) - 1 for name in restarted.launched()}
+    assert not started_again & {int(name[-1]) for name in desk.launched()}
+    assert not restarted.kinds(AnswerRejected)
+    repeated_results = {bytes(effect.result) for effect in restarted.kinds(AnswerFinished)}
+    assert repeated_results <= finished
+    restarted.stop()
 
 
 def test_a_repeat_after_a_restart_gets_the_stored_result(tmp_path: Path) -> None:
-    desk = KeptDesk(tmp_path)
+    desk = LedgerDesk(tmp_path)
     name = desk.send(1, "mark")
     desk.wait()
     desk.end(name)
     desk.wait()
-    desk.die()
-    later = KeptDesk(tmp_path, boot=START + 5 * SECOND)
-    later.send(1, "mark", is_retry=True)
-    later.send(2, "mark", is_retry=True)
-    later.send(3, "mark", b"a stranger's")
-    later.wait()
-    assert [(effect.connection, bytes(effect.result)) for effect in later.kinds(AnswerFinished)] == [
+    desk.stop()
+    restarted = LedgerDesk(tmp_path, boot_time=START + 5 * SECOND)
+    restarted.send(1, "mark", is_retry=True)
+    restarted.send(2, "mark", is_retry=True)
+    restarted.send(3, "mark", b"a stranger's")
+    restarted.wait()
+    assert [(effect.connection, bytes(effect.result)) for effect in restarted.kinds(AnswerFinished)] == [
         (1, b"result of t1"), (2, b"result of t1")]  # fmt: skip
-    assert later.launched() == ["t3"]
+    assert restarted.launched() == ["t3"]
 
 
-@pytest.mark.parametrize("agent", ["tells its end", "tells nothing", "is new"])
-def test_an_intent_without_an_end_may_have_run(tmp_path: Path, agent: str) -> None:
-    desk = KeptDesk(tmp_path)
+@pytest.mark.parametrize("agent", ["reports the end", "reports nothing", "is new"])
+def test_an_intent_without_an_outcome_is_not_started_again(tmp_path: Path, agent: str) -> None:
+    desk = LedgerDesk(tmp_path)
     name = desk.send(1, "mark")
     desk.wait()
-    desk.die()
-    later = KeptDesk(tmp_path, boot=START + SECOND, up=False)
-    later.put(AgentGreeted(agent == "is new", 60 * SECOND))
-    if agent == "tells its end":
-        later.end(name)
-    later.send(1, "mark", id="later", is_retry=True)
-    later.wait(3 * SECOND)
-    assert later.launched() == []
-    assert later.answers() == ["finished" if agent == "tells its end" else "abandoned"]
-    later.die()
-    third = KeptDesk(tmp_path, boot=START + 5 * SECOND)
+    desk.stop()
+    restarted = LedgerDesk(tmp_path, boot_time=START + SECOND, up=False)
+    restarted.put(AgentGreeted(agent == "is new", 60 * SECOND))
+    if agent == "reports the end":
+        restarted.end(name)
+    restarted.send(1, "mark", id="later", is_retry=True)
+    restarted.wait(3 * SECOND)
+    assert restarted.launched() == []
+    assert restarted.answers() == ["finished" if agent == "reports the end" else "abandoned"]
+    restarted.stop()
+    third = LedgerDesk(tmp_path, boot_time=START + 5 * SECOND)
     third.send(1, "mark", id="third", is_retry=True)
     third.wait(3 * SECOND)
-    assert (third.launched(), third.answers()) == ([], later.answers())
+    assert (third.launched(), third.answers()) == ([], restarted.answers())
 
 
-@pytest.mark.parametrize("how", ["read again", "compacted"])
-def test_doubt_outlives_lives_too_short_to_settle_it(
-    tmp_path: Path, how: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("recovery", ["reread", "compacted"])
+def test_a_doubt_deadline_survives_restarts_that_come_before_it(
+    tmp_path: Path, recovery: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    desk = KeptDesk(tmp_path)
+    desk = LedgerDesk(tmp_path)
     desk.send(1, "mark")
     desk.wait()
-    desk.die()
-    lives, span = 0, BOOKING.latency_objective // 2
-    for life in range(2, 60):
-        boot = START + life * 200 * MS
-        later = KeptDesk(tmp_path, boot=boot)
-        later.send(1, "mark", id=f"try{life}", is_retry=True)
-        later.wait(100 * MS)  # and is killed
-        lives += 1
-        assert later.launched() == []
-        later.die()
-        if how == "compacted":
-            monkeypatch.setattr("thistleline.cli.ledger_folder.boot_now", lambda boot=boot: boot)
+    desk.stop()
+    incarnations, max_wait = 0, BOOKING.latency_objective // 2
+    for incarnation in range(2, 60):
+        boot_time = START + incarnation * 200 * MS
+        restarted = LedgerDesk(tmp_path, boot_time=boot_time)
+        restarted.send(1, "mark", id=f"try{incarnation}", is_retry=True)
+        restarted.wait(100 * MS)  # killed before the deadline
+        incarnations += 1
+        assert restarted.launched() == []
+        restarted.stop()
+        if recovery == "compacted":
+            monkeypatch.setattr(
+                "thistleline.cli.ledger_folder.boot_now", lambda boot_time=boot_time: boot_time
+            )
             with open_ledger(tmp_path) as contents:
                 rewrite_ledger(tmp_path, contents)
-        if later.answers():
-            assert later.answers() == ["abandoned"]
+        if restarted.answers():
+            assert restarted.answers() == ["abandoned"]
             break
     else:
-        pytest.fail("no life ever came to say that it is in doubt")
-    assert lives <= span // (200 * MS) + 2
-    assert lives > 1  # what may still run is awaited
+        pytest.fail("no incarnation declared the effect doubtful")
+    assert incarnations <= max_wait // (200 * MS) + 2
+    assert incarnations > 1  # the outcome is awaited while the effect may still run
 
 
-def test_past_its_window_it_is_forgotten_by_the_clock_that_nobody_sets(tmp_path: Path) -> None:
-    desk = KeptDesk(tmp_path)
+def test_an_effect_expires_by_boot_time_and_not_by_the_wall_clock(tmp_path: Path) -> None:
+    desk = LedgerDesk(tmp_path)
     desk.end(desk.send(1, "mark"))
     desk.wait()
-    desk.die()
-    later = KeptDesk(tmp_path, boot=START + BOOKING.idempotency_window + 20 * SECOND, now=900 * SECOND)
-    later.send(1, "mark", is_retry=True)
-    later.wait()
-    assert len(later.launched()) == 1
+    desk.stop()
+    restarted = LedgerDesk(
+        tmp_path, boot_time=START + BOOKING.idempotency_window + 20 * SECOND, now=900 * SECOND
+    )
+    restarted.send(1, "mark", is_retry=True)
+    restarted.wait()
+    assert len(restarted.launched()) == 1
 
 
-# ---- bounds
+# ---- limits
 
 
-def test_the_disk_is_bounded_and_old_segments_go(tmp_path: Path) -> None:
-    desk = KeptDesk(tmp_path, cores=16, disk=1 << 15)
-    most = 0
-    for place in range(600):
-        name = desk.send(place % 8, f"mark{place}")
+def test_disk_usage_is_bounded_by_removing_expired_segments(tmp_path: Path) -> None:
+    desk = LedgerDesk(tmp_path, cores=16, disk=1 << 15)
+    max_size = 0
+    for index in range(600):
+        name = desk.send(index % 8, f"mark{index}")
         desk.wait(6 * MS)
         if name in desk.launched():
             desk.end(name)
         desk.wait(100 * MS)
-        most = max(most, sum(size for _, size in desk.disk.segments()))
-    assert most <= 1 << 15
-    assert desk.kept.ledger.refusals == 0
+        max_size = max(max_size, sum(size for _, size in desk.disk.segments()))
+    assert max_size <= 1 << 15
+    assert desk.durable_machine.ledger.refusals == 0
     assert len(desk.launched()) > 500
 
 
-def test_at_the_bound_in_a_burst_bookings_are_rejected_and_later_taken(tmp_path: Path) -> None:
-    desk = KeptDesk(tmp_path, cores=16, disk=1 << 14, memory_kb=1e9)
-    for place in range(400):
-        name = desk.send(place % 8, f"mark{place}")
+def test_bookings_are_rejected_at_the_disk_limit_and_accepted_after_records_expire(tmp_path: Path) -> None:
+    desk = LedgerDesk(tmp_path, cores=16, disk=1 << 14, memory_kb=1e9)
+    for index in range(400):
+        name = desk.send(index % 8, f"mark{index}")
         desk.wait(6 * MS)
         if name in desk.launched():
             desk.end(name)
-    refused = desk.kinds(AnswerRejected)
-    assert refused
-    assert desk.kept.ledger.phase == "full"
+    rejected = desk.kinds(AnswerRejected)
+    assert rejected
+    assert desk.durable_machine.ledger.phase == "full"
     assert sum(size for _, size in desk.disk.segments()) <= 1 << 14
     desk.send(1, "mark0", is_retry=True)
     desk.wait()
@@ -442,53 +451,57 @@
     assert late in desk.launched()
 
 
-@pytest.mark.parametrize("at", range(1, 8))
-def test_compaction_leaves_out_what_is_over_and_survives_a_kill(tmp_path: Path, at: int) -> None:
-    disk = Troubled(tmp_path)
+@pytest.mark.parametrize("failing_call", range(1, 8))
+def test_a_kill_during_compaction_loses_no_unexpired_effect(tmp_path: Path, failing_call: int) -> None:
+    disk = FaultyDisk(tmp_path)
     store, now = LedgerStore(disk, STAGES), START
     ledger = LedgerState(1 << 16, 1 << 16, now, lambda number: b"r" * 700)
-    for place in range(90):
-        span = 3600 * SECOND if place % 9 == 0 else SECOND
-        number = ledger.record_intent(now, 1, b"%016d" % place, span, b"")
+    for index in range(90):
+        lifetime = 3600 * SECOND if index % 9 == 0 else SECOND
+        number = ledger.record_intent(now, 1, b"%016d" % index, lifetime, b"")
         assert number is not None
         ledger.record_outcome(now, number, "finished", b"r" * 700)
         now += 100 * MS
-        work = ledger.next_write(now)
-        if work is not None:
-            if work.is_compaction:
-                disk.at, disk.how = disk.calls + at, "kill"
+        write = ledger.next_write(now)
+        if write is not None:
+            if write.is_compaction:
+                disk.failing_call, disk.fault = disk.calls + failing_call, "kill"
             try:
-                store.write(work)
+                store.write(write)
             except KeyboardInterrupt:
                 break
             ledger.write_completed(now)
     assert ledger.compactions
-    kept = LedgerState(1 << 16, 1 << 16, now, lambda number: None)
-    found = [one for one in LedgerStore(Disk(tmp_path), STAGES).recover(kept) if one.remaining > 60 * SECOND]
-    assert len(found) >= place // 9
-    assert all(one.outcome == "finished" for one in found)
+    recovered = LedgerState(1 << 16, 1 << 16, now, lambda number: None)
+    found = [
+        effect
+        for effect in LedgerStore(Disk(tmp_path), STAGES).recover(recovered)
+        if effect.remaining > 60 * SECOND
+    ]
+    assert len(found) >= index // 9
+    assert all(effect.outcome == "finished" for effect in found)
 
 
-def test_a_drain_writes_what_is_unsynced_before_it_ends(tmp_path: Path) -> None:
-    desk = KeptDesk(tmp_path)
+def test_a_drain_waits_until_pending_records_are_durable(tmp_path: Path) -> None:
+    desk = LedgerDesk(tmp_path)
     name = desk.send(1, "mark")
     desk.wait()
-    desk.slow = True
+    desk.defers_writes = True
     desk.put(ShutdownRequested(desk.now + 3 * SECOND))
     desk.end(name)
     desk.put(ConnectionEnded(1, ""))
     desk.wait(SECOND)
     assert not desk.kinds(EndProcess)
     desk.write([effect.write for effect in desk.kinds(WriteLedger)][-1])
-    desk.slow = False
+    desk.defers_writes = False
     desk.wait(SECOND)
     assert desk.kinds(EndProcess)
 
 
-# ---- the file of settings
+# ---- the settings file
 
 
-def test_all_faults_of_a_file_are_told_at_once_with_their_lines() -> None:
+def test_all_errors_of_a_settings_file_are_reported_with_their_lines() -> None:
     text = "ledger folder relative\nledger disk 9X\nledger disk 1M\nkiln heat 3\nledger colour red\nledger\n'"
     with pytest.raises(ConfigError) as caught:
         parse_config("t.conf", text)
@@ -499,7 +512,7 @@
         parse_config("t.conf", "ledger disk 64M")
 
 
-def test_a_file_is_read() -> None:
+def test_ledger_settings_are_parsed() -> None:
     conf = parse_config("t.conf", "# new parts\nledger folder '/var/lib/a b'  # here\nledger disk 8M\n")
     assert conf.ledger is not None
     assert (str(conf.ledger.folder), conf.ledger.disk, conf.ledger.results) == ("/var/lib/a b", 8 << 20, None)
@@ -522,11 +535,11 @@
         with first.connect() as link:
             link.sendall(process(1, booking(1, "mark")))
             agent.hear()
-            launch = agent.hear()
-            agent.end(launch[1], b"Friday at noon")
+            start_line = agent.hear()
+            agent.end(start_line[1], b"Friday at noon")
             assert answered(next(frames(link)))[3][0][1] == b"Friday at noon"
             link.sendall(process(2, booking(2, "other")))
-            agent.hear()  # it is launched, so its intent and the outcome before it are durable
+            agent.hear()  # it was started, so its intent and the earlier outcome are durable
     finally:
         first.close()
     second = Instance(tmp_path, agent, announce)
@@ -544,50 +557,50 @@
 # ---- the command line
 
 
-def test_the_commands_read_what_a_server_left(tmp_path: Path) -> None:
-    desk = KeptDesk(tmp_path / "kept", boot=boot_now())  # the commands go by the machine's own clock
-    for place in range(3):
-        name = desk.send(1, f"mark{place}")
+def test_ledger_commands_read_the_folder_of_a_stopped_server(tmp_path: Path) -> None:
+    desk = LedgerDesk(tmp_path / "kept", boot_time=boot_now())  # the commands use the machine's clock
+    for index in range(3):
+        name = desk.send(1, f"mark{index}")
         desk.wait()
         desk.end(name)
     desk.wait()
     run, folder = CliRunner().invoke, str(tmp_path / "kept")
-    held = run(entry, ["ledger", "verify", folder])
-    assert held.exit_code == 1
-    assert "another program" in held.output
-    desk.die()
+    locked = run(entry, ["ledger", "verify", folder])
+    assert locked.exit_code == 1
+    assert "another program" in locked.output
+    desk.stop()
     listed = [
         json.loads(line) for line in run(entry, ["ledger", "inspect", folder, "--json"]).output.splitlines()
     ]
-    assert [one["how"] for one in listed] == ["finished"] * 3
+    assert [row["how"] for row in listed] == ["finished"] * 3
     assert run(entry, ["ledger", "compact", folder]).exit_code == 0
     assert len(list((tmp_path / "kept").glob("*.ledger"))) == 1
-    again = [
+    compacted = [
         json.loads(line) for line in run(entry, ["ledger", "inspect", folder, "--json"]).output.splitlines()
     ]
-    assert [(one["key"], one["result_bytes"]) for one in again] == [
-        (one["key"], one["result_bytes"]) for one in listed
+    assert [(row["key"], row["result_bytes"]) for row in compacted] == [
+        (row["key"], row["result_bytes"]) for row in listed
     ]
     (path,) = (tmp_path / "kept").glob("*.ledger")
-    harmed = bytearray(path.read_bytes())
-    harmed[len(harmed) // 2] ^= 4
-    path.write_bytes(bytes(harmed) + form.encode_frame([], []))
+    damaged = bytearray(path.read_bytes())
+    damaged[len(damaged) // 2] ^= 4
+    path.write_bytes(bytes(damaged) + ledger_format.encode_frame([], []))
     assert run(entry, ["ledger", "verify", folder]).exit_code == 1
 
 
-def test_check_config_tells_every_fault_and_fails(tmp_path: Path) -> None:
+def test_check_config_reports_all_errors_and_fails(tmp_path: Path) -> None:
     (tmp_path / "t.conf").write_text("ledger folder x\nledger disk y\n")
-    told = CliRunner().invoke(entry, ["check-config", str(tmp_path / "t.conf")])
-    assert (told.exit_code, told.output.count("t.conf:")) == (2, 2)
+    result = CliRunner().invoke(entry, ["check-config", str(tmp_path / "t.conf")])
+    assert (result.exit_code, result.output.count("t.conf:")) == (2, 2)
 
 
-@pytest.mark.parametrize(("runs", "kind", "wrong"), [
+@pytest.mark.parametrize(("runs", "kind", "violation"), [
     ([0.0, 5.0], "finished", "run_twice"),
     ([0.0], "rejected", "rejected_after_run"),
     ([], "finished", "acknowledged_and_lost"),
     ([0.0, 10.0], "finished", ""),
 ])  # fmt: skip
-def test_the_oracle_of_the_laboratory_can_fail(runs: list[float], kind: str, wrong: str) -> None:
+def test_the_lab_oracle_detects_each_violation(runs: list[float], kind: str, violation: str) -> None:
     farm = FakeFarmAgent(1, (0.0, 0.0))
     farm.runs = {b"body": [RunRecord(b"body", "t", began, b"result") for began in runs]} if runs else {}
     caller = Caller(lambda: ("127.0.0.1", 1), 1, 1, "booking", "studio")
@@ -596,13 +609,13 @@
     ]
     figures = judge(farm, caller)
     faults = ("run_twice", "rejected_after_run", "acknowledged_and_lost", "another_result")
-    assert [name for name in faults if figures[name]] == ([wrong] if wrong else [])
+    assert [name for name in faults if figures[name]] == ([violation] if violation else [])
 
 
-def test_kills_under_load_run_nothing_twice(tmp_path: Path) -> None:
-    """The laboratory's storm in small: real processes, killed at points and at random, on a failing disk."""
+def test_kills_under_load_run_no_booking_twice(tmp_path: Path) -> None:
+    """A short run of the lab's storm: real processes on a failing disk, killed at points and at random."""
     figures = anyio.run(storm, tmp_path, 3, 100, 6, True, lambda text: None)
-    wrong = ("run_twice", "rejected_after_run", "acknowledged_and_lost", "another_result", "faults")
-    assert [figures[name] for name in wrong] == [0] * 5
+    violations = ("run_twice", "rejected_after_run", "acknowledged_and_lost", "another_result", "faults")
+    assert [figures[name] for name in violations] == [0] * 5
     assert figures["answered_all"]
     assert figures["bookings_run"] > 50
--- a/thistleline/ledger/format.py
+++ b/thistleline/ledger/format.py
@@ -1,16 +1,17 @@
-"""The ledger's on-disk format: segments of frames, one frame for each group of records written together.
+"""The ledger's on-disk format: segments of frames, where a frame holds records that were written together.
 
-A segment starts with a header; frames follow to the end of the file:
+A segment is a header followed by frames up to the end of the file:
 
-    header   magic 8s, version u16, stages u16, boot 16s, CRC-32 u32 of boot and names, then the names of the
-             stages, each u8 length and UTF-8; `boot` identifies the machine's boot that the times count in
-    frame    as store/frames.py has it; payload: intents u32, outcomes u32, then the intents,
-             the outcomes (both of fixed size), and the results one after another
+    header   magic 8s, version u16, stage count u16, boot id 16s, CRC-32 u32 of boot id and stage names, then
+             the stage names, each as u8 length and UTF-8; the boot id identifies the boot of the machine
+             that the segment's times refer to
+    frame    as in store/frames.py; payload: intent count u32, outcome count u32, then the intents and the
+             outcomes (both of fixed size), then the concatenated results
     intent   number u64, stage u16, digest 16s, expires_at i64, lifetime i64, attempt id 16s
-    outcome  number u64, kind u8, result length u32; a doubtful one is no end: its effect may still be running
+    outcome  number u64, kind u8, result length u32; kind "doubtful" is not final: the effect may still run
 
-Times are whole nanoseconds of CLOCK_BOOTTIME, which continues over a restart of the program and which nobody
-can set.
+Times are whole nanoseconds of CLOCK_BOOTTIME, which continues over a restart of the program and cannot be
+set.
 """
 
 import struct
@@ -34,26 +35,28 @@
 _INTENT = struct.Struct("<QH16sqq16s")
 _OUTCOME = struct.Struct("<QBI")
 
-MIN_HEADER_SIZE = _HEADER.size  # bytes, of a header without stages
+MIN_HEADER_SIZE = _HEADER.size  # bytes of a header without stages
 OUTCOME_KINDS = ("finished", "failed", "stopped", "moot", "doubtful")
-DOUBT_DEADLINE = struct.Struct("<q")  # the result of a doubtful outcome: until when to wait, boot time in ns
+DOUBT_DEADLINE = struct.Struct("<q")  # result of a doubtful outcome: boot time in ns until which to wait
 INTENT_SIZE = _INTENT.size  # bytes
 OUTCOME_SIZE = _OUTCOME.size  # bytes, without the result
-FRAME_OVERHEAD = HEADER_SIZE + _COUNTS.size  # bytes of a frame beside its records
+FRAME_OVERHEAD = HEADER_SIZE + _COUNTS.size  # bytes of a frame without its records
 
 
 class Intent(NamedTuple):
     """The record that an effect is about to start.
 
-    Its fields are in the order of the format. A named tuple, as recovery decodes up to a million in bulk.
+    The fields are in the order of the format. A named tuple, because recovery decodes up to a million in
+    bulk.
 
     Attributes:
-        number: The effect's number, given by the ledger and never used twice in a folder.
-        stage: Place of the stage in the segment's header.
-        digest: 16 bytes: the digest of idempotency key and body.
-        expires_at: Boot time in ns at which the key's window has passed.
-        lifetime: Nanoseconds from the recording to `expires_at`; what holds if the machine rebooted since.
-        attempt_id: Id of the attempt as the agent knows it, 16 bytes at most.
+        number: The effect's number, assigned by the ledger and never reused within a folder.
+        stage: Index of the stage in the segment's header.
+        digest: 16-byte digest of idempotency key and body.
+        expires_at: Boot time in ns at which the key's idempotency window ends.
+        lifetime: Nanoseconds from recording to `expires_at`; counted from the recovery if the machine has
+            rebooted since.
+        attempt_id: Id of the attempt at the agent, at most 16 bytes.
     """
 
     number: int
@@ -65,12 +68,12 @@
 
 
 class Outcome(NamedTuple):
-    """The record of how an effect ended, or until when its end is awaited.
+    """The record of how an effect ended, or of the deadline until which its end is awaited.
 
     Attributes:
         number: The effect's number.
-        kind: Index in OUTCOME_KINDS.
-        result: The effect's result; of a doubtful outcome the packed DOUBT_DEADLINE.
+        kind: Index into OUTCOME_KINDS.
+        result: The effect's result; for a doubtful outcome, the packed DOUBT_DEADLINE.
     """
 
     number: int
@@ -79,28 +82,28 @@
 
 
 class RecordGroup(NamedTuple):
-    """The records that are written and synced together (group commit)."""
+    """Records that are written and synced together (group commit)."""
 
     intents: list[Intent]
     outcomes: list[Outcome]
 
     def outcomes_size(self) -> int:
-        """Return the bytes that the outcomes and their results take in frames."""
+        """Return the encoded size of the outcomes and their results, in bytes."""
         results = sum(len(outcome.result) for outcome in self.outcomes)
         return len(self.outcomes) * OUTCOME_SIZE + results
 
     def size(self) -> int:
-        """Return the bytes that all records take in frames."""
+        """Return the encoded size of all records, in bytes."""
         return len(self.intents) * INTENT_SIZE + self.outcomes_size()
 
 
 class SegmentHeader(NamedTuple):
-    """What the header of a segment says.
+    """The decoded header of a segment.
 
     Attributes:
-        stages: Names of the stages, which intents refer to by place.
-        boot: 16 bytes that identify the machine's boot that the times count in.
-        size: Bytes of the header; the first frame starts there.
+        stages: Names of the stages, which intents refer to by index.
+        boot: 16-byte id of the boot of the machine that the segment's times refer to.
+        size: Size of the header in bytes; the first frame starts at this offset.
     """
 
     stages: tuple[str, ...]
@@ -109,7 +112,7 @@
 
 
 def encode_header(stages: tuple[str, ...], boot: bytes) -> bytes:
-    """Encode the header of a segment written by this version."""
+    """Encode a segment header in the current format version."""
     encoded = [name.encode() for name in stages]
     names = b"".join(bytes([len(name)]) + name for name in encoded)
     checksum = zlib.crc32(names, zlib.crc32(boot, FORMAT_VERSION))
@@ -117,34 +120,35 @@
 
 
 def decode_header(data: bytes | memoryview) -> SegmentHeader:
-    """Decode the header that a segment starts with.
+    """Decode the header of a segment.
 
     Raises:
-        CorruptFrameError: With the reason, if the header is cut short, of another format, or fails its
-            checksum.
+        CorruptFrameError: The header is truncated, has another format, or fails its checksum.
     """
     if len(data) < _HEADER.size:
-        raise CorruptFrameError("it ends within its head")
+        raise CorruptFrameError("the header is truncated")
     magic, version, count, boot, checksum = _HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise CorruptFrameError("it is no segment of a ledger")
+        raise CorruptFrameError("not a ledger segment")
     if version not in READABLE_VERSIONS:
-        raise CorruptFrameError(f"it has form {version}, this program reads form {FORMAT_VERSION}")
+        raise CorruptFrameError(
+            f"format version {version} is not supported; this program writes version {FORMAT_VERSION}"
+        )
     position = _HEADER.size
     names = []
     for _ in range(count):
         if position >= len(data) or position + 1 + data[position] > len(data):
-            raise CorruptFrameError("it ends within its head")
+            raise CorruptFrameError("the header is truncated")
         end = position + 1 + data[position]
         names.append(bytes(data[position + 1 : end]))
         position = end
     if zlib.crc32(bytes(data[_HEADER.size : position]), zlib.crc32(boot, version)) != checksum:
-        raise CorruptFrameError("the checksum of its head is wrong")
+        raise CorruptFrameError("header checksum mismatch")
     return SegmentHeader(tuple(name.decode() for name in names), boot, position)
 
 
 def encode_frame(intents: list[Intent], outcomes: list[Outcome]) -> bytes:
-    """Encode a group of records as one frame with its checksum."""
+    """Encode a group of records as one frame with a checksum."""
     pack_intent, pack_outcome = _INTENT.pack, _OUTCOME.pack
     parts: list[bytes | memoryview] = [_COUNTS.pack(len(intents), len(outcomes))]
     parts += [pack_intent(*intent) for intent in intents]
@@ -154,26 +158,27 @@
 
 
 def iter_frames(data: memoryview, position: int) -> Iterator[tuple[int, memoryview | None, int]]:
-    """Yield start, payload and end of each frame from `position` on, as store/frames.py does."""
+    """Yield start, payload and end of each frame from `position` on; see `scan_frames`."""
     return scan_frames(data, position, _COUNTS.size)
 
 
 def decode_group(payload: memoryview) -> RecordGroup:
-    """Decode the payload of a whole frame; the results in it are slices of `payload`.
+    """Decode the payload of a complete frame; the results are slices of `payload`.
 
     Raises:
-        CorruptFrameError: If the lengths in the payload disagree.
+        CorruptFrameError: The payload is shorter than its counts and lengths require, or has an unknown
+            outcome kind.
     """
     intent_count, outcome_count = _COUNTS.unpack_from(payload)
     outcomes_start = _COUNTS.size + intent_count * _INTENT.size
     position = outcomes_start + outcome_count * _OUTCOME.size
     if position > len(payload):
-        raise CorruptFrameError("a group is shorter than it says")
+        raise CorruptFrameError("the record group is shorter than its record counts require")
     intents = list(map(Intent._make, _INTENT.iter_unpack(payload[_COUNTS.size : outcomes_start])))
     outcomes = []
     for number, kind, length in _OUTCOME.iter_unpack(payload[outcomes_start:position]):
         if kind >= len(OUTCOME_KINDS) or position + length > len(payload):
-            raise CorruptFrameError("a group is shorter than it says")
+            raise CorruptFrameError("the record group has an unknown outcome kind or a truncated result")
         outcomes.append(Outcome(number, kind, payload[position : position + length]))
         position += length
     return RecordGroup(intents, outcomes)
--- a/thistleline/ledger/records.py
+++ b/thistleline/ledger/records.py
@@ -1,4 +1,4 @@
-"""What the ledger knows of effects and segments, and what it exchanges with its writer and its readers."""
+"""The ledger's records of effects and segments, and the types exchanged with its writer and readers."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -10,18 +10,18 @@
     """One effect that may have run.
 
     Attributes:
-        intent: As it is recorded.
+        intent: The recorded intent.
         durable: Whether the intent is known to be on disk.
-        outcome: One of OUTCOME_KINDS but "doubtful"; None while the end is not known.
-        result_size: Bytes of the result that is recorded.
-        doubt_deadline: Boot time in ns until which the end is awaited, once everything that the agent
-            retained was read; None if it is not in doubt.
+        outcome: One of OUTCOME_KINDS except "doubtful"; None while the outcome is not known.
+        result_size: Size of the recorded result in bytes.
+        doubt_deadline: Boot time in ns until which the outcome is awaited. Set for an effect of unknown
+            outcome once all notices that the agent retained have been read; None otherwise.
     """
 
     __slots__ = ("doubt_deadline", "durable", "intent", "outcome", "result_size")
 
     def __init__(self, intent: Intent) -> None:
-        """Start with an effect whose intent is not yet durable."""
+        """Create the record of an effect whose intent is not yet durable."""
         self.intent = intent
         self.durable = False
         self.outcome: str | None = None
@@ -30,31 +30,31 @@
 
 
 class SegmentInfo:
-    """What is known of one segment file.
+    """Size and expiry of one segment file.
 
     Attributes:
-        size: Bytes, estimated from above where this process wrote it.
-        expires_at: Boot time in ns from which nothing in it matters any more.
+        size: Size in bytes; an upper estimate if this process wrote the segment.
+        expires_at: Boot time in ns at which its last record expires.
     """
 
     __slots__ = ("expires_at", "size")
 
     def __init__(self, size: int) -> None:
-        """Start with a segment in which nothing matters yet."""
+        """Create the info of a segment that holds no unexpired record yet."""
         self.size = size
         self.expires_at = 0
 
 
 @dataclass(frozen=True, slots=True)
 class LedgerWrite:
-    """One write for the ledger's writer, which must be durable as a whole.
+    """One write for the ledger's writer, to be made durable as a whole.
 
     Attributes:
         segment: Number of the segment that the group is appended to.
-        creates_segment: Whether the segment is to be created.
+        creates_segment: Whether the segment has to be created first.
         group: The records.
-        obsolete_segments: Segments to be removed once the group is durable.
-        is_compaction: Whether the group holds everything that still matters.
+        obsolete_segments: Segments to remove once the group is durable.
+        is_compaction: Whether the group holds the records of all effects that the ledger retains.
     """
 
     segment: int
@@ -65,19 +65,19 @@
 
 
 class RecoveredEffect(NamedTuple):
-    """An effect of an earlier incarnation that still matters.
+    """An effect of an earlier incarnation that has not expired.
 
-    A named tuple, as recovery makes up to a million of them.
+    A named tuple, because recovery creates up to a million of them.
 
     Attributes:
         number: The effect's number.
-        stage: Place among the stages of this server.
-        digest: 16 bytes: the digest of idempotency key and body.
-        attempt_id: Id of the attempt as the agent knows it.
-        remaining: Nanoseconds until its window has passed.
-        outcome: How it ended; None if it may have run, or may still be running.
-        result: The stored result, if it has one that fitted in memory.
-        doubt_deadline: Boot time in ns until which an earlier incarnation would have awaited its end.
+        stage: Index among the stages of this server.
+        digest: 16-byte digest of idempotency key and body.
+        attempt_id: Id of the attempt at the agent.
+        remaining: Nanoseconds until its idempotency window ends.
+        outcome: How it ended; None if it may have run or may still be running.
+        result: The stored result; None if there is none or it did not fit in memory.
+        doubt_deadline: Boot time in ns until which an earlier incarnation would have awaited its outcome.
     """
 
     number: int
--- a/thistleline/ledger/recovery.py
+++ b/thistleline/ledger/recovery.py
@@ -7,10 +7,10 @@
 
 
 class EffectRecovery:
-    """Merges the groups of earlier incarnations into the table of effects, with results in bounded memory."""
+    """Merges record groups of earlier incarnations into the effects table; limits the memory for results."""
 
     def __init__(self, effects: dict[int, EffectRecord], max_result_bytes: int) -> None:
-        """Merge into `effects`, keyed by number; at most `max_result_bytes` of results are retained."""
+        """Merge into `effects`, keyed by number, and retain at most `max_result_bytes` of results."""
         self.effects = effects
         self.max_result_bytes = max_result_bytes
         self.results: dict[int, bytes] = {}
@@ -19,14 +19,14 @@
     def merge_group(
         self, now: int, segment: SegmentInfo, stages: list[int | None], same_boot: bool, group: RecordGroup
     ) -> None:
-        """Merge one group; the groups come in the order in which they were written.
+        """Merge one group; groups must be passed in the order in which they were written.
 
         Args:
             now: Boot time in ns.
             segment: The segment that holds the group; its `expires_at` is raised.
-            stages: The place here of each stage of the segment; None where the stage no longer exists, so
-                that no retry can match what belonged to it.
-            same_boot: Whether the segment's times count in this boot of the machine.
+            stages: The current index of each stage of the segment; None where the stage no longer exists,
+                so that no retry can match its effects.
+            same_boot: Whether the segment's times refer to the current boot of the machine.
             group: The records.
         """
         self._merge_intents(now, segment, stages, same_boot, group.intents)
@@ -42,14 +42,14 @@
             number, recorded_stage, _, expires_at, lifetime, _ = intent
             stage = stages[recorded_stage] if recorded_stage < stage_count else None
             if not same_boot or expires_at > now + lifetime:
-                # Nobody knows how long a reboot took: the whole window holds from the recovery on.
+                # The duration of a reboot is unknown: the full window starts again at the recovery.
                 expires_at = now + lifetime
             if stage is None or expires_at <= now:
                 continue
             if expires_at > latest:
                 latest = expires_at
             if number in effects:
-                continue  # a copy written by a compaction; its outcome may be known already
+                continue  # copy written by a compaction; the outcome may have been merged already
             if stage != recorded_stage or expires_at != intent.expires_at:
                 intent = intent._replace(stage=stage, expires_at=expires_at)
             effect = effects[number] = EffectRecord(intent)
@@ -76,14 +76,14 @@
                 self._retain_result(number, bytes(result))
 
     def _retain_result(self, number: int, result: bytes) -> None:
-        """Retain a result, letting the oldest go where memory would exceed its limit."""
+        """Retain a result; drop the oldest ones while the memory limit is exceeded."""
         self.result_bytes += len(result) - len(self.results.pop(number, b""))
         self.results[number] = result
         while self.result_bytes > self.max_result_bytes:
             self.result_bytes -= len(self.results.pop(next(iter(self.results))))
 
     def take_effects(self, now: int) -> Iterable[RecoveredEffect]:
-        """Yield every effect that still matters and release the retained results; to be called once."""
+        """Yield all unexpired effects and release the retained results; to be called once."""
         results = self.results
         self.results = {}
         self.result_bytes = 0
--- a/thistleline/ledger/state.py
+++ b/thistleline/ledger/state.py
@@ -1,18 +1,19 @@
-"""The ledger's decisions: what is written when, what expires, and what is refused.
-
-No I/O and no clock. `LedgerState` hands out one `LedgerWrite` at a time; whoever carries it out reports it by
-`write_completed` or `write_failed`. Times are boot times in nanoseconds (ledger/format.py).
-
-What holds:
-
-- An intent is durable once the write that carried it is completed, and never because a later one is.
-- After a failed write nothing more goes to that segment: what a sync has failed for may be on disk or not,
-  and a later sync that succeeds says nothing about it. Its intents are refused, as nothing was started for
-  them; its outcomes go again with the next segment.
-- The deadline until which the end of an effect is awaited survives the incarnation that set it, so that a
-  server killed again and again still comes to declare the effect doubtful.
-- An effect is known until its window has passed, by a clock that nobody can set; where the machine rebooted
-  in between, and how long that took is unknown, for the whole window from the recovery on.
+"""The ledger's decisions: what is written and when, what expires, and what is refused.
+
+No I/O and no clock. `LedgerState` issues one `LedgerWrite` at a time; the caller performs it and reports the
+result with `write_completed` or `write_failed`. Times are boot times in nanoseconds (ledger/format.py).
+
+Invariants:
+
+- An intent is durable once the write that contains it has completed; the completion of a later write does
+  not make it durable.
+- After a failed write no more records are appended to that segment: data whose sync failed may or may not be
+  on disk, and a later successful sync does not prove that it is. The intents of the write are refused, since
+  none of their effects was started; its outcomes are written again to the next segment.
+- The deadline until which the outcome of an effect is awaited survives the incarnation that set it, so that
+  a server that is killed repeatedly still gets to declare the effect doubtful.
+- An effect is retained until its idempotency window ends, measured by a clock that cannot be set. If the
+  machine has rebooted, which takes an unknown time, the full window starts again at the recovery.
 """
 
 from collections.abc import Callable, Iterable
@@ -34,20 +35,19 @@
 
 MS = 1_000_000  # nanoseconds
 SECOND = 1_000_000_000  # nanoseconds
-MAX_GROUP_RECORDS = 4096  # intents, and as many outcomes, in one group
-MAX_PENDING_INTENTS = 16_384  # intents not yet durable; past it what would start is refused
-SEGMENTS_PER_DISK_LIMIT = 8  # a segment is closed once it takes this part of the disk limit
-FIRST_RETRY_BACKOFF = 100 * MS  # after a failed write; doubled each time
+MAX_GROUP_RECORDS = 4096  # limit of intents and, separately, of outcomes in one group
+MAX_PENDING_INTENTS = 16_384  # intents not yet written; further ones are refused
+SEGMENTS_PER_DISK_LIMIT = 8  # a segment is closed once it exceeds 1/8 of the disk limit
+FIRST_RETRY_BACKOFF = 100 * MS  # after a failed write; doubled after each further failure
 MAX_RETRY_BACKOFF = 5 * SECOND
 HEADER_SIZE_ESTIMATE = 512  # bytes
 
-LedgerPhase = Literal[
-    "keeping", "failing", "full"
-]  # "keeping": it records; figures in the log have the value
+# "keeping" means that records are accepted; the values are those of the figures in the log.
+LedgerPhase = Literal["keeping", "failing", "full"]
 
 
 class LedgerState:
-    """All that one ledger knows and decides."""
+    """The state and decisions of one ledger."""
 
     def __init__(
         self,
@@ -56,13 +56,14 @@
         now: int,
         stored_result: Callable[[int], bytes | None],
     ) -> None:
-        """Start with an empty ledger.
+        """Create an empty ledger.
 
         Args:
-            max_disk_bytes: Limit of all segments together.
+            max_disk_bytes: Limit of the total size of all segments.
             max_result_bytes: Limit of the results retained in memory during recovery.
             now: Boot time in ns.
-            stored_result: Returns the result of an effect where it is still in memory, for compaction.
+            stored_result: Returns the result of an effect for compaction, or None if it is no longer in
+                memory.
         """
         self.max_disk_bytes = max_disk_bytes
         self.now = now
@@ -74,12 +75,12 @@
         self.recovery = EffectRecovery(self.effects, max_result_bytes)
 
         self.segments: dict[int, SegmentInfo] = {}
-        self.current_segment: int | None = None  # where the next write goes; None: to a new segment
+        self.current_segment: int | None = None  # target of the next write; None: a new segment
         self.last_segment_number = 0
 
         self.pending_intents: list[Intent] = []
         self.pending_outcomes: list[Outcome] = []
-        self.pending_outcomes_size = 0  # bytes; a running total, so that no intent has to add them up
+        self.pending_outcomes_size = 0  # bytes; a running total, which avoids a sum for each intent
         self.outstanding_write: LedgerWrite | None = None
         self.retry_at = 0
         self.retry_backoff = FIRST_RETRY_BACKOFF
@@ -94,17 +95,17 @@
     def record_intent(
         self, now: int, stage: int, digest: bytes, lifetime: int, attempt_id: bytes
     ) -> int | None:
-        """Record that an effect wants to start; it may once the intent is durable.
+        """Record the intent of an effect, which may start once the intent is durable.
 
         Args:
             now: Boot time in ns.
-            stage: Place of the stage.
-            digest: 16 bytes of idempotency key and body.
-            lifetime: Nanoseconds for which the effect must be known.
-            attempt_id: Id of the attempt as the agent knows it; 16 bytes of it are recorded.
+            stage: Index of the stage.
+            digest: 16-byte digest of idempotency key and body.
+            lifetime: Nanoseconds for which the effect must be retained.
+            attempt_id: Id of the attempt at the agent; its first 16 bytes are recorded.
 
         Returns:
-            The effect's number, or None if it is refused.
+            The effect's number, or None if the intent is refused.
         """
         self.advance_clock(now)
         if self.phase != "keeping" or len(self.pending_intents) >= MAX_PENDING_INTENTS:
@@ -123,12 +124,12 @@
         return number
 
     def record_outcome(self, now: int, number: int, outcome: str, result: bytes) -> None:
-        """Record how an effect ended; near the disk limit its result is left out, its key stays."""
+        """Record how an effect ended; near the disk limit its result is omitted, but not its key."""
         self.advance_clock(now)
         self.unfinished.discard(number)
         effect = self.effects.get(number)
         if effect is None:
-            return  # its window has passed
+            return  # its idempotency window has ended
         if not self._has_room(OUTCOME_SIZE + len(result)):
             if result:
                 self.dropped_results += 1
@@ -140,9 +141,9 @@
             del self.effects[number]
 
     def record_doubt(self, now: int, number: int, deadline: int) -> None:
-        """Record until when the end of an effect of an earlier incarnation is awaited, boot time in ns.
+        """Record the boot time in ns until which the outcome of an earlier incarnation's effect is awaited.
 
-        Without room on disk it is not written, and the next incarnation sets a deadline of its own.
+        If there is no room on disk, it is not written and the next incarnation sets its own deadline.
         """
         self.advance_clock(now)
         effect = self.effects.get(number)
@@ -153,21 +154,21 @@
             self._enqueue_outcome(doubt_record(number, deadline))
 
     def advance_clock(self, now: int) -> None:
-        """Advance to boot time `now` in ns; never back.
+        """Advance the clock to boot time `now` in ns; earlier times are ignored.
 
-        Called before records of another program are read: those written since this state was made would
-        otherwise seem to lie in the future, and be forgotten too early.
+        Called before records of another program are read: records written after this state was created
+        would otherwise seem to lie in the future, and would be dropped too early.
         """
         self.now = max(self.now, now)
         if self.phase == "full" and not self._is_nearly_full():
             self.phase = "keeping"
 
-    # ---- the writer's side
+    # ---- writes
 
     def next_write(self, now: int) -> LedgerWrite | None:
-        """Return what is to be written now.
+        """Return the next write.
 
-        None while a write is outstanding, nothing is pending, or the backoff after a failure runs.
+        None while a write is outstanding, while nothing is pending, or during the backoff after a failure.
         """
         self.advance_clock(now)
         if self.outstanding_write is not None or (self.phase == "failing" and self.now < self.retry_at):
@@ -193,7 +194,7 @@
         return write
 
     def write_completed(self, now: int) -> list[int]:
-        """Note that the outstanding write is durable and its obsolete segments are gone.
+        """Handle the completion of the outstanding write: it is durable, its obsolete segments are removed.
 
         Returns:
             The numbers of the effects that may start now.
@@ -213,7 +214,7 @@
         return ready
 
     def write_failed(self, now: int) -> list[int]:
-        """Note that the outstanding write may or may not be on disk.
+        """Handle the failure of the outstanding write, which may or may not be on disk.
 
         Returns:
             The numbers of the effects that must not start.
@@ -224,9 +225,7 @@
         self.phase = "failing"
         self.current_segment = None
         if write.creates_segment:
-            del self.segments[
-                write.segment
-            ]  # nothing in it counts; what is left of it goes at the next start
+            del self.segments[write.segment]  # no record in it counts; the next start drops a leftover file
         self.retry_at = self.now + self.retry_backoff
         self.retry_backoff = min(MAX_RETRY_BACKOFF, 2 * self.retry_backoff)
         unwritten = [*write.group.intents, *self.pending_intents]
@@ -236,14 +235,15 @@
             self.pending_outcomes = [*write.group.outcomes, *self.pending_outcomes]
             self.pending_outcomes_size += write.group.outcomes_size()
         for number in refused:
-            # The intent may be on disk: recorded as moot, lest a later incarnation takes it for one that ran.
+            # The intent may be on disk: it is recorded as moot, so that a later incarnation does not assume
+            # that the effect ran.
             del self.effects[number]
             self.unfinished.discard(number)
             self._enqueue_outcome(Outcome(number, OUTCOME_KINDS.index("moot"), b""))
         return refused
 
     def next_deadline(self) -> int | None:
-        """Return the boot time in ns at which `next_write` may have something without further input."""
+        """Return the boot time in ns at which `next_write` may return a write without further input."""
         if self.outstanding_write is not None:
             return None
         if self.phase == "failing":
@@ -264,7 +264,7 @@
     # ---- recovery
 
     def recover_segment(self, number: int, size: int) -> None:
-        """Note a segment that exists, or that has grown to `size` bytes since it was read."""
+        """Register an existing segment, or the size in bytes to which it has grown since it was read."""
         if number in self.segments:
             self.segments[number].size = size
         else:
@@ -274,12 +274,12 @@
     def recover_group(
         self, segment: int, stages: list[int | None], same_boot: bool, group: RecordGroup
     ) -> None:
-        """Take up a group that was read back; segments come in the order of their numbers.
+        """Merge a group that was read back; segments must be read in the order of their numbers.
 
         Args:
             segment: Number of the segment that holds the group.
-            stages: The place here of each stage of the segment; None where the stage no longer exists.
-            same_boot: Whether the segment's times count in this boot of the machine.
+            stages: The current index of each stage of the segment; None where the stage no longer exists.
+            same_boot: Whether the segment's times refer to the current boot of the machine.
             group: The records.
         """
         self.recovery.merge_group(self.now, self.segments[segment], stages, same_boot, group)
@@ -287,15 +287,15 @@
         self.last_effect_number = max(self.last_effect_number, largest)
 
     def retain_segments(self, numbers: set[int]) -> None:
-        """Forget all segments but these: the others are gone, and what mattered in them stands in these."""
+        """Drop all segments but these; the others were removed, and these hold their unexpired records."""
         self.segments = {number: info for number, info in self.segments.items() if number in numbers}
 
     def recovered_effects(self) -> Iterable[RecoveredEffect]:
-        """Yield every effect that still matters, once all segments were read; to be called once."""
+        """Yield all unexpired effects after all segments have been read; to be called once."""
         return self.recovery.take_effects(self.now)
 
     def forget_expired(self) -> None:
-        """Forget the durable effects whose window has passed."""
+        """Drop the durable effects whose idempotency window has ended."""
         expired = [number for number, effect in self.effects.items() if effect.intent.expires_at <= self.now]
         for number in expired:
             if self.effects[number].durable:
@@ -305,15 +305,15 @@
     # ---- limits
 
     def disk_size(self) -> int:
-        """Return the bytes of all segments."""
+        """Return the total size of all segments in bytes."""
         return sum(segment.size for segment in self.segments.values())
 
     def _reserved_size(self) -> int:
-        """Return the bytes already promised: pending records, and an outcome for each unfinished effect."""
+        """Return the bytes reserved for pending records and for the outcome of each unfinished effect."""
         return (
             len(self.pending_intents) * (INTENT_SIZE + OUTCOME_SIZE)
             + self.pending_outcomes_size
-            + len(self.unfinished) * (OUTCOME_SIZE + FRAME_OVERHEAD)  # each may go out alone
+            + len(self.unfinished) * (OUTCOME_SIZE + FRAME_OVERHEAD)  # each outcome may need its own frame
             + 2 * FRAME_OVERHEAD
         )
 
@@ -325,12 +325,12 @@
         return self.disk_size() + self._reserved_size() >= self.max_disk_bytes * 3 // 4
 
     def _should_compact(self) -> bool:
-        """Return whether the disk limit is near while most of what is there no longer matters."""
+        """Return whether the disk limit is near while most of the stored records are obsolete."""
         if self.phase == "failing" or not self._is_nearly_full():
             return False
         return len(self.effects) * (INTENT_SIZE + OUTCOME_SIZE) < self.max_disk_bytes // 4
 
-    # ---- steps
+    # ---- helpers
 
     def _enqueue_outcome(self, outcome: Outcome) -> None:
         self.pending_outcomes.append(outcome)
@@ -361,8 +361,8 @@
         self.segments[self.current_segment] = SegmentInfo(HEADER_SIZE_ESTIMATE)
 
     def _account(self, segment: SegmentInfo, group: RecordGroup) -> None:
-        """Add a group's size and expiry to its segment."""
-        segment.size += 2 * FRAME_OVERHEAD + group.size()  # intents and outcomes have a frame each
+        """Update the size and expiry of a segment for a group that is written to it."""
+        segment.size += 2 * FRAME_OVERHEAD + group.size()  # intents and outcomes have separate frames
         for records in (group.intents, group.outcomes):
             for record in records:
                 effect = self.effects.get(record.number)
@@ -374,7 +374,7 @@
         return effect is not None and not effect.durable
 
     def _drop_expired(self) -> tuple[int, ...]:
-        """Return the segments in which nothing matters any more, forgetting their effects."""
+        """Return the segments whose records have all expired, and drop their effects."""
         expired = tuple(
             number
             for number, segment in self.segments.items()
--- a/thistleline/ledger/store.py
+++ b/thistleline/ledger/store.py
@@ -1,7 +1,7 @@
-"""The ledger's I/O: carries its writes out and reads back what earlier incarnations left.
+"""The ledger's I/O: performs its writes and reads back the segments of earlier incarnations.
 
-`LedgerStore.write` blocks for as long as the disk takes; the server calls it on a thread of its own, so that
-neither a slow disk nor a sync stalls another task.
+`LedgerStore.write` blocks until the data is on disk; the server calls it on a separate thread, so that
+neither a slow disk nor a sync delays other tasks.
 """
 
 import gc
@@ -17,21 +17,21 @@
 from thistleline.store.frames import CorruptFrameError
 
 MAX_FRAME_RECORDS = 4096
-MAX_FRAME_RESULT_BYTES = 1024 * 1024  # bytes of results after which a frame ends
+MAX_FRAME_RESULT_BYTES = 1024 * 1024  # a frame ends once its results reach this size
 
 
 @dataclass(frozen=True, slots=True)
 class SegmentReading:
-    """What reading one segment came to.
+    """The result of reading one segment.
 
     Attributes:
-        segment: Its number.
-        size: Its bytes.
+        segment: Number of the segment.
+        size: Size of the segment in bytes.
         intents: Number of intents read.
         outcomes: Number of outcomes read.
-        torn: Whether its end is missing, as a kill leaves it.
-        damaged_bytes: Bytes in its middle that can't be read.
-        valid_end: Position at which the last whole frame ends.
+        torn: Whether the last frame is incomplete, as after a kill during a write.
+        damaged_bytes: Number of unreadable bytes before the end of the segment.
+        valid_end: Offset of the end of the last complete frame.
     """
 
     segment: int
@@ -44,15 +44,16 @@
 
 
 class LedgerStore:
-    """Writes and reads the segments of one folder."""
+    """Writes and reads the segments in one folder."""
 
     def __init__(self, disk: Disk, stages: tuple[str, ...], sync: bool = True) -> None:
-        """Work on a folder whose lock the caller holds.
+        """Create the store of a folder whose lock the caller holds.
 
         Args:
             disk: The folder.
             stages: Names of the server's stages, in order.
-            sync: Whether writes are synced; off only in the lab, to show that its oracle finds the loss.
+            sync: Whether writes are synced; False only in the lab, to show that its oracle detects lost
+                records.
         """
         self.disk = disk
         self.stages = stages
@@ -60,13 +61,13 @@
         self.boot = boot_id()
 
     def write(self, write: LedgerWrite) -> None:
-        """Carry a write out; returns once it is durable.
+        """Perform a write and return once it is durable.
 
-        A segment whose creation fails is removed, so that a full disk does not gather one more file at each
-        retry.
+        If creating a segment fails, its file is removed, so that retries on a full disk do not accumulate
+        files.
 
         Raises:
-            OSError: If it can't be said that the write is durable.
+            OSError: The write failed and may or may not be on disk.
         """
         try:
             self._append(write)
@@ -77,7 +78,7 @@
             raise
         for number in write.obsolete_segments:
             with suppress(OSError):
-                self.disk.remove(number)  # read again at the next start, and dropped then
+                self.disk.remove(number)  # if it stays, the next start reads and drops it
 
     def _append(self, write: LedgerWrite) -> None:
         disk = self.disk
@@ -97,16 +98,15 @@
         """Read the whole folder into an empty ledger, one segment at a time.
 
         Args:
-            ledger: Takes up everything that is read.
+            ledger: The ledger that the records are merged into.
             progress: Called after each segment.
 
         Returns:
-            The effects that still matter.
+            The unexpired effects.
 
         Raises:
-            CorruptFrameError: If a segment has another format; nothing must be started on half of what is
-                known.
-            OSError: If the folder can't be read.
+            CorruptFrameError: A segment has another format; the server must not start on a partial ledger.
+            OSError: The folder can't be read.
         """
         with _garbage_collection_paused():
             for number, size in self.disk.segments():
@@ -117,17 +117,17 @@
             return list(ledger.recovered_effects())
 
     def read_appended(self, ledger: LedgerState, positions: dict[int, int], final: bool, now: int) -> None:
-        """Read what another program, which may still be writing, added to the folder.
+        """Read the records that another program, which may still be writing, has added to the folder.
 
         Args:
-            ledger: Takes up everything that is read.
-            positions: Where reading goes on, by segment; moved on here.
-            final: Whether no other program writes any more.
+            ledger: The ledger that the records are merged into.
+            positions: Offset of the first unread byte by segment; updated in place.
+            final: Whether the other program has stopped writing.
             now: Boot time in ns.
 
         Raises:
-            CorruptFrameError: As `recover` does, if `final`.
-            OSError: If the folder can't be read.
+            CorruptFrameError: As in `recover`, if `final`.
+            OSError: The folder can't be read.
         """
         ledger.advance_clock(now)
         present = set()
@@ -139,14 +139,14 @@
             try:
                 data = memoryview(self.disk.read(number))
             except FileNotFoundError:
-                continue  # it has just gone: what matters of it stands in a later one
+                continue  # removed since it was listed; a later segment holds its retained records
             ledger.recover_segment(number, len(data))
             try:
                 reading = self._read_segment(ledger, number, data, position)
             except CorruptFrameError:
                 if final:
                     raise
-                continue  # its header is being written
+                continue  # its header is still being written
             positions[number] = reading.valid_end
         if final:
             ledger.retain_segments(present)
@@ -156,13 +156,13 @@
         self, ledger: LedgerState, number: int, data: memoryview, start: int = 0
     ) -> SegmentReading:
         if len(data) < ledger_format.MIN_HEADER_SIZE:
-            return SegmentReading(number, len(data), 0, 0, True, 0, 0)  # killed as the segment was created
+            return SegmentReading(number, len(data), 0, 0, True, 0, 0)  # killed while it was created
         try:
             header = ledger_format.decode_header(data)
         except CorruptFrameError as error:
             raise CorruptFrameError(f"{self.disk.path(number)}: {error}") from error
-        own_places = {name: place for place, name in enumerate(self.stages)}
-        stages = [own_places.get(name) for name in header.stages]
+        own_indexes = {name: index for index, name in enumerate(self.stages)}
+        stages = [own_indexes.get(name) for name in header.stages]
         same_boot = header.boot == self.boot and any(header.boot)
         intents = outcomes = damaged_bytes = 0
         torn = False
@@ -183,7 +183,7 @@
 
 @contextmanager
 def _garbage_collection_paused() -> Iterator[None]:
-    """Pause collection while a recovery makes what stays, which would be scanned again and again."""
+    """Disable garbage collection during recovery: it would scan the long-lived new objects repeatedly."""
     was_enabled = gc.isenabled()
     gc.disable()
     try:
@@ -194,7 +194,7 @@
 
 
 def _split_into_frames(write: LedgerWrite) -> Iterator[bytes]:
-    """Yield the frames of a write within their limits, intents before the outcomes they may belong to."""
+    """Yield the frames of a write within the frame limits; intents precede outcomes that refer to them."""
     intents = iter(write.group.intents)
     while part := list(islice(intents, MAX_FRAME_RECORDS)):
         yield ledger_format.encode_frame(part, [])
