--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -1,8 +1,8 @@
-"""Stored data written by the code of commit 11fdf15 is read back by the code of today.
+"""Stored data written by the code of commit 11fdf15 is still read correctly.
 
 The folders under tests/fixtures/stored/ were written once by tests/fixtures/stored/make_fixtures.py; each
-test reads a copy in tmp_path, so the committed files are never written to, and asserts exactly what was
-stored.
+test reads a copy in tmp_path, so that the committed files are never modified, and asserts the exact stored
+content.
 """
 
 import hashlib
@@ -39,19 +39,19 @@
 }
 
 
-def copied(tmp_path: Path, name: str) -> Path:
-    """A copy of one fixture folder, to be read and written as a server would."""
+def copied_fixture(tmp_path: Path, name: str) -> Path:
+    """Copy one fixture folder, so that it can be read and written as by a server."""
     folder = tmp_path / name
     shutil.copytree(STORED / name, folder)
     return folder
 
 
-def test_the_committed_fixtures_are_the_files_that_were_written() -> None:
-    """No file was added, lost or changed since the old code wrote them."""
-    there = sorted(
+def test_the_committed_fixtures_are_unchanged() -> None:
+    """No file was added, removed or changed since commit 11fdf15 wrote them."""
+    found = sorted(
         str(path.relative_to(STORED)) for path in STORED.rglob("*") if path.is_file() and path.suffix != ".py"
     )
-    assert there == sorted(FILES)
+    assert found == sorted(FILES)
     for name, (size, digest) in FILES.items():
         data = (STORED / name).read_bytes()
         assert (len(data), hashlib.sha256(data).hexdigest()) == (size, digest), name
@@ -60,8 +60,8 @@
 # ---- the ledger
 
 STAGES = ("lookup", "booking")
-BOOT = bytes.fromhex("7f3a9c1e5b2d4f60a1b2c3d4e5f60718")  # the boot id in the fixture's heads
-NOW = 5060 * SECOND  # boot time of the life that reads it: 60 s after the first life began
+BOOT = bytes.fromhex("7f3a9c1e5b2d4f60a1b2c3d4e5f60718")  # the boot id in the segment headers
+NOW = 5060 * SECOND  # boot time of the reading incarnation: 60 s after the start of the first one
 
 
 def recovered_ledger(
@@ -78,48 +78,50 @@
     return found, readings
 
 
-def test_a_ledger_is_recovered_in_the_same_life_of_the_machine(tmp_path: Path) -> None:
-    """Times stand as written; the doubt told by the second life counts."""
-    found, readings = recovered_ledger(copied(tmp_path, "ledger"), BOOT)
+def test_a_ledger_is_recovered_in_the_same_boot(tmp_path: Path) -> None:
+    """Times are taken as written, and the doubt deadline recorded by the second incarnation applies."""
+    found, readings = recovered_ledger(copied_fixture(tmp_path, "ledger"), BOOT)
     assert readings == [
         SegmentReading(1, 463, 5, 4, False, 0, 463),
         SegmentReading(2, 199, 1, 2, False, 0, 199),
     ]
-    left = (5000 + 3600) * SECOND - NOW
+    ttl = (5000 + 3600) * SECOND - NOW
     assert found == [
-        RecoveredEffect(1, 1, b"digest-000000001", b"order-0001", left, "finished", b"receipt-0001", None),
-        RecoveredEffect(2, 1, b"digest-000000002", b"order-0002", left, "failed", b"card declined", None),
-        RecoveredEffect(4, 1, b"digest-000000004", b"order-0004", left, None, None, 5040 * SECOND),
-        RecoveredEffect(5, 0, b"digest-000000005", b"order-0005", left, "finished", b"found: 42", None),
-        RecoveredEffect(6, 1, b"digest-000000006", b"order-0006", left + 10 * SECOND, "stopped", None, None),
-    ]  # 3 was told moot: it is gone
-
-
-def test_a_ledger_is_recovered_after_the_machine_started_anew(tmp_path: Path) -> None:
-    """Of another boot each effect is known for its whole span from now on, and no doubt of it counts."""
-    found, _ = recovered_ledger(copied(tmp_path, "ledger"), bytes.fromhex("00112233445566778899aabbccddeeff"))
-    span = 3600 * SECOND
+        RecoveredEffect(1, 1, b"digest-000000001", b"order-0001", ttl, "finished", b"receipt-0001", None),
+        RecoveredEffect(2, 1, b"digest-000000002", b"order-0002", ttl, "failed", b"card declined", None),
+        RecoveredEffect(4, 1, b"digest-000000004", b"order-0004", ttl, None, None, 5040 * SECOND),
+        RecoveredEffect(5, 0, b"digest-000000005", b"order-0005", ttl, "finished", b"found: 42", None),
+        RecoveredEffect(6, 1, b"digest-000000006", b"order-0006", ttl + 10 * SECOND, "stopped", None, None),
+    ]  # 3 was recorded as moot, so it is not recovered
+
+
+def test_a_ledger_is_recovered_after_a_reboot(tmp_path: Path) -> None:
+    """After a reboot each effect is retained for its full lifetime from now on, without a doubt deadline."""
+    found, _ = recovered_ledger(
+        copied_fixture(tmp_path, "ledger"), bytes.fromhex("00112233445566778899aabbccddeeff")
+    )
+    ttl = 3600 * SECOND
     assert found == [
-        RecoveredEffect(1, 1, b"digest-000000001", b"order-0001", span, "finished", b"receipt-0001", None),
-        RecoveredEffect(2, 1, b"digest-000000002", b"order-0002", span, "failed", b"card declined", None),
-        RecoveredEffect(4, 1, b"digest-000000004", b"order-0004", span, None, None, None),
-        RecoveredEffect(5, 0, b"digest-000000005", b"order-0005", span, "finished", b"found: 42", None),
-        RecoveredEffect(6, 1, b"digest-000000006", b"order-0006", span, "stopped", None, None),
+        RecoveredEffect(1, 1, b"digest-000000001", b"order-0001", ttl, "finished", b"receipt-0001", None),
+        RecoveredEffect(2, 1, b"digest-000000002", b"order-0002", ttl, "failed", b"card declined", None),
+        RecoveredEffect(4, 1, b"digest-000000004", b"order-0004", ttl, None, None, None),
+        RecoveredEffect(5, 0, b"digest-000000005", b"order-0005", ttl, "finished", b"found: 42", None),
+        RecoveredEffect(6, 1, b"digest-000000006", b"order-0006", ttl, "stopped", None, None),
     ]
 
 
-def test_a_ledgers_stages_are_found_by_their_names(tmp_path: Path) -> None:
-    """The heads name the stages: a server that orders them otherwise finds each in its place, and nothing
-    of a stage it no longer has."""
-    found, _ = recovered_ledger(copied(tmp_path, "ledger"), BOOT, ("booking", "lookup"))
-    assert [(one.number, one.stage) for one in found] == [(1, 0), (2, 0), (4, 0), (5, 1), (6, 0)]
-    found, _ = recovered_ledger(copied(tmp_path / "again", "ledger"), BOOT, ("booking",))
-    assert [one.number for one in found] == [1, 2, 4, 6]
+def test_stages_of_a_ledger_are_matched_by_name(tmp_path: Path) -> None:
+    """Segment headers contain the stage names: a server with another order maps each effect to its stage,
+    and drops the effects of a stage that it no longer has."""
+    found, _ = recovered_ledger(copied_fixture(tmp_path, "ledger"), BOOT, ("booking", "lookup"))
+    assert [(effect.number, effect.stage) for effect in found] == [(1, 0), (2, 0), (4, 0), (5, 1), (6, 0)]
+    found, _ = recovered_ledger(copied_fixture(tmp_path / "again", "ledger"), BOOT, ("booking",))
+    assert [effect.number for effect in found] == [1, 2, 4, 6]
 
 
-def test_a_ledger_goes_on_in_a_new_segment(tmp_path: Path) -> None:
-    """What is recovered takes the next numbers: effect 7 in segment 3."""
-    folder = copied(tmp_path, "ledger")
+def test_a_recovered_ledger_continues_in_a_new_segment(tmp_path: Path) -> None:
+    """A recovered ledger continues the numbering: effect 7 in segment 3."""
+    folder = copied_fixture(tmp_path, "ledger")
     disk = Disk(folder)
     disk.acquire()
     store = LedgerStore(disk, STAGES)
@@ -127,18 +129,18 @@
     ledger = LedgerState(8192, 8192, NOW, lambda _: None)
     store.recover(ledger)
     assert ledger.record_intent(NOW, 1, b"digest-000000007", 3600 * SECOND, b"order-0007") == 7
-    work = ledger.next_write(NOW)
-    assert work is not None
-    assert (work.segment, work.creates_segment, work.obsolete_segments) == (3, True, ())
-    store.write(work)
+    write = ledger.next_write(NOW)
+    assert write is not None
+    assert (write.segment, write.creates_segment, write.obsolete_segments) == (3, True, ())
+    store.write(write)
     assert ledger.write_completed(NOW) == [7]
     disk.release()
     found, _ = recovered_ledger(folder, BOOT)
-    assert [one.number for one in found] == [1, 2, 4, 5, 6, 7]
+    assert [effect.number for effect in found] == [1, 2, 4, 5, 6, 7]
     assert [number for number, _ in Disk(folder).segments()] == [1, 2, 3]
 
 
-# ---- the council
+# ---- the replicated log
 
 MEMBERS = (
     Member("v1.fixture", "127.0.0.1:7101"),
@@ -148,9 +150,9 @@
 
 
 def test_a_replicated_log_is_recovered(tmp_path: Path) -> None:
-    """The newest segment's base with its snapshot, the last ballot, and the log with the former leader's
-    entries 6 and on cut away, its change of members with them."""
-    found = ReplicaStore(Disk(copied(tmp_path, "replica_log"), "council")).recover()
+    """Recovery returns the newest segment's snapshot, the last vote, and the log. The former leader's
+    entries from index 6 on are truncated, including its membership change."""
+    found = ReplicaStore(Disk(copied_fixture(tmp_path, "replica_log"), "council")).recover()
     assert found is not None
     assert found.snapshot == SnapshotRecord(
         "v1.fixture", "council-fixture", 2, "v2.fixture", 3, 2, MEMBERS, b"state: a=1"
@@ -169,8 +171,8 @@
     assert log.member_changes == []
 
 
-class Kept:
-    """A machine that keeps what it was told: all the voter needs of one."""
+class RecordingMachine:
+    """A minimal replicated state machine that records the restored state and the applied entries."""
 
     def __init__(self) -> None:
         self.state = b""
@@ -185,20 +187,20 @@
     def restore(self, state: bytes) -> None:
         self.state = state
 
-    def copy(self) -> "Kept":
-        made = Kept()
-        made.state, made.applied = self.state, list(self.applied)
-        return made
+    def copy(self) -> "RecordingMachine":
+        copy = RecordingMachine()
+        copy.state, copy.applied = self.state, list(self.applied)
+        return copy
 
     def state_key(self) -> tuple[bytes, tuple[tuple[int, bytes], ...]]:
         return self.state, tuple(self.applied)
 
 
-def test_a_voter_takes_up_the_recovered_log(tmp_path: Path) -> None:
-    """It follows in term 3 with its vote, its machine restored from the snapshot, durable to the end."""
-    found = ReplicaStore(Disk(copied(tmp_path, "replica_log"), "council")).recover()
+def test_a_replica_starts_from_the_recovered_log(tmp_path: Path) -> None:
+    """It is a follower in term 3 with its vote and a durable log; the snapshot restores its machine."""
+    found = ReplicaStore(Disk(copied_fixture(tmp_path, "replica_log"), "council")).recover()
     assert found is not None
-    machine = Kept()
+    machine = RecordingMachine()
     timing = RaftTiming(100 * 1_000_000, SECOND, SECOND)
     state = Replica("v1.fixture", machine, 7000 * SECOND, timing, lambda _: 0, found).state
     assert (state.cluster_id, state.phase, state.term, state.voted_for) == (
@@ -224,8 +226,8 @@
 
 
 def test_a_feed_archive_is_recovered(tmp_path: Path) -> None:
-    """The snapshot of state 3 and the steps to 7: keys set, changed and taken away, with their versions."""
-    disk = Disk(copied(tmp_path, "feed_archive"), "feed")
+    """The snapshot of state 3 and the steps up to 7 set, change and delete keys, with their versions."""
+    disk = Disk(copied_fixture(tmp_path, "feed_archive"), "feed")
     disk.acquire()
     archive = Archive(disk, "all")
     table = archive.recover()
@@ -249,12 +251,12 @@
     assert table.digest("wide").hex() == "9c1124fd745519f9b9b80f276c13e5af"
     assert archive.digest == table.digest("all")
     assert table == FeedTable().update(7, FEED_ENTRIES)
-    for gone in ("common/limit", "route/search"):
-        assert table.get(gone) is None
+    for deleted_key in ("common/limit", "route/search"):
+        assert table.get(deleted_key) is None
 
 
-def test_a_feed_archive_is_of_its_kind(tmp_path: Path) -> None:
-    """An instance's side (wide) takes no keeper's archive (all) for its own."""
-    archive = Archive(Disk(copied(tmp_path, "feed_archive"), "feed"), "wide")
+def test_a_feed_archive_of_another_kind_is_not_loaded(tmp_path: Path) -> None:
+    """An archive of kind "wide" does not load the keeper's archive, which is of kind "all"."""
+    archive = Archive(Disk(copied_fixture(tmp_path, "feed_archive"), "feed"), "wide")
     assert archive.recover() is None
     assert archive.recovery_failure == "000000000001.feed is no archive of form 1 and kind wide"
--- a/thistleline/handover/__init__.py
+++ b/thistleline/handover/__init__.py
@@ -1,1 +1,1 @@
-"""A supervised server: it follows the one that runs on its machine and hands over to the next."""
+"""A server that takes over from the one running on its machine and later hands over to its successor."""
--- a/thistleline/handover/channel.py
+++ b/thistleline/handover/channel.py
@@ -1,4 +1,4 @@
-"""The channel between predecessor and successor: messages and descriptors over a Unix socket, bounded."""
+"""A bounded channel between predecessor and successor: messages and descriptors over a Unix socket."""
 
 import os
 import socket
@@ -13,15 +13,15 @@
 from thistleline.handover.messages import MAX_MESSAGE_SIZE, Message, decode, encode
 from thistleline.transport.codec import FrameDecoder, encode_frame
 
-MAX_UNWRITTEN = 16 << 20  # bytes that wait; who lets so much wait is gone
-CHUNK_SIZE = 1 << 16  # bytes read or written at once
-MAX_DESCRIPTORS = 4  # that are taken with one read
-BACKLOG = 4  # successors that the kernel holds ready
+MAX_UNWRITTEN_BYTES = 16 << 20  # a peer that leaves more unread is disconnected
+CHUNK_SIZE = 1 << 16  # bytes per read or write
+MAX_DESCRIPTORS = 4  # file descriptors received per read
+BACKLOG = 4  # connections that wait to be accepted
 
 
 @contextmanager
-def _short(path: Path) -> Iterator[str]:
-    """Yield the path through a descriptor of its folder: a Unix socket's name has 107 bytes at the most."""
+def _short_socket_path(path: Path) -> Iterator[str]:
+    """Yield the path by a descriptor of its folder, as the path of a Unix socket is limited to 107 bytes."""
     folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         yield f"/proc/self/fd/{folder}/{path.name}"
@@ -30,26 +30,26 @@
 
 
 def listen(path: Path) -> socket.socket:
-    """Return a non-blocking socket that listens at `path`, in place of any other there.
+    """Return a non-blocking socket that listens at `path`; replaces an existing socket file.
 
     Raises:
-        OSError: The path can't be had.
+        OSError: The socket can't be created at the path.
     """
     path.parent.mkdir(mode=0o700, parents=True, exist_ok=True)
     path.unlink(missing_ok=True)
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-    with _short(path) as name:
+    with _short_socket_path(path) as name:
         listener.bind(name)
     listener.listen(BACKLOG)
     listener.setblocking(False)
     return listener
 
 
-def reach(path: Path) -> socket.socket | None:
-    """Return a socket that is connected to the listener at `path`; None where nobody is there."""
+def connect(path: Path) -> socket.socket | None:
+    """Return a socket connected to the listener at `path`; None if the connection fails."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     try:
-        with _short(path) as name:
+        with _short_socket_path(path) as name:
             sock.connect(name)
     except OSError:
         sock.close()
@@ -62,14 +62,14 @@
     """One connection between a predecessor and a successor.
 
     Attributes:
-        group: Where what can't be written at once is written later.
+        group: Runs the task that writes data which the socket did not accept at once.
         sock: The socket.
-        descriptors: Descriptors that came and that nobody has taken.
-        closed: Whether it was closed here.
+        descriptors: Received descriptors that have not been taken yet.
+        closed: Whether this side has closed the channel.
     """
 
     def __init__(self, sock: socket.socket, group: TaskGroup) -> None:
-        """Take over a connected socket."""
+        """Create a channel that owns a connected socket."""
         sock.setblocking(False)
         self.sock = sock
         self.group = group
@@ -78,34 +78,34 @@
         self._decoder = FrameDecoder(MAX_MESSAGE_SIZE)
         self._received: deque[Message] = deque()
         self._unwritten = bytearray()
-        self._draining = False
+        self._is_flushing = False
 
-    # ---- out
+    # ---- sending
 
     def send(self, message: Message) -> None:
-        """Send without waiting; the channel to a peer that does not read is closed."""
+        """Send without waiting; closes the channel if the peer leaves too much data unread."""
         if self.closed:
             return
         self._unwritten += encode_frame(encode(message))
-        if len(self._unwritten) > MAX_UNWRITTEN:
+        if len(self._unwritten) > MAX_UNWRITTEN_BYTES:
             self.close()
-        elif not self._draining:
+        elif not self._is_flushing:
             self._write()
             if self._unwritten:
-                self._draining = True
-                self.group.start_soon(self._drain)
+                self._is_flushing = True
+                self.group.start_soon(self._flush)
 
-    def send_with(self, message: Message, descriptors: list[int]) -> None:
-        """Send a message and descriptors as a whole and at once, after all that was sent.
+    def send_with_descriptors(self, message: Message, descriptors: list[int]) -> None:
+        """Send a message with descriptors, completely and without waiting, after all earlier messages.
 
         Raises:
-            OSError: That can't be.
+            OSError: The channel is closed, earlier data is still unwritten, or the write fails or is partial.
         """
         if self.closed or self._unwritten:
-            raise OSError("the line is not free")
+            raise OSError("the channel is closed or has unwritten data")
         data = encode_frame(encode(message))
         if socket.send_fds(self.sock, [data], descriptors) != len(data):
-            raise OSError("the line took a part of it")
+            raise OSError("only a part of the message was written")
 
     def _write(self) -> None:
         try:
@@ -117,21 +117,21 @@
         except OSError:
             self.close()
 
-    async def _drain(self) -> None:
+    async def _flush(self) -> None:
         with suppress(OSError, anyio.ClosedResourceError):
             while self._unwritten and not self.closed:
                 await anyio.wait_writable(self.sock)
                 self._write()
-        self._draining = False
+        self._is_flushing = False
 
-    # ---- in
+    # ---- receiving
 
     async def receive(self) -> Message | None:
-        """Wait for the next message and return it; None at the end.
+        """Wait for the next message and return it; None at the end of the stream.
 
         Raises:
-            ProtocolError: What came is no frame.
-            msgspec.MsgspecError: What came is no message.
+            ProtocolError: The received data is not a valid frame.
+            msgspec.MsgspecError: A received frame is not a valid message.
         """
         while not self._received:
             if self.closed:
@@ -152,7 +152,7 @@
         return self._received.popleft()
 
     def close(self) -> None:
-        """Close the socket; who reads is told."""
+        """Close the socket and wake up a pending `receive`, which returns None."""
         if not self.closed:
             self.closed = True
             with suppress(OSError):
--- a/thistleline/handover/effects.py
+++ b/thistleline/handover/effects.py
@@ -1,4 +1,4 @@
-"""The further effects of a server that hands over to a successor, or follows a predecessor."""
+"""Additional effects of a server that hands over to a successor or takes over from a predecessor."""
 
 from dataclasses import dataclass
 
@@ -9,29 +9,29 @@
 AnswerEffect = AnswerFinished | AnswerRejected | AnswerAbandoned | AnswerMisunderstood
 RelayedEvent = AgentGreeted | AgentLost | RunCompleted | GaugesMeasured | CommandDeclined
 
-# ---- of the predecessor
+# ---- effects of the predecessor
 
 
 @dataclass(frozen=True, slots=True)
 class HandOver:
-    """Hand over at once: from here on nothing with an effect starts in this process."""
+    """Hand over now: from here on this process starts no effect."""
 
     last_notice: int
     runs: tuple[str, ...]
     owned_ids: tuple[tuple[str, int], ...]
-    is_repeated: bool  # to another successor in place of the first
+    is_repeated: bool  # whether the grant goes to a replacement of the first successor
 
 
 @dataclass(frozen=True, slots=True)
 class PostponeHandover:
-    """Tell the successor that it does not get the server now."""
+    """Inform the successor that the handover does not take place now."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardTask:
-    """Let the successor decide on a task that was read here."""
+    """Forward a task that was read here to the successor, which decides on it."""
 
     name: str
     task: Task
@@ -43,19 +43,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportRunEnd:
-    """Tell the successor how an effect of the ledger ended."""
+    """Report to the successor how an effect of the ledger ended."""
 
     number: int
     outcome: RunOutcome
     result: bytes
 
 
-# ---- of the successor
+# ---- effects of the successor
 
 
 @dataclass(frozen=True, slots=True)
 class RelayAgentEvent:
-    """Tell the predecessor what the agent said that concerns it."""
+    """Relay an event of the agent that concerns the predecessor."""
 
     event: RelayedEvent
 
--- a/thistleline/handover/events.py
+++ b/thistleline/handover/events.py
@@ -1,55 +1,55 @@
-"""The further events of a server that hands over to a successor, or follows a predecessor."""
+"""Additional events of a server that hands over to a successor or takes over from a predecessor."""
 
 from dataclasses import dataclass
 
 from thistleline.handover.effects import AnswerEffect
 from thistleline.interface import RunOutcome, Task
 
-# ---- of the predecessor
+# ---- events of the predecessor
 
 
 @dataclass(frozen=True, slots=True)
 class SuccessorReady:
-    """The successor has prepared all; this process has to be gone at `stop_at`."""
+    """The successor is ready for the handover; this process has to exit by `stop_at`."""
 
     stop_at: int
 
 
 @dataclass(frozen=True, slots=True)
 class SuccessorReplaced:
-    """This process has handed over before, and another successor came in place of the first."""
+    """This process has already handed over, and another successor replaces the first one."""
 
     stop_at: int
 
 
 @dataclass(frozen=True, slots=True)
 class SuccessorGone:
-    """The successor is gone, before the handover or after it."""
+    """The connection to the successor has ended, before or after the handover."""
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardedAnswered:
-    """The successor answered a forwarded attempt; connection and number in `answer` are not its own."""
+    """The successor answered a forwarded attempt; `answer` does not have the attempt's connection and seq."""
 
     name: str
     answer: AnswerEffect
 
 
-# ---- of the successor
+# ---- events of the successor
 
 
 @dataclass(frozen=True, slots=True)
 class Inherited:
-    """The handover: comes after the ledger is recovered and before anything else, the agent's link too."""
+    """The handover; the first event after the ledger's recovery, even before those of the agent link."""
 
-    last_notice: int  # number of the last one that the predecessor read of the agent
-    runs: tuple[str, ...]  # ids of what it has running there
-    owned_ids: tuple[tuple[str, int], ...]  # ids of effects in no ledger, and for how long yet, ns
+    last_notice: int  # number of the last notice that the predecessor read from the agent
+    runs: tuple[str, ...]  # ids of the predecessor's runs at the agent
+    owned_ids: tuple[tuple[str, int], ...]  # ids of effects that are in no ledger, and the remaining time, ns
 
 
 @dataclass(frozen=True, slots=True)
 class HostedRunStarted:
-    """The predecessor wants a run started that is its own: idempotent, or in no ledger."""
+    """The predecessor requests the start of a run of its own, which is idempotent or in no ledger."""
 
     attempt_id: str
     stage: str
@@ -58,21 +58,21 @@
 
 @dataclass(frozen=True, slots=True)
 class HostedRunStopped:
-    """The predecessor wants a run of its own stopped."""
+    """The predecessor requests that one of its runs is stopped."""
 
     attempt_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class HostedMeasureRequested:
-    """The predecessor wants the agent's gauges."""
+    """The predecessor requests the agent's gauges."""
 
     tag: str
 
 
 @dataclass(frozen=True, slots=True)
 class PredecessorRunEnded:
-    """A run that the predecessor had started ended; `number` is that of its effect in the ledger."""
+    """A run that the predecessor started has ended; `number` is that of its effect in the ledger."""
 
     number: int
     outcome: RunOutcome
@@ -81,9 +81,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskForwarded:
-    """The predecessor read a task that is this server's to decide on."""
+    """The predecessor forwarded a task, which this server decides on."""
 
-    seq: int  # by which the predecessor knows it
+    seq: int  # the predecessor's number of the task
     task: Task
     dedup_key: str | None
     body: bytes
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PredecessorGone:
-    """The predecessor is gone."""
+    """The connection to the predecessor has ended."""
 
 
 HandoverEvent = (
--- a/thistleline/handover/messages.py
+++ b/thistleline/handover/messages.py
@@ -1,11 +1,12 @@
-"""What a server and the one that follows it on the same machine say to each other, over a Unix socket.
+"""The handover protocol between two servers on the same machine, over a Unix socket.
 
-The predecessor is the one that served first, the successor the one that follows. Until `Grant` the
-predecessor alone may start an effect; from it on the successor alone. `Grant` brings descriptors beside it:
-the ledger's lock, and the listening socket if the predecessor still has it. Stages and tenants go by name:
-the two may have other settings.
+The predecessor is the server that is running, the successor the one that replaces it. Before `Grant` only the
+predecessor may start an effect, after it only the successor. `Grant` is sent with descriptors: the ledger's
+lock, and the listening socket if the predecessor still has it. Stages and tenants are identified by name,
+because the settings of the two servers may differ.
 
-The names of messages and fields on the socket are of the protocol, and older than those in the program.
+The names of messages and fields on the socket are part of the protocol; they are older than the names of
+classes and attributes here, and differ from them.
 """
 
 from dataclasses import asdict
@@ -15,7 +16,7 @@
 
 from thistleline.interface import Task
 
-PROTOCOL_VERSIONS = (1, 1)  # the least and the greatest that this program speaks
+PROTOCOL_VERSIONS = (1, 1)  # lowest and highest supported version
 MAX_MESSAGE_SIZE = 1 << 20  # bytes
 
 
@@ -23,9 +24,9 @@
     """The successor's first message.
 
     Attributes:
-        min_version: The least version of the protocol that it speaks.
-        max_version: The greatest.
-        ledger_versions: The versions of the ledger's format that it can read.
+        min_version: Lowest protocol version that the successor supports.
+        max_version: Highest protocol version that the successor supports.
+        ledger_versions: Versions of the ledger's format that the successor can read.
     """
 
     min_version: int = msgspec.field(default=PROTOCOL_VERSIONS[0], name="least")
@@ -34,19 +35,19 @@
 
 
 class Welcome(msgspec.Struct, frozen=True, tag="welcome"):
-    """The predecessor takes the successor; from here both speak this version of the protocol."""
+    """The predecessor accepts the successor; both use this protocol version from here on."""
 
     version: int = msgspec.field(name="form")
 
 
 class Refused(msgspec.Struct, frozen=True, tag="refused"):
-    """The predecessor does not take the successor."""
+    """The predecessor refuses the successor."""
 
     reason: str = msgspec.field(name="why")
 
 
 class Ready(msgspec.Struct, frozen=True, tag="ready"):
-    """All that can be done beforehand is done: the successor wants the handover now."""
+    """The successor has finished its preparation and requests the handover."""
 
 
 class Postponed(msgspec.Struct, frozen=True, tag="later"):
@@ -59,11 +60,11 @@
     """The handover.
 
     Attributes:
-        last_notice: Number of the last notice of the agent that the predecessor has read.
-        runs: Ids of what it has running there.
-        owned_ids: Ids that stand for effects that no ledger knows, and for how long yet, ns.
-        has_lock: Whether the ledger's lock comes with it.
-        has_listener: Whether the listening socket comes with it.
+        last_notice: Number of the last notice that the predecessor has read from the agent.
+        runs: Ids of the predecessor's runs at the agent.
+        owned_ids: Ids of effects that are in no ledger, and the remaining time of each, ns.
+        has_lock: Whether the descriptor of the ledger's lock is attached.
+        has_listener: Whether the descriptor of the listening socket is attached.
     """
 
     last_notice: int = msgspec.field(name="notice")
@@ -73,11 +74,11 @@
     has_listener: bool = msgspec.field(name="listener")
 
 
-# ---- of the predecessor, once it has handed over
+# ---- messages of the predecessor after the handover
 
 
 class StartHostedRun(msgspec.Struct, frozen=True, tag="lodge"):
-    """Start this run at the agent: it came to the predecessor before, and is idempotent or in no ledger."""
+    """Start a run that the predecessor accepted before the handover; it is idempotent or in no ledger."""
 
     attempt_id: str = msgspec.field(name="id")
     stage: str
@@ -85,19 +86,19 @@
 
 
 class StopHostedRun(msgspec.Struct, frozen=True, tag="stop"):
-    """Stop a run of the predecessor's."""
+    """Stop a run of the predecessor."""
 
     attempt_id: str = msgspec.field(name="id")
 
 
 class MeasureGaugesFor(msgspec.Struct, frozen=True, tag="measure"):
-    """Ask the agent for its gauges, under the predecessor's tag."""
+    """Request the agent's gauges under the predecessor's tag."""
 
     measure_tag: str = msgspec.field(name="tag_of")
 
 
 class EffectEnded(msgspec.Struct, frozen=True, tag="ended"):
-    """An effect of the ledger ended; `number` is that in the ledger."""
+    """An effect of the ledger ended; `number` is its number in the ledger."""
 
     number: int
     outcome: str = msgspec.field(name="how")
@@ -105,15 +106,15 @@
 
 
 class Forward(msgspec.Struct, frozen=True, tag="forward"):
-    """A task that is the successor's to decide on, read on a connection that is still the predecessor's.
+    """A task that the successor decides on, read on a connection that the predecessor still holds.
 
     Attributes:
-        number: By which the answer refers to it.
+        number: Number by which the answer refers to the task.
         stage: Name of its stage.
         tenant: Name of its tenant.
-        task: All else by the names of `task_to_fields`; times are of the system's clock, ns.
-        dedup_key: Its idempotency key, or the subject by which equal reads are known.
-        body: What the agent gets.
+        task: The fields of the task, named as by `task_to_fields`; times are of the system clock, ns.
+        dedup_key: Its idempotency key, or the key by which equal reads are recognized.
+        body: The request body for the agent.
     """
 
     number: int = msgspec.field(name="name")
@@ -124,11 +125,11 @@
     body: bytes
 
 
-# ---- of the successor, once it has the server
+# ---- messages of the successor after the handover
 
 
 class AgentEventMessage(msgspec.Struct, frozen=True, tag="agent"):
-    """What the agent said that is the predecessor's; see `relay`."""
+    """An event of the agent that concerns the predecessor; see `relay`."""
 
     kind: str
     values: list[Any] = msgspec.field(name="told")
@@ -158,7 +159,7 @@
     | Answer
 )
 
-# Names in a message of the fields of `Task` that have another name in this program.
+# Names on the socket of the fields of `Task` that have a different name in this program.
 TASK_FIELD_NAMES = {
     "tenant": "owner",
     "client": "caller",
@@ -173,15 +174,15 @@
 
 
 def task_to_fields(task: Task) -> dict[str, Any]:
-    """Return the task's fields under their names in a message."""
+    """Return the task's fields under their names on the socket."""
     return {TASK_FIELD_NAMES.get(name, name): value for name, value in asdict(task).items()}
 
 
 def task_from_fields(fields: dict[str, Any]) -> Task:
-    """Return the task with these fields, named as in a message.
+    """Return the task with these fields, named as on the socket.
 
     Raises:
-        msgspec.ValidationError: A field is missing or has another type.
+        msgspec.ValidationError: A field is missing or has the wrong type.
     """
     names = {wire_name: name for name, wire_name in TASK_FIELD_NAMES.items()}
     return msgspec.convert({names.get(name, name): value for name, value in fields.items()}, Task)
--- a/thistleline/handover/relay.py
+++ b/thistleline/handover/relay.py
@@ -1,7 +1,7 @@
-"""Events and answers as messages between predecessor and successor.
+"""Encodes events and answers as messages between predecessor and successor.
 
-A message of this kind has the name of what it carries, and its values in order. The names are of the
-protocol: they stay whatever the classes are called.
+Such a message consists of a kind, which names the event or answer, and the values of its fields in order. The
+kinds are part of the protocol: they do not change when a class is renamed.
 """
 
 from collections.abc import Callable
@@ -21,7 +21,7 @@
     GaugesMeasured: "measured",
     CommandDeclined: "declined",
 }
-EVENT_CLASSES: dict[str, type[RelayedEvent]] = {kind: each for each, kind in EVENT_KINDS.items()}
+EVENT_CLASSES: dict[str, type[RelayedEvent]] = {kind: cls for cls, kind in EVENT_KINDS.items()}
 
 ANSWER_KINDS: dict[type[AnswerEffect], str] = {
     AnswerFinished: "finished",
@@ -29,19 +29,19 @@
     AnswerAbandoned: "abandoned",
     AnswerMisunderstood: "misunderstood",
 }
-ANSWER_CLASSES: dict[str, type[AnswerEffect]] = {kind: each for each, kind in ANSWER_KINDS.items()}
+ANSWER_CLASSES: dict[str, type[AnswerEffect]] = {kind: cls for cls, kind in ANSWER_KINDS.items()}
 
 
 def encode_agent_event(event: RelayedEvent) -> AgentEventMessage:
-    """Return the message that carries an event of the agent."""
+    """Encode an event of the agent."""
     return AgentEventMessage(EVENT_KINDS[type(event)], _values(event))
 
 
 def decode_agent_event(message: AgentEventMessage) -> RelayedEvent | None:
-    """Return the event that the message carries; None for a kind that is not known.
+    """Decode an event of the agent; return None for an unknown kind.
 
     Raises:
-        ProtocolError: The kind has other values.
+        ProtocolError: The values do not fit the kind.
     """
     event_class = EVENT_CLASSES.get(message.kind)
     if event_class is None:
@@ -51,16 +51,16 @@
 
 
 def encode_answer(answer: AnswerEffect) -> Answer:
-    """Return the message that carries an answer to the forwarded task `answer.seq`."""
+    """Encode an answer to the forwarded task with number `answer.seq`."""
     _, _, *values = _values(answer)
     return Answer(answer.seq, ANSWER_KINDS[type(answer)], values)
 
 
 def decode_answer(message: Answer) -> AnswerEffect | None:
-    """Return the answer that the message carries, on no connection; None for a kind that is not known.
+    """Decode an answer, with 0 as its connection; return None for an unknown kind.
 
     Raises:
-        ProtocolError: The kind has other values.
+        ProtocolError: The values do not fit the kind.
     """
     answer_class = ANSWER_CLASSES.get(message.kind)
     if answer_class is None:
@@ -69,14 +69,14 @@
     return answer
 
 
-def _construct(carried_class: Callable[..., Any], values: list[Any]) -> Any:
+def _construct(target_class: Callable[..., Any], values: list[Any]) -> Any:
     try:
-        return carried_class(*values)
+        return target_class(*values)
     except TypeError as error:
-        raise ProtocolError(f"a message of other values: {error}") from error
+        raise ProtocolError(f"the values of a message do not fit its kind: {error}") from error
 
 
-def _values(carried: Any) -> list[Any]:
-    """Return the values of all fields, as they can be encoded."""
-    values = (getattr(carried, field.name) for field in fields(carried))
+def _values(instance: Any) -> list[Any]:
+    """Return the values of all fields in encodable form."""
+    values = (getattr(instance, field.name) for field in fields(instance))
     return [bytes(value) if isinstance(value, memoryview) else value for value in values]
--- a/thistleline/handover/service.py
+++ b/thistleline/handover/service.py
@@ -1,7 +1,8 @@
-"""A server that follows another on its machine and is followed: sockets, descriptors, the ledger's folder.
+"""The I/O of a server that takes over and hands over: sockets, descriptors and the ledger's folder.
 
-In its folder: `heir.sock`, where the one that serves awaits its successor; `elder-PID.sock`, the same socket
-of one that has handed over; `owner`, which incarnation serves, for the supervisor.
+Files in the handover folder: `heir.sock`, where the serving process listens for its successor;
+`elder-PID.sock`, the same socket of a process that has handed over; `owner`, the incarnation that serves, for
+the supervisor.
 """
 
 import os
@@ -67,8 +68,8 @@
     encode_agent_event,
     encode_answer,
 )
-from thistleline.handover.serving import tell_owner
-from thistleline.handover.state_machine import PREDECESSOR, HandoverStateMachine
+from thistleline.handover.serving import write_owner
+from thistleline.handover.state_machine import PREDECESSOR_CONNECTION, HandoverStateMachine
 from thistleline.handover.takeover import SOCKET_NAME, Takeover
 from thistleline.interface import RunOutcome
 from thistleline.ledger import format as ledger_format
@@ -87,13 +88,13 @@
 from thistleline.store.clock import boot_now
 from thistleline.transport.codec import ProtocolError
 
-# Seconds.
-LINK_DELAY = 0.5  # without a successor, before one that has handed over links to the agent itself
-GREETING_TIMEOUT = 1.0  # for the agent's greeting
+# Durations in seconds.
+AGENT_RECONNECT_DELAY = 0.5  # after the successor is lost, before this server links to the agent itself
+GREETING_TIMEOUT = 1.0  # maximum wait for the agent's greeting
 
 
 class HandoverService(Service):
-    """A `Service` that follows the server that runs on its machine, and hands over to the next one."""
+    """A `Service` that takes over from the server on its machine, if one runs, and hands over to the next."""
 
     machine: HandoverStateMachine
 
@@ -103,9 +104,9 @@
         assert conf is not None
         assert conf.handover is not None
         if options.settings.downstream != "none":
-            raise ConfigurationError("the part 'handover' hands over no calls to what lies below")
+            raise ConfigurationError("the part 'handover' does not support downstream calls")
         if conf.ledger is None:
-            raise ConfigurationError("the part 'handover' wants the part 'ledger' beside it")
+            raise ConfigurationError("the part 'handover' requires the part 'ledger'")
         self.folder = conf.handover.folder
         self.store = make_store(conf.ledger, options)
         self.make_writer = lambda group: LedgerWriter(self.store, self.handle, group).effect_handlers()
@@ -117,8 +118,8 @@
         self._agent_scope: anyio.CancelScope | None = None
         self._reports_scope: anyio.CancelScope | None = None
         self._agent_greeted = anyio.Event()
-        self._successor_socket: socket.socket | None = None  # where a successor is awaited,
-        self._socket_path = self.folder / SOCKET_NAME  # and its path
+        self._successor_socket: socket.socket | None = None  # listens for a successor
+        self._socket_path = self.folder / SOCKET_NAME  # of _successor_socket
         return HandoverStateMachine(
             options,
             now,
@@ -127,35 +128,36 @@
             boot_offset=boot_now() - now,
         )
 
-    # ---- before it serves
+    # ---- preparation
 
     async def _prepare(self) -> tuple[Any, socket.socket]:
-        """Follow the server that runs here, or begin where none does.
+        """Take over from the server that runs here, or start without a predecessor if none does.
 
         Raises:
-            ConfigurationError: The server that runs does not hand over, or the ledger can't be had.
-            OSError: It can't listen.
+            ConfigurationError: The running server refuses the handover, or the ledger can't be locked or
+                read.
+            OSError: The listening socket can't be created.
         """
         takeover = Takeover(self.folder, self.store, self.machine.ledger, self.note)
         listener = await takeover.run()
         self._predecessor = takeover.predecessor
         self._inherited = takeover.grant
-        begun = time.monotonic()
-        recovered = await anyio.to_thread.run_sync(takeover.read_rest)
-        elapsed_ms = round(1000 * (time.monotonic() - begun))
+        started_at = time.monotonic()
+        recovered = await anyio.to_thread.run_sync(takeover.read_remaining)
+        elapsed_ms = round(1000 * (time.monotonic() - started_at))
         self.note("ledger", state="recovered", effects=len(recovered), ms=elapsed_ms)
         return recovered, listener if listener is not None else await self._listen()
 
-    # ---- while it serves
+    # ---- serving
 
     def _tasks(self, group: TaskGroup) -> Iterable[Callable[[], Awaitable[None]]]:
         self.group = group
         self._add_effect_handlers()
         self.agent.handle = self._handle_agent
         if self._inherited is not None:
-            self._take_over(self._inherited, group)
+            self._apply_grant(self._inherited, group)
         self._successor_socket = channels.listen(self._socket_path)
-        tell_owner(self.folder, os.environ.get("ROUTER_LIFE", "0"))
+        write_owner(self.folder, os.environ.get("ROUTER_LIFE", "0"))
         self.note("succession", state="serves", followed=self._inherited is not None)
         return [
             self._accept,
@@ -180,8 +182,8 @@
             StopAccepting: self._stop_accepting,
         }
 
-    def _take_over(self, inherited: Grant, group: TaskGroup) -> None:
-        # What one that lost its successor has read of the agent since is not known here.
+    def _apply_grant(self, inherited: Grant, group: TaskGroup) -> None:
+        # If the predecessor lost its former successor, the notices that it has read since are unknown here.
         last_notice = inherited.last_notice if inherited.has_lock else 0
         self.handle(Inherited(last_notice, inherited.runs, inherited.owned_ids))
         assert self._predecessor is not None
@@ -193,17 +195,17 @@
         await self.clients.accept()
 
     async def _wait_for_greeting(self) -> None:
-        """Wait for the agent's greeting, where this server has tasks at once because it follows another.
+        """Wait for the agent's greeting if this server took over from another and so receives tasks at once.
 
-        The greeting says whether the machine is warm; without it the policy would take a warm machine for a
-        cold one.
+        The greeting contains whether the machine is warm; without it the policy would treat a warm machine
+        as a cold one.
         """
         if self._inherited is not None:
             with anyio.move_on_after(GREETING_TIMEOUT):
                 await self._agent_greeted.wait()
 
     async def hold_agent(self) -> None:
-        """Hold the link to the agent until the successor has it."""
+        """Hold the link to the agent until it is released to the successor."""
         with anyio.CancelScope() as self._agent_scope:
             await super().hold_agent()
 
@@ -218,13 +220,13 @@
                 self._agent_greeted.set()
 
     def _stop_accepting(self, effect: StopAccepting) -> None:
-        """Stop accepting; what waits at the socket of one that has handed over is its successor's."""
+        """Stop accepting; after a handover, pending connections of the socket are left to the successor."""
         if self._has_handed_over:
             self.clients.abandon_listener()
         else:
             self.clients.stop_accepting()
 
-    # ---- its predecessor
+    # ---- the predecessor
 
     async def _serve_predecessor(self, channel: HandoverChannel) -> None:
         await self._wait_for_greeting()
@@ -242,7 +244,7 @@
                     case Forward():
                         self._handle_forwarded(message)
         except (ProtocolError, msgspec.MsgspecError) as error:
-            self.note("succession", state="elder not understood", why=str(error))
+            self.note("succession", state="invalid message from predecessor", why=str(error))
         channel.close()
         self._predecessor = None
         self.note("succession", state="elder gone")
@@ -254,31 +256,31 @@
         stages = [place for place, stage in enumerate(settings.stages) if stage.name == message.stage]
         tenants = [place for place, tenant in enumerate(settings.tenants) if tenant.name == message.tenant]
         if not stages or not tenants:
-            reason = f"there is no stage {message.stage!r} or no owner {message.tenant!r} any more"
-            self._tell_predecessor(Answer(message.number, "misunderstood", [None, reason]))
+            reason = f"stage {message.stage!r} or tenant {message.tenant!r} no longer exists"
+            self._send_to_predecessor(Answer(message.number, "misunderstood", [None, reason]))
             return
         task = task_from_fields({**message.task, "stage": stages[0], "owner": tenants[0]})
         deadline = None if task.deadline is None else task.deadline + skew
         task = replace(task, arrived_at=task.arrived_at + skew, deadline=deadline)
         self.handle(TaskForwarded(message.number, task, message.dedup_key, message.body))
 
-    def _tell_predecessor(self, message: Message) -> None:
+    def _send_to_predecessor(self, message: Message) -> None:
         if self._predecessor is not None:
             self._predecessor.send(message)
 
     def _relay_agent_event(self, effect: RelayAgentEvent) -> None:
-        self._tell_predecessor(encode_agent_event(effect.event))
+        self._send_to_predecessor(encode_agent_event(effect.event))
 
     def _make_answer_handler(self, answer_client: Callable[[Any], None]) -> Callable[[Any], None]:
         def answer(effect: Any) -> None:
-            if effect.connection == PREDECESSOR:
-                self._tell_predecessor(encode_answer(effect))
+            if effect.connection == PREDECESSOR_CONNECTION:
+                self._send_to_predecessor(encode_answer(effect))
             else:
                 answer_client(effect)
 
         return answer
 
-    # ---- its successor
+    # ---- the successor
 
     async def _await_successors(self) -> None:
         assert self._successor_socket is not None
@@ -289,38 +291,43 @@
                 self.group.start_soon(self._serve_successor, HandoverChannel(sock, self.group))
 
     async def _serve_successor(self, channel: HandoverChannel) -> None:
-        """Serve one successor; whatever it says ends no more than its channel."""
+        """Serve one successor; an invalid message ends only its channel."""
         try:
-            # The greeting is read before any refusal: closing the channel earlier makes the successor's write
-            # fail, and it never reads why it was refused.
+            # `Hello` is read before any refusal: if the channel were closed earlier, the successor's write
+            # would fail and it would never read the reason of the refusal.
             hello = await channel.receive()
-            if not isinstance(hello, Hello) or not self._welcome(channel, hello):
+            if not isinstance(hello, Hello) or not self._accept_successor(channel, hello):
                 return
             while (message := await channel.receive()) is not None:
                 self._handle_successor(message)
         except (ProtocolError, msgspec.MsgspecError) as error:
-            self.note("succession", state="heir not understood", why=str(error))
+            self.note("succession", state="invalid message from successor", why=str(error))
         finally:
             channel.close()
             if self._successor is channel:
                 self._lose_successor()
 
-    def _welcome(self, channel: HandoverChannel, hello: Hello) -> bool:
-        """Take the successor if it can read all that it will have."""
+    def _accept_successor(self, channel: HandoverChannel, hello: Hello) -> bool:
+        """Accept the successor if the protocol and ledger versions fit and no other one is connected."""
         refusal = ""
-        least, greatest = PROTOCOL_VERSIONS
-        if min(hello.max_version, greatest) < max(hello.min_version, least):
-            refusal = f"no common form: {hello.min_version} to {hello.max_version} and {least} to {greatest}"
+        lowest, highest = PROTOCOL_VERSIONS
+        if min(hello.max_version, highest) < max(hello.min_version, lowest):
+            refusal = (
+                f"no common protocol version: successor {hello.min_version} to {hello.max_version},"
+                f" this server {lowest} to {highest}"
+            )
         elif ledger_format.FORMAT_VERSION not in hello.ledger_versions:
             written = ledger_format.FORMAT_VERSION
-            refusal = f"the ledger has form {written}, the follower reads {list(hello.ledger_versions)}"
+            refusal = (
+                f"the ledger has format version {written}, the successor reads {list(hello.ledger_versions)}"
+            )
         elif self._successor is not None:
             refusal = "another one follows already"
         if refusal:
             channel.send(Refused(refusal))
             return False
         self._successor = channel
-        channel.send(Welcome(min(hello.max_version, greatest)))
+        channel.send(Welcome(min(hello.max_version, highest)))
         return True
 
     def _handle_successor(self, message: Message) -> None:
@@ -342,37 +349,37 @@
         self.note("succession", state="heir gone", handed=self._has_handed_over)
         self.handle(SuccessorGone())
         if self._has_handed_over:
-            self.group.start_soon(self._link_alone)
+            self.group.start_soon(self._reconnect_agent)
 
-    def _tell_successor(self, message: Message) -> None:
+    def _send_to_successor(self, message: Message) -> None:
         if self._successor is not None:
             self._successor.send(message)
 
     def _postpone(self, effect: PostponeHandover) -> None:
         self.note("succession", state="later", why=effect.reason)
-        self._tell_successor(Postponed(effect.reason))
+        self._send_to_successor(Postponed(effect.reason))
 
     def _report_run_end(self, effect: ReportRunEnd) -> None:
-        self._tell_successor(EffectEnded(effect.number, effect.outcome, effect.result))
+        self._send_to_successor(EffectEnded(effect.number, effect.outcome, effect.result))
 
     def _forward(self, effect: ForwardTask) -> None:
         task = effect.task
         skew = self.clock.skew()
         deadline = None if task.deadline is None else task.deadline - skew
         values = task_to_fields(replace(task, arrived_at=task.arrived_at - skew, deadline=deadline))
-        self._tell_successor(
+        self._send_to_successor(
             Forward(int(effect.name), effect.stage, effect.tenant, values, effect.dedup_key, effect.body)
         )
 
     # ---- the handover
 
     def _hand_over(self, effect: HandOver) -> None:
-        """Hand over in one moment: with the message the ledger and the socket are the successor's."""
+        """Hand over in one step: the grant transfers the ledger and the listening socket to the successor."""
         successor = self._successor
         listener = self.clients.listener if not effect.is_repeated else None
         if not effect.is_repeated:
             self._has_handed_over = True
-            self._step_aside()
+            self._release_socket_path()
         self._release_agent()
         descriptors = [self.store.disk.lock_fd] if not effect.is_repeated else []
         if listener is not None:
@@ -382,8 +389,8 @@
         )
         try:
             if successor is None:
-                raise OSError("the heir is gone")
-            successor.send_with(message, descriptors)
+                raise OSError("the successor is gone")
+            successor.send_with_descriptors(message, descriptors)
         except OSError as error:
             self.note("succession", state="heir lost", why=str(error))
             if successor is not None:
@@ -398,8 +405,8 @@
             again=effect.is_repeated,
         )
 
-    def _step_aside(self) -> None:
-        """Leave the socket's path and the reports to the successor, which has the same name."""
+    def _release_socket_path(self) -> None:
+        """Release the socket's path and stop the reports; the successor uses the same name for both."""
         path = self.folder / f"elder-{os.getpid()}.sock"
         with suppress(OSError):
             self._socket_path.rename(path)
@@ -408,7 +415,7 @@
             self._reports_scope.cancel()
 
     def _release_agent(self) -> None:
-        """End the link to the agent; commands go by the successor from now on."""
+        """Close the link to the agent; from now on commands are sent through the successor."""
         self._owns_agent_link = False
         if self._agent_scope is not None:
             self._agent_scope.cancel()
@@ -416,19 +423,19 @@
             self.agent.flush()
             self.agent.stream.close()
         self.effect_handlers |= {
-            StartRun: self._start_by_successor,
-            StopRun: lambda effect: self._tell_successor(StopHostedRun(effect.attempt_id)),
-            MeasureGauges: lambda effect: self._tell_successor(MeasureGaugesFor(effect.tag)),
+            StartRun: self._start_through_successor,
+            StopRun: lambda effect: self._send_to_successor(StopHostedRun(effect.attempt_id)),
+            MeasureGauges: lambda effect: self._send_to_successor(MeasureGaugesFor(effect.tag)),
             CheckAgent: lambda effect: self.handle(DeepCheckCompleted(effect.tag, True)),
             AnnounceAccepting: lambda effect: None,
         }
 
-    def _start_by_successor(self, effect: StartRun) -> None:
-        self._tell_successor(StartHostedRun(effect.attempt_id, effect.stage, bytes(effect.body)))
+    def _start_through_successor(self, effect: StartRun) -> None:
+        self._send_to_successor(StartHostedRun(effect.attempt_id, effect.stage, bytes(effect.body)))
 
-    async def _link_alone(self) -> None:
-        """Ask the agent itself for what this process has running, until a successor comes again."""
-        await anyio.sleep(LINK_DELAY)
+    async def _reconnect_agent(self) -> None:
+        """Reconnect to the agent to get the ends of this process's runs, until another successor connects."""
+        await anyio.sleep(AGENT_RECONNECT_DELAY)
         if self._successor is not None or self._owns_agent_link:
             return
         self.note("succession", state="alone")
--- a/thistleline/handover/serving.py
+++ b/thistleline/handover/serving.py
@@ -1,26 +1,26 @@
-"""Which incarnation serves, as it says itself: a file in the folder of the handover, for the supervisor."""
+"""The file in the handover folder in which the serving incarnation identifies itself to the supervisor."""
 
 import os
 from pathlib import Path
 
-OWNER = "owner"  # name of the file
+OWNER_FILE_NAME = "owner"
 
 
-def tell_owner(folder: Path, life: str) -> None:
-    """Write that this process serves, as incarnation `life`; the file is replaced as a whole.
+def write_owner(folder: Path, incarnation: str) -> None:
+    """Record that this process serves as `incarnation`; the file is replaced atomically.
 
     Raises:
-        OSError: It can't be written.
+        OSError: The file can't be written.
     """
-    fresh = folder / f"{OWNER}.new"
-    fresh.write_text(f"{life} {os.getpid()}\n")
-    fresh.rename(folder / OWNER)
+    new_file = folder / f"{OWNER_FILE_NAME}.new"
+    new_file.write_text(f"{incarnation} {os.getpid()}\n")
+    new_file.rename(folder / OWNER_FILE_NAME)
 
 
 def read_owner(folder: Path) -> tuple[int, int] | None:
-    """Return incarnation and pid of the server that serves, or served last; None where that is unknown."""
+    """Return incarnation and pid of the server that serves or served last; None if unknown."""
     try:
-        life, pid = (folder / OWNER).read_text().split()
-        return int(life), int(pid)
+        incarnation, pid = (folder / OWNER_FILE_NAME).read_text().split()
+        return int(incarnation), int(pid)
     except (OSError, ValueError):
         return None
--- a/thistleline/handover/state_machine.py
+++ b/thistleline/handover/state_machine.py
@@ -1,18 +1,19 @@
-"""How one server follows another on the same machine: both sides, as one state machine. No I/O, no clock.
-
-The predecessor is the one that served first, the successor the one that follows. What holds:
-
-- Until `HandOver` the predecessor alone starts effects, after it the successor alone; `HandOver` comes when
-  all that the predecessor meant to start is written and has reached the agent, so that the successor reads of
-  every effect that may run.
-- A keyed task that the predecessor has not started by then, and every task that it reads later, is the
-  successor's: it is forwarded, and its answer comes back. Nothing is refused for the change.
-- What the predecessor had running goes on, the successor holding the one link that the agent has. Its end is
-  told to both: to the predecessor, which owes the answer, and to the ledger and its repeats here.
-- Until the predecessor is gone it vouches for what it started: nothing of that comes to be in doubt here.
-
-Agent events reach the predecessor as ever, by whichever way; the successor answers forwarded tasks on the
-connection PREDECESSOR.
+"""The handover between two servers on the same machine: both sides in one state machine. No I/O, no clock.
+
+The predecessor is the server that is running, the successor the one that replaces it. Invariants:
+
+- Before `HandOver` only the predecessor starts effects, after it only the successor. `HandOver` is emitted
+  once all starts of the predecessor are written and have reached the agent, so that the successor finds every
+  effect that may run in the ledger.
+- A keyed task that the predecessor has not started by then, and every task that it reads later, is forwarded
+  to the successor, which decides on it and returns the answer. No task is refused because of the handover.
+- The predecessor's runs continue while the successor holds the agent's only link. The end of such a run is
+  reported to both sides: to the predecessor, which has to answer the client, and to the successor, for the
+  ledger and for repeats of the task.
+- As long as the predecessor runs, the successor does not treat the predecessor's effects as doubtful.
+
+The predecessor handles agent events in the same way whether they come from the agent or through the
+successor; the successor answers forwarded tasks on the connection PREDECESSOR_CONNECTION.
 """
 
 from dataclasses import replace
@@ -69,12 +70,12 @@
 from thistleline.state.phases import Lifecycle
 from thistleline.state.state_machine import EventHandler, ServerStateMachine
 
-FREEZE_TIMEOUT = 2 * SECOND  # in which nothing starts before the handover; past it the predecessor serves on
-MAX_HANDED = 4096  # runs, and ids, that go over in one message
-PREDECESSOR = -1  # the successor's connection that stands for its predecessor's
-PREDECESSOR_TAG = "e"  # before the tag of a measurement that the predecessor asked for
+FREEZE_TIMEOUT = 2 * SECOND  # ns; limit of the freeze before the handover, after which serving resumes
+MAX_GRANT_ENTRIES = 4096  # limit of runs and, separately, of owned ids in one grant
+PREDECESSOR_CONNECTION = -1  # connection number of tasks that the predecessor forwards
+PREDECESSOR_TAG = "e"  # prefix of the tags of measurements that the predecessor requested
 
-# Counters of the answers that the successor gave.
+# Names of the counters by class of the successor's answer.
 ANSWER_COUNTERS: dict[type[AnswerEffect], str] = {
     AnswerFinished: "finished",
     AnswerRejected: "rejected",
@@ -82,11 +83,11 @@
     AnswerMisunderstood: "misunderstood",
 }
 
-HandoverStage = Literal["sole", "freezing", "handed"]
+HandoverPhase = Literal["sole", "freezing", "handed"]
 
 
 class HandoverStateMachine(ServedValueTracker, DurableStateMachine):
-    """A `DurableStateMachine` that follows a predecessor and hands over to a successor."""
+    """A `DurableStateMachine` that takes over from a predecessor and hands over to a successor."""
 
     def __init__(
         self,
@@ -97,23 +98,23 @@
         max_disk_bytes: int,
         boot_offset: int,
     ) -> None:
-        """Begin as the only server of the machine; the arguments are those of `DurableStateMachine`."""
+        """Start as the only server of the machine; the arguments are those of `DurableStateMachine`."""
         super().__init__(options, now, lifecycle, max_disk_bytes=max_disk_bytes, boot_offset=boot_offset)
         # As predecessor.
-        self.handover_stage: HandoverStage = "sole"
+        self.handover_phase: HandoverPhase = "sole"
         self.has_successor = False
         self.frozen_at = 0
         self.freeze_deadline = 0
-        self.freeze_duration = 0  # ns, of the last freeze that ended in a handover
-        self.freeze_mark: int | None = None  # the measurement that says that all starts reached the agent
-        self.frozen_launches: list[str] = []  # names of runs that the freeze holds back
-        self.handover_stop_at = 0  # when this process has to be gone after the handover
-        self.received: dict[str, tuple[Task, str | None]] = {}  # keyed tasks in hand, as read, and their keys
+        self.freeze_duration = 0  # ns; of the last freeze that ended with a handover
+        self.freeze_mark: int | None = None  # measurement that confirms that all starts reached the agent
+        self.delayed_launches: list[str] = []  # names of runs that are delayed by the freeze
+        self.handover_stop_at = 0  # ns; when this process has to exit after the handover
+        self.received: dict[str, tuple[Task, str | None]] = {}  # open keyed tasks as read, with their keys
         self.forwarded: dict[str, None] = {}  # attempts that the successor decides on
-        self.handed_numbers: dict[str, int] = {}  # of effects that ran here when the ledger went over
+        self.handed_over_numbers: dict[str, int] = {}  # numbers of effects that ran here at the handover
         # As successor.
         self.has_predecessor = False
-        self.hosted_runs: dict[str, None] = {}  # ids that run at the agent for the predecessor
+        self.hosted_runs: dict[str, None] = {}  # ids of the predecessor's runs at the agent
 
     def _event_handlers(self) -> dict[type, EventHandler]:
         return {
@@ -134,51 +135,51 @@
     def handle(self, now: int, event: Any) -> list[Any]:
         """Handle one event at `now`; return its effects."""
         effects = super().handle(now, event)
-        if self.handover_stage == "freezing":
+        if self.handover_phase == "freezing":
             self._try_to_hand_over()
             effects += self.context.take_effects()
-            write = self.ledger.next_write(self._boot_time())  # what a thaw let go on
+            write = self.ledger.next_write(self._boot_time())  # of runs released by an aborted freeze
             if write is not None:
                 effects.append(WriteLedger(write))
         return effects
 
     def next_deadline(self) -> int:
-        """Tell when the next `DeadlineReached` is wanted, ns."""
+        """Return the time of the next `DeadlineReached`, ns."""
         deadline = super().next_deadline()
-        return min(deadline, self.freeze_deadline) if self.handover_stage == "freezing" else deadline
+        return min(deadline, self.freeze_deadline) if self.handover_phase == "freezing" else deadline
 
     def believed(self) -> dict[str, Any]:
-        """Return what the policy and the ledger take to be so, and how far the handover is."""
+        """Return the state of the policy, the ledger and the handover, for figures in the log."""
         return {
             **super().believed(),
-            "stands": self.handover_stage,
+            "stands": self.handover_phase,
             "lodgers": len(self.hosted_runs),
             "away": len(self.forwarded),
         }
 
     def _on_deadline(self, event: DeadlineReached) -> None:
-        if self.handover_stage == "freezing" and self.context.now >= self.freeze_deadline:
-            self._thaw("what was begun is not written, or not known to have reached the agent")
+        if self.handover_phase == "freezing" and self.context.now >= self.freeze_deadline:
+            self._abort_freeze("starts are not yet written, or not yet confirmed by the agent")
         super()._on_deadline(event)
 
     def _sweep(self) -> None:
         super()._sweep()
         self.received = {name: task for name, task in self.received.items() if name in self.attempts}
 
-    # ---- the predecessor, before it hands over
+    # ---- the predecessor before the handover
 
     def _on_successor_ready(self, event: SuccessorReady) -> None:
         if self.has_predecessor:
-            self.context.emit(PostponeHandover("it follows another itself, which is not gone yet"))
-        elif self.handover_stage == "sole":
-            self.handover_stage = "freezing"
+            self.context.emit(PostponeHandover("this server's own predecessor still runs"))
+        elif self.handover_phase == "sole":
+            self.handover_phase = "freezing"
             self.handover_stop_at = event.stop_at
             self.freeze_mark = None
             self.frozen_at = self.context.now
             self.freeze_deadline = self.context.now + FREEZE_TIMEOUT
 
     def _try_to_hand_over(self) -> None:
-        """Hand over once what was begun is written, then known at the agent; nothing is begun meanwhile."""
+        """Hand over once all starts are written and confirmed by the agent; no run starts meanwhile."""
         if self.ledger.has_unwritten() or self.undurable:
             return
         session = self.session
@@ -189,75 +190,75 @@
             if session.restart_mark is not None or session.last_measured < self.freeze_mark:
                 return
         runs = self._sent_runs()
-        if len(runs) > MAX_HANDED:
-            self._thaw(f"{len(runs)} runs, {MAX_HANDED} go over at the most")
+        if len(runs) > MAX_GRANT_ENTRIES:
+            self._abort_freeze(f"{len(runs)} runs exceed the limit of {MAX_GRANT_ENTRIES} in a handover")
             return
         self._hand_over(runs)
 
     def _sent_runs(self) -> tuple[str, ...]:
         return tuple(run.id for run in self.runs.values() if run.sent)
 
-    def _thaw(self, reason: str) -> None:
-        """Serve on: the successor has to ask again."""
-        held_back = self.frozen_launches
-        self.frozen_launches = []
-        self.handover_stage = "sole"
+    def _abort_freeze(self, reason: str) -> None:
+        """Abort the freeze and resume serving; the successor has to request the handover again."""
+        delayed = self.delayed_launches
+        self.delayed_launches = []
+        self.handover_phase = "sole"
         self.context.emit(PostponeHandover(reason))
-        for name in held_back:
+        for name in delayed:
             if name in self.runs:
                 self.launch(name, self.runs[name])
 
     def _on_successor_gone(self, event: SuccessorGone) -> None:
-        if self.handover_stage == "freezing":
-            self._thaw("the heir is gone")
-        elif self.handover_stage == "handed":
+        if self.handover_phase == "freezing":
+            self._abort_freeze("the successor is gone")
+        elif self.handover_phase == "handed":
             self.has_successor = False
             if self.session.linked:
-                self._lose_agent("the heir is gone")
-            for name in list(self.forwarded):  # it may have run there
+                self._lose_agent("the successor is gone")
+            for name in list(self.forwarded):  # the successor may have run it
                 del self.forwarded[name]
                 self.decisions.abandon(name)
 
-    # ---- the predecessor hands over
+    # ---- the predecessor during and after the handover
 
     def _hand_over(self, runs: tuple[str, ...]) -> None:
-        self.handover_stage = "handed"
+        self.handover_phase = "handed"
         self.has_successor = True
         self.freeze_duration = self.context.now - self.frozen_at
         self.context.emit(HandOver(self.session.last_notice, runs, self._unrecorded_ids(), False))
-        self._give_up_ledger()
+        self._release_ledger()
         if self.session.linked:
             self._lose_agent("handed over")
         if not self.lifecycle.is_draining:
             self._begin_drain(self.handover_stop_at)
         self.close_down()
-        held_back = self.frozen_launches
-        self.frozen_launches = []
-        unsent = [name for name, run in self.runs.items() if not run.sent and name not in held_back]
-        for name in (*held_back, *unsent):
+        delayed = self.delayed_launches
+        self.delayed_launches = []
+        unsent = [name for name, run in self.runs.items() if not run.sent and name not in delayed]
+        for name in (*delayed, *unsent):
             if name in self.runs and self._is_keyed(self.runs[name].stage):
-                self._pass_on(name)
+                self._forward_unstarted(name)
 
-    def _give_up_ledger(self) -> None:
-        """Write nothing more: the ledger is the successor's."""
-        self.handed_numbers = self.effect_numbers
+    def _release_ledger(self) -> None:
+        """Replace the ledger by an empty one, as from now on only the successor writes to it."""
+        self.handed_over_numbers = self.effect_numbers
         self.effect_numbers = {}
         self.effect_names = {}
         self.ledger = LedgerState(self.ledger.max_disk_bytes, 0, self._boot_time(), lambda _: None)
 
     def _unrecorded_ids(self) -> tuple[tuple[str, int], ...]:
-        """Return the ids of effects that the ledger does not know; the newest, as many as go over."""
+        """Return the ids of effects that are not in the ledger; the newest, up to the limit of a grant."""
         ids = [
             (attempt_id, expires_at - self.context.now)
             for attempt_id, (key, expires_at) in self.attempt_ids.by_id.items()
             if key is None or not self._is_keyed(key[0])
         ]
-        return tuple(ids[-MAX_HANDED:])
+        return tuple(ids[-MAX_GRANT_ENTRIES:])
 
     def _on_successor_replaced(self, event: SuccessorReplaced) -> None:
-        """Hand over again; this successor has the ledger from the folder."""
+        """Send another grant; this successor has locked the ledger itself."""
         self.has_successor = True
-        runs = self._sent_runs()[:MAX_HANDED]
+        runs = self._sent_runs()[:MAX_GRANT_ENTRIES]
         self.context.emit(HandOver(self.session.last_notice, runs, self._unrecorded_ids(), True))
         if self.session.linked:
             self._lose_agent("handed over")
@@ -266,23 +267,23 @@
         return self.settings.stages[stage].effect == "keyed"
 
     def launch(self, name: str, run: Run) -> None:
-        """Start a run, unless a handover holds it back or has made it the successor's."""
-        if self.handover_stage == "freezing":
-            self.frozen_launches.append(name)
-        elif self.handover_stage == "handed" and self._is_keyed(run.stage):
-            self._pass_on(name)
+        """Start a run, or delay it during a freeze, or forward it after the handover if it is keyed."""
+        if self.handover_phase == "freezing":
+            self.delayed_launches.append(name)
+        elif self.handover_phase == "handed" and self._is_keyed(run.stage):
+            self._forward_unstarted(name)
         else:
             super().launch(name, run)
 
-    def _pass_on(self, name: str) -> None:
-        """Forward what was not started here, and its repeats; its intent is told to be moot first."""
+    def _forward_unstarted(self, name: str) -> None:
+        """Forward a task that was not started here, and its repeats; its intent is reported as moot first."""
         run = self.runs[name]
         repeats = run.repeats
         run.repeats = []
-        number = self.handed_numbers.pop(name, None)
+        number = self.handed_over_numbers.pop(name, None)
         if number is not None:
             self.context.emit(ReportRunEnd(number, "moot", b""))
-        attempt = self.attempts.pop(name, None)  # so that its end here is no answer
+        attempt = self.attempts.pop(name, None)  # so that the end of the run sends no answer
         super().end_run(name, "moot", 0, b"")
         if attempt is not None:
             self.attempts[name] = attempt
@@ -294,16 +295,16 @@
                 self._forward(repeat, repeating)
 
     def _forward(self, name: str, attempt: Attempt) -> None:
-        attempt.policy_knows = False  # the policy here has nothing to do with it any more
+        attempt.policy_knows = False  # the local policy no longer handles this attempt
         if not self.has_successor:
-            self.decisions.abandon(name)  # nobody here knows whether it ran
+            self.decisions.abandon(name)  # whether it ran is unknown here
             return
         task, dedup_key = self.received[name]
         self.forwarded[name] = None
         stage = self.settings.stages[attempt.stage].name
         tenant = self.settings.tenants[task.tenant].name
-        whole = replace(task, id=attempt.id, duplicate_of=None, arrived_at=attempt.arrived_at)
-        self.context.emit(ForwardTask(name, whole, stage, tenant, dedup_key, attempt.body))
+        forwarded_task = replace(task, id=attempt.id, duplicate_of=None, arrived_at=attempt.arrived_at)
+        self.context.emit(ForwardTask(name, forwarded_task, stage, tenant, dedup_key, attempt.body))
 
     def _on_forwarded_answered(self, event: ForwardedAnswered) -> None:
         self.forwarded.pop(event.name, None)
@@ -314,24 +315,26 @@
             self.context.emit(answer)
 
     def end_run(self, name: str, outcome: RunOutcome, duration: int, result: bytes | memoryview) -> None:
-        """Note that a run is over; the successor writes down how, if it is in the ledger."""
-        number = self.handed_numbers.pop(name, None)
+        """End a run; report the outcome of an effect of the ledger to the successor, which records it."""
+        number = self.handed_over_numbers.pop(name, None)
         if number is not None:
             self.context.emit(ReportRunEnd(number, outcome, bytes(result)))
         super().end_run(name, outcome, duration, result)
 
-    # ---- tasks, on both sides
+    # ---- tasks on both sides
 
     def _on_task(self, event: TaskReceived) -> None:
         if event.task.id in self.hosted_runs:
             self.connections.message_received(event.connection)
-            self._answer_misunderstood(event.connection, event.seq, None, "this try is in hand already")
+            self._answer_misunderstood(
+                event.connection, event.seq, None, "this attempt is already in progress"
+            )
         else:
             super()._on_task(event)
 
     def _admit(self, event: TaskReceived, connection: Connection) -> str:
         name = super()._admit(event, connection)
-        if self.handover_stage == "handed":
+        if self.handover_phase == "handed":
             self.policy_host.pending.pop()
             attempt = self.attempts[name]
             pending_keys = self.policy_host.pending_keys
@@ -355,7 +358,7 @@
     def _on_hosted_run_started(self, event: HostedRunStarted) -> None:
         if event.attempt_id in self.at_agent or event.attempt_id in self.by_id:
             self.context.emit(RelayAgentEvent(CommandDeclined("start", event.attempt_id)))
-        elif self.session.linked:  # else the predecessor learns of the link, and says it again
+        elif self.session.linked:  # otherwise the predecessor repeats the request once the agent is linked
             self.hosted_runs[event.attempt_id] = None
             self.context.emit(StartRun(event.attempt_id, event.stage, event.body))
 
@@ -368,22 +371,24 @@
             self.context.emit(MeasureGauges(PREDECESSOR_TAG + event.tag))
 
     def _on_predecessor_run_ended(self, event: PredecessorRunEnded) -> None:
-        """End the run here too; the agent may have said so already."""
+        """End the run here too, unless the agent has already reported its end."""
         name = self.effect_names.get(event.number)
         if name is not None and name in self.unsettled:
             self.end_run(name, event.outcome, 0, event.result)
 
     def _on_task_forwarded(self, event: TaskForwarded) -> None:
-        if PREDECESSOR not in self.connections.by_number:
-            self.connections.admit(PREDECESSOR)
-        self._on_task(TaskReceived(PREDECESSOR, event.seq, event.task, event.dedup_key, event.body))
+        if PREDECESSOR_CONNECTION not in self.connections.by_number:
+            self.connections.admit(PREDECESSOR_CONNECTION)
+        self._on_task(
+            TaskReceived(PREDECESSOR_CONNECTION, event.seq, event.task, event.dedup_key, event.body)
+        )
 
     def _on_predecessor_gone(self, event: PredecessorGone) -> None:
-        """Await what it vouched for and has not ended as after any restart."""
+        """Await the ends of the predecessor's remaining runs in the same way as after a restart."""
         self.has_predecessor = False
         self.hosted_runs.clear()
-        if PREDECESSOR in self.connections.by_number:
-            self.connections.end(PREDECESSOR, "the elder is gone")
+        if PREDECESSOR_CONNECTION in self.connections.by_number:
+            self.connections.end(PREDECESSOR_CONNECTION, "the predecessor is gone")
         if self.session.is_settled:
             self._restart_runs(0)
 
@@ -393,7 +398,7 @@
         else:
             super()._restart_runs(mark)
 
-    # ---- the agent, for the predecessor too
+    # ---- agent events, relayed to the predecessor
 
     def _on_agent_greeted(self, event: AgentGreeted) -> None:
         super()._on_agent_greeted(event)
--- a/thistleline/handover/takeover.py
+++ b/thistleline/handover/takeover.py
@@ -1,4 +1,4 @@
-"""How a server takes over, before it serves: from the one that runs on its machine, or from the folder."""
+"""The takeover before a server serves: from the running server, or from the ledger's folder."""
 
 import socket
 import time
@@ -24,34 +24,34 @@
 from thistleline.store.frames import CorruptFrameError
 from thistleline.transport.codec import ProtocolError
 
-# Seconds.
-RETRY_DELAY = 0.2  # after a postponement, before the successor asks again
-LEDGER_TIMEOUT = 3.0  # in which the ledger of a server that has just died comes free
+# Durations in seconds.
+RETRY_DELAY = 0.2  # after a postponement, before the next request
+LEDGER_TIMEOUT = 3.0  # maximum wait for the ledger's lock, which a server that has just died may still hold
 LEDGER_RETRY_DELAY = 0.02
-RESUME_TIMEOUT = 1.0  # for the answer of one that handed over to a server that is gone
+RESUME_TIMEOUT = 1.0  # for the answer of a server whose successor is gone
 
-SOCKET_NAME = "heir.sock"  # where the server that serves awaits its successor
-HANDED_SOCKET_NAMES = "elder-*.sock"  # of servers that have handed over and are not gone
+SOCKET_NAME = "heir.sock"  # where the serving process listens for its successor
+HANDED_OVER_SOCKET_PATTERN = "elder-*.sock"  # of servers that have handed over and still run
 
 
 class Takeover:
     """One takeover.
 
     Attributes:
-        predecessor: The channel to it, None where there is none.
-        grant: What it handed over.
+        predecessor: The channel to the predecessor; None if there is none.
+        grant: The predecessor's grant; None before the handover or without a predecessor.
     """
 
     def __init__(
         self, folder: Path, store: LedgerStore, ledger: LedgerState, log: Callable[..., None]
     ) -> None:
-        """Begin without a predecessor.
+        """Create a takeover that has no predecessor yet.
 
         Args:
-            folder: Where servers of this machine find each other.
+            folder: The handover folder, which the servers of this machine share.
             store: Reads the ledger.
-            ledger: Takes what is read.
-            log: Takes an event and its facts.
+            ledger: The ledger that the records are merged into.
+            log: Logs an event with its fields.
         """
         self.predecessor: HandoverChannel | None = None
         self.grant: Grant | None = None
@@ -59,38 +59,38 @@
         self._store = store
         self._ledger = ledger
         self._log = log
-        self._read_positions: dict[int, int] = {}  # how far each segment of the ledger was read
+        self._read_positions: dict[int, int] = {}  # offset of the first unread byte by segment
 
     async def run(self) -> socket.socket | None:
-        """Follow the server that runs here, or begin where none does; the ledger is had then.
+        """Take over from the running server, or start without one; afterwards the ledger is locked.
 
         Returns:
-            The listening socket, where it was handed over.
+            The listening socket, if it was handed over.
 
         Raises:
-            ConfigurationError: The server that runs does not hand over, or the ledger can't be had.
+            ConfigurationError: The running server refuses the handover, or the ledger can't be locked.
         """
         self._folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         listener: socket.socket | None = None
         failure: ConfigurationError | None = None
         async with anyio.create_task_group() as group:
             try:
-                sock = channels.reach(self._folder / SOCKET_NAME)
+                sock = channels.connect(self._folder / SOCKET_NAME)
                 if sock is not None:
-                    listener = await self._follow(HandoverChannel(sock, group))
+                    listener = await self._take_over(HandoverChannel(sock, group))
                 if self.grant is None:
-                    await self._begin(group)
+                    await self._start_without_running_server(group)
             except ConfigurationError as error:
                 failure = error
         if failure is not None:
             raise failure
         return listener
 
-    def read_rest(self) -> list[RecoveredEffect]:
-        """Read the rest of the ledger, which nobody else writes any more; blocks.
+    def read_remaining(self) -> list[RecoveredEffect]:
+        """Read the remaining records of the ledger, which no other process writes any more; blocks.
 
         Returns:
-            The effects that still matter.
+            The unexpired effects.
 
         Raises:
             ConfigurationError: The ledger can't be read.
@@ -101,20 +101,20 @@
             raise ConfigurationError(f"the ledger can't be read: {error}") from error
         return list(self._ledger.recovered_effects())
 
-    # ---- from the server that runs
+    # ---- from a running server
 
-    async def _follow(self, channel: HandoverChannel) -> socket.socket | None:
-        """Read what it will have, and ask for it; return the listening socket where that goes over.
+    async def _take_over(self, channel: HandoverChannel) -> socket.socket | None:
+        """Read the ledger and request the handover; return the listening socket if it is handed over.
 
-        Nothing is inherited where the predecessor died before it handed over.
+        If the predecessor dies before the handover, nothing is inherited.
 
         Raises:
-            ConfigurationError: The predecessor refuses, or can't be understood.
+            ConfigurationError: The predecessor refuses, or sends an invalid message.
         """
         try:
             message = await self._request_handover(channel)
         except (ProtocolError, msgspec.MsgspecError) as error:
-            raise ConfigurationError(f"the server that runs here can't be understood: {error}") from error
+            raise ConfigurationError(f"invalid message from the running server: {error}") from error
         if not isinstance(message, Grant):
             channel.close()
             return None
@@ -123,27 +123,27 @@
         return self._take_descriptors(channel, message)
 
     async def _request_handover(self, channel: HandoverChannel) -> Message | None:
-        """Ask until the predecessor hands over; return its last message."""
+        """Request the handover until the predecessor does not postpone it; return its last message."""
         channel.send(Hello(ledger_versions=ledger_format.READABLE_VERSIONS))
         message = await channel.receive()
         if isinstance(message, Refused):
-            raise ConfigurationError(f"the server that runs here does not hand over: {message.reason}")
+            raise ConfigurationError(f"the running server refused the handover: {message.reason}")
         while isinstance(message, Welcome | Postponed):
             if isinstance(message, Postponed):
                 self._log("succession", state="later", why=message.reason)
                 await anyio.sleep(RETRY_DELAY)
-            await anyio.to_thread.run_sync(self._read_some)
+            await anyio.to_thread.run_sync(self._read_appended)
             channel.send(Ready())
             message = await channel.receive()
         return message
 
-    def _read_some(self) -> None:
-        """Read what the predecessor has written to the ledger since the last time."""
+    def _read_appended(self) -> None:
+        """Read the records that the predecessor has appended to the ledger since the last call."""
         with suppress(OSError):
             self._store.read_appended(self._ledger, self._read_positions, False, boot_now())
 
     def _take_descriptors(self, channel: HandoverChannel, grant: Grant) -> socket.socket | None:
-        """Take the ledger's lock and the listening socket, where they came with the grant."""
+        """Take the ledger's lock and the listening socket if they are attached to the grant."""
         descriptors = list(channel.descriptors)
         channel.descriptors.clear()
         if grant.has_lock:
@@ -154,17 +154,17 @@
         listener.setblocking(False)
         return listener
 
-    # ---- from the folder
+    # ---- from the ledger's folder
 
-    async def _begin(self, group: TaskGroup) -> None:
-        """Begin with nobody to follow, but for one that handed over to a server that is gone.
+    async def _start_without_running_server(self, group: TaskGroup) -> None:
+        """Lock the ledger, and resume the handover of a server whose successor is gone, if there is one.
 
         Raises:
-            ConfigurationError: The ledger can't be had.
+            ConfigurationError: The ledger can't be locked.
         """
-        await self._hold_ledger()
-        for path in sorted(self._folder.glob(HANDED_SOCKET_NAMES)):
-            sock = channels.reach(path)
+        await self._lock_ledger()
+        for path in sorted(self._folder.glob(HANDED_OVER_SOCKET_PATTERN)):
+            sock = channels.connect(path)
             if sock is None:
                 path.unlink(missing_ok=True)
                 continue
@@ -176,19 +176,19 @@
             else:
                 channel.close()
 
-    async def _hold_ledger(self) -> None:
-        give_up_at = time.monotonic() + LEDGER_TIMEOUT
+    async def _lock_ledger(self) -> None:
+        deadline = time.monotonic() + LEDGER_TIMEOUT
         while True:
             try:
                 hold(self._store.disk)
                 return
             except ConfigurationError:
-                if time.monotonic() > give_up_at:
+                if time.monotonic() > deadline:
                     raise
             await anyio.sleep(LEDGER_RETRY_DELAY)
 
     async def _resume(self, channel: HandoverChannel) -> Message | None:
-        """Ask one that has handed over before for what is left; return its last message."""
+        """Request another grant from a server that has already handed over; return its last message."""
         channel.send(Hello(ledger_versions=ledger_format.READABLE_VERSIONS))
         message: Message | None = None
         with suppress(ProtocolError, msgspec.MsgspecError), anyio.move_on_after(RESUME_TIMEOUT):
--- a/thistleline/lab/processes/faulty_server.py
+++ b/thistleline/lab/processes/faulty_server.py
@@ -137,7 +137,7 @@
     from thistleline.state.state_machine import ServerStateMachine
 
     def launch(self: HandoverStateMachine, task: str, run: Any) -> None:
-        if self.handover_stage == "handed":
+        if self.handover_phase == "handed":
             ServerStateMachine.launch(self, task, run)
         else:
             had(self, task, run)
--- a/thistleline/lab/simulation/handover_world.py
+++ b/thistleline/lab/simulation/handover_world.py
@@ -35,7 +35,7 @@
     TaskForwarded,
 )
 from thistleline.handover.relay import ANSWER_KINDS
-from thistleline.handover.state_machine import PREDECESSOR, HandoverStateMachine
+from thistleline.handover.state_machine import PREDECESSOR_CONNECTION, HandoverStateMachine
 from thistleline.interface import Task
 from thistleline.lab.ledger import SETTINGS
 from thistleline.ledger.records import LedgerWrite
@@ -151,7 +151,7 @@
     def carry_out(self, life: Life, effect: Any) -> None:
         match effect:
             case AnswerFinished() | AnswerRejected() | AnswerAbandoned() | AnswerMisunderstood():
-                if effect.connection == PREDECESSOR:
+                if effect.connection == PREDECESSOR_CONNECTION:
                     self.say(life, life.elder, ForwardedAnswered(str(effect.seq), effect))
                 else:
                     self.answered(life, effect)
@@ -262,7 +262,7 @@
         before = [one for one in self.lives if one.alive]
         self.lives.append(life)
         sole = next((one for one in before if one.serves and one.to_farm and one.heir is None), None)
-        if sole is not None and sole.machine.handover_stage == "sole":
+        if sole is not None and sole.machine.handover_phase == "sole":
             sole.heir, life.elder = life, sole
             if self.stale:
                 self.recover(life)
@@ -277,13 +277,13 @@
         if self.stale and life.machine.attempts_made:
             self.die(life)
             return
-        if any(one.alive and one.serves and one.machine.handover_stage != "handed" for one in self.lives):
+        if any(one.alive and one.serves and one.machine.handover_phase != "handed" for one in self.lives):
             self.figures["no place"] += 1
             self.die(life)
             return
         self.recover(life)
         for other in self.lives:
-            if other.alive and other is not life and other.machine.handover_stage == "handed":
+            if other.alive and other is not life and other.machine.handover_phase == "handed":
                 other.heir, life.elder = life, other
                 other.to_farm = False
                 if self.link is other:
