--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -190,7 +190,7 @@
         second = servers.start({})
         assert await servers.wait_for_exit(second, 10)
         assert servers.processes[second].returncode == 2
-        assert b"another one follows already" in (tmp_path / "2.log").read_bytes()
+        assert b"another successor is already connected" in (tmp_path / "2.log").read_bytes()
         # An invalid message ends only the channel on which it is received.
         channel.sock.send(b"\0\0\0\x02\xff\xff")
         assert await channel.receive() is None
--- a/thistleline/handover/service.py
+++ b/thistleline/handover/service.py
@@ -322,7 +322,7 @@
                 f"the ledger has format version {written}, the successor reads {list(hello.ledger_versions)}"
             )
         elif self._successor is not None:
-            refusal = "another one follows already"
+            refusal = "another successor is already connected"
         if refusal:
             channel.send(Refused(refusal))
             return False
