--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -256,7 +256,7 @@
 
 
 def test_a_feed_archive_of_another_kind_is_not_loaded(tmp_path: Path) -> None:
-    """An archive of kind "wide" does not load the keeper's archive, which is of kind "all"."""
+    """An archive of an instance (kind "wide") does not load the archive of a keeper (kind "all")."""
     archive = Archive(Disk(copied_fixture(tmp_path, "feed_archive"), "feed"), "wide")
     assert archive.recover() is None
     assert archive.recovery_failure == "000000000001.feed is no archive of form 1 and kind wide"
