--- a/thistleline/consensus/__init__.py
+++ b/thistleline/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Raft: a few replicas agree on one log, though some of them are killed, paused or cut off."""
+"""Raft consensus: replicas agree on one log while a minority of them is crashed, paused or partitioned."""
--- a/thistleline/consensus/effects.py
+++ b/thistleline/consensus/effects.py
@@ -1,4 +1,4 @@
-"""Effects that a replica asks its surroundings to carry out."""
+"""Effects that a replica asks its caller to carry out."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -18,14 +18,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteRecords:
-    """Write a batch to disk and answer with WriteCompleted or WriteFailed; one is outstanding at a time."""
+    """Write a batch to disk and report WriteCompleted or WriteFailed; at most one batch is outstanding."""
 
     batch: WriteBatch
 
 
 @dataclass(frozen=True, slots=True)
 class ProposalApplied:
-    """A proposal or membership change was committed; `answer` is the state machine's."""
+    """A proposal or membership change was committed; `answer` comes from the state machine."""
 
     ticket: Any
     answer: Any
@@ -35,8 +35,8 @@
 class ReadReady:
     """The state machine may be read for `ticket`.
 
-    All that stood in the log as the read was requested is applied, and a majority has confirmed since then
-    that it follows no other leader.
+    All entries that were in the log when the read was requested are applied, and since then a majority has
+    confirmed that it follows no other leader.
     """
 
     ticket: Any
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestRefused:
-    """A request was given up; what becomes of it is unknown. `leader` is the id of the leader, if known."""
+    """A request was refused or dropped; its outcome is unknown. `leader` is the leader's id, if known."""
 
     ticket: Any
     reason: str
--- a/thistleline/consensus/elections.py
+++ b/thistleline/consensus/elections.py
@@ -1,4 +1,4 @@
-"""Elections: pre-votes, votes, and how they are granted.
+"""Leader election with pre-votes.
 
 Source: Raft, section 5.2; pre-vote: Ongaro's dissertation, section 9.6.
 """
@@ -11,7 +11,7 @@
 
 
 class Elections:
-    """Stands as a candidate and votes for others.
+    """Runs this replica's elections and votes on those of others.
 
     Attributes:
         state: State of the replica.
@@ -21,7 +21,7 @@
     __slots__ = ("state", "votes")
 
     def __init__(self, state: ReplicaState) -> None:
-        """Create it without votes."""
+        """Create an instance without votes."""
         self.state = state
         self.votes: set[str] = set()
 
@@ -38,7 +38,7 @@
     # ---- as a candidate
 
     def start_pre_vote(self) -> None:
-        """Ask first whether votes would be granted; prevents terms that grow for nothing."""
+        """Ask whether votes would be granted, so that elections that can't be won don't raise the term."""
         state = self.state
         state.phase = Phase.PRE_CANDIDATE
         state.leader = ""
@@ -51,7 +51,7 @@
             state.send(member, request)
 
     def start_election(self) -> None:
-        """Enter a new term as a candidate; its own vote counts once it is durable."""
+        """Enter a new term as a candidate; the replica's own vote counts once it is durable."""
         state = self.state
         state.phase = Phase.CANDIDATE
         self.votes = set()
@@ -88,9 +88,10 @@
     # ---- as a voter
 
     def follows_leader(self) -> bool:
-        """Return whether this replica leads, or had contact to its leader within the election timeout.
+        """Return whether this replica leads, or had contact with its leader within the election timeout.
 
-        Such a replica grants no votes, which protects a leader from a replica that it alone does not reach.
+        Such a replica grants no votes. This protects a leader from the elections of a replica that only the
+        leader can't reach.
         """
         state = self.state
         if state.phase is Phase.LEADER:
@@ -98,7 +99,7 @@
         return bool(state.leader) and state.now - state.leader_contact_at < state.timing.election_timeout
 
     def answer_pre_vote(self, candidate: str, request: VoteRequest) -> None:
-        """Tell whether a vote would be granted."""
+        """Answer whether a vote would be granted."""
         state = self.state
         granted = request.term > state.term and not self.follows_leader() and self._accepts_log(request)
         state.send(candidate, VoteResponse(state.term, request.term, True, granted))
--- a/thistleline/consensus/events.py
+++ b/thistleline/consensus/events.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """Another replica's message arrived."""
+    """A message of another replica arrived."""
 
     sender: str
     message: Message
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteFailed:
-    """The outstanding write batch failed; what is on disk is unknown."""
+    """The outstanding write batch failed; whether it is on disk is unknown."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class FormCluster:
-    """An operator makes an empty replica a first member of a new cluster."""
+    """An operator makes an empty replica an initial member of a new cluster."""
 
     cluster_id: str
     members: Members
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """Clients propose commands: pairs of a ticket, which answers name, and the encoded command."""
+    """Clients propose commands: pairs of a ticket, which identifies the answer, and the encoded command."""
 
     proposals: tuple[tuple[Any, bytes], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class RequestRead:
-    """Clients want to read the state machine, linearizably; one ticket each."""
+    """Clients request linearizable reads of the state machine; one ticket for each read."""
 
     tickets: tuple[Any, ...]
 
--- a/thistleline/consensus/follower.py
+++ b/thistleline/consensus/follower.py
@@ -1,4 +1,4 @@
-"""What a follower does with its leader's log entries and snapshots (Raft, sections 5.3 and 7)."""
+"""A follower's handling of log entries and snapshots from its leader (Raft, sections 5.3 and 7)."""
 
 from thistleline.consensus.messages import AppendRequest, AppendResponse, InstallSnapshot
 from thistleline.consensus.records import EntriesRecord, VoteRecord
@@ -11,7 +11,7 @@
         return AppendResponse(state.term, False, -1, 0)
     log = state.log
     known_term = log.term_at(request.prev_log_index)
-    # -1: the index is covered by the snapshot, where committed entries always match.
+    # -1: the snapshot covers the index; the entries there are committed and therefore match.
     if request.prev_log_index > log.last_index or known_term not in (request.prev_log_term, -1):
         return AppendResponse(state.term, False, _match_hint(state, request), request.round)
     _merge_entries(state, request)
@@ -19,7 +19,7 @@
 
 
 def _match_hint(state: ReplicaState, request: AppendRequest) -> int:
-    """Return the highest index where the logs may match; passes over a whole term that the leader lacks."""
+    """Return the highest index where the logs may match, skipping all entries of the conflicting term."""
     log = state.log
     hint = min(request.prev_log_index - 1, log.last_index)
     conflicting_term = log.term_at(hint + 1)
@@ -29,25 +29,25 @@
 
 
 def _merge_entries(state: ReplicaState, request: AppendRequest) -> None:
-    """Append the entries that the log lacks, from the first conflicting one on."""
+    """Append the entries that the log lacks; the first conflicting one replaces the rest of the log."""
     log = state.log
     for offset, entry in enumerate(request.entries):
         index = request.prev_log_index + offset + 1
         if index <= log.snapshot_index or log.term_at(index) == entry.term:
             continue
         if index <= log.last_index:
-            assert index > state.commit_index, "a leader would replace what was decided"
+            assert index > state.commit_index, "a leader's entry conflicts with a committed entry"
             log.truncate(index)
             state.durable_index = min(state.durable_index, index - 1)
         new_entries = request.entries[offset:]
         for new_entry in new_entries:
             log.append(new_entry)
-        state.note(EntriesRecord(index, new_entries))
+        state.queue_record(EntriesRecord(index, new_entries))
         return
 
 
 def accept_snapshot(state: ReplicaState, sender: str, request: InstallSnapshot) -> AppendResponse:
-    """Replace log and state machine by a leader's snapshot, if that is ahead, and return the response."""
+    """Install a leader's snapshot if it is ahead of the commit index, and return the response."""
     if state.phase is Phase.UNFORMED:
         state.phase = Phase.FOLLOWER
         state.leader = sender
@@ -67,5 +67,5 @@
     state.last_applied = index
     state.durable_index = min(state.durable_index, state.log.last_index)
     state.writes.new_segment = True
-    state.note(VoteRecord(state.term, state.voted_for))
+    state.queue_record(VoteRecord(state.term, state.voted_for))
     state.log_event("installed", index=index)
--- a/thistleline/consensus/log.py
+++ b/thistleline/consensus/log.py
@@ -1,10 +1,10 @@
-"""The replicated log in memory: the entries after a snapshot, which stands for all before them."""
+"""The replicated log in memory: a snapshot position and the entries after it."""
 
 from thistleline.consensus.messages import Entry, Members, decode_members
 
 
 class Log:
-    """Log entries after `snapshot_index`, with the memberships that they set.
+    """Log entries after `snapshot_index`, and the membership changes among them.
 
     Attributes:
         snapshot_index: Last index covered by the snapshot.
@@ -28,7 +28,7 @@
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry; that of the snapshot if there is none."""
+        """Index of the last entry; the snapshot's index if there are no entries."""
         return self.snapshot_index + len(self.entries)
 
     @property
@@ -37,7 +37,7 @@
         return self.entries[-1].term if self.entries else self.snapshot_term
 
     def term_at(self, index: int) -> int:
-        """Return the term of an index, or -1 where the log does not know it."""
+        """Return the term of an index, or -1 if the index is compacted or beyond the end of the log."""
         if index == self.snapshot_index:
             return self.snapshot_term
         offset = index - self.snapshot_index - 1
@@ -48,7 +48,7 @@
         return self.entries[index - self.snapshot_index - 1]
 
     def slice(self, first_index: int, max_entries: int, max_bytes: int) -> tuple[Entry, ...]:
-        """Return entries from `first_index` on within both limits, but one at least if there is any."""
+        """Return entries from `first_index` on, up to both limits, but at least one if there is one."""
         found: list[Entry] = []
         bytes_left = max_bytes
         offset = first_index - self.snapshot_index - 1
@@ -87,7 +87,7 @@
         return self.snapshot_members
 
     def compact(self, index: int, term: int, members: Members) -> None:
-        """Replace all up to `index` by a snapshot; drop everything if the log has another term there."""
+        """Replace all entries up to `index` by a snapshot; drop the whole log if its term there differs."""
         if self.term_at(index) == term:
             del self.entries[: index - self.snapshot_index]
         else:
@@ -95,7 +95,9 @@
         self.snapshot_index = index
         self.snapshot_term = term
         self.snapshot_members = members
-        self.member_changes = [one for one in self.member_changes if index < one[0] <= self.last_index]
+        self.member_changes = [
+            change for change in self.member_changes if index < change[0] <= self.last_index
+        ]
         self.size = sum(len(entry.data) for entry in self.entries)
 
     def copy(self) -> "Log":
--- a/thistleline/consensus/membership.py
+++ b/thistleline/consensus/membership.py
@@ -1,4 +1,4 @@
-"""Changes of the cluster's members, one at a time (Ongaro's dissertation, chapter 4)."""
+"""Single-server membership changes (Ongaro's dissertation, chapter 4)."""
 
 from typing import Any, Literal
 
@@ -8,25 +8,25 @@
 from thistleline.consensus.state import JoiningMember, ReplicaState
 
 SECOND = 1_000_000_000  # ns
-JOIN_TIMEOUT = 30 * SECOND  # ns until a replica that joins has to have caught up
+JOIN_TIMEOUT = 30 * SECOND  # ns for a joining replica to catch up
 
 
 class MembershipChanges:
     """Adds and removes members on the leader.
 
-    One change at a time, so that every two majorities share a member. None before this leader has committed
-    an entry of its term, lest two leaders each know of another change that is uncommitted.
+    One change at a time, so that any two majorities share a member. No change starts before this leader has
+    committed an entry of its term: otherwise two leaders could each have a different uncommitted change.
 
     Attributes:
         state: State of the replica.
         replication: Replicates the changes.
-        change_ticket: Ticket of the change that is in the log and not committed; None if there is none.
+        change_ticket: Ticket of the change that is in the log but not committed; None if there is none.
     """
 
     __slots__ = ("change_ticket", "replication", "state")
 
     def __init__(self, state: ReplicaState, replication: Replication) -> None:
-        """Create it without a pending change."""
+        """Create an instance without a pending change."""
         self.state = state
         self.replication = replication
         self.change_ticket: Any = None
@@ -38,7 +38,7 @@
         return copied
 
     def clear(self) -> list[Any]:
-        """Give up the pending change and return the tickets that wait for it."""
+        """Drop the pending change and return the tickets that wait for it."""
         tickets = []
         if self.state.joining is not None:
             tickets.append(self.state.joining.ticket)
@@ -49,24 +49,28 @@
         return tickets
 
     def change(self, ticket: Any, change: Literal["add", "remove"], member: Member) -> bool:
-        """Begin a change; return whether it was appended to the log."""
+        """Start a change; return whether it was appended to the log."""
         state = self.state
-        if not self._may_change():
-            state.refuse(ticket, "another change is under way", state.id)
+        if not self._can_change():
+            state.refuse(
+                ticket,
+                "another change is pending, or this leader has committed nothing in its term",
+                state.id,
+            )
         elif (change == "add") == state.is_member(member.id):
             state.effects.append(ProposalApplied(ticket, "unchanged"))
         elif change == "add":
             state.joining = JoiningMember(member, ticket, state.now + JOIN_TIMEOUT)
             self.replication.begin_join(member.id)
         elif len(state.members) == 1:
-            state.refuse(ticket, "the last voter stays", state.id)
+            state.refuse(ticket, "the last member can't be removed", state.id)
         else:
-            rest = tuple(one for one in state.members if one.id != member.id)
+            rest = tuple(other for other in state.members if other.id != member.id)
             self._append_members(ticket, rest)
             return True
         return False
 
-    def _may_change(self) -> bool:
+    def _can_change(self) -> bool:
         state = self.state
         changes = state.log.member_changes
         if state.joining is not None or (changes and changes[-1][0] > state.commit_index):
@@ -80,7 +84,7 @@
         self.replication.send_heartbeats()
 
     def finish_join(self) -> bool:
-        """Make a replica that has caught up a member; return whether that was appended to the log."""
+        """Add a joining replica that has caught up; return whether the change was appended to the log."""
         state = self.state
         joining = state.joining
         if joining is None:
@@ -88,23 +92,23 @@
         if self.replication.peers[joining.member.id].match_index < state.commit_index:
             return False
         state.joining = None
-        others = [one for one in state.members if one.address != joining.member.address]
+        others = [other for other in state.members if other.address != joining.member.address]
         if len(others) < len(state.members):
-            state.refuse(joining.ticket, "a voter of that address is to be removed first", state.id)
+            state.refuse(joining.ticket, "the member with this address must be removed first", state.id)
             return False
         self._append_members(joining.ticket, tuple(sorted((*others, joining.member))))
         return True
 
     def expire_join(self) -> None:
-        """Give up a joining replica that did not catch up in time."""
+        """Drop a joining replica that did not catch up in time."""
         state = self.state
         joining = state.joining
         if joining is not None and state.now >= joining.deadline:
-            state.refuse(joining.ticket, "it did not catch up in time", state.id)
+            state.refuse(joining.ticket, "the joining replica did not catch up in time", state.id)
             state.joining = None
 
     def finish_change(self) -> None:
-        """Answer the change that was committed and forget removed peers."""
+        """Answer the committed change and forget removed peers."""
         if self.change_ticket is not None:
             self.state.effects.append(ProposalApplied(self.change_ticket, "changed"))
             self.change_ticket = None
--- a/thistleline/consensus/messages.py
+++ b/thistleline/consensus/messages.py
@@ -4,8 +4,8 @@
 pre-votes, read index and single-server membership changes (Ongaro's dissertation, 2014). All structs are
 frozen, so that they can be compared and hashed.
 
-Tags and encoded field names are wire and storage format. Where they differ from the names used here, `tag`
-and `rename` say so.
+Tags and encoded field names are the wire and storage format. Where they differ from the names used here,
+`tag` and `rename` map them.
 """
 
 from typing import Literal
@@ -32,8 +32,8 @@
     """A voting member of the cluster.
 
     Attributes:
-        id: Identifies one disk. A replica that lost its disk comes back under another id.
-        address: Where the replica listens.
+        id: Identifies the replica and its disk. A replica that lost its disk rejoins under a new id.
+        address: Address that the replica listens on.
     """
 
     id: str
@@ -52,10 +52,10 @@
     """Asks for a vote in `term`.
 
     Attributes:
-        term: Term that the candidate stands in, or would stand in.
+        term: Term of the election; for a pre-vote, the term that the election would have.
         last_log_index: Index of the candidate's last log entry.
         last_log_term: Term of the candidate's last log entry.
-        pre_vote: Only asks whether a vote would be granted; changes no state.
+        pre_vote: Whether this only asks if a vote would be granted, without changing any state.
     """
 
     term: int
@@ -91,13 +91,13 @@
     tag="append",
     rename={"prev_log_index": "prior", "prev_log_term": "prior_term", "leader_commit": "committed"},
 ):
-    """Replicates entries, and is the leader's heartbeat.
+    """Replicates log entries; also serves as the leader's heartbeat.
 
     Attributes:
         term: Leader's term.
         prev_log_index: Index of the entry before `entries`.
         prev_log_term: Term of that entry.
-        entries: New entries; empty for a heartbeat alone.
+        entries: New entries; empty for a bare heartbeat.
         leader_commit: Leader's commit index.
         round: Number of the heartbeat round, confirmed by the response.
     """
@@ -116,7 +116,7 @@
     tag="install",
     rename={"cluster_id": "council", "last_included_index": "index", "last_included_term": "index_term"},
 ):
-    """Sends the whole state to a replica whose log ends before the leader's log begins.
+    """Sends a snapshot to a replica that lacks entries which the leader has already compacted.
 
     Attributes:
         term: Leader's term.
@@ -143,8 +143,8 @@
     Attributes:
         term: Current term of the replica.
         success: Whether the log matches the leader's up to `index` and is durable there.
-        index: On success the matching index. Else the highest index where the logs may match; below 0 if the
-            replica is empty and needs a snapshot.
+        index: On success, the highest matching index. Otherwise, the highest index where the logs may match;
+            negative if the replica is empty and needs a snapshot.
         round: Heartbeat round of the request.
     """
 
--- a/thistleline/consensus/persistence.py
+++ b/thistleline/consensus/persistence.py
@@ -4,21 +4,24 @@
 from thistleline.consensus.records import EntriesRecord, Record, SnapshotRecord
 from thistleline.consensus.state import ReplicaState
 
-MAX_LOG_SIZE = 4 << 20  # bytes of a log; past it the log is compacted into a snapshot
-ENTRY_COST = 48  # bytes that an entry counts for besides its data
+MAX_LOG_SIZE = 4 << 20  # bytes; a larger log is compacted into a snapshot
+ENTRY_OVERHEAD = 48  # bytes that each entry adds to the log size besides its data
 
 
 def start_write(state: ReplicaState) -> None:
-    """Write what is pending, if no write is outstanding and none waits for its retry."""
+    """Write the pending records, unless a write is outstanding or waits for its retry."""
     writes = state.writes
     if not writes.is_ready(state.now):
         return
     log = state.log
-    if state.last_applied > log.snapshot_index and log.size + ENTRY_COST * len(log.entries) > MAX_LOG_SIZE:
+    if (
+        state.last_applied > log.snapshot_index
+        and log.size + ENTRY_OVERHEAD * len(log.entries) > MAX_LOG_SIZE
+    ):
         writes.new_segment = True
     if writes.new_segment:
         _compact_log(state)
-        records = _whole_state(state)
+        records = _full_state_records(state)
     else:
         records = tuple(writes.pending)
     state.effects.append(WriteRecords(writes.start(records)))
@@ -33,8 +36,8 @@
         log.compact(index, log.term_at(index), log.members_at(index))
 
 
-def _whole_state(state: ReplicaState) -> tuple[Record, ...]:
-    """Return the records that begin a new segment."""
+def _full_state_records(state: ReplicaState) -> tuple[Record, ...]:
+    """Return the records of the whole state, with which a new segment begins."""
     log = state.log
     snapshot = SnapshotRecord(
         id=state.id,
@@ -52,7 +55,7 @@
 
 
 def finish_write(state: ReplicaState) -> None:
-    """Note that the outstanding batch is durable and emit the effects that waited for it."""
+    """Mark the outstanding batch as durable and emit the effects that were deferred until then."""
     writes = state.writes
     batch = writes.complete()
     if writes.failing:
@@ -69,12 +72,12 @@
         state.durable_index = max(state.durable_index, record.last_included_index)
     elif isinstance(record, EntriesRecord) and record.entries:
         last_index = record.first_index + len(record.entries) - 1
-        # The entries may have been replaced by another leader's while they were written.
+        # Another leader's entries may have replaced these while they were being written.
         if state.log.term_at(last_index) == record.entries[-1].term:
             state.durable_index = max(state.durable_index, last_index)
 
 
 def fail_write(state: ReplicaState, reason: str) -> None:
-    """Note that the outstanding batch failed; everything is written to a new segment later."""
+    """Mark the outstanding batch as failed; the retry writes the whole state to a new segment."""
     state.writes.fail(state.now)
     state.log_event("disk", state="failing", why=reason)
--- a/thistleline/consensus/reads.py
+++ b/thistleline/consensus/reads.py
@@ -1,7 +1,7 @@
 """Linearizable reads by read index (Ongaro's dissertation, section 6.4).
 
-A read is answered by what a majority confirms after it was requested. The leader's clock alone proves
-nothing: it may have stood still while another leader was elected.
+A read is answered once a majority has confirmed the leader after the read was requested. The leader's clock
+alone does not prove leadership: the leader may have been paused while another one was elected.
 """
 
 from collections.abc import Iterable
@@ -20,7 +20,7 @@
 
 
 class Reads:
-    """Groups reads into heartbeat rounds, one outstanding round at a time.
+    """Batches reads into heartbeat rounds, with one outstanding round at a time.
 
     Attributes:
         state: State of the replica.
@@ -32,7 +32,7 @@
     __slots__ = ("in_round", "replication", "state", "waiting")
 
     def __init__(self, state: ReplicaState, replication: Replication) -> None:
-        """Create it without reads."""
+        """Create an instance without pending reads."""
         self.state = state
         self.replication = replication
         self.waiting: list[PendingRead] = []
@@ -50,7 +50,7 @@
         return tuple(self.waiting), tuple(self.in_round)
 
     def __len__(self) -> int:
-        """Return the number of reads that are not answered."""
+        """Return the number of unanswered reads."""
         return len(self.waiting) + len(self.in_round)
 
     def clear(self) -> list[Any]:
@@ -61,7 +61,7 @@
         return tickets
 
     def request(self, tickets: Iterable[Any]) -> None:
-        """Take in reads; each has to wait for all that stands in the log now, committed or not."""
+        """Add reads; each waits until all entries that are in the log now, committed or not, are applied."""
         index = self.state.log.last_index
         self.waiting += [PendingRead(index, ticket) for ticket in tickets]
         if self.waiting and not self.in_round:
@@ -72,10 +72,10 @@
         self.in_round = self.waiting
         self.waiting = []
         self.replication.send_heartbeats()
-        self.answer()  # a single member is its own majority
+        self.answer()  # in a cluster of one member, the leader alone is the majority
 
     def answer(self) -> None:
-        """Answer the reads of the outstanding round, if it is confirmed, as far as their index is applied."""
+        """Answer the reads of the outstanding round whose index is applied, if the round is confirmed."""
         if not self.in_round:
             return
         state = self.state
--- a/thistleline/consensus/records.py
+++ b/thistleline/consensus/records.py
@@ -1,6 +1,7 @@
-"""Records that a replica writes to disk, in the order of writing.
+"""Records that a replica writes to disk.
 
-As in `messages`, tags and encoded field names are the stored format; `tag` and `rename` keep them.
+As in `messages`, tags and encoded field names are the stored format. Where they differ from the names used
+here, `tag` and `rename` map them.
 """
 
 from typing import NamedTuple
@@ -21,10 +22,10 @@
         "last_included_term": "index_term",
     },
 ):
-    """Begins a segment; it replaces everything written before it.
+    """The first record of a segment; replaces everything written before it.
 
     Attributes:
-        id: Id of the replica.
+        id: Id of this replica.
         cluster_id: Id of the cluster; empty before the cluster is formed.
         term: Current term.
         voted_for: Candidate voted for in `term`; empty if none.
@@ -52,7 +53,7 @@
 
 
 class EntriesRecord(msgspec.Struct, frozen=True, tag="tail", rename={"first_index": "first"}):
-    """Log entries from `first_index` on; entries that stood there before are dropped."""
+    """Log entries from `first_index` on; they replace all earlier entries at and after that index."""
 
     first_index: int
     entries: tuple[Entry, ...]
@@ -66,7 +67,7 @@
 
     Attributes:
         new_segment: Whether the write begins a new segment; all older ones are removed once it is durable.
-        records: Records in order.
+        records: Records in the order in which they are replayed.
     """
 
     new_segment: bool
--- a/thistleline/consensus/replica.py
+++ b/thistleline/consensus/replica.py
@@ -1,15 +1,15 @@
 """A Raft replica as a pure state machine: events in, effects out. No I/O, no clock.
 
-docs/design/leases.md weighs the protocol. The parts that make it up each handle one concern:
+docs/design/leases.md discusses the choice of the protocol. Each component handles one concern:
 
     elections     pre-votes and votes
-    replication   what a leader sends its peers
-    follower      what a follower does with it
+    replication   log entries, snapshots and heartbeats sent by a leader
+    follower      entries and snapshots received by a follower
     reads         linearizable reads
-    membership    changes of the members
-    persistence   batches of records for the disk, compaction
+    membership    membership changes
+    persistence   batches of records written to disk, log compaction
 
-This module dispatches events to them, and holds what concerns all: changes of phase, commit and apply.
+This module dispatches events to them, and handles what involves all: phase changes, commit and apply.
 """
 
 from collections.abc import Callable, Mapping
@@ -50,7 +50,7 @@
 from thistleline.consensus.records import VoteRecord
 from thistleline.consensus.replication import Replication
 from thistleline.consensus.state import (
-    NO_NAMES,
+    NO_RENAMES,
     Phase,
     RaftTiming,
     RecoveredState,
@@ -59,14 +59,14 @@
 )
 from thistleline.reducer.events import DeadlineReached
 
-MAX_PENDING_REQUESTS = 20_000  # proposals and reads without an answer; past it new ones are refused
+MAX_PENDING_REQUESTS = 20_000  # unanswered proposals and reads; more are refused
 
 
 class Replica:
     """One member of the cluster.
 
     Attributes:
-        state: Shared state; others may read it, only `handle` changes it.
+        state: Shared state; callers may read it, only `handle` changes it.
     """
 
     __slots__ = ("_elections", "_membership", "_proposals", "_reads", "_replication", "state")
@@ -85,10 +85,10 @@
         Args:
             id: Id of the replica.
             machine: State machine that committed commands are applied to.
-            now: Current time in ns, of a clock that never goes back.
+            now: Current time in ns, from a monotonic clock.
             timing: Durations of the protocol.
             jitter: Returns a random part of a duration in ns.
-            recovered: What an earlier incarnation left on disk; None for an empty disk.
+            recovered: State recovered from disk; None for an empty disk.
         """
         state = ReplicaState(id, machine, now, timing, jitter)
         if recovered is not None:
@@ -104,7 +104,7 @@
     # ---- interface
 
     def handle(self, now: int, event: Event) -> list[Effect]:
-        """Handle an event at `now` ns and return what is to be done, in order."""
+        """Handle an event at `now` ns and return the effects to carry out, in order."""
         state = self.state
         state.now = max(state.now, now)
         match event:
@@ -132,7 +132,7 @@
         return effects
 
     def next_deadline(self) -> int:
-        """Return when the next DeadlineReached is wanted, in ns."""
+        """Return when the next DeadlineReached is due, in ns."""
         state = self.state
         if state.phase is Phase.LEADER:
             deadline = self._replication.heartbeat_deadline
@@ -146,7 +146,7 @@
         return deadline
 
     def copy(self) -> "Replica":
-        """Return an independent copy, for exploring what may happen next."""
+        """Return an independent copy, for exploring the possible next states."""
         copied = Replica.__new__(Replica)
         state = self.state.copy()
         replication = self._replication.copy(state)
@@ -158,7 +158,7 @@
         copied._proposals = self._proposals.copy()
         return copied
 
-    def state_key(self, names: Mapping[str, str] = NO_NAMES) -> tuple[Any, ...]:
+    def state_key(self, names: Mapping[str, str] = NO_RENAMES) -> tuple[Any, ...]:
         """Return a hashable value of all that behaviour depends on, with replicas renamed by `names`."""
         return (
             self.state.state_key(names),
@@ -172,7 +172,7 @@
     # ---- phases
 
     def _become_follower(self, leader: str) -> None:
-        """Follow `leader`, or wait for one if it is empty; a leader gives up all requests."""
+        """Follow `leader`, or wait for one if it is empty; a leader that steps down drops all requests."""
         state = self.state
         was_leader = state.phase is Phase.LEADER
         if was_leader:
@@ -189,10 +189,10 @@
         tickets = [*self._proposals.values(), *self._reads.clear(), *self._membership.clear()]
         self._proposals = {}
         for ticket in tickets:
-            self.state.refuse(ticket, "it leads no more", leader)
+            self.state.refuse(ticket, "this replica is no longer the leader", leader)
 
     def _adopt_term(self, term: int) -> None:
-        """Enter a later term that another replica is in."""
+        """Enter the later term of another replica."""
         self.state.record_vote(term, "")
         if self.state.phase is not Phase.UNFORMED:
             self._become_follower("")
@@ -208,16 +208,16 @@
         self._replication.send_heartbeats()
 
     def _form_cluster(self, cluster_id: str, members: Members) -> None:
-        """Become a first member. An operator gives all first members the same list, once."""
+        """Become an initial member. An operator sends all initial members the same list, once."""
         state = self.state
-        named = any(member.id == state.id for member in members)
-        if state.phase is not Phase.UNFORMED or state.log.last_index or not named:
+        is_listed = any(member.id == state.id for member in members)
+        if state.phase is not Phase.UNFORMED or state.log.last_index or not is_listed:
             return
         state.cluster_id = cluster_id
         state.log.snapshot_members = members
         state.snapshot = state.machine.snapshot()
         state.phase = Phase.FOLLOWER
-        state.note(VoteRecord(state.term, state.voted_for))
+        state.queue_record(VoteRecord(state.term, state.voted_for))
         state.writes.new_segment = True
         state.restart_election_timer()
         state.log_event("formed", council=cluster_id, members=[member.id for member in members])
@@ -227,14 +227,14 @@
     def _handle_timer(self) -> None:
         state = self.state
         if state.phase is Phase.LEADER:
-            self._lead_on()
+            self._handle_leader_timer()
         elif state.phase is not Phase.UNFORMED and state.now >= state.election_deadline:
             state.restart_election_timer()
             if not state.writes.failing and state.is_member(state.id):
                 self._elections.start_pre_vote()
 
-    def _lead_on(self) -> None:
-        """Send due heartbeats; step down without a quorum."""
+    def _handle_leader_timer(self) -> None:
+        """Send heartbeats if due; step down if the quorum is lost."""
         state = self.state
         if state.now >= self._replication.heartbeat_deadline:
             self._replication.send_heartbeats()
@@ -255,7 +255,7 @@
             self._become_leader()
 
     def _handle_write_failed(self, reason: str) -> None:
-        """Step down: while the disk fails this replica neither leads nor stands, so that others can."""
+        """Step down: a replica with a failing disk neither leads nor starts elections, so others can lead."""
         persistence.fail_write(self.state, reason)
         if self.state.phase is not Phase.UNFORMED:
             self._become_follower("")
@@ -279,23 +279,23 @@
             self._advance_commit()
 
     def _admit(self, ticket: Any) -> bool:
-        """Return whether a request may be taken in; refuse it if not."""
+        """Return whether a request is accepted; refuse it otherwise."""
         state = self.state
         if state.phase is not Phase.LEADER:
-            state.refuse(ticket, "it does not lead", state.leader)
+            state.refuse(ticket, "this replica is not the leader", state.leader)
             return False
         if len(self._proposals) + len(self._reads) >= MAX_PENDING_REQUESTS:
-            state.refuse(ticket, "too much waits", state.id)
+            state.refuse(ticket, "too many requests are pending", state.id)
             return False
         return True
 
     # ---- commit
 
     def _advance_commit(self) -> None:
-        """Commit what a majority has durably, once an entry of this term is among it.
+        """Commit the entries that are durable on a majority, once an entry of this term is among them.
 
-        Entries of an earlier leader are not counted by themselves: a later leader may still replace them
-        (Raft, section 5.4.2).
+        Entries of earlier terms alone are not committed by counting replicas: a later leader may still
+        replace them (Raft, section 5.4.2).
         """
         state = self.state
         index = self._replication.quorum_index()
@@ -314,11 +314,11 @@
             if state.phase is Phase.LEADER and index in self._proposals:
                 state.effects.append(ProposalApplied(self._proposals.pop(index), answer))
             if entry.kind == "members":
-                self._members_committed(decode_members(entry.data))
+                self._handle_committed_members(decode_members(entry.data))
         if state.phase is Phase.LEADER:
             self._reads.answer()
 
-    def _members_committed(self, members: Members) -> None:
+    def _handle_committed_members(self, members: Members) -> None:
         state = self.state
         ids = [member.id for member in members]
         state.log_event("members", members=ids)
@@ -331,7 +331,7 @@
     # ---- messages
 
     def _handle_message(self, sender: str, message: Message) -> None:
-        # A vote request raises the term only where it is heeded.
+        # A vote request changes the term only if `_handle_vote_request` considers it.
         if message.term > self.state.term and not isinstance(message, VoteRequest):
             self._adopt_term(message.term)
         match message:
--- a/thistleline/consensus/replication.py
+++ b/thistleline/consensus/replication.py
@@ -1,4 +1,4 @@
-"""The leader's side of replication: what each peer has, and what it is sent next (Raft, section 5.3)."""
+"""The leader's side of replication: tracks each peer's progress and sends entries (Raft, section 5.3)."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -8,20 +8,20 @@
 from thistleline.consensus.state import ReplicaState
 
 SECOND = 1_000_000_000  # ns
-MAX_APPEND_ENTRIES = 512  # entries of one AppendRequest
-MAX_APPEND_BYTES = 1 << 20  # bytes of data of one AppendRequest
-MAX_UNCONFIRMED_ENTRIES = 4096  # entries sent to a peer that has not confirmed them
+MAX_APPEND_ENTRIES = 512  # maximum entries in one AppendRequest
+MAX_APPEND_BYTES = 1 << 20  # bytes of data in one AppendRequest
+MAX_UNCONFIRMED_ENTRIES = 4096  # limit on entries sent to a peer but not confirmed by it
 
 
 @dataclass(slots=True)
 class PeerProgress:
-    """What a leader knows of one peer.
+    """A leader's view of one peer.
 
     Attributes:
         next_index: Index of the next entry to send.
-        match_index: Highest index where the peer's log is known to match and to be durable.
+        match_index: Highest index up to which the peer's log is known to match and to be durable.
         confirmed_round: Newest heartbeat round that the peer has confirmed.
-        last_contact_at: When the peer last answered, in ns; None if it has not since it began to join.
+        last_contact_at: When the peer last answered, in ns; None if it is joining and has not answered yet.
     """
 
     next_index: int
@@ -35,12 +35,12 @@
 
 
 class Replication:
-    """Sends log entries, snapshots and heartbeats to the other members and to one that joins.
+    """Sends log entries, snapshots and heartbeats to the other members and to a joining replica.
 
     Attributes:
         state: State of the replica.
-        peers: Progress of each peer by its id.
-        snapshot_sent_at: When a snapshot was last sent to a peer, in ns.
+        peers: Progress of each peer, by peer id.
+        snapshot_sent_at: When a snapshot was last sent to each peer, in ns.
         heartbeat_deadline: When the next heartbeat is due, in ns.
         round: Number of the newest heartbeat round that reads wait for.
     """
@@ -48,7 +48,7 @@
     __slots__ = ("heartbeat_deadline", "peers", "round", "snapshot_sent_at", "state")
 
     def __init__(self, state: ReplicaState) -> None:
-        """Create it without peers."""
+        """Create an instance without peers."""
         self.state = state
         self.peers: dict[str, PeerProgress] = {}
         self.snapshot_sent_at: dict[str, int] = {}
@@ -68,8 +68,14 @@
     def state_key(self, names: Mapping[str, str]) -> tuple[object, ...]:
         """Return a hashable value of all that behaviour depends on, with replicas renamed by `names`."""
         peers = frozenset(
-            (names.get(id, id), one.next_index, one.match_index, one.confirmed_round, one.last_contact_at)
-            for id, one in self.peers.items()
+            (
+                names.get(id, id),
+                progress.next_index,
+                progress.match_index,
+                progress.confirmed_round,
+                progress.last_contact_at,
+            )
+            for id, progress in self.peers.items()
         )
         return peers, self.heartbeat_deadline, self.round
 
@@ -83,21 +89,21 @@
         return ids
 
     def reset_peers(self) -> None:
-        """Begin to lead: assume that all peers have the whole log, and had contact just now."""
+        """Start leading: assume that each peer has the whole log and was in contact just now."""
         state = self.state
         next_index = state.log.last_index + 1
         self.peers = {id: PeerProgress(next_index, 0, 0, state.now) for id in self.peer_ids()}
         self.snapshot_sent_at = {}
 
     def begin_join(self, peer: str) -> None:
-        """Begin to send the log to a replica that joins."""
+        """Start sending the log to a joining replica."""
         known = self.peers.get(peer)
         last_contact_at = known.last_contact_at if known is not None else None
         self.peers[peer] = PeerProgress(self.state.log.last_index + 1, 0, 0, last_contact_at)
         self.send_entries(peer, heartbeat=True)
 
     def add_missing_peers(self) -> None:
-        """Track peers that an appended membership change has made members."""
+        """Track peers that became members through an appended membership change."""
         state = self.state
         for peer in self.peer_ids():
             progress = self.peers.get(peer)
@@ -107,7 +113,7 @@
                 progress.last_contact_at = state.now
 
     def drop_removed_peers(self) -> None:
-        """Forget peers that are members no more, after a last message that tells them so."""
+        """Forget removed members, after a last message that informs them of their removal."""
         for peer in self.peers.keys() - set(self.peer_ids()):
             self.send_entries(peer, heartbeat=True)
             del self.peers[peer]
@@ -130,11 +136,11 @@
     def append(self, entry: Entry) -> int:
         """Append an entry to the leader's own log and return its index."""
         index = self.state.log.append(entry)
-        self.state.note(EntriesRecord(index, (entry,)))
+        self.state.queue_record(EntriesRecord(index, (entry,)))
         return index
 
     def send_heartbeats(self) -> None:
-        """Send each peer what it lacks, or a bare heartbeat."""
+        """Send each peer the entries that it lacks, or a bare heartbeat."""
         self.heartbeat_deadline = self.state.now + self.state.timing.heartbeat_interval
         for peer in self.peer_ids():
             self.send_entries(peer, heartbeat=True)
@@ -145,7 +151,7 @@
             self.send_entries(peer, heartbeat=False)
 
     def send_entries(self, peer: str, heartbeat: bool) -> None:
-        """Send `peer` what it lacks, within the limits; a `heartbeat` goes out even if that is nothing."""
+        """Send `peer` the entries that it lacks, up to the limits; without entries only if `heartbeat`."""
         state = self.state
         log = state.log
         progress = self.peers[peer]
@@ -167,7 +173,7 @@
             progress.next_index = next_index + len(entries)
 
     def _send_snapshot(self, peer: str) -> None:
-        """Send the whole state, but once in an election timeout, as it is large."""
+        """Send a snapshot, at most once per election timeout because it is large."""
         state = self.state
         if state.now - self.snapshot_sent_at.get(peer, -SECOND) < state.timing.election_timeout:
             return
@@ -187,7 +193,7 @@
     # ---- answers
 
     def record_response(self, sender: str, response: AppendResponse) -> None:
-        """Update what is known of a peer by its answer."""
+        """Update a peer's progress from its response."""
         progress = self.peers[sender]
         progress.last_contact_at = self.state.now
         progress.confirmed_round = max(progress.confirmed_round, response.round)
@@ -201,12 +207,12 @@
             progress.next_index = max(progress.match_index + 1, resend_from)
 
     def send_rest(self, peer: str, heartbeat: bool) -> None:
-        """Send a peer that has just answered what it still lacks."""
+        """Send further entries to a peer that has just answered and still lacks some."""
         if self.peers[peer].next_index <= self.state.log.last_index:
             self.send_entries(peer, heartbeat)
 
     def quorum_index(self) -> int:
-        """Return the highest index that a majority of the members has durably."""
+        """Return the highest index that is durable on a majority of the members."""
         state = self.state
         members = state.members
         indexes = sorted((self._durable_index_of(member.id) for member in members), reverse=True)
--- a/thistleline/consensus/state.py
+++ b/thistleline/consensus/state.py
@@ -1,4 +1,4 @@
-"""State of a replica that all its parts share, and the few operations on it that all of them need."""
+"""State of a replica that its components share, and the operations on it that several of them need."""
 
 from collections.abc import Callable, Mapping
 from enum import StrEnum
@@ -12,13 +12,13 @@
 from thistleline.consensus.write_queue import WriteQueue
 from thistleline.reducer.effects import LogEvent
 
-NO_NAMES: Mapping[str, str] = MappingProxyType({})  # replicas keep their own names in a state key
+NO_RENAMES: Mapping[str, str] = MappingProxyType({})  # for state keys in which replicas keep their ids
 
 
 class Phase(StrEnum):
     """Role of a replica. The values go over the wire and into logs."""
 
-    UNFORMED = "unformed"  # an empty disk, a member of no cluster yet
+    UNFORMED = "unformed"  # has an empty disk and is not a member of any cluster yet
     FOLLOWER = "following"
     PRE_CANDIDATE = "trying"
     CANDIDATE = "standing"
@@ -26,7 +26,7 @@
 
 
 class StateMachine(Protocol):
-    """What commands are applied to; deterministic, so that it is the same on every replica."""
+    """State machine that committed commands are applied to; deterministic, so that all replicas agree."""
 
     def apply(self, index: int, data: bytes) -> Any:
         """Apply the command committed at `index` and return its answer."""
@@ -49,9 +49,9 @@
 
     Attributes:
         heartbeat_interval: Time between two heartbeats of a leader.
-        election_timeout: Without a leader for that long, and up to as much again by chance, a replica
-            starts an election.
-        quorum_timeout: A leader without contact to a majority for that long steps down.
+        election_timeout: A replica without a leader starts an election after this time, plus a random time
+            of up to the same length.
+        quorum_timeout: A leader that had no contact with a majority for this long steps down.
     """
 
     heartbeat_interval: int
@@ -60,7 +60,7 @@
 
 
 class RecoveredState(NamedTuple):
-    """What an earlier incarnation left on disk."""
+    """State of the replica recovered from disk after a restart."""
 
     snapshot: SnapshotRecord
     vote: VoteRecord
@@ -68,7 +68,7 @@
 
 
 class JoiningMember(NamedTuple):
-    """A replica that catches up before it becomes a member; given up at `deadline`, in ns."""
+    """A replica that catches up before it becomes a member; the attempt ends at `deadline`, in ns."""
 
     member: Member
     ticket: Any
@@ -76,7 +76,7 @@
 
 
 class ReplicaState:
-    """What the parts of a replica share.
+    """State that the components of a replica share.
 
     Attributes:
         id: Id of this replica.
@@ -84,21 +84,21 @@
         machine: The state machine.
         timing: Durations of the protocol.
         jitter: Returns a random part of a duration in ns.
-        now: Time of the event at hand, in ns.
-        effects: Effects of the event at hand.
+        now: Time of the current event, in ns.
+        effects: Effects of the current event.
         phase: Role of this replica.
         term: Current term.
         voted_for: Candidate voted for in this term; empty if none.
         log: The replicated log.
-        snapshot: State machine at the snapshot index of the log, encoded.
+        snapshot: Encoded state of the state machine at the snapshot index of the log.
         commit_index: Highest log index known to be committed.
         last_applied: Highest log index applied to the state machine.
-        durable_index: Highest log index that is durable here.
+        durable_index: Highest log index that is durable on this replica.
         leader: Id of the leader; empty if none is known.
-        leader_contact_at: When a leader's last message came, in ns.
-        election_deadline: When the next election starts unless a leader's message comes, in ns.
-        joining: The replica that is about to become a member; of a leader only.
-        writes: Records and effects that wait for the disk.
+        leader_contact_at: When the last message of a leader arrived, in ns.
+        election_deadline: When the next election starts unless a leader's message arrives first, in ns.
+        joining: The replica that is catching up to become a member; set on a leader only.
+        writes: Records to be written, and effects deferred until they are durable.
     """
 
     __slots__ = (
@@ -150,7 +150,7 @@
         self.writes = WriteQueue()
 
     def restore(self, recovered: RecoveredState) -> None:
-        """Take over what an earlier incarnation left on disk."""
+        """Initialize from the state recovered from disk."""
         snapshot = recovered.snapshot
         self.cluster_id = snapshot.cluster_id
         self.log = recovered.log
@@ -191,9 +191,9 @@
         self.effects.append(SendMessage(to, message))
 
     def emit_once_durable(self, effect: Effect) -> None:
-        """Emit an effect once all records noted so far are durable.
+        """Emit an effect once all records queued so far are durable.
 
-        Prevents telling others what a crash could take back: a vote given twice, an entry lost.
+        Otherwise a crash could undo what others already know: a vote granted twice, a confirmed entry lost.
         """
         if self.writes.all_durable:
             self.effects.append(effect)
@@ -201,31 +201,31 @@
             self.writes.defer(effect)
 
     def refuse(self, ticket: Any, reason: str, leader: str) -> None:
-        """Give up a request."""
+        """Refuse or drop a request."""
         self.effects.append(RequestRefused(ticket, reason, leader))
 
-    def log_event(self, event: str, **facts: Any) -> None:
-        """Write a line to the program's log."""
-        self.effects.append(LogEvent(event, facts))
+    def log_event(self, event: str, **fields: Any) -> None:
+        """Write an event to the program's log."""
+        self.effects.append(LogEvent(event, fields))
 
-    # ---- changes that several parts make
+    # ---- changes that several components make
 
-    def note(self, record: Record) -> None:
-        """Have a record written with the next batch."""
-        self.writes.note(record)
+    def queue_record(self, record: Record) -> None:
+        """Queue a record for the next write batch."""
+        self.writes.enqueue(record)
 
     def record_vote(self, term: int, voted_for: str) -> None:
-        """Enter a term and vote in it; an empty `voted_for` votes for nobody yet."""
+        """Enter a term and record the vote in it; an empty `voted_for` means no vote yet."""
         self.term = term
         self.voted_for = voted_for
-        self.note(VoteRecord(term, voted_for))
+        self.queue_record(VoteRecord(term, voted_for))
 
     def restart_election_timer(self) -> None:
-        """Move the next election to a random time within two election timeouts."""
+        """Reset the election deadline to a random time between one and two election timeouts from now."""
         timeout = self.timing.election_timeout
         self.election_deadline = self.now + timeout + self.jitter(timeout)
 
-    # ---- exploration
+    # ---- model checking
 
     def copy(self) -> "ReplicaState":
         """Return an independent copy."""
--- a/thistleline/consensus/store.py
+++ b/thistleline/consensus/store.py
@@ -1,14 +1,16 @@
-"""A replica's records on disk, in segments of a Disk as the ledger's.
+"""A replica's records on disk, in numbered segment files of a `Disk`.
 
-A segment starts with a head (magic 8s, format u16); then frames follow, each a part of one write:
+A segment starts with a header (magic 8s, format version u16). Frames follow, each with one part of a write:
 
-    number u64 of the write, part u16, parts u16, then bytes; together msgpack of its records
+    write number u64, part index u16, number of parts u16, data
 
-Each frame is written twice. A write goes out only once the one before is durable, so a crash can tear the
-last one alone, and nothing was sent that relies on it. But a flipped bit in the last one would look like a
-tear, and a vote or an entry that others count on would be gone: the second copy stands in for it. Where both
-copies are gone in the middle, or a number is missing, the segment is damaged, and the replica must not go on
-as who it was.
+The data of all parts of a write together is the msgpack encoding of its records.
+
+Each frame is written twice. A write starts only once the previous one is durable, so a crash can truncate
+only the last write, and nothing that depends on that write has been sent. However, a flipped bit in the last
+write would look like truncation, and a vote or an entry that other replicas rely on would be lost: in this
+case the second copy is used. If both copies are unreadable before the last write, or a write number is
+missing, the segment is corrupt, and the replica must not continue under its old id.
 """
 
 import struct
@@ -22,29 +24,29 @@
 from thistleline.store.frames import CorruptFrameError, encode_checksum_frame, scan_frames
 
 MAGIC = b"TLCOUNCL"
-FORMAT = 1
-_HEAD = struct.Struct("<8sH")
-_PART = struct.Struct("<QHH")
-MAX_PART_SIZE = 4 << 20  # bytes of a write in one frame
+FORMAT_VERSION = 1
+_SEGMENT_HEADER = struct.Struct("<8sH")
+_PART_HEADER = struct.Struct("<QHH")
+MAX_PART_SIZE = 4 << 20  # bytes of a write's data in one frame
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(tuple[Record, ...]).decode
 
 
 class ReplicaStore:
-    """Writes batches of records and recovers what they say.
+    """Writes batches of records and recovers the state from them.
 
     Attributes:
-        disk: The folder with the segments.
-        number: Number of the last write in the segment.
-        segment: Number of the segment that is written to; 0 if there is none.
-        old_segments: Segments that are removed with the next new one.
+        disk: Folder of the segments.
+        write_number: Number of the last write in the current segment.
+        segment: Number of the current segment; 0 if there is none.
+        old_segments: Segments to remove once the next new segment is durable.
     """
 
     def __init__(self, disk: Disk) -> None:
-        """Create a store on a held disk; `recover` reads it."""
+        """Create a store on an acquired disk; `recover` reads it."""
         self.disk = disk
-        self.number = 0
+        self.write_number = 0
         self.segment = 0
         self.old_segments: list[int] = []
 
@@ -52,16 +54,18 @@
         """Write a batch and return once it is durable. Blocks.
 
         Raises:
-            OSError: The batch may be durable or not.
+            OSError: It is unknown whether the batch is durable.
         """
         if batch.new_segment:
             self._begin_segment()
-        self.number += 1
+        self.write_number += 1
         data = _encode(batch.records)
         parts = max(1, -(-len(data) // MAX_PART_SIZE))
         for part in range(parts):
-            share = data[part * MAX_PART_SIZE : (part + 1) * MAX_PART_SIZE]
-            self.disk.append(2 * encode_checksum_frame(_PART.pack(self.number, part, parts) + share))
+            chunk = data[part * MAX_PART_SIZE : (part + 1) * MAX_PART_SIZE]
+            self.disk.append(
+                2 * encode_checksum_frame(_PART_HEADER.pack(self.write_number, part, parts) + chunk)
+            )
         self.disk.sync()
         if batch.new_segment:
             self.disk.sync_folder()
@@ -71,23 +75,23 @@
         if self.segment:
             self.old_segments.append(self.segment)
         self.segment += 1
-        self.number = 0
+        self.write_number = 0
         self.disk.begin(self.segment)
-        self.disk.append(_HEAD.pack(MAGIC, FORMAT))
+        self.disk.append(_SEGMENT_HEADER.pack(MAGIC, FORMAT_VERSION))
 
     def _remove_old_segments(self) -> None:
         for number in self.old_segments:
             try:
                 self.disk.remove(number)
             except OSError:
-                break  # passed over at the next start, and removed then
+                break  # the rest is ignored and removed after the next start
         self.old_segments = []
 
     def recover(self) -> RecoveredState | None:
-        """Read the newest whole segment; None on an empty disk. Blocks.
+        """Recover from the newest segment whose first write is complete; None on an empty disk. Blocks.
 
         Raises:
-            CorruptFrameError: No segment can be read, or the newest has a gap.
+            CorruptFrameError: No segment has a complete first write, or a segment is corrupt.
             OSError: The disk can't be read.
         """
         segments = [number for number, _ in self.disk.segments()]
@@ -98,54 +102,56 @@
             if replay is not None:
                 return replay.recovered_state()
         if segments:
-            raise CorruptFrameError(f"no segment in {self.disk.folder} has a beginning that can be read")
+            raise CorruptFrameError(f"no segment in {self.disk.folder} has a complete first write")
         return None
 
     def _replay_segment(self, number: int) -> Replay | None:
-        """Replay a segment; None where not even its first write is whole, as it was begun when all ended."""
+        """Replay a segment; None if a crash left its first write incomplete."""
         data = memoryview(self.disk.read(number))
         name = str(self.disk.path(number))
-        if len(data) < _HEAD.size:
+        if len(data) < _SEGMENT_HEADER.size:
             return None
-        magic, version = _HEAD.unpack_from(data)
-        if magic != MAGIC or version != FORMAT:
-            raise CorruptFrameError(f"{name}: it is no council's segment of form {FORMAT}")
+        magic, version = _SEGMENT_HEADER.unpack_from(data)
+        if magic != MAGIC or version != FORMAT_VERSION:
+            raise CorruptFrameError(f"{name}: not a consensus segment of format version {FORMAT_VERSION}")
         reader = _WriteReader(name)
         unreadable = False
-        for _, payload, end in scan_frames(data, _HEAD.size, _PART.size):
+        for _, payload, end in scan_frames(data, _SEGMENT_HEADER.size, _PART_HEADER.size):
             if payload is not None:
                 reader.add_frame(payload)
             elif end < len(data):
                 unreadable = True
-        if reader.writes == 0 and unreadable:
-            raise CorruptFrameError(f"{name}: its first write can't be read")
-        return reader.replay if reader.writes else None
+        if reader.write_count == 0 and unreadable:
+            raise CorruptFrameError(f"{name}: the first write can't be read")
+        return reader.replay if reader.write_count else None
 
 
 class _WriteReader:
-    """Puts the parts of writes together and replays each write that is whole."""
+    """Assembles writes from their parts and replays each complete write."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.replay = Replay()
-        self.writes = 0  # whole writes so far
+        self.write_count = 0  # complete writes so far
         self.next_part = 0
-        self.share = bytearray()  # parts of the next write so far
+        self.partial_data = bytearray()  # data of the next write's parts so far
 
     def add_frame(self, payload: memoryview) -> None:
-        """Add a frame that can be read; second copies are passed over."""
-        write, part, parts = _PART.unpack_from(payload)
-        if (write, part) == (self.writes + 1, self.next_part):
-            self.share += payload[_PART.size :]
+        """Add a valid frame; second copies are ignored."""
+        write, part, parts = _PART_HEADER.unpack_from(payload)
+        if (write, part) == (self.write_count + 1, self.next_part):
+            self.partial_data += payload[_PART_HEADER.size :]
             self.next_part += 1
             if self.next_part == parts:
                 self._finish_write()
-        elif write > self.writes + 1 or (write == self.writes + 1 and part > self.next_part):
-            raise CorruptFrameError(f"{self.name}: write {self.writes + 1} can't be read, and later ones can")
+        elif write > self.write_count + 1 or (write == self.write_count + 1 and part > self.next_part):
+            raise CorruptFrameError(
+                f"{self.name}: write {self.write_count + 1} can't be read, but later writes can"
+            )
 
     def _finish_write(self) -> None:
-        for record in _decode(bytes(self.share)):
+        for record in _decode(bytes(self.partial_data)):
             self.replay.apply(record)
-        self.writes += 1
+        self.write_count += 1
         self.next_part = 0
-        self.share = bytearray()
+        self.partial_data = bytearray()
--- a/thistleline/lab/scale/council.py
+++ b/thistleline/lab/scale/council.py
@@ -18,7 +18,7 @@
 from thistleline.consensus.effects import SendMessage, WriteRecords
 from thistleline.consensus.events import MessageReceived, WriteCompleted
 from thistleline.consensus.messages import AppendRequest, AppendResponse, Message
-from thistleline.consensus.persistence import ENTRY_COST, MAX_LOG_SIZE
+from thistleline.consensus.persistence import ENTRY_OVERHEAD, MAX_LOG_SIZE
 from thistleline.consensus.replica import MAX_PENDING_REQUESTS
 from thistleline.consensus.state import RaftTiming
 from thistleline.lab.processes.harness import Fleet, RunTimeoutError, run_folder
@@ -407,7 +407,7 @@
         "settings_kb_refused": refused,
         "versions_of_settings_that_fit_beside_wants": (MAX_RECORDS_SIZE - instances * len(WANT))
         // MAX_VALUE_SIZE,
-        "writes_between_two_snapshots": MAX_LOG_SIZE // (write + ENTRY_COST),
+        "writes_between_two_snapshots": MAX_LOG_SIZE // (write + ENTRY_OVERHEAD),
         "changes_a_second": round(size("changes_day") / 86_400, 2),
     }
 
--- a/thistleline/lab/simulation/lease_mutants.py
+++ b/thistleline/lab/simulation/lease_mutants.py
@@ -311,7 +311,7 @@
 def _ballot_not_kept(self: ReplicaState, term: int, vote: str) -> None:
     self.term, self.voted_for = term, vote
     if vote in ("", self.id):
-        self.note(VoteRecord(term, vote))
+        self.queue_record(VoteRecord(term, vote))
 
 
 def _read_at_once(self: Reads, tickets: Any) -> None:
--- a/thistleline/lease/server.py
+++ b/thistleline/lease/server.py
@@ -18,7 +18,7 @@
 from thistleline.consensus.events import ChangeMembership, FormCluster, Propose, RequestRead
 from thistleline.consensus.messages import Member
 from thistleline.consensus.replica import Replica
-from thistleline.consensus.state import NO_NAMES, Phase
+from thistleline.consensus.state import NO_RENAMES, Phase
 from thistleline.lease.effects import Effect, NotifyHolder, SendAnswer
 from thistleline.lease.events import Event, RequestReceived
 from thistleline.lease.liveness import LivenessTracker
@@ -89,7 +89,7 @@
         copied.liveness = self.liveness.copy()
         return copied
 
-    def state_key(self, names: Mapping[str, str] = NO_NAMES) -> tuple[Any, ...]:
+    def state_key(self, names: Mapping[str, str] = NO_RENAMES) -> tuple[Any, ...]:
         """Return a hashable value of all that behaviour depends on, with replicas renamed by `names`."""
         liveness = self.liveness.state_key() if self.is_leader else ()
         return self.replica.state_key(names), liveness
