--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -416,7 +416,7 @@
         )
         == 3
     )
-    with pytest.raises(ProtocolError, match="no common form"):
+    with pytest.raises(ProtocolError, match="no common protocol version"):
         negotiate_version(
             Hello("voter", "a", min_version=1, max_version=1),
             Hello("voter", "b", min_version=2, max_version=2),
--- a/tests/test_feed_service.py
+++ b/tests/test_feed_service.py
@@ -161,13 +161,14 @@
         capture_output=True, text=True, timeout=30, env={**os.environ, "PYTHONPATH": "."},
     )  # fmt: skip
     assert told.returncode == 2
-    for words in ("'soon' is no span", "no one address", "'feed folder'", "level' is 0", "own name 'k1'",
+    for words in ("'soon' is not a duration", "wildcard or multicast address", "'feed folder'",
+                  "level' must be 0", "own name 'k1'",
                   "no 'feed keeper' of that name", "'council voter'"):  # fmt: skip
         assert words in told.stderr, words
 
 
 @pytest.mark.parametrize(("text", "words"), [
-    ("feed role relay\nfeed name r\nfeed listen 127.0.0.1:1\n", ["'feed up'", "level' is 1"]),
+    ("feed role relay\nfeed name r\nfeed listen 127.0.0.1:1\n", ["'feed up'", "level' must be 1"]),
     ("feed role other\n", ["invalid enum value 'other'"]),
     ("feed role relay\nfeed level 99\n", ["'feed name'", "'feed listen'", "'feed up'", "<= 15"]),
 ])  # fmt: skip
--- a/thistleline/config/__init__.py
+++ b/thistleline/config/__init__.py
@@ -1,1 +1,1 @@
-"""The settings of a program: one line-based file, validated as a whole before use."""
+"""The program's settings: one line-based file, validated as a whole before use."""
--- a/thistleline/config/loader.py
+++ b/thistleline/config/loader.py
@@ -1,4 +1,4 @@
-"""Reads and validates a settings file as a whole, and reports all that is wrong with it at once."""
+"""Reads and validates a settings file as a whole, and reports all its errors at once."""
 
 from pathlib import Path
 from typing import Any
@@ -12,14 +12,14 @@
 
 
 class ConfigError(Exception):
-    """A settings file is unusable.
+    """A settings file can't be read or is invalid.
 
     Attributes:
-        lines: All that is wrong with it, for people to read.
+        lines: Messages of all errors, one each.
     """
 
     def __init__(self, name: str, faults: list[ConfigFault]) -> None:
-        """Describe the faults of the file of this name."""
+        """Create an error with the faults of the file `name`."""
         self.lines = [
             f"{name}:{number}: {reason}" if number else f"{name}: {reason}" for number, reason in faults
         ]
@@ -30,22 +30,22 @@
     """Read and validate a settings file.
 
     Raises:
-        ConfigError: It can't be read, or is not valid.
+        ConfigError: The file can't be read or is invalid.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
     except OSError as error:
         raise ConfigError(path, [ConfigFault(0, str(error.strerror))]) from error
     except UnicodeDecodeError as error:
-        raise ConfigError(path, [ConfigFault(0, f"byte {error.start} is no UTF-8")]) from error
+        raise ConfigError(path, [ConfigFault(0, f"byte {error.start} is not valid UTF-8")]) from error
     return parse_config(path, text)
 
 
 def parse_config(name: str, text: str) -> ProgramConfig:
-    """Validate the text of a settings file; `name` is for messages.
+    """Parse and validate the text of a settings file; `name` is used in error messages.
 
     Raises:
-        ConfigError: It is not valid.
+        ConfigError: The text is invalid.
     """
     lines, faults = parse_lines(text)
     settings = _Settings()
@@ -64,35 +64,37 @@
 
 
 class _Settings:
-    """The lines of a file by section and name."""
+    """The lines of a file, by section and name."""
 
     def __init__(self) -> None:
         self.by_section: dict[str, dict[str, SettingLine]] = {}
         self.repeated: dict[tuple[str, str], list[SettingLine]] = {}
 
     def add(self, line: SettingLine) -> str:
-        """Add a line; return why it is wrong, empty if it is not."""
+        """Add a line; return what is wrong with it, or an empty string if it is valid."""
         if line.section not in SECTIONS:
-            return f"there is no part {line.section!r}, but {', '.join(SECTIONS)}"
+            return f"unknown section {line.section!r}; the sections are {', '.join(SECTIONS)}"
         names = {field.name for field in msgspec.structs.fields(SECTIONS[line.section])}
         section = self.by_section.setdefault(line.section, {})
         if line.name not in names:
-            return f"{line.section} has no {line.name!r}, but {', '.join(sorted(names))}"
+            return (
+                f"unknown setting {line.section} {line.name!r}; the settings are {', '.join(sorted(names))}"
+            )
         key = line.section, line.name
         if line.name in section and key not in REPEATABLE_SETTINGS:
-            return f"{line.section} {line.name} was told in line {section[line.name].number} already"
+            return f"{line.section} {line.name} was already set in line {section[line.name].number}"
         section[line.name] = line
         if key in REPEATABLE_SETTINGS:
             self.repeated.setdefault(key, []).append(line)
         return ""
 
     def first_line(self, section: str) -> int:
-        """Return the number of the section's first line, 0 if none of its lines is valid."""
+        """Return the number of the section's first valid line, 0 if there is none."""
         return min((line.number for line in self.by_section[section].values()), default=0)
 
 
 def _section_values(section: str, settings: _Settings, faults: list[ConfigFault]) -> dict[str, Any]:
-    """Return the values of a section's fields, and add to `faults` what is wrong with them."""
+    """Return the values of a section's fields, and add the errors in them to `faults`."""
     lines = settings.by_section[section]
     values: dict[str, Any] = {}
     for field in msgspec.structs.fields(SECTIONS[section]):
@@ -109,22 +111,22 @@
         elif field.required:
             faults.append(ConfigFault(settings.first_line(section), f"{section} {field.name} is missing"))
     if section == "feed" and "role" in values:
-        first = settings.first_line(section)
-        faults += [ConfigFault(first, reason) for reason in _feed_faults(values, settings)]
+        first_line = settings.first_line(section)
+        faults += [ConfigFault(first_line, reason) for reason in _feed_role_faults(values, settings)]
     return values
 
 
-def _feed_faults(values: dict[str, Any], settings: _Settings) -> list[str]:
-    """Return what a keeper or a relay lacks; a setting that is there and invalid is reported elsewhere."""
+def _feed_role_faults(values: dict[str, Any], settings: _Settings) -> list[str]:
+    """Return which settings a keeper or relay lacks; the caller reports settings with invalid values."""
     lines = settings.by_section["feed"]
     role = values["role"]
-    wanted = ["name", "listen"]
-    wanted += ["folder", "keeper"] if role == "keeper" else ["up"]
-    faults = [f"a {role} wants 'feed {name}'" for name in wanted if name not in lines]
+    required = ["name", "listen"]
+    required += ["folder", "keeper"] if role == "keeper" else ["up"]
+    faults = [f"a {role} requires the setting 'feed {name}'" for name in required if name not in lines]
     if role == "keeper":
         return faults + _keeper_faults(values, settings)
     if values.get("level", 0) == 0 and ("level" not in lines or "level" in values):
-        faults.append("a relay's 'feed level' is 1 or more")
+        faults.append("a relay's 'feed level' must be 1 or more")
     return faults
 
 
@@ -132,26 +134,26 @@
     faults = []
     keepers, name = values.get("keeper", {}), values.get("name", "")
     if values.get("level", 0):
-        faults.append("a keeper's 'feed level' is 0")
+        faults.append("a keeper's 'feed level' must be 0")
     if keepers and name and name not in keepers:
-        faults.append(f"no line 'feed keeper' has the keeper's own name {name!r}")
-    for one in sorted(values.get("up", {})):
-        if one not in keepers:
-            faults.append(f"'feed up {one}': there is no 'feed keeper' of that name")
+        faults.append(f"no line 'feed keeper' contains the keeper's own name {name!r}")
+    for upstream in sorted(values.get("up", {})):
+        if upstream not in keepers:
+            faults.append(f"'feed up {upstream}': there is no 'feed keeper' of that name")
     if "voter" not in settings.by_section.get("council", {}):
-        faults.append("a keeper wants lines 'council voter'")
+        faults.append("a keeper requires lines 'council voter'")
     return faults
 
 
 def _parse_addresses(lines: list[SettingLine], faults: list[ConfigFault]) -> dict[str, Address]:
-    """Return the addresses of a repeatable setting by name, and add to `faults` what is wrong with them."""
-    found: dict[str, Address] = {}
+    """Return the addresses of a repeatable setting by name, and add the errors in them to `faults`."""
+    addresses: dict[str, Address] = {}
     for line in lines:
         name, _, address = line.value.partition("=")
         try:
-            if not name or name in found:
-                raise ValueError(f"{line.value!r} has no name of its own before a '='")
-            found[name] = parse_address(address)
+            if not name or name in addresses:
+                raise ValueError(f"{line.value!r} requires a unique name before a '='")
+            addresses[name] = parse_address(address)
         except ValueError as error:
             faults.append(ConfigFault(line.number, f"{line.section} {line.name}: {error}"))
-    return found
+    return addresses
--- a/thistleline/config/parser.py
+++ b/thistleline/config/parser.py
@@ -1,8 +1,8 @@
-"""Splits a settings file into lines of three words: `section name value`.
+"""Splits a settings file into settings: lines of three words, `section name value`.
 
-A `#` begins a comment, and quotes hold words with blanks together. Nothing nests.
+A `#` begins a comment, and quotes enclose values with blanks. There are no nested structures.
 
-    ledger folder /var/lib/thistleline/n1     # one folder a server
+    ledger folder /var/lib/thistleline/n1     # one folder per server
     ledger disk   64M
 """
 
@@ -23,14 +23,14 @@
 
 
 class ConfigFault(NamedTuple):
-    """What is wrong with a line; number 0 where no line is at fault."""
+    """An error in a line; `number` is 0 if the error belongs to no line."""
 
     number: int
     reason: str
 
 
 def parse_lines(text: str) -> tuple[list[SettingLine], list[ConfigFault]]:
-    """Return the settings of a file and what is wrong with its lines."""
+    """Return the settings of a file and the errors in its lines."""
     lines: list[SettingLine] = []
     faults: list[ConfigFault] = []
     for number, raw in enumerate(text.splitlines(), 1):
@@ -48,6 +48,6 @@
         if len(words) == 3:
             lines.append(SettingLine(number, *words))
         elif words:
-            reason = f"a part, a name and a value are wanted, here are {len(words)} words"
+            reason = f"expected a section, a name and a value, but found {len(words)} words"
             faults.append(ConfigFault(number, reason))
     return lines, faults
--- a/thistleline/config/schema.py
+++ b/thistleline/config/schema.py
@@ -1,6 +1,6 @@
-"""What a settings file may say: a struct for each section, whose fields are the names of its settings.
+"""Schema of a settings file: a struct for each section, with a field for each setting.
 
-The names of sections and fields are the file's own, and stay as they are.
+The names of sections and fields are part of the file format; renaming one breaks existing files.
 """
 
 from pathlib import Path
@@ -14,12 +14,12 @@
 
 
 class LedgerConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Section `ledger`: where a server stores tasks with an idempotency key over restarts.
+    """Section `ledger`: where a server stores tasks with an idempotency key across restarts.
 
     Attributes:
-        folder: Of the segments.
-        disk: Bytes that all segments may take.
-        results: Bytes of results in memory.
+        folder: Folder of the segments.
+        disk: Limit on the total size of the segments, in bytes.
+        results: Limit on the size of results in memory, in bytes.
     """
 
     folder: Path
@@ -30,21 +30,21 @@
 class HandoverConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Section `handover`: where a server and its successor on the same machine find each other.
 
-    Needs the section `ledger` beside it in a server's file.
+    Requires the section `ledger` in a server's file.
     """
 
     folder: Path
 
 
 class ConsensusConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Section `council`: a replica of the consensus cluster, or with `voter` alone how to find one.
+    """Section `council`: a replica of the consensus cluster; with `voter` alone, how to reach the replicas.
 
     Attributes:
-        folder: Of the replica's log.
-        name: Of the replica.
-        listen: Where the replica listens.
-        voter: Addresses of all replicas by name, in one line each.
-        via: Other addresses by which this replica reaches some of them.
+        folder: Folder of the replica's log.
+        name: Name of the replica.
+        listen: Address that the replica listens on.
+        voter: Addresses of all replicas by name, one line for each.
+        via: Other addresses that this replica uses to reach some of them.
         heartbeat: Interval of the leader's heartbeats.
         election: Election timeout.
     """
@@ -62,11 +62,11 @@
     """Section `members`: one member of the fleet, as others see it.
 
     Attributes:
-        name: Its id.
-        listen: Where it listens for datagrams.
-        zone: Where it is.
-        seed: Addresses of some members by which it joins, in one line each.
-        period: Between two probes.
+        name: Id of the member.
+        listen: Address that it listens on for datagrams.
+        zone: Zone of the member.
+        seed: Addresses of some members that it contacts to join, one line for each.
+        period: Interval between two probes.
     """
 
     name: Annotated[str, msgspec.Meta(pattern="^[a-zA-Z0-9._-]{1,64}$")]
@@ -79,11 +79,11 @@
 class SupervisorConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Section `steward`: the supervisor of a machine's server.
 
-    Needs the sections `members` and `council voter` beside it.
+    Requires the section `members` and lines `council voter`.
 
     Attributes:
-        folder: Of its own state.
-        plate: The server's own configuration; `settings` in it are those of the version that runs.
+        folder: Folder of the supervisor's own state.
+        plate: The server's own configuration; its `settings` are those of the running version.
         releases: Folder of the releases; by default `releases` in `folder`.
         stop: How long a server may take to stop.
         warm: How long after its start a server counts as cold.
@@ -97,16 +97,16 @@
 
 
 class RolloutConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Section `conductor`: the controller that leads a change through the fleet.
+    """Section `conductor`: the controller that rolls a change out to the fleet.
 
-    Needs the sections `members` and `council voter` beside it.
+    Requires the section `members` and lines `council voter`.
 
     Attributes:
-        lease: TTL of the lease by which one controller at a time is active.
-        slot: Length of a measurement.
+        lease: TTL of the lease that ensures that only one controller is active at a time.
+        slot: Duration of a measurement.
         change: How long a server may take to change its version.
-        enough: Measurements before 'not worse' may be concluded.
-        patience: Measurements before a person is asked.
+        enough: Measurements required before the result 'not worse' is allowed.
+        patience: Measurements before an operator is asked to decide.
     """
 
     lease: Annotated[Duration, msgspec.Meta(ge=1_000_000_000, le=600_000_000_000)] = Duration(10_000_000_000)
@@ -119,18 +119,18 @@
 
 
 class FeedConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Section `feed`: a keeper or relay of the config feed; without `role` how to find one.
+    """Section `feed`: a keeper or relay of the config feed; without `role`, how to reach one.
 
     Attributes:
-        name: Of this program.
-        listen: Where it serves followers.
-        role: What it is.
-        level: Of a relay, which follows those of a lower level.
-        folder: Of the archive; a keeper's must outlive it.
-        keeper: Addresses of all keepers by name, in one line each.
-        up: Whom it follows; for a keeper other addresses by which it reaches keepers.
-        lease: TTL of the lease by which one keeper at a time writes.
-        followers: How many it serves at most.
+        name: Name of this keeper or relay.
+        listen: Address that it serves followers on.
+        role: Whether this is a keeper or a relay.
+        level: Level of a relay; a relay follows nodes of a lower level.
+        folder: Folder of the archive; a keeper's must persist across restarts.
+        keeper: Addresses of all keepers by name, one line for each.
+        up: Nodes that a relay follows; for a keeper, other addresses that it uses to reach keepers.
+        lease: TTL of the lease that ensures that only one keeper writes at a time.
+        followers: Maximum number of followers that it serves.
     """
 
     name: Annotated[str, msgspec.Meta(pattern="^[a-zA-Z0-9._-]{1,64}$")] | None = None
@@ -145,7 +145,7 @@
 
 
 class ProgramConfig(msgspec.Struct, frozen=True):
-    """A whole settings file; a section that is not in it is None."""
+    """A whole settings file; a missing section is None."""
 
     ledger: LedgerConfig | None = None
     handover: HandoverConfig | None = None
@@ -165,7 +165,7 @@
     "conductor": RolloutConfig,
     "feed": FeedConfig,
 }
-# These settings take several lines, each with a value `name=address`.
+# These settings may occur in several lines, each with a value `name=address`.
 REPEATABLE_SETTINGS = {
     ("council", "voter"),
     ("council", "via"),
--- a/thistleline/reducer/__init__.py
+++ b/thistleline/reducer/__init__.py
@@ -1,1 +1,1 @@
-"""What the state machines of the fleet parts share: common events and effects, copies for exploration."""
+"""Common events, effects and copying of the program's state machines."""
--- a/thistleline/reducer/effects.py
+++ b/thistleline/reducer/effects.py
@@ -1,4 +1,4 @@
-"""Effects that every state machine may ask for."""
+"""Effects common to all state machines."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """Write a line to the structured log."""
+    """Write an event to the structured log."""
 
     event: str
     fields: dict[str, Any] = field(default_factory=dict)
--- a/thistleline/reducer/events.py
+++ b/thistleline/reducer/events.py
@@ -1,8 +1,8 @@
-"""Events that every state machine takes."""
+"""Events common to all state machines."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class DeadlineReached:
-    """The time of `next_deadline()` has come, or a look at the clock is due."""
+    """The time of `next_deadline()` was reached, or the state machine should check the clock."""
--- a/thistleline/store/__init__.py
+++ b/thistleline/store/__init__.py
@@ -1,1 +1,1 @@
-"""Durable storage: a folder of append-only segment files made of checksummed frames."""
+"""Durable storage: a folder of append-only segment files that consist of checksummed frames."""
--- a/thistleline/store/disk.py
+++ b/thistleline/store/disk.py
@@ -1,4 +1,4 @@
-"""The system calls by which data is stored; tests replace this with a failing disk."""
+"""File operations of the durable storage; tests replace `Disk` to simulate disk failures."""
 
 import fcntl
 import os
@@ -6,9 +6,9 @@
 
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
 BOOT_ID_SIZE = 16  # bytes
-SEGMENT_DIGITS = 12  # of the number in a segment's file name
+SEGMENT_DIGITS = 12  # digits of the segment number in a file name
 
-_CLOSED = -1  # stands for a file descriptor that is not open
+_CLOSED = -1  # in place of a file descriptor while no file is open
 
 
 class DiskLockedError(Exception):
@@ -16,28 +16,28 @@
 
 
 class Disk:
-    """A locked folder of numbered segment files, of which the newest may be appended to.
+    """A locked folder of numbered segment files; only the newest one is appended to.
 
     Attributes:
-        folder: Where the segments and the lock file are.
-        kind: What is stored here; also the suffix of the segment files.
+        folder: Folder of the segments and the lock file.
+        kind: Kind of data stored here; also the suffix of the segment files.
         lock_fd: File descriptor of the lock file, -1 while the folder is not locked.
-        segment_fd: File descriptor of the segment that is appended to, -1 if there is none.
+        segment_fd: File descriptor of the current segment, -1 if there is none.
     """
 
     def __init__(self, folder: Path, kind: str = "ledger") -> None:
-        """Describe the folder; nothing is opened before `acquire`."""
+        """Create an instance for a folder; `acquire` opens and locks it."""
         self.folder = folder
         self.kind = kind
         self.lock_fd = _CLOSED
         self.segment_fd = _CLOSED
 
     def acquire(self) -> None:
-        """Create the folder if need be and lock it.
+        """Create the folder if it does not exist, and lock it.
 
         Raises:
             DiskLockedError: Another process has locked the folder.
-            OSError: The folder or its lock file can't be made or opened.
+            OSError: The folder or its lock file can't be created or opened.
         """
         self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         self.lock_fd = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -46,10 +46,10 @@
         except BlockingIOError:
             os.close(self.lock_fd)
             self.lock_fd = _CLOSED
-            raise DiskLockedError(f"another program has the {self.kind} in {self.folder}") from None
+            raise DiskLockedError(f"another program has locked the {self.kind} in {self.folder}") from None
 
     def release(self) -> None:
-        """Close the current segment and give the folder's lock back."""
+        """Close the current segment and release the lock of the folder."""
         for descriptor in (self.segment_fd, self.lock_fd):
             if descriptor >= 0:
                 os.close(descriptor)
@@ -73,7 +73,7 @@
         return self.path(number).read_bytes()
 
     def begin(self, number: int) -> None:
-        """Create a new segment, which takes what is appended from here on."""
+        """Create a new segment and make it the current one."""
         if self.segment_fd >= 0:
             os.close(self.segment_fd)
             self.segment_fd = _CLOSED
@@ -86,11 +86,11 @@
             data = data[os.write(self.segment_fd, data) :]
 
     def sync(self) -> None:
-        """Make what was appended to the current segment durable."""
+        """Make the data appended to the current segment durable."""
         os.fdatasync(self.segment_fd)
 
     def sync_folder(self) -> None:
-        """Make a new segment's name as durable as its content."""
+        """Make the folder's entries, such as the name of a new segment, durable."""
         descriptor = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
@@ -98,12 +98,12 @@
             os.close(descriptor)
 
     def remove(self, number: int) -> None:
-        """Delete a segment; one that does not exist is no error."""
+        """Delete a segment if it exists."""
         self.path(number).unlink(missing_ok=True)
 
 
 def boot_id() -> bytes:
-    """Return the 16 bytes that identify this boot of the machine, or zeros where it can't be known."""
+    """Return the 16 bytes that identify this boot of the machine, or zeros if they can't be read."""
     try:
         text = BOOT_ID.read_text().strip().replace("-", "")
         return bytes.fromhex(text)[:BOOT_ID_SIZE].ljust(BOOT_ID_SIZE, b"\0")
--- a/thistleline/store/frames.py
+++ b/thistleline/store/frames.py
@@ -1,7 +1,7 @@
 """Frames with a checksum: magic bytes, length, CRC-32 and payload, one after another in a segment.
 
 A frame that is truncated, or whose checksum is wrong, is skipped: `scan_frames` looks for the next valid one
-after it, so that a flipped bit costs the frame it is in and no other.
+after it, so that a flipped bit invalidates only the frame that contains it.
 """
 
 import struct
@@ -9,17 +9,17 @@
 from collections.abc import Iterator
 
 MAGIC = b"\xf5TLF"
-MAX_PAYLOAD_SIZE = 8 * 1024 * 1024  # bytes; a longer length is taken for damage
+MAX_PAYLOAD_SIZE = 8 * 1024 * 1024  # bytes; a larger length is treated as corruption
 _HEADER = struct.Struct("<4sII")  # magic, payload length, CRC-32 of the payload
 HEADER_SIZE = _HEADER.size  # bytes
 
 
 class CorruptFrameError(Exception):
-    """Stored data is unusable: no head, a head of another format, or a gap where there must be none."""
+    """Stored data is unusable: a missing or foreign header, or unreadable data where none is allowed."""
 
 
 def encode_checksum_frame(payload: bytes) -> bytes:
-    """Return the payload behind a header with its length and checksum."""
+    """Return the payload, preceded by a header with its length and checksum."""
     return _HEADER.pack(MAGIC, len(payload), zlib.crc32(payload)) + payload
 
 
@@ -28,8 +28,8 @@
 ) -> Iterator[tuple[int, memoryview | None, int]]:
     """Yield (start, payload, end) of each frame, in order, as byte offsets into `data`.
 
-    The payload is None for a stretch that holds no valid frame. A payload shorter than `min_payload_size`
-    bytes counts as damage.
+    The payload is None for a byte range without a valid frame. A payload shorter than `min_payload_size`
+    bytes is treated as corruption.
     """
     end = len(data)
     while offset < end:
@@ -58,7 +58,7 @@
 
 
 def _valid_payload(data: memoryview, offset: int, min_payload_size: int) -> memoryview | None:
-    """Return the payload of the frame that starts at `offset`, or None if there is no valid one."""
+    """Return the payload of the frame at `offset`, or None if there is no valid frame."""
     if offset + HEADER_SIZE > len(data):
         return None
     magic, length, checksum = _HEADER.unpack_from(data, offset)
--- a/thistleline/store/latest.py
+++ b/thistleline/store/latest.py
@@ -1,26 +1,26 @@
-"""A durable cell: the newest of some small values survives a crash, earlier ones may be forgotten."""
+"""Crash-safe storage of a single small value; earlier versions are not kept."""
 
 from pathlib import Path
 
 from thistleline.store.disk import Disk
 from thistleline.store.frames import encode_checksum_frame, scan_frames
 
-MAX_SEGMENT_SIZE = 1 << 20  # bytes of a segment before a new one is begun
+MAX_SEGMENT_SIZE = 1 << 20  # bytes; a segment that exceeds this is replaced by a new one
 
 
 class LatestValueStore:
     """Stores one value on disk; `put` replaces it.
 
     Attributes:
-        value: The newest stored value, None if there never was one.
+        value: The newest stored value, None if none was ever stored.
     """
 
     def __init__(self, folder: Path, kind: str) -> None:
         """Lock the folder and read the newest value.
 
         Args:
-            folder: Where the segments are; made if need be.
-            kind: What the values are; also the suffix of the segment files.
+            folder: Folder of the segments; created if it does not exist.
+            kind: Kind of the value; also the suffix of the segment files.
 
         Raises:
             DiskLockedError: Another process has locked the folder.
@@ -53,7 +53,7 @@
             raise
 
     def close(self) -> None:
-        """Give the folder back."""
+        """Close the segment and release the folder."""
         self.disk.release()
 
     def _write(self, value: bytes) -> None:
@@ -61,7 +61,7 @@
             self.segment += 1
             self.segment_size = 0
             self.disk.begin(self.segment)
-        # Twice, so that one flipped bit does not bring an earlier value back.
+        # Written twice, so that one flipped bit does not revert to an earlier value.
         data = 2 * encode_checksum_frame(value)
         self.disk.append(data)
         self.disk.sync()
--- a/thistleline/transport/__init__.py
+++ b/thistleline/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Connections between processes of the program: length-prefixed messages over TCP, reconnected when lost."""
+"""Connections between the program's processes: length-prefixed messages over TCP, with reconnection."""
--- a/thistleline/transport/address.py
+++ b/thistleline/transport/address.py
@@ -1,4 +1,4 @@
-"""The address a process listens on: an IP address and a port."""
+"""Addresses that processes listen on: an IP address and a port."""
 
 import ipaddress
 
@@ -10,8 +10,8 @@
 def parse_address(text: str) -> Address:
     """Parse `127.0.0.1:7001` or `[::1]:7001`.
 
-    No host names, so that nothing is looked up; and no wildcard address: a process that listens on every
-    address can be reached over networks that nobody thought of.
+    Host names are rejected, so that no name is resolved. Wildcard addresses are rejected, because a process
+    that listens on every address can be reached over unintended networks.
 
     Raises:
         ValueError: The text is not one unicast IP address with a port from 1 to 65535.
@@ -21,15 +21,17 @@
         ip = ipaddress.ip_address(host.removeprefix("[").removesuffix("]"))
         port = int(port_text)
     except ValueError:
-        raise ValueError(f"{text!r} is no address: an IP address, a colon and a port") from None
+        raise ValueError(
+            f"{text!r} is not an address: an IP address, a colon and a port are required"
+        ) from None
     if ip.is_unspecified or ip.is_multicast:
-        raise ValueError(f"{text!r} is no one address to listen on or go to")
+        raise ValueError(f"{text!r} is a wildcard or multicast address; a unicast address is required")
     if not 0 < port <= MAX_PORT:
-        raise ValueError(f"{text!r} has no port from 1 to 65535")
+        raise ValueError(f"{text!r} does not have a port from 1 to 65535")
     return str(ip), port
 
 
 def format_address(address: Address) -> str:
-    """Return the text of an address, as `parse_address` reads it."""
+    """Return the text of an address, in the form that `parse_address` accepts."""
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
--- a/thistleline/transport/codec.py
+++ b/thistleline/transport/codec.py
@@ -1,8 +1,8 @@
-"""Message framing: a length of four bytes, most significant first, then msgpack.
+"""Message framing: a big-endian length of four bytes, then the msgpack encoding of the message.
 
-The first message in each direction is a Hello; the two programs then speak the highest protocol version that
-both support. Fields are encoded by name, so that a newer version may add some: an older program ignores what
-it does not know, and a missing field takes its default.
+The first message in each direction is a Hello; both programs then use the highest protocol version that both
+support. Fields are encoded by name, so that a newer version may add fields: an older program ignores unknown
+fields, and a missing field takes its default.
 """
 
 import struct
@@ -10,22 +10,22 @@
 
 import msgspec
 
-SUPPORTED_VERSIONS = (1, 1)  # the lowest and the highest that this program speaks
+SUPPORTED_VERSIONS = (1, 1)  # lowest and highest protocol version of this program
 MAX_CLIENT_MESSAGE_SIZE = 1 << 20  # bytes
 MAX_REPLICA_MESSAGE_SIZE = 64 << 20  # bytes
 _LENGTH = struct.Struct(">I")
 
 
 class Hello(msgspec.Struct, frozen=True, tag="hello"):
-    """The handshake message with which each side of a connection introduces itself.
+    """The handshake message by which each side of a connection identifies itself.
 
     Attributes:
-        kind: What the sender is.
+        kind: Role of the sender.
         id: The sender's id, empty for a client.
         cluster: Name of the consensus cluster that a replica belongs to, empty for none.
-        address: Where a replica listens; one that knows no members yet answers there.
-        min_version: The lowest protocol version that the sender speaks.
-        max_version: The highest protocol version that the sender speaks.
+        address: Address that a replica listens on; a peer without a member list yet sends its answers there.
+        min_version: The lowest protocol version that the sender supports.
+        max_version: The highest protocol version that the sender supports.
     """
 
     kind: Literal["voter", "client", "follower"]
@@ -37,26 +37,26 @@
 
 
 class ProtocolError(Exception):
-    """The peer sent something that is no valid message; the connection must be closed."""
+    """The peer sent an invalid message; the connection must be closed."""
 
 
-def negotiate_version(one: Hello, other: Hello) -> int:
-    """Return the highest protocol version that both sides speak.
+def negotiate_version(own: Hello, peer: Hello) -> int:
+    """Return the highest protocol version that both sides support.
 
     Raises:
-        ProtocolError: There is none.
+        ProtocolError: There is no common version.
     """
-    version = min(one.max_version, other.max_version)
-    if version < max(one.min_version, other.min_version):
+    version = min(own.max_version, peer.max_version)
+    if version < max(own.min_version, peer.min_version):
         raise ProtocolError(
-            f"no common form: {one.min_version} to {one.max_version}"
-            f" and {other.min_version} to {other.max_version}"
+            f"no common protocol version: {own.min_version} to {own.max_version}"
+            f" and {peer.min_version} to {peer.max_version}"
         )
     return version
 
 
 def encode_frame(payload: bytes) -> bytes:
-    """Return the payload behind its length."""
+    """Return the payload, preceded by its length."""
     return _LENGTH.pack(len(payload)) + payload
 
 
@@ -64,7 +64,7 @@
     """Splits a stream of bytes into payloads."""
 
     def __init__(self, max_size: int) -> None:
-        """Accept payloads of up to `max_size` bytes."""
+        """Create a decoder for payloads of up to `max_size` bytes."""
         self.max_size = max_size
         self.buffer = bytearray()
 
@@ -81,7 +81,7 @@
         while len(buffer) - offset >= _LENGTH.size:
             (length,) = _LENGTH.unpack_from(buffer, offset)
             if length > self.max_size:
-                raise ProtocolError(f"a message of {length} bytes, {self.max_size} at most")
+                raise ProtocolError(f"a message of {length} bytes exceeds the limit of {self.max_size} bytes")
             start = offset + _LENGTH.size
             if len(buffer) - start < length:
                 break
--- a/thistleline/transport/connection.py
+++ b/thistleline/transport/connection.py
@@ -1,4 +1,4 @@
-"""An outgoing connection to one process, reconnected with exponential backoff, and its bounded send queue."""
+"""An outgoing connection to one process, reconnected with exponential backoff, with a bounded send queue."""
 
 from collections import deque
 from collections.abc import Awaitable, Callable
@@ -14,28 +14,28 @@
 
 MAX_QUEUED_MESSAGES = 4096
 MAX_QUEUED_SIZE = 128 << 20  # bytes
-SEND_BATCH_SIZE = 1 << 18  # bytes handed to the socket at once
-CONNECT_TIMEOUT = 2.0  # s for the connection, and again for the handshake
-SEND_TIMEOUT = 5.0  # s in which a peer accepts nothing; then the connection is closed and made anew
+SEND_BATCH_SIZE = 1 << 18  # bytes passed to the socket in one call
+CONNECT_TIMEOUT = 2.0  # s; applies to the connection and to the handshake separately
+SEND_TIMEOUT = 5.0  # s; if one send takes longer, the connection is closed and reopened
 MIN_BACKOFF = 0.05  # s before the first reconnection
 MAX_BACKOFF = 1.0  # s
 
 
 class SendQueue:
-    """Frames that wait to be sent.
+    """Queue of frames to be sent.
 
-    When it is full the oldest heartbeat is dropped, or the oldest frame if no heartbeat waits: a newer
-    message says more, and the receiver asks again for what it misses.
+    When it is full, the oldest heartbeat is dropped, or the oldest frame if it contains no heartbeat: newer
+    messages are more useful, and the receiver requests again what it lacks.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty queue."""
         self.frames: deque[tuple[bytes, bool]] = deque()  # data, whether it is a heartbeat
         self.size = 0  # bytes of all frames
-        self.dropped = 0  # frames, since the start
+        self.dropped = 0  # number of frames dropped so far
 
     def put(self, data: bytes, heartbeat: bool) -> None:
-        """Append a frame, and drop older ones beyond the limits."""
+        """Append a frame, and drop older ones while a limit is exceeded."""
         self.frames.append((data, heartbeat))
         self.size += len(data)
         while len(self.frames) > MAX_QUEUED_MESSAGES or self.size > MAX_QUEUED_SIZE:
@@ -51,7 +51,7 @@
         self.size -= len(self.frames.popleft()[0])
 
     def take_batch(self) -> bytes:
-        """Remove and return some frames, in order; empty if none waits."""
+        """Remove and return some frames, in order; empty if the queue is empty."""
         batch = []
         size = 0
         while self.frames and size < SEND_BATCH_SIZE:
@@ -62,13 +62,13 @@
         return b"".join(batch)
 
     def clear(self) -> None:
-        """Forget all frames."""
+        """Drop all frames."""
         self.frames.clear()
         self.size = 0
 
 
 class MessageConnection:
-    """Sends messages to one address for as long as `run` runs, over one connection after another."""
+    """Sends messages to one address while `run` is active, reconnecting when the connection is lost."""
 
     def __init__(
         self,
@@ -77,13 +77,13 @@
         rng: Random,
         on_disconnect: Callable[[str], None],
     ) -> None:
-        """Describe the connection; it is made by `run`.
+        """Create an instance without a connection; `run` connects.
 
         Args:
-            address: Where the peer listens.
+            address: Address that the peer listens on.
             handshake: Exchanges Hellos on a new connection, or raises.
-            rng: Jitter of the backoff is drawn from here.
-            on_disconnect: Called with the reason when a connection can't be made or ends.
+            rng: Random source of the backoff jitter.
+            on_disconnect: Called with the reason when connecting fails or a connection ends.
         """
         self.address = address
         self.handshake = handshake
@@ -98,7 +98,7 @@
         self.queued.set()
 
     async def run(self) -> None:
-        """Connect, send and reconnect until cancelled; no error of the peer or the network ends it."""
+        """Connect, send and reconnect until cancelled; errors of the peer or the network don't end it."""
         backoff = MIN_BACKOFF
         while True:
             with report_disconnects(self.on_disconnect):
@@ -109,7 +109,7 @@
                         await self.handshake(stream)
                     backoff = MIN_BACKOFF
                     await self._send_queue(stream)
-            # Messages that waited are out of date by the time there is a connection again.
+            # Queued messages would be out of date by the time the connection is reestablished.
             self.queue.clear()
             await anyio.sleep(backoff * self.rng.uniform(0.5, 1.5))
             backoff = min(MAX_BACKOFF, 2 * backoff)
@@ -127,7 +127,7 @@
                     await self.queued.wait()
 
     async def _cancel_at_end(self, stream: SocketStream, scope: anyio.CancelScope) -> None:
-        """Cancel the sender when the peer closes: after the handshake nothing else arrives."""
+        """Cancel the sender when the peer closes the connection: it sends nothing after the handshake."""
         with suppress(anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
             await stream.receive(1)
         scope.cancel()
--- a/thistleline/transport/disconnects.py
+++ b/thistleline/transport/disconnects.py
@@ -1,4 +1,4 @@
-"""The errors by which a connection may end through its peer or the network."""
+"""The errors with which a connection ends because of its peer or the network."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -13,7 +13,7 @@
     TimeoutError,
     ProtocolError,
     msgspec.MsgspecError,
-    RecursionError,  # a message nests deeper than the decoder goes, even in an unknown field
+    RecursionError,  # a message is nested too deeply for the decoder, even in an unknown field
     anyio.EndOfStream,
     anyio.IncompleteRead,
     anyio.BrokenResourceError,
@@ -23,7 +23,7 @@
 
 @contextmanager
 def report_disconnects(on_disconnect: Callable[[str], None]) -> Iterator[None]:
-    """Suppress disconnect errors of the block and call `on_disconnect` with the reason."""
+    """Suppress disconnect errors raised in the block and call `on_disconnect` with the reason."""
     try:
         yield
     except DISCONNECT_ERRORS as error:
--- a/thistleline/transport/handshake.py
+++ b/thistleline/transport/handshake.py
@@ -1,4 +1,4 @@
-"""Reading the Hello with which a connection begins, and no byte of what may follow it."""
+"""Receives the Hello at the beginning of a connection, without reading beyond it."""
 
 import msgspec
 from anyio.abc import ByteStream
@@ -11,18 +11,18 @@
 
 
 async def receive_hello(stream: ByteStream) -> Hello:
-    """Receive the first message and nothing of the next one.
+    """Receive the first message, without reading any byte after it.
 
     Raises:
         ProtocolError: The connection does not begin with a Hello.
     """
     length = int.from_bytes(await _receive_exactly(stream, _LENGTH_SIZE), "big")
     if length > MAX_HELLO_SIZE:
-        raise ProtocolError("it does not begin with a Hello")
+        raise ProtocolError("the connection does not begin with a Hello")
     try:
         return _decode_hello(await _receive_exactly(stream, length))
     except msgspec.MsgspecError as error:
-        raise ProtocolError(f"it does not begin with a Hello: {error}") from error
+        raise ProtocolError(f"the connection does not begin with a Hello: {error}") from error
 
 
 async def _receive_exactly(stream: ByteStream, count: int) -> bytes:
