--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,4 +1,4 @@
-"""The council: its reducer in virtual time, its records on disk, its messages, and what is explored."""
+"""The consensus cluster: replicas in virtual time, model checking, records on disk, messages, settings."""
 
 import errno
 import shutil
@@ -38,175 +38,182 @@
 from thistleline.transport.connection import MAX_QUEUED_MESSAGES, SendQueue
 
 SECOND = 1000 * MS
-SPANS = RaftTiming(50 * MS, 500 * MS, 1000 * MS)
+TIMING = RaftTiming(50 * MS, 500 * MS, 1000 * MS)
 
 
-def council(voters: int, seed: int = 1, delay: int = 5) -> SimulatedCluster:
-    made = SimulatedCluster(voters, SPANS, seed, lambda chance: int(delay * MS * chance.uniform(0.5, 1.5)))
-    assert made.run(10 * SECOND, lambda: bool(made.leader()))
-    made.run(made.now + SECOND)
-    return made
+def elected_cluster(replicas: int, seed: int = 1, delay: int = 5) -> SimulatedCluster:
+    cluster = SimulatedCluster(replicas, TIMING, seed, lambda rng: int(delay * MS * rng.uniform(0.5, 1.5)))
+    assert cluster.run(10 * SECOND, lambda: bool(cluster.leader()))
+    cluster.run(cluster.now + SECOND)
+    return cluster
 
 
-def ask(made: SimulatedCluster, id: str, op: Any) -> Any:
-    count = len(made.answers)
-    made.handle(id, RequestReceived(count, op))
-    made.run(made.now + 3 * SECOND, lambda: len(made.answers) > count)
-    return made.answers[count][2] if len(made.answers) > count else None
+def send_request(cluster: SimulatedCluster, id: str, op: Any) -> Any:
+    count = len(cluster.answers)
+    cluster.handle(id, RequestReceived(count, op))
+    cluster.run(cluster.now + 3 * SECOND, lambda: len(cluster.answers) > count)
+    return cluster.answers[count][2] if len(cluster.answers) > count else None
 
 
 # ---- elections
 
 
-@pytest.mark.parametrize("voters", [1, 3, 5])
-def test_a_leader_is_found_and_after_its_death_another(voters: int) -> None:
-    made = council(voters)
-    first = made.leader()
-    assert isinstance(ask(made, first, Acquire("n", "x", SECOND)), Granted)
-    if voters == 1:
+@pytest.mark.parametrize("replicas", [1, 3, 5])
+def test_leader_is_elected_and_replaced_after_crash(replicas: int) -> None:
+    cluster = elected_cluster(replicas)
+    first = cluster.leader()
+    assert isinstance(send_request(cluster, first, Acquire("n", "x", SECOND)), Granted)
+    if replicas == 1:
         return
-    made.crashed.add(first)
-    assert made.run(made.now + 5 * SECOND, lambda: bool(made.leader()))
-    made.run(made.now + SECOND)
-    assert made.servers[made.leader()].table.status_of("n", "x") == Granted(1, SECOND)
-
-
-@pytest.mark.parametrize("hears", [True, False])
-def test_a_voter_cut_one_way_brings_no_endless_elections(hears: bool) -> None:
-    made = council(5)
-    leader = made.leader()
-    cut = next(id for id in made.servers if id != leader)
-    made.is_lost = lambda source, to: cut == (source if hears else to)
-    before = made.servers[leader].replica.state.term
-    made.run(made.now + 60 * SECOND)
-    assert made.leader() == leader
-    assert made.servers[leader].replica.state.term == before
-    made.is_lost = lambda source, to: False
-    made.run(made.now + 5 * SECOND)
-    assert made.servers[leader].replica.state.term == before
-
-
-@pytest.mark.parametrize("hears", [True, False])
-def test_a_leader_cut_one_way_gives_way(hears: bool) -> None:
-    made = council(5)
-    first = made.leader()
-    made.is_lost = lambda source, to: first == (source if hears else to)
-    made.run(made.now + 10 * SECOND)
-    assert made.leader() not in ("", first)
-    assert made.servers[first].replica.state.phase != "leading"
-
-
-def test_a_leader_with_one_voter_decides_nothing_and_says_so() -> None:
-    made = council(5)
-    first = made.leader()
-    other = next(id for id in made.servers if id != first)
-    inside = {first, other}
-    made.is_lost = lambda source, to: (source in inside) != (to in inside)
-    assert isinstance(ask(made, first, Acquire("n", "x", SECOND)), Unavailable)
-    made.run(made.now + 3 * SECOND)
-    new = made.leader()
-    assert new not in inside
-    assert isinstance(ask(made, new, Acquire("n", "y", 100 * SECOND)), Granted)
-    made.is_lost = lambda source, to: False
-    made.run(made.now + 3 * SECOND)
-    assert {server.table.state.leases["n"].holder for server in made.servers.values()} == {"y"}
-
-
-def test_one_far_behind_gets_the_whole_state(monkeypatch: pytest.MonkeyPatch) -> None:
+    cluster.crashed.add(first)
+    assert cluster.run(cluster.now + 5 * SECOND, lambda: bool(cluster.leader()))
+    cluster.run(cluster.now + SECOND)
+    assert cluster.servers[cluster.leader()].table.status_of("n", "x") == Granted(1, SECOND)
+
+
+@pytest.mark.parametrize("receives", [True, False])
+def test_one_way_partition_of_follower_causes_no_elections(receives: bool) -> None:
+    cluster = elected_cluster(5)
+    leader = cluster.leader()
+    partitioned = next(id for id in cluster.servers if id != leader)
+    cluster.is_lost = lambda source, to: partitioned == (source if receives else to)
+    before = cluster.servers[leader].replica.state.term
+    cluster.run(cluster.now + 60 * SECOND)
+    assert cluster.leader() == leader
+    assert cluster.servers[leader].replica.state.term == before
+    cluster.is_lost = lambda source, to: False
+    cluster.run(cluster.now + 5 * SECOND)
+    assert cluster.servers[leader].replica.state.term == before
+
+
+@pytest.mark.parametrize("receives", [True, False])
+def test_one_way_partition_of_leader_elects_another_leader(receives: bool) -> None:
+    cluster = elected_cluster(5)
+    first = cluster.leader()
+    cluster.is_lost = lambda source, to: first == (source if receives else to)
+    cluster.run(cluster.now + 10 * SECOND)
+    assert cluster.leader() not in ("", first)
+    assert cluster.servers[first].replica.state.phase != "leading"
+
+
+def test_leader_in_minority_commits_nothing_and_answers_unavailable() -> None:
+    cluster = elected_cluster(5)
+    first = cluster.leader()
+    other = next(id for id in cluster.servers if id != first)
+    minority = {first, other}
+    cluster.is_lost = lambda source, to: (source in minority) != (to in minority)
+    assert isinstance(send_request(cluster, first, Acquire("n", "x", SECOND)), Unavailable)
+    cluster.run(cluster.now + 3 * SECOND)
+    new = cluster.leader()
+    assert new not in minority
+    assert isinstance(send_request(cluster, new, Acquire("n", "y", 100 * SECOND)), Granted)
+    cluster.is_lost = lambda source, to: False
+    cluster.run(cluster.now + 3 * SECOND)
+    assert {server.table.state.leases["n"].holder for server in cluster.servers.values()} == {"y"}
+
+
+def test_replica_far_behind_receives_snapshot(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("thistleline.consensus.persistence.MAX_LOG_SIZE", 2000)
-    made = council(3)
-    leader = made.leader()
-    late = next(id for id in made.servers if id != leader)
-    made.is_lost = lambda source, to: late in (source, to)
-    for place in range(100):
-        assert isinstance(ask(made, leader, Acquire(f"n{place}", "x", 100 * SECOND)), Granted)
-    assert made.servers[leader].replica.state.log.snapshot_index > 50
-    made.is_lost = lambda source, to: False
-    made.run(made.now + 5 * SECOND)
-    assert made.servers[late].table.state.leases.keys() == made.servers[leader].table.state.leases.keys()
-
-
-# ---- members
-
-
-def test_members_change_one_at_a_time_also_across_a_partition() -> None:
-    made = council(3)
-    leader = made.leader()
-    rest = sorted(set(made.servers) - {leader})
-    made.is_lost = lambda source, to: leader in (source, to)
-    assert isinstance(
-        ask(made, leader, ChangeReplicas("remove", rest[0])), Unavailable
-    )  # it comes to nothing there
-    made.run(made.now + 3 * SECOND)
-    new = made.leader()
+    cluster = elected_cluster(3)
+    leader = cluster.leader()
+    lagging = next(id for id in cluster.servers if id != leader)
+    cluster.is_lost = lambda source, to: lagging in (source, to)
+    for index in range(100):
+        assert isinstance(send_request(cluster, leader, Acquire(f"n{index}", "x", 100 * SECOND)), Granted)
+    assert cluster.servers[leader].replica.state.log.snapshot_index > 50
+    cluster.is_lost = lambda source, to: False
+    cluster.run(cluster.now + 5 * SECOND)
+    assert (
+        cluster.servers[lagging].table.state.leases.keys()
+        == cluster.servers[leader].table.state.leases.keys()
+    )
+
+
+# ---- membership changes
+
+
+def test_membership_changes_one_at_a_time_across_partition() -> None:
+    cluster = elected_cluster(3)
+    leader = cluster.leader()
+    rest = sorted(set(cluster.servers) - {leader})
+    cluster.is_lost = lambda source, to: leader in (source, to)
+    # The partitioned leader can't commit the change.
+    assert isinstance(send_request(cluster, leader, ChangeReplicas("remove", rest[0])), Unavailable)
+    cluster.run(cluster.now + 3 * SECOND)
+    new = cluster.leader()
     assert new != leader
-    assert ask(made, new, ChangeReplicas("remove", leader)) == Done("changed")
-    made.is_lost = lambda source, to: False
-    made.run(made.now + 5 * SECOND)
-    assert {one.id for one in made.servers[made.leader()].replica.state.members} == set(rest)
-    assert made.servers[leader].replica.state.phase != "leading"
-    assert isinstance(ask(made, made.leader(), ChangeReplicas("remove", leader)), Done)  # it is gone already
-    made.crashed.add(leader)
-    before = made.servers[made.leader()].replica.state.term
-    made.run(made.now + 10 * SECOND)
-    assert made.servers[made.leader()].replica.state.term == before
-
-
-def test_who_lost_its_disk_rejoins_as_another_and_votes_only_then() -> None:
-    made = council(3)
-    leader = made.leader()
-    lost = next(id for id in made.servers if id != leader)
-    ask(made, leader, Acquire("n", "x", 100 * SECOND))
-    del made.servers[lost]
-    made.crashed.add(lost)
-    empty = Replica("w0", LeaseTable(), made.now, SPANS, lambda span: made.rng.randrange(span))
-    made.servers["w0"] = LeaseServer(empty, lambda: 0)
-    made.run(made.now + 3 * SECOND)
+    assert send_request(cluster, new, ChangeReplicas("remove", leader)) == Done("changed")
+    cluster.is_lost = lambda source, to: False
+    cluster.run(cluster.now + 5 * SECOND)
+    assert {member.id for member in cluster.servers[cluster.leader()].replica.state.members} == set(rest)
+    assert cluster.servers[leader].replica.state.phase != "leading"
+    # Removing it again succeeds without a change.
+    assert isinstance(send_request(cluster, cluster.leader(), ChangeReplicas("remove", leader)), Done)
+    cluster.crashed.add(leader)
+    before = cluster.servers[cluster.leader()].replica.state.term
+    cluster.run(cluster.now + 10 * SECOND)
+    assert cluster.servers[cluster.leader()].replica.state.term == before
+
+
+def test_replica_with_lost_disk_rejoins_under_new_id_and_votes_only_then() -> None:
+    cluster = elected_cluster(3)
+    leader = cluster.leader()
+    lost = next(id for id in cluster.servers if id != leader)
+    send_request(cluster, leader, Acquire("n", "x", 100 * SECOND))
+    del cluster.servers[lost]
+    cluster.crashed.add(lost)
+    empty = Replica("w0", LeaseTable(), cluster.now, TIMING, lambda limit: cluster.rng.randrange(limit))
+    cluster.servers["w0"] = LeaseServer(empty, lambda: 0)
+    cluster.run(cluster.now + 3 * SECOND)
     assert empty.state.phase == "unformed"
-    assert ask(made, leader, ChangeReplicas("remove", lost)) == Done("changed")
-    assert ask(made, leader, ChangeReplicas("add", "w0", "w0")) == Done("changed")
-    assert "n" in made.servers["w0"].table.state.leases
-    made.crashed.add(leader)
-    made.run(made.now + 5 * SECOND)
-    assert made.leader() not in ("", leader)
+    assert send_request(cluster, leader, ChangeReplicas("remove", lost)) == Done("changed")
+    assert send_request(cluster, leader, ChangeReplicas("add", "w0", "w0")) == Done("changed")
+    assert "n" in cluster.servers["w0"].table.state.leases
+    cluster.crashed.add(leader)
+    cluster.run(cluster.now + 5 * SECOND)
+    assert cluster.leader() not in ("", leader)
 
 
 @given(st.integers(0, 10_000))
 @settings(derandomize=True, database=None, max_examples=12, deadline=None)
-def test_long_runs_with_cuts_and_deaths_lose_no_decision(seed: int) -> None:
-    made, chance = council(5, seed), Random(seed)
+def test_random_partitions_and_message_loss_lose_no_granted_lease(seed: int) -> None:
+    cluster, rng = elected_cluster(5, seed), Random(seed)
     granted: dict[str, int] = {}
-    for place in range(40):
-        cut = set(chance.sample(sorted(made.servers), chance.randint(0, 2)))
-        ways = chance.choice([(True, True), (True, False), (False, True)])
-        made.is_lost = lambda source, to, cut=cut, ways=ways: (  # type: ignore[misc]
-            (source in cut and ways[0]) or (to in cut and ways[1]) or chance.random() < 0.05
+    for index in range(40):
+        partitioned = set(rng.sample(sorted(cluster.servers), rng.randint(0, 2)))
+        blocked_directions = rng.choice([(True, True), (True, False), (False, True)])
+        cluster.is_lost = lambda source, to, partitioned=partitioned, blocked=blocked_directions: (  # type: ignore[misc]
+            (source in partitioned and blocked[0])
+            or (to in partitioned and blocked[1])
+            or rng.random() < 0.05
         )
-        made.run(made.now + chance.randrange(3 * SECOND))
-        if made.leader():
-            answer = ask(made, made.leader(), Acquire(f"n{place}", "x", 3600 * SECOND))
+        cluster.run(cluster.now + rng.randrange(3 * SECOND))
+        if cluster.leader():
+            answer = send_request(cluster, cluster.leader(), Acquire(f"n{index}", "x", 3600 * SECOND))
             if isinstance(answer, Granted):
                 assert answer.epoch not in granted.values()
-                granted[f"n{place}"] = answer.epoch
-    made.is_lost = lambda source, to: False
-    made.run(made.now + 10 * SECOND)
-    for server in made.servers.values():
+                granted[f"n{index}"] = answer.epoch
+    cluster.is_lost = lambda source, to: False
+    cluster.run(cluster.now + 10 * SECOND)
+    for server in cluster.servers.values():
         found = {name: lease.epoch for name, lease in server.table.state.leases.items()}
         assert granted.items() <= found.items()
     assert len(granted) > 10
 
 
-# ---- what is explored
+# ---- model checking
 
 
-@pytest.mark.parametrize("what", sorted(SCENARIOS))
-def test_nothing_that_can_follow_breaks_an_invariant(what: str) -> None:
-    found = explore(begin(SCENARIOS[what]), following, 40, 1500)
+@pytest.mark.parametrize("scenario_name", sorted(SCENARIOS))
+def test_exploration_finds_no_invariant_violation(scenario_name: str) -> None:
+    found = explore(begin(SCENARIOS[scenario_name]), following, 40, 1500)
     assert not found.wrong, found.trace
 
 
-@pytest.mark.parametrize("mutant", [one for one in MUTANTS if one.quick], ids=lambda one: one.what)
-def test_a_protection_left_out_is_found(mutant: Any) -> None:
+@pytest.mark.parametrize(
+    "mutant", [mutant for mutant in MUTANTS if mutant.quick], ids=lambda mutant: mutant.what
+)
+def test_exploration_detects_each_mutant(mutant: Any) -> None:
     with without(mutant.patches):
         found = explore(begin(SCENARIOS[mutant.scenario]), following, 40, 30_000)
     assert found.wrong
@@ -214,64 +221,73 @@
 
 @given(st.sampled_from(["election", "held", "deposed leader", "unaware of its grant"]), st.data())
 @settings(derandomize=True, database=None, max_examples=30, deadline=None)
-def test_longer_ways_through_the_world_break_nothing_either(what: str, data: st.DataObject) -> None:
-    scenario = SCENARIOS[what]._replace(ticks=8, crashes=3, doubles=3, losses=2, elections=6)
+def test_long_random_walks_violate_no_invariant(scenario_name: str, data: st.DataObject) -> None:
+    scenario = SCENARIOS[scenario_name]._replace(ticks=8, crashes=3, doubles=3, losses=2, elections=6)
     world = begin(scenario._replace(elapse=(), net=8))
     for _ in range(40):
-        ways = list(following(world))
-        if not ways:
+        successors = list(following(world))
+        if not successors:
             return
-        world = ways[data.draw(st.integers(0, len(ways) - 1))][1]
+        world = successors[data.draw(st.integers(0, len(successors) - 1))][1]
         assert not world.wrong()
 
 
-def test_without_pre_vote_one_that_hears_nobody_brings_endless_elections() -> None:
-    def stand(self: Elections) -> None:
+def test_without_pre_vote_partitioned_replica_raises_terms_and_deposes_leader() -> None:
+    def start_without_pre_vote(self: Elections) -> None:
         self.state.leader = ""
         self.start_election()
 
     assert one_way(20)["terms"] == 0
-    with without(((Elections, "start_pre_vote", stand),)):
-        made = council(5)
-        deaf = next(id for id in made.servers if id != made.leader())
-        made.is_lost = lambda source, to: to == deaf
-        made.run(made.now + 20 * SECOND)
-        leader, terms = made.leader(), made.servers[made.leader()].replica.state.term
-        assert made.servers[deaf].replica.state.term > terms + 10
-        made.is_lost = lambda source, to: False
-        made.run(made.now + 2 * SECOND)
-        assert made.servers[leader].replica.state.term > terms  # healed, it throws the leader over
-
-
-def test_released_and_taken_in_the_same_instant_it_has_one_holder() -> None:
-    made = council(3)
-    leader = made.leader()
-    ask(made, leader, Acquire("n", "x", 100 * SECOND))
-    server = made.servers[leader]
-    both = (RequestReceived("r", Release("n", "x")), RequestReceived("t", Acquire("n", "y", 100 * SECOND)))
-    for effect in server.handle(made.now, *both):
+    with without(((Elections, "start_pre_vote", start_without_pre_vote),)):
+        cluster = elected_cluster(5)
+        partitioned = next(id for id in cluster.servers if id != cluster.leader())
+        cluster.is_lost = lambda source, to: to == partitioned
+        cluster.run(cluster.now + 20 * SECOND)
+        leader, term = cluster.leader(), cluster.servers[cluster.leader()].replica.state.term
+        assert cluster.servers[partitioned].replica.state.term > term + 10
+        cluster.is_lost = lambda source, to: False
+        cluster.run(cluster.now + 2 * SECOND)
+        # Once the partition heals, the higher term deposes the leader.
+        assert cluster.servers[leader].replica.state.term > term
+
+
+def test_release_and_acquire_at_same_time_yield_one_holder() -> None:
+    cluster = elected_cluster(3)
+    leader = cluster.leader()
+    send_request(cluster, leader, Acquire("n", "x", 100 * SECOND))
+    server = cluster.servers[leader]
+    requests = (
+        RequestReceived("r", Release("n", "x")),
+        RequestReceived("t", Acquire("n", "y", 100 * SECOND)),
+    )
+    for effect in server.handle(cluster.now, *requests):
         match effect:
             case SendMessage(to, message):
-                made.schedule(made.now + MS, made._deliver(to, leader, message))
+                cluster.schedule(cluster.now + MS, cluster._deliver(to, leader, message))
             case WriteRecords():
-                made.schedule(made.now + MS, made._complete_write(leader))
-    made.run(made.now + SECOND)
-    told = {ticket: answer for _, ticket, answer in made.answers if ticket in ("r", "t")}
-    assert told == {"r": Done("released"), "t": Granted(2, 100 * SECOND)}
+                cluster.schedule(cluster.now + MS, cluster._complete_write(leader))
+    cluster.run(cluster.now + SECOND)
+    answers = {ticket: answer for _, ticket, answer in cluster.answers if ticket in ("r", "t")}
+    assert answers == {"r": Done("released"), "t": Granted(2, 100 * SECOND)}
 
 
-def test_the_instance_imports_nothing_of_it() -> None:
-    """All that `run` imports is named in the deploy file, so that what is judged is what runs."""
-    plan = tomllib.loads(Path("deploy/balancer.toml").read_text())
+def test_server_imports_only_deployed_modules_and_not_msgspec() -> None:
+    """The deploy file lists all modules that the server imports, so that the evaluated code is what runs."""
+    deployment = tomllib.loads(Path("deploy/balancer.toml").read_text())
     script = "import sys, thistleline.__main__, thistleline.server.service; print(*sys.modules)"
-    told = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, check=True).stdout
-    named = {str(file) for place in (*plan["policy"], *plan["node"])
-             for file in ([Path(place)] if place.endswith(".py") else Path(place).rglob("*.py"))}  # fmt: skip
-    for module in told.split():
+    modules = subprocess.run(
+        [sys.executable, "-c", script], capture_output=True, text=True, check=True
+    ).stdout
+    deployed_files = {
+        str(file)
+        for entry in (*deployment["policy"], *deployment["node"])
+        for file in ([Path(entry)] if entry.endswith(".py") else Path(entry).rglob("*.py"))
+    }
+    for module in modules.split():
         if module.startswith("thistleline"):
             path = Path(*module.split("."))
-            assert {str(path.with_suffix(".py")), str(path / "__init__.py")} & named, module
-    assert "msgspec" not in told.split()
+            assert {str(path.with_suffix(".py")), str(path / "__init__.py")} & deployed_files, module
+    assert "msgspec" not in modules.split()
 
 
 # ---- on disk
@@ -285,130 +301,130 @@
 )
 
 
-def written(folder: Path) -> tuple[Path, list[int]]:
-    """The file, and its length after each write."""
+def write_records(folder: Path) -> tuple[Path, list[int]]:
+    """Write each record of RECORDS on its own; return the file and its size after each write."""
     store = ReplicaStore(Disk(folder, "council"))
     folder.mkdir(exist_ok=True)
     sizes = []
-    for place, record in enumerate(RECORDS):
-        store.write(WriteBatch(place == 0, (record,)))
+    for index, record in enumerate(RECORDS):
+        store.write(WriteBatch(index == 0, (record,)))
         sizes.append(store.disk.path(1).stat().st_size)
     return store.disk.path(1), sizes
 
 
-def last_of(folder: Path) -> tuple[int, str, int]:
+def recovered_position(folder: Path) -> tuple[int, str, int]:
     found = ReplicaStore(Disk(folder, "council")).recover()
     assert found is not None
     return found.vote.term, found.vote.voted_for, found.log.last_index
 
 
-def test_a_torn_write_is_as_if_it_had_not_been(tmp_path: Path) -> None:
-    path, sizes = written(tmp_path / "whole")
+def test_truncated_write_loses_no_earlier_write(tmp_path: Path) -> None:
+    path, sizes = write_records(tmp_path / "whole")
     data = path.read_bytes()
     folder = tmp_path / "torn"
     folder.mkdir()
     for end in range(sizes[0], len(data)):
         (folder / path.name).write_bytes(data[:end])
-        term, _, last = last_of(folder)
-        # A first copy that is whole counts; nothing that was durable before is gone.
-        done = sum(1 for size in sizes if size <= end) - 1
-        least = [(3, 0), (4, 0), (4, 2), (4, 2)][done]
-        assert (term, last) >= least
+        term, _, last = recovered_position(folder)
+        # A complete first copy counts; no record that was durable before is lost.
+        complete = sum(1 for size in sizes if size <= end) - 1
+        minimum = [(3, 0), (4, 0), (4, 2), (4, 2)][complete]
+        assert (term, last) >= minimum
 
 
 @pytest.mark.parametrize("bit", range(8))
-def test_a_flipped_bit_anywhere_takes_nothing(tmp_path: Path, bit: int) -> None:
-    path, _ = written(tmp_path / "whole")
+def test_flipped_bit_loses_no_record(tmp_path: Path, bit: int) -> None:
+    path, _ = write_records(tmp_path / "whole")
     data = path.read_bytes()
     folder = tmp_path / "flipped"
     folder.mkdir()
-    for place in range(10, len(data)):
-        harmed = bytearray(data)
-        harmed[place] ^= 1 << bit
-        (folder / path.name).write_bytes(harmed)
-        assert last_of(folder) == (4, "b.2", 2)
+    for index in range(10, len(data)):
+        corrupted = bytearray(data)
+        corrupted[index] ^= 1 << bit
+        (folder / path.name).write_bytes(corrupted)
+        assert recovered_position(folder) == (4, "b.2", 2)
 
 
-def test_what_can_t_be_read_in_the_middle_is_not_passed_over(tmp_path: Path) -> None:
-    path, sizes = written(tmp_path / "d")
+def test_unreadable_write_before_the_last_raises_error(tmp_path: Path) -> None:
+    path, sizes = write_records(tmp_path / "d")
     data = bytearray(path.read_bytes())
     data[sizes[0] : sizes[1]] = bytes(sizes[1] - sizes[0])
     path.write_bytes(data)
     with pytest.raises(CorruptFrameError, match="write 2 can't be read"):
-        last_of(tmp_path / "d")
+        recovered_position(tmp_path / "d")
 
 
-def test_a_new_segment_that_was_being_made_leaves_the_one_before(tmp_path: Path) -> None:
-    path, _ = written(tmp_path / "d")
+def test_incomplete_new_segment_falls_back_to_previous_segment(tmp_path: Path) -> None:
+    path, _ = write_records(tmp_path / "d")
     path.with_name("000000000002.council").write_bytes(path.read_bytes()[:40])
-    assert last_of(tmp_path / "d") == (4, "b.2", 2)
+    assert recovered_position(tmp_path / "d") == (4, "b.2", 2)
 
 
-def test_after_a_failed_write_all_goes_to_a_new_segment(tmp_path: Path) -> None:
-    """A leader whose disk fails leads no more; another does, and the first comes back with all it knows."""
-    made = council(3)
-    first = made.leader()
-    ask(made, first, Acquire("n", "x", 100 * SECOND))
-    server, put = made.servers[first], made.handle
+def test_failed_write_deposes_leader_and_later_retry_succeeds(tmp_path: Path) -> None:
+    """A leader with a failing disk is replaced; once its disk works again, its whole log becomes durable."""
+    cluster = elected_cluster(3)
+    first = cluster.leader()
+    send_request(cluster, first, Acquire("n", "x", 100 * SECOND))
+    server, handle = cluster.servers[first], cluster.handle
     failing = [True]
 
-    def troubled(id: str, event: Event) -> None:
+    def handle_with_failing_writes(id: str, event: Event) -> None:
         fails = id == first and event == WriteCompleted() and failing[0]
-        put(id, WriteFailed("no space") if fails else event)
+        handle(id, WriteFailed("no space") if fails else event)
 
-    made.handle = troubled  # type: ignore[method-assign]
-    made.handle(first, RequestReceived("z", Acquire("m", "x", 100 * SECOND)))
-    made.run(made.now + 5 * SECOND)
-    assert made.leader() not in ("", first)
+    cluster.handle = handle_with_failing_writes  # type: ignore[method-assign]
+    cluster.handle(first, RequestReceived("z", Acquire("m", "x", 100 * SECOND)))
+    cluster.run(cluster.now + 5 * SECOND)
+    assert cluster.leader() not in ("", first)
     assert server.replica.state.writes.failing
     failing[0] = False
-    made.run(made.now + 15 * SECOND)
+    cluster.run(cluster.now + 15 * SECOND)
     assert not server.replica.state.writes.failing
     assert (
         server.replica.state.durable_index
         == server.replica.state.log.last_index
-        == made.servers[made.leader()].replica.state.log.last_index
+        == cluster.servers[cluster.leader()].replica.state.log.last_index
     )
 
 
-def test_a_full_disk_keeps_what_was_there(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    path, _ = written(tmp_path / "d")
+def test_full_disk_keeps_stored_records(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    path, _ = write_records(tmp_path / "d")
     store = ReplicaStore(Disk(tmp_path / "d", "council"))
     found = store.recover()
     assert found is not None
 
-    def full(data: bytes) -> None:
+    def raise_no_space(data: bytes) -> None:
         raise OSError(errno.ENOSPC, "no space")
 
-    monkeypatch.setattr(store.disk, "append", full)
+    monkeypatch.setattr(store.disk, "append", raise_no_space)
     with pytest.raises(OSError, match="no space"):
         store.write(WriteBatch(True, (found.snapshot,)))
     assert path.exists()
-    assert last_of(tmp_path / "d") == (4, "b.2", 2)
+    assert recovered_position(tmp_path / "d") == (4, "b.2", 2)
     shutil.rmtree(tmp_path / "d")
     assert ReplicaStore(Disk(tmp_path / "d", "council")).recover() is None
 
 
-# ---- links and settings
+# ---- connections and settings
 
 
 @given(st.lists(st.binary(max_size=50), max_size=8), st.data())
 @settings(derandomize=True, database=None)
-def test_messages_come_whole_however_the_stream_is_cut(payloads: list[bytes], data: st.DataObject) -> None:
-    stream, unpacker, found = b"".join(map(encode_frame, payloads)), FrameDecoder(50), []
+def test_frame_decoder_accepts_any_chunk_boundaries(payloads: list[bytes], data: st.DataObject) -> None:
+    stream, decoder, found = b"".join(map(encode_frame, payloads)), FrameDecoder(50), []
     while stream:
         count = data.draw(st.integers(1, len(stream)))
-        found += unpacker.feed(stream[:count])
+        found += decoder.feed(stream[:count])
         stream = stream[count:]
     assert found == payloads
 
 
-def test_a_message_over_the_bound_is_refused_before_it_came() -> None:
+def test_oversized_message_is_rejected_by_its_length_prefix() -> None:
     with pytest.raises(ProtocolError):
         FrameDecoder(50).feed(encode_frame(b"x" * 51)[:4])
 
 
-def test_programs_of_other_forms_speak_the_highest_that_both_know() -> None:
+def test_version_negotiation_selects_highest_common_version() -> None:
     assert (
         negotiate_version(
             Hello("voter", "a", min_version=1, max_version=3),
@@ -423,48 +439,53 @@
         )
 
 
-def test_what_a_newer_program_adds_is_passed_over_and_what_an_older_lacks_has_a_default() -> None:
+def test_hello_ignores_unknown_fields_and_has_defaults_for_missing_ones() -> None:
     newer = {"type": "hello", "kind": "voter", "id": "a", "council": "c", "least": 1, "most": 2, "colour": 3}
     assert msgspec.convert(newer, Hello).max_version == 2
     assert msgspec.convert({"type": "hello", "kind": "client", "id": ""}, Hello).min_version == 1
 
 
-def test_a_full_queue_drops_the_oldest_beats_first() -> None:
+def test_full_send_queue_drops_oldest_heartbeats_first() -> None:
     queue = SendQueue()
     queue.put(b"word", False)
     for _ in range(MAX_QUEUED_MESSAGES):
         queue.put(b"beat", True)
     assert queue.dropped == 1
     assert queue.take_batch().startswith(b"word")
-    for place in range(MAX_QUEUED_MESSAGES + 5):
-        queue.put(b"%05d" % place, False)
+    for index in range(MAX_QUEUED_MESSAGES + 5):
+        queue.put(b"%05d" % index, False)
     assert queue.take_batch().startswith(b"00005")
 
 
-def test_settings_of_the_council_are_checked_with_all_faults_at_once() -> None:
+def test_cluster_settings_report_all_errors_at_once() -> None:
     text = ("council name A\ncouncil listen 0.0.0.0:7\ncouncil heartbeat 5\ncouncil voter a\n"
             "council voter b=127.0.0.1:1\ncouncil voter b=127.0.0.1:2\ncouncil via c=host:1\n")  # fmt: skip
     with pytest.raises(ConfigError) as caught:
         parse_config("t.conf", text)
     assert [line.split(": ")[0] for line in caught.value.lines] == [f"t.conf:{n}" for n in (1, 2, 3, 4, 6, 7)]
     text = "council listen 127.0.0.1:7001\ncouncil election 2s\ncouncil voter a=[::1]:7\n"
-    conf = parse_config("t.conf", text).council
-    assert conf is not None
-    assert (conf.listen, conf.election, conf.voter) == (("127.0.0.1", 7001), 2 * SECOND, {"a": ("::1", 7)})
-
-
-def test_the_line_is_fair_and_a_lost_answer_asked_again_is_the_same_grant() -> None:
-    made = council(3)
-    leader = made.leader()
-    assert ask(made, leader, Acquire("n", "x", 100 * SECOND)) == Granted(1, 100 * SECOND)
-    assert ask(made, leader, Acquire("n", "x", 100 * SECOND)) == Granted(1, 100 * SECOND)
-    assert isinstance(ask(made, leader, Acquire("n", "y", SECOND)), Denied)
-    for asker in ("p", "q", "r"):
-        ask(made, leader, Acquire("n", asker, 100 * SECOND, True))
-    ask(made, leader, Release("n", "q"))
-    ask(made, leader, Release("n", "x"))
-    assert made.servers[leader].table.state.leases["n"].holder == "p"
-    assert isinstance(ask(made, leader, Acquire("n", "x", SECOND)), Denied)  # a late copy of its wish
-    ask(made, leader, Release("n", "p"))
-    assert made.servers[leader].table.state.leases["n"].holder == "r"
-    assert made.servers[leader].table.state.leases["n"].epoch == 3
+    config = parse_config("t.conf", text).council
+    assert config is not None
+    assert (config.listen, config.election, config.voter) == (
+        ("127.0.0.1", 7001),
+        2 * SECOND,
+        {"a": ("::1", 7)},
+    )
+
+
+def test_lease_queue_is_fifo_and_repeated_acquire_returns_same_grant() -> None:
+    cluster = elected_cluster(3)
+    leader = cluster.leader()
+    assert send_request(cluster, leader, Acquire("n", "x", 100 * SECOND)) == Granted(1, 100 * SECOND)
+    assert send_request(cluster, leader, Acquire("n", "x", 100 * SECOND)) == Granted(1, 100 * SECOND)
+    assert isinstance(send_request(cluster, leader, Acquire("n", "y", SECOND)), Denied)
+    for client in ("p", "q", "r"):
+        send_request(cluster, leader, Acquire("n", client, 100 * SECOND, True))
+    send_request(cluster, leader, Release("n", "q"))
+    send_request(cluster, leader, Release("n", "x"))
+    assert cluster.servers[leader].table.state.leases["n"].holder == "p"
+    # A delayed duplicate of the earlier request is not granted again.
+    assert isinstance(send_request(cluster, leader, Acquire("n", "x", SECOND)), Denied)
+    send_request(cluster, leader, Release("n", "p"))
+    assert cluster.servers[leader].table.state.leases["n"].holder == "r"
+    assert cluster.servers[leader].table.state.leases["n"].epoch == 3
--- a/thistleline/consensus/messages.py
+++ b/thistleline/consensus/messages.py
@@ -73,7 +73,7 @@
     """Answers a `VoteRequest`.
 
     Attributes:
-        term: Current term of the voter.
+        term: Current term of the replica that votes.
         requested_term: Term of the request.
         pre_vote: Whether the request was a pre-vote.
         granted: Whether the vote is, or for a pre-vote would be, granted.
--- a/thistleline/store/latest.py
+++ b/thistleline/store/latest.py
@@ -1,4 +1,4 @@
-"""Crash-safe storage of a single small value; earlier versions are not kept."""
+"""Crash-safe storage of a single small value; earlier versions may be discarded."""
 
 from pathlib import Path
 
