--- a/thistleline/consensus/store.py
+++ b/thistleline/consensus/store.py
@@ -9,8 +9,8 @@
 Each frame is written twice. A write starts only once the previous one is durable, so a crash can truncate
 only the last write, and nothing that depends on that write has been sent. However, a flipped bit in the last
 write would look like truncation, and a vote or an entry that other replicas rely on would be lost: in this
-case the second copy is used. If both copies are unreadable before the last write, or a write number is
-missing, the segment is corrupt, and the replica must not continue under its old id.
+case the second copy is used. If both copies of a frame are unreadable in any earlier write, or a write number
+is missing, the segment is corrupt, and the replica must not continue under its old id.
 """
 
 import struct
