--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,31 +6,33 @@
 
 import pytest
 
-from tests.host import FakeAgent, FakeAnnounce, Hall, Instance
+from tests.host import FakeAgent, FakeAnnounce, ServerHarness, ServerProcess
 from tests.known_red import pytest_collection_modifyitems, pytest_configure
 
 
 @pytest.fixture
-def halls(tmp_path: Path) -> Iterator[Any]:
-    made: list[Hall] = []
+def make_harness(tmp_path: Path) -> Iterator[Any]:
+    made: list[ServerHarness] = []
 
-    def make(agent_up: bool = True, announce: FakeAnnounce | None = None, **changes: Any) -> Hall:
+    def make(agent_up: bool = True, announce: FakeAnnounce | None = None, **changes: Any) -> ServerHarness:
         agent, announce = FakeAgent(agent_up), announce or FakeAnnounce()
-        made.append(Hall(tmp_path, agent, announce, Instance(tmp_path, agent, announce, **changes)))
+        made.append(
+            ServerHarness(tmp_path, agent, announce, ServerProcess(tmp_path, agent, announce, **changes))
+        )
         return made[-1]
 
     yield make
-    for hall in made:
-        hall.agent.close()
-        hall.announce.close()
-        hall.instance.close()
+    for harness in made:
+        harness.agent.close()
+        harness.announce.close()
+        harness.server.close()
 
 
 @pytest.fixture
-def hall(halls: Any) -> Hall:
-    made: Hall = halls()
-    made.up()
+def harness(make_harness: Any) -> ServerHarness:
+    made: ServerHarness = make_harness()
+    made.wait_until_serving()
     return made
 
 
-__all__ = ["hall", "halls", "pytest_collection_modifyitems", "pytest_configure"]
+__all__ = ["harness", "make_harness", "pytest_collection_modifyitems", "pytest_configure"]
--- a/tests/host.py
+++ b/tests/host.py
@@ -54,7 +54,7 @@
 from thistleline.state.phases import Lifecycle
 from thistleline.state.state_machine import ServerStateMachine
 
-PATIENCE = 20.0  # for whatever a test waits on; on a busy machine too
+WAIT_TIMEOUT_SECONDS = 20.0  # for whatever a test waits on; on a busy machine too
 
 
 def stage(**changes: Any) -> Stage:
@@ -114,26 +114,26 @@
     return ServerSettings(**facts | changes)
 
 
-class FakeHost:
+class FakePolicyHost:
     """Writer and clock in one; `said` lists the decisions in order."""
 
     def __init__(self, stages: tuple[Stage, ...] = (LOOKUP, BOOKING), **changes: Any) -> None:
         self.settings = server_settings(stages, **changes)
         self.now = 1000 * SECOND
-        self.said: list[tuple[Any, ...]] = []
+        self.decisions: list[tuple[Any, ...]] = []
         self.policy = Policy(self.settings, 7, self.now)
         self.count = 0
         self.gauges = {"on_cores": 2.0}
         self.round()
 
     def __getattr__(self, decision: str) -> Any:
-        return lambda *told: self.said.append((decision, *told))
+        return lambda *told: self.decisions.append((decision, *told))
 
     def round(self, *events: PolicyEvent) -> list[tuple[Any, ...]]:
         """One round; what was decided in it, less the alarms."""
-        before = len(self.said)
+        before = len(self.decisions)
         self.policy.round(self.now, list(events), self)
-        return [said for said in self.said[before:] if said[0] != "set_timer"]
+        return [said for said in self.decisions[before:] if said[0] != "set_timer"]
 
     def task(self, stage: int = 0, **changes: Any) -> Task:
         self.count += 1
@@ -149,8 +149,8 @@
             self.now += 25 * MS
             self.round(TimerFired("tick", dict(self.gauges)))
 
-    def fates(self, task: Task) -> list[str]:
-        return [said[0] for said in self.said if len(said) > 1 and said[1] == task.id]
+    def decisions_for(self, task: Task) -> list[str]:
+        return [said[0] for said in self.decisions if len(said) > 1 and said[1] == task.id]
 
 
 def task(name: str, arrived_at: int, **changes: Any) -> Task:
@@ -175,7 +175,7 @@
     return tuple(Tenant(f"o{place}", 1 / len(allowances), rate) for place, rate in enumerate(allowances))
 
 
-class Desk:
+class MachineHarness:
     """A state machine with a clock of its own, an agent that answers samples, and all effects in order."""
 
     def __init__(
@@ -186,22 +186,22 @@
         options = machine_options(connections, results_bound, **changes)
         self.machine = ServerStateMachine(options, self.now, self.lifecycle)
         self.effects: list[Any] = []
-        self.answers_samples = True
+        self.answers_measurements = True
         self.number = 0  # of the agent's last notice
         self.count = 0
-        self.put(ListeningStarted())
+        self.handle(ListeningStarted())
         if up:
-            self.put(AgentGreeted(False, 60 * SECOND))
+            self.handle(AgentGreeted(False, 60 * SECOND))
             self.wait(50 * MS)
 
-    def put(self, event: Any) -> list[Any]:
+    def handle(self, event: Any) -> list[Any]:
         """One event; what it brought, less log and reading. The agent answers samples at once."""
         effects = self.machine.handle(self.now, event)
         self.effects += effects
         for effect in effects:
-            if isinstance(effect, MeasureGauges) and self.answers_samples:
-                self.put(GaugesMeasured(effect.tag, [0.5, 2.0]))
-        return [effect for effect in effects if not isinstance(effect, BESIDE)]
+            if isinstance(effect, MeasureGauges) and self.answers_measurements:
+                self.handle(GaugesMeasured(effect.tag, [0.5, 2.0]))
+        return [effect for effect in effects if not isinstance(effect, IGNORED_EFFECTS)]
 
     def wait(self, span: int = 10 * MS) -> list[Any]:
         """Lets time pass; what it brought."""
@@ -209,38 +209,40 @@
         while self.now < end and self.lifecycle.phase != "ended":
             self.now = min(end, max(self.now, self.machine.next_deadline()))
             if self.machine.next_deadline() <= self.now:
-                self.put(DeadlineReached())
-        return [effect for effect in self.effects[before:] if not isinstance(effect, BESIDE)]
+                self.handle(DeadlineReached())
+        return [effect for effect in self.effects[before:] if not isinstance(effect, IGNORED_EFFECTS)]
 
     def send(self, connection: int, word: str | None = None, body: bytes = b"body", **changes: Any) -> str:
         """A task comes in on a connection, which is opened if need be."""
         self.count += 1
         if connection not in self.machine.connections.by_number:
-            self.put(ConnectionOpened(connection))
+            self.handle(ConnectionOpened(connection))
         name = str(changes.pop("id", f"t{self.count}"))
         stage = changes.pop("stage_place", 0 if word is None else 1)
         sent = task(name, changes.pop("arrived_at", self.now), stage=stage, **changes)
-        self.put(TaskReceived(connection, self.count, sent, word, memoryview(body)))
-        self.put(InputDrained(connection))
+        self.handle(TaskReceived(connection, self.count, sent, word, memoryview(body)))
+        self.handle(InputDrained(connection))
         return name
 
     def end(self, name: str, how: RunOutcome = "finished", number: int | None = None) -> list[Any]:
         if number is None:
             self.number += 1
             number = self.number
-        return self.put(RunCompleted(number, name, how, 100 * MS, memoryview(b"result of " + name.encode())))
+        return self.handle(
+            RunCompleted(number, name, how, 100 * MS, memoryview(b"result of " + name.encode()))
+        )
 
-    def kinds(self, *classes: type) -> list[Any]:
+    def effects_of(self, *classes: type) -> list[Any]:
         return [effect for effect in self.effects if isinstance(effect, classes)]
 
     def launched(self) -> list[str]:
-        return [effect.attempt_id for effect in self.kinds(StartRun)]
+        return [effect.attempt_id for effect in self.effects_of(StartRun)]
 
     def answers(self) -> list[str]:
-        return [ANSWERS[type(effect)] for effect in self.kinds(*ANSWERS)]
+        return [ANSWERS[type(effect)] for effect in self.effects_of(*ANSWERS)]
 
 
-BESIDE = (LogEvent, ReadConnection, MeasureGauges)
+IGNORED_EFFECTS = (LogEvent, ReadConnection, MeasureGauges)
 ANSWERS = {AnswerFinished: "finished", AnswerRejected: "rejected", AnswerAbandoned: "abandoned"}
 
 
@@ -300,7 +302,7 @@
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 256}
 
 
-TOLD: dict[str, Any] = {
+CONFIG: dict[str, Any] = {
     "name": "n3",
     "listen": "127.0.0.4:9090",
     "agent": "127.0.0.1:9300",
@@ -312,20 +314,20 @@
 }
 
 
-GATES = str(Path(__file__).parent / "gates")
+GATES_DIRECTORY = str(Path(__file__).parent / "gates")
 
 
-class Listener:
+class FakeServer:
     """A stand-in's listening socket on a free port; what it hears lies in `heard`."""
 
     def __init__(self) -> None:
-        self.open(("127.0.0.1", 0))
+        self.listen(("127.0.0.1", 0))
 
-    def open(self, address: tuple[str, int]) -> None:
+    def listen(self, address: tuple[str, int]) -> None:
         self.server = socket.create_server(address)
         self.address = f"127.0.0.1:{self.server.getsockname()[1]}"
-        self.heard: queue.Queue[Any] = queue.Queue()
-        self.link: socket.socket | None = None
+        self.received: queue.Queue[Any] = queue.Queue()
+        self.connection: socket.socket | None = None
         threading.Thread(target=self._accept, daemon=True).start()
 
     def _accept(self) -> None:
@@ -334,7 +336,7 @@
                 link, _ = self.server.accept()
             except OSError:
                 return
-            self.link = link
+            self.connection = link
             threading.Thread(target=self._serve, args=(link,), daemon=True).start()
 
     def _serve(self, link: socket.socket) -> None:
@@ -347,92 +349,92 @@
     def serve(self, link: socket.socket, source: Any) -> None:
         raise NotImplementedError
 
-    def hear(self) -> Any:
-        return self.heard.get(timeout=PATIENCE)
+    def receive(self) -> Any:
+        return self.received.get(timeout=WAIT_TIMEOUT_SECONDS)
 
     def drop(self) -> None:
         """Ends the link, at once."""
-        assert self.link is not None
-        self.link.shutdown(socket.SHUT_RDWR)
+        assert self.connection is not None
+        self.connection.shutdown(socket.SHUT_RDWR)
 
     def close(self) -> None:
         self.server.close()
 
 
-class FakeAgent(Listener):
+class FakeAgent(FakeServer):
     """Answers samples and checks by itself; `heard` has launches and freezes, the test ends the runs."""
 
     def __init__(self, up: bool = True) -> None:
-        self.up = threading.Event()
+        self.ready = threading.Event()
         if up:
-            self.up.set()
-        self.kept: list[bytes] = []
+            self.ready.set()
+        self.notices: list[bytes] = []
         super().__init__()
 
     def serve(self, link: socket.socket, source: Any) -> None:
         for line in source:
             words = line.decode().split()
             if words[0] == "subscribe":
-                self.heard.put(("subscribe", int(words[1])))
-                self.up.wait()
-                link.sendall(b"greeting old 60000\r\n" + b"".join(self.kept[int(words[1]) :]))
+                self.received.put(("subscribe", int(words[1])))
+                self.ready.wait()
+                link.sendall(b"greeting old 60000\r\n" + b"".join(self.notices[int(words[1]) :]))
             elif words[0] == "sample":
                 link.sendall(b"sampled %s 0.5 2 0.1 3\r\n" % words[1].encode())
             elif words[0] == "exercise":
                 link.sendall(b"exercised %s good\r\n" % words[1].encode())
             elif words[0] == "launch":
                 body = source.read(int(words[3]) + 2)[:-2]
-                self.heard.put(("launch", words[1], words[2], body))
+                self.received.put(("launch", words[1], words[2], body))
             elif words[0] == "deliver":
-                self.heard.put(("deliver", words[1], source.read(int(words[2]) + 2)[:-2]))
+                self.received.put(("deliver", words[1], source.read(int(words[2]) + 2)[:-2]))
             else:
-                self.heard.put(tuple(words))
+                self.received.put(tuple(words))
 
-    def wants_call(self, name: str, body: bytes) -> None:
+    def request_call(self, name: str, body: bytes) -> None:
         """The run stands at a call."""
-        self.tell(f"request {len(self.kept) + 1} {name} {len(body)}\r\n".encode() + body + b"\r\n")
+        self.send_notice(f"request {len(self.notices) + 1} {name} {len(body)}\r\n".encode() + body + b"\r\n")
 
-    def tell(self, notice: bytes, send: bool = True) -> None:
-        self.kept.append(notice)
+    def send_notice(self, notice: bytes, send: bool = True) -> None:
+        self.notices.append(notice)
         if send:
-            assert self.link is not None
-            self.link.sendall(notice)
+            assert self.connection is not None
+            self.connection.sendall(notice)
 
-    def end(self, name: str, result: bytes, how: str = "good", send: bool = True) -> None:
-        head = f"outcome {len(self.kept) + 1} {name} {how} 12.5 {len(result)}\r\n".encode()
-        self.tell(head + result + b"\r\n", send)
+    def end_run(self, name: str, result: bytes, how: str = "good", send: bool = True) -> None:
+        head = f"outcome {len(self.notices) + 1} {name} {how} 12.5 {len(result)}\r\n".encode()
+        self.send_notice(head + result + b"\r\n", send)
 
 
-class FakeBackend(Listener):
+class FakeBackend(FakeServer):
     """What lies below; `heard` has calls and cancels, the test ends the calls. Each connection has a thread
     of its own: what comes on two of them is heard in either order, a cancel late where the test says so."""
 
     def __init__(self) -> None:
-        self.hears_cancels = threading.Event()
-        self.hears_cancels.set()
+        self.accepts_cancels = threading.Event()
+        self.accepts_cancels.set()
         super().__init__()
 
     def serve(self, link: socket.socket, source: Any) -> None:
         for line in source:
             words = line.decode().split()
             if words[0] == "invoke":
-                self.heard.put(("invoke", words[1], int(words[2]), source.read(int(words[3]) + 2)[:-2]))
+                self.received.put(("invoke", words[1], int(words[2]), source.read(int(words[3]) + 2)[:-2]))
             else:
-                self.hears_cancels.wait(PATIENCE)
-                self.heard.put(tuple(words))
+                self.accepts_cancels.wait(WAIT_TIMEOUT_SECONDS)
+                self.received.put(tuple(words))
 
-    def end(self, name: str, how: str = "ok", result: bytes | None = None) -> None:
-        assert self.link is not None
+    def end_call(self, name: str, how: str = "ok", result: bytes | None = None) -> None:
+        assert self.connection is not None
         more = b"" if result is None else b" %d\r\n%s" % (len(result), result)
-        self.link.sendall(f"{name} {how}".encode() + more + b"\r\n")
+        self.connection.sendall(f"{name} {how}".encode() + more + b"\r\n")
 
 
-class FakeAnnounce(Listener):
+class FakeAnnounce(FakeServer):
     """Takes reports, or troubles whoever makes them."""
 
-    trouble = ""
+    failure = ""
 
-    def receive(self, source: Any) -> tuple[str, Any] | None:
+    def read_report(self, source: Any) -> tuple[str, Any] | None:
         """The next report: its path and what it tells; none at the end."""
         line = source.readline()
         if not line:
@@ -444,23 +446,23 @@
         return line.split()[1].decode(), json.loads(source.read(length))
 
     def serve(self, link: socket.socket, source: Any) -> None:
-        while (report := self.receive(source)) is not None:
-            self.heard.put(report)
-            if self.trouble == "closes early":
+        while (report := self.read_report(source)) is not None:
+            self.received.put(report)
+            if self.failure == "closes early":
                 return
-            if self.trouble != "is slow":
-                status = b"503 Busy" if self.trouble else b"204 Told"
+            if self.failure != "is slow":
+                status = b"503 Busy" if self.failure else b"204 Told"
                 link.sendall(b"HTTP/1.1 " + status + b"\r\nContent-Length: 0\r\n\r\n")
 
 
-class Instance:
+class ServerProcess:
     """The program itself, started on a free port."""
 
     def __init__(
         self,
         folder: Path,
-        agent: Listener,
-        announce: Listener,
+        agent: FakeServer,
+        announce: FakeServer,
         port: int = 0,
         environ: dict[str, str] | None = None,
         **changes: Any,
@@ -479,9 +481,9 @@
             "limits": LIMITS,
             "settings": SETTINGS,
         }
-        self.told, self.path = told | changes, folder / "config.json"
-        self.path.write_text(json.dumps(self.told))
-        self.process = start({"ROUTER_CONFIG": str(self.path), **(environ or {})})
+        self.config, self.path = told | changes, folder / "config.json"
+        self.path.write_text(json.dumps(self.config))
+        self.process = start_process({"ROUTER_CONFIG": str(self.path), **(environ or {})})
         self.lines: queue.Queue[dict[str, Any]] = queue.Queue()
         threading.Thread(target=self._read_log, daemon=True).start()
 
@@ -490,36 +492,36 @@
         for line in self.process.stdout:
             self.lines.put(json.loads(line))
 
-    def until(self, event: str, **facts: Any) -> dict[str, Any]:
+    def wait_for_log(self, event: str, **facts: Any) -> dict[str, Any]:
         """Waits for a line of the log."""
-        due = time.monotonic() + PATIENCE
+        due = time.monotonic() + WAIT_TIMEOUT_SECONDS
         while True:
             line = self.lines.get(timeout=max(0.0, due - time.monotonic()))
             if line["event"] == event and facts.items() <= line.items():
                 return line
 
     def connect(self) -> socket.socket:
-        return socket.create_connection((HOST, self.port), timeout=PATIENCE)
+        return socket.create_connection((HOST, self.port), timeout=WAIT_TIMEOUT_SECONDS)
 
-    def read_again(self, text: str) -> None:
+    def reload_config(self, text: str) -> None:
         self.path.write_text(text)
         self.process.send_signal(signal.SIGHUP)
 
-    def stand_still(self) -> None:
+    def pause(self) -> None:
         """Until SIGCONT. A stop takes effect some time after its signal is sent, so that is waited for."""
         os.kill(self.process.pid, signal.SIGSTOP)
         os.waitid(os.P_PID, self.process.pid, os.WSTOPPED | os.WNOWAIT)
 
-    def leave(self) -> int:
+    def terminate(self) -> int:
         self.process.send_signal(signal.SIGTERM)
-        return self.process.wait(PATIENCE)
+        return self.process.wait(WAIT_TIMEOUT_SECONDS)
 
     def close(self) -> None:
         self.process.kill()
         self.process.wait()
 
 
-def start(environ: dict[str, str]) -> subprocess.Popen[bytes]:
+def start_process(environ: dict[str, str]) -> subprocess.Popen[bytes]:
     return subprocess.Popen(
         [sys.executable, "-m", "thistleline"],
         env={**os.environ, **environ},
@@ -528,7 +530,7 @@
     )
 
 
-def frames(link: socket.socket) -> Iterator[bytes]:
+def read_frames(link: socket.socket) -> Iterator[bytes]:
     """The frames that come on a connection, one after another, to its end."""
     with link.makefile("rb") as source:
         while len(head := source.read(4)) == 4:
@@ -538,7 +540,7 @@
 # ---- a client stub that speaks through an independent implementation of Thrift
 
 
-def asked(method: str, seq: int, *values: tuple[int, Any], kind: int = TMessageType.CALL) -> bytes:
+def encode_call(method: str, seq: int, *values: tuple[int, Any], kind: int = TMessageType.CALL) -> bytes:
     """A framed call; each value with its type."""
     memory = TMemoryBuffer()
     out = TBinaryProtocol(TFramedTransport(memory), strictWrite=True)
@@ -561,7 +563,7 @@
     return bytes(memory.getvalue())
 
 
-def words(number: int = 1, **changes: str | None) -> dict[str, str]:
+def task_fields(number: int = 1, **changes: str | None) -> dict[str, str]:
     told: dict[str, str | None] = {
         "service": "lookup",
         "ref": f"{number:016x}",
@@ -576,19 +578,19 @@
     return {name: value for name, value in (told | changes).items() if value is not None}
 
 
-def booking(number: int, mark: str, **changes: str | None) -> dict[str, str]:
-    return words(number, service="booking", replay=mark, lookup=None, **changes)
+def booking_fields(number: int, mark: str, **changes: str | None) -> dict[str, str]:
+    return task_fields(number, service="booking", replay=mark, lookup=None, **changes)
 
 
-def process(seq: int, told: dict[str, str], body: bytes = b"body") -> bytes:
-    return asked("process", seq, (TType.MAP, told), (TType.STRING, body))
+def process_call(seq: int, told: dict[str, str], body: bytes = b"body") -> bytes:
+    return encode_call("process", seq, (TType.MAP, told), (TType.STRING, body))
 
 
-def probe(seq: int, inner: bool) -> bytes:
-    return asked("probe", seq, (TType.BOOL, inner))
+def probe_call(seq: int, inner: bool) -> bytes:
+    return encode_call("probe", seq, (TType.BOOL, inner))
 
 
-def answered(frame: bytes) -> tuple[str, int, int, dict[int, Any]]:
+def decode_message(frame: bytes) -> tuple[str, int, int, dict[int, Any]]:
     """Method, kind, sequence number and the fields by number of what came back, less the frame's length."""
     source = TBinaryProtocol(TMemoryBuffer(frame), strictRead=True)
     method, kind, seq = source.readMessageBegin()
@@ -611,29 +613,29 @@
     return source.readI32() if typed == TType.I32 else source.readBinary()
 
 
-def ask(link: socket.socket, *sent: bytes) -> dict[int, Any]:
+def exchange(link: socket.socket, *sent: bytes) -> dict[int, Any]:
     """Sends, then reads as many answers; their fields by sequence number."""
     link.sendall(b"".join(sent))
-    source = frames(link)
-    return {seq: fields for _, _, seq, fields in (answered(next(source)) for _ in sent)}
+    source = read_frames(link)
+    return {seq: fields for _, _, seq, fields in (decode_message(next(source)) for _ in sent)}
 
 
 @dataclass
-class Hall:
+class ServerHarness:
     """One instance, its agent and its announce service."""
 
     folder: Path
     agent: FakeAgent
     announce: FakeAnnounce
-    instance: Instance
+    server: ServerProcess
 
-    def up(self) -> None:
-        self.instance.until("phase", phase="serving")
-        assert self.agent.hear() == ("subscribe", 0)
+    def wait_until_serving(self) -> None:
+        self.server.wait_for_log("phase", phase="serving")
+        assert self.agent.receive() == ("subscribe", 0)
 
-    def run(self, result: bytes, how: str = "good") -> Any:
-        launch = self.agent.hear()
-        self.agent.end(launch[1], result, how)
+    def finish_next_run(self, result: bytes, how: str = "good") -> Any:
+        launch = self.agent.receive()
+        self.agent.end_run(launch[1], result, how)
         return launch
 
 
@@ -642,41 +644,41 @@
 
     def __init__(self, at: str) -> None:
         self.server = socket.create_server(("127.0.0.1", 0))
-        self.server.settimeout(PATIENCE)
-        self.told = {"at": at, "port": self.server.getsockname()[1]}
+        self.server.settimeout(WAIT_TIMEOUT_SECONDS)
+        self.settings = {"at": at, "port": self.server.getsockname()[1]}
 
     def environ(self) -> dict[str, str]:
-        return {"TEST_GATE": json.dumps(self.told), "PYTHONPATH": GATES}
+        return {"TEST_GATE": json.dumps(self.settings), "PYTHONPATH": GATES_DIRECTORY}
 
-    def reached(self) -> None:
-        self.waits, _ = self.server.accept()
+    def wait_until_reached(self) -> None:
+        self.connection, _ = self.server.accept()
 
-    def open(self) -> None:
-        self.waits.sendall(b"x")
-        self.waits.close()
+    def release(self) -> None:
+        self.connection.sendall(b"x")
+        self.connection.close()
         self.server.close()
 
 
-def faults(*told: dict[str, Any]) -> dict[str, str]:
+def fault_environ(*told: dict[str, Any]) -> dict[str, str]:
     """What fails in a program under test, as `tests/gates/sitecustomize.py` reads it."""
-    return {"TEST_FAULTS": json.dumps(told), "PYTHONPATH": GATES}
+    return {"TEST_FAULTS": json.dumps(told), "PYTHONPATH": GATES_DIRECTORY}
 
 
-def try_by_hand() -> None:
+def run_demo() -> None:
     """One task through the program, printed."""
     with tempfile.TemporaryDirectory() as folder:
         agent = FakeAgent()
-        instance = Instance(Path(folder), agent, FakeAnnounce())
-        print(instance.until("phase", phase="serving"))
+        instance = ServerProcess(Path(folder), agent, FakeAnnounce())
+        print(instance.wait_for_log("phase", phase="serving"))
         with instance.connect() as link:
-            link.sendall(process(1, words(1)))
-            agent.hear()
-            launch = agent.hear()
+            link.sendall(process_call(1, task_fields(1)))
+            agent.receive()
+            launch = agent.receive()
             print(launch)
-            agent.end(launch[1], b"the kiln is free on Friday")
-            print(answered(next(frames(link))))
-        print("exit code", instance.leave())
+            agent.end_run(launch[1], b"the kiln is free on Friday")
+            print(decode_message(next(read_frames(link))))
+        print("exit code", instance.terminate())
 
 
 if __name__ == "__main__":
-    try_by_hand()
+    run_demo()
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from tests.host import BOOKING, Desk, stage, task
+from tests.host import BOOKING, MachineHarness, stage, task
 from thistleline.interface import RunOutcome
 from thistleline.policy import MS, SECOND
 from thistleline.state.effects import (
@@ -93,8 +93,8 @@
 class Strangers(RuleBasedStateMachine):
     @initialize(cores=st.sampled_from([1, 4]), bound=st.sampled_from([40, 1 << 20]))
     def start(self, cores: int, bound: int) -> None:
-        self.desk = Desk(stages=(stage(), SHORT, ORDER), cores=cores, results_bound=bound)
-        self.desk.answers_samples = False
+        self.desk = MachineHarness(stages=(stage(), SHORT, ORDER), cores=cores, results_bound=bound)
+        self.desk.answers_measurements = False
         self.agent, self.linked, self.read_to = Agent(), True, 0
         self.commands: list[tuple[int, Any]] = []  # written, not yet read by the agent
         self.carried = len(self.desk.effects)
@@ -139,7 +139,7 @@
         return [since for effect, since in self.agent.began if effect == wanted]
 
     def put(self, event: Any) -> None:
-        self.desk.put(event)
+        self.desk.handle(event)
         self.carry()
 
     def deliver(self) -> None:
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -14,15 +14,15 @@
 
 from tests.host import (
     BOOKING,
-    Desk,
     FakeAgent,
     FakeAnnounce,
-    Instance,
-    answered,
-    booking,
-    frames,
+    MachineHarness,
+    ServerProcess,
+    booking_fields,
+    decode_message,
     machine_options,
-    process,
+    process_call,
+    read_frames,
 )
 from thistleline.cli.ledger_folder import open_ledger, rewrite_ledger
 from thistleline.cli.main import entry
@@ -88,7 +88,7 @@
         super().remove(number)
 
 
-class KeptDesk(Desk):
+class KeptDesk(MachineHarness):
     """A desk whose state machine keeps a ledger in a folder; `slow`: works are written when told."""
 
     def __init__(
@@ -107,20 +107,20 @@
             machine_options(**changes), now, self.lifecycle, max_disk_bytes=disk, boot_offset=boot - now
         )
         self.machine = self.kept = made
-        self.effects, self.answers_samples, self.number, self.count = [], True, 0, 0
+        self.effects, self.answers_measurements, self.number, self.count = [], True, 0, 0
         self.disk = Troubled(folder)
         self.disk.acquire()
         self.store = LedgerStore(self.disk, STAGES)
         self.store.boot = left or self.store.boot
         self.slow = False
-        self.put(EffectsRecovered(self.store.recover(made.ledger)))
-        self.put(ListeningStarted())
+        self.handle(EffectsRecovered(self.store.recover(made.ledger)))
+        self.handle(ListeningStarted())
         if up:
-            self.put(AgentGreeted(False, 60 * SECOND))
+            self.handle(AgentGreeted(False, 60 * SECOND))
             self.wait(50 * MS)
 
-    def put(self, event: Any) -> list[Any]:
-        told_back = super().put(event)
+    def handle(self, event: Any) -> list[Any]:
+        told_back = super().handle(event)
         for effect in told_back:
             if isinstance(effect, WriteLedger) and not self.slow:
                 self.write(effect.write)
@@ -130,9 +130,9 @@
         try:
             self.store.write(work)
         except OSError as error:
-            self.put(WriteFailed(str(error)))
+            self.handle(WriteFailed(str(error)))
         else:
-            self.put(WriteCompleted())
+            self.handle(WriteCompleted())
 
     def die(self) -> None:
         self.disk.release()
@@ -227,7 +227,7 @@
     read, booked = desk.send(1), desk.send(1, "mark")
     desk.wait()
     assert desk.launched() == [read]
-    (work,) = [effect.write for effect in desk.kinds(WriteLedger)]
+    (work,) = [effect.write for effect in desk.effects_of(WriteLedger)]
     desk.write(work)
     assert desk.launched() == [read, booked]
 
@@ -238,10 +238,10 @@
     for place in range(9):
         desk.send(place % 3, f"mark{place}")
         desk.wait()
-    works = [effect.write for effect in desk.kinds(WriteLedger)]
+    works = [effect.write for effect in desk.effects_of(WriteLedger)]
     assert [len(work.group.intents) for work in works] == [1]
     desk.write(works[0])
-    works = [effect.write for effect in desk.kinds(WriteLedger)]
+    works = [effect.write for effect in desk.effects_of(WriteLedger)]
     assert [len(work.group.intents) for work in works] == [1, 8]
 
 
@@ -254,7 +254,7 @@
     refused = desk.send(3, "other")
     desk.wait(20 * MS)
     assert desk.launched() == [read]
-    assert [(effect.connection, effect.retry_after > 0) for effect in desk.kinds(AnswerRejected)] == [
+    assert [(effect.connection, effect.retry_after > 0) for effect in desk.effects_of(AnswerRejected)] == [
         (2, True),
         (3, True),
     ]
@@ -280,7 +280,7 @@
         desk.wait(100 * MS)
         desk.end(read)
         desk.wait(100 * MS)
-    assert len(desk.kinds(AnswerRejected)) == 40
+    assert len(desk.effects_of(AnswerRejected)) == 40
     assert len(desk.launched()) == 40
     assert desk.disk.calls < 20  # tries are further and further apart
     assert len(desk.kept.ledger.segments) < 3
@@ -311,7 +311,7 @@
     with suppress(KeyboardInterrupt):
         _life(desk, [])
     desk.die()
-    finished = {bytes(effect.result) for effect in desk.kinds(AnswerFinished)}
+    finished = {bytes(effect.result) for effect in desk.effects_of(AnswerFinished)}
     boot = START + 9 * SECOND if not left else 7 * SECOND
     later = KeptDesk(tmp_path, cores=4, boot=boot, left=left, now=(1009 + back) * SECOND)
     for place in range(3):
@@ -319,8 +319,8 @@
         later.wait(3 * SECOND)
     again = {int(name[1:]) - 1 for name in later.launched()}
     assert not again & {int(name[-1]) for name in desk.launched()}
-    assert not later.kinds(AnswerRejected)
-    told = {bytes(effect.result) for effect in later.kinds(AnswerFinished)}
+    assert not later.effects_of(AnswerRejected)
+    told = {bytes(effect.result) for effect in later.effects_of(AnswerFinished)}
     assert told <= finished
     later.die()
 
@@ -337,7 +337,7 @@
     later.send(2, "mark", is_retry=True)
     later.send(3, "mark", b"a stranger's")
     later.wait()
-    assert [(effect.connection, bytes(effect.result)) for effect in later.kinds(AnswerFinished)] == [
+    assert [(effect.connection, bytes(effect.result)) for effect in later.effects_of(AnswerFinished)] == [
         (1, b"result of t1"), (2, b"result of t1")]  # fmt: skip
     assert later.launched() == ["t3"]
 
@@ -349,7 +349,7 @@
     desk.wait()
     desk.die()
     later = KeptDesk(tmp_path, boot=START + SECOND, up=False)
-    later.put(AgentGreeted(agent == "is new", 60 * SECOND))
+    later.handle(AgentGreeted(agent == "is new", 60 * SECOND))
     if agent == "tells its end":
         later.end(name)
     later.send(1, "mark", id="later", is_retry=True)
@@ -429,7 +429,7 @@
         desk.wait(6 * MS)
         if name in desk.launched():
             desk.end(name)
-    refused = desk.kinds(AnswerRejected)
+    refused = desk.effects_of(AnswerRejected)
     assert refused
     assert desk.kept.ledger.phase == "full"
     assert sum(size for _, size in desk.disk.segments()) <= 1 << 14
@@ -474,15 +474,15 @@
     name = desk.send(1, "mark")
     desk.wait()
     desk.slow = True
-    desk.put(ShutdownRequested(desk.now + 3 * SECOND))
+    desk.handle(ShutdownRequested(desk.now + 3 * SECOND))
     desk.end(name)
-    desk.put(ConnectionEnded(1, ""))
+    desk.handle(ConnectionEnded(1, ""))
     desk.wait(SECOND)
-    assert not desk.kinds(EndProcess)
-    desk.write([effect.write for effect in desk.kinds(WriteLedger)][-1])
+    assert not desk.effects_of(EndProcess)
+    desk.write([effect.write for effect in desk.effects_of(WriteLedger)][-1])
     desk.slow = False
     desk.wait(SECOND)
-    assert desk.kinds(EndProcess)
+    assert desk.effects_of(EndProcess)
 
 
 # ---- the file of settings
@@ -516,27 +516,27 @@
     conf.write_text(f"ledger folder {tmp_path}/kept\n")
     monkeypatch.setenv("THISTLELINE_CONF", str(conf))
     agent, announce = FakeAgent(), FakeAnnounce()
-    first = Instance(tmp_path, agent, announce)
+    first = ServerProcess(tmp_path, agent, announce)
     try:
-        first.until("phase", phase="serving")
+        first.wait_for_log("phase", phase="serving")
         with first.connect() as link:
-            link.sendall(process(1, booking(1, "mark")))
-            agent.hear()
-            launch = agent.hear()
-            agent.end(launch[1], b"Friday at noon")
-            assert answered(next(frames(link)))[3][0][1] == b"Friday at noon"
-            link.sendall(process(2, booking(2, "other")))
-            agent.hear()  # it is launched, so its intent and the outcome before it are durable
+            link.sendall(process_call(1, booking_fields(1, "mark")))
+            agent.receive()
+            launch = agent.receive()
+            agent.end_run(launch[1], b"Friday at noon")
+            assert decode_message(next(read_frames(link)))[3][0][1] == b"Friday at noon"
+            link.sendall(process_call(2, booking_fields(2, "other")))
+            agent.receive()  # it is launched, so its intent and the outcome before it are durable
     finally:
         first.close()
-    second = Instance(tmp_path, agent, announce)
+    second = ServerProcess(tmp_path, agent, announce)
     try:
-        assert second.until("ledger", state="recovered")["effects"] == 2
-        second.until("phase", phase="serving")
+        assert second.wait_for_log("ledger", state="recovered")["effects"] == 2
+        second.wait_for_log("phase", phase="serving")
         with second.connect() as link:
-            link.sendall(process(1, booking(3, "mark", dup="1")))
-            assert answered(next(frames(link)))[3][0][1] == b"Friday at noon"
-        assert second.leave() == 0
+            link.sendall(process_call(1, booking_fields(3, "mark", dup="1")))
+            assert decode_message(next(read_frames(link)))[3][0][1] == b"Friday at noon"
+        assert second.terminate() == 0
     finally:
         second.close()
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -12,15 +12,15 @@
 from hypothesis import strategies as st
 
 from tests.host import (
-    PATIENCE,
+    CONFIG,
     SETTINGS,
-    TOLD,
-    Desk,
-    answered,
-    frames,
-    process,
-    start,
-    words,
+    WAIT_TIMEOUT_SECONDS,
+    MachineHarness,
+    decode_message,
+    process_call,
+    read_frames,
+    start_process,
+    task_fields,
 )
 from thistleline.interface import ServerSettings
 from thistleline.policy import SECOND
@@ -62,7 +62,7 @@
     return found
 
 
-OPTIONAL = sorted(set(paths(TOLD)) - DEMANDED, key=str)
+OPTIONAL = sorted(set(paths(CONFIG)) - DEMANDED, key=str)
 NUMBERS = [
     ("settings", "familyInfo", "cpus"),
     ("settings", "familyInfo", "memoryKb"),
@@ -116,7 +116,7 @@
 def served(bench: ServerSettings) -> None:
     """The module decides under this bench without a fault; a task of each stage gets one answer in time."""
     told = {name: getattr(bench, name) for name in ServerSettings.__dataclass_fields__ if name != "stages"}
-    desk = Desk(stages=bench.stages, **told)
+    desk = MachineHarness(stages=bench.stages, **told)
     for place, row in enumerate(bench.stages):
         word = "7" if row.effect == "keyed" else None
         desk.send(place, word, stage_place=place)
@@ -141,14 +141,14 @@
 @given(
     gone=st.lists(st.sampled_from(OPTIONAL), max_size=8),
     null=st.lists(st.sampled_from(OPTIONAL), max_size=4),
-    new=st.lists(st.tuples(st.sampled_from(paths(TOLD)), st.text(max_size=9)), max_size=4),
+    new=st.lists(st.tuples(st.sampled_from(paths(CONFIG)), st.text(max_size=9)), max_size=4),
     numbers=st.lists(st.tuples(st.sampled_from(NUMBERS), POSITIVE), max_size=5),
     other=st.lists(st.tuples(st.sampled_from(WORDS), st.text(max_size=9)), max_size=2),
 )
 def test_what_is_allowed_is_read_and_served(
     gone: list[Any], null: list[Any], new: list[Any], numbers: list[Any], other: list[Any]
 ) -> None:
-    told = copy.deepcopy(TOLD)
+    told = copy.deepcopy(CONFIG)
     for path, value in numbers + other:
         put(told, path, value)
     for path in gone:
@@ -170,9 +170,9 @@
 
 
 @LENIENT
-@given(changes=st.lists(st.tuples(st.sampled_from(paths(TOLD)), JSON), min_size=1, max_size=3))
+@given(changes=st.lists(st.tuples(st.sampled_from(paths(CONFIG)), JSON), min_size=1, max_size=3))
 def test_whatever_stands_there_is_served_or_told_in_a_line(changes: list[Any]) -> None:
-    told = copy.deepcopy(TOLD)
+    told = copy.deepcopy(CONFIG)
     for path, value in changes:
         put(told, path, value)
     bench, line = None, ""
@@ -188,7 +188,7 @@
 
 @pytest.mark.parametrize("path", sorted(DEMANDED, key=str))
 def test_what_can_not_be_left_out_is_named(path: tuple[Any, ...]) -> None:
-    told = copy.deepcopy(TOLD)
+    told = copy.deepcopy(CONFIG)
     put(told, path, put)
     with pytest.raises(SettingsError, match=repr(path[-1])):
         read(told)
@@ -214,13 +214,13 @@
 def test_what_makes_no_sense_ends_the_start_with_a_line_and_code_2(
     tmp_path: Path, path: tuple[Any, ...], value: Any
 ) -> None:
-    told = copy.deepcopy(TOLD)
+    told = copy.deepcopy(CONFIG)
     put(told, path, value)
     place = tmp_path / "config.json"
     place.write_text(json.dumps(told))
-    process = start({"ROUTER_CONFIG": str(place)})
+    process = start_process({"ROUTER_CONFIG": str(place)})
     try:
-        out, text = process.communicate(timeout=PATIENCE)
+        out, text = process.communicate(timeout=WAIT_TIMEOUT_SECONDS)
     except subprocess.TimeoutExpired:
         process.kill()
         raise
@@ -255,13 +255,13 @@
         {"granularity": 0, "allowed": {}, "clientHabits": {}},
     ],
 )
-def test_another_customers_instance_serves(halls: Any, changes: dict[str, Any]) -> None:
+def test_another_customers_instance_serves(make_harness: Any, changes: dict[str, Any]) -> None:
     limits = {"cores": 0.3, "memory_mb": 24.5, "sockets": 40}
-    hall = halls(settings={**SETTINGS, **changes}, limits=limits)
-    hall.up()
+    harness = make_harness(settings={**SETTINGS, **changes}, limits=limits)
+    harness.wait_until_serving()
     name = (changes.get("classes") or SETTINGS["classes"])[0]["name"]
-    with hall.instance.connect() as link:
-        link.sendall(process(1, words(1, service=name)))
-        hall.run(b"read")
-        assert set(answered(next(frames(link)))[3]) == {0}
-    assert hall.instance.leave() == 0
+    with harness.server.connect() as link:
+        link.sendall(process_call(1, task_fields(1, service=name)))
+        harness.finish_next_run(b"read")
+        assert set(decode_message(next(read_frames(link)))[3]) == {0}
+    assert harness.server.terminate() == 0
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -12,7 +12,16 @@
 import pytest
 from thrift.Thrift import TMessageType, TType
 
-from tests.host import SETTINGS, TOLD, answered, asked, booking, probe, process, words
+from tests.host import (
+    CONFIG,
+    SETTINGS,
+    booking_fields,
+    decode_message,
+    encode_call,
+    probe_call,
+    process_call,
+    task_fields,
+)
 from thistleline.interface import RunOutcome
 from thistleline.policy import MS, SECOND
 from thistleline.server.clock import Clock
@@ -64,8 +73,8 @@
 
 def test_a_task_is_read_from_an_independent_codec() -> None:
     body = bytes(range(256)) * 8
-    told = words(9, since="1764576000123", dup="1", novel="passed over")
-    [request] = fed([process(3, told, body)])
+    told = task_fields(9, since="1764576000123", dup="1", novel="passed over")
+    [request] = fed([process_call(3, told, body)])
     task = request.task
     assert request == TaskRequest(3, task, "7f3a9c21e0b4d655", body)  # type: ignore[arg-type]
     assert (task.id, task.stage, task.tenant, task.client) == ("0000000000000009", 0, 0, 2)
@@ -76,7 +85,7 @@
         True,
     )
     assert (task.arrived_at, task.user) == (1764576000123 * MS, 0x7F3A9C21E0B4D655)
-    [request] = fed([process(4, booking(1, "5c0f", effort=None))])
+    [request] = fed([process_call(4, booking_fields(1, "5c0f", effort=None))])
     task = request.task
     assert (task.stage, task.estimated_work, task.user, task.is_retry) == (1, None, None, False)
     assert request.retry_key == "5c0f"
@@ -84,28 +93,33 @@
 
 def test_answers_are_read_by_an_independent_codec() -> None:
     body = bytes(range(256)) * 16
-    assert answered(responses.encode_finished(7, body, 0.25)[4:]) == (
+    assert decode_message(responses.encode_finished(7, body, 0.25)[4:]) == (
         "process",
         TMessageType.REPLY,
         7,
         {0: {1: body, 2: {"pressure": "0.250000"}, 3: True}},
     )
-    assert answered(responses.encode_rejected(8, True, 1_500_001, 1.0)[4:])[3] == {
+    assert decode_message(responses.encode_rejected(8, True, 1_500_001, 1.0)[4:])[3] == {
         1: {1: {"pressure": "1.000000", "cooldown": "2", "nowhere": "1"}}
     }
-    assert answered(responses.encode_rejected(8, False, 0, None)[4:])[3] == {1: {1: {}}}
-    assert answered(responses.encode_abandoned(9, None)[4:])[3] == {2: {1: {}}}
-    assert answered(responses.encode_health(1, False, 0.5)[4:])[::3] == (
+    assert decode_message(responses.encode_rejected(8, False, 0, None)[4:])[3] == {1: {1: {}}}
+    assert decode_message(responses.encode_abandoned(9, None)[4:])[3] == {2: {1: {}}}
+    assert decode_message(responses.encode_health(1, False, 0.5)[4:])[::3] == (
         "probe",
         {0: {1: b"", 2: {"pressure": "0.500000"}, 3: False}},
     )
-    method, kind, seq, fields = answered(responses.encode_exception(5, b"process", "not so")[4:])
+    method, kind, seq, fields = decode_message(responses.encode_exception(5, b"process", "not so")[4:])
     assert (method, kind, seq, fields[1]) == ("process", TMessageType.EXCEPTION, 5, b"not so")
-    assert answered(responses.encode_farewell()[4:]) == ("farewell", TMessageType.ONEWAY, 0, {})
+    assert decode_message(responses.encode_farewell()[4:]) == ("farewell", TMessageType.ONEWAY, 0, {})
 
 
 def test_frames_come_in_any_pieces() -> None:
-    stream = process(1, words(1)) + probe(2, True) + process(3, booking(2, "mark"), b"") + probe(4, False)
+    stream = (
+        process_call(1, task_fields(1))
+        + probe_call(2, True)
+        + process_call(3, booking_fields(2, "mark"), b"")
+        + probe_call(4, False)
+    )
     whole = fed([stream])
     assert [(type(message), message.sequence) for message in whole] == [
         (TaskRequest, 1),
@@ -125,44 +139,44 @@
 @pytest.mark.parametrize(
     ("sent", "seq"),
     [
-        (process(5, words(service="attic")), 5),
-        (process(5, words(service=None)), 5),
-        (process(5, words(project="nobody")), 5),
-        (process(5, words(ref="xyz")), 5),
-        (process(5, words(since="soon")), 5),
-        (process(5, words(since="9" * 400)), 5),
-        (process(5, words(effort="1e999999999")), 5),
-        (process(5, words(effort="nan")), 5),
-        (process(5, words(effort="1_0")), 5),
-        (process(5, words(since="-5")), 5),
-        (process(5, words(sender="\u0664")), 5),
-        (process(5, words(lookup="0x_f")), 5),
-        (process(5, words(room=" 5")), 5),
-        (process(5, words(room="2000")), 5),
-        (process(5, words(room="-1")), 5),
-        (process(5, words(class_rank="1.0")), 5),
-        (process(5, words(sender="9" * 4000)), 5),
-        (process(5, words(lookup="f" * 900)), 5),
-        (process(5, words(lookup="no hex")), 5),
-        (process(5, words(service="booking")), 5),
-        (process(5, words(), b"x" * 2049), 5),
-        (asked("process", 5), 5),
-        (asked("process", 5, (TType.I32, 1)), 5),
-        (asked("attic", 5), 5),
-        (asked("process", 5, (TType.MAP, words()), kind=TMessageType.REPLY), 5),
-        (process(5, {f"w{place}": "" for place in range(65)}), 5),
-        (process(5, words(), b"x" * 20_000), 5),
-        (frame(process(5, words())[4:-40]), 5),
+        (process_call(5, task_fields(service="attic")), 5),
+        (process_call(5, task_fields(service=None)), 5),
+        (process_call(5, task_fields(project="nobody")), 5),
+        (process_call(5, task_fields(ref="xyz")), 5),
+        (process_call(5, task_fields(since="soon")), 5),
+        (process_call(5, task_fields(since="9" * 400)), 5),
+        (process_call(5, task_fields(effort="1e999999999")), 5),
+        (process_call(5, task_fields(effort="nan")), 5),
+        (process_call(5, task_fields(effort="1_0")), 5),
+        (process_call(5, task_fields(since="-5")), 5),
+        (process_call(5, task_fields(sender="\u0664")), 5),
+        (process_call(5, task_fields(lookup="0x_f")), 5),
+        (process_call(5, task_fields(room=" 5")), 5),
+        (process_call(5, task_fields(room="2000")), 5),
+        (process_call(5, task_fields(room="-1")), 5),
+        (process_call(5, task_fields(class_rank="1.0")), 5),
+        (process_call(5, task_fields(sender="9" * 4000)), 5),
+        (process_call(5, task_fields(lookup="f" * 900)), 5),
+        (process_call(5, task_fields(lookup="no hex")), 5),
+        (process_call(5, task_fields(service="booking")), 5),
+        (process_call(5, task_fields(), b"x" * 2049), 5),
+        (encode_call("process", 5), 5),
+        (encode_call("process", 5, (TType.I32, 1)), 5),
+        (encode_call("attic", 5), 5),
+        (encode_call("process", 5, (TType.MAP, task_fields()), kind=TMessageType.REPLY), 5),
+        (process_call(5, {f"w{place}": "" for place in range(65)}), 5),
+        (process_call(5, task_fields(), b"x" * 20_000), 5),
+        (frame(process_call(5, task_fields())[4:-40]), 5),
         (frame(b"\x80\x01\x00\x01\x00\x00\x00\x03a"), None),
         (frame(b"\x00\x00\x00\x07process\x01\x00\x00\x00\x05\x00"), None),
         (frame(b""), None),
-        (process(5, words(), b"x" * 70_000), None),
+        (process_call(5, task_fields(), b"x" * 70_000), None),
         (b"GET / HTTP/1.1\r\n\r\n", None),
         (b"\xff\xff\xff\xff" + b"x" * 200, None),
     ],
 )
 def test_what_is_malformed_is_told_with_its_number_where_it_has_one(sent: bytes, seq: int | None) -> None:
-    first = fed([sent + probe(6, False)])
+    first = fed([sent + probe_call(6, False)])
     assert (type(first[0]), first[0].sequence) == (MalformedRequest, seq)
     if seq is not None:
         assert first[1:] == [HealthRequest(6, False)]
@@ -171,7 +185,7 @@
 
 def test_noise_never_raises_anything_else() -> None:
     chance = random.Random(3)
-    good = process(1, words()) + process(2, booking(3, "mark"))
+    good = process_call(1, task_fields()) + process_call(2, booking_fields(3, "mark"))
     for _ in range(3000):
         noisy = bytearray(good)
         for _ in range(chance.randint(1, 6)):
@@ -259,7 +273,7 @@
 
 def test_the_plate_is_read(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(TOLD))
+    path.write_text(json.dumps(CONFIG))
     configuration = read_configuration({"ROUTER_CONFIG": str(path), "ROUTER_LISTEN": "127.0.0.5:9091"})
     assert (configuration.name, configuration.listen, configuration.seed) == (
         "n3",
@@ -290,7 +304,7 @@
 )
 def test_a_plate_that_can_not_be_read_is_told_in_a_line(tmp_path: Path, change: dict[str, Any]) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(TOLD | change))
+    path.write_text(json.dumps(CONFIG | change))
     with pytest.raises(SettingsError) as told:
         read_configuration({"ROUTER_CONFIG": str(path)})
     assert "\n" not in str(told.value)
