--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The fixtures of the tests that start the program; what is known to fail."""
+"""Fixtures that start the server program, and the handling of tests that are known to fail."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -12,17 +12,18 @@
 
 @pytest.fixture
 def make_harness(tmp_path: Path) -> Iterator[Any]:
-    made: list[ServerHarness] = []
+    """Provides a function that starts a server with fake peers; closes all of them after the test."""
+    harnesses: list[ServerHarness] = []
 
-    def make(agent_up: bool = True, announce: FakeAnnounce | None = None, **changes: Any) -> ServerHarness:
-        agent, announce = FakeAgent(agent_up), announce or FakeAnnounce()
-        made.append(
+    def make(agent_ready: bool = True, announce: FakeAnnounce | None = None, **changes: Any) -> ServerHarness:
+        agent, announce = FakeAgent(agent_ready), announce or FakeAnnounce()
+        harnesses.append(
             ServerHarness(tmp_path, agent, announce, ServerProcess(tmp_path, agent, announce, **changes))
         )
-        return made[-1]
+        return harnesses[-1]
 
     yield make
-    for harness in made:
+    for harness in harnesses:
         harness.agent.close()
         harness.announce.close()
         harness.server.close()
@@ -30,6 +31,7 @@
 
 @pytest.fixture
 def harness(make_harness: Any) -> ServerHarness:
+    """Provides a server that serves clients."""
     made: ServerHarness = make_harness()
     made.wait_until_serving()
     return made
--- a/tests/gates/sitecustomize.py
+++ b/tests/gates/sitecustomize.py
@@ -1,7 +1,8 @@
-"""Loaded by a program under test alone, through PYTHONPATH: stops it at a chosen event until the test lets it
-go on, and makes chosen parts fail or be slow. Told by two variables:
+"""Stops a program under test at a chosen event until the test releases it, and injects faults into it.
 
-    TEST_GATE    {"at": "import NAME" | "open END" | "bind" | "listening" | "begin" | "exit", "port": N}
+Only programs that a test starts with this directory on PYTHONPATH load it. Two variables control it:
+
+    TEST_GATE    {"at": "import NAME" | "open FILE" | "bind" | "listening" | "begin" | "exit", "port": N}
     TEST_FAULTS  [{"module": NAME, "what": "Class.function", "error": NAME, "times": N} | {..., "delay": S}]
 """
 
@@ -17,71 +18,75 @@
 
 GATE = json.loads(os.environ.get("TEST_GATE", "null"))
 FAULTS = json.loads(os.environ.get("TEST_FAULTS", "[]"))
-NOT_PUT_IN = 86  # exit code of a program in which a fault found no place
-passed: list[str] = []
-put_in: list[dict[str, Any]] = []
+UNUSED_FAULT_EXIT_CODE = 86  # at least one fault was never injected
+passed_events: list[str] = []
+injected_faults: list[dict[str, Any]] = []
 
 
-def gate(event: str) -> None:
-    if passed or GATE is None or GATE["at"] != event:
+def wait_at_gate(event: str) -> None:
+    """Waits for the test to release the gate, the first time the chosen event occurs."""
+    if passed_events or GATE is None or GATE["at"] != event:
         return
-    passed.append(event)
-    with socket.create_connection(("127.0.0.1", GATE["port"])) as waits:
-        waits.sendall(b"x")
-        waits.recv(1)
+    passed_events.append(event)
+    with socket.create_connection(("127.0.0.1", GATE["port"])) as connection:
+        connection.sendall(b"x")
+        connection.recv(1)
 
 
-def hook(event: str, args: tuple[Any, ...]) -> None:
+def audit_hook(event: str, args: tuple[Any, ...]) -> None:
     if event == "import":
-        gate(f"import {args[0]}")
+        wait_at_gate(f"import {args[0]}")
     elif event == "open":
-        gate(f"open {os.path.basename(str(args[0]))}")
+        wait_at_gate(f"open {os.path.basename(str(args[0]))}")
     elif event == "socket.bind":
-        gate("bind")
+        wait_at_gate("bind")
+
 
+def with_error(original: Callable[..., Any], fault: dict[str, Any]) -> Callable[..., Any]:
+    """Wraps a function so that its first calls raise the fault's error."""
+    remaining = [fault.get("times", 1)]
 
-def failing(had: Callable[..., Any], fault: dict[str, Any]) -> Callable[..., Any]:
-    left = [fault.get("times", 1)]
+    def wrapper(*args: Any, **kwargs: Any) -> Any:
+        if remaining[0] > 0:
+            remaining[0] -= 1
+            raise getattr(builtins, fault["error"])("fault injected by the test")
+        return original(*args, **kwargs)
 
-    def fails(*args: Any, **named: Any) -> Any:
-        if left[0] > 0:
-            left[0] -= 1
-            raise getattr(builtins, fault["error"])("a fault of the test")
-        return had(*args, **named)
+    return wrapper
 
-    return fails
 
+def with_delay(original: Callable[..., Any], fault: dict[str, Any]) -> Callable[..., Any]:
+    """Wraps a coroutine function so that each call starts after the fault's delay."""
 
-def slow(had: Callable[..., Any], fault: dict[str, Any]) -> Callable[..., Any]:
-    async def waits(*args: Any, **named: Any) -> Any:
+    async def wrapper(*args: Any, **kwargs: Any) -> Any:
         import anyio
 
         await anyio.sleep(fault["delay"])
-        return await had(*args, **named)
+        return await original(*args, **kwargs)
 
-    return waits
+    return wrapper
 
 
-class Finder(importlib.abc.MetaPathFinder):
-    """Puts the faults in as soon as their module is there."""
+class FaultFinder(importlib.abc.MetaPathFinder):
+    """Injects the faults of a module as soon as the module has been loaded."""
 
     def find_spec(self, name: str, path: Any, target: Any = None) -> Any:
         faults = [fault for fault in FAULTS if fault["module"] == name]
         if not faults:
             return None
         spec: Any = importlib.machinery.PathFinder.find_spec(name, path)
-        had = spec.loader.exec_module
+        original_exec_module = spec.loader.exec_module
 
         def exec_module(module: Any) -> None:
-            had(module)
+            original_exec_module(module)
             for fault in faults:
-                *outer, last = fault["what"].split(".")
-                place: Any = module
-                for part in outer:
-                    place = getattr(place, part)
-                made = slow if "delay" in fault else failing
-                setattr(place, last, made(getattr(place, last), fault))
-                put_in.append(fault)
+                *owner_path, function_name = fault["what"].split(".")
+                owner: Any = module
+                for attribute in owner_path:
+                    owner = getattr(owner, attribute)
+                wrap = with_delay if "delay" in fault else with_error
+                setattr(owner, function_name, wrap(getattr(owner, function_name), fault))
+                injected_faults.append(fault)
 
         spec.loader.exec_module = exec_module
         return spec
@@ -89,35 +94,39 @@
 
 if GATE is not None:
     if GATE["at"] == "listening":
-        made = socket.create_server
+        original_create_server = socket.create_server
 
-        def create_server(*args: Any, **named: Any) -> Any:
-            server = made(*args, **named)
-            gate("listening")
+        def create_server(*args: Any, **kwargs: Any) -> Any:
+            server = original_create_server(*args, **kwargs)
+            wait_at_gate("listening")
             return server
 
         socket.create_server = create_server
     elif GATE["at"] == "exit":
-        ends = os._exit
+        ungated_exit = os._exit
 
-        def end(status: int) -> NoReturn:
-            gate("exit")
-            ends(status)
+        def exit_after_gate(status: int) -> NoReturn:
+            wait_at_gate("exit")
+            ungated_exit(status)
 
-        os._exit = end
+        os._exit = exit_after_gate
     elif GATE["at"] == "begin":
-        gate("begin")
+        wait_at_gate("begin")
     else:
-        sys.addaudithook(hook)
+        sys.addaudithook(audit_hook)
 if FAULTS:
-    sys.meta_path.insert(0, Finder())
-    exits = os._exit
+    sys.meta_path.insert(0, FaultFinder())
+    original_exit = os._exit
+
+    def exit_checked(status: int) -> NoReturn:
+        """Exits with an error if a fault was never injected.
 
-    def end_unless_put_in(status: int) -> NoReturn:
-        """A fault whose module is never imported tests nothing: a name in the test has grown old."""
-        missing = [fault for fault in FAULTS if fault not in put_in]
+        The module that such a fault names is never imported: the name in the test is out of date, and the
+        test checks nothing.
+        """
+        missing = [fault for fault in FAULTS if fault not in injected_faults]
         if missing:
-            print(f"never put in: {missing}", file=sys.stderr, flush=True)
-        exits(NOT_PUT_IN if missing else status)
+            print(f"faults never injected: {missing}", file=sys.stderr, flush=True)
+        original_exit(UNUSED_FAULT_EXIT_CODE if missing else status)
 
-    os._exit = end_unless_put_in
+    os._exit = exit_checked
--- a/tests/host.py
+++ b/tests/host.py
@@ -1,4 +1,4 @@
-"""The helpers of all tests: a policy's fake host, a state machine's desk, stand-ins for sockets."""
+"""Shared test helpers: a fake policy host, a state machine harness, fake servers and a Thrift client."""
 
 import json
 import os
@@ -54,11 +54,11 @@
 from thistleline.state.phases import Lifecycle
 from thistleline.state.state_machine import ServerStateMachine
 
-WAIT_TIMEOUT_SECONDS = 20.0  # for whatever a test waits on; on a busy machine too
+WAIT_TIMEOUT_SECONDS = 20.0  # for every wait in a test; long enough for a busy machine
 
 
 def stage(**changes: Any) -> Stage:
-    facts: dict[str, Any] = dict(
+    fields: dict[str, Any] = dict(
         name="lookup",
         latency_objective=1500 * MS,
         objective_per_work=0.0,
@@ -70,7 +70,7 @@
         calls=False,
         utility_share_without_call=0.0,
     )
-    return Stage(**facts | changes)
+    return Stage(**fields | changes)
 
 
 LOOKUP = stage()
@@ -81,7 +81,7 @@
 
 
 def server_settings(stages: tuple[Stage, ...] = (LOOKUP, BOOKING), **changes: Any) -> ServerSettings:
-    facts: dict[str, Any] = dict(
+    fields: dict[str, Any] = dict(
         stages=stages,
         tenants=(),
         cores=2,
@@ -111,11 +111,11 @@
         downstream_quota_window=5 * SECOND,
         downstream_linger=200 * MS,
     )
-    return ServerSettings(**facts | changes)
+    return ServerSettings(**fields | changes)
 
 
 class FakePolicyHost:
-    """Writer and clock in one; `said` lists the decisions in order."""
+    """Receives the policy's decisions and provides its clock; `decisions` lists them in order."""
 
     def __init__(self, stages: tuple[Stage, ...] = (LOOKUP, BOOKING), **changes: Any) -> None:
         self.settings = server_settings(stages, **changes)
@@ -127,34 +127,36 @@
         self.round()
 
     def __getattr__(self, decision: str) -> Any:
-        return lambda *told: self.decisions.append((decision, *told))
+        return lambda *arguments: self.decisions.append((decision, *arguments))
 
     def round(self, *events: PolicyEvent) -> list[tuple[Any, ...]]:
-        """One round; what was decided in it, less the alarms."""
+        """Runs one policy round and returns its decisions, except timer settings."""
         before = len(self.decisions)
         self.policy.round(self.now, list(events), self)
-        return [said for said in self.decisions[before:] if said[0] != "set_timer"]
+        return [decision for decision in self.decisions[before:] if decision[0] != "set_timer"]
 
     def task(self, stage: int = 0, **changes: Any) -> Task:
         self.count += 1
         return task(f"t{self.count}", changes.pop("arrived_at", self.now), stage=stage, **changes)
 
     def read(self, *tasks: Task) -> list[tuple[Any, ...]]:
+        """Delivers the tasks to the policy in one round."""
         return self.round(*(TaskArrived(task) for task in tasks))
 
-    def wait(self, span: int) -> None:
-        """Lets time pass, with the module's own timer."""
-        end = self.now + span
+    def wait(self, duration: int) -> None:
+        """Advances the clock and fires the policy's timer every 25 ms."""
+        end = self.now + duration
         while self.now < end:
             self.now += 25 * MS
             self.round(TimerFired("tick", dict(self.gauges)))
 
     def decisions_for(self, task: Task) -> list[str]:
-        return [said[0] for said in self.decisions if len(said) > 1 and said[1] == task.id]
+        """Returns the names of the decisions about one task, in order."""
+        return [decision[0] for decision in self.decisions if len(decision) > 1 and decision[1] == task.id]
 
 
 def task(name: str, arrived_at: int, **changes: Any) -> Task:
-    facts: dict[str, Any] = dict(
+    fields: dict[str, Any] = dict(
         id=name,
         stage=0,
         tenant=0,
@@ -168,18 +170,23 @@
         is_retry=False,
         duplicate_of=None,
     )
-    return Task(**facts | changes)
+    return Task(**fields | changes)
 
 
 def tenants(*allowances: float) -> tuple[Tenant, ...]:
-    return tuple(Tenant(f"o{place}", 1 / len(allowances), rate) for place, rate in enumerate(allowances))
+    return tuple(Tenant(f"o{index}", 1 / len(allowances), rate) for index, rate in enumerate(allowances))
 
 
 class MachineHarness:
-    """A state machine with a clock of its own, an agent that answers samples, and all effects in order."""
+    """Runs a state machine with a simulated clock and agent; `effects` lists all its effects in order."""
 
     def __init__(
-        self, *, up: bool = True, connections: int = 8, results_bound: int = 1 << 20, **changes: Any
+        self,
+        *,
+        agent_connected: bool = True,
+        connections: int = 8,
+        results_bound: int = 1 << 20,
+        **changes: Any,
     ) -> None:
         self.now = 1000 * SECOND
         self.lifecycle = Lifecycle()
@@ -187,15 +194,18 @@
         self.machine = ServerStateMachine(options, self.now, self.lifecycle)
         self.effects: list[Any] = []
         self.answers_measurements = True
-        self.number = 0  # of the agent's last notice
+        self.last_notice_number = 0
         self.count = 0
         self.handle(ListeningStarted())
-        if up:
+        if agent_connected:
             self.handle(AgentGreeted(False, 60 * SECOND))
             self.wait(50 * MS)
 
     def handle(self, event: Any) -> list[Any]:
-        """One event; what it brought, less log and reading. The agent answers samples at once."""
+        """Handles one event and returns its effects, except `IGNORED_EFFECTS`.
+
+        The simulated agent answers measurement requests at once while `answers_measurements` is set.
+        """
         effects = self.machine.handle(self.now, event)
         self.effects += effects
         for effect in effects:
@@ -203,42 +213,47 @@
                 self.handle(GaugesMeasured(effect.tag, [0.5, 2.0]))
         return [effect for effect in effects if not isinstance(effect, IGNORED_EFFECTS)]
 
-    def wait(self, span: int = 10 * MS) -> list[Any]:
-        """Lets time pass; what it brought."""
-        before, end = len(self.effects), self.now + span
+    def wait(self, duration: int = 10 * MS) -> list[Any]:
+        """Advances the clock, fires the deadlines on the way and returns their effects."""
+        before, end = len(self.effects), self.now + duration
         while self.now < end and self.lifecycle.phase != "ended":
             self.now = min(end, max(self.now, self.machine.next_deadline()))
             if self.machine.next_deadline() <= self.now:
                 self.handle(DeadlineReached())
         return [effect for effect in self.effects[before:] if not isinstance(effect, IGNORED_EFFECTS)]
 
-    def send(self, connection: int, word: str | None = None, body: bytes = b"body", **changes: Any) -> str:
-        """A task comes in on a connection, which is opened if need be."""
+    def send(
+        self, connection: int, dedup_key: str | None = None, body: bytes = b"body", **changes: Any
+    ) -> str:
+        """Delivers a task on a connection, opened if it is not open yet, and returns the task's id."""
         self.count += 1
         if connection not in self.machine.connections.by_number:
             self.handle(ConnectionOpened(connection))
         name = str(changes.pop("id", f"t{self.count}"))
-        stage = changes.pop("stage_place", 0 if word is None else 1)
+        stage = changes.pop("stage_index", 0 if dedup_key is None else 1)
         sent = task(name, changes.pop("arrived_at", self.now), stage=stage, **changes)
-        self.handle(TaskReceived(connection, self.count, sent, word, memoryview(body)))
+        self.handle(TaskReceived(connection, self.count, sent, dedup_key, memoryview(body)))
         self.handle(InputDrained(connection))
         return name
 
-    def end(self, name: str, how: RunOutcome = "finished", number: int | None = None) -> list[Any]:
+    def end(self, name: str, outcome: RunOutcome = "finished", number: int | None = None) -> list[Any]:
+        """Delivers the agent's notice that a run has ended, with the next notice number by default."""
         if number is None:
-            self.number += 1
-            number = self.number
+            self.last_notice_number += 1
+            number = self.last_notice_number
         return self.handle(
-            RunCompleted(number, name, how, 100 * MS, memoryview(b"result of " + name.encode()))
+            RunCompleted(number, name, outcome, 100 * MS, memoryview(b"result of " + name.encode()))
         )
 
     def effects_of(self, *classes: type) -> list[Any]:
         return [effect for effect in self.effects if isinstance(effect, classes)]
 
     def launched(self) -> list[str]:
+        """Returns the attempt ids of all runs started so far, in order."""
         return [effect.attempt_id for effect in self.effects_of(StartRun)]
 
     def answers(self) -> list[str]:
+        """Returns the outcomes of all tasks answered so far, in order."""
         return [ANSWERS[type(effect)] for effect in self.effects_of(*ANSWERS)]
 
 
@@ -297,7 +312,8 @@
 }
 
 
-# A loopback address of this process alone; guards against another that takes the free port between two calls.
+# A loopback address that only this test process uses. On a shared address, another process could take a free
+# port between its selection here and the server's bind.
 HOST = f"127.{64 + (os.getpid() >> 16)}.{os.getpid() >> 8 & 255}.{os.getpid() & 255}"
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 256}
 
@@ -318,7 +334,7 @@
 
 
 class FakeServer:
-    """A stand-in's listening socket on a free port; what it hears lies in `heard`."""
+    """A fake peer that listens on a free port; the queue `received` has what subclasses put there."""
 
     def __init__(self) -> None:
         self.listen(("127.0.0.1", 0))
@@ -333,27 +349,29 @@
     def _accept(self) -> None:
         while True:
             try:
-                link, _ = self.server.accept()
+                connection, _ = self.server.accept()
             except OSError:
                 return
-            self.connection = link
-            threading.Thread(target=self._serve, args=(link,), daemon=True).start()
+            self.connection = connection
+            threading.Thread(target=self._serve, args=(connection,), daemon=True).start()
 
-    def _serve(self, link: socket.socket) -> None:
+    def _serve(self, connection: socket.socket) -> None:
         try:
-            with link, link.makefile("rb") as source:
-                self.serve(link, source)
+            with connection, connection.makefile("rb") as source:
+                self.serve(connection, source)
         except (OSError, ValueError):
             return
 
-    def serve(self, link: socket.socket, source: Any) -> None:
+    def serve(self, connection: socket.socket, source: Any) -> None:
+        """Serves one connection; subclasses implement it."""
         raise NotImplementedError
 
     def receive(self) -> Any:
+        """Waits for the next message that the program sent."""
         return self.received.get(timeout=WAIT_TIMEOUT_SECONDS)
 
     def drop(self) -> None:
-        """Ends the link, at once."""
+        """Shuts down the latest connection at once."""
         assert self.connection is not None
         self.connection.shutdown(socket.SHUT_RDWR)
 
@@ -362,26 +380,29 @@
 
 
 class FakeAgent(FakeServer):
-    """Answers samples and checks by itself; `heard` has launches and freezes, the test ends the runs."""
+    """Answers samples and deep checks; all other commands go to `received`, and the test ends the runs.
 
-    def __init__(self, up: bool = True) -> None:
+    It sends its greeting only once `ready` is set, and with it the `notices` after the subscription's number.
+    """
+
+    def __init__(self, ready: bool = True) -> None:
         self.ready = threading.Event()
-        if up:
+        if ready:
             self.ready.set()
         self.notices: list[bytes] = []
         super().__init__()
 
-    def serve(self, link: socket.socket, source: Any) -> None:
+    def serve(self, connection: socket.socket, source: Any) -> None:
         for line in source:
             words = line.decode().split()
             if words[0] == "subscribe":
                 self.received.put(("subscribe", int(words[1])))
                 self.ready.wait()
-                link.sendall(b"greeting old 60000\r\n" + b"".join(self.notices[int(words[1]) :]))
+                connection.sendall(b"greeting old 60000\r\n" + b"".join(self.notices[int(words[1]) :]))
             elif words[0] == "sample":
-                link.sendall(b"sampled %s 0.5 2 0.1 3\r\n" % words[1].encode())
+                connection.sendall(b"sampled %s 0.5 2 0.1 3\r\n" % words[1].encode())
             elif words[0] == "exercise":
-                link.sendall(b"exercised %s good\r\n" % words[1].encode())
+                connection.sendall(b"exercised %s good\r\n" % words[1].encode())
             elif words[0] == "launch":
                 body = source.read(int(words[3]) + 2)[:-2]
                 self.received.put(("launch", words[1], words[2], body))
@@ -391,30 +412,35 @@
                 self.received.put(tuple(words))
 
     def request_call(self, name: str, body: bytes) -> None:
-        """The run stands at a call."""
+        """Sends the notice that a run waits for the result of a call."""
         self.send_notice(f"request {len(self.notices) + 1} {name} {len(body)}\r\n".encode() + body + b"\r\n")
 
     def send_notice(self, notice: bytes, send: bool = True) -> None:
+        """Stores a notice for later subscriptions and, if `send` is set, sends it now."""
         self.notices.append(notice)
         if send:
             assert self.connection is not None
             self.connection.sendall(notice)
 
-    def end_run(self, name: str, result: bytes, how: str = "good", send: bool = True) -> None:
-        head = f"outcome {len(self.notices) + 1} {name} {how} 12.5 {len(result)}\r\n".encode()
+    def end_run(self, name: str, result: bytes, outcome: str = "good", send: bool = True) -> None:
+        """Sends the notice that a run has ended."""
+        head = f"outcome {len(self.notices) + 1} {name} {outcome} 12.5 {len(result)}\r\n".encode()
         self.send_notice(head + result + b"\r\n", send)
 
 
 class FakeBackend(FakeServer):
-    """What lies below; `heard` has calls and cancels, the test ends the calls. Each connection has a thread
-    of its own: what comes on two of them is heard in either order, a cancel late where the test says so."""
+    """A downstream back end: calls and cancels go to `received`, and the test ends the calls.
+
+    Each connection has its own thread, so messages of two connections reach `received` in any order. A cancel
+    is held back while `accepts_cancels` is clear.
+    """
 
     def __init__(self) -> None:
         self.accepts_cancels = threading.Event()
         self.accepts_cancels.set()
         super().__init__()
 
-    def serve(self, link: socket.socket, source: Any) -> None:
+    def serve(self, connection: socket.socket, source: Any) -> None:
         for line in source:
             words = line.decode().split()
             if words[0] == "invoke":
@@ -423,40 +449,41 @@
                 self.accepts_cancels.wait(WAIT_TIMEOUT_SECONDS)
                 self.received.put(tuple(words))
 
-    def end_call(self, name: str, how: str = "ok", result: bytes | None = None) -> None:
+    def end_call(self, name: str, outcome: str = "ok", result: bytes | None = None) -> None:
+        """Sends the outcome of a call on the latest connection."""
         assert self.connection is not None
-        more = b"" if result is None else b" %d\r\n%s" % (len(result), result)
-        self.connection.sendall(f"{name} {how}".encode() + more + b"\r\n")
+        suffix = b"" if result is None else b" %d\r\n%s" % (len(result), result)
+        self.connection.sendall(f"{name} {outcome}".encode() + suffix + b"\r\n")
 
 
 class FakeAnnounce(FakeServer):
-    """Takes reports, or troubles whoever makes them."""
+    """Accepts reports; with `failure` set it refuses them, closes early or does not answer."""
 
     failure = ""
 
     def read_report(self, source: Any) -> tuple[str, Any] | None:
-        """The next report: its path and what it tells; none at the end."""
-        line = source.readline()
-        if not line:
+        """Reads the next report: its path and decoded body, or None at the end of the connection."""
+        request_line = source.readline()
+        if not request_line:
             return None
         length = 0
-        while (head := source.readline().strip()) != b"":
-            name, _, value = head.partition(b":")
+        while (header := source.readline().strip()) != b"":
+            name, _, value = header.partition(b":")
             length = int(value) if name.lower() == b"content-length" else length
-        return line.split()[1].decode(), json.loads(source.read(length))
+        return request_line.split()[1].decode(), json.loads(source.read(length))
 
-    def serve(self, link: socket.socket, source: Any) -> None:
+    def serve(self, connection: socket.socket, source: Any) -> None:
         while (report := self.read_report(source)) is not None:
             self.received.put(report)
             if self.failure == "closes early":
                 return
             if self.failure != "is slow":
                 status = b"503 Busy" if self.failure else b"204 Told"
-                link.sendall(b"HTTP/1.1 " + status + b"\r\nContent-Length: 0\r\n\r\n")
+                connection.sendall(b"HTTP/1.1 " + status + b"\r\nContent-Length: 0\r\n\r\n")
 
 
 class ServerProcess:
-    """The program itself, started on a free port."""
+    """The server program in a process of its own, on a free port unless `port` is given."""
 
     def __init__(
         self,
@@ -471,7 +498,7 @@
             with socket.create_server((HOST, 0)) as free:
                 port = free.getsockname()[1]
         self.port = port
-        told = {
+        config = {
             "name": "n1",
             "listen": f"{HOST}:{port}",
             "agent": agent.address,
@@ -481,7 +508,7 @@
             "limits": LIMITS,
             "settings": SETTINGS,
         }
-        self.config, self.path = told | changes, folder / "config.json"
+        self.config, self.path = config | changes, folder / "config.json"
         self.path.write_text(json.dumps(self.config))
         self.process = start_process({"ROUTER_CONFIG": str(self.path), **(environ or {})})
         self.lines: queue.Queue[dict[str, Any]] = queue.Queue()
@@ -492,27 +519,29 @@
         for line in self.process.stdout:
             self.lines.put(json.loads(line))
 
-    def wait_for_log(self, event: str, **facts: Any) -> dict[str, Any]:
-        """Waits for a line of the log."""
-        due = time.monotonic() + WAIT_TIMEOUT_SECONDS
+    def wait_for_log(self, event: str, **fields: Any) -> dict[str, Any]:
+        """Reads log lines up to one with this event and these fields, and returns it."""
+        deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
         while True:
-            line = self.lines.get(timeout=max(0.0, due - time.monotonic()))
-            if line["event"] == event and facts.items() <= line.items():
+            line = self.lines.get(timeout=max(0.0, deadline - time.monotonic()))
+            if line["event"] == event and fields.items() <= line.items():
                 return line
 
     def connect(self) -> socket.socket:
         return socket.create_connection((HOST, self.port), timeout=WAIT_TIMEOUT_SECONDS)
 
     def reload_config(self, text: str) -> None:
+        """Writes a new configuration file and sends SIGHUP."""
         self.path.write_text(text)
         self.process.send_signal(signal.SIGHUP)
 
     def pause(self) -> None:
-        """Until SIGCONT. A stop takes effect some time after its signal is sent, so that is waited for."""
+        """Sends SIGSTOP and waits until the process has stopped: the signal takes effect with a delay."""
         os.kill(self.process.pid, signal.SIGSTOP)
         os.waitid(os.P_PID, self.process.pid, os.WSTOPPED | os.WNOWAIT)
 
     def terminate(self) -> int:
+        """Sends SIGTERM and returns the exit code."""
         self.process.send_signal(signal.SIGTERM)
         return self.process.wait(WAIT_TIMEOUT_SECONDS)
 
@@ -530,30 +559,30 @@
     )
 
 
-def read_frames(link: socket.socket) -> Iterator[bytes]:
-    """The frames that come on a connection, one after another, to its end."""
-    with link.makefile("rb") as source:
+def read_frames(connection: socket.socket) -> Iterator[bytes]:
+    """Yields the payload of each frame received on a connection, up to its end."""
+    with connection.makefile("rb") as source:
         while len(head := source.read(4)) == 4:
             yield source.read(struct.unpack(">I", head)[0])
 
 
-# ---- a client stub that speaks through an independent implementation of Thrift
+# ---- a client built on an independent Thrift implementation
 
 
 def encode_call(method: str, seq: int, *values: tuple[int, Any], kind: int = TMessageType.CALL) -> bytes:
-    """A framed call; each value with its type."""
+    """Encodes a framed Thrift call from (type, value) arguments."""
     memory = TMemoryBuffer()
     out = TBinaryProtocol(TFramedTransport(memory), strictWrite=True)
     out.writeMessageBegin(method, kind, seq)
-    for place, (typed, value) in enumerate(values, 1):
-        out.writeFieldBegin("", typed, place)
-        if typed == TType.MAP:
+    for field_id, (field_type, value) in enumerate(values, 1):
+        out.writeFieldBegin("", field_type, field_id)
+        if field_type == TType.MAP:
             out.writeMapBegin(TType.STRING, TType.STRING, len(value))
-            for word in (word for pair in value.items() for word in pair):
-                out.writeString(word)
-        elif typed == TType.BOOL:
+            for text in (text for pair in value.items() for text in pair):
+                out.writeString(text)
+        elif field_type == TType.BOOL:
             out.writeBool(value)
-        elif typed == TType.I32:
+        elif field_type == TType.I32:
             out.writeI32(value)
         else:
             out.writeBinary(value)
@@ -564,7 +593,8 @@
 
 
 def task_fields(number: int = 1, **changes: str | None) -> dict[str, str]:
-    told: dict[str, str | None] = {
+    """Returns the fields of a lookup task; a change to None leaves a field out."""
+    fields: dict[str, str | None] = {
         "service": "lookup",
         "ref": f"{number:016x}",
         "since": str(time.time_ns() // MS),
@@ -575,15 +605,15 @@
         "class_rank": "0.6250",
         "lookup": "7f3a9c21e0b4d655",
     }
-    return {name: value for name, value in (told | changes).items() if value is not None}
+    return {name: value for name, value in (fields | changes).items() if value is not None}
 
 
-def booking_fields(number: int, mark: str, **changes: str | None) -> dict[str, str]:
-    return task_fields(number, service="booking", replay=mark, lookup=None, **changes)
+def booking_fields(number: int, dedup_key: str, **changes: str | None) -> dict[str, str]:
+    return task_fields(number, service="booking", replay=dedup_key, lookup=None, **changes)
 
 
-def process_call(seq: int, told: dict[str, str], body: bytes = b"body") -> bytes:
-    return encode_call("process", seq, (TType.MAP, told), (TType.STRING, body))
+def process_call(seq: int, fields: dict[str, str], body: bytes = b"body") -> bytes:
+    return encode_call("process", seq, (TType.MAP, fields), (TType.STRING, body))
 
 
 def probe_call(seq: int, inner: bool) -> bytes:
@@ -591,38 +621,38 @@
 
 
 def decode_message(frame: bytes) -> tuple[str, int, int, dict[int, Any]]:
-    """Method, kind, sequence number and the fields by number of what came back, less the frame's length."""
+    """Decodes a frame's payload to its method, message kind, sequence number and fields by field id."""
     source = TBinaryProtocol(TMemoryBuffer(frame), strictRead=True)
     method, kind, seq = source.readMessageBegin()
-    fields = _value(source, TType.STRUCT)
+    fields = _read_value(source, TType.STRUCT)
     assert source.trans.read(1) == b""
     return method, kind, seq, fields
 
 
-def _value(source: Any, typed: int) -> Any:
-    if typed == TType.STRUCT:
+def _read_value(source: Any, field_type: int) -> Any:
+    if field_type == TType.STRUCT:
         fields = {}
         while (field := source.readFieldBegin())[1] != TType.STOP:
-            fields[field[2]] = _value(source, field[1])
+            fields[field[2]] = _read_value(source, field[1])
         return fields
-    if typed == TType.MAP:
+    if field_type == TType.MAP:
         count = source.readMapBegin()[2]
         return {source.readString(): source.readString() for _ in range(count)}
-    if typed == TType.BOOL:
+    if field_type == TType.BOOL:
         return source.readBool()
-    return source.readI32() if typed == TType.I32 else source.readBinary()
+    return source.readI32() if field_type == TType.I32 else source.readBinary()
 
 
-def exchange(link: socket.socket, *sent: bytes) -> dict[int, Any]:
-    """Sends, then reads as many answers; their fields by sequence number."""
-    link.sendall(b"".join(sent))
-    source = read_frames(link)
+def exchange(connection: socket.socket, *sent: bytes) -> dict[int, Any]:
+    """Sends requests, reads one answer for each and returns the answers' fields by sequence number."""
+    connection.sendall(b"".join(sent))
+    source = read_frames(connection)
     return {seq: fields for _, _, seq, fields in (decode_message(next(source)) for _ in sent)}
 
 
 @dataclass
 class ServerHarness:
-    """One instance, its agent and its announce service."""
+    """A running server with its fake agent and fake announce service."""
 
     folder: Path
     agent: FakeAgent
@@ -630,17 +660,19 @@
     server: ServerProcess
 
     def wait_until_serving(self) -> None:
+        """Waits until the server serves clients and has subscribed to the agent's notices."""
         self.server.wait_for_log("phase", phase="serving")
         assert self.agent.receive() == ("subscribe", 0)
 
-    def finish_next_run(self, result: bytes, how: str = "good") -> Any:
+    def finish_next_run(self, result: bytes, outcome: str = "good") -> Any:
+        """Waits for the next command to the agent, a launch, and ends its run; returns the command."""
         launch = self.agent.receive()
-        self.agent.end_run(launch[1], result, how)
+        self.agent.end_run(launch[1], result, outcome)
         return launch
 
 
 class Gate:
-    """Where a program under test waits at a chosen event; `tests/gates/sitecustomize.py` has the events."""
+    """Stops the program under test at an event, one of those in `tests/gates/sitecustomize.py`."""
 
     def __init__(self, at: str) -> None:
         self.server = socket.create_server(("127.0.0.1", 0))
@@ -648,36 +680,39 @@
         self.settings = {"at": at, "port": self.server.getsockname()[1]}
 
     def environ(self) -> dict[str, str]:
+        """Returns the environment variables that make the program wait at the gate."""
         return {"TEST_GATE": json.dumps(self.settings), "PYTHONPATH": GATES_DIRECTORY}
 
     def wait_until_reached(self) -> None:
+        """Waits until the program has stopped at the event."""
         self.connection, _ = self.server.accept()
 
     def release(self) -> None:
+        """Lets the program continue."""
         self.connection.sendall(b"x")
         self.connection.close()
         self.server.close()
 
 
-def fault_environ(*told: dict[str, Any]) -> dict[str, str]:
-    """What fails in a program under test, as `tests/gates/sitecustomize.py` reads it."""
-    return {"TEST_FAULTS": json.dumps(told), "PYTHONPATH": GATES_DIRECTORY}
+def fault_environ(*faults: dict[str, Any]) -> dict[str, str]:
+    """Returns the variables that make `tests/gates/sitecustomize.py` inject these faults into the program."""
+    return {"TEST_FAULTS": json.dumps(faults), "PYTHONPATH": GATES_DIRECTORY}
 
 
 def run_demo() -> None:
-    """One task through the program, printed."""
+    """Sends one task through the server and prints each step."""
     with tempfile.TemporaryDirectory() as folder:
         agent = FakeAgent()
-        instance = ServerProcess(Path(folder), agent, FakeAnnounce())
-        print(instance.wait_for_log("phase", phase="serving"))
-        with instance.connect() as link:
-            link.sendall(process_call(1, task_fields(1)))
+        server = ServerProcess(Path(folder), agent, FakeAnnounce())
+        print(server.wait_for_log("phase", phase="serving"))
+        with server.connect() as connection:
+            connection.sendall(process_call(1, task_fields(1)))
             agent.receive()
             launch = agent.receive()
             print(launch)
             agent.end_run(launch[1], b"the kiln is free on Friday")
-            print(decode_message(next(read_frames(link))))
-        print("exit code", instance.terminate())
+            print(decode_message(next(read_frames(connection))))
+        print("exit code", server.terminate())
 
 
 if __name__ == "__main__":
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -60,11 +60,11 @@
 
 
 @pytest.mark.parametrize("at", POINTS)
-@pytest.mark.parametrize("agent_up", [True, False])
+@pytest.mark.parametrize("agent_ready", [True, False])
 def test_a_notice_to_leave_at_any_point_of_the_start_ends_it_cleanly(
-    make_harness: Any, at: str, agent_up: bool
+    make_harness: Any, at: str, agent_ready: bool
 ) -> None:
-    harness, gate = gated(make_harness, at, agent_up=agent_up, stop_ms=2000)
+    harness, gate = gated(make_harness, at, agent_ready=agent_ready, stop_ms=2000)
     harness.server.process.send_signal(signal.SIGTERM)
     gate.release()
     assert harness.server.process.wait(WAIT_TIMEOUT_SECONDS) == 0
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -107,7 +107,7 @@
             machine_options(**changes), now, self.lifecycle, max_disk_bytes=disk, boot_offset=boot - now
         )
         self.machine = self.kept = made
-        self.effects, self.answers_measurements, self.number, self.count = [], True, 0, 0
+        self.effects, self.answers_measurements, self.last_notice_number, self.count = [], True, 0, 0
         self.disk = Troubled(folder)
         self.disk.acquire()
         self.store = LedgerStore(self.disk, STAGES)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -132,7 +132,7 @@
 
 @pytest.mark.parametrize("inner", [False, True])
 def test_health_is_told_once_the_agent_is_up(make_harness: Any, inner: bool) -> None:
-    harness = make_harness(agent_up=False)
+    harness = make_harness(agent_ready=False)
     harness.server.wait_for_log("phase", phase="awaiting agent")
     with harness.server.connect() as link:
         assert exchange(link, probe_call(1, inner))[1][0][3] is False
@@ -197,7 +197,7 @@
 
 
 def test_leaving_before_the_agent_is_up_and_starting_again_at_the_same_address(make_harness: Any) -> None:
-    harness = make_harness(agent_up=False)
+    harness = make_harness(agent_ready=False)
     harness.server.wait_for_log("phase", phase="awaiting agent")
     assert harness.server.terminate() == 0
     again = make_harness(port=harness.server.port)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -119,7 +119,7 @@
     desk = MachineHarness(stages=bench.stages, **told)
     for place, row in enumerate(bench.stages):
         word = "7" if row.effect == "keyed" else None
-        desk.send(place, word, stage_place=place)
+        desk.send(place, word, stage_index=place)
     for _ in range(40):
         desk.wait(SECOND // 4)
         for name in desk.launched():
--- a/tests/test_state_machine.py
+++ b/tests/test_state_machine.py
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize("late", ["the agent is not up", "the samples are not answered", "the link is lost"])
 def test_time_limits_hold_without_the_agent(late: str) -> None:
-    desk = MachineHarness(up=late != "the agent is not up")
+    desk = MachineHarness(agent_connected=late != "the agent is not up")
     desk.answers_measurements = False
     sent = desk.now
     desk.send(1)
@@ -426,7 +426,7 @@
 
 @pytest.mark.parametrize(("fresh", "age", "room"), [(True, 0, 3), (True, 30 * SECOND, 8), (False, SECOND, 8)])
 def test_the_greeting_tells_whether_the_machine_is_cold(fresh: bool, age: int, room: int) -> None:
-    desk = MachineHarness(up=False)
+    desk = MachineHarness(agent_connected=False)
     desk.wait(SECOND)
     desk.handle(AgentGreeted(fresh, age))
     concurrency = desk.machine.policy.state.concurrency
@@ -435,7 +435,7 @@
 
 
 def test_no_health_before_the_agent_and_a_deep_check_asks_it() -> None:
-    desk = MachineHarness(up=False)
+    desk = MachineHarness(agent_connected=False)
     desk.handle(ConnectionOpened(1))
     assert desk.handle(HealthCheckReceived(1, 1, True)) == [AnswerHealth(1, 1, False, None)]
     desk.handle(AgentGreeted(False, 0))
@@ -623,7 +623,7 @@
 
 
 def test_leaving_with_nothing_owed_ends_at_once() -> None:
-    desk = MachineHarness(up=False)
+    desk = MachineHarness(agent_connected=False)
     by = desk.now + 3 * SECOND
     desk.handle(ShutdownRequested(by))
     desk.wait(limits.SWEEP_INTERVAL)
