--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of other customers: what is allowed is served, what is unusable ends in one plain line."""
+"""Tests of settings: the server serves with valid ones and rejects invalid ones with a one-line error."""
 
 import copy
 import json
@@ -27,8 +27,8 @@
 from thistleline.server.configuration import Configuration, read_configuration
 from thistleline.wire.settings import SettingsError
 
-# Keys without which nothing can be decided; all others may be left out.
-DEMANDED = {
+# Keys that the policy can't decide without; all others may be left out.
+REQUIRED_PATHS = {
     ("settings", "classes"),
     ("settings", "classes", 0, "name"),
     ("settings", "classes", 0, "effect"),
@@ -51,19 +51,19 @@
 }
 
 
-def paths(value: Any, here: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    """The place of each key, at any depth."""
+def key_paths(value: Any, prefix: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+    """Returns the path of each key, at any depth."""
     found: list[tuple[Any, ...]] = []
     pairs = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     for key, inner in pairs:
         if isinstance(value, dict):
-            found.append((*here, key))
-        found += paths(inner, (*here, key))
+            found.append((*prefix, key))
+        found += key_paths(inner, (*prefix, key))
     return found
 
 
-OPTIONAL = sorted(set(paths(CONFIG)) - DEMANDED, key=str)
-NUMBERS = [
+OPTIONAL_PATHS = sorted(set(key_paths(CONFIG)) - REQUIRED_PATHS, key=str)
+NUMBER_PATHS = [
     ("settings", "familyInfo", "cpus"),
     ("settings", "familyInfo", "memoryKb"),
     ("settings", "familyInfo", "blowup"),
@@ -85,51 +85,56 @@
     ("limits", "sockets"),
     ("limits", "memory_mb"),
 ]
-WORDS = [
+TEXT_PATHS = [
     ("settings", "familyInfo", "say"),
     ("settings", "familyInfo", "halt"),
     ("settings", "familyInfo", "dependsOn"),
 ]
 
 
-def put(told: dict[str, Any], path: tuple[Any, ...], value: Any) -> None:
-    place: Any = told
+def set_value(config: dict[str, Any], path: tuple[Any, ...], value: Any) -> None:
+    """Sets the value at a path, or removes its key if the value is `set_value` itself."""
+    target: Any = config
     for key in path[:-1]:
         try:
-            place = place[key]
+            target = target[key]
         except (KeyError, IndexError, TypeError):
-            return  # what it stood in has gone
-    if isinstance(place, dict):
-        if value is put:
-            place.pop(path[-1], None)
+            return  # an earlier change removed its parent
+    if isinstance(target, dict):
+        if value is set_value:
+            target.pop(path[-1], None)
         else:
-            place[path[-1]] = value
+            target[path[-1]] = value
 
 
-def read(told: dict[str, Any]) -> Configuration:
+def read_config(config: dict[str, Any]) -> Configuration:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
-        path.write_text(json.dumps(told))
+        path.write_text(json.dumps(config))
         return read_configuration({"ROUTER_CONFIG": str(path)})
 
 
-def served(bench: ServerSettings) -> None:
-    """The module decides under this bench without a fault; a task of each stage gets one answer in time."""
-    told = {name: getattr(bench, name) for name in ServerSettings.__dataclass_fields__ if name != "stages"}
-    desk = MachineHarness(stages=bench.stages, **told)
-    for place, row in enumerate(bench.stages):
-        word = "7" if row.effect == "keyed" else None
-        desk.send(place, word, stage_index=place)
+def check_serves(server_settings: ServerSettings) -> None:
+    """Checks that the policy runs without an error and a task of each stage gets one answer in time."""
+    config = {
+        name: getattr(server_settings, name)
+        for name in ServerSettings.__dataclass_fields__
+        if name != "stages"
+    }
+    harness = MachineHarness(stages=server_settings.stages, **config)
+    for index, stage in enumerate(server_settings.stages):
+        dedup_key = "7" if stage.effect == "keyed" else None
+        harness.send(index, dedup_key, stage_index=index)
     for _ in range(40):
-        desk.wait(SECOND // 4)
-        for name in desk.launched():
-            if name in desk.machine.at_agent:
-                desk.end(name)
-    assert desk.machine.context.figures.get("faults", 0) == 0
-    assert len(desk.answers()) == len(bench.stages)
+        harness.wait(SECOND // 4)
+        for name in harness.launched():
+            if name in harness.machine.at_agent:
+                harness.end(name)
+    assert harness.machine.context.figures.get("faults", 0) == 0
+    assert len(harness.answers()) == len(server_settings.stages)
 
 
-LENIENT = settings(
+PROPERTY_TEST = settings(
     max_examples=120, deadline=None, suppress_health_check=[HealthCheck.too_slow, HealthCheck.data_too_large]
 )
 POSITIVE = st.one_of(
@@ -137,27 +142,27 @@
 )
 
 
-@LENIENT
+@PROPERTY_TEST
 @given(
-    gone=st.lists(st.sampled_from(OPTIONAL), max_size=8),
-    null=st.lists(st.sampled_from(OPTIONAL), max_size=4),
-    new=st.lists(st.tuples(st.sampled_from(paths(CONFIG)), st.text(max_size=9)), max_size=4),
-    numbers=st.lists(st.tuples(st.sampled_from(NUMBERS), POSITIVE), max_size=5),
-    other=st.lists(st.tuples(st.sampled_from(WORDS), st.text(max_size=9)), max_size=2),
+    removed=st.lists(st.sampled_from(OPTIONAL_PATHS), max_size=8),
+    nulled=st.lists(st.sampled_from(OPTIONAL_PATHS), max_size=4),
+    unknown=st.lists(st.tuples(st.sampled_from(key_paths(CONFIG)), st.text(max_size=9)), max_size=4),
+    numbers=st.lists(st.tuples(st.sampled_from(NUMBER_PATHS), POSITIVE), max_size=5),
+    texts=st.lists(st.tuples(st.sampled_from(TEXT_PATHS), st.text(max_size=9)), max_size=2),
 )
-def test_what_is_allowed_is_read_and_served(
-    gone: list[Any], null: list[Any], new: list[Any], numbers: list[Any], other: list[Any]
+def test_valid_settings_are_read_and_served(
+    removed: list[Any], nulled: list[Any], unknown: list[Any], numbers: list[Any], texts: list[Any]
 ) -> None:
-    told = copy.deepcopy(CONFIG)
-    for path, value in numbers + other:
-        put(told, path, value)
-    for path in gone:
-        put(told, path, put)
-    for path in null:
-        put(told, path, None)
-    for path, name in new:
-        put(told, (*path[:-1], f"new {name}"), {"and": ["more"]})
-    served(read(told).settings)
+    config = copy.deepcopy(CONFIG)
+    for path, value in numbers + texts:
+        set_value(config, path, value)
+    for path in removed:
+        set_value(config, path, set_value)
+    for path in nulled:
+        set_value(config, path, None)
+    for path, name in unknown:
+        set_value(config, (*path[:-1], f"new {name}"), {"and": ["more"]})
+    check_serves(read_config(config).settings)
 
 
 JSON = st.recursive(
@@ -169,29 +174,29 @@
 )
 
 
-@LENIENT
-@given(changes=st.lists(st.tuples(st.sampled_from(paths(CONFIG)), JSON), min_size=1, max_size=3))
-def test_whatever_stands_there_is_served_or_told_in_a_line(changes: list[Any]) -> None:
-    told = copy.deepcopy(CONFIG)
+@PROPERTY_TEST
+@given(changes=st.lists(st.tuples(st.sampled_from(key_paths(CONFIG)), JSON), min_size=1, max_size=3))
+def test_any_value_is_served_or_rejected_with_one_line(changes: list[Any]) -> None:
+    config = copy.deepcopy(CONFIG)
     for path, value in changes:
-        put(told, path, value)
-    bench, line = None, ""
+        set_value(config, path, value)
+    server_settings, message = None, ""
     try:
-        bench = read(told).settings
+        server_settings = read_config(config).settings
     except SettingsError as error:
-        line = str(error)
-    if bench is None:
-        assert len(line.splitlines()) == 1
+        message = str(error)
+    if server_settings is None:
+        assert len(message.splitlines()) == 1
     else:
-        served(bench)
+        check_serves(server_settings)
 
 
-@pytest.mark.parametrize("path", sorted(DEMANDED, key=str))
-def test_what_can_not_be_left_out_is_named(path: tuple[Any, ...]) -> None:
-    told = copy.deepcopy(CONFIG)
-    put(told, path, put)
+@pytest.mark.parametrize("path", sorted(REQUIRED_PATHS, key=str))
+def test_error_names_missing_required_key(path: tuple[Any, ...]) -> None:
+    config = copy.deepcopy(CONFIG)
+    set_value(config, path, set_value)
     with pytest.raises(SettingsError, match=repr(path[-1])):
-        read(told)
+        read_config(config)
 
 
 @pytest.mark.parametrize(
@@ -211,23 +216,21 @@
         (("seed",), "green"),
     ],
 )
-def test_what_makes_no_sense_ends_the_start_with_a_line_and_code_2(
-    tmp_path: Path, path: tuple[Any, ...], value: Any
-) -> None:
-    told = copy.deepcopy(CONFIG)
-    put(told, path, value)
-    place = tmp_path / "config.json"
-    place.write_text(json.dumps(told))
-    process = start_process({"ROUTER_CONFIG": str(place)})
+def test_invalid_settings_exit_2_with_one_line(tmp_path: Path, path: tuple[Any, ...], value: Any) -> None:
+    config = copy.deepcopy(CONFIG)
+    set_value(config, path, value)
+    config_path = tmp_path / "config.json"
+    config_path.write_text(json.dumps(config))
+    process = start_process({"ROUTER_CONFIG": str(config_path)})
     try:
-        out, text = process.communicate(timeout=WAIT_TIMEOUT_SECONDS)
+        stdout, stderr = process.communicate(timeout=WAIT_TIMEOUT_SECONDS)
     except subprocess.TimeoutExpired:
         process.kill()
         raise
-    assert (process.returncode, out, len(text.splitlines())) == (2, b"", 1)
+    assert (process.returncode, stdout, len(stderr.splitlines())) == (2, b"", 1)
 
 
-SHORT = [
+SHORT_DEADLINE_CLASSES = [
     {"name": "read", "effect": "read_like", "credit": 1.0, "promise": 0.12, "deadline": 0.3},
     {"name": "pay", "effect": "non_idempotent", "credit": 1.0, "promise": 0.12, "deadline": 0.3},
     {
@@ -250,18 +253,18 @@
         {"familyInfo": {**SETTINGS["familyInfo"], "say": "whistle", "halt": "bow", "dependsOn": "shared"}},
         {"projects": []},
         {"groupSize": 0},
-        {"classes": SHORT},
-        {"classes": SHORT[:1]},
+        {"classes": SHORT_DEADLINE_CLASSES},
+        {"classes": SHORT_DEADLINE_CLASSES[:1]},
         {"granularity": 0, "allowed": {}, "clientHabits": {}},
     ],
 )
-def test_another_customers_instance_serves(make_harness: Any, changes: dict[str, Any]) -> None:
+def test_server_serves_with_unusual_settings(make_harness: Any, changes: dict[str, Any]) -> None:
     limits = {"cores": 0.3, "memory_mb": 24.5, "sockets": 40}
     harness = make_harness(settings={**SETTINGS, **changes}, limits=limits)
     harness.wait_until_serving()
     name = (changes.get("classes") or SETTINGS["classes"])[0]["name"]
-    with harness.server.connect() as link:
-        link.sendall(process_call(1, task_fields(1, service=name)))
+    with harness.server.connect() as connection:
+        connection.sendall(process_call(1, task_fields(1, service=name)))
         harness.finish_next_run(b"read")
-        assert set(decode_message(next(read_frames(link)))[3]) == {0}
+        assert set(decode_message(next(read_frames(connection)))[3]) == {0}
     assert harness.server.terminate() == 0
