--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -32,9 +32,9 @@
 @pytest.fixture
 def harness(make_harness: Any) -> ServerHarness:
     """Provides a server that serves clients."""
-    made: ServerHarness = make_harness()
-    made.wait_until_serving()
-    return made
+    ready_harness: ServerHarness = make_harness()
+    ready_harness.wait_until_serving()
+    return ready_harness
 
 
 __all__ = ["harness", "make_harness", "pytest_collection_modifyitems", "pytest_configure"]
--- a/tests/host.py
+++ b/tests/host.py
@@ -536,7 +536,10 @@
         self.process.send_signal(signal.SIGHUP)
 
     def pause(self) -> None:
-        """Sends SIGSTOP and waits until the process has stopped: the signal takes effect with a delay."""
+        """Stops the process until SIGCONT.
+
+        SIGSTOP takes effect some time after it is sent, so this waits until the process has stopped.
+        """
         os.kill(self.process.pid, signal.SIGSTOP)
         os.waitid(os.P_PID, self.process.pid, os.WSTOPPED | os.WNOWAIT)
 
--- a/tests/test_downstream_calls.py
+++ b/tests/test_downstream_calls.py
@@ -44,9 +44,9 @@
 
 @pytest.fixture
 def harness(make_harness: Any, backend: FakeBackend) -> ServerHarness:
-    made: ServerHarness = make_harness(settings=SETTINGS_WITH_CALLS, backend=backend.address)
-    made.wait_until_serving()
-    return made
+    ready_harness: ServerHarness = make_harness(settings=SETTINGS_WITH_CALLS, backend=backend.address)
+    ready_harness.wait_until_serving()
+    return ready_harness
 
 
 def start_task_with_call(
@@ -246,7 +246,7 @@
         old_connection = backend.connection
         if cancel_is_late:
             backend.accepts_cancels.clear()
-        command = backend.receive()  # the first call took too long
+        command = backend.receive()  # the first call had no answer for too long
         backend.accepts_cancels.set()
         assert {command[:2], backend.receive()[:2]} == {("cancel", attempt_id), ("invoke", attempt_id)}
         assert old_connection is not None
--- a/tests/test_server_races.py
+++ b/tests/test_server_races.py
@@ -185,7 +185,10 @@
     announce_events = [
         event for event in read_log_until(harness.server, "figures") if event["event"] == "announce"
     ]
-    assert [event["state"] for event in announce_events] in ([], ["down", "up"])  # down at most once, then up
+    assert [event["state"] for event in announce_events] in (
+        [],
+        ["down", "up"],
+    )  # if it went down, it came up again
 
 
 def read_log_until(server: ServerProcess, last: str) -> list[dict[str, Any]]:
@@ -571,7 +574,7 @@
         environ=fault_environ({"module": f"thistleline.{module}", "what": function, "error": error})
     )
     harness.server.wait_for_log("phase", phase="serving")
-    for _ in range(2):  # the injected error may hit the first
+    for _ in range(2):  # the injected error may hit the first of them
         with harness.server.connect() as connection:
             connection.sendall(probe_call(1, False))
             next(read_frames(connection), None)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of settings: the server serves with valid ones and rejects invalid ones with a one-line error."""
+"""Tests of other customers' settings: valid ones are served, invalid ones are rejected with one line."""
 
 import copy
 import json
