--- a/tests/test_server_races.py
+++ b/tests/test_server_races.py
@@ -185,10 +185,8 @@
     announce_events = [
         event for event in read_log_until(harness.server, "figures") if event["event"] == "announce"
     ]
-    assert [event["state"] for event in announce_events] in (
-        [],
-        ["down", "up"],
-    )  # if it went down, it came up again
+    # If it went down, it came up again.
+    assert [event["state"] for event in announce_events] in ([], ["down", "up"])
 
 
 def read_log_until(server: ServerProcess, last: str) -> list[dict[str, Any]]:
