--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from tests.host import BOOKING, Desk, stage, task
+from tests.host import BOOKING, MachineHarness, stage, task
 from thistleline.interface import RunOutcome
 from thistleline.policy import MS, SECOND
 from thistleline.state.effects import (
@@ -95,8 +95,10 @@
 class UntrustedClients(RuleBasedStateMachine):
     @initialize(cores=st.sampled_from([1, 4]), bound=st.sampled_from([40, 1 << 20]))
     def start(self, cores: int, bound: int) -> None:
-        self.desk = Desk(stages=(stage(), SHORT_WINDOW_BOOKING, ORDER), cores=cores, results_bound=bound)
-        self.desk.answers_samples = False
+        self.desk = MachineHarness(
+            stages=(stage(), SHORT_WINDOW_BOOKING, ORDER), cores=cores, results_bound=bound
+        )
+        self.desk.answers_measurements = False
         self.agent, self.linked, self.notices_sent = Agent(), True, 0
         self.commands: list[tuple[int, Any]] = []  # time and command, not yet read by the agent
         self.handled_count = len(self.desk.effects)
@@ -147,7 +149,7 @@
         return [since for effect, since in self.agent.started if effect == effect_id]
 
     def put(self, event: Any) -> None:
-        self.desk.put(event)
+        self.desk.handle(event)
         self.handle_effects()
 
     def deliver(self) -> None:
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -14,15 +14,15 @@
 
 from tests.host import (
     BOOKING,
-    Desk,
     FakeAgent,
     FakeAnnounce,
-    Instance,
-    answered,
-    booking,
-    frames,
+    MachineHarness,
+    ServerProcess,
+    booking_fields,
+    decode_message,
     machine_options,
-    process,
+    process_call,
+    read_frames,
 )
 from thistleline.cli.ledger_folder import open_ledger, rewrite_ledger
 from thistleline.cli.main import entry
@@ -88,7 +88,7 @@
         super().remove(number)
 
 
-class LedgerDesk(Desk):
+class LedgerDesk(MachineHarness):
     """A desk whose state machine has a ledger in a folder.
 
     Writes are performed at once, or only by `write` while `defers_writes` is set.
@@ -110,20 +110,20 @@
             machine_options(**changes), now, self.lifecycle, max_disk_bytes=disk, boot_offset=boot_time - now
         )
         self.machine = self.durable_machine = machine
-        self.effects, self.answers_samples, self.number, self.count = [], True, 0, 0
+        self.effects, self.answers_measurements, self.last_notice_number, self.count = [], True, 0, 0
         self.disk = FaultyDisk(folder)
         self.disk.acquire()
         self.store = LedgerStore(self.disk, STAGES)
         self.store.boot = boot_id or self.store.boot
         self.defers_writes = False
-        self.put(EffectsRecovered(self.store.recover(machine.ledger)))
-        self.put(ListeningStarted())
+        self.handle(EffectsRecovered(self.store.recover(machine.ledger)))
+        self.handle(ListeningStarted())
         if up:
-            self.put(AgentGreeted(False, 60 * SECOND))
+            self.handle(AgentGreeted(False, 60 * SECOND))
             self.wait(50 * MS)
 
-    def put(self, event: Any) -> list[Any]:
-        effects = super().put(event)
+    def handle(self, event: Any) -> list[Any]:
+        effects = super().handle(event)
         for effect in effects:
             if isinstance(effect, WriteLedger) and not self.defers_writes:
                 self.write(effect.write)
@@ -133,9 +133,9 @@
         try:
             self.store.write(write)
         except OSError as error:
-            self.put(WriteFailed(str(error)))
+            self.handle(WriteFailed(str(error)))
         else:
-            self.put(WriteCompleted())
+            self.handle(WriteCompleted())
 
     def stop(self) -> None:
         self.disk.release()
@@ -230,7 +230,7 @@
     lookup_id, booking_id = desk.send(1), desk.send(1, "mark")
     desk.wait()
     assert desk.launched() == [lookup_id]
-    (write,) = [effect.write for effect in desk.kinds(WriteLedger)]
+    (write,) = [effect.write for effect in desk.effects_of(WriteLedger)]
     desk.write(write)
     assert desk.launched() == [lookup_id, booking_id]
 
@@ -241,10 +241,10 @@
     for index in range(9):
         desk.send(index % 3, f"mark{index}")
         desk.wait()
-    writes = [effect.write for effect in desk.kinds(WriteLedger)]
+    writes = [effect.write for effect in desk.effects_of(WriteLedger)]
     assert [len(write.group.intents) for write in writes] == [1]
     desk.write(writes[0])
-    writes = [effect.write for effect in desk.kinds(WriteLedger)]
+    writes = [effect.write for effect in desk.effects_of(WriteLedger)]
     assert [len(write.group.intents) for write in writes] == [1, 8]
 
 
@@ -257,7 +257,7 @@
     rejected = desk.send(3, "other")
     desk.wait(20 * MS)
     assert desk.launched() == [lookup_id]
-    assert [(effect.connection, effect.retry_after > 0) for effect in desk.kinds(AnswerRejected)] == [
+    assert [(effect.connection, effect.retry_after > 0) for effect in desk.effects_of(AnswerRejected)] == [
         (2, True),
         (3, True),
     ]
@@ -283,7 +283,7 @@
         desk.wait(100 * MS)
         desk.end(lookup_id)
         desk.wait(100 * MS)
-    assert len(desk.kinds(AnswerRejected)) == 40
+    assert len(desk.effects_of(AnswerRejected)) == 40
     assert len(desk.launched()) == 40
     assert desk.disk.calls < 20  # the delay between retries grows
     assert len(desk.durable_machine.ledger.segments) < 3
@@ -314,7 +314,7 @@
     with suppress(KeyboardInterrupt):
         _run_three_bookings(desk, [])
     desk.stop()
-    finished = {bytes(effect.result) for effect in desk.kinds(AnswerFinished)}
+    finished = {bytes(effect.result) for effect in desk.effects_of(AnswerFinished)}
     boot_time = START + 9 * SECOND if not boot_id else 7 * SECOND
     restarted = LedgerDesk(
         tmp_path, cores=4, boot_time=boot_time, boot_id=boot_id, now=(1009 + clock_shift) * SECOND
@@ -324,8 +324,8 @@
         restarted.wait(3 * SECOND)
     started_again = {int(name[1:]) - 1 for name in restarted.launched()}
     assert not started_again & {int(name[-1]) for name in desk.launched()}
-    assert not restarted.kinds(AnswerRejected)
-    repeated_results = {bytes(effect.result) for effect in restarted.kinds(AnswerFinished)}
+    assert not restarted.effects_of(AnswerRejected)
+    repeated_results = {bytes(effect.result) for effect in restarted.effects_of(AnswerFinished)}
     assert repeated_results <= finished
     restarted.stop()
 
@@ -342,7 +342,7 @@
     restarted.send(2, "mark", is_retry=True)
     restarted.send(3, "mark", b"a stranger's")
     restarted.wait()
-    assert [(effect.connection, bytes(effect.result)) for effect in restarted.kinds(AnswerFinished)] == [
+    assert [(effect.connection, bytes(effect.result)) for effect in restarted.effects_of(AnswerFinished)] == [
         (1, b"result of t1"), (2, b"result of t1")]  # fmt: skip
     assert restarted.launched() == ["t3"]
 
@@ -354,7 +354,7 @@
     desk.wait()
     desk.stop()
     restarted = LedgerDesk(tmp_path, boot_time=START + SECOND, up=False)
-    restarted.put(AgentGreeted(agent == "is new", 60 * SECOND))
+    restarted.handle(AgentGreeted(agent == "is new", 60 * SECOND))
     if agent == "reports the end":
         restarted.end(name)
     restarted.send(1, "mark", id="later", is_retry=True)
@@ -438,7 +438,7 @@
         desk.wait(6 * MS)
         if name in desk.launched():
             desk.end(name)
-    rejected = desk.kinds(AnswerRejected)
+    rejected = desk.effects_of(AnswerRejected)
     assert rejected
     assert desk.durable_machine.ledger.phase == "full"
     assert sum(size for _, size in desk.disk.segments()) <= 1 << 14
@@ -487,15 +487,15 @@
     name = desk.send(1, "mark")
     desk.wait()
     desk.defers_writes = True
-    desk.put(ShutdownRequested(desk.now + 3 * SECOND))
+    desk.handle(ShutdownRequested(desk.now + 3 * SECOND))
     desk.end(name)
-    desk.put(ConnectionEnded(1, ""))
+    desk.handle(ConnectionEnded(1, ""))
     desk.wait(SECOND)
-    assert not desk.kinds(EndProcess)
-    desk.write([effect.write for effect in desk.kinds(WriteLedger)][-1])
+    assert not desk.effects_of(EndProcess)
+    desk.write([effect.write for effect in desk.effects_of(WriteLedger)][-1])
     desk.defers_writes = False
     desk.wait(SECOND)
-    assert desk.kinds(EndProcess)
+    assert desk.effects_of(EndProcess)
 
 
 # ---- the settings file
@@ -529,27 +529,27 @@
     conf.write_text(f"ledger folder {tmp_path}/kept\n")
     monkeypatch.setenv("THISTLELINE_CONF", str(conf))
     agent, announce = FakeAgent(), FakeAnnounce()
-    first = Instance(tmp_path, agent, announce)
+    first = ServerProcess(tmp_path, agent, announce)
     try:
-        first.until("phase", phase="serving")
+        first.wait_for_log("phase", phase="serving")
         with first.connect() as link:
-            link.sendall(process(1, booking(1, "mark")))
-            agent.hear()
-            start_line = agent.hear()
-            agent.end(start_line[1], b"Friday at noon")
-            assert answered(next(frames(link)))[3][0][1] == b"Friday at noon"
-            link.sendall(process(2, booking(2, "other")))
-            agent.hear()  # it was started, so its intent and the earlier outcome are durable
+            link.sendall(process_call(1, booking_fields(1, "mark")))
+            agent.receive()
+            start_line = agent.receive()
+            agent.end_run(start_line[1], b"Friday at noon")
+            assert decode_message(next(read_frames(link)))[3][0][1] == b"Friday at noon"
+            link.sendall(process_call(2, booking_fields(2, "other")))
+            agent.receive()  # it was started, so its intent and the earlier outcome are durable
     finally:
         first.close()
-    second = Instance(tmp_path, agent, announce)
+    second = ServerProcess(tmp_path, agent, announce)
     try:
-        assert second.until("ledger", state="recovered")["effects"] == 2
-        second.until("phase", phase="serving")
+        assert second.wait_for_log("ledger", state="recovered")["effects"] == 2
+        second.wait_for_log("phase", phase="serving")
         with second.connect() as link:
-            link.sendall(process(1, booking(3, "mark", dup="1")))
-            assert answered(next(frames(link)))[3][0][1] == b"Friday at noon"
-        assert second.leave() == 0
+            link.sendall(process_call(1, booking_fields(3, "mark", dup="1")))
+            assert decode_message(next(read_frames(link)))[3][0][1] == b"Friday at noon"
+        assert second.terminate() == 0
     finally:
         second.close()
 
