--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -334,7 +334,7 @@
     made = hold()
     made.handle(0, AnswerReceived(1, Granted(1, 10 * SECOND)))
     made.handle(3 * SECOND, DeadlineReached())
-    assert made.handle(6 * SECOND, AnswerReceived(2, answer)) == [LeaseEnded("its right is over")]
+    assert made.handle(6 * SECOND, AnswerReceived(2, answer)) == [LeaseEnded("the lease expired")]
     assert not made.is_valid(6 * SECOND)
 
 
--- a/thistleline/lab/scale/council.py
+++ b/thistleline/lab/scale/council.py
@@ -43,7 +43,7 @@
     Renewed,
 )
 from thistleline.lease.server import LeaseServer
-from thistleline.lease.service import CONNECTIONS_BOUND
+from thistleline.lease.service import MAX_CONNECTIONS
 from thistleline.lease.table import (
     MAX_LEASES,
     MAX_RECORDS,
@@ -383,8 +383,8 @@
         "reads_a_second": round(asked),
         "cores_of_a_leader_a_round_each": round(each, 2),
         "cores_of_a_leader_rounds_of_1_ms": round(together, 2),
-        "connections_bound": CONNECTIONS_BOUND,
-        "stewards_beyond_connections_bound": round(size("instances") / CONNECTIONS_BOUND, 2),
+        "connections_bound": MAX_CONNECTIONS,
+        "stewards_beyond_connections_bound": round(size("instances") / MAX_CONNECTIONS, 2),
         "tickets_bound": MAX_PENDING_REQUESTS,
     }
 
--- a/thistleline/lease/client.py
+++ b/thistleline/lease/client.py
@@ -1,4 +1,7 @@
-"""A client of the lease cluster: one connection to the leader, found by asking the replicas in turn."""
+"""A client of the lease cluster.
+
+It keeps one connection, to the leader, which it finds by trying the replicas in turn.
+"""
 
 import os
 from collections.abc import Callable
@@ -21,16 +24,16 @@
 from thistleline.transport.disconnects import DISCONNECT_ERRORS
 
 CONNECT_TIMEOUT = 1.0  # s
-ANSWER_TIMEOUT = 1.5  # s; a replica that is silent for so long is not asked again at once
-MAX_OPEN_REQUESTS = 256
-MIN_BACKOFF = 0.02  # s before an undecided request is repeated
+ANSWER_TIMEOUT = 1.5  # s; after it the next request goes to another replica
+MAX_OPEN_REQUESTS = 256  # sent and not yet answered
+MIN_BACKOFF = 0.02  # s before an undecided request is sent again
 MAX_BACKOFF = 0.3  # s
 _RECEIVE_SIZE = 1 << 16  # bytes
 _decode_hello = msgspec.msgpack.Decoder(Hello).decode
 
 
 class LeaseClient:
-    """Sends requests to the cluster; errors of a replica or the network are answers, never exceptions.
+    """Sends requests to the cluster; an error of a replica or the network is returned as `Unavailable`.
 
     Example:
         async with anyio.create_task_group() as group:
@@ -41,17 +44,17 @@
     def __init__(
         self, replicas: dict[str, Address], group: anyio.abc.TaskGroup, rng: Random | None = None
     ) -> None:
-        """Describe the cluster; a connection is made by the first request.
+        """Create a client; the first request opens the connection.
 
         Args:
             replicas: Addresses by name.
-            group: Runs the reading of the connection.
-            rng: Chooses replicas and jitter.
+            group: Task group in which the connection is read.
+            rng: Source of randomness for the choice of replicas and for jitter.
         """
         self.replicas = replicas
         self.group = group
         self.rng = rng or Random(os.urandom(8))
-        self.target = self.rng.choice(sorted(replicas))  # the replica that is asked
+        self.target = self.rng.choice(sorted(replicas))  # the replica that requests are sent to
         self.stream: SocketStream | None = None
         self.send_lock = anyio.Lock()
         self.last_number = 0
@@ -59,64 +62,64 @@
         self.hint_callbacks: dict[str, Callable[[], None]] = {}  # by holder id
 
     async def request(self, op: Op) -> Answer:
-        """Send one request to one replica; `Unavailable` if it was not decided."""
+        """Send one request to one replica; return `Unavailable` if it was not decided."""
         if len(self.open_requests) >= MAX_OPEN_REQUESTS:
-            return Unavailable("too much is asked here at once", "")
-        number, event, found = -1, anyio.Event(), list[Answer]()
-        asked = ""
+            return Unavailable("this client has too many open requests", "")
+        number, event, answers = -1, anyio.Event(), list[Answer]()
+        asked_replica = ""
         try:
             with anyio.move_on_after(ANSWER_TIMEOUT):
                 async with self.send_lock:
                     stream = self.stream if self.stream is not None else await self._connect()
-                    asked = self.target
+                    asked_replica = self.target
                     self.last_number += 1
                     number = self.last_number
-                    self.open_requests[number] = event, found
+                    self.open_requests[number] = event, answers
                     await stream.send(encode_frame(encode(Request(number, op))))
                 await event.wait()
         except DISCONNECT_ERRORS:
             pass
         finally:
             self.open_requests.pop(number, None)
-        if not found:
-            self._choose_next(asked, "")
+        if not answers:
+            self._choose_next(asked_replica, "")
             return Unavailable("no answer", "")
-        answer = found[0]
+        answer = answers[0]
         if isinstance(answer, Unavailable):
-            self._choose_next(asked, answer.leader)
+            self._choose_next(asked_replica, answer.leader)
         return answer
 
     async def request_until_decided(self, op: Op, timeout: float) -> Answer:
-        """Repeat an idempotent request until it is decided, for about `timeout` seconds at most."""
-        until = anyio.current_time() + timeout
+        """Send an idempotent request again until it is decided, for at most about `timeout` seconds."""
+        deadline = anyio.current_time() + timeout
         backoff = MIN_BACKOFF
         while True:
             answer = await self.request(op)
-            if not isinstance(answer, Unavailable) or anyio.current_time() >= until:
+            if not isinstance(answer, Unavailable) or anyio.current_time() >= deadline:
                 return answer
             await anyio.sleep(backoff * self.rng.uniform(0.5, 1.5))
             backoff = min(MAX_BACKOFF, 2 * backoff)
 
-    def _choose_next(self, asked: str, leader: str) -> None:
-        """Ask the leader next if it is known, else another replica than `asked`."""
-        if asked and asked != self.target:
-            return  # another request has chosen already
+    def _choose_next(self, asked_replica: str, leader: str) -> None:
+        """Switch to the leader if it is known, else to another replica than `asked_replica`."""
+        if asked_replica and asked_replica != self.target:
+            return  # another request has already switched the target
         name = leader.partition(".")[0]
         if name not in self.replicas or name == self.target:
             if name == self.target and leader:
-                return  # it leads, and can't take the request just now
-            others = [one for one in sorted(self.replicas) if one != self.target]
+                return  # the target is the leader, but could not serve the request at that moment
+            others = [replica for replica in sorted(self.replicas) if replica != self.target]
             name = self.rng.choice(others) if others else self.target
         self.target = name
         self._drop(self.stream)
 
     def _drop(self, stream: SocketStream | None) -> None:
-        """Close the connection, if it is still the current one, and end the requests on it."""
+        """Close the connection if it is still the current one, and fail the requests that wait on it."""
         if stream is None or self.stream is not stream:
             return
         self.stream = None
-        waiting, self.open_requests = self.open_requests, {}
-        for event, _ in waiting.values():
+        failed, self.open_requests = self.open_requests, {}
+        for event, _ in failed.values():
             event.set()
         self.group.start_soon(anyio.aclose_forcefully, stream)
 
@@ -130,15 +133,15 @@
         return stream
 
     async def _read(self, stream: SocketStream, hello: Hello) -> None:
-        decoder, greeted = FrameDecoder(MAX_CLIENT_MESSAGE_SIZE), False
+        decoder, hello_received = FrameDecoder(MAX_CLIENT_MESSAGE_SIZE), False
         try:
             while True:
                 for payload in decoder.feed(await stream.receive(_RECEIVE_SIZE)):
-                    if greeted:
+                    if hello_received:
                         self._on_message(payload)
                     else:
                         negotiate_version(hello, _decode_hello(payload))
-                        greeted = True
+                        hello_received = True
         except DISCONNECT_ERRORS:
             self._drop(stream)
 
@@ -149,6 +152,6 @@
             if callback is not None:
                 callback()
         elif message.number in self.open_requests:
-            event, found = self.open_requests.pop(message.number)
-            found.append(message.answer)
+            event, answers = self.open_requests.pop(message.number)
+            answers.append(message.answer)
             event.set()
--- a/thistleline/lease/effects.py
+++ b/thistleline/lease/effects.py
@@ -1,4 +1,4 @@
-"""Effects that the lease server asks its surroundings to carry out."""
+"""Effects that the lease server asks its caller to carry out."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotifyHolder:
-    """Tell a waiting client that it may hold the lease `name` now; a hint that may be lost."""
+    """Hint to a waiting client that the lease `name` may have been granted to it; the hint may be lost."""
 
     name: str
     holder_id: str
--- a/thistleline/lease/errors.py
+++ b/thistleline/lease/errors.py
@@ -1,12 +1,12 @@
-"""The errors that a user of leases may see."""
+"""Errors that the lease API raises."""
 
 
 class LeaseError(Exception):
-    """Base of all errors of leases."""
+    """Base class of lease errors."""
 
 
 class LeaseLostError(LeaseError):
-    """The lease ended while its holder was at work."""
+    """The lease ended while the holder's block was running."""
 
 
 class LeaseRefusedError(LeaseError):
@@ -14,4 +14,4 @@
 
 
 class LeaseTimeoutError(LeaseError):
-    """What is left of the lease is too short for the intended operation."""
+    """The remaining validity of the lease is too short for the intended operation."""
--- a/thistleline/lease/events.py
+++ b/thistleline/lease/events.py
@@ -1,4 +1,4 @@
-"""Events that the lease server handles: those of its replica, and clients' requests."""
+"""Events that the lease server handles: those of its consensus replica, and client requests."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A client asks for something; the answer names `ticket`."""
+    """A client sent a request; its `SendAnswer` effect carries the same `ticket`."""
 
     ticket: Any
     op: Op
--- a/thistleline/lease/fencing.py
+++ b/thistleline/lease/fencing.py
@@ -1,8 +1,8 @@
-"""The protected resource's side: fencing tokens keep out a holder that a newer one has followed.
+"""Fencing at the protected resource: operations of a superseded lease holder are rejected by their token.
 
-`HighestEpochs` decides, without I/O. `FencingGuard` stores the epochs on disk: a newer epoch is durable
-before its first operation may begin, so that the resource does not forget it in a restart. An operation with
-an epoch that is known already costs a look-up.
+The fencing token is the epoch of the lease. `HighestEpochs` decides, without I/O. `FencingGuard` stores the
+epochs on disk: a newer epoch is durable before its first operation may begin, so that a restart of the
+resource does not lose it. An operation whose epoch is already known costs one dictionary lookup.
 """
 
 from pathlib import Path
@@ -15,20 +15,20 @@
 from thistleline.store.frames import HEADER_SIZE, encode_checksum_frame, scan_frames
 
 MAX_NAMES = 100_000
-MAX_SEGMENT_SIZE = 1 << 20  # bytes of a segment before all epochs are written to a new one
-_SIZE_PER_NAME = 64  # bytes by which that limit grows with each name
+MAX_SEGMENT_SIZE = 1 << 20  # bytes; a larger segment is replaced by a new one with the current epochs
+_SIZE_PER_NAME = 64  # bytes that each stored name adds to MAX_SEGMENT_SIZE
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(dict[str, int]).decode
 
 
 class HighestEpochs:
-    """The highest epoch that was seen of each lease."""
+    """The highest epoch that was seen for each lease."""
 
     __slots__ = ("by_name",)
 
     def __init__(self, by_name: dict[str, int] | None = None) -> None:
-        """Begin with the given epochs, by lease name."""
+        """Start with the given epochs, by lease name."""
         self.by_name = by_name or {}
 
     def classify(self, name: str, epoch: int) -> Literal["stale", "known", "newer", "full"]:
@@ -44,15 +44,15 @@
 class FencingGuard:
     """Admits operations by their fencing token and stores the highest token of each lease.
 
-    Usable as a context manager, which closes it at the end.
+    Usable as a context manager, which closes it on exit.
     """
 
     def __init__(self, folder: Path) -> None:
-        """Lock the folder and read the stored epochs; blocks on the disk.
+        """Lock the folder and read the stored epochs; blocks on disk I/O.
 
         Raises:
             DiskLockedError: Another process has locked the folder.
-            OSError: The disk fails.
+            OSError: The disk failed.
         """
         self.disk = Disk(folder, "guard")
         self.disk.acquire()
@@ -72,13 +72,13 @@
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """Give the folder back."""
+        """Release the lock of the folder."""
         self.close()
 
     def admit(self, name: str, epoch: int) -> bool:
         """Return whether an operation of the holder with this epoch may begin.
 
-        Blocks on the disk where the epoch is newer than all before.
+        Blocks on disk I/O if the epoch is newer than the stored one.
 
         Raises:
             OSError: The epoch could not be stored; the operation must not begin.
@@ -92,7 +92,7 @@
         return comparison in ("known", "newer")
 
     def close(self) -> None:
-        """Give the folder back."""
+        """Release the lock of the folder."""
         self.disk.release()
 
     def _read_segment(self, number: int) -> None:
@@ -103,13 +103,13 @@
                     by_name[name] = max(epoch, by_name.get(name, 0))
 
     def _append(self, epochs: dict[str, int]) -> None:
-        # Twice, so that one flipped bit does not let a former holder in.
+        # Written twice, so that a single flipped bit can't lose the epoch and admit a former holder.
         data = 2 * encode_checksum_frame(_encode(epochs))
         try:
             self.disk.append(data)
             self.disk.sync()
         except OSError:
-            # What the failed write left behind is unknown; a new segment states all epochs, or raises too.
+            # The content after a failed write is unknown; write all epochs to a new segment, or raise again.
             self._write_new_segment([])
             raise
         self.segment_size += len(data) + HEADER_SIZE
--- a/thistleline/lease/holder.py
+++ b/thistleline/lease/holder.py
@@ -1,9 +1,9 @@
-"""The holder's side of a lease as a state machine: what to request, and until when it may act.
+"""The holder's side of a lease as a state machine: which requests to send, and until when it may act.
 
 No I/O and no clock: `handle` takes an event with the current time and returns effects.
 
-Validity counts from before the request was sent whose answer granted it. Times are CLOCK_BOOTTIME of the
-holder's machine in ns: a clock that stands still while the machine sleeps would let a lease outlive its TTL.
+The validity of a lease counts from before the granted request was sent. Times are CLOCK_BOOTTIME of the
+holder's machine in ns: a clock that stops while the machine is suspended would let a lease outlive its TTL.
 """
 
 from collections.abc import Callable
@@ -36,9 +36,9 @@
 from thistleline.reducer.events import DeadlineReached
 
 Phase = Literal["new", "acquiring", "waiting", "held", "releasing", "ended"]
-MAX_OPEN_REQUESTS = 16  # whose answers are still of use
+MAX_OPEN_REQUESTS = 16  # older requests are forgotten, and their answers ignored
 WAITER_RENEW_INTERVAL = 500_000_000  # ns between two requests of a waiter
-MIN_BACKOFF = 20_000_000  # ns after an answer that decides nothing
+MIN_BACKOFF = 20_000_000  # ns before the retry after an answer that did not decide the request
 MAX_BACKOFF = 500_000_000  # ns
 
 
@@ -48,10 +48,10 @@
     Attributes:
         name: Name of the lease.
         holder_id: Identifies this attempt to the cluster; a new one is made for each.
-        phase: Where the attempt stands.
+        phase: Current phase of the attempt.
         epoch: The fencing token, 0 before the lease was granted.
-        valid_until: Until when the holder may act, ns.
-        end_reason: Why it ended, empty before.
+        valid_until: Time until which the holder may act, ns.
+        end_reason: Why the attempt ended; empty until then.
     """
 
     __slots__ = (
@@ -76,7 +76,7 @@
     def __init__(
         self, name: str, holder_id: str, ttl: int, wait: bool, now: int, jitter: Callable[[int], int]
     ) -> None:
-        """Prepare an attempt; it begins with `AcquireStarted`.
+        """Prepare an attempt; the event `AcquireStarted` starts it.
 
         Args:
             name: Name of the lease.
@@ -84,7 +84,7 @@
             ttl: Time to live of the lease, ns.
             wait: Whether to wait for the lease while another holds it.
             now: Current time, ns.
-            jitter: Returns a random part of the given number of ns.
+            jitter: Returns a random duration of at most the given number of ns.
         """
         self.name = name
         self.holder_id = holder_id
@@ -96,7 +96,7 @@
         self.epoch = 0
         self.valid_until = 0
         self.last_request = 0
-        self.sent_at: dict[int, int] = {}  # by number of the request
+        self.sent_at: dict[int, int] = {}  # by request number
         self.next_request_at = now
         self.backoff = MIN_BACKOFF
         self.effects: list[HolderEffect] = []
@@ -108,7 +108,7 @@
         return copy_state(self)
 
     def state_key(self) -> tuple[object, ...]:
-        """Return all that this holder's further behaviour can depend on, hashable."""
+        """Return a hashable value of all that the further behaviour depends on."""
         return (
             self.name,
             self.holder_id,
@@ -124,27 +124,27 @@
     # ---- whether the holder may act
 
     def is_valid(self, now: int) -> bool:
-        """Return whether the lease is held at this time."""
+        """Return whether the lease is held and valid at this time."""
         return self.phase == "held" and now < self.valid_until
 
     def fits(self, now: int, duration: int) -> bool:
-        """Return whether an operation of up to `duration` ns, begun now, ends while the lease is valid."""
+        """Return whether an operation of up to `duration` ns, begun now, ends within the validity."""
         return self.phase == "held" and now + duration <= self.valid_until
 
     # ---- events
 
     def handle(self, now: int, event: HolderEvent) -> list[HolderEffect]:
-        """Handle one event at time `now` (ns) and return what is to be done."""
+        """Handle one event at time `now` (ns) and return the effects to carry out."""
         self.now = max(self.now, now)
         if self.phase == "held" and self.now >= self.valid_until:
-            self._end("its right is over")  # whatever the event is, it came too late
+            self._end("the lease expired")  # no event can extend a lease that is already over
         if self.phase != "ended":
             self._dispatch(event)
         effects, self.effects = self.effects, []
         return effects
 
     def next_deadline(self) -> int:
-        """Return when `DeadlineReached` is to be handled, ns."""
+        """Return the time of the next `DeadlineReached`, ns."""
         if self.phase == "held":
             return min(self.next_request_at, self.valid_until)
         return self.next_request_at
@@ -168,14 +168,14 @@
                 self._send_next_request()
 
     def _on_request_failed(self, number: int) -> None:
-        """Request again after a backoff; what was requested may still be decided."""
+        """Schedule a retry after a backoff; the failed request may still take effect."""
         if number == self.last_request:
             retry_at = self.now + self.backoff + self.jitter(self.backoff)
             self.next_request_at = min(self.next_request_at, retry_at)
             self.backoff = min(MAX_BACKOFF, 2 * self.backoff)
 
     def _on_release_requested(self) -> None:
-        """Stop acting at once, then tell the cluster."""
+        """Stop acting at once, then release the lease at the cluster."""
         if self.phase in ("held", "acquiring", "waiting"):
             self.phase = "releasing"
             self.release_deadline = self.now + self.ttl
@@ -210,7 +210,7 @@
             self.valid_until = max(self.valid_until, valid_until)
             return
         if self.now >= valid_until:
-            return  # the answer came after its end; the next request gets the same lease
+            return  # the grant arrived after its validity ended; the next request gets the same lease
         self.phase = "held"
         self.epoch = answer.epoch
         self.valid_until = valid_until
@@ -224,7 +224,7 @@
             self._send(Acquire(self.name, self.holder_id, self.ttl, self.wait))
         elif self.phase == "releasing":
             if self.now >= self.release_deadline:
-                self._end("released, unheard")  # the cluster lets the lease expire by itself
+                self._end("release not confirmed")  # the lease expires at the cluster by itself
             else:
                 self._send(Release(self.name, self.holder_id))
         else:
@@ -239,7 +239,7 @@
         self.next_request_at = self.now + self._request_interval()
 
     def _request_interval(self) -> int:
-        """Return the ns until the next request, whether or not this one is answered."""
+        """Return the ns until the next request, which is sent whether or not this one is answered."""
         if self.phase == "waiting":
             return WAITER_RENEW_INTERVAL
         return max(MIN_BACKOFF, holder_ttl(self.ttl) // 4)
--- a/thistleline/lease/holder_effects.py
+++ b/thistleline/lease/holder_effects.py
@@ -1,4 +1,4 @@
-"""The effects that a `LeaseHolder` asks its driver to carry out."""
+"""Effects that a `LeaseHolder` asks its driver to carry out."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendRequest:
-    """Send the request; its answer comes back under the same number."""
+    """Send the request; its `AnswerReceived` event carries the same number."""
 
     number: int
     op: Op
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseAcquired:
-    """The lease is held now; `epoch` is its fencing token."""
+    """The lease was acquired; `epoch` is its fencing token."""
 
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseEnded:
-    """The lease is held no more, or could not be acquired."""
+    """The lease is no longer held, or could not be acquired."""
 
     reason: str
 
--- a/thistleline/lease/holder_events.py
+++ b/thistleline/lease/holder_events.py
@@ -1,4 +1,4 @@
-"""The events that a `LeaseHolder` handles."""
+"""Events that a `LeaseHolder` handles."""
 
 from dataclasses import dataclass
 
@@ -8,12 +8,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AcquireStarted:
-    """The lease is to be acquired; the first event of every holder."""
+    """Start to acquire the lease; the first event of every holder."""
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerReceived:
-    """The cluster answered the request of this number."""
+    """The cluster answered the request with this number."""
 
     number: int
     answer: Answer
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFailed:
-    """The request of this number will get no answer; it may still take effect."""
+    """The request with this number will get no answer; it may still take effect."""
 
     number: int
 
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseRequested:
-    """The lease, or the place among its waiters, is to be given back."""
+    """Release the lease, or leave the queue of its waiters."""
 
 
 HolderEvent = (
--- a/thistleline/lease/inbound.py
+++ b/thistleline/lease/inbound.py
@@ -1,4 +1,4 @@
-"""A connection that a replica accepted: output to be sent, and requests without an answer."""
+"""A connection that a replica accepted: its output buffer and its number of open requests."""
 
 import anyio
 from anyio.abc import SocketStream
@@ -6,8 +6,10 @@
 from thistleline.transport.codec import encode_frame
 from thistleline.transport.connection import SEND_TIMEOUT
 
-MAX_OPEN_REQUESTS = 256  # of one connection without an answer; past it the connection is not read
-MAX_OUTPUT_SIZE = 4 << 20  # bytes that a client does not read; past it the connection is closed
+MAX_OPEN_REQUESTS = (
+    256  # per connection; at this limit the connection is not read until a request is answered
+)
+MAX_OUTPUT_SIZE = 4 << 20  # bytes of unsent output; beyond it the connection is closed
 
 
 class InboundConnection:
@@ -19,7 +21,7 @@
     """
 
     def __init__(self, stream: SocketStream) -> None:
-        """Create it without output and open requests."""
+        """Wrap an accepted stream."""
         self.stream = stream
         self.scope = anyio.CancelScope()
         self._output = bytearray()
@@ -28,7 +30,7 @@
         self._request_finished = anyio.Event()
 
     def write(self, payload: bytes) -> None:
-        """Queue a message; a connection with too much output is closed."""
+        """Queue a message; closes the connection if it has too much unsent output."""
         self._output += encode_frame(payload)
         if len(self._output) > MAX_OUTPUT_SIZE:
             self.scope.cancel()
@@ -38,7 +40,7 @@
         """Send queued messages until cancelled.
 
         Raises:
-            TimeoutError: The client takes nothing.
+            TimeoutError: The client did not read for SEND_TIMEOUT.
         """
         while True:
             while self._output:
@@ -50,13 +52,13 @@
             await self._output_added.wait()
 
     async def begin_request(self) -> None:
-        """Count a request in, once there is room for it."""
+        """Count a new open request; waits while the connection is at its limit."""
         while self._open_requests >= MAX_OPEN_REQUESTS:
             self._request_finished = anyio.Event()
             await self._request_finished.wait()
         self._open_requests += 1
 
     def finish_request(self) -> None:
-        """Count a request out, as it is answered or dropped."""
+        """Count an open request as answered or dropped."""
         self._open_requests -= 1
         self._request_finished.set()
--- a/thistleline/lease/liveness.py
+++ b/thistleline/lease/liveness.py
@@ -1,8 +1,8 @@
-"""The leader's record of which holders and waiters it still receives requests from. No I/O and no clock.
+"""The leader's record of which holders and waiters still send requests. No I/O and no clock.
 
-It belongs to one leader and is not replicated: a new leader counts the TTL of every lease anew from when it
-began to lead. That makes expiry late, never early: a holder whose renewal an earlier leader confirmed was
-heard before the later leader was elected.
+It belongs to one leader and is not replicated: a new leader counts the TTL of every lease anew from the start
+of its term. That makes expiry late, never early: a renewal that an earlier leader confirmed was received
+before the new leader was elected.
 """
 
 from heapq import heappop, heappush
@@ -12,12 +12,12 @@
 from thistleline.lease.table import Lease, LeaseTable
 from thistleline.reducer.copying import copy_state
 
-REPROPOSE_INTERVAL = 1_000_000_000  # ns until what was proposed and is not decided is proposed again
-_SMALL = 64  # waiters; below it those that wait no more are not searched for
+REPROPOSE_INTERVAL = 1_000_000_000  # ns before an undecided expiry is proposed again
+_PRUNE_THRESHOLD = 64  # entries of waiters; with fewer, stale ones are not searched for
 
 
 class TrackedLease(NamedTuple):
-    """What the leader counts of one lease."""
+    """The leader's expiry data of one lease; epoch and touched index are those of the table."""
 
     epoch: int
     touched_index: int
@@ -25,19 +25,19 @@
 
 
 class LivenessTracker:
-    """Finds the leases and waiters that have not been renewed for their full duration.
+    """Finds the leases and waiters that were not renewed for their full TTL or timeout.
 
     Attributes:
-        leases: By name.
-        waiters: When a waiter loses its place (ns), by lease name and holder id.
-        next_checks: When a lease is to be examined next (ns), by name.
-        check_queue: The same as a heap; entries that `next_checks` does not confirm are out of date.
+        leases: Tracked leases, by name.
+        waiters: Time at which a waiter loses its place (ns), by lease name and holder id.
+        next_checks: Time of the next check of a lease (ns), by name.
+        check_queue: The same as a heap of (time, name); an entry that differs from `next_checks` is stale.
     """
 
     __slots__ = ("check_queue", "leases", "next_checks", "waiters")
 
     def __init__(self) -> None:
-        """Start with nothing tracked; `reset` begins."""
+        """Start with nothing tracked; `reset` starts the tracking."""
         self.leases: dict[str, TrackedLease] = {}
         self.waiters: dict[tuple[str, str], int] = {}
         self.next_checks: dict[str, int] = {}
@@ -48,11 +48,11 @@
         return copy_state(self)
 
     def state_key(self) -> tuple[object, ...]:
-        """Return all that further behaviour can depend on, hashable."""
+        """Return a hashable value of all that the further behaviour depends on."""
         return tuple(sorted(self.leases.items())), tuple(sorted(self.waiters.items()))
 
     def reset(self, now: int, table: LeaseTable) -> None:
-        """Count every lease in the table anew, as a new leader does."""
+        """Restart the TTL of every lease in the table, as a new leader does."""
         self.leases = {}
         self.waiters = {}
         self.next_checks = {}
@@ -61,7 +61,7 @@
             self.update(now, name, table)
 
     def update(self, now: int, name: str, table: LeaseTable) -> None:
-        """Follow a decision on this lease."""
+        """Update the tracked state after a decision on this lease."""
         lease = table.state.leases.get(name)
         if lease is None:
             self.leases.pop(name, None)
@@ -74,9 +74,10 @@
                 self._track_waiter(name, holder_id, now)
 
     def renew(self, now: int, name: str, holder_id: str, table: LeaseTable) -> None:
-        """Note that a holder or waiter is alive.
+        """Restart the TTL of a holder, or the timeout of a waiter, that sent a renewal.
 
-        It counts from now on, but the client may be told only after a quorum has confirmed the leader.
+        This takes effect at once, but the client may get its answer only after a quorum has confirmed the
+        leader.
         """
         lease = table.state.leases.get(name)
         tracked = self.leases.get(name)
@@ -89,11 +90,11 @@
             self.waiters[name, holder_id] = now + WAITER_TIMEOUT
 
     def next_deadline(self) -> int | None:
-        """Return when `expired` is to be called next (ns), None if nothing is tracked."""
+        """Return the time of the next call of `expired` (ns), None if nothing is tracked."""
         return self.check_queue[0][0] if self.check_queue else None
 
     def expired(self, now: int, wall_ms: int, table: LeaseTable) -> list[Expire | Release]:
-        """Return the decisions to propose, as a holder or waiter was silent for its full duration."""
+        """Return the decisions to propose: one for each holder or waiter that did not renew in time."""
         proposals: list[Expire | Release] = []
         while self.check_queue and self.check_queue[0][0] <= now:
             check_at, name = heappop(self.check_queue)
@@ -106,19 +107,22 @@
                 continue
             self._check_lease(now, wall_ms, name, tracked, proposals)
             self._check_waiters(now, wall_ms, name, lease, proposals)
-        self._forget_waiters(table)
+        self._prune_waiters(table)
         return proposals
 
     def _track_lease(self, name: str, epoch: int, touched_index: int, expires_at: int) -> None:
         self.leases[name] = TrackedLease(epoch, touched_index, expires_at)
-        self._check_by(expires_at, name)
+        self._schedule_check(expires_at, name)
 
     def _track_waiter(self, name: str, holder_id: str, now: int) -> None:
         self.waiters[name, holder_id] = now + WAITER_TIMEOUT
-        self._check_by(now + WAITER_TIMEOUT, name)
+        self._schedule_check(now + WAITER_TIMEOUT, name)
 
-    def _check_by(self, check_at: int, name: str) -> None:
-        """Examine a lease by then at the latest; one entry of the heap a name is valid, so it stays small."""
+    def _schedule_check(self, check_at: int, name: str) -> None:
+        """Check a lease at `check_at` at the latest.
+
+        Only one entry of the heap per name is current, which keeps the heap small.
+        """
         known = self.next_checks.get(name)
         if known is None or check_at < known:
             self.next_checks[name] = check_at
@@ -131,7 +135,7 @@
             proposals.append(Expire(name, tracked.epoch, tracked.touched_index, wall_ms))
             self._track_lease(name, tracked.epoch, tracked.touched_index, now + REPROPOSE_INTERVAL)
         else:
-            self._check_by(tracked.expires_at, name)
+            self._schedule_check(tracked.expires_at, name)
 
     def _check_waiters(
         self, now: int, wall_ms: int, name: str, lease: Lease, proposals: list[Expire | Release]
@@ -145,14 +149,16 @@
                 self.waiters[name, holder_id] = expires_at
             earliest = min(earliest or expires_at, expires_at)
         if earliest:
-            self._check_by(earliest, name)
+            self._schedule_check(earliest, name)
 
-    def _forget_waiters(self, table: LeaseTable) -> None:
-        """Drop the entries of those that wait no more, once they outnumber the others."""
-        if len(self.waiters) <= _SMALL:
+    def _prune_waiters(self, table: LeaseTable) -> None:
+        """Drop the entries of former waiters once they outnumber those of current ones."""
+        if len(self.waiters) <= _PRUNE_THRESHOLD:
             return
         leases = table.state.leases
         waiting = sum(len(lease.waiters) for lease in leases.values())
-        if len(self.waiters) > _SMALL + 2 * waiting:
+        if len(self.waiters) > _PRUNE_THRESHOLD + 2 * waiting:
             current = {(name, holder_id) for name, lease in leases.items() for holder_id, _ in lease.waiters}
-            self.waiters = {waiter: at for waiter, at in self.waiters.items() if waiter in current}
+            self.waiters = {
+                waiter: expires_at for waiter, expires_at in self.waiters.items() if waiter in current
+            }
--- a/thistleline/lease/protocol.py
+++ b/thistleline/lease/protocol.py
@@ -1,32 +1,34 @@
-"""What clients may ask of the lease cluster, what it answers, and the safety margin between their clocks.
+"""Requests to the lease cluster, its answers, and the safety margin between the clocks of both sides.
 
-Clocks of different machines are never compared, only durations are, and every clock is assumed to run within
-a quarter of true time. The leader counts the full TTL of a lease, by its own clock, from when it last heard
-from the holder. The holder may act for three fifths of the TTL, by its own clock, from before it sent
-that request. So with the holder's clock a quarter slow and the leader's a quarter fast, the holder has just
-stopped in true time (0.6 / 0.75 = 1 / 1.25) when the lease is granted to another.
+Only durations are compared, never the clocks of different machines, and the rate of every clock is assumed
+to be within a quarter of true time. The leader counts the full TTL of a lease, by its own clock, from the
+receipt of the holder's last request. The holder may act for three fifths of the TTL, by its own clock, from
+before it sent that request. So even with the holder's clock a quarter slow and the leader's a quarter fast,
+the holder's time ends, in true time, no later than the lease may be granted to another
+(0.6 / 0.75 = 1 / 1.25).
 
-Messages are encoded by field name; where a field is called something else here, `name=` keeps the encoded
-name.
+Messages are encoded by field name; `name=` gives the encoded name where it differs from the attribute.
 """
 
 from typing import Literal
 
 import msgspec
 
-HOLDER_TTL_FRACTION = (3, 5)  # (1 - drift) / (1 + drift) for a drift of a quarter
+HOLDER_TTL_FRACTION = (3, 5)  # (1 - drift) / (1 + drift) for a clock drift of a quarter
 MIN_TTL = 100_000_000  # ns
 MAX_TTL = 3600 * 1_000_000_000  # ns
 MAX_NAME_LENGTH = 200  # characters
 MAX_HOLDER_ID_LENGTH = 100  # characters
 MAX_REASON_LENGTH = 200  # characters
-MAX_VALUE_SIZE = 256 * 1024  # bytes of a record
-MAX_WAITERS = 1024  # for one lease
-WAITER_TIMEOUT = 2_000_000_000  # ns by the leader's clock; a silent waiter then loses its place
+MAX_VALUE_SIZE = 256 * 1024  # bytes of one record's value
+MAX_WAITERS = 1024  # per lease
+WAITER_TIMEOUT = (
+    2_000_000_000  # ns by the leader's clock; a waiter that sends nothing for so long loses its place
+)
 
 
 def holder_ttl(ttl: int) -> int:
-    """Return for how many ns a holder may act on a lease of this TTL, counted from before its request."""
+    """Return the ns for which a holder may act on a lease of this TTL, counted from before its request."""
     return ttl * HOLDER_TTL_FRACTION[0] // HOLDER_TTL_FRACTION[1]
 
 
@@ -34,20 +36,20 @@
 
 
 class Acquire(msgspec.Struct, frozen=True, tag="take"):
-    """Acquires a lease, or a place among its waiters.
+    """Acquires a lease, or a place in the queue of its waiters.
 
-    `holder_id` is new for each acquisition; the same request again gets the same answer.
+    `holder_id` is new for each acquisition, which makes the request idempotent.
     """
 
     name: str
     holder_id: str = msgspec.field(name="asker")
     ttl: int = msgspec.field(name="length")  # ns
     wait: bool = False
-    wall_ms: int = msgspec.field(default=0, name="at")  # of the leader, for people to read
+    wall_ms: int = msgspec.field(default=0, name="at")  # wall clock of the leader, shown to people only
 
 
 class Release(msgspec.Struct, frozen=True, tag="release"):
-    """Gives back a lease, or a place among its waiters."""
+    """Releases a lease, or leaves the queue of its waiters."""
 
     name: str
     holder_id: str = msgspec.field(name="asker")
@@ -56,9 +58,10 @@
 
 
 class Expire(msgspec.Struct, frozen=True, tag="expire"):
-    """Ends a lease whose holder the leader has not heard from for the full TTL.
+    """Ends a lease whose holder sent nothing to the leader for the full TTL.
 
-    It has no effect if the lease was touched since, so that one renewed in the meantime does not end.
+    It has no effect if the touched index of the lease has changed: the lease was requested again in the
+    meantime and must not end.
     """
 
     name: str
@@ -70,7 +73,7 @@
 class Break(msgspec.Struct, frozen=True, tag="break"):
     """Ends a lease by an operator's command.
 
-    A holder that is alive may act on for as long as its part of the TTL: only fencing prevents that.
+    A holder that is alive may continue to act until its part of the TTL ends: only fencing prevents that.
     """
 
     name: str
@@ -82,7 +85,8 @@
 class Put(msgspec.Struct, frozen=True, tag="put"):
     """Writes a record if it has the given version, 0 for a new one (compare and set).
 
-    Where a lease is named, that lease must also be in the given epoch: a former holder can't write any more.
+    If `name` is set, the lease of that name must also be held in the given epoch: this rejects writes of a
+    former holder.
     """
 
     key: str
@@ -97,15 +101,15 @@
 
 
 class Renew(msgspec.Struct, frozen=True, tag="keep"):
-    """Renews leases and waiters' places: each as (name, holder id)."""
+    """Renews leases and places in the queue, each given as (name, holder id)."""
 
     leases: tuple[tuple[str, str], ...] = msgspec.field(name="names")
 
 
 class Describe(msgspec.Struct, frozen=True, tag="show"):
-    """Asks for one lease, or, with a `*` at the end of the name, for all whose names have that prefix.
+    """Asks for one lease, or for all leases with a name prefix if the name ends in `*`.
 
-    Those come in order of their names, from behind `after`, a limited number at once.
+    Leases of a prefix are returned in order of their names, starting after `after`, a limited number at once.
     """
 
     name: str
@@ -119,7 +123,7 @@
 
 
 class GetStatus(msgspec.Struct, frozen=True, tag="status"):
-    """Asks the replica that receives this for its own view of the cluster."""
+    """Asks the receiving replica for its own view of the cluster."""
 
 
 class ChangeReplicas(msgspec.Struct, frozen=True, tag="change"):
@@ -131,7 +135,7 @@
 
 
 class CreateCluster(msgspec.Struct, frozen=True, tag="form"):
-    """Makes a cluster of replicas that belong to none yet."""
+    """Forms a cluster of replicas that do not belong to one yet."""
 
     cluster: str = msgspec.field(name="council")
     members: tuple[tuple[str, str], ...]  # id, address
@@ -154,32 +158,32 @@
 
 
 class Waiting(msgspec.Struct, frozen=True, tag="waiting"):
-    """Another holds the lease; `position` waiters are to get it before this one."""
+    """Another holds the lease; `position` waiters are ahead of this one."""
 
     position: int = msgspec.field(name="place")
 
 
 class Denied(msgspec.Struct, frozen=True, tag="denied"):
-    """The request was decided, and refused."""
+    """The request was decided and refused."""
 
     reason: str = msgspec.field(name="why")
 
 
 class Done(msgspec.Struct, frozen=True, tag="done"):
-    """The request took effect; `version` is that of a record which was written."""
+    """The request took effect; `version` is the new version of a written record."""
 
     text: str = ""
     version: int = msgspec.field(default=0, name="number")
 
 
 class Renewed(msgspec.Struct, frozen=True, tag="kept"):
-    """The state of each lease that was to be renewed, in the order asked."""
+    """The state of each lease in a `Renew` request, in the same order."""
 
     states: tuple[Granted | Waiting | Denied, ...]
 
 
 class HistoryEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One change of a lease, for people to read."""
+    """One change of a lease, shown to people."""
 
     event: str
     epoch: int
@@ -200,7 +204,7 @@
 
 
 class LeaseList(msgspec.Struct, frozen=True, tag="listed"):
-    """The leases that were asked for by prefix."""
+    """The leases whose names have the requested prefix."""
 
     leases: tuple[LeaseInfo, ...] = msgspec.field(name="names")
 
@@ -230,9 +234,9 @@
 
 
 class Unavailable(msgspec.Struct, frozen=True, tag="elsewhere"):
-    """The request was not decided here, and may or may not take effect.
+    """The request was not decided by this replica; it may or may not take effect.
 
-    `leader` is the id of the replica to ask instead, empty if it is not known.
+    `leader` is the id of the leader if it is known, else empty.
     """
 
     reason: str = msgspec.field(name="why")
--- a/thistleline/lease/server.py
+++ b/thistleline/lease/server.py
@@ -43,25 +43,25 @@
 )
 from thistleline.lease.table import LeaseTable, encode_decision, validate
 
-MAX_LISTED_NAMES = 1000  # of one answer
+MAX_LISTED_NAMES = 1000  # in one answer
 
 
 class PendingRequest(NamedTuple):
-    """A request that waits for the replica; goes as the ticket of its proposal or read."""
+    """A request that waits for the replica; it is the ticket of its proposal or read."""
 
     ticket: Any
     op: Op
 
 
 class LeaseServer:
-    """Answers clients' requests by what the replica commits.
+    """Answers client requests with what the replica commits.
 
-    What the leader proposes by itself, to expire a lease, has the ticket None.
+    A proposal of the leader itself, to expire a lease or a waiter, has the ticket None.
 
     Attributes:
         replica: The consensus replica.
         table: The replica's state machine.
-        wall_clock: Returns the wall clock in ms; only for people to read.
+        wall_clock: Returns the wall clock in ms; only shown to people.
         liveness: The leader's record of which holders and waiters still renew.
     """
 
@@ -80,22 +80,22 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether the replica leads."""
+        """Whether the replica is the leader."""
         return self.replica.state.phase is Phase.LEADER
 
     def copy(self) -> "LeaseServer":
-        """Return an independent copy, for exploring what may happen next."""
+        """Return an independent copy, for the exploration of possible next states."""
         copied = LeaseServer(self.replica.copy(), self.wall_clock)
         copied.liveness = self.liveness.copy()
         return copied
 
     def state_key(self, names: Mapping[str, str] = NO_NAMES) -> tuple[Any, ...]:
-        """Return a hashable value of all that behaviour depends on, with replicas renamed by `names`."""
+        """Return a hashable value of all that the behaviour depends on, with replicas renamed by `names`."""
         liveness = self.liveness.state_key() if self.is_leader else ()
         return self.replica.state_key(names), liveness
 
     def next_deadline(self) -> int:
-        """Return when the next DeadlineReached is wanted, in ns."""
+        """Return the time of the next `DeadlineReached`, ns."""
         replica_deadline = self.replica.next_deadline()
         liveness_deadline = self.liveness.next_deadline()
         if liveness_deadline is None or not self.is_leader:
@@ -103,7 +103,7 @@
         return min(replica_deadline, liveness_deadline)
 
     def handle(self, now: int, *events: Event) -> list[Effect]:
-        """Handle all events that arrived by `now` ns; what they ask for goes to the log together."""
+        """Handle all events that arrived by `now` (ns); their proposals go to the log as one batch."""
         effects: list[Effect] = []
         for event in events:
             if isinstance(event, RequestReceived):
@@ -116,7 +116,7 @@
         return effects
 
     def _flush_requests(self, now: int, effects: list[Effect]) -> None:
-        """Give the replica the commands and questions of all requests at hand."""
+        """Pass the collected commands and questions to the replica."""
         if self._commands:
             proposals = tuple(self._commands)
             self._commands = []
@@ -127,7 +127,7 @@
             self._drive_replica(now, RequestRead(tickets), effects)
 
     def _propose_expired(self, now: int, effects: list[Effect]) -> None:
-        """Propose to expire leases and waits that were not renewed."""
+        """Propose the expiry of leases, and the removal of waiters, that were not renewed."""
         expired = self.liveness.expired(now, self.wall_clock(), self.table)
         if expired:
             proposals = tuple((None, encode_decision(decision)) for decision in expired)
@@ -173,7 +173,7 @@
             self._drive_replica(now, FormCluster(op.cluster, members), effects)
         if state.cluster_id == op.cluster:
             return Done("formed")
-        return Denied("it has a council already")
+        return Denied("the replica already belongs to another cluster")
 
     def _handle_command(self, ticket: Any, command: Decision, effects: list[Effect]) -> None:
         reason = validate(command)
@@ -207,7 +207,7 @@
     # ---- the replica
 
     def _drive_replica(self, now: int, event: consensus_events.Event, effects: list[Effect]) -> None:
-        """Hand an event to the replica; turn what it says of requests into answers, pass on the rest."""
+        """Pass an event to the replica; turn request results into answers and forward other effects."""
         for effect in self.replica.handle(now, event):
             match effect:
                 case ReadReady(ticket):
@@ -230,7 +230,7 @@
             self.table.changed = {}
 
     def _track_changes(self, now: int, effects: list[Effect]) -> None:
-        """Watch over the names that were decided on, and notify those who hold a lease now."""
+        """Track the leases that decisions changed, and notify the new holder of each."""
         for name in self.table.changed:
             known = self.liveness.leases.get(name)
             self.liveness.update(now, name, self.table)
--- a/thistleline/lease/service.py
+++ b/thistleline/lease/service.py
@@ -1,4 +1,4 @@
-"""A replica as a program: its listener, peer links, disk and clock around lease/server.py."""
+"""A replica as a program: runs lease/server.py with a listener, peer links, a disk and a clock."""
 
 import os
 import signal
@@ -46,40 +46,40 @@
 from thistleline.transport.handshake import receive_hello
 
 MILLISECOND = 1_000_000  # ns
-STANDSTILL = (
-    100 * MILLISECOND
-)  # after a pause that long all that lies unread is read before the clock is heeded
-READ_TURNS = 8  # turns of the event loop for that reading
-CONNECTIONS_BOUND = 1024  # accepted connections; past it the longest silent one is closed
+# If the process pauses for longer than this plus a heartbeat interval, received messages are read before
+# timers are handled.
+STALL_THRESHOLD = 100 * MILLISECOND  # ns
+READ_TURNS = 8  # iterations of the event loop that readers get after such a pause
+MAX_CONNECTIONS = 1024  # accepted ones; beyond it the one that has been idle longest is closed
 HELLO_TIMEOUT = 2.0  # s
 MAX_INBOX_EVENTS = 50_000
-MAX_HOLDERS = 50_000  # clients whose connection is remembered for hints
-MAX_CALLERS = 16  # replicas whose address is remembered
+MAX_HOLDERS = 50_000  # holder ids whose connection is stored for hints
+MAX_INBOUND_PEERS = 16  # replicas whose address is stored because they connected to this one
 REPLICA_READ_SIZE = 1 << 18  # bytes
 CLIENT_READ_SIZE = 1 << 16  # bytes
-ORDINARY_ENDS = ("EndOfStream", "BrokenResourceError", "ClosedResourceError")
+NORMAL_DISCONNECTS = ("EndOfStream", "BrokenResourceError", "ClosedResourceError")
 
 
 class ClientTicket(NamedTuple):
-    """Where the answer of a request goes, and the request's number there."""
+    """The connection that a request came from, and its number on that connection."""
 
     connection: InboundConnection
     number: int
 
 
 class ReplicaService:
-    """Runs one replica with the leases on top."""
+    """Runs one replica with the lease server on top."""
 
     def __init__(
-        self, config: ConsensusConfig, log: Callable[..., None], disk: Disk, chance: Random | None = None
+        self, config: ConsensusConfig, log: Callable[..., None], disk: Disk, rng: Random | None = None
     ) -> None:
-        """Recover the replica from its disk. Blocks.
+        """Recover the replica from its disk; blocks on disk I/O.
 
         Args:
-            config: Settings of the replica; folder, name and listen address are given.
-            log: Writes a line to the program's log: an event and its facts.
-            disk: The folder of the replica, held.
-            chance: Source of random pauses; by default one of its own.
+            config: Settings of the replica; `folder`, `name` and `listen` must be set.
+            log: Writes a line to the program's log: an event and its fields.
+            disk: The replica's folder, locked by the caller.
+            rng: Source of randomness for timeouts and pauses; randomly seeded by default.
 
         Raises:
             CorruptFrameError: The records can't be read.
@@ -88,23 +88,26 @@
         assert config.listen is not None
         self.config = config
         self.log = log
-        self.chance = chance or Random(os.urandom(8))
+        self.rng = rng or Random(os.urandom(8))
         self.listen: Address = config.listen
         self.store = ReplicaStore(disk)
         self.replica = self._recover_replica()
         self.server = LeaseServer(self.replica, wall_ms)
         self.inbox: list[Event] = []
         self.inbox_filled = anyio.Event()
-        self.links = PeerLinks(config, self.chance, log, self._own_hello)
+        self.links = PeerLinks(config, self.rng, log, self._own_hello)
         self.connections: OrderedDict[int, InboundConnection] = OrderedDict()
         self.connection_count = 0
-        self.holder_connections: OrderedDict[str, int] = OrderedDict()  # of each holder's last request
-        self.callers: dict[str, str] = {}  # addresses of the replicas that connected last, by id
+        self.holder_connections: OrderedDict[str, int] = (
+            OrderedDict()
+        )  # connection of the last request, by holder id
+        self.inbound_peers: dict[str, str] = {}  # addresses of replicas that connected recently, by id
 
     def _recover_replica(self) -> Replica:
-        """Make the replica that the disk knows.
+        """Return the replica as recorded on the disk.
 
-        Its id names this disk. An empty disk gets a new id: what the replica before has promised is unknown.
+        The replica's id belongs to this disk. An empty disk gets a new id, as the votes and acknowledgements
+        that the previous replica gave are unknown.
         """
         config = self.config
         timing = RaftTiming(config.heartbeat, config.election, 2 * config.election)
@@ -127,7 +130,7 @@
         return replica
 
     def _jitter(self, duration: int) -> int:
-        return self.chance.randrange(duration)
+        return self.rng.randrange(duration)
 
     # ---- the main loop
 
@@ -150,7 +153,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(self._stop_on_signal, group.cancel_scope)
             group.start_soon(listener.serve, self._serve)
-            group.start_soon(self._pump, group)
+            group.start_soon(self._process_inbox, group)
 
     async def _stop_on_signal(self, scope: anyio.CancelScope) -> None:
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
@@ -160,9 +163,10 @@
                 return
 
     def submit(self, event: Event) -> None:
-        """Hand an event to the main loop.
+        """Put an event into the inbox of the main loop.
 
-        Past the limit events from others are lost, as the network loses messages too; the disk's never are.
+        If the inbox is full, events from the network are dropped, as the network may lose messages too; the
+        results of disk writes are never dropped.
         """
         if len(self.inbox) < MAX_INBOX_EVENTS or isinstance(event, WriteCompleted | WriteFailed):
             self.inbox.append(event)
@@ -170,8 +174,8 @@
         elif isinstance(event, RequestReceived):
             event.ticket.connection.finish_request()
 
-    async def _pump(self, group: TaskGroup) -> None:
-        """Handle events and timers, one batch a turn."""
+    async def _process_inbox(self, group: TaskGroup) -> None:
+        """Handle events and timers, one batch per turn."""
         last_turn = boot_now()
         while True:
             if not self.inbox:
@@ -192,8 +196,8 @@
             await self.inbox_filled.wait()
 
     async def _let_readers_run(self, pause: int) -> None:
-        """Let the connections' tasks run; longer after a standstill, as messages may wait to be read."""
-        turns = READ_TURNS if pause > STANDSTILL + self.config.heartbeat else 1
+        """Let the tasks of connections run; longer after a stall, as unread messages may be waiting."""
+        turns = READ_TURNS if pause > STALL_THRESHOLD + self.config.heartbeat else 1
         for _ in range(turns):
             await anyio.lowlevel.checkpoint()
 
@@ -214,8 +218,8 @@
                 ticket.connection.write(encode(Reply(ticket.number, answer)))
             case NotifyHolder(name, holder_id):
                 self._notify_holder(name, holder_id)
-            case LogEvent(event, facts):
-                self.log(event, **facts)
+            case LogEvent(event, fields):
+                self.log(event, **fields)
             case LeaderChanged(leader):
                 self.log("led", by=leader, term=self.replica.state.term)
 
@@ -227,7 +231,7 @@
     async def _write(self, batch: WriteBatch) -> None:
         try:
             await anyio.to_thread.run_sync(self.store.write, batch)
-        except Exception as error:  # whatever a disk brings, the replica learns of it
+        except Exception as error:  # the replica must learn of any kind of disk failure
             reason = getattr(error, "strerror", None) or f"{type(error).__name__}: {error}"
             self.submit(WriteFailed(reason))
         else:
@@ -238,11 +242,11 @@
         state = self.replica.state
         wanted = {member.id: member.address for member in state.members if member.id != state.id}
         if state.phase is Phase.UNFORMED:
-            wanted |= self.callers
-        elif state.leader in self.callers:
-            # A replica with an old state may not have its leader among its members. Without a link back it
-            # could not answer, and the leader would never let it catch up.
-            wanted.setdefault(state.leader, self.callers[state.leader])
+            wanted |= self.inbound_peers
+        elif state.leader in self.inbound_peers:
+            # The member list of a replica with an old state may lack the leader. Without a link to the leader
+            # the replica could not answer it, and the leader would never bring it up to date.
+            wanted.setdefault(state.leader, self.inbound_peers[state.leader])
             wanted.pop(state.id, None)
         if state.joining is not None:
             wanted[state.joining.member.id] = state.joining.member.address
@@ -260,10 +264,10 @@
         number = self.connection_count
         connection = InboundConnection(stream)
         self.connections[number] = connection
-        if len(self.connections) > CONNECTIONS_BOUND:
+        if len(self.connections) > MAX_CONNECTIONS:
             next(iter(self.connections.values())).scope.cancel()
         try:
-            with connection.scope, report_disconnects(self._log_end):
+            with connection.scope, report_disconnects(self._log_disconnect):
                 async with stream:
                     await self._serve_peer(number, connection)
         finally:
@@ -281,37 +285,37 @@
         elif hello.kind == "client":
             await self._receive_requests(number, connection)
         else:
-            raise ProtocolError(f"a {hello.kind} has no business here")
+            raise ProtocolError(f"a replica does not accept connections of kind {hello.kind}")
 
-    def _log_end(self, why: str) -> None:
-        if why not in ORDINARY_ENDS:
-            self.links.log_state("who came", why)
+    def _log_disconnect(self, why: str) -> None:
+        if why not in NORMAL_DISCONNECTS:
+            self.links.log_state("inbound connection", why)
 
     async def _receive_messages(self, stream: SocketStream, hello: Hello) -> None:
         """Receive a replica's messages.
 
         Raises:
-            ProtocolError: It is of another cluster; an empty replica is spoken to by any.
+            ProtocolError: The sender is of another cluster; a replica without a cluster accepts any sender.
         """
         if hello.address:
-            self._remember_caller(hello)
+            self._remember_inbound_peer(hello)
         decoder = FrameDecoder(MAX_REPLICA_MESSAGE_SIZE)
         while True:
             for payload in decoder.feed(await stream.receive(REPLICA_READ_SIZE)):
                 cluster_id = self.replica.state.cluster_id
                 if cluster_id and hello.cluster not in (cluster_id, ""):
-                    raise ProtocolError(f"{hello.id} is of another council")
+                    raise ProtocolError(f"{hello.id} belongs to another cluster")
                 self.submit(MessageReceived(hello.id, decode_replica_message(payload)))
 
-    def _remember_caller(self, hello: Hello) -> None:
-        self.callers.pop(hello.id, None)
-        self.callers[hello.id] = hello.address
-        while len(self.callers) > MAX_CALLERS:
-            del self.callers[next(iter(self.callers))]
+    def _remember_inbound_peer(self, hello: Hello) -> None:
+        self.inbound_peers.pop(hello.id, None)
+        self.inbound_peers[hello.id] = hello.address
+        while len(self.inbound_peers) > MAX_INBOUND_PEERS:
+            del self.inbound_peers[next(iter(self.inbound_peers))]
         self.inbox_filled.set()
 
     async def _receive_requests(self, number: int, connection: InboundConnection) -> None:
-        """Receive a client's requests and send it the answers."""
+        """Receive a client's requests and send the answers."""
         decoder = FrameDecoder(MAX_CLIENT_MESSAGE_SIZE)
         async with anyio.create_task_group() as group:
             group.start_soon(connection.send_output)
@@ -333,18 +337,18 @@
 
 
 def _holder_id_of(op: Any) -> str:
-    """Return who asks, where a request says so."""
+    """Return the holder id in a request, empty if it has none."""
     leases = getattr(op, "leases", ())
     return getattr(op, "holder_id", "") or (leases[0][1] if leases else "")
 
 
 @contextmanager
-def _held_disk(folder: Path) -> Iterator[Disk]:
-    """Hold the replica's folder.
+def _locked_disk(folder: Path) -> Iterator[Disk]:
+    """Lock the replica's folder.
 
     Raises:
-        DiskLockedError: Another program has it.
-        OSError: It can't be made or locked.
+        DiskLockedError: Another process has locked the folder.
+        OSError: The folder can't be created or locked.
     """
     disk = Disk(folder, "council")
     disk.acquire()
@@ -359,9 +363,9 @@
 
     Raises:
         CorruptFrameError: The records can't be read.
-        DiskLockedError: Another program has the folder.
+        DiskLockedError: Another process has locked the folder.
         OSError: The disk can't be read or written, or the address can't be listened on.
     """
     assert config.folder is not None
-    with suppress(KeyboardInterrupt), _held_disk(config.folder) as disk:
+    with suppress(KeyboardInterrupt), _locked_disk(config.folder) as disk:
         anyio.run(ReplicaService(config, log, disk).run)
--- a/thistleline/lease/session.py
+++ b/thistleline/lease/session.py
@@ -1,14 +1,14 @@
-"""Holding a lease in a block of code, which is cancelled before the lease ends.
+"""Holds a lease while a block of code runs; the block is cancelled before the lease ends.
 
     async with lease(client, "rollout", 10.0) as held:
-        # At most half a second; raises LeaseTimeoutError if that does not fit.
+        # For at most half a second; raises LeaseTimeoutError if the lease ends sooner.
         async with held.act(0.5):
             await resource.write(held.epoch, ...)
 
-Guaranteed: by the holder's clock, assumed to run within a quarter of true time as the leader's is, no
-operation begins that could last beyond the lease, and the block is cancelled before its end. Not guaranteed:
-that a process which is suspended inside an operation does nothing when it resumes, for it can't know. Only
-the resource can prevent that, with the fencing token (lease/fencing.py).
+Guaranteed, if the rates of the holder's and the leader's clocks are within a quarter of true time: no
+operation begins that could last beyond the end of the lease, and the block is cancelled before that end. Not
+guaranteed: that a process which is suspended during an operation does not continue it on resuming, as it
+can't notice the suspension. Only the resource can prevent that, with the fencing token (lease/fencing.py).
 """
 
 import os
@@ -37,8 +37,8 @@
 from thistleline.store.clock import boot_now
 
 SECOND = 1_000_000_000  # ns
-RELEASE_TIMEOUT = 2.0  # s to tell the cluster; beyond it the lease expires there by itself
-MAX_OWNER_LENGTH = 60  # characters of a holder id that come from the owner's name
+RELEASE_TIMEOUT = 2.0  # s; a lease that is not released by this time expires at the cluster
+MAX_OWNER_LENGTH = 60  # characters of the owner's name in a holder id
 
 
 class HeldLease:
@@ -54,35 +54,37 @@
         return self.holder.epoch
 
     def remaining(self) -> float:
-        """Return for how many seconds the lease may still be acted on, by this machine's clock."""
+        """Return the seconds for which the holder may still act, by this machine's clock."""
         if self.holder.phase != "held":
             return 0.0
         return max(0, self.holder.valid_until - boot_now()) / SECOND
 
     @asynccontextmanager
     async def act(self, duration: float) -> AsyncIterator[None]:
-        """Run an operation of at most `duration` seconds, which includes its way to the resource.
+        """Run an operation of at most `duration` seconds, including the transfer to the resource.
 
         Raises:
-            LeaseTimeoutError: What is left of the lease is shorter; raised before the block.
+            LeaseTimeoutError: The lease is valid for less than `duration`; raised before the block.
             TimeoutError: The block took longer, and was cancelled.
         """
         if not self.holder.fits(boot_now(), int(duration * SECOND)):
-            raise LeaseTimeoutError(f"{self.remaining():.3f} s are left, {duration:.3f} s are wanted")
+            raise LeaseTimeoutError(
+                f"the lease is valid for {self.remaining():.3f} s, the operation needs {duration:.3f} s"
+            )
         with anyio.fail_after(duration):
             yield
 
 
 class HolderDriver:
-    """Runs a `LeaseHolder` against the cluster: its requests, answers, hints and deadlines.
+    """Runs a `LeaseHolder`: sends its requests and delivers answers, hints and deadlines to it.
 
     Attributes:
-        settled: Set once the lease is held, or has ended.
-        ended: Set once it has ended.
+        settled: Set once the lease is held or the attempt has ended.
+        ended: Set once the attempt has ended.
     """
 
     def __init__(self, client: LeaseClient, holder: LeaseHolder) -> None:
-        """Register for the holder's hints; `close` undoes that."""
+        """Register for grant hints to the holder; `close` unregisters."""
         self.client = client
         self.holder = holder
         self.woken = anyio.Event()
@@ -91,7 +93,7 @@
         client.hint_callbacks[holder.holder_id] = lambda: self.handle(GrantHinted())
 
     def handle(self, event: HolderEvent) -> None:
-        """Let the holder handle an event now, and carry out the effects."""
+        """Pass an event to the holder at the current time and carry out the effects."""
         for effect in self.holder.handle(boot_now(), event):
             match effect:
                 case SendRequest(number, op):
@@ -116,7 +118,7 @@
             self.handle(DeadlineReached())
 
     def close(self) -> None:
-        """Take no more hints."""
+        """Unregister from grant hints."""
         self.client.hint_callbacks.pop(self.holder.holder_id, None)
 
     async def _request(self, number: int, op: Op) -> None:
@@ -133,8 +135,8 @@
     Args:
         client: The cluster that grants the lease.
         name: Name of the lease.
-        ttl: Seconds after this holder's last request in which the cluster grants the lease to nobody else;
-            the holder itself may act for three fifths of that.
+        ttl: Seconds after this holder's last request before the cluster may grant the lease to another; the
+            holder itself may act for three fifths of that.
         wait: Whether to wait while another holds the lease.
         owner: Shown to people as the holder; the host's name by default.
     """
@@ -144,8 +146,8 @@
 class LeaseSession:
     """Holds a lease for as long as its `async with` block runs; made by `lease`.
 
-    Raises `LeaseRefusedError` before the block, and `LeaseLostError` after a block that was cancelled as the
-    lease had ended. What the block itself raises is passed on.
+    Raises `LeaseRefusedError` before the block if the lease can't be acquired, and `LeaseLostError` after the
+    block if the lease ended during it. Exceptions of the block itself propagate.
     """
 
     def __init__(
@@ -163,7 +165,7 @@
         """Acquire the lease.
 
         Raises:
-            LeaseRefusedError: It can't be had; says why.
+            LeaseRefusedError: The lease can't be acquired; the message gives the reason.
         """
         while True:
             holder_id = f"{self.owner}.{os.getpid()}.{os.urandom(6).hex()}"
@@ -174,8 +176,9 @@
                 self.scope.__enter__()
                 self.group.start_soon(self._cancel_at_end, self.scope)
                 return HeldLease(holder)
-            await self._leave()
-            # A place among the waiters that was lost through silence is asked for again.
+            await self._release()
+            # A waiter that lost its place because it sent nothing in time requests a new one; the cluster's
+            # answer is recognized by the words "given back".
             if holder.epoch or not self.wait or "given back" not in holder.end_reason:
                 raise LeaseRefusedError(holder.end_reason)
 
@@ -188,11 +191,11 @@
             LeaseLostError: The lease ended before the block did.
         """
         ended = self.driver.ended.is_set()
-        swallowed = self.scope.__exit__(kind, error, trace)
-        await self._leave()
-        if ended and (swallowed or error is None):
+        suppressed = self.scope.__exit__(kind, error, trace)
+        await self._release()
+        if ended and (suppressed or error is None):
             raise LeaseLostError(self.driver.holder.end_reason)
-        return swallowed
+        return suppressed
 
     async def _start(self, holder: LeaseHolder) -> None:
         """Run the holder until it holds the lease or has ended."""
@@ -203,11 +206,11 @@
             self.group.start_soon(self.driver.run, self.group)
             await self.driver.settled.wait()
         except BaseException:
-            await self._leave()
+            await self._release()
             raise
 
-    async def _leave(self) -> None:
-        """Give back what may be held, even when this is cancelled itself."""
+    async def _release(self) -> None:
+        """Release the lease or place in the queue, even if the calling task is cancelled."""
         with anyio.CancelScope(shield=True), anyio.move_on_after(RELEASE_TIMEOUT):
             if self.driver.holder.phase not in ("ended", "new"):
                 self.driver.handle(ReleaseRequested())
--- a/thistleline/lease/table.py
+++ b/thistleline/lease/table.py
@@ -1,6 +1,7 @@
-"""The replicated state machine of leases and records: equal at every replica that applied the same log.
+"""The replicated state machine of leases and records.
 
-No I/O, no clock and no randomness: everything depends on the decisions alone.
+No I/O, no clock and no randomness: the state depends on the decisions alone, so that all replicas that have
+applied the same log are in the same state.
 """
 
 from typing import Any
@@ -33,19 +34,19 @@
 )
 
 MAX_LEASES = 20_000
-MAX_WAITERS_TOTAL = 50_000  # of all leases together
+MAX_WAITERS_TOTAL = 50_000  # of all leases
 MAX_RECORDS = 10_000
-MAX_RECORDS_SIZE = 4 << 20  # bytes of all records' values together
-MAX_RELEASED = 4096  # holder ids that released, remembered lest a late copy of their request is granted
-MAX_FREE_HISTORIES = 1024  # free leases whose history is stored
-MAX_HISTORY = 8  # entries of one lease
+MAX_RECORDS_SIZE = 4 << 20  # bytes of the values of all records
+MAX_RELEASED = 4096  # ids of former holders and waiters; a delayed copy of their request is not granted
+MAX_FREE_HISTORIES = 1024  # free leases with a stored history
+MAX_HISTORY = 8  # entries per lease
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode_decision = msgspec.msgpack.Decoder(Decision).decode
 
 
 def encode_decision(decision: Decision) -> bytes:
-    """Return a decision as the data of a log entry."""
+    """Encode a decision as the data of a log entry."""
     return _encode(decision)
 
 
@@ -56,8 +57,8 @@
         holder: The holder's id.
         epoch: The fencing token.
         ttl: Time to live, ns.
-        touched_index: Log index of the decision that granted it or was its holder's latest request for it.
-        waiters: Holder ids and the TTLs they want, first come first.
+        touched_index: Log index of the decision that granted the lease, or of its holder's latest `Acquire`.
+        waiters: Holder ids and their requested TTLs, in order of arrival.
         history: The latest changes, oldest first.
     """
 
@@ -70,16 +71,16 @@
 
 
 class LeaseState(msgspec.Struct):
-    """All that the decisions so far have led to; a snapshot is this, encoded.
+    """The state that results from the decisions so far; a snapshot is its encoding.
 
     Attributes:
-        epoch: The newest epoch; one count for all leases.
+        epoch: The newest epoch; one counter for all leases.
         leases: The leases that are held, by name.
-        released: Holder ids that released, as an ordered set.
-        free_histories: History of leases that nobody holds, by name.
+        released: Ids of former holders and waiters, as an ordered set.
+        free_histories: Histories of free leases, by name.
         records: Value and version, by key.
-        waiter_count: Waiters of all leases.
-        records_size: Bytes of all records' values.
+        waiter_count: Number of waiters of all leases.
+        records_size: Bytes of the values of all records.
     """
 
     epoch: int
@@ -98,8 +99,8 @@
     """Applies decisions to the leases and records, and answers questions about them.
 
     Attributes:
-        state: What is replicated.
-        changed: Names of leases that were decided on since the owner of the table last cleared this.
+        state: The replicated state.
+        changed: Names of leases with decisions since the owner of the table last cleared this.
     """
 
     __slots__ = ("changed", "state")
@@ -132,15 +133,15 @@
         return _encode(self.state)
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the whole state by a snapshot."""
+        """Replace the whole state with a snapshot."""
         self.state = _decode_state(snapshot)
         self.changed = dict.fromkeys(self.state.leases)
 
     def copy(self) -> "LeaseTable":
         """Return an independent copy."""
         state = self.state
-        made = LeaseTable()
-        made.state = LeaseState(
+        copied = LeaseTable()
+        copied.state = LeaseState(
             epoch=state.epoch,
             leases={name: _copy_lease(lease) for name, lease in state.leases.items()},
             released=dict(state.released),
@@ -149,11 +150,11 @@
             waiter_count=state.waiter_count,
             records_size=state.records_size,
         )
-        made.changed = dict(self.changed)
-        return made
+        copied.changed = dict(self.changed)
+        return copied
 
     def state_key(self) -> Any:
-        """Return all that further behaviour can depend on, hashable."""
+        """Return a hashable value of all that the further behaviour depends on."""
         state = self.state
         leases = tuple(
             (name, lease.holder, lease.epoch, lease.ttl, lease.touched_index, tuple(lease.waiters))
@@ -167,7 +168,7 @@
         state = self.state
         lease = state.leases.get(request.name)
         if request.holder_id in state.released:
-            return Denied("it was given back")
+            return Denied("the lease, or the place among its waiters, was given back")
         if lease is None:
             return self._acquire_free(index, request)
         if lease.holder == request.holder_id:
@@ -179,7 +180,7 @@
         if not request.wait:
             return Denied(f"{lease.holder} holds it")
         if len(waiting) >= MAX_WAITERS or state.waiter_count >= MAX_WAITERS_TOTAL:
-            return Denied("too many wait")
+            return Denied("too many waiters")
         state.waiter_count += 1
         lease.waiters.append((request.holder_id, request.ttl))
         return Waiting(len(waiting))
@@ -187,7 +188,7 @@
     def _acquire_free(self, index: int, request: Acquire) -> Answer:
         state = self.state
         if len(state.leases) >= MAX_LEASES:
-            return Denied("there are too many names")
+            return Denied("too many leases are held")
         history = state.free_histories.pop(request.name, [])
         lease = Lease("", 0, 0, index, [], history)
         state.leases[request.name] = lease
@@ -196,22 +197,22 @@
     def _grant(
         self, index: int, lease: Lease, holder_id: str, ttl: int, wall_ms: int, reason: str
     ) -> Granted:
-        # One count for all names, so that a name that was forgotten does not start again from epoch 1.
+        # One counter for all names: the epochs of a lease whose history was dropped must not restart at 1.
         self.state.epoch += 1
         lease.holder = holder_id
         lease.epoch = self.state.epoch
         lease.ttl = ttl
         lease.touched_index = index
-        self._record(lease, "granted", wall_ms, reason)
+        self._add_history(lease, "granted", wall_ms, reason)
         return Granted(lease.epoch, ttl)
 
-    def _record(self, lease: Lease, event: str, wall_ms: int, reason: str) -> None:
+    def _add_history(self, lease: Lease, event: str, wall_ms: int, reason: str) -> None:
         lease.history.append(HistoryEntry(event, lease.epoch, lease.holder, wall_ms, reason))
         del lease.history[:-MAX_HISTORY]
 
     def _end(self, index: int, name: str, lease: Lease, event: str, wall_ms: int, reason: str) -> None:
         """End the current holder's lease and grant it to the first waiter, if there is one."""
-        self._record(lease, event, wall_ms, reason)
+        self._add_history(lease, event, wall_ms, reason)
         self._remember_released(lease.holder)
         if lease.waiters:
             holder_id, ttl = lease.waiters.pop(0)
@@ -245,14 +246,14 @@
     def _expire(self, index: int, request: Expire) -> Answer:
         lease = self.state.leases.get(request.name)
         if lease is None or (lease.epoch, lease.touched_index) != (request.epoch, request.touched_index):
-            return Denied("it was touched since")
+            return Denied("the lease has changed since")
         self._end(index, request.name, lease, "expired", request.wall_ms, "not heard for its length")
         return Done("expired")
 
     def _break(self, index: int, request: Break) -> Answer:
         lease = self.state.leases.get(request.name)
         if lease is None or lease.epoch != request.epoch:
-            return Denied("it is not held in that epoch")
+            return Denied("the lease is not held in that epoch")
         self._end(index, request.name, lease, "broken", request.wall_ms, request.reason)
         return Done("broken")
 
@@ -262,11 +263,11 @@
         if request.name:
             lease = self.state.leases.get(request.name)
             if lease is None or lease.epoch != request.epoch:
-                return Denied("the lease stands in another epoch")
+                return Denied("the lease is free or held in another epoch")
         if version != request.version:
-            return Denied(f"it has version {version}")
+            return Denied(f"the record has version {version}")
         if request.key not in records and len(records) >= MAX_RECORDS:
-            return Denied("there are too many records")
+            return Denied("too many records are stored")
         growth = len(request.value) - len(old_value)
         if self.state.records_size + growth > MAX_RECORDS_SIZE:
             return Denied("the records are too large together")
@@ -277,7 +278,7 @@
     # ---- questions
 
     def status_of(self, name: str, holder_id: str) -> Granted | Waiting | Denied:
-        """Return whether this holder id holds the lease, waits for it or neither."""
+        """Return whether this holder id holds the lease, waits for it, or neither."""
         lease = self.state.leases.get(name)
         if lease is not None and lease.holder == holder_id:
             return Granted(lease.epoch, lease.ttl)
@@ -287,7 +288,7 @@
         return Denied("neither held nor waited for")
 
     def describe(self, name: str) -> LeaseInfo:
-        """Return a lease for people to read, also if it is free."""
+        """Return the description of a lease, which may be free."""
         lease = self.state.leases.get(name)
         if lease is None:
             return LeaseInfo(name, "", 0, 0, (), tuple(self.state.free_histories.get(name, ())))
@@ -311,15 +312,15 @@
 
 
 def validate(decision: Decision) -> str:
-    """Return why a client's decision must not go to the log, empty if it may."""
+    """Return why a client's decision is invalid and must not go to the log, empty if it is valid."""
     match decision:
         case Expire():
-            return "that is for the leader alone"
+            return "only the leader may propose this"
         case Put():
             valid = 0 < len(decision.key) <= MAX_NAME_LENGTH and len(decision.value) <= MAX_VALUE_SIZE
-            return "" if valid else "too long"
+            return "" if valid else "the key is empty or too long, or the value is too large"
     if not isinstance(decision, DECISIONS):
-        return "that is for the leader alone"
+        return "only the leader may propose this"
     if (
         not 0 < len(decision.name) <= MAX_NAME_LENGTH
         or not decision.name.isprintable()
@@ -327,9 +328,9 @@
     ):
         return f"a name has 1 to {MAX_NAME_LENGTH} printable characters and no '*'"
     if isinstance(decision, Acquire | Release) and not 0 < len(decision.holder_id) <= MAX_HOLDER_ID_LENGTH:
-        return f"an asker has 1 to {MAX_HOLDER_ID_LENGTH} characters"
+        return f"a holder id has 1 to {MAX_HOLDER_ID_LENGTH} characters"
     if isinstance(decision, Acquire) and not MIN_TTL <= decision.ttl <= MAX_TTL:
-        return "a lease is 0.1 s to an hour long"
+        return "a lease lasts 0.1 s to 1 hour"
     if isinstance(decision, Release | Break) and len(decision.reason) > MAX_REASON_LENGTH:
-        return f"a reason has {MAX_REASON_LENGTH} characters at most"
+        return f"a reason has at most {MAX_REASON_LENGTH} characters"
     return ""
--- a/thistleline/lease/wire.py
+++ b/thistleline/lease/wire.py
@@ -1,4 +1,4 @@
-"""The messages on a connection to a replica: numbered requests and replies, and hints of a granted lease."""
+"""Messages on a client's connection to a replica: numbered requests and replies, and grant hints."""
 
 import msgspec
 
@@ -14,14 +14,14 @@
 
 
 class Reply(msgspec.Struct, frozen=True, tag="reply"):
-    """The answer to the request of the same number."""
+    """The answer to the request with the same number."""
 
     number: int
     answer: Answer
 
 
 class GrantHint(msgspec.Struct, frozen=True, tag="hint"):
-    """Tells a waiter that the lease may have been granted to it, so that it asks at once."""
+    """Tells a waiter that the lease may have been granted to it, so that it sends a request at once."""
 
     name: str
     holder_id: str = msgspec.field(name="asker")
