--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases between processes of the program, with faults between them; and the resource's guard."""
+"""Leases between processes under faults, the holder's state machine, and the fencing guard of a resource."""
 
 import errno
 import json
@@ -50,19 +50,22 @@
 
 
 def with_fleet(
-    folder: Path, voters: int, story: Callable[[Fleet, LeaseClient], Awaitable[None]], formed: bool = True
+    folder: Path,
+    replicas: int,
+    scenario: Callable[[Fleet, LeaseClient], Awaitable[None]],
+    formed: bool = True,
 ) -> None:
-    """A story told to a council of processes; it ends by itself after a minute."""
+    """Run a scenario against replica processes; it fails after a minute."""
 
     async def run() -> None:
         with anyio.fail_after(60):
             async with anyio.create_task_group() as group:
-                fleet = Fleet(folder, group, 1, voters)
+                fleet = Fleet(folder, group, 1, replicas)
                 try:
                     await fleet.start_replicas()
                     if formed:
                         await fleet.form()
-                    await story(fleet, LeaseClient(await fleet.open_relays("x"), group, fleet.rng))
+                    await scenario(fleet, LeaseClient(await fleet.open_relays("x"), group, fleet.rng))
                 finally:
                     fleet.close()
                     group.cancel_scope.cancel()
@@ -70,17 +73,26 @@
     anyio.run(run)
 
 
-def command(fleet: Fleet, *words: str) -> subprocess.CompletedProcess[str]:
-    voters = [word for name in fleet.names for word in ("--voter", f"{name}=127.0.0.1:{fleet.ports[name]}")]
-    where = 2 if words[0] in ("council", "lease") else 1
-    told = [sys.executable, "-m", "thistleline", *words[:where], *voters, *words[where:]]
+def run_command(fleet: Fleet, *words: str) -> subprocess.CompletedProcess[str]:
+    replica_options = [
+        word for name in fleet.names for word in ("--voter", f"{name}=127.0.0.1:{fleet.ports[name]}")
+    ]
+    subcommand_words = 2 if words[0] in ("council", "lease") else 1
+    arguments = [
+        sys.executable,
+        "-m",
+        "thistleline",
+        *words[:subcommand_words],
+        *replica_options,
+        *words[subcommand_words:],
+    ]
     return subprocess.run(
-        told, capture_output=True, text=True, timeout=30, env={**os.environ, "PYTHONPATH": "."}
+        arguments, capture_output=True, text=True, timeout=30, env={**os.environ, "PYTHONPATH": "."}
     )
 
 
-async def until_listening(fleet: Fleet) -> None:
-    """Waits for each voter to listen; a started process needs a while until it does."""
+async def wait_until_listening(fleet: Fleet) -> None:
+    """Wait until each replica listens, which takes a moment after its process has started."""
     for name in fleet.names:
         while True:
             try:
@@ -92,21 +104,21 @@
                 break
 
 
-# ---- as an operator meets it
+# ---- command line
 
 
-def test_a_council_is_formed_holds_a_lease_for_a_command_and_changes_its_members(tmp_path: Path) -> None:
-    async def story(fleet: Fleet, _: LeaseClient) -> None:
+def test_cli_forms_a_cluster_runs_a_command_under_a_lease_and_replaces_a_replica(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet, _: LeaseClient) -> None:
         async def run(*words: str) -> subprocess.CompletedProcess[str]:
-            return await anyio.to_thread.run_sync(partial(command, fleet, *words))
+            return await anyio.to_thread.run_sync(partial(run_command, fleet, *words))
 
-        await until_listening(fleet)
-        assert (await run("council", "status")).returncode == 1  # nobody leads
+        await wait_until_listening(fleet)
+        assert (await run("council", "status")).returncode == 1  # there is no leader yet
         assert "council" in (await run("council", "form")).stdout
         await fleet.leader()
         assert "has a council already" in (await run("council", "form")).stderr
-        took = await run("lease", "take", "job", "--", "sh", "-c", "echo $LEASE_EPOCH; exit 7")
-        assert (took.stdout, took.returncode) == ("1\n", 7)
+        taken = await run("lease", "take", "job", "--", "sh", "-c", "echo $LEASE_EPOCH; exit 7")
+        assert (taken.stdout, taken.returncode) == ("1\n", 7)
         held = await fleet.request(Acquire("job", "somebody", 30 * SECOND))
         assert held == Granted(2, 30 * SECOND)
         refused = await run("lease", "take", "job", "--no-wait", "--", "true")
@@ -118,26 +130,26 @@
             in (await run("lease", "break", "job", "--epoch", "1", "--reason", "x")).stderr
         )
         assert (
-            await run("lease", "break", "job", "--epoch", "2", "--reason", "it burned")
+            await run("lease", "break", "job", "--epoch", "2", "--reason", "host failure")
         ).stdout == "broken\n"
-        assert "it burned" in (await run("lease", "show", "job")).stdout
+        assert "host failure" in (await run("lease", "show", "job")).stdout
         leader = await fleet.leader()
-        lost = next(name for name in fleet.names if name != leader)
+        replaced = next(name for name in fleet.names if name != leader)
         before = {
-            one["id"]
-            for one in map(json.loads, (await run("council", "members", "--json")).stdout.splitlines())
+            member["id"]
+            for member in map(json.loads, (await run("council", "members", "--json")).stdout.splitlines())
         }
-        await fleet.replace_replica(lost)
-        told = (await run("council", "members", "--json")).stdout.splitlines()
-        after = {one["id"] for one in map(json.loads, told)}
+        await fleet.replace_replica(replaced)
+        lines = (await run("council", "members", "--json")).stdout.splitlines()
+        after = {member["id"] for member in map(json.loads, lines)}
         assert len(before & after) == 2
         assert {id.partition(".")[0] for id in after} == {"a", "b", "c"}
 
-    with_fleet(tmp_path, 3, story, formed=False)
+    with_fleet(tmp_path, 3, scenario, formed=False)
 
 
-def test_a_command_under_a_lease_is_ended_before_its_right_is_over(tmp_path: Path) -> None:
-    async def story(fleet: Fleet, _: LeaseClient) -> None:
+def test_command_under_a_lease_is_killed_before_the_lease_expires(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet, _: LeaseClient) -> None:
         words = [sys.executable, "-m", "thistleline", "lease", "take", "--length", "1.5"]
         words += [
             word for name in fleet.names for word in ("--voter", f"{name}=127.0.0.1:{fleet.ports[name]}")
@@ -150,19 +162,19 @@
             await anyio.sleep(0.02)
         for name in fleet.names:
             fleet.processes[name].pause()
-        stopped = time.time_ns()
+        paused_at = time.time_ns()
         with anyio.fail_after(10):
             assert await process.wait() == 75
-        last = int((tmp_path / "beats").read_text().split()[-1])
-        assert last - stopped < holder_ttl(int(1.5 * SECOND)) + 50_000_000
+        last_beat = int((tmp_path / "beats").read_text().split()[-1])
+        assert last_beat - paused_at < holder_ttl(int(1.5 * SECOND)) + 50_000_000
 
-    with_fleet(tmp_path, 3, story)
+    with_fleet(tmp_path, 3, scenario)
 
 
-def test_a_newcomer_answers_a_leader_that_its_first_state_does_not_know(tmp_path: Path) -> None:
-    """It got an old state, with the members of then, and spoke to those alone: it never caught up."""
+def test_new_replica_catches_up_with_a_leader_missing_from_its_first_snapshot(tmp_path: Path) -> None:
+    """Guards against a new replica that links only to the members in an old snapshot: it never catches up."""
 
-    async def story(fleet: Fleet, _: LeaseClient) -> None:
+    async def scenario(fleet: Fleet, _: LeaseClient) -> None:
         await fleet.replace_replica("b")
         while (leader := await fleet.leader()) != "b":
             fleet.processes[leader].pause()
@@ -170,15 +182,15 @@
                 await anyio.sleep(0.05)
             fleet.processes[leader].resume()
         await fleet.replace_replica("a")
-        stands = await fleet.status("b")
-        names = [id.partition(".")[0] for id, _ in stands.members]
+        status = await fleet.status("b")
+        names = [id.partition(".")[0] for id, _ in status.members]
         assert sorted(names) == ["a", "b", "c"]
 
-    with_fleet(tmp_path, 3, story)
+    with_fleet(tmp_path, 3, scenario)
 
 
-def test_a_voter_that_can_t_read_its_records_says_so_and_does_not_vote(tmp_path: Path) -> None:
-    async def story(fleet: Fleet, _: LeaseClient) -> None:
+def test_replica_with_unreadable_records_exits_with_an_error(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet, _: LeaseClient) -> None:
         name = fleet.names[0]
         fleet.processes[name].kill()
         path = sorted((tmp_path / name).glob("*.council"))[-1]
@@ -191,104 +203,104 @@
         assert await anyio.to_thread.run_sync(process.wait) == 2
         assert "start it empty" in (tmp_path / f"{name}.log").read_text()
 
-    with_fleet(tmp_path, 3, story)
+    with_fleet(tmp_path, 3, scenario)
 
 
-# ---- the holder and the net
+# ---- holders and the network
 
 
-def test_a_holder_cut_from_the_council_ends_before_another_begins(tmp_path: Path) -> None:
-    async def story(fleet: Fleet, council: LeaseClient) -> None:
-        ended: list[int] = []
+def test_partitioned_holder_stops_before_another_is_granted_the_lease(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet, client: LeaseClient) -> None:
+        ended_at: list[int] = []
 
-        async def hold_on() -> None:
-            async with lease(council, "n", 1.0):
+        async def hold_lease() -> None:
+            async with lease(client, "n", 1.0):
                 for (source, _), relay in fleet.relays.items():
                     if source == "x":
                         relay.disconnect()
                 try:
                     await anyio.sleep(10)
                 finally:
-                    ended.append(time.monotonic_ns())
+                    ended_at.append(time.monotonic_ns())
 
         with pytest.raises(LeaseLostError):
-            await hold_on()
+            await hold_lease()
         fleet.heal()
-        other = await fleet.request(Acquire("n", "y", SECOND, True))
-        while not isinstance(other, Granted):
+        answer = await fleet.request(Acquire("n", "y", SECOND, True))
+        while not isinstance(answer, Granted):
             await anyio.sleep(0.02)
-            other = await fleet.request(Acquire("n", "y", SECOND, True))
-        assert other.epoch == 2
-        assert ended[0] < time.monotonic_ns()
+            answer = await fleet.request(Acquire("n", "y", SECOND, True))
+        assert answer.epoch == 2
+        assert ended_at[0] < time.monotonic_ns()
 
-    with_fleet(tmp_path, 3, story)
+    with_fleet(tmp_path, 3, scenario)
 
 
-def test_the_whole_council_is_killed_and_started_while_a_lease_runs(tmp_path: Path) -> None:
-    async def story(fleet: Fleet, council: LeaseClient) -> None:
-        async with lease(council, "n", 10.0) as held:
+def test_lease_survives_a_restart_of_all_replicas(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet, client: LeaseClient) -> None:
+        async with lease(client, "n", 10.0) as held:
             for name in fleet.names:
                 fleet.processes[name].kill()
             for name in fleet.names:
                 fleet.processes[name].start()
             await fleet.leader()
-            before = held.holder.valid_until
-            while held.holder.valid_until == before:
+            old_valid_until = held.holder.valid_until
+            while held.holder.valid_until == old_valid_until:
                 await anyio.sleep(0.02)
             assert (await fleet.request(Describe("n")) or held).epoch == held.epoch  # type: ignore[union-attr]
-        again = await fleet.request(Acquire("n", "y", SECOND))
-        assert again == Granted(held.epoch + 1, SECOND)
+        next_grant = await fleet.request(Acquire("n", "y", SECOND))
+        assert next_grant == Granted(held.epoch + 1, SECOND)
 
-    with_fleet(tmp_path, 3, story)
+    with_fleet(tmp_path, 3, scenario)
 
 
-def test_three_hundred_ask_after_a_holder_s_death_and_each_gets_it_once(tmp_path: Path) -> None:
-    async def story(fleet: Fleet, _: LeaseClient) -> None:
+def test_300_waiters_each_get_the_lease_once_after_a_holder_dies(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet, _: LeaseClient) -> None:
         epochs: list[int] = []
         await fleet.request(Acquire("n", "dead", SECOND // 2))
-        councils: list[LeaseClient] = []
+        clients: list[LeaseClient] = []
 
-        async def one(place: int) -> None:
-            async with lease(councils[place % 10], "n", 5.0) as held:
+        async def hold_once(index: int) -> None:
+            async with lease(clients[index % 10], "n", 5.0) as held:
                 epochs.append(held.epoch)
 
         async with anyio.create_task_group() as group:
-            councils += [
+            clients += [
                 LeaseClient({name: fleet.address(name) for name in fleet.names}, group) for _ in range(10)
             ]
-            async with anyio.create_task_group() as asking:
-                for place in range(300):
-                    asking.start_soon(one, place)
+            async with anyio.create_task_group() as waiters:
+                for index in range(300):
+                    waiters.start_soon(hold_once, index)
             group.cancel_scope.cancel()
         assert len(set(epochs)) == 300
         assert epochs == sorted(epochs)
 
-    with_fleet(tmp_path, 3, story)
+    with_fleet(tmp_path, 3, scenario)
 
 
-def test_a_program_of_a_later_form_and_strangers_are_met(tmp_path: Path) -> None:
-    async def story(fleet: Fleet, _: LeaseClient) -> None:
-        for greeting, wanted in (
+def test_replica_answers_compatible_hellos_and_survives_others(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet, _: LeaseClient) -> None:
+        for first_message, answered in (
             (encode(Hello("client", "", min_version=1, max_version=9)), True),
             (encode(Hello("client", "", min_version=2, max_version=9)), False),
             (b"GET / HTTP/1.1\r\n\r\n", False),
-            (encode(Hello("voter", "z.0", "another council")), True),
+            (encode(Hello("voter", "z.0", "another cluster")), True),
         ):
             async with await anyio.connect_tcp(*fleet.address("a")) as stream:
-                await stream.send(encode_frame(greeting))
+                await stream.send(encode_frame(first_message))
                 try:
                     with anyio.fail_after(5):
-                        assert bool(await stream.receive()) is wanted
+                        assert bool(await stream.receive()) is answered
                 except anyio.EndOfStream:
-                    assert not wanted
+                    assert not answered
         assert await fleet.leader()
         assert isinstance(await fleet.request(Acquire("n", "y", SECOND)), Granted)
 
-    with_fleet(tmp_path, 3, story)
+    with_fleet(tmp_path, 3, scenario)
 
 
 @pytest.mark.parametrize(("fenced", "pauses"), [(True, True), (False, False)])
-def test_under_faults_no_two_holders_act_at_once(tmp_path: Path, fenced: bool, pauses: bool) -> None:
+def test_no_two_holders_act_at_once_under_faults(tmp_path: Path, fenced: bool, pauses: bool) -> None:
     storm = LeaseStorm(tmp_path, 3, 3, 4, fenced, pauses)
     figures = anyio.run(storm.run, 60, 8.0, lambda _: None)
     assert figures["overlaps"] == 0
@@ -296,100 +308,100 @@
     assert figures["holders"] > 5
 
 
-@pytest.mark.parametrize(("wrote", "fenced", "overlaps"), [
+@pytest.mark.parametrize(("writes", "fenced", "overlaps"), [
     ([ResourceWrite(1, "x", 1, 1, "begin", True), ResourceWrite(2, "y", 2, 2, "begin", True)], False, 1),
     ([ResourceWrite(1, "x", 1, 1, "begin", True), ResourceWrite(2, "x", 1, 1, "end", True),
       ResourceWrite(3, "y", 2, 2, "begin", True)], False, 0),
     ([ResourceWrite(1, "y", 2, 2, "begin", True), ResourceWrite(2, "x", 1, 1, "step", True)], True, 1),
     ([ResourceWrite(1, "y", 2, 2, "begin", True), ResourceWrite(2, "x", 1, 1, "step", False)], True, 0),
 ])  # fmt: skip
-def test_the_oracle_of_the_laboratory_can_fail(
-    wrote: list[ResourceWrite], fenced: bool, overlaps: int
+def test_lab_oracle_counts_overlapping_holders(
+    writes: list[ResourceWrite], fenced: bool, overlaps: int
 ) -> None:
-    assert judge(wrote, fenced)["overlaps"] == overlaps
+    assert judge(writes, fenced)["overlaps"] == overlaps
 
 
-# ---- the holder's reducer
+# ---- the holder's state machine
 
 
-def hold(length: int = 10 * SECOND) -> LeaseHolder:
-    made = LeaseHolder("n", "x", length, True, 0, lambda span: 0)
-    made.handle(0, AcquireStarted())
-    return made
+def acquiring_holder(ttl: int = 10 * SECOND) -> LeaseHolder:
+    holder = LeaseHolder("n", "x", ttl, True, 0, lambda duration: 0)
+    holder.handle(0, AcquireStarted())
+    return holder
 
 
-def test_a_right_counts_from_before_the_request_and_one_that_comes_late_is_none() -> None:
-    late = hold()
+def test_validity_counts_from_before_the_request_and_a_late_grant_is_ignored() -> None:
+    late = acquiring_holder()
     assert late.handle(7 * SECOND, AnswerReceived(1, Granted(1, 10 * SECOND))) == []
     assert not late.is_valid(7 * SECOND)
-    made = hold()
-    made.handle(2 * SECOND, AnswerReceived(1, Granted(1, 10 * SECOND)))
-    assert made.valid_until == 6 * SECOND
-    assert made.fits(5 * SECOND, SECOND)
-    assert not made.fits(5 * SECOND + 1, SECOND)
+    holder = acquiring_holder()
+    holder.handle(2 * SECOND, AnswerReceived(1, Granted(1, 10 * SECOND)))
+    assert holder.valid_until == 6 * SECOND
+    assert holder.fits(5 * SECOND, SECOND)
+    assert not holder.fits(5 * SECOND + 1, SECOND)
 
 
 @pytest.mark.parametrize("answer", [Granted(1, 10 * SECOND), Renewed((Granted(1, 10 * SECOND),))])
-def test_what_comes_after_the_end_brings_nothing_back(answer: Any) -> None:
-    made = hold()
-    made.handle(0, AnswerReceived(1, Granted(1, 10 * SECOND)))
-    made.handle(3 * SECOND, DeadlineReached())
-    assert made.handle(6 * SECOND, AnswerReceived(2, answer)) == [LeaseEnded("the lease expired")]
-    assert not made.is_valid(6 * SECOND)
+def test_answer_after_the_expiry_does_not_renew_the_lease(answer: Any) -> None:
+    holder = acquiring_holder()
+    holder.handle(0, AnswerReceived(1, Granted(1, 10 * SECOND)))
+    holder.handle(3 * SECOND, DeadlineReached())
+    assert holder.handle(6 * SECOND, AnswerReceived(2, answer)) == [LeaseEnded("the lease expired")]
+    assert not holder.is_valid(6 * SECOND)
 
 
-def test_given_back_it_is_valid_no_more_whatever_the_council_answers() -> None:
-    made = hold()
-    made.handle(0, AnswerReceived(1, Granted(1, 10 * SECOND)))
-    made.handle(1, ReleaseRequested())
-    assert not made.is_valid(2)
-    made.handle(2, AnswerReceived(1, Granted(1, 10 * SECOND)))
-    assert not made.is_valid(3)
-    assert isinstance(made.handle(4, AnswerReceived(made.last_request, Done("released")))[0], LeaseEnded)
+def test_released_lease_is_invalid_whatever_the_cluster_answers() -> None:
+    holder = acquiring_holder()
+    holder.handle(0, AnswerReceived(1, Granted(1, 10 * SECOND)))
+    holder.handle(1, ReleaseRequested())
+    assert not holder.is_valid(2)
+    holder.handle(2, AnswerReceived(1, Granted(1, 10 * SECOND)))
+    assert not holder.is_valid(3)
+    assert isinstance(holder.handle(4, AnswerReceived(holder.last_request, Done("released")))[0], LeaseEnded)
 
 
 @given(st.lists(st.tuples(st.integers(0, 3 * SECOND), st.integers(0, 6)), max_size=40))
 @settings(derandomize=True, database=None)
-def test_whatever_comes_a_right_never_outlives_what_was_asked(steps: list[tuple[int, int]]) -> None:
-    made, now, asked = hold(), 0, {1: 0}
-    for span, what in steps:
-        now += span
+def test_random_events_never_extend_validity_beyond_the_last_request(steps: list[tuple[int, int]]) -> None:
+    holder, now, sent_at = acquiring_holder(), 0, {1: 0}
+    for duration, choice in steps:
+        now += duration
         event: HolderEvent = DeadlineReached()
-        if what < 4 and asked:
-            number = sorted(asked)[-1 - what % len(asked)]
+        if choice < 4 and sent_at:
+            number = sorted(sent_at)[-1 - choice % len(sent_at)]
             answers = (
                 Granted(1, 10 * SECOND),
                 Denied("no"),
                 Unavailable("", ""),
                 Renewed((Granted(1, 10 * SECOND),)),
             )
-            event = AnswerReceived(number, answers[what])
-        elif what == 4:
+            event = AnswerReceived(number, answers[choice])
+        elif choice == 4:
             event = GrantHinted()
-        for effect in made.handle(now, event):
+        for effect in holder.handle(now, event):
             if isinstance(effect, SendRequest):
-                asked[effect.number] = now
-        if made.phase == "held":
-            assert made.valid_until <= max(asked.values()) + holder_ttl(10 * SECOND)
-        assert not (made.is_valid(now) and made.phase == "ended")
+                sent_at[effect.number] = now
+        if holder.phase == "held":
+            assert holder.valid_until <= max(sent_at.values()) + holder_ttl(10 * SECOND)
+        assert not (holder.is_valid(now) and holder.phase == "ended")
 
 
-def test_an_act_that_does_not_fit_does_not_begin() -> None:
-    async def story() -> None:
-        made = LeaseHolder("n", "x", 10 * SECOND, True, boot_now(), lambda span: 0)
-        made.handle(boot_now(), AcquireStarted())
-        made.handle(boot_now(), AnswerReceived(1, Granted(1, SECOND)))
+def test_operation_longer_than_the_remaining_validity_does_not_begin() -> None:
+    async def scenario() -> None:
+        holder = LeaseHolder("n", "x", 10 * SECOND, True, boot_now(), lambda duration: 0)
+        holder.handle(boot_now(), AcquireStarted())
+        holder.handle(boot_now(), AnswerReceived(1, Granted(1, SECOND)))
         with pytest.raises(LeaseTimeoutError):
-            async with HeldLease(made).act(0.7):
-                pytest.fail("it began")
+            async with HeldLease(holder).act(0.7):
+                pytest.fail("the operation began")
 
-    anyio.run(story)
+    anyio.run(scenario)
 
 
-# ---- the resource's side
+# ---- fencing at the resource
 
 
-def test_a_guard_refuses_what_is_older_also_after_its_restart(tmp_path: Path) -> None:
+def test_guard_rejects_older_epochs_also_after_a_restart(tmp_path: Path) -> None:
     guard = FencingGuard(tmp_path)
     assert [guard.admit("n", epoch) for epoch in (3, 3, 5, 4, 5)] == [True, True, True, False, True]
     guard.close()
@@ -398,31 +410,31 @@
     guard.close()
 
 
-@pytest.mark.parametrize("place", range(0, 40, 3))
-def test_a_flipped_bit_lets_no_older_holder_in(tmp_path: Path, place: int) -> None:
+@pytest.mark.parametrize("offset", range(0, 40, 3))
+def test_guard_rejects_older_epochs_after_a_bit_flip_on_disk(tmp_path: Path, offset: int) -> None:
     guard = FencingGuard(tmp_path)
     guard.admit("n", 7)
     guard.close()
     (path,) = tmp_path.glob("*.guard")
     data = bytearray(path.read_bytes())
-    data[place % len(data)] ^= 4
+    data[offset % len(data)] ^= 4
     path.write_bytes(data)
     guard = FencingGuard(tmp_path)
     assert not guard.admit("n", 6)
     guard.close()
 
 
-def test_a_newer_holder_is_not_let_in_before_that_is_durable(
+def test_guard_does_not_admit_a_newer_epoch_before_it_is_durable(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     guard = FencingGuard(tmp_path)
     guard.admit("n", 1)
 
     def fail() -> None:
-        raise OSError(errno.EIO, "no")
+        raise OSError(errno.EIO, "disk failure")
 
     monkeypatch.setattr(guard.disk, "sync", fail)
-    with pytest.raises(OSError, match="no"):
+    with pytest.raises(OSError, match="disk failure"):
         guard.admit("n", 2)
     assert guard.admit("n", 1)
     monkeypatch.undo()
--- a/thistleline/zones/__init__.py
+++ b/thistleline/zones/__init__.py
@@ -1,1 +1,1 @@
-"""Routing of traffic between zones: the status of each zone, and a table of the traffic shares that move."""
+"""Routing of traffic between zones: the status of each zone, and a table of the traffic that is moved."""
--- a/thistleline/zones/decision.py
+++ b/thistleline/zones/decision.py
@@ -1,44 +1,44 @@
-"""Decides the routing table from the fleet's status and the table before.
+"""Decides the routing table from the fleet's status and the previous table.
 
 No I/O, no clock and no randomness. The principles:
 
-- Traffic stays near while that is safe: a zone spills only what it can't finish in time, the work of the
-  least utility first, to the nearest zone with spare capacity.
-- A receiver takes no more than its capacity less a reserve for the loss of a part of it.
-- No chains: a zone that spills receives nothing, and one that receives spills nothing.
-- A receiver takes more in steps, as it warms up; traffic returns more slowly than it left.
-- A slowdown of all zones moves nothing, and without spare capacity all traffic stays at home: shedding load
-  is each server's own decision.
-- A table is replaced only for a difference that matters.
+- Traffic stays in its zone of origin while that is safe: a zone spills only the work that it can't finish in
+  time, work of the least utility first, to the nearest zone with spare capacity.
+- A receiver takes no more than its capacity minus a reserve for the loss of a part of its servers.
+- No chains: a zone that spills receives nothing, and a zone that receives spills nothing.
+- The traffic to a receiver grows in steps, as it warms up; traffic returns more slowly than it left.
+- A slowdown of most zones together moves nothing, and without spare capacity all traffic stays in its zone:
+  shedding load is each server's own decision.
+- A table is replaced only if the new one differs significantly.
 """
 
 from thistleline.zones.routing import RoutingRules, RoutingTable, TrafficShare
 from thistleline.zones.status import FleetStatus, ZoneStatus
 
-SPILL_UTILIZATION = 0.95  # of its capacity: beyond that a zone spills
-RETURN_UTILIZATION = 0.80  # of its capacity, with what would return: below that traffic returns
-RESERVE = 0.15  # of a receiver's capacity, left free for the loss of a part of itself
-RECEIVE_STEP = 0.20  # of a receiver's capacity: so much more in one decision
-RETURN_STEP = 0.05  # of the origin's demand: so much returns in one decision
-STABLE_DECISIONS = 3  # in a row that have to favour it, before traffic returns
-SLOWDOWN_RATIO = 0.80  # of its usual capacity: a zone with less is slower
-LOST_RATIO = 0.10  # of its usual capacity: a zone with less is lost, whatever the others do
-MIN_CHANGE = 0.02  # of a zone's demand: a smaller change of a share is none
-MAX_UNCERTAINTY = 0.5  # a zone of which less is known receives nothing
-USUAL_WEIGHT = 0.9  # of the usual capacity in its moving average,
-CURRENT_WEIGHT = 0.1  # and of the present one
-FRACTION_DIGITS = 3  # to which fractions and capacities are rounded
+SPILL_UTILIZATION = 0.95  # of a zone's capacity; beyond it the zone spills
+RETURN_UTILIZATION = 0.80  # of a zone's capacity; traffic returns if the zone stays below it even so
+RESERVE = 0.15  # of a receiver's capacity, kept free for the loss of a part of its servers
+RECEIVE_STEP = 0.20  # of a receiver's capacity; maximum increase in one decision
+RETURN_STEP = 0.05  # of the origin's demand; maximum return in one decision
+STABLE_DECISIONS = 3  # consecutive decisions that must favour the return of traffic before it begins
+SLOWDOWN_RATIO = 0.80  # of its usual capacity; a zone with less counts as slowed down
+LOST_RATIO = 0.10  # of its usual capacity; a zone with less counts as lost, not as slowed down
+MIN_CHANGE = 0.02  # of a zone's demand; smaller changes are ignored
+MAX_UNCERTAINTY = 0.5  # a zone with more uncertainty receives nothing
+USUAL_WEIGHT = 0.9  # weight of the previous average in the moving average of a zone's capacity
+CURRENT_WEIGHT = 0.1  # weight of the current capacity in that average
+FRACTION_DIGITS = 3  # decimal places of the fractions and capacities in a table
 
-Flows = dict[tuple[str, int, str], float]  # cores of work that move, by origin, stage and receiver
+Flows = dict[tuple[str, int, str], float]  # cores of moved work, by origin, stage and receiver
 
 
 class ZoneDecider:
-    """Decides a table for each status; a successor continues from the recorded table.
+    """Decides the table for each new status; another instance can continue from the stored table.
 
     Attributes:
-        rules: What the installation allows.
+        rules: The operators' rules of the installation.
         table: The table in force.
-        stable_decisions: How many decisions in a row favoured that a zone's traffic returns, by zone.
+        stable_decisions: Number of consecutive decisions that favoured the return of traffic, by zone.
         usual_capacity: Moving average of each zone's capacity, cores.
     """
 
@@ -50,7 +50,7 @@
         self.usual_capacity: dict[str, float] = dict(table.capacities)
 
     def decide(self, status: FleetStatus) -> RoutingTable:
-        """Return the table that is to be in force: the same one, or the next."""
+        """Return the table that is in force from now on: the current one or a new one."""
         zones = status.zones
         slowdown = self._is_common_slowdown(zones)
         self._update_usual_capacity(zones, slowdown)
@@ -65,21 +65,21 @@
         self._limit_receivers(status, demand, flows)
         return self._next_table(status, flows)
 
-    # ---- what is no reason to move traffic
+    # ---- common slowdowns
 
     def _is_common_slowdown(self, zones: dict[str, ZoneStatus]) -> bool:
-        """Return whether most zones lost capacity together, as if by a dependency that they share.
+        """Return whether most zones lost capacity together, as by a fault of a shared dependency.
 
-        A zone that is lost altogether is not put down to that.
+        The loss of a whole zone is not attributed to such a fault.
         """
         known = [(zone, self.usual_capacity.get(name, 0.0)) for name, zone in zones.items()]
         known = [(zone, usual) for zone, usual in known if usual > 0]
-        slower = [zone for zone, usual in known if zone.capacity < SLOWDOWN_RATIO * usual]
+        slowed = [zone for zone, usual in known if zone.capacity < SLOWDOWN_RATIO * usual]
         lost = [zone for zone, usual in known if zone.capacity < LOST_RATIO * usual]
-        return len(known) > 1 and 2 * len(slower) > len(known) and not lost
+        return len(known) > 1 and 2 * len(slowed) > len(known) and not lost
 
     def _update_usual_capacity(self, zones: dict[str, ZoneStatus], slowdown: bool) -> None:
-        """Follow the capacities slowly, and not during a slowdown, lest that become usual."""
+        """Update the moving averages, except during a slowdown, which must not become the usual capacity."""
         for name, zone in zones.items():
             usual = self.usual_capacity.get(name)
             if usual is None:
@@ -90,7 +90,7 @@
     # ---- the flows
 
     def _current_flows(self, status: FleetStatus) -> Flows:
-        """Return what the table in force moves of the present demand."""
+        """Return the work that the table in force moves at the current demand."""
         return {
             (share.origin, share.stage, share.receiver): share.fraction
             * status.demand.get((share.origin, share.stage), 0.0)
@@ -98,7 +98,7 @@
         }
 
     def _spill(self, status: FleetStatus, demand: dict[str, float], flows: Flows) -> None:
-        """Move more away from zones whose remaining work exceeds their capacity."""
+        """Move more work away from zones whose remaining work exceeds their capacity."""
         zones = status.zones
         for name in sorted(zones, key=lambda name: zones[name].capacity - demand[name]):
             received = sum(work for (_, _, receiver), work in flows.items() if receiver == name)
@@ -107,7 +107,7 @@
             if excess <= MIN_CHANGE * demand[name]:
                 continue
             if received:
-                # A receiver that degrades: traffic of others goes home, its own does not move on yet.
+                # The receiver has degraded: traffic of other zones returns, its own is not moved yet.
                 for key in [key for key in flows if key[2] == name]:
                     del flows[key]
                 continue
@@ -117,11 +117,13 @@
     def _spill_excess(
         self, origin: str, excess: float, status: FleetStatus, demand: dict[str, float], flows: Flows
     ) -> None:
-        """Move the work of the least utility first, to the nearest receivers."""
+        """Move the excess work of a zone to the nearest receivers, work of the least utility first."""
         utility = self.rules.utility
         for stage in sorted(utility, key=lambda stage: utility[stage]):
             remaining = status.demand.get((origin, stage), 0.0)
-            remaining -= sum(work for (one, at, _), work in flows.items() if (one, at) == (origin, stage))
+            remaining -= sum(
+                work for (source, at_stage, _), work in flows.items() if (source, at_stage) == (origin, stage)
+            )
             for receiver in self._receivers_by_cost(origin, stage, status.zones):
                 moved = min(excess, remaining, self._spare_capacity(receiver, status, demand, flows))
                 if moved > 0:
@@ -160,7 +162,7 @@
         return max(0.0, min(spare, before + RECEIVE_STEP * zone.capacity - received))
 
     def _return_traffic(self, status: FleetStatus, demand: dict[str, float], flows: Flows) -> None:
-        """Bring some traffic home, the greatest utility first, where the zone could take it for a while."""
+        """Return some traffic to zones that had capacity for it long enough, the greatest utility first."""
         utility = self.rules.utility
         for name in sorted({origin for origin, _, _ in flows}):
             away = _work_from(flows, name)
@@ -180,7 +182,7 @@
                 step -= returned
 
     def _limit_receivers(self, status: FleetStatus, demand: dict[str, float], flows: Flows) -> None:
-        """Send home what a receiver has lost the capacity for, of the least utility first."""
+        """Return traffic that a receiver lost the capacity for, of the least utility first."""
         utility = self.rules.utility
         for receiver in sorted({receiver for _, _, receiver in flows}):
             excess = _work_to(flows, receiver)
--- a/thistleline/zones/routing.py
+++ b/thistleline/zones/routing.py
@@ -1,4 +1,4 @@
-"""The routing table between zones, and the rules of an installation by which it is decided."""
+"""The routing table between zones, and the operators' rules by which it is decided."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class TrafficShare(msgspec.Struct, frozen=True, array_like=True):
-    """The fraction of a zone's traffic in one stage that goes to another zone; the rest stays at home."""
+    """The fraction of a zone's traffic of one stage that goes to another zone; the rest stays in the zone."""
 
     origin: str
     stage: int
@@ -15,13 +15,13 @@
 
 
 class RoutingTable(msgspec.Struct, frozen=True):
-    """Where traffic goes; of two tables the one with the greater number is in force.
+    """Where traffic goes; of two tables, the one with the greater number is in force.
 
     Attributes:
-        number: Counts the tables.
-        shares: The traffic that moves.
-        capacities: Usual capacity of each zone in cores, by which it was decided.
-        reason: For people to read.
+        number: Sequence number of the table.
+        shares: The traffic that is moved.
+        capacities: Usual capacity of each zone, in cores, on which the decision was based.
+        reason: Why the table was made, for people.
     """
 
     number: int = 0
@@ -30,7 +30,7 @@
     reason: str = msgspec.field(default="", name="why")
 
     def shares_from(self, origin: str, stage: int) -> dict[str, float]:
-        """Return the fraction that goes to each receiver."""
+        """Return the fraction of the origin's traffic of a stage that goes to each receiver."""
         return {
             share.receiver: share.fraction
             for share in self.shares
@@ -38,18 +38,18 @@
         }
 
     def receivers(self) -> set[str]:
-        """Return the zones that receive traffic of others."""
+        """Return the zones that receive traffic of other zones."""
         return {share.receiver for share in self.shares}
 
     def senders(self) -> set[str]:
-        """Return the zones that send traffic to others."""
+        """Return the zones that send traffic to other zones."""
         return {share.origin for share in self.shares}
 
 
 class RoutingRules(NamedTuple):
-    """What an installation's operators decide."""
+    """Rules that the operators of an installation set."""
 
-    cost: dict[tuple[str, str], float]  # of a route; (origin, receiver) without one is no route
-    utility: dict[int, float]  # of a core-second, by stage
+    cost: dict[tuple[str, str], float]  # by (origin, receiver); a pair without a cost is not a route
+    utility: dict[int, float]  # per core-second, by stage
     forbidden: frozenset[tuple[int, str, str]] = frozenset()  # stage, origin, receiver
-    drained: frozenset[str] = frozenset()  # zones that are to be emptied
+    drained: frozenset[str] = frozenset()  # zones to move all traffic away from
--- a/thistleline/zones/status.py
+++ b/thistleline/zones/status.py
@@ -1,10 +1,10 @@
-"""The status of each zone, aggregated from reports of its servers and observations of others.
+"""The status of each zone, aggregated from reports of its servers and observations by other zones.
 
-Bounded in memory, robust to servers that report wrong or unchanging figures; no I/O and no clock. Medians
-limit what one server can claim: one that reports an endless capacity counts little more than the median's,
-and one whose counters stand still while others of its zone move does not count at all.
+No I/O and no clock. Memory is bounded, and servers that report wrong or unchanging figures have little
+effect: a reported capacity is capped at a multiple of the zone's median, and a server whose counter does not
+change while those of other servers in its zone do is ignored.
 
-Work is counted in cores: core-seconds a second.
+Work is measured in cores: core-seconds per second.
 """
 
 from collections.abc import Iterable
@@ -12,30 +12,30 @@
 from typing import NamedTuple
 
 SECOND = 1_000_000_000  # ns
-REPORT_TTL = 10 * SECOND  # for so long a report counts
-STUCK_TIMEOUT = 10 * SECOND  # a counter that stands still so long, while its zone's others move, is stuck
-DEMAND_TTL = 600 * SECOND  # for so long the demand of a lost zone is still assumed
-MAX_CAPACITY_FACTOR = 1.5  # times the median of its zone; what a server reports beyond is cut off
-MIN_OBSERVERS = 2  # zones that have to see a zone as unhealthy before that overrides its own reports
-MIN_ATTEMPTS = 20  # that an observer has to have made
-GRAY_FAILURE_GAP = 0.2  # by which others see a zone worse than it says, if it is a gray failure
+REPORT_TTL = 10 * SECOND  # older reports are ignored
+STUCK_TIMEOUT = 10 * SECOND  # a counter unchanged for longer is stuck if others in its zone change
+DEMAND_TTL = 600 * SECOND  # time for which the last known demand of a lost zone is assumed
+MAX_CAPACITY_FACTOR = 1.5  # cap of a server's reported capacity, as a multiple of its zone's median
+MIN_OBSERVERS = 2  # zones whose observations are needed to override a zone's own reports
+MIN_ATTEMPTS = 20  # of an observer; with fewer its observation is ignored
+GRAY_FAILURE_GAP = 0.2  # observed health lower than reported health by more than this is a gray failure
 MAX_SERVERS = 10_000
 
 
 class ServerReport(NamedTuple):
-    """What a server says of itself."""
+    """A server's report of its own state."""
 
     id: str
     zone: str
-    at: int  # when it was made, ns
+    at: int  # time of the report, ns
     capacity: float  # cores of work that it finishes when busy, as measured
-    finished_count: int  # tasks, since it started
-    success_ratio: float  # of the tasks that it took, finished in time; by its own account
-    arrivals: tuple[tuple[str, int, float], ...]  # origin zone, stage, cores of work that arrived
+    finished_count: int  # tasks since the server started
+    success_ratio: float  # fraction of accepted tasks that finished in time, as reported by the server
+    arrivals: tuple[tuple[str, int, float], ...]  # origin zone, stage, cores of arriving work
 
 
 class StatusObservation(NamedTuple):
-    """What the servers and callers of one zone saw of another."""
+    """Success counts of attempts that servers and clients of one zone made at another."""
 
     observer: str  # zone
     target: str  # zone
@@ -48,14 +48,14 @@
 
     name: str
     capacity: float  # cores of work that it can finish in time
-    servers: int  # that count
-    uncertainty: float  # fraction of its servers that do not report, or whose reports do not count
-    health: float  # the lower of what its servers say and what others see, 0 to 1
-    gray_failure: bool  # others see it much worse than it says
+    servers: int  # with a credible report
+    uncertainty: float  # fraction of its servers without a credible report
+    health: float  # the lower of its servers' reported and other zones' observed success ratio, 0 to 1
+    gray_failure: bool  # the observed health is much lower than the reported one
 
 
 class FleetStatus(NamedTuple):
-    """The status of all zones, and the demand."""
+    """The status of all zones, and the demand by origin zone and stage."""
 
     zones: dict[str, ZoneStatus]
     demand: dict[tuple[str, int], float]  # cores, by origin zone and stage
@@ -73,12 +73,14 @@
         """Track the zones of these names and no others."""
         self.names = tuple(zones)
         self.reports: dict[str, ServerReport] = {}  # by server id
-        self.progressed_at: dict[str, int] = {}  # when a server's counter last moved, ns
+        self.progressed_at: dict[str, int] = {}  # time at which a server's counter last changed, ns
         self.observations: dict[tuple[str, str], StatusObservation] = {}  # by observer and target
-        self.last_demand: dict[tuple[str, int], tuple[float, int]] = {}  # and when its zone was there, ns
+        self.last_demand: dict[
+            tuple[str, int], tuple[float, int]
+        ] = {}  # work, and the last time with servers in its zone, ns
 
     def add_report(self, report: ServerReport) -> None:
-        """Take in a server's report; one of an unknown zone is ignored."""
+        """Store a server's report; a report from an unknown zone is ignored."""
         known = self.reports.get(report.id)
         if report.zone not in self.names or (known is None and len(self.reports) >= MAX_SERVERS):
             return
@@ -88,7 +90,7 @@
             self.reports[report.id] = report
 
     def add_observation(self, observation: StatusObservation) -> None:
-        """Take in what one zone saw of another."""
+        """Store what one zone observed of another."""
         observer, target = observation.observer, observation.target
         if observer in self.names and target in self.names and observer != target:
             self.observations[observer, target] = observation
@@ -109,18 +111,18 @@
         return FleetStatus(zones, demand)
 
     def _credible(self, reports: list[ServerReport], now: int) -> list[ServerReport]:
-        """Return the reports of a zone that are neither too old nor stuck."""
+        """Return the reports of a zone that are neither too old nor from a stuck server."""
         fresh = [report for report in reports if now - report.at <= REPORT_TTL]
-        moving = [report for report in fresh if now - self.progressed_at[report.id] <= STUCK_TIMEOUT]
-        # Where no counter moves none is stuck: there is no traffic.
-        return moving or fresh
+        changing = [report for report in fresh if now - self.progressed_at[report.id] <= STUCK_TIMEOUT]
+        # If no counter changes, there is no traffic, and no server counts as stuck.
+        return changing or fresh
 
     def _assume_demand_of_lost_zones(
         self, zones: dict[str, ZoneStatus], demand: dict[tuple[str, int], float], now: int
     ) -> None:
-        """Prevent a lost zone from being taken for one without demand.
+        """Assume the last known demand of zones without servers, which would otherwise appear to have none.
 
-        Nobody reports what arrived at a zone that is gone, and what others receive of it is only a part.
+        No server reports the arrivals at a lost zone, and other zones receive only a part of its traffic.
         """
         for (origin, stage), work in demand.items():
             if zones[origin].servers:
@@ -149,9 +151,9 @@
         )
 
     def _observed_health(self, name: str) -> float | None:
-        """Return the median of the observers' success ratios, None if too few have seen enough.
+        """Return the median of the observers' success ratios, None if too few made enough attempts.
 
-        A zone that alone sees another as unhealthy may be unhealthy itself, or cut off.
+        A single observer that sees a zone as unhealthy may itself be unhealthy or cut off.
         """
         ratios = [
             observation.successes / observation.attempts
