--- a/thistleline/lease/wire.py
+++ b/thistleline/lease/wire.py
@@ -1,4 +1,4 @@
-"""Messages on a client's connection to a replica: numbered requests and replies, and grant hints."""
+"""Messages on a connection to a replica: numbered requests and replies, and grant hints."""
 
 import msgspec
 
--- a/thistleline/zones/decision.py
+++ b/thistleline/zones/decision.py
@@ -16,13 +16,13 @@
 from thistleline.zones.status import FleetStatus, ZoneStatus
 
 SPILL_UTILIZATION = 0.95  # of a zone's capacity; beyond it the zone spills
-RETURN_UTILIZATION = 0.80  # of a zone's capacity; traffic returns if the zone stays below it even so
+RETURN_UTILIZATION = 0.80  # of a zone's capacity; traffic returns if the zone's work with it stays below
 RESERVE = 0.15  # of a receiver's capacity, kept free for the loss of a part of its servers
 RECEIVE_STEP = 0.20  # of a receiver's capacity; maximum increase in one decision
 RETURN_STEP = 0.05  # of the origin's demand; maximum return in one decision
 STABLE_DECISIONS = 3  # consecutive decisions that must favour the return of traffic before it begins
 SLOWDOWN_RATIO = 0.80  # of its usual capacity; a zone with less counts as slowed down
-LOST_RATIO = 0.10  # of its usual capacity; a zone with less counts as lost, not as slowed down
+LOST_RATIO = 0.10  # of its usual capacity; a zone with less counts as lost, whatever other zones do
 MIN_CHANGE = 0.02  # of a zone's demand; smaller changes are ignored
 MAX_UNCERTAINTY = 0.5  # a zone with more uncertainty receives nothing
 USUAL_WEIGHT = 0.9  # weight of the previous average in the moving average of a zone's capacity
