--- a/thistleline/config_feed/__init__.py
+++ b/thistleline/config_feed/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration as a change feed: a keyed table, one sequence of small changes, relays, followers."""
+"""Distributes configuration as a keyed table with one sequence of changes, through relays to followers."""
--- a/thistleline/config_feed/history.py
+++ b/thistleline/config_feed/history.py
@@ -1,4 +1,4 @@
-"""The newest steps of a table and the digests between them, from which deltas are made. No I/O, no clock."""
+"""The recent steps of a table and the digests between them, from which deltas are made. No I/O, no clock."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -8,13 +8,13 @@
 from thistleline.config_feed.messages import Delta, Kind
 from thistleline.config_feed.table import REQUEST_PREFIX, TENANT_PREFIX, FeedTable
 
-ITEM_OVERHEAD = 64  # bytes that an item counts for beside its key and value
-CACHED_DELTAS_LIMIT = 64  # deltas cached for all followers that are at the same state
+ITEM_OVERHEAD = 64  # bytes added to the size of each item's key and value
+CACHED_DELTAS_LIMIT = 64  # deltas cached for all followers at the same state
 Items = tuple[tuple[str, bytes | None, int], ...]  # key, value, version; a value of None deletes the key
 
 
 class Step(NamedTuple):
-    """Leads from the state `first` to the state `last`: of each key written between, its newest item."""
+    """Transforms the state `first` into the state `last`: the newest item of each key that was written."""
 
     first: int
     last: int
@@ -23,19 +23,21 @@
 
 
 class History:
-    """The newest state, and the steps that lead from `base` up to it.
+    """The newest state, and the steps that transform the state `base` into it.
 
-    A step is one change, or several of them merged where this table was itself brought forward by a delta.
+    A step is one group of changes, or several merged where this table was itself updated by a delta.
     """
 
     __slots__ = ("_cached", "_digests", "size", "steps", "table")
 
     def __init__(self, table: FeedTable | None = None) -> None:
-        """Begin with this state (by default the empty table), without steps."""
+        """Start with this state (by default the empty table) and no steps."""
         self.table = table or FeedTable()
         self.steps: deque[Step] = deque()
         self.size = 0  # bytes of all steps
-        self._digests: dict[int, tuple[bytes, bytes]] = {}  # of kind "wide" and "all" by sequence number
+        self._digests: dict[
+            int, tuple[bytes, bytes]
+        ] = {}  # digests of kind "wide" and "all" by sequence number
         self._cached: dict[tuple[int, Kind], Delta | None] = {}
         self._record_digests()
 
@@ -54,17 +56,17 @@
         return self.steps[0].first if self.steps else self.table.sequence
 
     def advance(self, last: int, items: Items, kind: Kind = "all") -> None:
-        """Move on to the state `last` by the items written since the newest state.
+        """Advance to the state `last` by the items written since the newest state.
 
         Raises:
-            ValueError: `last` is not beyond the newest state.
+            ValueError: `last` is not greater than the newest sequence number.
         """
         if last <= self.table.sequence:
-            raise ValueError(f"{last} does not follow {self.table.sequence}")
+            raise ValueError(f"sequence number {last} does not follow {self.table.sequence}")
         self.append(self.table.update(last, items, kind), items)
 
     def append(self, table: FeedTable, items: Items) -> None:
-        """Move on to `table`, to which `items` lead from the newest state; drop steps beyond the limits."""
+        """Advance to `table`, the newest state with `items` written; drop steps beyond the limits."""
         size = items_size(items)
         self.steps.append(Step(self.table.sequence, table.sequence, items, size))
         self.size += size
@@ -76,7 +78,7 @@
             del self._digests[dropped.first]
 
     def reset(self, table: FeedTable) -> None:
-        """Go to a state to which no step leads."""
+        """Replace the state by one that no step produces, and drop all steps."""
         self.steps.clear()
         self.size = 0
         self._digests.clear()
@@ -88,11 +90,12 @@
         self._cached.clear()
 
     def contains(self, sequence: int, digest: bytes, kind: Kind) -> bool:
-        """Tell whether a follower's state is one from which a delta leads to the newest.
+        """Return whether a delta can be made from a follower's state to the newest.
 
-        Inside a step, where the followers of a relay stand that merged differently, the digest isn't known.
-        There the whole step's items lead on all the same, and the digest at its end reveals a follower that
-        stood elsewhere: it comes back with no digest then, which is contained nowhere.
+        The digest of a state inside a step is not known. A follower can be at such a state if its previous
+        relay merged changes differently. The items of the whole step still produce the correct state at the
+        step's end. If the follower's state was a different one, the digest there reveals it: the follower
+        then asks again with an empty digest, which no history contains.
         """
         known = self.digest_at(sequence, kind)
         if known is None:
@@ -100,15 +103,15 @@
         return known == digest
 
     def digest_at(self, sequence: int, kind: Kind) -> bytes | None:
-        """Return the digest of the state at `sequence`, None if no step begins or ends there."""
+        """Return the digest of the state at `sequence`; None if no step begins or ends there."""
         known = self._digests.get(sequence)
         return None if known is None else known[int(kind == "all")]
 
     def delta(self, sequence: int, kind: Kind) -> Delta | None:
-        """Return what leads from a contained state towards the newest, as far as a delta may hold.
+        """Return a delta from a contained state towards the newest, up to the size limit of a delta.
 
-        Returns None where a snapshot is smaller than all that would have to be sent. The delta is cached for
-        all followers that are at this state.
+        Returns None if a snapshot is smaller than the steps that would have to be sent. The delta is cached
+        for all followers at this state.
         """
         if (sequence, kind) not in self._cached:
             while len(self._cached) >= CACHED_DELTAS_LIMIT:
@@ -122,12 +125,12 @@
             return None
         delta = self._merge(sequence, ahead, kind, evict_tenants=False)
         if kind == "wide" and delta.last < self.table.sequence:
-            # A mass update of tenants must not hold up the routes at every instance.
+            # A mass update of tenants must not delay updates of routes at every instance.
             delta = self._merge(sequence, ahead, kind, evict_tenants=True)
         return delta
 
     def _steps_after(self, sequence: int, kind: Kind) -> list[Step] | None:
-        """Return the steps beyond `sequence`, or None where they are larger than a snapshot."""
+        """Return the steps after `sequence`, or None if they are larger than a snapshot."""
         size_limit = max(8 * DELTA_SIZE_LIMIT, 2 * ITEM_OVERHEAD * self.table.entry_count(kind))
         ahead: list[Step] = []
         size = 0
@@ -142,7 +145,7 @@
         return ahead
 
     def _merge(self, sequence: int, ahead: Sequence[Step], kind: Kind, evict_tenants: bool) -> Delta:
-        """Merge as many steps as fit into a delta; `evict_tenants` leaves the tenants out."""
+        """Merge as many steps as fit into a delta; with `evict_tenants`, tenants are left out."""
         newest: dict[str, tuple[bytes | None, int]] = {}
         size = 0
         last = sequence
@@ -167,12 +170,12 @@
 
 
 def item_size(key: str, value: bytes | None) -> int:
-    """Return the bytes that an item counts for, wherever items are limited."""
+    """Return the size of an item in bytes, as all size limits of items count it."""
     return len(key) + len(value or b"") + ITEM_OVERHEAD
 
 
 def items_size(items: Items) -> int:
-    """Return the bytes that the items count for together."""
+    """Return the total size of the items in bytes, by `item_size`."""
     return sum(item_size(key, value) for key, value, _ in items)
 
 
--- a/thistleline/config_feed/limits.py
+++ b/thistleline/config_feed/limits.py
@@ -1,35 +1,35 @@
-"""Limits of sizes, counts and times of the config feed, of what peers send and of what is stored."""
+"""Limits on the sizes, counts and times of the config feed: messages from peers and stored data."""
 
 MS, SECOND = 1_000_000, 1_000_000_000  # ns
 
-# ---- of one entry and one change
+# ---- one entry and one change
 KEY_LENGTH_LIMIT = 200  # characters
 VALUE_SIZE_LIMIT = 4096  # bytes
-CHANGE_ITEMS_LIMIT = 1000  # entries of one change
-CHANGE_SIZE_LIMIT = 24 * 1024  # bytes of one change
+CHANGE_ITEMS_LIMIT = 1000  # entries in one change
+CHANGE_SIZE_LIMIT = 24 * 1024  # bytes of keys and values in one change
 REQUEST_ID_LENGTH_LIMIT = 64  # characters
 PEER_ID_LENGTH_LIMIT = 64  # characters
 TABLE_ENTRIES_LIMIT = 4_000_000
 
-# ---- of the writer
+# ---- the writer
 GROUP_SIZE_LIMIT = 64 * 1024  # bytes of changes in one group commit
-RING_SLOTS = 16  # records with the newest groups; the oldest is overwritten once a majority has it on disk
-DEDUPLICATION_SLOTS = 4096  # newest request ids that are remembered, so that no request is committed twice
-PENDING_PROPOSALS_LIMIT = 4096  # proposals not answered yet; beyond it new ones are refused
+RING_SLOTS = 16  # records of the newest groups; the oldest is overwritten once a majority has it on disk
+DEDUPLICATION_SLOTS = 4096  # newest request ids kept, so that no request is committed twice
+PENDING_PROPOSALS_LIMIT = 4096  # unanswered proposals; beyond this number new ones are refused
 
-# ---- of a source and its followers
-HISTORY_STEPS_LIMIT = 100_000  # steps of the history from which deltas are made
-HISTORY_SIZE_LIMIT = 32 << 20  # bytes of them
-DELTA_SIZE_LIMIT = 256 * 1024  # bytes of one delta
-PART_SIZE = 64 * 1024  # bytes of a part of a snapshot
+# ---- a source and its followers
+HISTORY_STEPS_LIMIT = 100_000  # steps kept in the history, from which deltas are made
+HISTORY_SIZE_LIMIT = 32 << 20  # bytes of all steps in the history
+DELTA_SIZE_LIMIT = 256 * 1024  # bytes of items in one delta
+PART_SIZE = 64 * 1024  # approximate bytes of one part of a snapshot
 FOLLOWERS_LIMIT = 1024
-FETCHED_TENANTS_LIMIT = 256  # tenants fetched by one message
+FETCHED_TENANTS_LIMIT = 256  # tenants requested by one message
 TENANT_CACHE_LIMIT = 16_384  # tenant entries cached by an instance
-MESSAGE_SIZE_LIMIT = 1 << 20  # bytes of a message
+MESSAGE_SIZE_LIMIT = 1 << 20  # bytes of one message
 
 # ---- times, ns
-HEARTBEAT_INTERVAL_NS = SECOND // 2  # between two messages of a source, at most
-SOURCE_TIMEOUT_NS = 1600 * MS  # of silence, after which a follower goes to another source
-STALL_TIMEOUT_NS = 5 * SECOND  # after which a follower that takes nothing is closed
-RECONNECT_JITTER_NS = SECOND  # random wait of a follower before it connects again, at most
-NEVER = 1 << 62  # a deadline that does not come
+HEARTBEAT_INTERVAL_NS = SECOND // 2  # longest time between two messages of a source
+SOURCE_TIMEOUT_NS = 1600 * MS  # silence after which a follower switches to another source
+STALL_TIMEOUT_NS = 5 * SECOND  # after which a follower that accepts no data is disconnected
+RECONNECT_JITTER_NS = SECOND  # longest random wait of a follower before it reconnects
+NEVER = 1 << 62  # represents no deadline
--- a/thistleline/config_feed/lookups.py
+++ b/thistleline/config_feed/lookups.py
@@ -1,10 +1,10 @@
-"""An instance's view of the configuration: look-ups that never wait. No I/O, no clock.
+"""An instance's view of the configuration: lookups that never block. No I/O, no clock.
 
-All sections but the tenants' are the follower's table; of the tenants those that were looked up are cached,
-at most `max_tenants`, and the least recently used go first. What is cached is valid at the table's sequence
-number, always: a delta is applied to both in one event, and an answer of another number is dropped and
-fetched anew. So nobody sees half of a change, nor an older value after a newer one; a tenant that is not
-known yet, or not any more, is reported as such.
+All sections except the tenants are read from the follower's table. Tenants are cached when they are looked
+up, at most `max_tenants`, with the least recently used evicted first. The cache is always valid at the
+table's sequence number: a delta is applied to both in one event, and an answer for another sequence number is
+discarded and fetched again. So no reader sees part of a change, or an older value after a newer one. A tenant
+that is not cached, because it was not fetched yet or was evicted, is reported as unknown.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 
 
 class LookupResult(NamedTuple):
-    """The answer to a look-up.
+    """The result of a lookup.
 
     Attributes:
         value: None for a key that does not exist.
         version: Sequence number of the change that set the value, 0 for a key that does not exist.
-        known: Whether this is an answer; else the key is being fetched, and until then the caller uses the
+        known: Whether the value is known. If not, the key is being fetched, and the caller meanwhile uses the
             shared default, `common/tenant`.
     """
 
@@ -46,18 +46,18 @@
 
 
 class LookupCache:
-    """A follower of the kind "wide" and a cache of tenants; events and effects are those of the follower.
+    """A follower of kind "wide" with a cache of tenants; events and effects are those of the follower.
 
     Attributes:
-        tenants: What is cached, the least recently used first.
-        wanted: Keys that were looked up and not requested yet.
-        requested: Keys that were requested on this connection and not answered yet.
+        tenants: Cached results, least recently used first.
+        wanted: Keys that were looked up but not requested yet.
+        requested: Keys that were requested on this connection but not answered yet.
     """
 
     __slots__ = ("follower", "max_tenants", "requested", "requested_at", "tenants", "wanted")
 
     def __init__(self, follower: Follower, max_tenants: int = TENANT_CACHE_LIMIT) -> None:
-        """Begin with an empty cache; all events for `follower` have to come through `handle`."""
+        """Start with an empty cache; all events for `follower` must be passed to `handle`."""
         self.follower = follower
         self.max_tenants = max_tenants
         self.tenants: OrderedDict[str, LookupResult] = OrderedDict()
@@ -67,15 +67,15 @@
 
     def copy(self) -> LookupCache:
         """Return an independent copy."""
-        made = LookupCache(self.follower.copy(), self.max_tenants)
-        made.tenants = self.tenants.copy()
-        made.wanted = self.wanted.copy()
-        made.requested = self.requested.copy()
-        made.requested_at = self.requested_at
-        return made
+        copied = LookupCache(self.follower.copy(), self.max_tenants)
+        copied.tenants = self.tenants.copy()
+        copied.wanted = self.wanted.copy()
+        copied.requested = self.requested.copy()
+        copied.requested_at = self.requested_at
+        return copied
 
     def state_key(self) -> tuple[Any, ...]:
-        """Return the state that decides its behaviour, with times relative to now."""
+        """Return the state that determines behaviour, with times relative to now."""
         return (
             self.follower.state_key(),
             tuple(self.tenants.items()),
@@ -85,9 +85,10 @@
         )
 
     def lookup(self, key: str) -> LookupResult:
-        """Return what is known of a key, at the same cost however much is held.
+        """Return the cached value of a key, at a cost that does not depend on the size of the table.
 
-        After the first look-up of a tenant `next_deadline` is now: the tenant is requested then.
+        After the first lookup of a tenant `next_deadline` returns the current time, so that the tenant is
+        requested without delay.
         """
         if not key.startswith(TENANT_PREFIX):
             return self._lookup_wide(key)
@@ -96,7 +97,7 @@
             self.tenants.move_to_end(key)
             return cached
         if len(key) > KEY_LENGTH_LIMIT or not is_encodable(key):
-            return ABSENT  # no change can have set it
+            return ABSENT  # no change can contain such a key
         if key not in self.requested and len(self.wanted) < self.max_tenants:
             self.wanted[key] = None
         return UNKNOWN
@@ -110,7 +111,7 @@
     # ---- events
 
     def handle(self, now: int, event: FollowerEvent) -> list[FollowerEffect]:
-        """Take in one event at the time `now` and return what has to be done."""
+        """Handle one event at the time `now` (ns) and return the effects to carry out, in order."""
         follower = self.follower
         effects = follower.handle(now, event)
         if (
@@ -123,7 +124,7 @@
             if isinstance(effect, DeltaApplied):
                 self._on_delta(effect.delta)
             elif isinstance(effect, SnapshotLoaded):
-                self.tenants.clear()  # which of them changed in between is not known
+                self.tenants.clear()  # a snapshot does not show which tenants changed
         if (
             follower.phase not in ("loading", "following")
             or follower.now >= self.requested_at + STALL_TIMEOUT_NS
@@ -134,7 +135,7 @@
         return effects
 
     def next_deadline(self) -> int:
-        """Return when `DeadlineReached` is to be passed in, in ns."""
+        """Return the time in ns at which `DeadlineReached` must be passed in."""
         if self._can_request():
             return self.follower.now
         deadline = self.follower.next_deadline()
@@ -152,7 +153,7 @@
         return FetchTenants(keys)
 
     def _requeue_requested(self) -> None:
-        """Request first of all what will not be answered any more."""
+        """Put the keys that will not be answered on this connection at the front of those to request."""
         for key in reversed(self.requested):
             self.wanted[key] = None
             self.wanted.move_to_end(key, last=False)
@@ -183,7 +184,7 @@
 
 
 def is_encodable(key: str) -> bool:
-    """Return whether the key can go over a connection, as UTF-8."""
+    """Return whether the key can be encoded as UTF-8, and so be sent."""
     try:
         key.encode()
     except UnicodeEncodeError:
--- a/thistleline/config_feed/messages.py
+++ b/thistleline/config_feed/messages.py
@@ -1,11 +1,11 @@
-"""The messages of the config feed, as msgspec structs in the frames of `transport/codec.py`.
+"""The messages of the config feed: msgspec structs in the frames of `transport/codec.py`.
 
 A sequence number counts the changes of the whole feed: 1 is the first change, 0 the empty table. A digest
-identifies one state of a table (`config_feed/table.py`). Whatever comes from a peer is bounded in length by
-`config_feed/limits.py`.
+identifies one state of a table (`config_feed/table.py`). The limits in `config_feed/limits.py` bound the size
+of everything that a peer sends.
 
-The encoded names of classes and fields are the protocol and never change: where the Python name differs, the
-class gives the encoded one by `tag` and `rename`.
+The encoded names of classes and fields are the protocol and never change. If the Python name differs, the
+class specifies the encoded one by `tag` and `rename`.
 """
 
 from typing import Annotated, Literal
@@ -14,12 +14,12 @@
 
 Kind = Literal[
     "wide", "all"
-]  # what a follower holds: "wide" is without the tenants, which it fetches on demand
+]  # what a follower holds; "wide" excludes the tenants, which are fetched on demand
 Item = tuple[str, bytes | None]  # key and value; None deletes the key
-Version = Annotated[int, msgspec.Meta(ge=0)]  # of an entry: sequence number of the change that set it
+Version = Annotated[int, msgspec.Meta(ge=0)]  # sequence number of the change that set an entry
 ReadItem = tuple[str, bytes | None, int]  # key, value, version; None and 0 for a key that does not exist
 
-# Python names of fields -> their encoded names.
+# Encoded names of fields by their Python names.
 _ENCODED_NAMES = {
     "sequence": "number",
     "request_id": "request",
@@ -32,15 +32,15 @@
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """Some entries that take effect together or not at all; each gets the change's number as its version."""
+    """Entries that take effect atomically; the version of each is the change's sequence number."""
 
     sequence: int
-    request_id: str  # idempotency key of the proposal: the same key again is the same change
+    request_id: str  # idempotency key of the proposal: a repeated key denotes the same change
     items: tuple[Item, ...]
 
 
 class Group(msgspec.Struct, frozen=True, array_like=True):
-    """Consecutive changes that were committed together, in one record of the consensus cluster."""
+    """Consecutive changes that are committed together, in one record of the consensus cluster."""
 
     epoch: int  # fencing epoch of the lease under which it was written
     changes: tuple[Change, ...]
@@ -48,23 +48,25 @@
     digest_after: bytes  # of the whole table after the last change
 
 
-# ---- from a follower
+# ---- messages from a follower
 
 
 class Follow(msgspec.Struct, frozen=True, tag="follow", rename=_ENCODED_NAMES):
-    """Asks to follow, starting from the state `sequence`, whose digest (of this kind) is `digest`."""
+    """Asks to follow, starting from the state `sequence`, whose digest for this kind is `digest`."""
 
     id: str
     kind: Kind
     sequence: int
     digest: bytes
-    level: int = 0  # of a follower that serves others too; a source takes only followers below its own level
+    level: int = (
+        0  # of a follower that also serves others; a source accepts only followers below its own level
+    )
 
 
 class Acknowledge(msgspec.Struct, frozen=True, tag="have", rename=_ENCODED_NAMES):
-    """Says that the follower holds `sequence` now, and asks for what follows.
+    """Reports that the follower has reached `sequence`, and asks for the changes after it.
 
-    `durable` is the sequence number that a restart of the follower would find on its disk.
+    `durable` is the sequence number that the follower would recover from its disk after a restart.
     """
 
     sequence: int
@@ -85,7 +87,7 @@
 
 
 class Propose(msgspec.Struct, frozen=True, tag="propose", rename=_ENCODED_NAMES):
-    """Asks for a change. `expected`: versions that these keys must have, 0 for a key that must not exist."""
+    """Proposes a change. `expected`: required versions of keys, 0 for a key that must not exist."""
 
     request_id: str
     items: tuple[Item, ...]
@@ -93,39 +95,39 @@
 
 
 class ReadRequest(msgspec.Struct, frozen=True, tag="look"):
-    """Asks for the values of keys as the server holds them, and for the server's status."""
+    """Asks for the server's status and its values of some keys."""
 
     keys: tuple[str, ...] = ()
 
 
-# ---- from a source
+# ---- messages from a source
 
 
 class FollowAccepted(msgspec.Struct, frozen=True, tag="welcome", rename=_ENCODED_NAMES):
-    """Says how it goes on: with deltas, or with the snapshot at `sequence` in `parts` parts."""
+    """Accepts a follower; says whether deltas follow, or the snapshot at `sequence` in `parts` parts."""
 
     sequence: int
     load_snapshot: bool
     parts: int
     level: int
-    epoch: int  # of the writer's lease, as far as known
+    epoch: int  # newest epoch of the writer's lease that the sender knows
     is_writer: bool  # the sender is the writer
-    leader: str = ""  # a keeper that is not the writer names the writer here
+    leader: str = ""  # the writer, if a keeper that is not the writer sends this
     newest: int = 0  # sequence number of the sender's own state
 
 
 class FollowRejected(msgspec.Struct, frozen=True, tag="refused", rename=_ENCODED_NAMES):
-    """Rejects a follower: the source is full, not above it, or behind what the follower has."""
+    """Rejects a follower: the source is full, not at a higher level, or behind the follower's state."""
 
     reason: str
 
 
 class Delta(msgspec.Struct, frozen=True, tag="delta", rename=_ENCODED_NAMES):
-    """Leads from the state `first` to the state `last`, and is applied whole or not at all.
+    """Transforms the state `first` into the state `last`; applied atomically.
 
-    Of each key that was written between, it has the newest value and its version. `digest` is that of the
-    follower's kind at `last`. `evict_tenants`: more tenants were written than are listed here, so the
-    follower evicts those that it fetched on demand.
+    It contains the newest value and version of each key that was written between them. `digest` is that of
+    the state `last` for the follower's kind. `evict_tenants`: more tenants were written than are listed
+    here, so the follower evicts those that it fetched on demand.
     """
 
     first: int
@@ -136,7 +138,7 @@
 
 
 class SnapshotPart(msgspec.Struct, frozen=True, tag="part", rename=_ENCODED_NAMES):
-    """One part of the snapshot at `sequence`, of which nothing is visible before all parts and the digest."""
+    """One part of the snapshot at `sequence`; not visible before all parts and the digest are checked."""
 
     sequence: int
     index: int
@@ -146,34 +148,34 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag="beat", rename=_ENCODED_NAMES):
-    """Says that the source lives, its sequence number, and the digest of the follower's kind there."""
+    """Shows that the source is alive; has its sequence number and its digest for the follower's kind."""
 
     sequence: int
     digest: bytes
 
 
 class TenantEntries(msgspec.Struct, frozen=True, tag="told", rename=_ENCODED_NAMES):
-    """Answers `FetchTenants` as of `sequence`."""
+    """Answers `FetchTenants` with the entries at `sequence`."""
 
     sequence: int
     items: tuple[ReadItem, ...]
 
 
 class ProposeResult(msgspec.Struct, frozen=True, tag="proposed", rename=_ENCODED_NAMES):
-    """Answers `Propose`: `sequence` if the change is committed, else the reason why not.
+    """Answers `Propose`: the `sequence` of the committed change, or the reason why it is not committed.
 
-    `unknown`: it may be committed; proposing again with the same request id finds out.
+    `unknown`: the change may be committed; a proposal with the same request id determines whether it is.
     """
 
     request_id: str
     sequence: int = 0
     reason: str = ""
-    leader: str = ""  # the writer, if it is another one
+    leader: str = ""  # the writer, if it is another keeper
     unknown: bool = False
 
 
 class ReadResult(msgspec.Struct, frozen=True, tag="looked", rename=_ENCODED_NAMES):
-    """Answers `ReadRequest`: the server's state, its status and the values asked for."""
+    """Answers `ReadRequest`: the server's state, its status and the requested values."""
 
     sequence: int
     digest: bytes
--- a/thistleline/config_feed/snapshot.py
+++ b/thistleline/config_feed/snapshot.py
@@ -1,4 +1,7 @@
-"""Snapshots of a table, cut into parts on demand and shared by all who load them. No I/O, no clock."""
+"""Snapshots of a table, split into parts on demand and shared by all followers that load them.
+
+No I/O, no clock.
+"""
 
 from __future__ import annotations
 
@@ -7,20 +10,20 @@
 from thistleline.config_feed.messages import Kind, SnapshotPart
 from thistleline.config_feed.table import FeedTable
 
-SNAPSHOT_TTL = 60 * SECOND  # ns; a snapshot goes after so long without a request for a part
+SNAPSHOT_TTL = 60 * SECOND  # ns without a request for a part, after which a snapshot is dropped
 
 
 class Snapshot:
     """One state in parts of about `PART_SIZE` bytes.
 
-    Each part is cut when it is first asked for, in order, and kept for all who load the snapshot: beginning
-    one costs nothing, and a part costs what it holds.
+    Each part is built when it is first requested, in order, and kept for all followers that load the
+    snapshot. So starting a snapshot costs nothing, and the cost of a part depends only on the part's size.
     """
 
     __slots__ = ("_lookahead", "_remaining", "digest", "kind", "parts", "sequence")
 
     def __init__(self, table: FeedTable, kind: Kind) -> None:
-        """Begin a snapshot of what a follower of this kind holds of the table."""
+        """Start a snapshot of the sections that a follower of this kind holds."""
         self.sequence = table.sequence
         self.digest = table.digest(kind)
         self.kind = kind
@@ -29,9 +32,9 @@
         self._lookahead = next(self._remaining, None)
 
     def part(self, index: int) -> SnapshotPart | None:
-        """Return a part that was cut already, or the next one; None past the last.
+        """Return a part that was already built, or the next one; None after the last.
 
-        The `parts` of the message is 0, and in the last part how many there are.
+        The field `parts` of the message is 0, except in the last part, where it is the number of parts.
         """
         if index == len(self.parts) and (self._lookahead is not None or not index):
             self._cut()
@@ -52,34 +55,36 @@
 
 
 class SnapshotCache:
-    """The snapshot that is being loaded, one of each kind, until nobody has asked for a part for a while."""
+    """The snapshots being loaded, one of each kind; dropped after `SNAPSHOT_TTL` without use."""
 
     __slots__ = ("by_kind", "last_used_at")
 
     def __init__(self, now: int) -> None:
-        """Begin with none."""
+        """Start without snapshots."""
         self.by_kind: dict[Kind, Snapshot] = {}
         self.last_used_at = now  # ns
 
     def copy(self) -> SnapshotCache:
         """Return an independent copy.
 
-        The snapshots are shared: they only ever hold what follows from their state.
+        The snapshots themselves are shared, because their parts depend only on their immutable state.
         """
-        made = SnapshotCache(self.last_used_at)
-        made.by_kind = self.by_kind.copy()
-        return made
+        copied = SnapshotCache(self.last_used_at)
+        copied.by_kind = self.by_kind.copy()
+        return copied
 
     def state_key(self, now: int) -> tuple[tuple[tuple[str, int, bytes], ...], int]:
-        """Return the state that decides its behaviour, with the time relative to `now`."""
-        snapshots = tuple((kind, one.sequence, one.digest) for kind, one in self.by_kind.items())
+        """Return the state that determines behaviour, with the time relative to `now`."""
+        snapshots = tuple(
+            (kind, snapshot.sequence, snapshot.digest) for kind, snapshot in self.by_kind.items()
+        )
         return snapshots, self.last_used_at - now if self.by_kind else 0
 
     def for_loading(self, now: int, kind: Kind, min_sequence: int, history: History) -> Snapshot:
-        """Return the snapshot for somebody who begins to load.
+        """Return the snapshot for a follower that starts to load one.
 
-        It is the one that others load already, while a delta leads on from it and it is not older than
-        `min_sequence`; else a new one of the newest state.
+        This is the snapshot that others are loading, if a delta can be made from it and it is not older than
+        `min_sequence`; otherwise a new snapshot of the newest state.
         """
         snapshot = self.by_kind.get(kind)
         if (
@@ -93,10 +98,10 @@
         return snapshot
 
     def expiry(self) -> int:
-        """Return when `expire` has something to do, in ns."""
+        """Return the time in ns at which `expire` drops snapshots."""
         return self.last_used_at + SNAPSHOT_TTL if self.by_kind else NEVER
 
     def expire(self, now: int) -> None:
-        """Drop what has not been used for `SNAPSHOT_TTL`."""
+        """Drop the snapshots if none was used for `SNAPSHOT_TTL`."""
         if self.by_kind and now >= self.last_used_at + SNAPSHOT_TTL:
             self.by_kind.clear()
--- a/thistleline/config_feed/table.py
+++ b/thistleline/config_feed/table.py
@@ -1,15 +1,16 @@
 """The keyed table of the feed as an immutable value, with a digest of its contents. No I/O, no clock.
 
-A key begins with its section: `route/...`, `common/...` and others are held by every follower, `tenant/...`
-by an instance as far as it uses them. `made/SLOT` holds the request id of the newest change whose sequence
-number falls on that slot: the ids that deduplicate proposals are part of the replicated state, so that the
-next writer knows them; no instance holds those.
+A key begins with its section. Every follower holds `route/...`, `common/...` and other sections; an instance
+holds only those `tenant/...` entries that it uses. `made/SLOT` holds the request id of the newest change
+whose sequence number maps to that slot. The ids that deduplicate proposals are part of the replicated state,
+so that the next writer has them; no instance holds them.
 
-Entries are in persistent maps, so that one reference is one whole state: a reader sees all of a change or
-nothing of it, and a snapshot is the state at which it was begun.
+Entries are stored in persistent maps, so that one reference is one complete state: a reader sees all of a
+change or none of it, and a snapshot remains the state at which it was started.
 
-The digest of a state is the sum of the hashes of its entries (128 bits), so that updating it costs what the
-change touches. It detects lost, duplicated or mixed-up updates; it is no protection from an attacker.
+The digest of a state is the sum of the hashes of its entries (128 bits), so that the cost of an update
+depends only on the number of changed entries. It detects lost, duplicated or mixed-up updates, but does not
+protect against an attacker.
 """
 
 from collections.abc import Iterable, Iterator
@@ -22,7 +23,7 @@
 
 TENANT_PREFIX = "tenant/"
 REQUEST_PREFIX = "made/"
-PARTIAL_PREFIXES = (TENANT_PREFIX, REQUEST_PREFIX)  # sections that not every follower holds
+PARTIAL_PREFIXES = (TENANT_PREFIX, REQUEST_PREFIX)  # sections that only some followers hold
 DIGEST_SIZE = 16  # bytes
 _DIGEST_MASK = (1 << 8 * DIGEST_SIZE) - 1
 Entry = tuple[bytes, int]  # value, version
@@ -30,7 +31,7 @@
 
 
 def entry_hash(key: str, value: bytes, version: int) -> int:
-    """Return the 128-bit hash of one entry, whose sum over all entries is the digest."""
+    """Return the 128-bit hash of one entry; the digest is the sum over all entries."""
     hasher = blake2b(digest_size=DIGEST_SIZE)
     name = key.encode()
     hasher.update(len(name).to_bytes(4, "big") + name + version.to_bytes(8, "big") + value)
@@ -38,7 +39,7 @@
 
 
 class FeedTable(NamedTuple):
-    """A state of the table with all changes up to `sequence` applied; immutable, updates return a new one."""
+    """The state of the table after all changes up to `sequence`; immutable, updates return a new one."""
 
     sequence: int = 0
     wide: Entries = Map()  # entries that every follower holds
@@ -52,26 +53,26 @@
         return (total & _DIGEST_MASK).to_bytes(DIGEST_SIZE, "big")
 
     def get(self, key: str) -> Entry | None:
-        """Return value and version of a key, or None if it does not exist."""
+        """Return the value and version of a key, or None if it does not exist."""
         return (self.tenants if key.startswith(PARTIAL_PREFIXES) else self.wide).get(key)
 
     def version(self, key: str) -> int:
-        """Return the version of a key, 0 if it does not exist."""
+        """Return the version of a key; 0 if it does not exist."""
         entry = self.get(key)
         return entry[1] if entry else 0
 
     def entries(self, kind: Kind) -> Iterator[tuple[str, bytes, int]]:
-        """Yield key, value and version of all entries, in an order that is stable for this object."""
+        """Yield the key, value and version of each entry, in an order that is stable for this object."""
         for entries in (self.wide,) if kind == "wide" else (self.wide, self.tenants):
             for key, (value, version) in entries.items():
                 yield key, value, version
 
     def entry_count(self, kind: Kind) -> int:
-        """Return how many entries a follower of this kind holds."""
+        """Return the number of entries that a follower of this kind holds."""
         return len(self.wide) + (len(self.tenants) if kind == "all" else 0)
 
     def apply(self, change: Change) -> "FeedTable":
-        """Return the state after the change.
+        """Return the state after this change.
 
         Raises:
             ValueError: The change's sequence number is not the next one.
@@ -103,7 +104,7 @@
 
 
 class _SectionUpdate:
-    """A batch of writes to one map, keeping its sum of entry hashes."""
+    """A batch of writes to one map; maintains the sum of its entry hashes."""
 
     __slots__ = ("_sum", "entries")
 
