--- a/thistleline/config_feed/durability.py
+++ b/thistleline/config_feed/durability.py
@@ -37,7 +37,7 @@
         self.sequences[keeper] = sequence
         return True
 
-    def forget_others(self, keeper: str) -> None:
+    def discard_others(self, keeper: str) -> None:
         """Discard the acknowledgements of all other keepers."""
         own = self.sequences.get(keeper)
         self.sequences = {} if own is None else {keeper: own}
--- a/thistleline/config_feed/history.py
+++ b/thistleline/config_feed/history.py
@@ -28,7 +28,7 @@
     A step is one group of changes, or several merged where this table was itself updated by a delta.
     """
 
-    __slots__ = ("_cached", "_digests", "size", "steps", "table")
+    __slots__ = ("_cached_deltas", "_digests", "size", "steps", "table")
 
     def __init__(self, table: FeedTable | None = None) -> None:
         """Start with this state (by default the empty table) and no steps."""
@@ -38,7 +38,7 @@
         self._digests: dict[
             int, tuple[bytes, bytes]
         ] = {}  # digests of kind "wide" and "all" by sequence number
-        self._cached: dict[tuple[int, Kind], Delta | None] = {}
+        self._cached_deltas: dict[tuple[int, Kind], Delta | None] = {}
         self._record_digests()
 
     def copy(self) -> "History":
@@ -47,7 +47,7 @@
         copied.steps = self.steps.copy()
         copied.size = self.size
         copied._digests = dict(self._digests)
-        copied._cached = dict(self._cached)
+        copied._cached_deltas = dict(self._cached_deltas)
         return copied
 
     @property
@@ -87,7 +87,7 @@
 
     def _record_digests(self) -> None:
         self._digests[self.table.sequence] = (self.table.digest("wide"), self.table.digest("all"))
-        self._cached.clear()
+        self._cached_deltas.clear()
 
     def contains(self, sequence: int, digest: bytes, kind: Kind) -> bool:
         """Return whether a delta can be made from a follower's state to the newest.
@@ -113,26 +113,26 @@
         Returns None if a snapshot is smaller than the steps that would have to be sent. The delta is cached
         for all followers at this state.
         """
-        if (sequence, kind) not in self._cached:
-            while len(self._cached) >= CACHED_DELTAS_LIMIT:
-                del self._cached[next(iter(self._cached))]
-            self._cached[sequence, kind] = self._make_delta(sequence, kind)
-        return self._cached[sequence, kind]
+        if (sequence, kind) not in self._cached_deltas:
+            while len(self._cached_deltas) >= CACHED_DELTAS_LIMIT:
+                del self._cached_deltas[next(iter(self._cached_deltas))]
+            self._cached_deltas[sequence, kind] = self._make_delta(sequence, kind)
+        return self._cached_deltas[sequence, kind]
 
     def _make_delta(self, sequence: int, kind: Kind) -> Delta | None:
-        ahead = self._steps_after(sequence, kind)
-        if ahead is None:
+        later_steps = self._steps_after(sequence, kind)
+        if later_steps is None:
             return None
-        delta = self._merge(sequence, ahead, kind, evict_tenants=False)
+        delta = self._merge(sequence, later_steps, kind, evict_tenants=False)
         if kind == "wide" and delta.last < self.table.sequence:
             # A mass update of tenants must not delay updates of routes at every instance.
-            delta = self._merge(sequence, ahead, kind, evict_tenants=True)
+            delta = self._merge(sequence, later_steps, kind, evict_tenants=True)
         return delta
 
     def _steps_after(self, sequence: int, kind: Kind) -> list[Step] | None:
         """Return the steps after `sequence`, or None if they are larger than a snapshot."""
         size_limit = max(8 * DELTA_SIZE_LIMIT, 2 * ITEM_OVERHEAD * self.table.entry_count(kind))
-        ahead: list[Step] = []
+        later_steps: list[Step] = []
         size = 0
         for step in reversed(self.steps):
             if step.last <= sequence:
@@ -140,11 +140,11 @@
             size += step.size
             if size > size_limit:
                 return None
-            ahead.append(step)
-        ahead.reverse()
-        return ahead
+            later_steps.append(step)
+        later_steps.reverse()
+        return later_steps
 
-    def _merge(self, sequence: int, ahead: Sequence[Step], kind: Kind, evict_tenants: bool) -> Delta:
+    def _merge(self, sequence: int, later_steps: Sequence[Step], kind: Kind, evict_tenants: bool) -> Delta:
         """Merge as many steps as fit into a delta; with `evict_tenants`, tenants are left out."""
         newest: dict[str, tuple[bytes | None, int]] = {}
         size = 0
@@ -154,7 +154,7 @@
             skipped += (TENANT_PREFIX,)
         if kind == "wide":
             skipped += (REQUEST_PREFIX,)
-        for step in ahead:
+        for step in later_steps:
             items = [item for item in step.items if not item[0].startswith(skipped)]
             added = 0
             for key, value, _ in items:
--- a/thistleline/config_feed/pending_queue.py
+++ b/thistleline/config_feed/pending_queue.py
@@ -110,11 +110,11 @@
         """Iterate over the changes in the queue, oldest first."""
         return iter(self._changes)
 
-    def awaits(self, request_id: str) -> bool:
+    def is_pending(self, request_id: str) -> bool:
         """Return whether the request is in flight or in the queue."""
         return request_id in self._tickets
 
-    def join(self, ticket: Any, request_id: str) -> None:
+    def add_ticket(self, ticket: Any, request_id: str) -> None:
         """Add a ticket to a request that is in flight or in the queue."""
         self.ticket_count += 1
         self._tickets[request_id] += (ticket,)
--- a/thistleline/config_feed/record_ring.py
+++ b/thistleline/config_feed/record_ring.py
@@ -24,14 +24,16 @@
         slot: The slot of the group in flight, or else of the next group.
     """
 
-    __slots__ = ("_abandoned", "_last_sequences", "_read", "_versions", "slot")
+    __slots__ = ("_abandoned", "_last_sequences", "_read_records", "_versions", "slot")
 
     def __init__(self) -> None:
         """Start with an empty ring."""
         self.slot = 0
         self._versions = [0] * RING_SLOTS  # of the records; 0 for a record that does not exist
         self._last_sequences = [0] * RING_SLOTS  # of the last change in each record; 0 for none
-        self._read: dict[int, tuple[bytes, int]] = {}  # values and versions read during recovery, by slot
+        self._read_records: dict[
+            int, tuple[bytes, int]
+        ] = {}  # values and versions read during recovery, by slot
         # Slots and versions of writes under earlier leases whose outcome was never determined.
         self._abandoned: dict[tuple[int, int], None] = {}
 
@@ -40,7 +42,7 @@
         copied = copy(self)
         copied._versions = list(self._versions)
         copied._last_sequences = list(self._last_sequences)
-        copied._read = dict(self._read)
+        copied._read_records = dict(self._read_records)
         copied._abandoned = dict(self._abandoned)
         return copied
 
@@ -50,7 +52,7 @@
             self.slot,
             tuple(self._versions),
             tuple(self._last_sequences),
-            tuple(sorted(self._read.items())),
+            tuple(sorted(self._read_records.items())),
             tuple(self._abandoned),
         )
 
@@ -91,20 +93,20 @@
 
     def begin_recovery(self) -> None:
         """Discard the records read so far, so that all are read again."""
-        self._read.clear()
+        self._read_records.clear()
 
     def unread_slots(self) -> Iterator[int]:
         """Yield the slots whose records have not been read yet."""
         for slot in range(RING_SLOTS):
-            if slot not in self._read:
+            if slot not in self._read_records:
                 yield slot
 
     def add_record(self, slot: int, value: bytes, version: int) -> bool:
         """Add a record that was read; return whether all records have been read."""
         if not 0 <= slot < RING_SLOTS:
             return False
-        self._read.setdefault(slot, (value, version))
-        return len(self._read) == RING_SLOTS
+        self._read_records.setdefault(slot, (value, version))
+        return len(self._read_records) == RING_SLOTS
 
     def recover(self) -> tuple[Group, ...]:
         """Initialize the ring from the records that were read; return their groups, oldest first.
@@ -113,7 +115,7 @@
             RecoveryError: The records are not the newest groups of one sequence of changes.
         """
         recorded = sorted(self._decode_records(), key=lambda record: record.first)
-        self._read.clear()
+        self._read_records.clear()
         check_chain(recorded, RING_SLOTS)
         self.slot = (recorded[-1].slot + 1) % RING_SLOTS if recorded else 0
         if self.version and len(recorded) < RING_SLOTS:
@@ -121,7 +123,7 @@
         return tuple(record.group for record in recorded)
 
     def _decode_records(self) -> Iterator[RecordedGroup]:
-        for slot, (value, version) in sorted(self._read.items()):
+        for slot, (value, version) in sorted(self._read_records.items()):
             self._versions[slot] = version
             self._last_sequences[slot] = 0
             if version == 0:
--- a/thistleline/config_feed/writer.py
+++ b/thistleline/config_feed/writer.py
@@ -77,7 +77,7 @@
 Phase = Literal[OwnPhase, "settling"]
 CATCH_UP_TIMEOUT_NS = (
     30 * SECOND
-)  # without progress in catching up, after which the lease is released to others
+)  # without progress, after which the lease is released so that another keeper can try
 PENDING_SIZE_LIMIT = 8 << 20  # bytes of changes in the queue, beyond which proposals are refused
 
 
@@ -100,9 +100,9 @@
         "_effects",
         "_now",
         "_phase",
-        "_recovered",
+        "_recovered_groups",
         "_recovery_deadline",
-        "_refused",
+        "_refused_count",
         "_ring",
         "_stall_deadline",
         "committed",
@@ -133,14 +133,14 @@
         self._effects: list[WriterEffect] = []
         self._ring = RecordRing()
         self._commit = GroupCommit(self._ring)
-        self._recovered: tuple[Group, ...] = ()  # groups read from the ring, until they are replayed
+        self._recovered_groups: tuple[Group, ...] = ()  # groups read from the ring, until they are replayed
         self._recovery_deadline = NEVER  # when to repeat reads, or to give up catching up
         self._stall_deadline = (
             NEVER  # when the writer stops waiting for the keepers' disks and refuses proposals
         )
         self._catch_up_sequence = 0  # last sequence number reached in catching up
         self._committed_groups = 0
-        self._refused = 0  # number of proposals
+        self._refused_count = 0  # number of proposals
 
     def copy(self, history: History | None = None) -> FeedWriter:
         """Return an independent copy, for state space exploration.
@@ -171,7 +171,7 @@
             self.pending.state_key(),
             self._commit.state_key(),
             self._ring.state_key(),
-            self._recovered,
+            self._recovered_groups,
             (self._recovery_deadline, self._stall_deadline, self._catch_up_sequence),
         )
 
@@ -201,7 +201,7 @@
         return {
             "waiting": len(self.pending) + in_flight,
             "groups": self._committed_groups,
-            "refused": self._refused,
+            "refused": self._refused_count,
             "stopped": int(self.is_stalled),
             "kept": self.durable.majority_sequence(),
         }
@@ -257,7 +257,7 @@
         self._phase = "reading"
         self.epoch = epoch
         # Other keepers may have lost what they acknowledged under an earlier lease.
-        self.durable.forget_others(self.id)
+        self.durable.discard_others(self.id)
         self._ring.begin_recovery()
         self._read_ring()
 
@@ -271,7 +271,7 @@
             self._answer(ProposeResult(pending.change.request_id, reason=reason, unknown=True))
         self._refuse_pending(reason)
         self._phase = "standby"
-        self._recovered = ()
+        self._recovered_groups = ()
         self._recovery_deadline = NEVER
         self._stall_deadline = NEVER
 
@@ -290,7 +290,7 @@
 
     def _recover(self) -> None:
         try:
-            self._recovered = self._ring.recover()
+            self._recovered_groups = self._ring.recover()
         except RecoveryError as error:
             self._give_up(str(error))
             return
@@ -299,8 +299,8 @@
     def _resume(self) -> None:
         """Start writing if the recovered groups continue the local table; otherwise catch up first."""
         table = self.history.table
-        first = self._recovered[0].changes[0].sequence if self._recovered else 1
-        last = self._recovered[-1].changes[-1].sequence if self._recovered else 0
+        first = self._recovered_groups[0].changes[0].sequence if self._recovered_groups else 1
+        last = self._recovered_groups[-1].changes[-1].sequence if self._recovered_groups else 0
         if table.sequence > last:
             self._give_up(f"the local table is at {table.sequence}, but the cluster's records end at {last}")
         elif table.sequence < first - 1:
@@ -324,7 +324,7 @@
 
     def _start_writing(self) -> None:
         try:
-            replayed = replay_groups(self.history.table, self._recovered)
+            replayed = replay_groups(self.history.table, self._recovered_groups)
         except RecoveryError as error:
             self._give_up(str(error))
             return
@@ -333,7 +333,7 @@
         newest = self.history.table
         self.committed.load(newest)
         self.pending.clear(newest)
-        self._recovered = ()
+        self._recovered_groups = ()
         self._phase = "writing"
         self._recovery_deadline = NEVER
         self._log("writes", number=newest.sequence, steps=len(replayed))
@@ -350,8 +350,8 @@
             result = ProposeResult(request_id, self.committed[request_id])
             self._effects.append(AnswerProposal(ticket, result))
             return
-        if not reason and self.pending.awaits(request_id):
-            self.pending.join(ticket, request_id)
+        if not reason and self.pending.is_pending(request_id):
+            self.pending.add_ticket(ticket, request_id)
             return
         if not reason:
             reason = self._stall_reason() if self.is_stalled else find_faults(proposal, self.pending.newest)
@@ -359,7 +359,7 @@
             self.pending.push(ticket, proposal)
             self._start_commit()
             return
-        self._refused += 1
+        self._refused_count += 1
         result = ProposeResult(request_id[:REQUEST_ID_LENGTH_LIMIT], reason=reason)
         self._effects.append(AnswerProposal(ticket, result))
 
@@ -384,7 +384,7 @@
     def _refuse_pending(self, reason: str) -> None:
         """Refuse the changes in the queue; they were never sent to the consensus cluster."""
         for pending in self.pending:
-            self._refused += 1
+            self._refused_count += 1
             self._answer(ProposeResult(pending.change.request_id, reason=reason))
         flight = self.in_flight
         self.pending.clear(flight.changes[-1].table if flight is not None else self.history.table)
--- a/thistleline/lab/simulation/feed_mutants.py
+++ b/thistleline/lab/simulation/feed_mutants.py
@@ -262,7 +262,7 @@
 
 def _resume_without_records(self: FeedWriter) -> None:
     """Resume writing from the own state, whatever the records hold."""
-    self._recovered = ()
+    self._recovered_groups = ()
     self._start_writing()
 
 
