--- a/thistleline/config_feed/history.py
+++ b/thistleline/config_feed/history.py
@@ -35,9 +35,7 @@
         self.table = table or FeedTable()
         self.steps: deque[Step] = deque()
         self.size = 0  # bytes of all steps
-        self._digests: dict[
-            int, tuple[bytes, bytes]
-        ] = {}  # digests of kind "wide" and "all" by sequence number
+        self._digests: dict[int, tuple[bytes, bytes]] = {}  # for "wide" and "all", by sequence number
         self._cached_deltas: dict[tuple[int, Kind], Delta | None] = {}
         self._record_digests()
 
--- a/thistleline/config_feed/messages.py
+++ b/thistleline/config_feed/messages.py
@@ -12,9 +12,7 @@
 
 import msgspec
 
-Kind = Literal[
-    "wide", "all"
-]  # what a follower holds; "wide" excludes the tenants, which are fetched on demand
+Kind = Literal["wide", "all"]  # sections that a follower holds; "wide" excludes tenants, fetched on demand
 Item = tuple[str, bytes | None]  # key and value; None deletes the key
 Version = Annotated[int, msgspec.Meta(ge=0)]  # sequence number of the change that set an entry
 ReadItem = tuple[str, bytes | None, int]  # key, value, version; None and 0 for a key that does not exist
@@ -58,9 +56,7 @@
     kind: Kind
     sequence: int
     digest: bytes
-    level: int = (
-        0  # of a follower that also serves others; a source accepts only followers below its own level
-    )
+    level: int = 0  # of a follower that also serves others; must be greater than the level of the source
 
 
 class Acknowledge(msgspec.Struct, frozen=True, tag="have", rename=_ENCODED_NAMES):
@@ -117,7 +113,7 @@
 
 
 class FollowRejected(msgspec.Struct, frozen=True, tag="refused", rename=_ENCODED_NAMES):
-    """Rejects a follower: the source is full, not at a higher level, or behind the follower's state."""
+    """Rejects a follower: the source is full, not closer to the keepers, or behind the follower."""
 
     reason: str
 
--- a/thistleline/config_feed/record_ring.py
+++ b/thistleline/config_feed/record_ring.py
@@ -31,9 +31,7 @@
         self.slot = 0
         self._versions = [0] * RING_SLOTS  # of the records; 0 for a record that does not exist
         self._last_sequences = [0] * RING_SLOTS  # of the last change in each record; 0 for none
-        self._read_records: dict[
-            int, tuple[bytes, int]
-        ] = {}  # values and versions read during recovery, by slot
+        self._read_records: dict[int, tuple[bytes, int]] = {}  # values and versions in recovery, by slot
         # Slots and versions of writes under earlier leases whose outcome was never determined.
         self._abandoned: dict[tuple[int, int], None] = {}
 
--- a/thistleline/config_feed/writer.py
+++ b/thistleline/config_feed/writer.py
@@ -75,9 +75,7 @@
 
 OwnPhase = Literal["standby", "reading", "catching_up", "writing"]
 Phase = Literal[OwnPhase, "settling"]
-CATCH_UP_TIMEOUT_NS = (
-    30 * SECOND
-)  # without progress, after which the lease is released so that another keeper can try
+CATCH_UP_TIMEOUT_NS = 30 * SECOND  # without progress, before the lease is released for another keeper
 PENDING_SIZE_LIMIT = 8 << 20  # bytes of changes in the queue, beyond which proposals are refused
 
 
@@ -135,9 +133,7 @@
         self._commit = GroupCommit(self._ring)
         self._recovered_groups: tuple[Group, ...] = ()  # groups read from the ring, until they are replayed
         self._recovery_deadline = NEVER  # when to repeat reads, or to give up catching up
-        self._stall_deadline = (
-            NEVER  # when the writer stops waiting for the keepers' disks and refuses proposals
-        )
+        self._stall_deadline = NEVER  # when to stop waiting for the keepers' disks and refuse proposals
         self._catch_up_sequence = 0  # last sequence number reached in catching up
         self._committed_groups = 0
         self._refused_count = 0  # number of proposals
