--- a/thistleline/membership/__init__.py
+++ b/thistleline/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Fleet membership by gossip (SWIM with Lifeguard): who is a member, is it alive, what does it run."""
+"""Fleet membership by gossip (SWIM with Lifeguard): the members, their liveness and what each one runs."""
--- a/thistleline/membership/effects.py
+++ b/thistleline/membership/effects.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """Something new is known of a member; `previous` is None for one that was unknown."""
+    """The known record of a member has changed; `previous` is None if the member was unknown."""
 
     record: MemberRecord
     previous: MemberRecord | None
--- a/thistleline/membership/events.py
+++ b/thistleline/membership/events.py
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A datagram came from this address."""
+    """A datagram was received from this address."""
 
     address: str
     message: Message
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FactsChanged:
-    """The member itself says something new of itself."""
+    """The facts that this member publishes about itself have changed."""
 
     facts: MemberFacts
 
 
 @dataclass(frozen=True, slots=True)
 class LeaveRequested:
-    """The member is to leave the fleet and say so."""
+    """This member is to leave the fleet and announce it."""
 
 
 GossipEvent = MessageReceived | DeadlineReached | FactsChanged | LeaveRequested
--- a/thistleline/membership/gossip.py
+++ b/thistleline/membership/gossip.py
@@ -1,8 +1,8 @@
 """One member's protocol as a state machine: failure detection, dissemination and anti-entropy.
 
-No I/O and no clock; docs/design/members.md weighs the design. It is SWIM (Das, Gupta, Motivala 2002) with
+No I/O and no clock; docs/design/members.md discusses the design. It is SWIM (Das, Gupta, Motivala 2002) with
 suspicion and round-robin probes, Lifeguard's local health and confirmations (Dadgar, Phillips, Currey 2018),
-and digests that two members compare now and then, so that lost updates are found.
+and digests that pairs of members compare periodically, to detect lost updates.
 """
 
 from collections.abc import Callable
@@ -39,32 +39,32 @@
 
 MS = 1_000_000  # ns
 SECOND = 1_000_000_000  # ns
-HELPERS = 3  # members asked to ping one that does not answer
-TRANSMITS_FACTOR = 4  # an update is sent so often, times the logarithm of the fleet's size
+HELPER_COUNT = 3  # members that are asked to ping one that does not answer (SWIM's indirect probe)
+TRANSMITS_FACTOR = 4  # an update is sent this many times the decimal logarithm of the fleet's size
 DEAD_PING_EVERY = 4  # periods
 DIGEST_EVERY = 5  # periods
-SEED_EVERY = 10  # periods, after which one of the seeds that are not known to be alive is told of this member
-FORGET_AFTER = 3600 * SECOND  # until then a dead member is pinged now and then, as a partition may heal
+SEED_EVERY = 10  # periods between two Joins to a seed that is not known to be alive
+FORGET_AFTER = 3600 * SECOND  # a dead member is pinged periodically until then, as a partition may heal
 MAX_PROBES = 256
-JOIN_INTERVAL = 20 * MS  # between two Joins that are answered
+JOIN_INTERVAL = 20 * MS  # least time between two Joins that are answered
 
 
 class GossipTiming(NamedTuple):
     """Durations of the failure detector, ns."""
 
     period: int  # between two probes
-    ack_timeout: int  # for an Ack, before others are asked to ping the target
+    ack_timeout: int  # for an Ack, before other members are asked to ping the target
 
 
 class Gossip:
-    """All that one member knows and does.
+    """The protocol state machine of one member.
 
     Attributes:
-        view: What is known of all members.
-        own_record: What this member says of itself.
+        view: The known records of all members.
+        own_record: The record that this member publishes about itself.
         next_period: When the next probe period begins, ns.
-        periods: How many have begun.
-        bytes_sent: Of all messages.
+        periods: Number of probe periods that have begun.
+        bytes_sent: Total size of all messages sent.
     """
 
     def __init__(
@@ -78,13 +78,13 @@
         timing: GossipTiming,
         rng: Random,
     ) -> None:
-        """Start as a member that knows nobody else.
+        """Start as a member that knows no other member.
 
         Args:
             id: Unique in the fleet, and the same after a restart.
             address: Where this member listens.
             incarnation: Greater than any before under this id, such as the wall clock's ms at the start.
-            facts: What it says of itself.
+            facts: Facts that it publishes about itself.
             seeds: Addresses of some members to join by.
             now: Current time, ns.
             timing: Durations of the failure detector.
@@ -104,7 +104,7 @@
         self.leaving = False
         self.last_number = 0
         self.probes: dict[int, Probe] = {}
-        self.died_at: dict[str, int] = {}  # when it was known, by id of the dead
+        self.died_at: dict[str, int] = {}  # when its death became known, ns, by id of a dead member
         self.periods = 0
         self.next_period = now + self.rng.randrange(timing.period)
         self.next_join = now  # earliest time at which a Join is answered
@@ -113,13 +113,13 @@
 
     @property
     def own_record(self) -> MemberRecord:
-        """What this member says of itself."""
+        """The record that this member publishes about itself."""
         return self.view.records[self.id]
 
     # ---- events
 
     def handle(self, now: int, event: GossipEvent) -> list[GossipEffect]:
-        """Handle one event at time `now` (ns) and return what is to be done."""
+        """Handle one event at time `now` (ns) and return the effects to carry out."""
         self.now = max(self.now, now)
         match event:
             case MessageReceived(address, message):
@@ -134,7 +134,7 @@
         return effects
 
     def next_deadline(self) -> int:
-        """Return when `DeadlineReached` is to be handled, ns."""
+        """Return when the next `DeadlineReached` is to be handled, ns."""
         deadline = self.next_period
         for probe in self.probes.values():
             deadline = min(deadline, probe.deadline)
@@ -155,29 +155,29 @@
             self._put_own(own.incarnation, own.status, own.version + 1, facts)
 
     def _on_leave(self) -> None:
-        """Tell a few members at once, who tell all: no probe has to find it out."""
+        """Announce the leave to a few members at once, who spread it, so that no probe has to detect it."""
         own = self.own_record
         self.leaving = True
         self._put_own(own.incarnation, LEFT, own.version, own.facts)
         others = [record for record in self.view.live_members() if record.id != self.id]
-        for record in self.rng.sample(others, min(2 * HELPERS, len(others))):
+        for record in self.rng.sample(others, min(2 * HELPER_COUNT, len(others))):
             self._send(record.address, lambda records: Ping(0, records), self.id)
 
     # ---- sending
 
     def _send(
-        self, address: str, make: Callable[[tuple[MemberRecord, ...]], Message], first: str = ""
+        self, address: str, make_message: Callable[[tuple[MemberRecord, ...]], Message], first: str = ""
     ) -> None:
-        """Send a message with as many updates as fit; that of member `first` comes first."""
-        max_transmits = TRANSMITS_FACTOR * self._fleet_logarithm()
+        """Send a message with as many updates as fit; the record of member `first` comes first."""
+        max_transmits = TRANSMITS_FACTOR * self._fleet_size_log()
         updates = self.view.select_updates(MAX_DATAGRAM_SIZE - HEADER_SIZE, max_transmits, first)
-        self._send_message(address, make(tuple(updates)))
+        self._send_message(address, make_message(tuple(updates)))
 
     def _send_message(self, address: str, message: Message) -> None:
         self.bytes_sent += len(encode(message))
         self.effects.append(SendMessage(address, message))
 
-    def _fleet_logarithm(self) -> int:
+    def _fleet_size_log(self) -> int:
         return max(1, ceil(log(len(self.view.records) + 1, 10)))
 
     # ---- periods
@@ -205,10 +205,10 @@
         self._send(seed, Join, self.id)
 
     def _join_unknown_seed(self) -> None:
-        """Prevent islands that never hear of each other.
+        """Join by a seed that is not known to be alive, so that no permanently separate groups form.
 
-        Members that start at the same time may know some others before all seeds are up, and nobody probes a
-        member that it never knew.
+        Members that start at the same time may know some others before all seeds are up, and a member never
+        probes one that it does not know.
         """
         live = {record.address for record in self.view.live_members()}
         unknown = [seed for seed in self.seeds if seed not in live]
@@ -216,7 +216,7 @@
             self._send_join(unknown)
 
     def _ping_dead(self) -> None:
-        """Ping one of the dead, as a partition may have healed; forget those dead for long."""
+        """Ping a dead member, as a partition may have healed; remove those dead for over `FORGET_AFTER`."""
         dead = [record for record in self.view.dead_members() if record.status == DEAD]
         for record in dead:
             if self.now - self.died_at.get(record.id, self.now) > FORGET_AFTER:
@@ -242,7 +242,7 @@
         self._send(target.address, lambda records: Ping(number, records), target.id)
 
     def _on_probe_timeout(self, number: int, probe: Probe) -> None:
-        """Ask others first, as the network between may be at fault; then suspect the target."""
+        """Request indirect probes first, as the network path may be at fault; then suspect the target."""
         if probe.requester:
             del self.probes[number]
             self._send(probe.requester, lambda records: Nack(probe.requester_number, records))
@@ -256,28 +256,28 @@
             if probe.helpers:
                 return
         del self.probes[number]
-        # A member that does not even hear from its helpers may be the slow one itself.
+        # A member that gets no answer even from its helpers may itself be the slow one.
         self.health.worsen(max(1, probe.helpers - probe.nacks) if probe.helpers else 1)
         self._suspect(target, self.id)
 
     def _probe_indirectly(self, number: int, probe: Probe) -> None:
         probe.deadline = probe.period_end
         others = [record for record in self.view.live_members() if record.id not in (self.id, probe.target)]
-        helpers = self.rng.sample(others, min(HELPERS, len(others)))
+        helpers = self.rng.sample(others, min(HELPER_COUNT, len(others)))
         probe.helpers = len(helpers)
         for helper in helpers:
             self._send(helper.address, lambda records: PingRequest(number, probe.target, records))
 
     def _suspect(self, target: MemberRecord, suspected_by: str) -> None:
         if target.status == ALIVE:
-            self._learn(target.with_status(SUSPECT, suspected_by))
+            self._merge_update(target.with_status(SUSPECT, suspected_by))
         elif target.status == SUSPECT and target.id in self.suspicions:
             self._confirm_suspicion(target.id, suspected_by)
 
     def _confirm_suspicion(self, id: str, suspected_by: str) -> None:
         if self.suspicions.confirm(id, suspected_by):
             record = self.view.records[id]
-            if record.suspected_by != suspected_by:  # a further witness is to be spread
+            if record.suspected_by != suspected_by:  # spread the additional suspecting member
                 self.view.put(record.with_status(SUSPECT, suspected_by))
 
     def _end_suspicions(self) -> None:
@@ -285,26 +285,26 @@
             record = self.view.records.get(id)
             if record is None or record.status != SUSPECT:
                 self.suspicions.clear(id)
-            elif self.suspicions.is_expired(id, self.now, self._fleet_logarithm(), self.health.multiplier):
-                self._learn(record.with_status(DEAD))
+            elif self.suspicions.is_expired(id, self.now, self._fleet_size_log(), self.health.multiplier):
+                self._merge_update(record.with_status(DEAD))
 
-    # ---- what is learned
+    # ---- updates
 
-    def _learn(self, received: MemberRecord) -> None:
-        if not is_valid(received):
+    def _merge_update(self, update: MemberRecord) -> None:
+        if not is_valid(update):
             return
-        if received.id == self.id:
-            self._learn_of_itself(received)
+        if update.id == self.id:
+            self._refute_update(update)
             return
-        known = self.view.records.get(received.id)
+        known = self.view.records.get(update.id)
         if known is None:
-            self._add_member(received)
+            self._add_member(update)
             return
-        merged = merge_records(known, received)
+        merged = merge_records(known, update)
         if merged is not known:
             self._update_member(known, merged)
-        elif received.status == SUSPECT == known.status and received.incarnation == known.incarnation:
-            self._confirm_suspicion(received.id, received.suspected_by)
+        elif update.status == SUSPECT == known.status and update.incarnation == known.incarnation:
+            self._confirm_suspicion(update.id, update.suspected_by)
 
     def _add_member(self, record: MemberRecord) -> None:
         if len(self.view.records) >= MAX_MEMBERS:
@@ -339,15 +339,15 @@
             self.effects.append(WriteLog("member", fields))
         self.effects.append(MemberChanged(record, known))
 
-    def _learn_of_itself(self, received: MemberRecord) -> None:
-        """Refute that this member is suspect or dead, and outdo an earlier incarnation of itself."""
+    def _refute_update(self, update: MemberRecord) -> None:
+        """Refute a suspicion or death of this member; supersede a greater incarnation of an earlier run."""
         own = self.own_record
-        if self.leaving or received.incarnation < own.incarnation:
+        if self.leaving or update.incarnation < own.incarnation:
             return
-        if received.status != ALIVE or received.incarnation > own.incarnation:
-            if received.status == SUSPECT:
+        if update.status != ALIVE or update.incarnation > own.incarnation:
+            if update.status == SUSPECT:
                 self.health.worsen(1)
-            self._put_own(received.incarnation + 1, ALIVE, own.version + 1, own.facts)
+            self._put_own(update.incarnation + 1, ALIVE, own.version + 1, own.facts)
 
     def _put_own(self, incarnation: int, status: int, version: int, facts: MemberFacts) -> None:
         self.view.put(MemberRecord(self.id, self.address, incarnation, status, version, facts))
@@ -356,7 +356,7 @@
 
     def _on_message(self, address: str, message: Message) -> None:
         for record in message.records:
-            self._learn(record)
+            self._merge_update(record)
         if self.leaving:
             return
         match message:
@@ -396,7 +396,7 @@
         self._send_ping(target, probe)
 
     def _on_join(self, address: str) -> None:
-        # Limited in rate, as the answer is much larger than the question, whose sender may be forged.
+        # Rate-limited, as the answer is much larger than the request, whose sender address may be forged.
         if self.now >= self.next_join:
             self.next_join = self.now + JOIN_INTERVAL
             for bucket in range(BUCKETS):
@@ -418,7 +418,7 @@
             self._send_bucket(address, bucket, reply_wanted=True)
 
     def _send_bucket(self, address: str, bucket: int, reply_wanted: bool) -> None:
-        """Send all records of a bucket, in as many datagrams as it takes; the last one may want a reply."""
+        """Send all records of a bucket, in as many datagrams as needed; the last one may request a reply."""
         if not 0 <= bucket < BUCKETS:
             return
         for message in bucket_messages(bucket, self.view.bucket_records(bucket), reply_wanted):
--- a/thistleline/membership/messages.py
+++ b/thistleline/membership/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-MAX_DATAGRAM_SIZE = 1400  # bytes; fits one packet on any network
+MAX_DATAGRAM_SIZE = 1400  # bytes; fits into one packet on any network
 MAX_ID_LENGTH = 64  # characters
 MAX_TEXT_LENGTH = 64  # characters
 ALIVE, SUSPECT, DEAD, LEFT = 0, 1, 2, 3  # a greater status overrides a lesser one
@@ -14,17 +14,17 @@
 
 
 class MemberFacts(msgspec.Struct, frozen=True, array_like=True):
-    """What a member says of itself.
+    """The facts that a member publishes about itself.
 
     Attributes:
         release: The release that it runs.
         settings: Number of the settings that it runs with.
-        zone: Where it is.
-        started_wall_ms: Wall clock time of its start, for people to read and for telling which are cold.
+        zone: Zone that it is in.
+        started_wall_ms: Wall clock time of its start, for display and to detect members that are cold.
         warm: Whether it has warmed up.
         accepting: Whether it accepts work.
-        figures: Counters, as agreed with the part that reads them; 8 at most.
-        utility: Of the work that arrived and of what was finished in time, thousandths.
+        figures: Counters, whose meaning is defined by the component that reads them; 8 at most.
+        utility: Utility of the work that arrived and of the work finished in time, in thousandths.
     """
 
     release: str = ""
@@ -40,16 +40,16 @@
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
     """What one member knows of another.
 
-    Of two records the one with the greater incarnation is right; within an incarnation the graver status and
-    the facts of the greater version are.
+    Of two records the one with the greater incarnation takes precedence; within an incarnation the greater
+    status does, and the facts of the greater version.
 
     Attributes:
         id: The member's id.
-        address: Where it listens.
-        incarnation: Raised by the member itself, to refute a suspicion or as it starts anew.
+        address: Address that it listens on.
+        incarnation: Increased only by the member itself, to refute a suspicion or when it restarts.
         status: ALIVE, SUSPECT, DEAD or LEFT.
-        version: Counts the changes of its facts.
-        facts: What it says of itself.
+        version: Increased with each change of its facts.
+        facts: The facts that it publishes.
         suspected_by: Id of the member that suspects it, if any.
     """
 
@@ -83,7 +83,7 @@
 
 
 class PingRequest(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Asks the receiver to ping `target` and to pass its Ack on (SWIM's indirect probe, ping-req)."""
+    """Asks the receiver to ping `target` and to forward its Ack (SWIM's indirect probe, ping-req)."""
 
     number: int
     target: str
@@ -106,7 +106,7 @@
 
 
 class BucketRecords(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Anti-entropy: records of a bucket; with `reply_wanted` the receiver sends its own in turn."""
+    """Anti-entropy: records of a bucket; with `reply_wanted` the receiver sends its own records in return."""
 
     bucket: int
     reply_wanted: bool
@@ -114,7 +114,7 @@
 
 
 class Join(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Of a member that knows no other; answered with BucketRecords of all buckets."""
+    """Asks for all records, as a member that joins does; answered with BucketRecords of all buckets."""
 
     records: tuple[MemberRecord, ...]
 
--- a/thistleline/membership/probes.py
+++ b/thistleline/membership/probes.py
@@ -1,4 +1,4 @@
-"""The parts of failure detection: probes that wait for an answer, whom to probe next, and local health."""
+"""The parts of failure detection: pending probes, the order of probe targets, and local health."""
 
 from dataclasses import dataclass
 from random import Random
@@ -11,16 +11,16 @@
 
 @dataclass(slots=True)
 class Probe:
-    """A ping that waits for its Ack: of this member's own, or for another that requested it.
+    """A pending ping that waits for its Ack: this member's own, or one that another member requested.
 
     Attributes:
         target: Id of the member that is pinged.
         deadline: When the next step is due, ns.
-        period_end: When the probe has failed, ns.
-        helpers: How many others were asked to ping the target too.
-        nacks: How many of them answered that they are alive.
-        requester: Address of the member that requested it, empty for a probe of its own.
-        requester_number: The requester's number.
+        period_end: When the probe fails without an Ack, ns.
+        helpers: Number of members that were asked to ping the target too.
+        nacks: Number of Nacks received from them.
+        requester: Address of the member that requested the ping, empty for this member's own probe.
+        requester_number: Number of the requester's own probe.
     """
 
     target: str
@@ -33,9 +33,9 @@
 
 
 class ProbeOrder:
-    """Round robin in a random order, as SWIM has it.
+    """Round robin over the members in a random order, as in SWIM.
 
-    Each member is probed once in as many periods as there are members, so that a death is noticed in bounded
+    Each member is probed once in as many periods as there are members, so that a death is detected in bounded
     time.
     """
 
@@ -43,14 +43,14 @@
         """Start without members; the order is drawn from `rng`."""
         self.own_id = own_id
         self.rng = rng
-        self.ids: list[str] = []  # the next one is the last
+        self.ids: list[str] = []  # of the current round; the next target is the last id
 
     def insert(self, id: str) -> None:
-        """Add a member at a random place of the current round."""
+        """Add a member at a random position in the current round."""
         self.ids.insert(self.rng.randrange(len(self.ids) + 1), id)
 
     def next_target(self, view: MembershipView) -> MemberRecord | None:
-        """Return the member to probe next, None if there is no other."""
+        """Return the member to probe next, None if no other member is alive."""
         for _ in range(len(self.ids) + 1):
             if not self.ids:
                 self.ids = [record.id for record in view.live_members() if record.id != self.own_id]
@@ -64,25 +64,25 @@
 
 
 class LocalHealth:
-    """Lifeguard's local health: a member that misses many answers takes itself for the slow one.
+    """Lifeguard's local health: a member that misses many answers assumes that it is itself slow.
 
     Attributes:
-        score: 0 if well; timeouts are prolonged by as many times their length.
+        score: 0 if healthy; timeouts are multiplied by one more than the score.
     """
 
     def __init__(self) -> None:
-        """Start well."""
+        """Start healthy."""
         self.score = 0
 
     @property
     def multiplier(self) -> int:
-        """The factor of timeouts and periods."""
+        """The factor by which timeouts and periods are multiplied."""
         return self.score + 1
 
     def worsen(self, by: int) -> None:
-        """Note missed answers, or a suspicion of this member itself."""
+        """Record missed answers, or a suspicion of this member itself."""
         self.score = min(MAX_HEALTH_SCORE, self.score + by)
 
     def improve(self) -> None:
-        """Note an answer that came in time."""
+        """Record an answer that arrived in time."""
         self.score = max(0, self.score - 1)
--- a/thistleline/membership/service.py
+++ b/thistleline/membership/service.py
@@ -1,4 +1,4 @@
-"""A member as a program, or as a part of one: a UDP socket and a clock around the gossip state machine."""
+"""Runs a member, alone or as a part of a program: the gossip state machine with a UDP socket and a clock."""
 
 import os
 import signal
@@ -27,8 +27,10 @@
 from thistleline.store.clock import boot_now, wall_ms
 from thistleline.transport.address import Address, format_address, parse_address
 
-STALL = 200_000_000  # ns; after a longer one the datagrams that wait are read before the clock is heeded
-READ_TURNS = 8  # of the event loop, to read them
+STALL_THRESHOLD = (
+    200_000_000  # ns; after a longer one the waiting datagrams are read before deadlines are checked
+)
+READ_TURNS = 8  # turns of the event loop for that reading
 LEAVE_TIMEOUT = 1.0  # s
 
 
@@ -36,11 +38,11 @@
     """Runs one member."""
 
     def __init__(self, config: MembershipConfig, facts: MemberFacts, log: Callable[..., None]) -> None:
-        """Describe the member; `run` opens its socket.
+        """Create the member; `run` opens its socket.
 
         Args:
             config: Its name, address, seeds and period.
-            facts: What it says of itself at first.
+            facts: Facts that it publishes about itself at the start.
             log: Called with an event and its fields.
         """
         self.config = config
@@ -61,11 +63,11 @@
         self.socket: UDPSocket | None = None
 
     def records(self) -> list[MemberRecord]:
-        """Return what is known of all members."""
+        """Return the known records of all members."""
         return list(self.gossip.view.records.values())
 
     async def run(self) -> None:
-        """Run until cancelled, then tell others that this member leaves.
+        """Run until cancelled, then announce to other members that this one leaves.
 
         Raises:
             OSError: The address can't be listened on.
@@ -85,19 +87,19 @@
 
     async def _read(self, socket: UDPSocket) -> None:
         async for data, sender in socket:
-            # A datagram of a stranger may be anything; what is no message is ignored.
+            # An unknown sender's datagram may contain anything; one that is not a valid message is ignored.
             with suppress(msgspec.MsgspecError):
                 self.received.append(MessageReceived(format_address(sender), decode(data)))
                 self.woken.set()
 
     async def _run_gossip(self, socket: UDPSocket) -> None:
-        last_turn = boot_now()
+        last_iteration = boot_now()
         while True:
             await self._wait()
-            stalled = boot_now() - last_turn > STALL + self.config.period
+            stalled = boot_now() - last_iteration > STALL_THRESHOLD + self.config.period
             for _ in range(READ_TURNS if stalled else 1):
                 await anyio.lowlevel.checkpoint()
-            last_turn = now = boot_now()
+            last_iteration = now = boot_now()
             received, self.received = self.received, []
             effects: list[GossipEffect] = []
             for event in received:
@@ -140,7 +142,7 @@
 
 
 async def fetch_records(address: Address, timeout: float) -> list[MemberRecord]:
-    """Return what the member at this address knows of all, as far as it arrives within `timeout` seconds."""
+    """Return the records of all members that the member at `address` sends within `timeout` seconds."""
     found: dict[str, MemberRecord] = {}
     async with await anyio.create_connected_udp_socket(*address) as socket:
         with anyio.move_on_after(timeout), suppress(OSError):
--- a/thistleline/membership/suspicion.py
+++ b/thistleline/membership/suspicion.py
@@ -1,15 +1,15 @@
-"""Suspicions of members that did not answer, and when they are confirmed as dead.
+"""Suspicions of members that did not answer, and the timeout after which they are declared dead.
 
-The timeout is Lifeguard's (Dadgar, Phillips, Currey 2018): long while one member alone suspects, shorter with
-each independent confirmation, so that a member that is slow itself convinces nobody.
+The timeout is Lifeguard's (Dadgar, Phillips, Currey 2018): long while only one member suspects another, and
+shorter with each independent confirmation, so that a member that is slow itself causes no false deaths.
 """
 
 from math import log
 from typing import NamedTuple
 
-MIN_TIMEOUT_PERIODS = 4  # for each logarithm of the fleet's size
-MAX_TIMEOUT_FACTOR = 6  # times the minimum, without confirmation
-CONFIRMATIONS = 3  # independent ones that bring the timeout down to its minimum
+MIN_TIMEOUT_PERIODS = 4  # times the decimal logarithm of the fleet's size
+MAX_TIMEOUT_FACTOR = 6  # times the minimum timeout, without a confirmation
+CONFIRMATIONS = 3  # independent confirmations that reduce the timeout to its minimum
 
 
 class Suspicion(NamedTuple):
@@ -20,10 +20,10 @@
 
 
 class SuspicionTable:
-    """The suspicions that one member knows of."""
+    """The current suspicions that one member knows of."""
 
     def __init__(self, period: int) -> None:
-        """Count timeouts in probe periods of `period` ns."""
+        """Start without suspicions; timeouts are multiples of the probe period `period`, ns."""
         self.period = period
         self.suspicions: dict[str, Suspicion] = {}
 
@@ -32,7 +32,7 @@
         return id in self.suspicions
 
     def start(self, id: str, now: int, suspected_by: str) -> None:
-        """Begin a suspicion, or begin it anew."""
+        """Start a suspicion, or restart it."""
         self.suspicions[id] = Suspicion(now, frozenset((suspected_by,)))
 
     def clear(self, id: str) -> None:
@@ -47,22 +47,22 @@
         self.suspicions[id] = Suspicion(known.since, known.suspected_by | {suspected_by})
         return True
 
-    def is_expired(self, id: str, now: int, fleet_logarithm: int, health_multiplier: int) -> bool:
-        """Return whether a suspected member is to be taken for dead.
+    def is_expired(self, id: str, now: int, fleet_size_log: int, health_multiplier: int) -> bool:
+        """Return whether a suspected member is to be declared dead.
 
         Args:
             id: The suspected member.
             now: Current time, ns.
-            fleet_logarithm: Decimal logarithm of the fleet's size, at least 1.
-            health_multiplier: By which a member that is slow itself prolongs a suspicion of its own.
+            fleet_size_log: Decimal logarithm of the fleet's size, at least 1.
+            health_multiplier: Factor by which a slow member extends the timeout of an unconfirmed suspicion.
         """
         suspicion = self.suspicions[id]
-        return now - suspicion.since >= self._timeout(suspicion, fleet_logarithm, health_multiplier)
+        return now - suspicion.since >= self._timeout(suspicion, fleet_size_log, health_multiplier)
 
-    def _timeout(self, suspicion: Suspicion, fleet_logarithm: int, health_multiplier: int) -> int:
-        shortest = MIN_TIMEOUT_PERIODS * fleet_logarithm * self.period
+    def _timeout(self, suspicion: Suspicion, fleet_size_log: int, health_multiplier: int) -> int:
+        shortest = MIN_TIMEOUT_PERIODS * fleet_size_log * self.period
         longest = MAX_TIMEOUT_FACTOR * shortest
         confirmations = min(CONFIRMATIONS, len(suspicion.suspected_by) - 1)
-        part = log(confirmations + 1) / log(CONFIRMATIONS + 1)
-        timeout = int(max(shortest, longest - (longest - shortest) * part))
+        reduction = log(confirmations + 1) / log(CONFIRMATIONS + 1)
+        timeout = int(max(shortest, longest - (longest - shortest) * reduction))
         return timeout * (1 if confirmations else health_multiplier)
--- a/thistleline/membership/view.py
+++ b/thistleline/membership/view.py
@@ -1,4 +1,4 @@
-"""What one member knows of all: records by id, and which of them are still to be spread.
+"""One member's view of the fleet: records by id, and the queue of updates that are still to be spread.
 
 No I/O and no clock.
 """
@@ -16,16 +16,16 @@
 
 MAX_MEMBERS = 10_000
 MAX_FIGURES = 8
-BUCKETS = 64  # into which members are divided for anti-entropy
+BUCKETS = 64  # that the members are divided into for anti-entropy
 
 
 def bucket_of(id: str) -> int:
-    """Return the bucket of a member; the same at every member."""
+    """Return the bucket of a member id; every member computes the same."""
     return blake2b(id.encode(), digest_size=1).digest()[0] % BUCKETS
 
 
 def is_valid(record: MemberRecord) -> bool:
-    """Return whether a received record has only lengths and values that a member can have."""
+    """Return whether the lengths and values in a received record are within their limits."""
     facts = record.facts
     return (
         0 < len(record.id) <= MAX_ID_LENGTH
@@ -40,7 +40,7 @@
 
 
 def merge_records(known: MemberRecord, received: MemberRecord) -> MemberRecord:
-    """Return what both together say; `known` itself where `received` says nothing new.
+    """Return the merge of two records of a member; `known` itself if `received` adds nothing new.
 
     The result depends on neither the order nor the number of merges (it is a join of a semilattice).
     """
@@ -49,15 +49,15 @@
     if received.status <= known.status and received.version <= known.version:
         return known
     newer = received if received.version > known.version else known
-    graver = received if received.status > known.status else known
+    higher_status = received if received.status > known.status else known
     return MemberRecord(
         id=known.id,
         address=newer.address,
         incarnation=known.incarnation,
-        status=graver.status,
+        status=higher_status.status,
         version=newer.version,
         facts=newer.facts,
-        suspected_by=graver.suspected_by,
+        suspected_by=higher_status.suspected_by,
     )
 
 
@@ -65,11 +65,11 @@
     """The records of all members, with a digest of each bucket and a queue of updates to spread.
 
     Attributes:
-        records: By member id, the member's own among them.
+        records: Records by member id, including this member's own.
         buckets: Ids of the members in each bucket.
-        digests: Of each bucket: the exclusive or of its records' digests.
-        transmits: How often an update that is still to be spread was sent, by id.
-        by_transmits: The same ids by that count; in each the oldest update first.
+        digests: Digest of each bucket: the exclusive or of its records' digests.
+        transmits: Number of times that a queued update has been sent, by member id.
+        by_transmits: The same ids grouped by that count; in each group the oldest update first.
     """
 
     __slots__ = ("buckets", "by_transmits", "digests", "records", "transmits")
@@ -83,7 +83,7 @@
         self.by_transmits: list[dict[str, None]] = [{}]
 
     def put(self, record: MemberRecord) -> None:
-        """Add a record or replace the one of the same id; it is then to be spread."""
+        """Add a record or replace the one of the same id, and queue it for spreading."""
         known = self.records.get(record.id)
         bucket = bucket_of(record.id)
         if known is not None:
@@ -94,7 +94,7 @@
         self.spread(record.id)
 
     def remove(self, id: str) -> None:
-        """Forget a member."""
+        """Remove a member and its queued update."""
         record = self.records.pop(id)
         bucket = bucket_of(id)
         self.digests[bucket] ^= _digest(record)
@@ -102,23 +102,23 @@
         self.stop_spreading(id)
 
     def spread(self, id: str) -> None:
-        """Spread this member's record from the beginning."""
+        """Queue this member's record for spreading, as not sent yet."""
         self.stop_spreading(id)
         self.transmits[id] = 0
         self.by_transmits[0][id] = None
 
     def stop_spreading(self, id: str) -> None:
-        """Spread this member's record no more, if it was to be spread."""
+        """Remove this member's record from the queue of updates, if it is in it."""
         count = self.transmits.pop(id, None)
         if count is not None:
             del self.by_transmits[count][id]
 
     def select_updates(self, max_size: int, max_transmits: int, first: str = "") -> list[MemberRecord]:
-        """Return the updates to piggyback on the next message, those that were sent least first.
+        """Return the updates to piggyback on the next message, the least often sent first.
 
         Args:
-            max_size: Bytes that the records may take together.
-            max_transmits: After so many times an update is spread no more.
+            max_size: Largest total size of the records, bytes.
+            max_transmits: Number of sends after which an update leaves the queue.
             first: Id of a member whose record comes first, whether or not it is new.
         """
         selected: list[MemberRecord] = []
@@ -137,7 +137,7 @@
         return selected
 
     def _select_queued(self, max_size: int) -> list[tuple[str, int]]:
-        """Return the ids and counts of the updates that fit, up to the first that does not."""
+        """Return the ids and send counts of the queued updates, up to the first that does not fit."""
         selected: list[tuple[str, int]] = []
         for count, ids in enumerate(self.by_transmits):
             for id in ids:
@@ -149,7 +149,7 @@
         return selected
 
     def bucket_records(self, bucket: int) -> list[MemberRecord]:
-        """Return the records of a bucket, by id."""
+        """Return the records of a bucket, sorted by id."""
         return [self.records[id] for id in sorted(self.buckets[bucket])]
 
     def live_members(self) -> list[MemberRecord]:
