--- a/thistleline/cli/__init__.py
+++ b/thistleline/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line. `python -m thistleline` without words is the instance and imports none of this."""
+"""The command line. `python -m thistleline` without arguments runs a server and imports none of this."""
--- a/thistleline/cli/cluster.py
+++ b/thistleline/cli/cluster.py
@@ -1,4 +1,4 @@
-"""What the commands that talk to the lease cluster share: finding its replicas and asking them."""
+"""Shared code of the commands that use the lease cluster: locating its replicas and sending them requests."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -22,10 +22,10 @@
 
 @dataclass
 class ClusterOptions:
-    """The options that say where the replicas are, as they stand on the command line.
+    """The command line options that locate the replicas.
 
     Attributes:
-        config_path: The file of settings, if one is named.
+        config_path: Path of the settings file, if one is given.
         voters: Arguments `name=address`.
     """
 
@@ -37,7 +37,7 @@
         """The replicas' addresses: from the arguments, else from the `council voter` lines of the file.
 
         Raises:
-            InputError: An address or the file is faulty, or neither names a replica.
+            InputError: An address or the file is invalid, or neither names a replica.
         """
         addresses = parse_named_addresses(self.voters)
         if not addresses and self.config_path is not None:
@@ -45,16 +45,21 @@
             addresses = dict(settings.voter) if settings is not None else {}
         if not addresses:
             raise InputError(
-                "where are the voters? --voter name=address, or --conf with lines 'council voter'"
+                "no replica address given: use --voter name=address, or --conf with 'council voter' lines"
             )
         return addresses
 
 
 def cluster_options(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Add the options that say where the replicas are; the command gets them as `cluster`."""
+    """Add the options that locate the replicas; the command receives them as its parameter `cluster`."""
 
     @config_option
-    @click.option("--voter", "voters", multiple=True, help="name=address, once for each voter.")
+    @click.option(
+        "--voter",
+        "voters",
+        multiple=True,
+        help="Address of a replica as name=address; repeat for each replica.",
+    )
     @wraps(command)
     def with_cluster(*args: Any, conf: str | None, voters: tuple[str, ...], **options: Any) -> Any:
         return command(*args, cluster=ClusterOptions(conf, voters), **options)
@@ -63,7 +68,7 @@
 
 
 def run_with_client(replicas: Replicas, work: Callable[[LeaseClient], Awaitable[T]]) -> T:
-    """Connect a client, do the work with it in an event loop of its own, and return what it returns."""
+    """Run `work` with a lease client in a new event loop and return its result."""
 
     async def run() -> T:
         async with anyio.create_task_group() as group:
@@ -75,26 +80,26 @@
 
 
 def request(replicas: Replicas, op: Op, timeout: float = REQUEST_TIMEOUT) -> Answer:
-    """Return what the cluster decides.
+    """Send a request to the cluster and return its decision.
 
     Args:
-        replicas: Those of the cluster that may be asked.
+        replicas: Replicas of the cluster that the request may be sent to.
         op: The request.
-        timeout: Seconds until it must be decided.
+        timeout: Seconds within which it must be decided.
 
     Raises:
         click.ClickException: The request was denied, or not decided in time.
     """
     answer = run_with_client(replicas, lambda client: client.request_until_decided(op, timeout))
     if isinstance(answer, Unavailable):
-        raise click.ClickException(f"no voter decides: {answer.reason}")
+        raise click.ClickException(f"the consensus cluster did not decide the request: {answer.reason}")
     if isinstance(answer, Denied):
         raise click.ClickException(answer.reason)
     return answer
 
 
 def request_as(expected: type[AnswerType], replicas: Replicas, op: Op) -> AnswerType:
-    """Return what the cluster decides, where a request can have only one type of answer.
+    """Send a request that has only one type of answer to the cluster and return its decision.
 
     Raises:
         click.ClickException: The request was denied, or not decided in time.
@@ -105,7 +110,7 @@
 
 
 def read_record(replicas: Replicas, key: str) -> Got:
-    """Return a record of the cluster; its version is 0 where there is none.
+    """Read a record from the cluster; its version is 0 if the record does not exist.
 
     Raises:
         click.ClickException: The cluster does not answer.
@@ -114,18 +119,18 @@
 
 
 def request_statuses(replicas: Replicas) -> dict[str, Answer]:
-    """Ask each replica for its own view of the cluster, all at once."""
+    """Request each replica's own view of the cluster, from all replicas concurrently."""
 
     async def run() -> dict[str, Answer]:
         answers: dict[str, Answer] = {}
         async with anyio.create_task_group() as group:
 
-            async def ask(name: str) -> None:
+            async def request_status(name: str) -> None:
                 answers[name] = await LeaseClient({name: replicas[name]}, group).request(GetStatus())
 
-            async with anyio.create_task_group() as asking:
+            async with anyio.create_task_group() as requests:
                 for name in replicas:
-                    asking.start_soon(ask, name)
+                    requests.start_soon(request_status, name)
             group.cancel_scope.cancel()
         return answers
 
@@ -133,5 +138,5 @@
 
 
 def answer_text(answer: Answer) -> str:
-    """Return what an answer says, for people to read."""
+    """Return an answer as human-readable text."""
     return answer.text if isinstance(answer, Done) else str(answer)
--- a/thistleline/cli/common.py
+++ b/thistleline/cli/common.py
@@ -1,4 +1,4 @@
-"""What commands share: errors, options, settings, results and log lines on standard output."""
+"""Shared code of the commands: errors, options, settings, results and log lines on standard output."""
 
 import datetime
 import json
@@ -20,28 +20,35 @@
 Result = TypeVar("Result")
 
 config_option = click.option(
-    "--conf", envvar="THISTLELINE_CONF", type=click.Path(), help="The file of settings."
+    "--conf",
+    envvar="THISTLELINE_CONF",
+    type=click.Path(),
+    help="Settings file; defaults to THISTLELINE_CONF.",
 )
 required_config_option = click.option(
-    "--conf", envvar="THISTLELINE_CONF", type=click.Path(), required=True, help="The settings."
+    "--conf",
+    envvar="THISTLELINE_CONF",
+    type=click.Path(),
+    required=True,
+    help="Settings file; defaults to THISTLELINE_CONF.",
 )
 json_option = click.option("--json", "as_json", is_flag=True)
 
 
 class InputError(click.ClickException):
-    """An argument, a file or a folder that the caller has to correct; exit code 2."""
+    """An invalid argument, file or folder, which the caller has to correct; exit code 2."""
 
     exit_code = 2
 
 
 def load_config(path: str | None) -> ProgramConfig:
-    """Read a file of settings.
+    """Read a settings file.
 
     Raises:
-        InputError: There is no path, or the file has faults; the message has a line for each.
+        InputError: No path is given, or the file has faults; the message has a line for each fault.
     """
     if path is None:
-        raise InputError("--conf names no file")
+        raise InputError("no settings file given: use --conf or THISTLELINE_CONF")
     try:
         return read_config(path)
     except ConfigError as error:
@@ -65,20 +72,20 @@
 
 
 def os_error_text(error: OSError) -> str:
-    """Return the system's words for an error, or the error's own."""
+    """Return the operating system's description of an error, or the error's own text if there is none."""
     return str(error.strerror or error)
 
 
 @contextmanager
 def service_errors(resources: object) -> Iterator[None]:
-    """Turn the errors that end a service into those of a command.
+    """Convert errors that end a service into errors of the command.
 
     Args:
         resources: The folder and address that the service uses, for the message.
 
     Raises:
-        InputError: Another program has the folder.
-        click.ClickException: The operating system refused something.
+        InputError: Another program has locked the folder.
+        click.ClickException: The operating system reported an error.
     """
     try:
         yield
@@ -105,8 +112,8 @@
 
 def format_wall_time(wall_ms: int) -> str:
     """Return a wall clock time, given in ms, as ISO 8601 in UTC."""
-    moment = datetime.datetime.fromtimestamp(wall_ms / 1000, datetime.UTC)
-    return moment.isoformat(timespec="milliseconds")
+    utc_time = datetime.datetime.fromtimestamp(wall_ms / 1000, datetime.UTC)
+    return utc_time.isoformat(timespec="milliseconds")
 
 
 async def cancel_on_signal(scope: anyio.CancelScope) -> None:
@@ -121,7 +128,7 @@
     """Return a function that logs an event with its fields as one JSON line on standard output.
 
     Args:
-        name: Of the process, in every line.
+        name: Name of the process, added to every line.
     """
     structlog.configure(
         processors=[structlog.processors.TimeStamper(fmt="iso"), structlog.processors.JSONRenderer()],
@@ -131,7 +138,7 @@
     logger = structlog.get_logger().bind(name=name)
 
     def log(event: str, **fields: Any) -> None:
-        with suppress(OSError):  # nobody reads standard output any more
+        with suppress(OSError):  # a closed standard output must not end the service
             logger.info(event, **fields)
 
     return log
--- a/thistleline/cli/consensus.py
+++ b/thistleline/cli/consensus.py
@@ -1,4 +1,4 @@
-"""`thistleline council`: run a replica, ask the cluster, change its members."""
+"""`thistleline council`: run a replica, query the consensus cluster, change its members."""
 
 import os
 from typing import Any
@@ -31,7 +31,7 @@
 
 
 class MemberAddress(msgspec.Struct, frozen=True):
-    """A member of the cluster, as `members` prints it."""
+    """A voting member of the cluster, as `members` prints it."""
 
     id: str
     address: str
@@ -41,7 +41,7 @@
 @config_option
 @click.pass_context
 def council(context: click.Context, conf: str | None) -> None:
-    """Run a voter in the foreground; with a word, ask or change the council."""
+    """Run a replica of the consensus cluster in the foreground; subcommands query or change the cluster."""
     if context.invoked_subcommand is None:
         _run_replica(conf)
 
@@ -50,7 +50,7 @@
     settings = load_config(config_path).council
     if settings is None or settings.folder is None or settings.listen is None or settings.name is None:
         raise InputError(
-            f"{config_path}: a voter wants 'council folder', 'council name' and 'council listen'"
+            f"{config_path}: a replica requires 'council folder', 'council name' and 'council listen'"
         )
     from thistleline.lease.service import run
     from thistleline.store.frames import CorruptFrameError
@@ -60,37 +60,37 @@
             run(settings, json_logger(settings.name))
     except CorruptFrameError as error:
         raise InputError(
-            f"{error}\nwhat this voter has promised is not known. Move the folder away, start it empty, "
-            "'council add' it and 'council remove' its old id"
+            f"{error}\nthe votes and acknowledgements of this replica are unknown. Move the folder away, "
+            "start the replica with an empty folder, 'council add' it and 'council remove' its old id"
         ) from error
 
 
 @council.command()
 @cluster_options
 def form(cluster: ClusterOptions) -> None:
-    """Make a council of voters that are all empty; once, by hand."""
+    """Form a consensus cluster of replicas that are all empty; done once, by an operator."""
     replicas = cluster.replicas
     statuses = _statuses_of_all(replicas)
     formed = sorted(name for name, status in statuses.items() if status.cluster)
     if formed:
-        raise click.ClickException(f"{', '.join(formed)} has a council already")
+        raise click.ClickException(f"{', '.join(formed)} already belongs to a consensus cluster")
     members = tuple(sorted((status.id, format_address(replicas[name])) for name, status in statuses.items()))
-    order = CreateCluster(os.urandom(8).hex(), members)
+    creation = CreateCluster(os.urandom(8).hex(), members)
     for name in replicas:
-        request({name: replicas[name]}, order)
-    click.echo(f"council {order.cluster}: {', '.join(id for id, _ in members)}")
+        request({name: replicas[name]}, creation)
+    click.echo(f"council {creation.cluster}: {', '.join(id for id, _ in members)}")
 
 
 @council.command()
 @cluster_options
 @json_option
 def status(cluster: ClusterOptions, as_json: bool) -> None:
-    """How each voter sees itself; exit code 1 if none leads."""
+    """Print each replica's own status; exit code 1 if no replica is the leader."""
     answers = request_statuses(cluster.replicas)
     for name, answer in sorted(answers.items()):
         fields = {"voter": name, **msgspec.to_builtins(answer)}
         is_status = isinstance(answer, ReplicaStatus)
-        print_result(fields, as_json, _format_status if is_status else _format_silence)
+        print_result(fields, as_json, _format_status if is_status else _format_no_status)
     if not any(_is_leading(answer) for answer in answers.values()):
         raise SystemExit(1)
 
@@ -103,7 +103,7 @@
     return "  ".join(f"{name} {fields[name]}" for name in STATUS_FIELDS)
 
 
-def _format_silence(fields: dict[str, Any]) -> str:
+def _format_no_status(fields: dict[str, Any]) -> str:
     return f"voter {fields['voter']}  {fields.get('why', fields)}"
 
 
@@ -111,13 +111,13 @@
 @cluster_options
 @json_option
 def members(cluster: ClusterOptions, as_json: bool) -> None:
-    """Who votes, as the leader knows it."""
+    """List the voting members of the cluster, as known to its leader."""
     statuses = _statuses(request_statuses(cluster.replicas)).values()
     leaders = [status for status in statuses if _is_leading(status)]
     if not leaders:
-        raise click.ClickException("nobody leads")
-    newest = max(leaders, key=lambda status: status.term)
-    for id, address in newest.members:
+        raise click.ClickException("no replica is the leader")
+    current_leader = max(leaders, key=lambda status: status.term)
+    for id, address in current_leader.members:
         print_result(MemberAddress(id, address), as_json, lambda member: f"{member.id}  {member.address}")
 
 
@@ -125,7 +125,7 @@
 @cluster_options
 @click.argument("address")
 def add(cluster: ClusterOptions, address: str) -> None:
-    """Let the empty voter at ADDRESS vote, once it has caught up."""
+    """Add the empty replica at ADDRESS as a voting member, once it has caught up."""
     replicas = cluster.replicas
     try:
         joining = _statuses_of_all({"it": parse_address(address)})["it"]
@@ -139,7 +139,7 @@
 @cluster_options
 @click.argument("id")
 def remove(cluster: ClusterOptions, id: str) -> None:
-    """Let the voter ID vote no more."""
+    """Remove the replica ID from the voting members."""
     answer = request(cluster.replicas, ChangeReplicas("remove", id))
     click.echo(f"{id}: {answer_text(answer)}")
 
@@ -149,15 +149,15 @@
 
 
 def _statuses_of_all(replicas: Replicas) -> dict[str, ReplicaStatus]:
-    """Return the view of each replica.
+    """Return the status of every replica.
 
     Raises:
         click.ClickException: One of them does not answer.
     """
     answers = request_statuses(replicas)
-    silent = [
+    unanswered = [
         f"{name}: {answer.reason}" for name, answer in answers.items() if isinstance(answer, Unavailable)
     ]
-    if silent:
-        raise click.ClickException("; ".join(silent))
+    if unanswered:
+        raise click.ClickException("; ".join(unanswered))
     return _statuses(answers)
--- a/thistleline/cli/feed.py
+++ b/thistleline/cli/feed.py
@@ -1,4 +1,4 @@
-"""`thistleline feed`: run a keeper or a relay, change the feed, read and follow it."""
+"""`thistleline feed`: run a keeper or relay of the config feed, change the feed, read and follow it."""
 
 import os
 import sys
@@ -37,7 +37,7 @@
 from thistleline.config_feed.operations import export_table, read_each
 from thistleline.config_feed.table import REQUEST_PREFIX, FeedTable
 
-MAX_KEYS = 100  # asked for at once
+MAX_KEYS = 100  # in one read request
 
 
 class EntrySummary(msgspec.Struct, frozen=True):
@@ -45,9 +45,9 @@
 
     Attributes:
         key: Its key.
-        version: Number of the change that set it; 0 where it is not there.
-        number: Number of the state that was read.
-        value: The decoded value; None where it is not there.
+        version: Sequence number of the change that set it; 0 if the entry does not exist.
+        number: Sequence number of the state that was read.
+        value: The decoded value; None if the entry does not exist.
     """
 
     key: str
@@ -60,9 +60,9 @@
     """A state of the feed, as `follow` prints it.
 
     Attributes:
-        number: Number of its last change.
+        number: Sequence number of its last change.
         digest: Digest of the followed sections, hexadecimal.
-        touched: Keys that changed since the state before; None where all of it was loaded anew.
+        touched: Keys that changed since the previous state; None if the whole state was loaded again.
     """
 
     number: int
@@ -74,7 +74,7 @@
 @config_option
 @click.pass_context
 def feed(context: click.Context, conf: str | None) -> None:
-    """Run a keeper or a relay in the foreground; with a word, change or look at what the feed carries."""
+    """Run a keeper or relay of the config feed in the foreground; subcommands change or read the feed."""
     if context.invoked_subcommand is None:
         _serve(conf)
 
@@ -82,7 +82,7 @@
 @feed.command()
 @config_option
 def serve(conf: str | None) -> None:
-    """Run a keeper or a relay in the foreground."""
+    """Run a keeper or relay of the config feed in the foreground."""
     _serve(conf)
 
 
@@ -90,7 +90,9 @@
     config = load_config(config_path)
     settings = config.feed
     if settings is None or settings.role is None or settings.name is None:
-        raise InputError(f"{config_path}: a keeper or a relay wants 'feed role', and what goes with it")
+        raise InputError(
+            f"{config_path}: a keeper or relay requires 'feed name', 'feed role' and the settings of its role"
+        )
     from thistleline.config_feed.service import run
 
     resources = ", ".join(str(resource) for resource in (settings.folder, settings.listen) if resource)
@@ -106,7 +108,7 @@
 @click.argument("keys", nargs=-1, required=True)
 @json_option
 def get(servers: ServerOptions, keys: tuple[str, ...], as_json: bool) -> None:
-    """Entries as the one that stands furthest holds them; exit code 1 if one is not there."""
+    """Print the entries of KEYS from the server with the newest state. Exit code 1 if one does not exist."""
     addresses = servers.find("up", "keeper")
     faults = encoding_faults(keys)
     if faults:
@@ -122,13 +124,13 @@
 
 
 def _read_in_pages(servers: Servers, keys: tuple[str, ...]) -> Iterator[ReadResult]:
-    """Yield answers that together cover the keys, in order; a server may send fewer than asked for."""
+    """Yield answers that together cover the keys, in order; a server may send fewer than requested."""
     for start in range(0, len(keys), MAX_KEYS):
         remaining = keys[start : start + MAX_KEYS]
         while remaining:
             _, newest = read_newest(servers, remaining)
             if not newest.items:
-                raise click.ClickException(f"{remaining[0]} is not told")
+                raise click.ClickException(f"{remaining[0]}: the server returned no entry")
             yield newest
             remaining = remaining[len(newest.items) :]
 
@@ -142,7 +144,7 @@
 
 
 def _format_entry(entry: EntrySummary) -> str:
-    value = "not there" if entry.value is None else orjson.dumps(entry.value).decode()
+    value = "does not exist" if entry.value is None else orjson.dumps(entry.value).decode()
     return f"{entry.key}  version {entry.version}  {value}"
 
 
@@ -150,17 +152,19 @@
 @server_options
 @json_option
 def status(servers: ServerOptions, as_json: bool) -> None:
-    """How each keeper and relay stands; exit code 1 if keepers are asked and none writes."""
+    """Print the status of each keeper or relay; exit code 1 if keepers are queried and none is the writer."""
     addresses = servers.find("keeper", "up")
     answers = anyio.run(read_each, addresses)
     for name, answer in sorted(answers.items()):
         if answer is None:
-            print_result({"name": name, "why": "no answer"}, as_json, _format_silence)
+            print_result({"name": name, "why": "no answer"}, as_json, _format_no_answer)
         else:
             print_result(_status_fields(name, answer), as_json, format_fields)
     known = [answer for answer in answers.values() if answer is not None]
-    asked_keepers = len(known) < len(addresses) or any(answer.counters.get("level") == 0 for answer in known)
-    if asked_keepers and not any(answer.is_writer for answer in known):
+    keepers_queried = len(known) < len(addresses) or any(
+        answer.counters.get("level") == 0 for answer in known
+    )
+    if keepers_queried and not any(answer.is_writer for answer in known):
         raise SystemExit(1)
 
 
@@ -176,41 +180,49 @@
     }
 
 
-def _format_silence(fields: dict[str, str]) -> str:
+def _format_no_answer(fields: dict[str, str]) -> str:
     return f"{fields['name']}  no answer"
 
 
 @feed.command()
 @server_options
-@click.option("--span", type=timeout_type, default=60.0, show_default=True, help="Seconds for all of it.")
+@click.option(
+    "--span",
+    type=timeout_type,
+    default=60.0,
+    show_default=True,
+    help="Timeout of the whole export, in seconds.",
+)
 def export(servers: ServerOptions, span: float) -> None:
-    """All entries of one state, a JSON line each, as `put --file` reads them."""
+    """Print all entries of one state as JSON lines, in the format that `put --file` reads."""
     addresses = servers.find("up", "keeper")
     name, _ = read_newest(addresses)
     table = anyio.run(export_table, {name: addresses[name]}, span)
     if table is None:
-        raise click.ClickException(f"it is not here in {span:g} s")
+        raise click.ClickException(f"the server sent no complete state within {span:g} s")
     _write_entries(table)
     click.echo(f"number {table.sequence}, digest {table.digest('all').hex()}", err=True)
 
 
 def _write_entries(table: FeedTable) -> None:
-    """Write all entries that can be put, as JSON lines, to standard output."""
+    """Write all entries that `put` accepts, as JSON lines, to standard output."""
     out = sys.stdout.buffer
     for key, value, version in table.entries("all"):
         if key.startswith(REQUEST_PREFIX):
-            continue  # the writer's own records of requests can't be put
-        head = orjson.dumps({"key": key, "version": version})[:-1]
-        out.write(head + b',"value":' + value + b"}\n")
+            continue  # the writer's own records of requests are not accepted by `put`
+        json_start = orjson.dumps({"key": key, "version": version})[:-1]
+        out.write(json_start + b',"value":' + value + b"}\n")
 
 
 @feed.command()
 @server_options
-@click.option("--folder", type=click.Path(file_okay=False, path_type=Path), help="Keep the last state there.")
-@click.option("--until", type=int, default=None, help="End once this number is reached.")
+@click.option(
+    "--folder", type=click.Path(file_okay=False, path_type=Path), help="Folder that stores the last state."
+)
+@click.option("--until", type=int, default=None, help="Exit once this sequence number is reached.")
 @json_option
 def follow(servers: ServerOptions, folder: Path | None, until: int | None, as_json: bool) -> None:
-    """As an instance does; a line for each state: its number, its digest, what was touched."""
+    """Follow the feed as a server does; prints each state's number, digest and changed keys in one line."""
     addresses = servers.find("up", "keeper")
 
     def print_state(table: FeedTable, items: Items | None) -> None:
--- a/thistleline/cli/feed_change.py
+++ b/thistleline/cli/feed_change.py
@@ -24,16 +24,16 @@
 
 
 class ChangeParser:
-    """Collects what is to be changed from a command's arguments, with every fault in them.
+    """Collects the changes that a command's arguments describe, and every fault in the arguments.
 
     Attributes:
-        items: Keys with their new values as compact JSON, None for one to be deleted.
-        expected: Keys with the versions that they must have.
-        faults: What is wrong with the arguments, a line each.
+        items: Keys with their new values as compact JSON; None deletes the key.
+        expected: Keys with the versions that they must have for the change to be made.
+        faults: Descriptions of the faults in the arguments, one line each.
     """
 
     def __init__(self) -> None:
-        """Start with nothing to change."""
+        """Start without changes."""
         self.items: list[Item] = []
         self.expected: list[tuple[str, int]] = []
         self.faults: list[str] = []
@@ -43,7 +43,7 @@
         for argument in arguments:
             key, separator, value = argument.partition("=")
             if not separator:
-                self.faults.append(f"{argument!r} is no KEY=JSON")
+                self.faults.append(f"{argument!r} is not of the form KEY=JSON")
                 continue
             try:
                 self.items.append((key, orjson.dumps(orjson.loads(value.encode()))))
@@ -51,7 +51,7 @@
                 self.faults.append(f"{key}: {error}")
 
     def add_deletions(self, keys: tuple[str, ...]) -> None:
-        """Add keys that are to be deleted."""
+        """Add keys to delete."""
         self.items += [(key, None) for key in keys]
 
     def add_expectations(self, arguments: tuple[str, ...]) -> None:
@@ -60,12 +60,12 @@
             key, _, version = argument.rpartition("=")
             is_number = version.isascii() and version.isdecimal() and len(version) <= MAX_VERSION_DIGITS
             if not key or not is_number:
-                self.faults.append(f"{argument!r} is no KEY=VERSION")
+                self.faults.append(f"{argument!r} is not of the form KEY=VERSION")
             else:
                 self.expected.append((key, int(version)))
 
     def add_file(self, path: Path) -> None:
-        """Add the entries of a file: in each line a JSON object with `key` and `value`, null to delete.
+        """Add the entries of a file: each line is a JSON object with `key` and `value`; null deletes the key.
 
         Raises:
             InputError: The file is too large or can't be read.
@@ -74,50 +74,59 @@
             if line.strip():
                 self._add_line(f"{path}:{number}", line)
 
-    def _add_line(self, place: str, line: bytes) -> None:
+    def _add_line(self, location: str, line: bytes) -> None:
         try:
             entry = orjson.loads(line)
         except orjson.JSONDecodeError as error:
-            self.faults.append(f"{place}: {error}")
+            self.faults.append(f"{location}: {error}")
             return
         if not isinstance(entry, dict) or not isinstance(entry.get("key"), str) or "value" not in entry:
-            self.faults.append(f"{place}: an object with 'key' and 'value' is wanted")
+            self.faults.append(f"{location}: expected an object with 'key' and 'value'")
             return
         value = entry["value"]
         self.items.append((entry["key"], None if value is None else orjson.dumps(value)))
 
     def check(self, request_id: str, in_parts: bool) -> None:
-        """Add the faults of the change as a whole."""
+        """Check the change as a whole and add its faults."""
         item_keys = [key for key, _ in self.items]
         expected_keys = [key for key, _ in self.expected]
         self.faults += encoding_faults((request_id, *item_keys, *expected_keys))
         if not self.items and not self.faults:
-            self.faults.append("there is nothing to change: KEY=JSON, --delete or --file")
+            self.faults.append("nothing to change: give KEY=JSON, --delete or --file")
         if in_parts and self.expected:
-            self.faults.append("--expect counts for one change, not for --in-parts")
+            self.faults.append("--expect applies to a single change and can't be combined with --in-parts")
 
 
 def _read_lines(path: Path) -> list[bytes]:
     try:
         if path.stat().st_size > MAX_FILE_SIZE:
-            raise InputError(f"{path}: more than {MAX_FILE_SIZE} bytes")
+            raise InputError(f"{path}: the file is larger than {MAX_FILE_SIZE} bytes")
         return path.read_bytes().splitlines()
     except OSError as error:
         raise InputError(f"{path}: {error.strerror}") from error
 
 
 @click.command(
-    help="""One change: all of its entries count from one moment on, or none. Exit code 1 if it is refused, or
-    it is not known whether it was made."""
+    help="""Propose one change: all of its entries take effect together, or none does. Exit code 1 if it is
+    refused, or if it is unknown whether it was made."""
 )
 @server_options
 @click.argument("entries", nargs=-1, metavar="KEY=JSON ...")
-@click.option("--delete", multiple=True, metavar="KEY", help="Take the entry away.")
-@click.option("--expect", multiple=True, metavar="KEY=VERSION", help="Only if it has it; 0: not there.")
-@click.option("--file", type=click.Path(dir_okay=False, path_type=Path), help="Entries as of `export`.")
-@click.option("--in-parts", is_flag=True, help="As many changes as it takes, each within the bounds.")
-@click.option("--request", default="", help="The same again is the same change; made if not told.")
-@click.option("--span", type=timeout_type, default=10.0, show_default=True, help="Seconds to be sure.")
+@click.option("--delete", multiple=True, metavar="KEY", help="Delete the entry of KEY.")
+@click.option(
+    "--expect",
+    multiple=True,
+    metavar="KEY=VERSION",
+    help="Make the change only if KEY has VERSION; 0 for no entry.",
+)
+@click.option(
+    "--file", type=click.Path(dir_okay=False, path_type=Path), help="Entries as `export` prints them."
+)
+@click.option("--in-parts", is_flag=True, help="Split into as many changes as the limits require.")
+@click.option(
+    "--request", default="", help="Request id, by which a retry is not made twice; random by default."
+)
+@click.option("--span", type=timeout_type, default=10.0, show_default=True, help="Timeout in seconds.")
 @json_option
 def put(
     servers: ServerOptions,
@@ -130,7 +139,7 @@
     span: float,
     as_json: bool,
 ) -> None:
-    """Propose one change, or, in parts, as many as the limits of a change ask for."""
+    """Propose one change or, with `--in-parts`, as many as the limits of a change require."""
     change = ChangeParser()
     change.add_entries(entries)
     change.add_deletions(delete)
@@ -147,11 +156,11 @@
 
 
 def _proposals(request_id: str, change: ChangeParser, in_parts: bool) -> list[Propose]:
-    """Return the changes to propose; those in parts have numbered request ids."""
+    """Return the changes to propose; the parts of a split change have numbered request ids."""
     if not in_parts:
         return [Propose(request_id, tuple(change.items), tuple(change.expected))]
     return [
-        Propose(f"{request_id}.{place}", part, ()) for place, part in enumerate(split_items(change.items))
+        Propose(f"{request_id}.{index}", part, ()) for index, part in enumerate(split_items(change.items))
     ]
 
 
@@ -159,15 +168,15 @@
     """Propose one change and print its number.
 
     Raises:
-        click.ClickException: It was refused, or it is not known whether it was made.
+        click.ClickException: The change was refused, or it is unknown whether it was made.
     """
     answer = anyio.run(propose, keepers, proposal, timeout)
     if as_json or answer.sequence:
-        print_result(answer, as_json, lambda made: f"change {made.sequence}")
+        print_result(answer, as_json, lambda result: f"change {result.sequence}")
     if answer.unknown:
         raise click.ClickException(
-            f"it is not known whether it was made: {answer.reason}\n"
-            f"the same again with --request {request_id} finds out"
+            f"it is unknown whether the change was made: {answer.reason}\n"
+            f"repeat the command with --request {request_id} to find out"
         )
     if not answer.sequence:
         raise click.ClickException(answer.reason)
--- a/thistleline/cli/feed_servers.py
+++ b/thistleline/cli/feed_servers.py
@@ -1,4 +1,4 @@
-"""Which keepers and relays a command on the feed asks, and what the newest of them holds."""
+"""Selecting the keepers and relays that a feed command queries, and reading the newest of their states."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -21,10 +21,10 @@
 
 @dataclass(frozen=True)
 class ServerOptions:
-    """The options that say whom to ask, as they stand on the command line.
+    """The command line options that select the servers to query.
 
     Attributes:
-        config_path: The file of settings, if one is named.
+        config_path: Path of the settings file, if one is given.
         at: Arguments `name=address`.
     """
 
@@ -35,10 +35,10 @@
         """Return addresses by name: from the arguments, else from the `feed` lines of the file.
 
         Args:
-            roles: Names of such lines; the first of which there are any counts.
+            roles: Names of `feed` lines, in order of preference; only the first name with any lines is used.
 
         Raises:
-            InputError: An address or the file is faulty, or neither names a server.
+            InputError: An address or the file is invalid, or neither names a server.
         """
         servers = parse_named_addresses(self.at)
         if not servers and self.config_path is not None:
@@ -47,15 +47,15 @@
                 servers = servers or dict(getattr(settings, role))
         if not servers:
             lines = " or ".join(f"'feed {role}'" for role in roles)
-            raise InputError(f"who is to be asked? --at name=address, or --conf with lines {lines}")
+            raise InputError(f"no server to query: use --at name=address, or --conf with lines {lines}")
         return servers
 
 
 def server_options(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Add the options that say whom to ask; the command gets them as `servers`."""
+    """Add the options that select the servers; the command receives them as its parameter `servers`."""
 
     @config_option
-    @click.option("--at", multiple=True, help="name=address of one to ask, once for each.")
+    @click.option("--at", multiple=True, help="Address of a server to query as name=address; repeatable.")
     @wraps(command)
     def with_servers(*args: Any, conf: str | None, at: tuple[str, ...], **options: Any) -> Any:
         return command(*args, servers=ServerOptions(conf, at), **options)
@@ -64,14 +64,14 @@
 
 
 def encoding_faults(arguments: tuple[str, ...]) -> list[str]:
-    """Return a fault for each argument that is not UTF-8, as such can't be sent."""
-    return [f"{argument!r} is no text" for argument in arguments if not is_encodable(argument)]
+    """Return a fault for each argument that is not valid UTF-8, as it can't be sent."""
+    return [f"{argument!r} is not valid UTF-8" for argument in arguments if not is_encodable(argument)]
 
 
 def read_newest(servers: Servers, keys: tuple[str, ...] = ()) -> tuple[str, ReadResult]:
-    """Ask all servers; return the name and the answer of the one with the newest state.
+    """Query all servers; return the name and the answer of the one with the newest state.
 
-    One that was cut off from the others must not answer for them.
+    All are queried because a server that was cut off from the others may hold an old state.
 
     Raises:
         click.ClickException: None of them answers.
--- a/thistleline/cli/lab.py
+++ b/thistleline/cli/lab.py
@@ -13,15 +13,17 @@
 
 @click.command()
 @click.argument("name", type=click.Choice(LABS))
-@click.option("--quick", is_flag=True, help="A tenth, under a minute.")
+@click.option("--quick", is_flag=True, help="Run a tenth of the measurement, in under a minute.")
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--json", "file", type=click.Path(), help="Keep the figures there.")
-@click.option("--part", "parts", multiple=True, help="These parts alone, where a lab has parts.")
-@click.option("--plot", type=click.Path(path_type=Path), help="Draw them there, where a lab has a plot.")
+@click.option("--json", "file", type=click.Path(), help="Write the figures to this file.")
+@click.option("--part", "parts", multiple=True, help="Run only this part, where a lab has parts; repeatable.")
+@click.option(
+    "--plot", type=click.Path(path_type=Path), help="Plot the figures to this file, where a lab has a plot."
+)
 def lab(
     name: str, quick: bool, seed: int, file: str | None, parts: tuple[str, ...], plot: Path | None
 ) -> None:
-    """Run a measurement: a table, one JSON line, exit code 1 if a bar is missed."""
+    """Run a measurement and print a table and one JSON line; exit code 1 if a criterion is missed."""
     measurement = importlib.import_module(f"thistleline.lab.{name}")
     if plot is not None and not hasattr(measurement, "plot"):
         raise click.UsageError(f"lab {name} has no plot")
@@ -49,14 +51,14 @@
 
 
 def _print_table(result: dict[str, Any]) -> None:
-    """Print the figures by part, and for each bar whether it held."""
+    """Print the figures by part, and whether each criterion was met."""
     for part, figures in result["figures"].items():
         click.echo(part)
         rows = figures.items() if isinstance(figures, dict) else (("", figures),)
         for figure, value in rows:
             click.echo(f"  {figure:28} {value}")
-    for bar, held in result["bars"].items():
-        click.echo(f"{'held  ' if held else 'MISSED'} {bar}")
+    for criterion, held in result["bars"].items():
+        click.echo(f"{'held  ' if held else 'MISSED'} {criterion}")
 
 
 def _plot(measurement: ModuleType, result: dict[str, Any], path: Path) -> None:
--- a/thistleline/cli/lease.py
+++ b/thistleline/cli/lease.py
@@ -1,4 +1,4 @@
-"""`thistleline lease`: look at leases, take one for a command, give one up."""
+"""`thistleline lease`: inspect leases, run a command under one, release or break one."""
 
 import os
 import signal
@@ -22,21 +22,21 @@
 from thistleline.lease.protocol import MAX_TTL, MIN_TTL, Break, Describe, LeaseInfo, LeaseList, Release
 from thistleline.lease.session import HeldLease, lease
 
-# Exit codes of `take`, as sysexits.h and the shell have them.
-EXIT_LOST = 75  # a temporary failure: try again
-EXIT_REFUSED = 69  # not to be had
+# Exit codes of `take`, as defined by sysexits.h and the shell.
+EXIT_LOST = 75  # temporary failure: the lease was lost, a retry may succeed
+EXIT_REFUSED = 69  # unavailable: the lease was refused
 EXIT_NO_COMMAND = 127  # the command can't be started
 
 TTL_SECONDS = click.FloatRange(MIN_TTL / 1e9, MAX_TTL / 1e9)
-GRACE_FRACTION = 0.3  # of the time that is left of the lease, for the command to end by itself
+GRACE_FRACTION = 0.3  # of the remaining time of the lease, for the command to end by itself
 MAX_GRACE = 1.0  # s
-KILL_FRACTION = 0.25  # of the grace that must be left when the command is killed
+KILL_FRACTION = 0.25  # of the grace period that is left when the command is killed
 GRACE_POLL = 0.01  # s
 
 
 @click.group("lease")
 def leases() -> None:
-    """Names that one process of the fleet holds at a time."""
+    """Inspect, hold or end leases: names that one process of the fleet holds at a time."""
 
 
 @leases.command("list")
@@ -44,7 +44,7 @@
 @json_option
 @click.argument("prefix", default="")
 def list_names(cluster: ClusterOptions, as_json: bool, prefix: str) -> None:
-    """All names that are held, those that begin with PREFIX."""
+    """List the held leases whose names begin with PREFIX."""
     replicas = cluster.replicas
     last_name = ""
     while True:
@@ -61,7 +61,7 @@
 @json_option
 @click.argument("name")
 def show(cluster: ClusterOptions, as_json: bool, name: str) -> None:
-    """Who holds NAME, who waits, and its last changes with reason and time."""
+    """Print the holder of NAME, the waiters, and the last changes with reason and time."""
     print_result(request_as(LeaseInfo, cluster.replicas, Describe(name)), as_json, _format_details)
 
 
@@ -70,7 +70,7 @@
 
 
 def _format_details(info: LeaseInfo) -> str:
-    held = f"held by {info.holder} in epoch {info.epoch}, {info.ttl / 1e9:g} s long"
+    held = f"held by {info.holder} in epoch {info.epoch}, TTL {info.ttl / 1e9:g} s"
     lines = [f"{info.name}: {held if info.holder else 'free'}"]
     lines += [f"  waits: {holder_id}" for holder_id in info.waiters]
     for entry in info.history:
@@ -81,16 +81,16 @@
 
 @leases.command(
     context_settings={"ignore_unknown_options": True},
-    help="""Run COMMAND while NAME is held; its exit code is this one's. LEASE_EPOCH tells it the fencing
-    token.
+    help="""Run COMMAND while holding the lease NAME, and exit with its exit code. The variable LEASE_EPOCH
+    holds the fencing token.
 
-    It is told to end by SIGTERM while some of the right is left, and is killed before the right is over:
-    exit code 75.""",
+    If the lease is about to end, COMMAND gets a SIGTERM and is killed before the end of the lease; the exit
+    code is then 75.""",
 )
 @cluster_options
 @click.option("--length", type=TTL_SECONDS, default=10.0, show_default=True, help="Seconds.")
-@click.option("--no-wait", is_flag=True, help="End with exit code 69 if another holds it.")
-@click.option("--who", default="", help="What others see of the holder; the host's name if not told.")
+@click.option("--no-wait", is_flag=True, help="Exit with code 69 if another process holds the lease.")
+@click.option("--who", default="", help="Name of the holder that others see; defaults to the host name.")
 @click.argument("name")
 @click.argument("command", nargs=-1, required=True, type=click.UNPROCESSED)
 def take(
@@ -124,26 +124,26 @@
     env = {**os.environ, "LEASE_EPOCH": str(held.epoch), "LEASE_NAME": name}
     process = await anyio.open_process(command, stdin=None, stdout=None, stderr=None, env=env)
     try:
-        running_out = anyio.Event()
+        expiring = anyio.Event()
         async with anyio.create_task_group() as group:
-            group.start_soon(_end_in_time, held, process, running_out)
+            group.start_soon(_end_before_expiry, held, process, expiring)
             exit_code = await process.wait()
             group.cancel_scope.cancel()
-        return EXIT_LOST if running_out.is_set() else exit_code
+        return EXIT_LOST if expiring.is_set() else exit_code
     finally:
         if process.returncode is None:
             process.kill()
 
 
-async def _end_in_time(held: HeldLease, process: anyio.abc.Process, running_out: anyio.Event) -> None:
-    """End the command before the lease does: by SIGTERM, then, after a grace period, by SIGKILL.
+async def _end_before_expiry(held: HeldLease, process: anyio.abc.Process, expiring: anyio.Event) -> None:
+    """End the command before the lease ends: by SIGTERM, then, after a grace period, by SIGKILL.
 
-    Each renewal of the lease moves its end, and so the command's. Sets `running_out` before the SIGTERM.
+    Each renewal of the lease postpones both ends. Sets `expiring` before the SIGTERM.
     """
     grace = min(MAX_GRACE, GRACE_FRACTION * held.remaining())
     while (remaining := held.remaining()) > grace:
         await anyio.sleep(max(GRACE_POLL, (remaining - grace) / 2))
-    running_out.set()
+    expiring.set()
     with suppress(ProcessLookupError):
         process.send_signal(signal.SIGTERM)
         while held.remaining() > grace * KILL_FRACTION:
@@ -156,17 +156,22 @@
 @click.argument("name")
 @click.argument("holder")
 def release(cluster: ClusterOptions, name: str, holder: str) -> None:
-    """Give NAME back for HOLDER, as `show` tells it, or its place in the line; if it is known to be gone."""
-    click.echo(answer_text(request(cluster.replicas, Release(name, holder, "released by hand"))))
+    """Release the lease NAME of a HOLDER that is known to be gone, or remove HOLDER from the waiters.
+
+    HOLDER is an id as `show` prints it.
+    """
+    click.echo(answer_text(request(cluster.replicas, Release(name, holder, "released by an operator"))))
 
 
 @leases.command(
     "break",
-    help="""End NAME's lease now. If its holder lives, two may act until its right is over: only a resource
-    that checks epochs keeps the old one off.""",
+    help="""End the lease NAME now. A holder that is still alive may act beside the next one until its TTL has
+    passed: only a resource that checks epochs rejects the old holder.""",
 )
 @cluster_options
-@click.option("--epoch", type=int, required=True, help="As `show` tells it; lest the next one is broken.")
+@click.option(
+    "--epoch", type=int, required=True, help="Epoch that `show` prints, so that no later lease is broken."
+)
 @click.option("--reason", required=True)
 @click.argument("name")
 def break_lease(cluster: ClusterOptions, epoch: int, reason: str, name: str) -> None:
--- a/thistleline/cli/ledger.py
+++ b/thistleline/cli/ledger.py
@@ -1,4 +1,4 @@
-"""`thistleline ledger`: inspect, verify and compact a ledger's folder while no server has it."""
+"""`thistleline ledger`: inspect, verify and compact a ledger's folder while no server uses it."""
 
 from pathlib import Path
 
@@ -20,10 +20,10 @@
 
     Attributes:
         number: The effect's number.
-        stage: Place among the stages of the server.
+        stage: Index of its stage among the stages of the server.
         key: Digest of idempotency key and body, hexadecimal.
         id: Id of the attempt.
-        left_ms: Milliseconds until its window has passed.
+        left_ms: Milliseconds until its idempotency window ends.
         how: How it ended; None if that is not known.
         result_bytes: Size of the stored result; None if there is none.
     """
@@ -39,14 +39,14 @@
 
 @click.group()
 def ledger() -> None:
-    """Look at a ledger's folder while no server has it."""
+    """Inspect, verify or compact a ledger's folder while no server uses it."""
 
 
 @ledger.command()
 @folder_argument
-@click.option("--json", "as_json", is_flag=True, help="One JSON line an effect.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON line per effect.")
 def inspect(folder: Path, as_json: bool) -> None:
-    """List the effects that a server would find there."""
+    """List the effects that a server would recover from FOLDER."""
     with open_ledger(folder) as contents:
         for effect in contents.recovered:
             print_result(_summarize(effect), as_json, format_struct)
@@ -67,11 +67,11 @@
 @ledger.command()
 @folder_argument
 def verify(folder: Path) -> None:
-    """Read every segment; exit code 1 where bytes in the middle of one can't be read."""
+    """Read every segment of FOLDER; exit code 1 if bytes in the middle of one can't be read."""
     with open_ledger(folder) as contents:
         for reading in contents.readings:
             click.echo(_format_reading(reading))
-        click.echo(f"{len(contents.state.effects)} effects still matter")
+        click.echo(f"{len(contents.state.effects)} live effects")
         if any(reading.damaged_bytes for reading in contents.readings):
             raise SystemExit(1)
 
@@ -79,20 +79,20 @@
 def _format_reading(reading: SegmentReading) -> str:
     return (
         f"segment {reading.segment}: {reading.size} bytes, {reading.intents} intents, "
-        f"{reading.outcomes} outcomes, {_condition(reading)}, {reading.damaged_bytes} bytes unread"
+        f"{reading.outcomes} outcomes, {_condition(reading)}, {reading.damaged_bytes} unreadable bytes"
     )
 
 
 def _condition(reading: SegmentReading) -> str:
     if reading.damaged_bytes:
         return "damaged"
-    return "torn at its end" if reading.torn else "whole"
+    return "torn at the end" if reading.torn else "whole"
 
 
 @ledger.command()
 @folder_argument
 def compact(folder: Path) -> None:
-    """Write what still matters into one segment and remove the others."""
+    """Rewrite the live records of FOLDER as one segment and remove the other segments."""
     with open_ledger(folder) as contents:
         before = sum(reading.size for reading in contents.readings)
         after = rewrite_ledger(folder, contents)
--- a/thistleline/cli/ledger_folder.py
+++ b/thistleline/cli/ledger_folder.py
@@ -1,4 +1,4 @@
-"""A ledger's folder without a server: read as a whole, and written anew as one segment."""
+"""Reads the whole folder of a ledger without a server, and rewrites it as one segment."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -20,12 +20,12 @@
 
 
 class LedgerContents(NamedTuple):
-    """What a folder holds.
+    """The contents of a ledger's folder.
 
     Attributes:
         state: The ledger as a server would recover it.
-        recovered: The effects that still matter.
-        readings: What reading each segment came to.
+        recovered: The live effects.
+        readings: Result of reading each segment.
     """
 
     state: LedgerState
@@ -35,11 +35,11 @@
 
 @contextmanager
 def open_ledger(folder: Path) -> Iterator[LedgerContents]:
-    """Lock the folder, so that no server writes to it meanwhile, and read all of it.
+    """Lock the folder, so that no server writes to it in the meantime, and read all of it.
 
     Raises:
-        click.ClickException: A server has the folder, or it can't be read; also where that happens to the
-            body of the `with` statement.
+        click.ClickException: A server has locked the folder, or it can't be read; errors of these kinds in
+            the body of the `with` statement are converted too.
     """
     disk = Disk(folder)
     try:
@@ -67,10 +67,10 @@
 
 
 def rewrite_ledger(folder: Path, contents: LedgerContents) -> int:
-    """Write all that matters into a new segment, then remove the old ones; the folder must be open.
+    """Write the live records into a new segment, then remove the old ones; `open_ledger` must hold the lock.
 
     Returns:
-        Bytes of all segments afterwards.
+        Size of all segments afterwards, bytes.
     """
     state = contents.state
     write = LedgerWrite(
--- a/thistleline/cli/main.py
+++ b/thistleline/cli/main.py
@@ -17,8 +17,8 @@
 
 
 @entry.command()
-@click.option("--plate", type=click.Path(), help="The server's configuration, else ROUTER_CONFIG.")
-@click.option("--conf", type=click.Path(), help="Settings of the new parts, else THISTLELINE_CONF.")
+@click.option("--plate", type=click.Path(), help="The server's configuration; defaults to ROUTER_CONFIG.")
+@click.option("--conf", type=click.Path(), help="Settings file; defaults to THISTLELINE_CONF.")
 def serve(plate: str | None, conf: str | None) -> None:
     """Run one server in the foreground."""
     for name, path in (("ROUTER_CONFIG", plate), ("THISTLELINE_CONF", conf)):
@@ -30,7 +30,7 @@
 @entry.command("check-config")
 @click.argument("file", type=click.Path())
 def check_config(file: str) -> None:
-    """Check a file of settings; every fault with its line, exit code 2 if there are any."""
+    """Check a settings file and print every fault with its line; exit code 2 if there are any."""
     try:
         config = read_config(file)
     except ConfigError as error:
@@ -41,50 +41,55 @@
 
 
 class LazyCommand(click.Group):
-    """A command, or a group of them, whose module is imported only once it is called.
+    """A command, or a group of commands, whose module is imported only when it is called.
 
-    The help text stands here too, so that the list of all commands imports none of them.
+    The help text is repeated here, so that the list of all commands imports none of the modules.
     """
 
     def __init__(self, name: str, module: str, attribute: str, help: str) -> None:
         """Describe the command.
 
         Args:
-            name: As it is called.
-            module: Where it is defined.
-            attribute: Its name in that module.
-            help: Its line in the list of all commands.
+            name: Name of the command on the command line.
+            module: Full name of the module that defines it.
+            attribute: Name of the command object in that module.
+            help: The command's line in the list of all commands.
         """
         super().__init__(name, help=help, invoke_without_command=True)
         self.module = module
         self.attribute = attribute
 
     def load(self) -> click.Command:
-        """Return the command itself."""
+        """Import the module and return the command."""
         command: click.Command = getattr(importlib.import_module(self.module), self.attribute)
         return command
 
     def make_context(self, *args: Any, **options: Any) -> click.Context:
-        """Make a context of the command itself, as click does it."""
+        """Make a context of the loaded command, as click does."""
         return self.load().make_context(*args, **options)
 
     def invoke(self, context: click.Context) -> Any:
-        """Invoke the command itself."""
+        """Invoke the loaded command."""
         return self.load().invoke(context)
 
 
 # Command, module in this package, attribute, line in the list of all commands.
 LAZY_COMMANDS = (
-    ("ledger", "ledger", "ledger", "Look at a ledger's folder while no server has it."),
-    ("council", "consensus", "council", "Run a voter; ask the council."),
-    ("members", "membership", "members", "Be a member; see who is."),
-    ("steward", "supervisor", "steward", "Keep a machine's server running."),
-    ("release", "supervisor", "release", "What a steward may run."),
-    ("conductor", "rollout", "conductor", "Lead changes of the fleet."),
-    ("roll", "rollout", "roll", "A change through the fleet, in stages."),
-    ("settings", "settings", "settings_group", "Numbered settings."),
-    ("lease", "lease", "leases", "Names that one process holds at a time."),
-    ("feed", "feed", "feed", "Configuration as a change feed."),
+    ("ledger", "ledger", "ledger", "Inspect, verify or compact a ledger's folder."),
+    (
+        "council",
+        "consensus",
+        "council",
+        "Run a replica of the consensus cluster; query or change the cluster.",
+    ),
+    ("members", "membership", "members", "Run a member of the fleet; list all members."),
+    ("steward", "supervisor", "steward", "Run the supervisor of a machine's server."),
+    ("release", "supervisor", "release", "Manage the releases that a supervisor may run."),
+    ("conductor", "rollout", "conductor", "Run a rollout controller."),
+    ("roll", "rollout", "roll", "Roll out a release or settings to the fleet, in stages."),
+    ("settings", "settings", "settings_group", "Manage numbered versions of the servers' settings."),
+    ("lease", "lease", "leases", "Inspect, hold or end leases."),
+    ("feed", "feed", "feed", "Run a keeper or relay of the config feed; change or read the feed."),
 )
 
 entry.add_command(lab)
--- a/thistleline/cli/membership.py
+++ b/thistleline/cli/membership.py
@@ -21,10 +21,10 @@
 
 @click.group(invoke_without_command=True)
 @config_option
-@click.option("--release", default="", help="What it says that it runs.")
+@click.option("--release", default="", help="Release that the member announces.")
 @click.pass_context
 def members(context: click.Context, conf: str | None, release: str) -> None:
-    """Be a member in the foreground; with a word, see who is."""
+    """Run a member of the fleet in the foreground; the subcommand lists all members."""
     if context.invoked_subcommand is None:
         _run_member(conf, release)
 
@@ -32,7 +32,7 @@
 def _run_member(config_path: str | None, release: str) -> None:
     settings = load_config(config_path).members
     if settings is None:
-        raise InputError(f"{config_path}: a member wants 'members name' and 'members listen'")
+        raise InputError(f"{config_path}: a member requires 'members name' and 'members listen'")
     from thistleline.membership.service import run
     from thistleline.store.clock import wall_ms
 
@@ -41,11 +41,11 @@
 
 
 @members.command("list")
-@click.option("--at", required=True, help="The address of any member.")
+@click.option("--at", required=True, help="Address of any member.")
 @json_option
-@click.option("--span", default=0.3, show_default=True, help="Seconds to listen for its answers.")
+@click.option("--span", default=0.3, show_default=True, help="Seconds to wait for its answers.")
 def list_all(at: str, as_json: bool, span: float) -> None:
-    """All members as the one at an address knows them; exit code 1 if nothing came."""
+    """List all members as known to the member at an address; exit code 1 if it does not answer."""
     from thistleline.membership.service import fetch_records
 
     try:
--- a/thistleline/cli/rollout.py
+++ b/thistleline/cli/rollout.py
@@ -1,4 +1,4 @@
-"""`thistleline conductor` and `thistleline roll`: lead changes of the fleet, order one, follow it."""
+"""`thistleline conductor` and `thistleline roll`: run the rollout controller, order a change, follow it."""
 
 import time
 from collections.abc import Callable
@@ -30,7 +30,7 @@
 from thistleline.supervisor.records import digest_settings, settings_key
 from thistleline.supervisor.releases import content_digest, ledger_formats
 
-FOLLOW_INTERVAL = 0.5  # s between two looks at the record
+FOLLOW_INTERVAL = 0.5  # s between two reads of the record
 
 _release_folder = click.Path(exists=True, file_okay=False)
 _decode_record = msgspec.msgpack.Decoder(RolloutRecord).decode
@@ -41,10 +41,10 @@
 @click.command()
 @required_config_option
 def conductor(conf: str) -> None:
-    """Lead changes, in the foreground, whenever no other conductor does."""
+    """Run a rollout controller in the foreground; it leads changes while no other controller does."""
     config = load_config(conf)
     if config.members is None or config.council is None or not config.council.voter:
-        raise InputError(f"{conf}: a conductor wants the parts 'members' and 'council voter'")
+        raise InputError(f"{conf}: a rollout controller requires the sections 'members' and 'council voter'")
     from thistleline.rollout.service import RolloutService
 
     service = RolloutService(config, json_logger(config.members.name))
@@ -60,24 +60,30 @@
 
 @click.group()
 def roll() -> None:
-    """A change of release or settings through the fleet, in stages."""
+    """Roll out a release or settings to the fleet, in stages."""
 
 
 def read_rollout(replicas: Replicas) -> RolloutRecord | None:
-    """Return the record of the last change, None if there never was one."""
+    """Return the record of the last change, None if there has been none."""
     stored = read_record(replicas, RECORD_KEY)
     return _decode_record(stored.value) if stored.version else None
 
 
 @roll.command()
 @cluster_options
-@click.option("--release", type=_release_folder, help="Its folder.")
-@click.option("--settings", type=int, default=0, help="Number of the settings.")
-@click.option("--from-release", type=_release_folder, help="What runs now.")
+@click.option("--release", type=_release_folder, help="Folder of the new release.")
+@click.option("--settings", type=int, default=0, help="Number of the new settings.")
+@click.option("--from-release", type=_release_folder, help="Folder of the current release.")
 @click.option("--from-settings", type=int, default=0)
-@click.option("--stage", "stages", multiple=True, type=click.Choice(STAGES), help="In order; all if none.")
-@click.option("--down", default=1, show_default=True, help="Servers down at once, of the whole.")
-@click.option("--down-zone", default=1, show_default=True, help="And of a zone.")
+@click.option(
+    "--stage",
+    "stages",
+    multiple=True,
+    type=click.Choice(STAGES),
+    help="A stage; repeat in order, all by default.",
+)
+@click.option("--down", default=1, show_default=True, help="Maximum of servers down at once in the fleet.")
+@click.option("--down-zone", default=1, show_default=True, help="Maximum of servers down at once in a zone.")
 @click.option("--reason", default="")
 def start(
     cluster: ClusterOptions,
@@ -90,7 +96,7 @@
     down_zone: int,
     reason: str,
 ) -> None:
-    """Bring a release or settings to all servers, in stages, back where it does worse."""
+    """Bring a release or settings to all servers, in stages; go back if the new version does worse."""
     replicas = cluster.replicas
     running = _running_version(read_rollout(replicas))
     base = _change_version(replicas, running, from_release, from_settings)
@@ -115,18 +121,18 @@
     Args:
         replicas: Where settings are stored.
         base: The version to start from.
-        release: Folder of the new release, None to stay with that of `base`.
-        settings: Number of the new settings, 0 to stay with those of `base`.
+        release: Folder of the new release, None to keep that of `base`.
+        settings: Number of the new settings, 0 to keep those of `base`.
 
     Raises:
-        InputError: The release can't be read, or there are no such settings.
+        InputError: The release can't be read, or the settings do not exist.
     """
     if release is not None:
         base = _with_release(base, Path(release))
     if settings:
         stored = read_record(replicas, settings_key(settings))
         if not stored.version:
-            raise InputError(f"there are no settings {settings}; 'settings add' them first")
+            raise InputError(f"there are no settings {settings}; store them with 'settings add' first")
         digest = digest_settings(stored.value)
         base = msgspec.structs.replace(base, settings=settings, settings_digest=digest)
     return base
@@ -148,10 +154,10 @@
 
 
 def _submit(replicas: Replicas, make_order: Callable[[int], Order]) -> None:
-    """Write an order under the number after that of the last one.
+    """Write an order with the number that follows that of the last order.
 
     Raises:
-        InputError: An order to start makes no sense.
+        InputError: An order to start a change is invalid.
     """
     last = read_record(replicas, ORDER_KEY)
     number = _decode_order(last.value).number + 1 if last.version else 1
@@ -159,13 +165,13 @@
     if order.command == "start" and (fault := start_fault(order)):
         raise InputError(fault)
     request(replicas, Put(ORDER_KEY, _encode_order(order), last.version))
-    click.echo(f"order {number}: {order.command}; 'roll status' tells what becomes of it")
+    click.echo(f"order {number}: {order.command}; 'roll status' shows its progress")
 
 
 def _add_order_command(
     name: Literal["pause", "resume", "back", "skip"], help: str, reason_required: bool
 ) -> None:
-    """Add the command for an order that has nothing but a reason."""
+    """Add the command for an order whose only option is a reason."""
 
     @roll.command(name, help=help)
     @cluster_options
@@ -174,24 +180,28 @@
         _submit(cluster.replicas, lambda number: Order(number, name, reason or ""))
 
 
-_add_order_command("pause", "Change no further server.", reason_required=False)
-_add_order_command("resume", "Go on; also after 'can't tell'.", reason_required=False)
-_add_order_command("back", "Take it back.", reason_required=True)
+_add_order_command("pause", "Pause the change: no further servers are changed.", reason_required=False)
+_add_order_command(
+    "resume", "Resume a change that is paused, or whose verdict was 'can't tell'.", reason_required=False
+)
+_add_order_command(
+    "back", "Revert the change: return all servers to the previous version.", reason_required=True
+)
 _add_order_command("skip", "Go to the next stage without a verdict.", reason_required=True)
 
 
 @roll.command()
 @cluster_options
 @json_option
-@click.option("--follow", is_flag=True, help="A line at each step, until the change is over.")
+@click.option("--follow", is_flag=True, help="Print a line at each step until the change is over.")
 def status(cluster: ClusterOptions, as_json: bool, follow: bool) -> None:
-    """How far the change is, and why; exit code 1 if there never was one."""
+    """Print the progress of the last change and its reason; exit code 1 if there has been none."""
     replicas = cluster.replicas
     printed: RolloutRecord | None = None
     while True:
         record = read_rollout(replicas)
         if record is None:
-            click.echo("no change yet")
+            click.echo("no change has been started")
             raise SystemExit(1)
         if record != printed:
             print_result(record, as_json, _format_record)
@@ -213,7 +223,7 @@
 @roll.command()
 @cluster_options
 def history(cluster: ClusterOptions) -> None:
-    """What was done, when and why."""
+    """Print the last steps of the change, with their times and reasons."""
     record = read_rollout(cluster.replicas)
     if record is None:
         return
--- a/thistleline/cli/settings.py
+++ b/thistleline/cli/settings.py
@@ -16,7 +16,7 @@
 from thistleline.supervisor.records import digest_settings, settings_key
 from thistleline.supervisor.settings import flatten_settings, unfit_settings
 
-MAX_GAP = 16  # numbers in a row without settings, after which there are no more
+MAX_GAP = 16  # unused numbers in a row, after which the history ends
 MAX_NUMBER = 1 << 31
 SHORT_DIGEST = 16  # characters
 
@@ -29,7 +29,7 @@
     Attributes:
         number: Its number.
         digest: SHA-256 of its content, hexadecimal.
-        role: What the last change has to do with it; empty for nothing.
+        role: Its role in the last rollout; empty if it has none.
     """
 
     number: int
@@ -39,7 +39,7 @@
 
 @click.group("settings")
 def settings_group() -> None:
-    """Settings in numbered versions that never change."""
+    """Store and compare the servers' settings in numbered versions that never change."""
 
 
 @settings_group.command("add")
@@ -47,7 +47,7 @@
 @click.argument("number", type=click.IntRange(1, MAX_NUMBER))
 @click.argument("file", type=_file)
 def add_settings(cluster: ClusterOptions, number: int, file: Path) -> None:
-    """Keep FILE as version NUMBER, once it is checked."""
+    """Check FILE and store it as version NUMBER."""
     content = _read_settings(file)
     request(cluster.replicas, Put(settings_key(number), content, 0))
     click.echo(f"settings {number}: {digest_settings(content)}")
@@ -58,19 +58,19 @@
 @click.option(
     "--plate",
     type=_file,
-    help="A server's configuration: whether they fit within its limits too.",
+    help="A server's configuration, whose limits the settings must fit too.",
 )
 def check_settings(file: Path, plate: Path | None) -> None:
-    """Whether a server could take FILE; exit code 2 and the reason if not."""
+    """Check whether a server accepts FILE; exit code 2 and the reason if not."""
     content = _read_settings(file, plate)
-    click.echo(f"{file}: can be taken, {digest_settings(content)}")
+    click.echo(f"{file}: valid, digest {digest_settings(content)}")
 
 
 def _read_settings(file: Path, server_configuration: Path | None = None) -> bytes:
-    """Return the content of a file of settings.
+    """Return the content of a file with a version of the settings.
 
     Raises:
-        InputError: No server could take them, or none with this configuration.
+        InputError: No server accepts them, or none with this configuration.
     """
     content = file.read_bytes()
     limits = _read_limits(server_configuration) if server_configuration is not None else None
@@ -84,7 +84,7 @@
     try:
         return msgspec.json.decode(server_configuration.read_bytes())["limits"]
     except (msgspec.MsgspecError, TypeError, LookupError) as error:
-        raise InputError(f"{server_configuration}: it has no 'limits': {error}") from error
+        raise InputError(f"{server_configuration}: can't read 'limits': {error}") from error
 
 
 @settings_group.command("diff")
@@ -92,7 +92,7 @@
 @click.argument("one", type=int)
 @click.argument("other", type=int)
 def diff_settings(cluster: ClusterOptions, one: int, other: int) -> None:
-    """What differs between two versions, a value a line; exit code 1 if anything does."""
+    """Print the values that differ between two versions, one per line; exit code 1 if any differ."""
     replicas = cluster.replicas
     before = flatten_settings(_stored_settings(replicas, one))
     after = flatten_settings(_stored_settings(replicas, other))
@@ -108,7 +108,7 @@
 @cluster_options
 @click.argument("number", type=int)
 def show_settings(cluster: ClusterOptions, number: int) -> None:
-    """Print version NUMBER."""
+    """Print version NUMBER of the settings."""
     click.echo(_stored_settings(cluster.replicas, number).decode())
 
 
@@ -124,7 +124,7 @@
 @click.option("--from", "first", type=int, default=1, show_default=True)
 @json_option
 def settings_history(cluster: ClusterOptions, first: int, as_json: bool) -> None:
-    """The versions that are kept, each with its digest; and which changes brought or bring them."""
+    """List the stored versions, each with its digest and its role in the last rollout."""
     replicas = cluster.replicas
     rollout = read_rollout(replicas)
     for number, content in _all_settings(replicas, first):
@@ -133,16 +133,16 @@
 
 
 def _all_settings(replicas: Replicas, first: int) -> Iterator[tuple[int, bytes]]:
-    """Yield number and content of all settings from `first` on."""
-    missing = 0
+    """Yield the number and content of all stored settings from `first` on."""
+    unused = 0
     number = first
-    while missing < MAX_GAP:
+    while unused < MAX_GAP:
         stored = read_record(replicas, settings_key(number))
         if stored.version:
-            missing = 0
+            unused = 0
             yield number, stored.value
         else:
-            missing += 1
+            unused += 1
         number += 1
 
 
@@ -152,7 +152,7 @@
     if number == rollout.version.settings:
         return f"change {rollout.number}: {rollout.phase}"
     if number == rollout.base.settings:
-        return f"what change {rollout.number} began from"
+        return f"version that change {rollout.number} started from"
     return ""
 
 
--- a/thistleline/cli/supervisor.py
+++ b/thistleline/cli/supervisor.py
@@ -1,4 +1,4 @@
-"""`thistleline steward` and `thistleline release`: one machine's server, and what it may run."""
+"""`thistleline steward` and `thistleline release`: supervise one machine's server, manage its releases."""
 
 from pathlib import Path
 
@@ -13,11 +13,13 @@
 @click.command()
 @required_config_option
 def steward(conf: str) -> None:
-    """Keep this machine's server running, in the foreground. The server outlives it."""
+    """Run the supervisor of this machine's server in the foreground; the server outlives it."""
     config = load_config(conf)
     has_replicas = config.council is not None and config.council.voter
     if config.steward is None or config.members is None or not has_replicas:
-        raise InputError(f"{conf}: a steward wants the parts 'steward', 'members' and 'council voter'")
+        raise InputError(
+            f"{conf}: a supervisor requires the sections 'steward', 'members' and 'council voter'"
+        )
     from thistleline.supervisor.service import run
 
     try:
@@ -30,7 +32,7 @@
 
 @click.group()
 def release() -> None:
-    """What servers of this machine may run: folders with a file `run`, known by a digest."""
+    """Manage releases: folders with an executable file `run`, identified by a digest of their content."""
 
 
 @release.command()
@@ -38,7 +40,7 @@
 @click.argument("name")
 @click.argument("source", type=click.Path(exists=True, file_okay=False, path_type=Path))
 def add(folder: Path, name: str, source: Path) -> None:
-    """Copy SOURCE to FOLDER as NAME; a name stands for one content for ever."""
+    """Copy SOURCE to FOLDER as release NAME; the content under a name never changes."""
     try:
         click.echo(Releases(folder).add(name, source))
     except (ReleaseError, OSError) as error:
@@ -46,8 +48,8 @@
 
 
 @release.command(
-    help="""What the file 'forms' of a release of this program says: the forms of the ledger that it reads and
-    writes, so that a change with no way back is refused before the first server."""
+    help="""Print the ledger formats that this program reads and writes, as the content of a release's file
+    'forms'. With it a change that can't be reverted is refused before the first server is changed."""
 )
 def forms() -> None:
     """Print the ledger formats of this program in the form of a release's file `forms`."""
@@ -59,7 +61,7 @@
 @release.command("list")
 @click.argument("folder", type=click.Path(path_type=Path))
 def list_all(folder: Path) -> None:
-    """All releases in FOLDER, with their digests."""
+    """List all releases in FOLDER with their digests."""
     releases = Releases(folder)
     for name in releases.names():
         click.echo(f"{name}  {content_digest(releases.path(name))}")
@@ -70,9 +72,9 @@
 @click.argument("name")
 @click.argument("digest")
 def verify(folder: Path, name: str, digest: str) -> None:
-    """Exit code 1 unless NAME is there with that DIGEST."""
+    """Check that release NAME exists in FOLDER and has DIGEST; exit code 1 if not."""
     try:
         Releases(folder).verify(name, digest)
     except (ReleaseError, OSError) as error:
         raise click.ClickException(str(error)) from error
-    click.echo(f"{name}: as it is meant")
+    click.echo(f"{name}: the digest matches")
