--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -116,7 +116,7 @@
         assert (await run("council", "status")).returncode == 1  # there is no leader yet
         assert "council" in (await run("council", "form")).stdout
         await fleet.leader()
-        assert "has a council already" in (await run("council", "form")).stderr
+        assert "already belongs to a consensus cluster" in (await run("council", "form")).stderr
         taken = await run("lease", "take", "job", "--", "sh", "-c", "echo $LEASE_EPOCH; exit 7")
         assert (taken.stdout, taken.returncode) == ("1\n", 7)
         held = await fleet.request(Acquire("job", "somebody", 30 * SECOND))
@@ -201,7 +201,7 @@
         process = fleet.processes[name].process
         assert process is not None
         assert await anyio.to_thread.run_sync(process.wait) == 2
-        assert "start it empty" in (tmp_path / f"{name}.log").read_text()
+        assert "start the replica with an empty folder" in (tmp_path / f"{name}.log").read_text()
 
     with_fleet(tmp_path, 3, scenario)
 
