--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -62,7 +62,7 @@
 from thistleline.supervisor.model import DesiredVersion, SupervisorState, Version
 from thistleline.supervisor.releases import Releases, content_digest, ledger_formats
 from thistleline.supervisor.service import SupervisorService
-from thistleline.supervisor.settings import unfit_settings
+from thistleline.supervisor.settings import settings_fault
 from thistleline.supervisor.state_machine import AfterPersist, Supervisor
 from thistleline.supervisor.timing import SECOND
 
@@ -533,7 +533,7 @@
     source = tmp_path / "source"
     source.mkdir()
     (source / "run").write_text("#!/bin/sh\n")
-    with pytest.raises(ReleaseError, match="can be executed"):
+    with pytest.raises(ReleaseError, match="no executable file"):
         Releases(tmp_path / "r").add("1", source)
     (source / "run").chmod(0o755)
     releases = Releases(tmp_path / "r")
@@ -542,7 +542,7 @@
     releases.verify("1", digest)
     (source / "more").write_text("x")
     assert content_digest(source) != digest
-    with pytest.raises(ReleaseError, match="another content"):
+    with pytest.raises(ReleaseError, match="different content"):
         releases.add("1", source)
     (tmp_path / "r" / "1" / "run").write_text("#!/bin/sh\nexit 1\n")
     with pytest.raises(ReleaseError, match="digest"):
@@ -557,14 +557,14 @@
     (tmp_path / "forms").write_text("1 2 writes 2\n")
     assert ledger_formats(tmp_path) == ((1, 2), 2)
     (tmp_path / "forms").write_text("two\n")
-    with pytest.raises(ReleaseError, match="does not say"):
+    with pytest.raises(ReleaseError, match="malformed"):
         ledger_formats(tmp_path)
 
 
 @pytest.mark.parametrize(("changes", "limits", "why"), [
     ({"classes": 3}, None, "TypeError"),
     ({"classes": []}, None, "no stages"),
-    ({"classes": 2 * SETTINGS["classes"]}, None, "two stages 'booking'"),
+    ({"classes": 2 * SETTINGS["classes"]}, None, "'booking' is defined more than once"),
     ({"familyInfo": {**SETTINGS["familyInfo"], "cpus": 0}}, None, "without cores"),
     ({"familyInfo": {**SETTINGS["familyInfo"], "memoryKb": 0}}, None, "without memory"),
     ({"familyInfo": {**SETTINGS["familyInfo"], "dependsOn": "shared"}}, None, ""),
@@ -578,18 +578,21 @@
 def test_settings_that_no_server_could_take_are_turned_down_with_the_reason(
     changes: dict[str, Any], limits: dict[str, Any] | None, why: str
 ) -> None:
-    told = unfit_settings(json.dumps({**SETTINGS, **changes}).encode(), limits)
+    told = settings_fault(json.dumps({**SETTINGS, **changes}).encode(), limits)
     assert (why in told) if why else told == ""
 
 
 @pytest.mark.parametrize(
     ("size", "why"),
-    [(MAX_VALUE_SIZE, ""), (MAX_VALUE_SIZE + 1, f"{MAX_VALUE_SIZE + 1} bytes, {MAX_VALUE_SIZE} at most")],
+    [
+        (MAX_VALUE_SIZE, ""),
+        (MAX_VALUE_SIZE + 1, f"{MAX_VALUE_SIZE + 1} bytes exceed the limit of {MAX_VALUE_SIZE}"),
+    ],
 )
 def test_the_check_and_the_council_take_settings_of_the_same_size(size: int, why: str) -> None:
     content = json.dumps(SETTINGS).encode()
     content += b" " * (size - len(content))
-    assert unfit_settings(content) == why
+    assert settings_fault(content) == why
     assert bool(validate(Put("settings/1", content, 0))) == bool(why)
 
 
--- a/thistleline/lab/scale/control.py
+++ b/thistleline/lab/scale/control.py
@@ -68,7 +68,7 @@
 )
 from thistleline.supervisor.model import DesiredVersion, SupervisorState, Version
 from thistleline.supervisor.records import desired_version_key
-from thistleline.supervisor.releases import RUN, Releases
+from thistleline.supervisor.releases import RUN_FILE, Releases
 from thistleline.supervisor.service import POLL, SupervisorService
 from thistleline.supervisor.state_machine import Supervisor
 from thistleline.supervisor.timing import GOOD_AFTER
@@ -227,8 +227,8 @@
     with TemporaryDirectory() as folder:
         source, known = Path(folder) / "source", Releases(Path(folder) / "releases")
         source.mkdir()
-        (source / RUN).write_text("#!/bin/sh\n")
-        (source / RUN).chmod(0o755)
+        (source / RUN_FILE).write_text("#!/bin/sh\n")
+        (source / RUN_FILE).chmod(0o755)
         digests = [known.add(f"r{place}", source) for place in range(releases)]
         return steps_of(lambda: known.verify("r0", digests[0]))
 
@@ -630,8 +630,8 @@
             source = folder / "sources" / PROGRAM
             source.mkdir()
             lines = ["#!/bin/sh", f"export PYTHONPATH='{ROOT}'", f"exec {sys.executable} -m thistleline"]
-            (source / RUN).write_text("\n".join(lines) + "\n")
-            (source / RUN).chmod(0o755)
+            (source / RUN_FILE).write_text("\n".join(lines) + "\n")
+            (source / RUN_FILE).chmod(0o755)
             machines.digests[PROGRAM] = machines.releases.add(PROGRAM, source)
             await machines.order_rollout(PROGRAM, "", ("all",))
             await machines.wait_for_rollout(60, 1)
--- a/thistleline/supervisor/__init__.py
+++ b/thistleline/supervisor/__init__.py
@@ -1,1 +1,1 @@
-"""One for each machine: keeps the server at the desired version, and finds it again after its own death."""
+"""Supervisor: keeps a machine's server at the desired version; finds the running server after a restart."""
--- a/thistleline/supervisor/effects.py
+++ b/thistleline/supervisor/effects.py
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class KillServer:
-    """End the server of this incarnation at once (SIGKILL)."""
+    """Kill the server of this incarnation (SIGKILL)."""
 
     incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
 class PublishStatus:
-    """Let the other members know what runs here now."""
+    """Publish the version and status of the local server to the other members."""
 
 
 Effect = PersistState | VerifyVersion | SpawnServer | TerminateServer | KillServer | PublishStatus | LogEvent
--- a/thistleline/supervisor/errors.py
+++ b/thistleline/supervisor/errors.py
@@ -2,12 +2,12 @@
 
 
 class SupervisorError(Exception):
-    """Base of the supervisor's errors; the message says what went wrong."""
+    """Base class of the supervisor's errors; the message describes the failure."""
 
 
 class ReleaseError(SupervisorError):
-    """A release or its settings are missing, or are not the ones that are meant."""
+    """A release or its settings are missing, invalid, or differ from the expected digest."""
 
 
 class ServerProcessError(SupervisorError):
-    """A server's process can't be started or found."""
+    """A server process can't be started or found."""
--- a/thistleline/supervisor/events.py
+++ b/thistleline/supervisor/events.py
@@ -8,13 +8,13 @@
 
 @dataclass(frozen=True, slots=True)
 class StateRecovered:
-    """The state on disk was read and the servers that are still alive were found.
+    """The state was read from disk and the servers that are still running were found.
 
     Attributes:
-        state: What was on disk.
+        state: The state read from disk.
         server_alive: Whether the server of the current incarnation runs.
         successor_alive: Whether its successor runs.
-        predecessor: Incarnation of a live server that is neither; 0 for none.
+        predecessor: Incarnation of a running server that is neither of the two; 0 for none.
     """
 
     state: SupervisorState
@@ -25,47 +25,47 @@
 
 @dataclass(frozen=True, slots=True)
 class DesiredVersionReceived:
-    """The replicated log holds this desired version, new or known."""
+    """This desired version was read from the replicated log; it may be known already."""
 
     desired: DesiredVersion
 
 
 @dataclass(frozen=True, slots=True)
 class ConsensusPolled:
-    """The replicated log was asked; `reachable` tells whether it answered."""
+    """The replicated log was polled; `reachable` is whether it answered."""
 
     reachable: bool
 
 
 @dataclass(frozen=True, slots=True)
 class VersionVerified:
-    """The check asked for by `VerifyVersion` is over; `fault` is empty where the version may be started."""
+    """The check requested by `VerifyVersion` has finished; `fault` is empty if the version may be started."""
 
     fault: str
 
 
 @dataclass(frozen=True, slots=True)
 class StatePersisted:
-    """The oldest `PersistState` that was not yet answered is durable."""
+    """The oldest outstanding `PersistState` is durable."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerSpawned:
-    """The server asked for by `SpawnServer` runs as process `pid`."""
+    """The server requested by `SpawnServer` runs as process `pid`."""
 
     pid: int
 
 
 @dataclass(frozen=True, slots=True)
 class SpawnFailed:
-    """The server asked for by `SpawnServer` could not be started."""
+    """The server requested by `SpawnServer` could not be started."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class ServerReady:
-    """The server of this incarnation says that it serves now."""
+    """The server of this incarnation reported that it serves."""
 
     incarnation: int
 
@@ -75,8 +75,8 @@
     """A server's process ended.
 
     Attributes:
-        code: Exit code; -1 where it is not known.
-        incarnation: Which server; 0 for the current one.
+        code: Exit code; -1 if unknown.
+        incarnation: Incarnation of the server; 0 for the current one.
     """
 
     code: int
--- a/thistleline/supervisor/model.py
+++ b/thistleline/supervisor/model.py
@@ -1,4 +1,4 @@
-"""What a supervisor is asked to run, and what it remembers on disk.
+"""The desired version of a server, and the state that its supervisor keeps on disk.
 
 The structs are encoded by field name, in records of the replicated log and in the state file: fields whose
 names in code differ from the encoded ones give the encoded name explicitly.
@@ -22,15 +22,15 @@
 
 
 class Version(msgspec.Struct, frozen=True):
-    """What a server runs: a release and its settings, each with the digest of its content.
+    """Version of a server: a release and its settings, each with the digest of its content.
 
     Attributes:
         release: Name of the release; empty for none.
         digest: SHA-256 of the release's content, hexadecimal.
-        settings: Number of the settings; 0 for those of the server's own configuration.
+        settings: Number of the settings; 0 for the settings in the server configuration.
         settings_digest: SHA-256 of the settings' content, hexadecimal.
-        readable_formats: Ledger formats that the release reads; empty where it does not say.
-        written_format: Ledger format that the release writes; 0 where it does not say.
+        readable_formats: Ledger formats that the release reads; empty if it does not declare them.
+        written_format: Ledger format that the release writes; 0 if it does not declare it.
     """
 
     release: str = ""
@@ -42,13 +42,13 @@
 
 
 class DesiredVersion(msgspec.Struct, frozen=True):
-    """The version that a rollout controller wants of a server, a record of the replicated log.
+    """The version that a rollout controller requests for a server, stored in the replicated log.
 
     Attributes:
-        epoch: Fencing token: the epoch of the controller's lease. Older ones are refused.
-        number: Number of the change that it belongs to.
-        version: What is to run.
-        restart_token: The server is restarted with the same version where this changes; 0 asks for nothing.
+        epoch: Fencing token: the epoch of the controller's lease. Records with an older epoch are refused.
+        number: Number of the rollout that it belongs to.
+        version: The version to run.
+        restart_token: A new value restarts the server with the same version; 0 requests no restart.
     """
 
     epoch: int
@@ -57,22 +57,22 @@
     restart_token: int = msgspec.field(name="turn", default=0)
 
     def is_older_than(self, other: "DesiredVersion") -> bool:
-        """Tell whether `other` supersedes this one, by fencing token and change number."""
+        """Return whether `other` supersedes this one, by fencing token and rollout number."""
         return (self.epoch, self.number) < (other.epoch, other.number)
 
 
 class SupervisorState(msgspec.Struct, frozen=True):
-    """What a supervisor keeps on disk.
+    """The state that a supervisor keeps on disk.
 
     Attributes:
         desired: The newest desired version that was accepted.
-        running: Version of the current incarnation, alive or not.
+        running: Version of the current incarnation, whether or not its process runs.
         incarnation: Number of the current incarnation of the server; 0 before the first.
-        last_good: The last version that ran long enough without a crash.
-        rejected: A desired version that was given up here; only another one is followed.
-        successor: Version of the incarnation that is to take over from the current one.
-        successor_incarnation: Its number; 0 where there is none.
-        last_incarnation: Greatest number that was ever given out, if greater than `incarnation`.
+        last_good: The last version that ran for GOOD_AFTER without a crash.
+        rejected: A desired version that this supervisor rejected; only a different one is followed.
+        successor: Version of the incarnation that will take over from the current one.
+        successor_incarnation: Number of the successor; 0 if there is none.
+        last_incarnation: Greatest incarnation number ever assigned, if greater than `incarnation`.
     """
 
     desired: DesiredVersion | None = msgspec.field(name="want", default=None)
@@ -86,15 +86,15 @@
 
     @property
     def wanted(self) -> Version | None:
-        """The version that should run: the desired one, or the last good one where that was rejected."""
+        """The version that should run: the desired one, or the last good one if that was rejected."""
         if self.desired is None or self.desired == self.rejected:
             return self.last_good
         return self.desired.version
 
     def next_incarnation(self) -> int:
-        """Return the first incarnation number that was never given out."""
+        """Return the first incarnation number that was never assigned."""
         return max(self.incarnation, self.last_incarnation) + 1
 
     def without_successor(self) -> "SupervisorState":
-        """Return the state with no successor under way."""
+        """Return the state without the successor."""
         return msgspec.structs.replace(self, successor=None, successor_incarnation=0)
--- a/thistleline/supervisor/records.py
+++ b/thistleline/supervisor/records.py
@@ -1,4 +1,4 @@
-"""Records of the replicated log that concern a supervisor: their keys, and how settings are identified."""
+"""Keys of a supervisor's records in the replicated log, and the digest that identifies settings."""
 
 import hashlib
 
--- a/thistleline/supervisor/releases.py
+++ b/thistleline/supervisor/releases.py
@@ -1,6 +1,7 @@
-"""Releases side by side on one machine: a folder each, known by a digest of all that is in it.
+"""Releases installed on a machine: one folder each, identified by a digest of its whole content.
 
-A release's folder holds a file `run`, which is executed with the server's configuration in the environment.
+The folder of a release contains a file `run`, which is executed with the path of the server configuration in
+the environment.
 """
 
 import hashlib
@@ -11,29 +12,29 @@
 
 from thistleline.supervisor.errors import ReleaseError
 
-RUN = "run"  # the file that is executed
-FORMATS_FILE = "forms"  # says which ledger formats the release reads and which it writes: "1 2 writes 2"
+RUN_FILE = "run"  # the executable of a release
+FORMATS_FILE = "forms"  # declares the ledger formats read and the one written, such as "1 2 writes 2"
 MAX_FILES = 100_000  # in a release
 
 
 class LedgerFormats(NamedTuple):
-    """Ledger formats of a release: those that it reads, and the one that it writes; 0 where unknown."""
+    """Ledger formats that a release reads, and the one that it writes; empty and 0 if not declared."""
 
     readable: tuple[int, ...]
     written: int
 
 
 def content_digest(folder: Path) -> str:
-    """Return the SHA-256 over names, kinds, the right to execute, and contents, in order.
+    """Return the SHA-256 over the names, kinds, executable bits and contents of all files, sorted by path.
 
     Raises:
-        ReleaseError: There are too many files.
+        ReleaseError: The folder has more than MAX_FILES files.
         OSError: A file can't be read.
     """
     digest = hashlib.sha256()
     files = sorted(path for path in folder.rglob("*") if not path.is_dir() or path.is_symlink())
     if len(files) > MAX_FILES:
-        raise ReleaseError(f"more than {MAX_FILES} files")
+        raise ReleaseError(f"the release has more than {MAX_FILES} files")
     for path in files:
         name = path.relative_to(folder).as_posix().encode()
         kind, content = _kind_and_content(path)
@@ -43,7 +44,7 @@
 
 
 def _kind_and_content(path: Path) -> tuple[bytes, bytes]:
-    """Return what goes into the digest for a file: link, executable or other; target or content's digest."""
+    """Return the kind (link, executable or other) and the link target or content digest of a file."""
     if path.is_symlink():
         return b"l", os.readlink(path).encode()
     kind = b"x" if os.access(path, os.X_OK) else b"f"
@@ -51,11 +52,11 @@
 
 
 def ledger_formats(folder: Path) -> LedgerFormats:
-    """Return what a release says of the ledger; nothing and 0 where it does not say.
+    """Return the ledger formats that a release declares; an empty tuple and 0 if it declares none.
 
     Raises:
-        ReleaseError: The file has another form.
-        OSError: It can't be read.
+        ReleaseError: The file is malformed.
+        OSError: The file can't be read.
     """
     path = folder / FORMATS_FILE
     if not path.exists():
@@ -64,49 +65,49 @@
     try:
         return LedgerFormats(tuple(map(int, readable.split())), int(written))
     except ValueError:
-        raise ReleaseError(f"{path} does not say '1 2 writes 2'") from None
+        raise ReleaseError(f"{path} is malformed; expected a form such as '1 2 writes 2'") from None
 
 
 class Releases:
     """The releases in a folder, by name."""
 
     def __init__(self, folder: Path) -> None:
-        """Use `folder`, which is created with the first release."""
+        """Use `folder`, which is created when the first release is added."""
         self.folder = folder
 
     def path(self, name: str) -> Path:
-        """Return the folder of a release, there or not.
+        """Return the folder of a release, whether or not it exists.
 
         Raises:
-            ReleaseError: No release can have that name.
+            ReleaseError: The name is not valid.
         """
         if not name or "/" in name or name.startswith("."):
-            raise ReleaseError(f"{name!r} is no name of a release")
+            raise ReleaseError(f"{name!r} is not a valid release name")
         return self.folder / name
 
     def add(self, name: str, source: Path) -> str:
-        """Copy a release, as a whole or not at all, and return its digest.
+        """Copy a release atomically and return its digest.
 
-        A name stands for one content for ever; adding the same content again changes nothing.
+        The content of a name never changes; adding the same content again has no effect.
 
         Raises:
-            ReleaseError: `source` is no release, or the name has another content.
-            OSError: It can't be read or copied.
+            ReleaseError: `source` is not a release, or the name exists with different content.
+            OSError: `source` can't be read or copied.
         """
         target = self.path(name)
-        if not os.access(source / RUN, os.X_OK):
-            raise ReleaseError(f"{source} has no file '{RUN}' that can be executed")
+        if not os.access(source / RUN_FILE, os.X_OK):
+            raise ReleaseError(f"{source} has no executable file '{RUN_FILE}'")
         digest = content_digest(source)
         if target.exists():
             if content_digest(target) != digest:
-                raise ReleaseError(f"{name} is there with another content")
+                raise ReleaseError(f"release {name} already exists with different content")
             return digest
         self.folder.mkdir(parents=True, exist_ok=True)
         temporary = self.folder / f".{name}.{os.getpid()}"
         shutil.copytree(source, temporary, symlinks=True)
         if content_digest(temporary) != digest:
             shutil.rmtree(temporary)
-            raise ReleaseError(f"{source} changed while it was copied")
+            raise ReleaseError(f"{source} changed while it was being copied")
         temporary.rename(target)
         return digest
 
@@ -117,17 +118,17 @@
         return sorted(path.name for path in self.folder.iterdir() if not path.name.startswith("."))
 
     def verify(self, name: str, digest: str) -> None:
-        """Check that a release is here with this content, which its ledger formats are a part of.
+        """Check that a release is installed with this content, which includes its declared ledger formats.
 
         Raises:
-            ReleaseError: It is missing or has another content.
+            ReleaseError: It is missing or has different content.
             OSError: It can't be read.
         """
         path = self.path(name)
         if not path.is_dir():
-            raise ReleaseError(f"{name} is not here")
+            raise ReleaseError(f"release {name} is not installed")
         found = content_digest(path)
         if found != digest:
-            raise ReleaseError(f"{name} has digest {found[:12]}, {digest[:12]} is meant")
-        if not os.access(path / RUN, os.X_OK):
-            raise ReleaseError(f"{name} has no file '{RUN}' that can be executed")
+            raise ReleaseError(f"release {name} has digest {found[:12]}, expected {digest[:12]}")
+        if not os.access(path / RUN_FILE, os.X_OK):
+            raise ReleaseError(f"{name} has no executable file '{RUN_FILE}'")
--- a/thistleline/supervisor/server_log.py
+++ b/thistleline/supervisor/server_log.py
@@ -1,4 +1,4 @@
-"""What a server says of itself: the lines with figures at the end of its log file."""
+"""Reads the figures that a server periodically appends to its log file."""
 
 import os
 from collections.abc import Callable
@@ -7,27 +7,27 @@
 
 import orjson
 
-LOG_MAX_SIZE = 64 << 20  # bytes of a server's log; beyond it is cut to nothing
-READ_SIZE = 1 << 20  # bytes that are read at once
-COUNTERS = ("tasks", "finished", "rejected", "abandoned", "slow")  # fields of a line with figures
-VALUES = ("worth_came", "worth_done")  # fields of it too, thousandths of utility
+LOG_MAX_SIZE = 64 << 20  # bytes; a longer server log is truncated to empty
+READ_SIZE = 1 << 20  # bytes read per poll
+COUNTERS = ("tasks", "finished", "rejected", "abandoned", "slow")  # fields of a "figures" line
+VALUES = ("worth_came", "worth_done")  # fields of a "figures" line, thousandths of utility
 
 
 class ServerLog:
     """Follows the log of the current incarnation.
 
     Attributes:
-        incarnation: Whose figures these are.
-        counters: Figures named by COUNTERS, since that incarnation started.
-        value: Utility of the tasks that came, and of those finished in time.
-        peak_memory: Greatest memory, kB.
+        incarnation: The incarnation that the figures belong to.
+        counters: The fields named by COUNTERS, counted since that incarnation started.
+        value: Utility of the tasks that arrived, and of those finished in time.
+        peak_memory: Peak memory use, kB.
     """
 
     def __init__(self, path_of: Callable[[int], Path]) -> None:
-        """Begin without figures; `path_of` gives the log file of an incarnation."""
+        """Create a reader without figures; `path_of` returns the log file of an incarnation."""
         self._path_of = path_of
         self._path = Path()
-        self._position = 0  # bytes that were read
+        self._position = 0  # bytes already read
         self.incarnation = 0
         self._reset_figures()
 
@@ -37,17 +37,17 @@
         self.peak_memory = 0
 
     def figures_of(self, incarnation: int) -> tuple[int, ...]:
-        """Return counters and memory of this incarnation, zeros where nothing was read of it."""
+        """Return counters and memory of this incarnation; zeros if nothing was read of it."""
         if incarnation != self.incarnation:
             return (0,) * (len(COUNTERS) + 1)
         return (*self.counters, self.peak_memory)
 
     def value_of(self, incarnation: int) -> tuple[int, int]:
-        """Return the served value of this incarnation, zeros where nothing was read of it."""
+        """Return the arrived and served utility of this incarnation; zeros if nothing was read of it."""
         return self.value if incarnation == self.incarnation else (0, 0)
 
     def poll(self, incarnation: int) -> None:
-        """Read what was appended since; another incarnation's log is read from its start."""
+        """Read what was appended since the last poll; the log of a new incarnation is read from its start."""
         path = self._path_of(incarnation)
         if path != self._path:
             self._path = path
@@ -61,7 +61,7 @@
     def _read_appended(self) -> None:
         size = self._path.stat().st_size
         if size > LOG_MAX_SIZE:
-            os.truncate(self._path, 0)  # the server appends to it
+            os.truncate(self._path, 0)  # safe: the server opened it in append mode
             self._position = 0
             return
         if size <= self._position:
--- a/thistleline/supervisor/server_processes.py
+++ b/thistleline/supervisor/server_processes.py
@@ -1,7 +1,7 @@
-"""Server processes of a machine: started, found again by the locks that they hold, watched, signalled.
+"""Server processes of a machine: starts them, finds running ones by file locks, watches and signals them.
 
-A server inherits a lock and holds it as long as it lives, whatever became of its supervisor. It writes its
-process id before it becomes the server, so that a later supervisor finds it.
+A server process inherits a lock and holds it until it ends, even if its supervisor ends first. The start
+script writes the process id before it executes the server, so that a later supervisor can find the process.
 """
 
 import fcntl
@@ -17,13 +17,13 @@
 
 from thistleline.supervisor.errors import ServerProcessError
 from thistleline.supervisor.model import Version
-from thistleline.supervisor.releases import RUN, Releases
+from thistleline.supervisor.releases import RUN_FILE, Releases
 from thistleline.supervisor.settings_files import SettingsFiles
 
-FIND_TIMEOUT = 3.0  # s for a server that was being started to write its process id
-FIND_INTERVAL = 0.02  # s between two looks for it
-INCARNATIONS_KEPT = 5  # whose files are not removed
-# Writes the process id to $1, whole or not at all, and becomes the program $3 in the folder $2.
+FIND_TIMEOUT = 3.0  # s, for a server that is still starting to write its process id
+FIND_INTERVAL = 0.02  # s between two checks for the process id
+INCARNATIONS_KEPT = 5  # latest incarnations whose files are kept
+# Writes the process id to $1 atomically, then executes the program $3 in the folder $2.
 START_SCRIPT = 'echo $$ >"$1.new" && mv "$1.new" "$1" && cd "$2" && exec "./$3"'
 
 
@@ -36,16 +36,16 @@
 
 
 class RunningServer:
-    """A server that runs, started here or by an earlier supervisor."""
+    """A running server, started by this supervisor or by an earlier one."""
 
     def __init__(self, incarnation: int, pidfd: int, process: Process | None) -> None:
-        """Take the descriptor, -1 where the process has ended already; `process` if it is a child."""
+        """Watch `pidfd`, -1 if the process has already ended; `process` is set for a child process."""
         self.incarnation = incarnation
         self._pidfd = pidfd
         self._process = process
 
     async def wait(self) -> int:
-        """Wait for its end and return the exit code; -1 where an earlier supervisor started it."""
+        """Wait until the process ends and return its exit code; -1 if an earlier supervisor started it."""
         if self._pidfd >= 0:
             await anyio.wait_readable(self._pidfd)
             os.close(self._pidfd)
@@ -56,7 +56,7 @@
     """Starts and finds the servers of one supervisor.
 
     Attributes:
-        pids: Process id of each incarnation that runs.
+        pids: Process id of each running incarnation.
     """
 
     def __init__(self, folder: Path, configuration: Path, releases: Releases, overlapping: bool) -> None:
@@ -64,9 +64,9 @@
 
         Args:
             folder: Folder of the supervisor.
-            configuration: The server's own configuration, completed with the settings of its version.
+            configuration: The server configuration, to which the settings of the version are added.
             releases: Releases of the machine.
-            overlapping: Whether servers hand over to their successors: then each has a lock of its own.
+            overlapping: Whether servers hand over to their successors; if so, each has its own lock file.
         """
         self._folder = folder
         self._configuration = configuration
@@ -76,7 +76,7 @@
         self.pids: dict[int, int] = {}
 
     def files_of(self, incarnation: int) -> ServerFiles:
-        """Return the files of an incarnation, in a folder that exists."""
+        """Return the files of an incarnation; their folder is created if needed."""
         folder = self._folder / "lives"
         folder.mkdir(exist_ok=True)
         return ServerFiles(
@@ -97,9 +97,9 @@
 
     @contextmanager
     def _lock(self, incarnation: int) -> Iterator[int | None]:
-        """Open the lock that a server holds as long as it lives; None if one holds it.
+        """Try to acquire the lock that a server holds while it runs; yields None if a server holds it.
 
-        A server that inherited the descriptor holds the lock on when it is closed here.
+        A server that inherits the descriptor keeps the lock after the descriptor is closed here.
         """
         path = self.files_of(incarnation).pid if self._overlapping else self._folder / "server.lock"
         descriptor = os.open(path.with_suffix(".lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -113,13 +113,13 @@
             return lock is None
 
     async def find(self, last_incarnation: int) -> AsyncIterator[RunningServer]:
-        """Yield the servers of earlier supervisors that live, also those that were just being started.
+        """Yield the running servers of earlier supervisors, including those that were just being started.
 
         Args:
-            last_incarnation: The only one to look for where servers don't overlap.
+            last_incarnation: The only incarnation to look for if servers don't overlap.
 
         Raises:
-            ServerProcessError: One lives and does not say who it is.
+            ServerProcessError: A server holds its lock, but its process id can't be determined.
         """
         known = [last_incarnation]
         if self._overlapping:
@@ -131,7 +131,7 @@
                     yield server
 
     async def _find(self, incarnation: int) -> RunningServer | None:
-        """Return the server whose lock is held; None if it has ended meanwhile."""
+        """Return the server that holds the lock; None if it has ended meanwhile."""
         path = self.files_of(incarnation).pid
         with anyio.move_on_after(FIND_TIMEOUT):
             while not path.exists():
@@ -144,7 +144,7 @@
                 self.pids.pop(incarnation, None)
                 return None
             raise ServerProcessError(
-                f"the server of incarnation {incarnation} holds its lock and can't be found: {error}"
+                f"server incarnation {incarnation} holds its lock, but its process can't be found: {error}"
             ) from error
         return RunningServer(incarnation, pidfd, None)
 
@@ -152,14 +152,14 @@
         """Start a server.
 
         Raises:
-            ServerProcessError: One lives already.
-            ReleaseError: The release's name is none.
-            OSError: A file is missing, or no process can be started.
-            orjson.JSONDecodeError: Configuration or settings are no JSON.
+            ServerProcessError: A server is already running.
+            ReleaseError: The release name is not valid.
+            OSError: A file is missing, or the process can't be started.
+            orjson.JSONDecodeError: Configuration or settings are not valid JSON.
         """
         with self._lock(incarnation) as lock:
             if lock is None:
-                raise ServerProcessError("a server lives already")
+                raise ServerProcessError("a server is already running")
             files = self.files_of(incarnation)
             self._write_configuration(files.configuration, version.settings)
             return await self._open_process(files, incarnation, version.release, lock)
@@ -177,7 +177,7 @@
             "ROUTER_RELEASE": release,
             "ROUTER_LIFE": str(incarnation),
         }
-        arguments = [str(files.pid), str(self._releases.path(release)), RUN]
+        arguments = [str(files.pid), str(self._releases.path(release)), RUN_FILE]
         with files.log.open("ab") as log:
             return await anyio.open_process(
                 ["/bin/sh", "-c", START_SCRIPT, "sh", *arguments],
@@ -190,12 +190,12 @@
             )
 
     def register(self, incarnation: int, process: Process) -> RunningServer:
-        """Take a started process among those that run, and remove files of incarnations long gone."""
+        """Register a started process and remove the files of old incarnations."""
         self.pids[incarnation] = process.pid
         self._remove_old_files(incarnation)
         try:
             pidfd = os.pidfd_open(process.pid)
-        except ProcessLookupError:  # it has ended and been reaped already
+        except ProcessLookupError:  # it has already ended and been reaped
             pidfd = -1
         return RunningServer(incarnation, pidfd, process)
 
--- a/thistleline/supervisor/service.py
+++ b/thistleline/supervisor/service.py
@@ -1,6 +1,6 @@
-"""The supervisor as a program: its state on disk, the records it follows, its server's processes, its member.
+"""The supervisor process: persistence, polling of the replicated log, server processes and group membership.
 
-The state machine decides (`state_machine.py`); here its effects are carried out and events are gathered.
+The state machine (`state_machine.py`) decides; this module carries out its effects and feeds it events.
 """
 
 import signal
@@ -32,28 +32,28 @@
 from thistleline.supervisor.releases import Releases
 from thistleline.supervisor.server_log import ServerLog
 from thistleline.supervisor.server_processes import RunningServer, ServerProcesses
-from thistleline.supervisor.settings import unfit_settings
+from thistleline.supervisor.settings import settings_fault
 from thistleline.supervisor.settings_files import SettingsFiles
 from thistleline.supervisor.state_machine import Supervisor
 
-PUBLISH_INTERVAL = 0.1  # s between two looks at what the server says
+PUBLISH_INTERVAL = 0.1  # s between two reads of the server log and updates of the published facts
 POLL = 0.25  # s between two reads of the desired version
-PERSIST_RETRY = 1.0  # s before a state that could not be written is written again
-SETTINGS_TIMEOUT = 5.0  # s for settings to come from the replicated log
+PERSIST_RETRY_DELAY = 1.0  # s before a failed write of the state is retried
+SETTINGS_TIMEOUT = 5.0  # s, for reading settings from the replicated log
 
 _decode_state = msgspec.json.Decoder(SupervisorState).decode
 _decode_desired = msgspec.msgpack.Decoder(DesiredVersion).decode
 
 
 class SupervisorService:
-    """Keeps the server of one machine running, in the foreground."""
+    """Keeps the server of one machine running; the service itself runs in the foreground."""
 
     def __init__(self, conf: ProgramConfig, log: Callable[..., None]) -> None:
-        """Take the folder.
+        """Open and lock the state folder.
 
         Raises:
-            DiskLockedError: Another supervisor holds it.
-            OSError: It can't be used.
+            DiskLockedError: Another supervisor holds the lock.
+            OSError: The folder can't be used.
         """
         assert conf.steward is not None
         assert conf.members is not None
@@ -62,7 +62,7 @@
         self.log = log
         self.voters = dict(conf.council.voter)
         folder: Path = conf.steward.folder
-        self.latest = LatestValueStore(folder / "state", "steward")
+        self.state_store = LatestValueStore(folder / "state", "steward")
         self.releases = Releases(conf.steward.releases or folder / "releases")
         self.settings = SettingsFiles(folder / "settings")
         self.handover_folder = None if conf.handover is None else conf.handover.folder
@@ -71,25 +71,27 @@
         self.servers = ServerProcesses(folder, conf.steward.plate, self.releases, overlapping)
         self.server_log = ServerLog(self.servers.log_of)
         self.name = conf.members.name
-        self.born = wall_ms()
-        self.member = MemberService(conf.members, MemberFacts("", 0, conf.members.zone, self.born), log)
+        self.started_wall_ms = wall_ms()
+        self.member = MemberService(
+            conf.members, MemberFacts("", 0, conf.members.zone, self.started_wall_ms), log
+        )
         self.serving_since = 0  # boot time, ns
-        self._woken = anyio.Event()
+        self._wakeup = anyio.Event()
 
     async def run(self) -> None:
-        """Run until SIGTERM or SIGINT; the server runs on.
+        """Run until SIGTERM or SIGINT; the server keeps running afterwards.
 
         Raises:
-            OSError: The member's address can't be listened on.
-            ServerProcessError: A server lives and can't be found.
+            OSError: The member can't listen on its address.
+            ServerProcessError: A server is running, but its process can't be found.
         """
         async with anyio.create_task_group() as group:
             self.group = group
-            self.council = LeaseClient(self.voters, group)
+            self.consensus_client = LeaseClient(self.voters, group)
             group.start_soon(self.member.run)
             await self._recover()
             self._check_takeover()
-            group.start_soon(self._keep_time)
+            group.start_soon(self._run_timer)
             group.start_soon(self._poll_desired_version)
             group.start_soon(self._publish_periodically)
             with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
@@ -97,7 +99,7 @@
                     group.cancel_scope.cancel()
 
     async def _recover(self) -> None:
-        state = _decode_state(self.latest.value) if self.latest.value else SupervisorState()
+        state = _decode_state(self.state_store.value) if self.state_store.value else SupervisorState()
         alive = []
         async for server in self.servers.find(state.incarnation):
             self.group.start_soon(self._watch, server)
@@ -109,21 +111,21 @@
                 state,
                 server_alive=state.incarnation in alive,
                 successor_alive=state.successor is not None and state.successor_incarnation in alive,
-                predecessor=max((one for one in alive if one not in known), default=0),
+                predecessor=max((number for number in alive if number not in known), default=0),
             )
         )
 
     def handle(self, event: events.Event) -> None:
-        """Give an event to the state machine and carry out what follows."""
+        """Pass an event to the state machine and carry out the effects."""
         for effect in self.supervisor.handle(boot_now(), event):
             self._carry_out(effect)
-        self._woken.set()
+        self._wakeup.set()
 
-    async def _keep_time(self) -> None:
+    async def _run_timer(self) -> None:
         while True:
-            self._woken = anyio.Event()
+            self._wakeup = anyio.Event()
             with anyio.move_on_after(max(0.0, (self.supervisor.next_deadline() - boot_now()) / 1e9)):
-                await self._woken.wait()
+                await self._wakeup.wait()
                 continue
             self.handle(DeadlineReached())
 
@@ -147,14 +149,14 @@
     # ---- state and releases
 
     async def _persist(self, state: SupervisorState) -> None:
-        """Try until it is durable: nothing else is done before."""
+        """Retry until the state is durable; the state machine does not proceed before that."""
         while True:
             try:
-                await anyio.to_thread.run_sync(self.latest.put, msgspec.json.encode(state))
+                await anyio.to_thread.run_sync(self.state_store.put, msgspec.json.encode(state))
                 break
             except OSError as error:
                 self.log("state", why=error.strerror)
-                await anyio.sleep(PERSIST_RETRY)
+                await anyio.sleep(PERSIST_RETRY_DELAY)
         self.handle(events.StatePersisted())
 
     async def _verify(self, version: Version) -> None:
@@ -168,26 +170,28 @@
         self.handle(events.VersionVerified(fault))
 
     async def _verify_settings(self, version: Version) -> None:
-        """Fetch the settings of that number unless they are here, and check them.
+        """Fetch the settings of the version unless they are stored locally, and check them.
 
         Raises:
-            ReleaseError: They can't be had, have another content than meant, or don't fit this machine.
+            ReleaseError: They can't be fetched, have a different digest, or don't fit this server.
         """
         number = version.settings
         if not self.settings.exists(number):
-            answer = await self.council.request_until_decided(Get(settings_key(number)), SETTINGS_TIMEOUT)
+            answer = await self.consensus_client.request_until_decided(
+                Get(settings_key(number)), SETTINGS_TIMEOUT
+            )
             if not isinstance(answer, Got) or not answer.version:
-                raise ReleaseError(f"settings {number} are not to be had")
+                raise ReleaseError(f"settings {number} can't be read from the replicated log")
             self.settings.write(number, answer.value)
         content = self.settings.read(number)
         if digest_settings(content) != version.settings_digest:
-            raise ReleaseError(f"settings {number} have another content here")
+            raise ReleaseError(f"the local copy of settings {number} has a different digest")
         limits = orjson.loads(self.conf.plate.read_bytes()).get("limits")
-        fault = unfit_settings(content, limits)
+        fault = settings_fault(content, limits)
         if fault:
-            raise ReleaseError(f"settings {number} can't be taken here: {fault}")
+            raise ReleaseError(f"settings {number} don't fit this server: {fault}")
 
-    # ---- the server's process
+    # ---- server process
 
     async def _spawn(self, incarnation: int, version: Version) -> None:
         try:
@@ -204,11 +208,11 @@
     async def _watch(self, server: RunningServer) -> None:
         code = await server.wait()
         self.servers.pids.pop(server.incarnation, None)
-        self._check_takeover()  # it may have served before it ended
+        self._check_takeover()  # the server may have started serving before it ended
         self.handle(events.ServerExited(code, server.incarnation))
 
     def _check_takeover(self) -> None:
-        """See whether the successor says that it serves."""
+        """Check whether the successor has recorded that it serves."""
         if self.handover_folder is None or self.supervisor.phase != "succeeding":
             return
         owner = read_owner(self.handover_folder)
@@ -216,11 +220,11 @@
             self.serving_since = boot_now()
             self.handle(events.ServerReady(owner[0]))
 
-    # ---- the desired version, and what other members hear
+    # ---- desired version and published facts
 
     async def _poll_desired_version(self) -> None:
         while True:
-            answer = await self.council.request(Get(desired_version_key(self.name)))
+            answer = await self.consensus_client.request(Get(desired_version_key(self.name)))
             self.handle(events.ConsensusPolled(isinstance(answer, Got)))
             if isinstance(answer, Got) and answer.version:
                 with suppress(msgspec.MsgspecError):
@@ -235,7 +239,7 @@
             self._publish()
 
     def _publish(self) -> None:
-        """Tell the other members what runs here and how it does."""
+        """Publish the running version, its state and its figures to the other members."""
         supervisor = self.supervisor
         incarnation = supervisor.state.incarnation
         running = supervisor.state.running or Version()
@@ -244,7 +248,7 @@
             running.release if up else "",
             running.settings if up else 0,
             self.member.config.zone,
-            self.born,
+            self.started_wall_ms,
             up and boot_now() - self.serving_since >= self.conf.warm,
             up,
             (*self.server_log.figures_of(incarnation), supervisor.crashes.total, incarnation),
@@ -256,5 +260,5 @@
 
 
 def run(conf: ProgramConfig, log: Callable[..., None]) -> None:
-    """Run a supervisor until it is signalled; raises as `SupervisorService` does."""
+    """Run a supervisor until SIGTERM or SIGINT; raises the errors of `SupervisorService`."""
     anyio.run(SupervisorService(conf, log).run)
--- a/thistleline/supervisor/settings_files.py
+++ b/thistleline/supervisor/settings_files.py
@@ -1,35 +1,35 @@
-"""Numbered settings on the machine's disk: copies of records of the replicated log."""
+"""Local copies of the numbered settings in the replicated log."""
 
 from pathlib import Path
 
 
 class SettingsFiles:
-    """One file for each number, whole or absent."""
+    """One file for each settings number, written atomically."""
 
     def __init__(self, folder: Path) -> None:
-        """Use `folder`, which is created with the first file."""
+        """Use `folder`, which is created when the first file is written."""
         self.folder = folder
 
     def _path(self, number: int) -> Path:
         return self.folder / f"{number}.json"
 
     def exists(self, number: int) -> bool:
-        """Tell whether the settings with this number are here."""
+        """Return whether the settings with this number are stored locally."""
         return self._path(number).exists()
 
     def read(self, number: int) -> bytes:
         """Return the content of the settings with this number.
 
         Raises:
-            OSError: They are not here or can't be read.
+            OSError: The file is missing or can't be read.
         """
         return self._path(number).read_bytes()
 
     def write(self, number: int, content: bytes) -> None:
-        """Store settings under their number, replaced as a whole.
+        """Store settings under their number, replacing the file atomically.
 
         Raises:
-            OSError: They can't be written.
+            OSError: The file can't be written.
         """
         path = self._path(number)
         self.folder.mkdir(exist_ok=True)
--- a/thistleline/supervisor/state_machine.py
+++ b/thistleline/supervisor/state_machine.py
@@ -1,13 +1,15 @@
-"""What a supervisor decides: which server runs, when it is stopped, restarted or given up. No I/O, no clock.
-
-Events of `events.py` come in by `handle`, effects of `effects.py` come out. One effect at a time changes what
-runs, and each only after `PersistState` was answered: whenever the supervisor dies, its state on disk and
-which servers live say together what is to be done. A server is never started while one lives.
-
-The exception is `overlapping`: there a server is followed by its successor while it serves. Until the
-successor says that it serves (`ServerReady`) the other one does; then that one is the predecessor, which ends
-by itself or is killed. A successor that dies, or does not come to serve, costs nothing but its attempt. At
-most two live, and those two are the one that serves and either its successor or its predecessor.
+"""Supervisor state machine: starts, stops, replaces and restarts a server, or gives it up. No I/O, no clock.
+
+`handle` takes the events of `events.py` and returns the effects of `effects.py`. Effects that change which
+servers run are issued one at a time, each only after the preceding `PersistState` is durable: if the
+supervisor dies at any point, the state on disk and the running servers together determine the next step. A
+server is never started while another one runs.
+
+The exception is `overlapping`: the successor is started while the current server serves. The current server
+serves until the successor reports that it does (`ServerReady`); it then is the predecessor, which ends by
+itself or is killed. A successor that dies, or does not start serving, only fails its own attempt: the current
+server keeps serving. At most two servers run: the one that serves, and either its successor or its
+predecessor.
 """
 
 from enum import Enum, auto
@@ -31,32 +33,32 @@
 
 
 class AfterPersist(Enum):
-    """What follows once a state is durable, other than an effect."""
+    """Continuations other than effects, run once a state is durable."""
 
     CONVERGE = auto()
     RESTART = auto()
 
 
-Continuation = AfterPersist | effects.Effect | None  # done once a state is durable
+Continuation = AfterPersist | effects.Effect | None  # run once a state is durable
 
 
 class Supervisor:
     """Keeps one server of a machine at the desired version, as a pure state machine.
 
     Attributes:
-        phase: What is under way.
-        state: The state as last handed out to be persisted.
-        candidate: The version that is verified, or stopped for.
+        phase: Current phase.
+        state: The latest state that was passed to `PersistState`.
+        candidate: The version that is being verified, or that starts once the current server has stopped.
         alive: Whether the server of the current incarnation runs.
-        crashes: Crashes of the current version, and the backoff.
+        crashes: Crash history of the current version, and its backoff.
         takeover: The successor or predecessor of the current server.
     """
 
     def __init__(self, stop_timeout: int, now: int, overlapping: bool = False) -> None:
-        """Begin before recovery.
+        """Create a supervisor in the phase "recovering".
 
         Args:
-            stop_timeout: Time that a server has from SIGTERM to its end, ns.
+            stop_timeout: Time that a server has to end after SIGTERM, ns.
             now: Boot time, ns.
             overlapping: Whether servers hand over to their successors.
         """
@@ -75,21 +77,21 @@
         self.crashes = CrashHistory()
         self.consensus_reachable = True
         self.consensus_reached_at = now
-        self._continuations: list[Continuation] = []  # one for each state that is being persisted
+        self._continuations: list[Continuation] = []  # one for each outstanding `PersistState`
         self._effects: list[effects.Effect] = []
 
     def copy(self) -> "Supervisor":
-        """Return an independent copy, for exploration."""
-        made = Supervisor.__new__(Supervisor)
-        made.__dict__.update(self.__dict__)
-        made.crashes = self.crashes.copy()
-        made.takeover = self.takeover.copy()
-        made._continuations = list(self._continuations)
-        made._effects = []
-        return made
+        """Return an independent copy, for state-space exploration."""
+        duplicate = Supervisor.__new__(Supervisor)
+        duplicate.__dict__.update(self.__dict__)
+        duplicate.crashes = self.crashes.copy()
+        duplicate.takeover = self.takeover.copy()
+        duplicate._continuations = list(self._continuations)
+        duplicate._effects = []
+        return duplicate
 
     def state_key(self) -> tuple[Any, ...]:
-        """Return all that later decisions depend on but time and consensus, hashable, for exploration."""
+        """Return a hashable key of all that decisions depend on but time and consensus, for exploration."""
         return (
             self.phase,
             self.state,
@@ -105,7 +107,7 @@
         )
 
     def handle(self, now: int, event: events.Event) -> list[effects.Effect]:
-        """Take an event at boot time `now` (ns) and return the effects to carry out, in order."""
+        """Handle an event at boot time `now` (ns) and return the effects to carry out, in order."""
         self.now = max(self.now, now)
         phase_before = self.phase
         self._dispatch(event)
@@ -141,7 +143,7 @@
 
     @property
     def serves(self) -> bool:
-        """Whether there is a server that takes tasks, by all that is known here."""
+        """Whether a server accepts tasks, as far as the supervisor knows."""
         return self.alive and self.phase in ("running", "verifying", "succeeding")
 
     def next_deadline(self) -> int:
@@ -171,10 +173,10 @@
     def _log(self, event: str, **fields: Any) -> None:
         self._effects.append(LogEvent(event, fields))
 
-    # ---- state on disk
+    # ---- persistent state
 
     def _persist(self, state: SupervisorState, then: Continuation = None) -> None:
-        """Adopt the state, have it made durable, and do `then` once it is."""
+        """Adopt the state, request that it is made durable, and run `then` once it is."""
         self.state = state
         self._continuations.append(then)
         self._effects.append(effects.PersistState(state))
@@ -195,17 +197,17 @@
         self.started_at = self.now
         if event.successor_alive:
             self.phase = "succeeding"
-            self.reason = "found alive with its heir"
+            self.reason = "found running with its successor"
             self.takeover.begin(self.now, alive=True)
             return
         self.phase = "running" if event.server_alive else "idle"
-        self.reason = "found alive" if event.server_alive else ""
+        self.reason = "found running" if event.server_alive else ""
         if event.state.successor is not None:
             self._persist(event.state.without_successor(), AfterPersist.CONVERGE)
         else:
             self._converge()
 
-    # ---- the desired version
+    # ---- desired version
 
     def _on_consensus_polled(self, reachable: bool) -> None:
         if reachable:
@@ -213,7 +215,7 @@
         self.consensus_reachable = reachable
 
     def _on_desired_version(self, desired: DesiredVersion) -> None:
-        """Follow it; idempotent. One with an older fencing token is refused."""
+        """Adopt the desired version; idempotent. One with an older fencing token is refused."""
         known = self.state.desired
         if known is not None and desired.is_older_than(known):
             self._log(
@@ -244,15 +246,15 @@
             return
         if self.phase == "succeeding":
             if self.takeover.successor_alive and wanted != self.state.successor:
-                self._log("heir given up", life=self.state.successor_incarnation)
+                self._log("successor abandoned", life=self.state.successor_incarnation)
                 self._effects.append(effects.TerminateServer(self.state.successor_incarnation))
         elif self.phase == "running":
-            if self._may_change() and wanted != self.state.running:
-                self._verify(wanted, "another version is wanted")
+            if self._can_replace() and wanted != self.state.running:
+                self._verify(wanted, "the desired version differs")
         elif self.phase in ("idle", "failed", "backing off"):
             self._verify(wanted, "")
 
-    def _may_change(self) -> bool:
+    def _can_replace(self) -> bool:
         """Whether a running server may be replaced now."""
         if not self.overlapping:
             return True
@@ -268,16 +270,16 @@
         if self.phase != "verifying" or self.candidate is None:
             return
         if fault:
-            self._on_unfit(self.candidate, fault)
+            self._on_verification_failed(self.candidate, fault)
         elif not self.alive:
             self._spawn(self.candidate)
         elif self.overlapping:
             self._spawn_successor(self.candidate)
         else:
-            self._stop("another version is wanted")
+            self._stop("the desired version differs")
 
-    def _on_unfit(self, candidate: Version, fault: str) -> None:
-        """Reject what is not here, or is not what is meant; what runs goes on."""
+    def _on_verification_failed(self, candidate: Version, fault: str) -> None:
+        """Reject a version that is missing, unfit or of another digest; a running server keeps running."""
         self._log("unfit", release=candidate.release, why=fault)
         self.reason = fault
         self.phase = "running" if self.alive else "failed"
@@ -303,12 +305,12 @@
         self._persist(state, effects.SpawnServer(incarnation, version))
 
     def _restart(self) -> None:
-        """Start the same version anew, if nothing else has begun meanwhile."""
+        """Restart the running version, unless another phase has begun meanwhile."""
         if self.phase != "running":
             return
         if not self.overlapping:
             self.candidate = self.state.running
-            self._stop("it is started anew")
+            self._stop("a restart was requested")
         elif not self.takeover.predecessor and self.state.running is not None:
             self._spawn_successor(self.state.running)
 
@@ -332,14 +334,14 @@
         self._converge()
 
     def _on_spawn_failed(self, reason: str) -> None:
-        self._log("unstarted", why=reason)
+        self._log("start failed", why=reason)
         if self.phase == "succeeding":
-            self._on_successor_failed(f"it could not be started: {reason}")
+            self._on_successor_failed(f"the server could not be started: {reason}")
         else:
-            self._on_crashed(f"it could not be started: {reason}")
+            self._on_crashed(f"the server could not be started: {reason}")
 
     def _on_ready(self, incarnation: int) -> None:
-        """Let the successor be the current incarnation: it serves now, as it says itself."""
+        """Make the successor the current incarnation, as it reported that it serves."""
         state = self.state
         if incarnation != state.successor_incarnation or not incarnation or self.phase != "succeeding":
             return
@@ -364,13 +366,13 @@
         self.reason = reason
         self._effects.append(effects.TerminateServer(self.state.incarnation))
 
-    # ---- ends and crashes
+    # ---- exits and crashes
 
     def _on_exited(self, code: int, incarnation: int) -> None:
         if incarnation and incarnation == self.takeover.predecessor:
             self._on_predecessor_exited(code)
         elif incarnation and incarnation == self.state.successor_incarnation and self.phase == "succeeding":
-            self._on_successor_failed(f"it ended by itself with {code} before it served")
+            self._on_successor_failed(f"the server exited with {code} before it served")
         elif incarnation in (0, self.state.incarnation):
             self._on_current_exited(code)
 
@@ -386,11 +388,11 @@
         self.alive = False
         self._log("exited", code=code, life=self.state.incarnation, ran_ms=ran_ms)
         if self.phase == "succeeding":
-            return  # its successor comes to serve without it, or is taken for one that does not
+            return  # the successor starts serving without it, or is handled as a failed successor
         if self.phase == "verifying":
-            return  # it died while another was verified, which is started once that is done
+            return  # died while the candidate was being verified, which is started afterwards
         if self.phase != "stopping":
-            self._on_crashed(f"it ended by itself with {code} after {ran_ms} ms")
+            self._on_crashed(f"the server exited with {code} after {ran_ms} ms")
             return
         self.phase = "idle"
         if self.candidate is not None and self.candidate == self.state.wanted:
@@ -399,7 +401,7 @@
             self._converge()
 
     def _on_successor_failed(self, reason: str) -> None:
-        """Let the server that serves go on; where that is gone too it counts as any crash."""
+        """Keep the current server; if it has ended too, handle the failure as a crash."""
         self.takeover.fail()
         abandoned = self.state.wanted != self.state.successor
         if not self.alive:
@@ -427,18 +429,18 @@
             self.crashes.back_off(self.now)
 
     def _fall_back(self) -> None:
-        """Return to the last good version, where consensus is away and the new one does not come up."""
+        """Return to the last good version if the new one crash-loops while consensus is unreachable."""
         unreachable_for = self.now - self.consensus_reached_at
-        alone = not self.consensus_reachable and unreachable_for >= UNREACHABLE_AFTER
+        isolated = not self.consensus_reachable and unreachable_for >= UNREACHABLE_AFTER
         good = self.state.last_good
-        if not alone or good is None or good == self.state.wanted:
+        if not isolated or good is None or good == self.state.wanted:
             return
         self._log("back alone", release=good.release, settings=good.settings)
         self.crashes.clear()
         rejecting = msgspec.structs.replace(self.state, rejected=self.state.desired)
         self._persist(rejecting, AfterPersist.CONVERGE)
 
-    # ---- time
+    # ---- timers
 
     def _on_timer(self) -> None:
         self._kill_late_predecessor()
@@ -473,7 +475,7 @@
         if self.now >= self.takeover.successor_deadline():
             self.takeover.begin(self.now, alive=self.takeover.successor_alive)
             incarnation = self.state.successor_incarnation
-            self._log("killed", life=incarnation, why="it does not come to serve")
+            self._log("killed", life=incarnation, why="the successor did not start serving in time")
             self._effects.append(effects.KillServer(incarnation))
 
     def _kill_late_server(self) -> None:
--- a/thistleline/supervisor/takeover.py
+++ b/thistleline/supervisor/takeover.py
@@ -1,10 +1,10 @@
-"""Servers beside the current one: the successor that is to take over, the predecessor that did hand over."""
+"""Tracks the successor of the current server until it serves, and its predecessor until it has ended."""
 
 from thistleline.supervisor.timing import KILL_DELAY, TAKEOVER_TIMEOUT
 
 
 class Takeover:
-    """Follows the successor until it serves, and then the predecessor until its process ends.
+    """Tracks the successor until it serves, and then the predecessor until its process ends.
 
     Attributes:
         successor_alive: Whether the process of the successor runs.
@@ -21,25 +21,25 @@
     )
 
     def __init__(self) -> None:
-        """Begin with the current server alone."""
+        """Create a tracker without a successor or predecessor."""
         self.successor_alive = False
         self.predecessor = 0
         self.predecessor_since = 0
-        self._successor_since = 0  # of its start, or of the last attempt to end it, ns
+        self._successor_since = 0  # time of its start, or of the last attempt to kill it, ns
         self._predecessor_killed = False
 
     def copy(self) -> "Takeover":
         """Return an independent copy."""
-        made = Takeover()
-        made.successor_alive = self.successor_alive
-        made.predecessor = self.predecessor
-        made.predecessor_since = self.predecessor_since
-        made._successor_since = self._successor_since
-        made._predecessor_killed = self._predecessor_killed
-        return made
+        duplicate = Takeover()
+        duplicate.successor_alive = self.successor_alive
+        duplicate.predecessor = self.predecessor
+        duplicate.predecessor_since = self.predecessor_since
+        duplicate._successor_since = self._successor_since
+        duplicate._predecessor_killed = self._predecessor_killed
+        return duplicate
 
     def state_key(self) -> tuple[bool, int, int, int, bool]:
-        """Return all that later decisions depend on."""
+        """Return everything that later decisions depend on."""
         return (
             self.successor_alive,
             self._successor_since,
@@ -48,40 +48,40 @@
             self._predecessor_killed,
         )
 
-    # ---- the successor
+    # ---- successor
 
     def begin(self, now: int, alive: bool = False) -> None:
-        """Await that a successor serves, from `now` (ns) on; `alive` once its process runs."""
+        """Start waiting at `now` (ns) for a successor to serve; `alive` is whether its process runs."""
         self.successor_alive = alive
         self._successor_since = now
 
     def fail(self) -> None:
-        """Note that the successor's process is gone."""
+        """Record that the successor's process ended."""
         self.successor_alive = False
 
     def complete(self, predecessor: int, now: int) -> None:
-        """Note that the successor serves, and await the end of the one before it; 0 if that is gone."""
+        """Record that the successor serves, and wait for its predecessor to end; 0 if that has ended."""
         self.successor_alive = False
         self.await_predecessor(predecessor, now)
 
     def successor_deadline(self) -> int:
-        """Return when the successor is killed if it does not serve, ns."""
+        """Return the time at which a successor that does not serve is killed, ns."""
         return self._successor_since + TAKEOVER_TIMEOUT
 
-    # ---- the predecessor
+    # ---- predecessor
 
     def await_predecessor(self, incarnation: int, now: int) -> None:
-        """Await the end of this incarnation, from `now` (ns) on; 0 for none."""
+        """Start waiting at `now` (ns) for this incarnation to end; 0 for none."""
         self.predecessor = incarnation
         self.predecessor_since = now
         self._predecessor_killed = False
 
     def predecessor_ended(self) -> None:
-        """Note that the predecessor's process is gone."""
+        """Record that the predecessor's process ended."""
         self.predecessor = 0
 
     def predecessor_deadline(self, stop_timeout: int) -> int | None:
-        """Return when the predecessor is killed, ns; None if there is none or it was.
+        """Return the time at which the predecessor is killed, ns; None if there is none or it was killed.
 
         Args:
             stop_timeout: Time that a server has to stop, ns.
@@ -91,5 +91,5 @@
         return self.predecessor_since + stop_timeout + KILL_DELAY
 
     def predecessor_killed(self) -> None:
-        """Note that the predecessor was killed; its end is awaited further."""
+        """Record that the predecessor was sent SIGKILL; its process has not ended yet."""
         self._predecessor_killed = True
