--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -143,14 +143,14 @@
 
 
 def test_a_look_that_passes_over_all_for_each_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    had = RolloutController._steer
+    had = RolloutController._converge_servers
 
     def for_each(self: RolloutController, record: Any, desired: Any) -> None:
         for one in self.servers.values():
             sum(other.up for other in self.servers.values() if other.zone != one.zone)
         had(self, record, desired)
 
-    monkeypatch.setattr(RolloutController, "_steer", for_each)
+    monkeypatch.setattr(RolloutController, "_converge_servers", for_each)
     assert of(LOOK, SIZES, lambda n: control.conducted(n, 0, 1).look) == [f"{LOOK}: linear"]
 
 
@@ -180,8 +180,8 @@
     assert made.record.phase == "going"
     assert made.analysis is not None
     assert made.analysis.compared_slots == 3  # of four slots: the first is what the next is held against
-    assert len(made.changes.under_way) == 1
-    assert made.changes.no_room
+    assert len(made.changes.pending) == 1
+    assert made.changes.blocked
 
 
 def test_comparisons_in_c_are_counted() -> None:
--- a/thistleline/rollout/__init__.py
+++ b/thistleline/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Rolling changes: brought to the fleet in stages, judged against a control group, paused and rolled back."""
+"""Staged rollouts: changed in stages, compared with a control group, and paused or rolled back if worse."""
--- a/thistleline/rollout/canary_health.py
+++ b/thistleline/rollout/canary_health.py
@@ -1,42 +1,42 @@
-"""What stops a stage at once, without statistics: silence, broken rules and crashes of new servers."""
+"""Checks that stop a stage without statistics: silence, broken rules and crashes of new servers."""
 
 from collections.abc import Iterable
 
 from thistleline.rollout.metrics import SlotSample
 
-SILENT_SLOTS = 4  # without a word from a new server that should speak
-MIN_TASKS = 5  # of a server in a slot, for its rates to say anything
+SILENT_SLOTS = 4  # in a row without a report of a new server that should report
+MIN_TASKS = 5  # of a server in a slot, for its rates to be meaningful
 CRASH_LOOP_COUNT = 3  # crashes of one server in a stage
-MIN_CRASHES = 2  # of all new servers, before their rate is compared
+MIN_CRASHES = 2  # of all new servers together, before their rate is compared with that of old ones
 
 
 class CanaryHealth:
-    """Follows the new servers of one stage.
+    """Monitors the new servers of one stage.
 
     Attributes:
-        fault: Why the stage is to be stopped; empty while nothing was seen.
-        new: Ids of the new servers that were seen.
-        last_control_slot: The last slot in which an old server spoke.
-        last_crash_slot: The last slot in which a new server had crashed anew; 0 for none.
+        fault: Why the stage has to be stopped; empty if there is no reason.
+        new: Ids of the new servers that have reported.
+        last_control_slot: The last slot in which an old server reported; 0 for none.
+        last_crash_slot: The last slot with a new crash of a new server; 0 for none.
     """
 
     def __init__(self) -> None:
-        """Begin with nothing seen."""
+        """Create the checks without any report."""
         self.fault = ""
         self.new: set[str] = set()
         self.last_control_slot = 0
         self.last_crash_slot = 0
         self._silent_slots: dict[str, int] = {}
-        self._crashes_of_new: dict[str, int] = {}  # as last told
+        self._crashes_of_new: dict[str, int] = {}  # as last reported
         self._crashes_of_old: dict[str, int] = {}
 
     def add_slot(self, slot: int, samples: list[SlotSample], expected: Iterable[str]) -> None:
-        """Take all that is known of one slot.
+        """Check the samples of one slot.
 
         Args:
-            slot: Its number, from 1.
-            samples: What servers did.
-            expected: The new servers that should have spoken.
+            slot: Number of the slot, from 1.
+            samples: Samples of servers in the slot.
+            expected: The new servers that should have reported.
         """
         self._check_silence(samples, expected)
         for sample in samples:
@@ -45,19 +45,19 @@
             else:
                 self.last_control_slot = slot
                 self._crashes_of_old[sample.id] = sample.crashes
-        if self._crashes_more():
+        if self._has_higher_crash_rate():
             self._stop(f"{sum(self._crashes_of_new.values())} crashes of new servers")
 
     def _stop(self, fault: str) -> None:
-        """Note a fault; the first one counts."""
+        """Record a fault; only the first one is kept."""
         self.fault = self.fault or fault
 
     def _check_silence(self, samples: list[SlotSample], expected: Iterable[str]) -> None:
-        # Figures that stand still while those of others move say as little as none.
-        busy_zones = {one.zone for one in samples if not one.new and one.tasks >= MIN_TASKS}
-        spoke = {one.id for one in samples if one.tasks or one.zone not in busy_zones}
+        # A server whose counters do not advance while others in its zone are busy counts as silent.
+        busy_zones = {sample.zone for sample in samples if not sample.new and sample.tasks >= MIN_TASKS}
+        reported = {sample.id for sample in samples if sample.tasks or sample.zone not in busy_zones}
         for server_id in expected:
-            silent = 0 if server_id in spoke else self._silent_slots.get(server_id, 0) + 1
+            silent = 0 if server_id in reported else self._silent_slots.get(server_id, 0) + 1
             self._silent_slots[server_id] = silent
             if silent >= SILENT_SLOTS:
                 self._stop(f"{server_id} is silent")
@@ -67,13 +67,13 @@
         if sample.broken:
             self._stop(f"{sample.id} broke a rule")
         if sample.crashes >= CRASH_LOOP_COUNT:
-            self._stop(f"{sample.id} crashes again and again")
+            self._stop(f"{sample.id} crashes repeatedly")
         if sample.crashes > self._crashes_of_new.get(sample.id, 0):
             self._crashes_of_new[sample.id] = sample.crashes
             self.last_crash_slot = slot
 
-    def _crashes_more(self) -> bool:
-        """Tell whether new servers crashed, and more than twice as often as old ones, a server."""
+    def _has_higher_crash_rate(self) -> bool:
+        """Return whether new servers crashed, and more than twice as often per server as old ones."""
         new_crashes = sum(self._crashes_of_new.values())
         old_crashes = sum(self._crashes_of_old.values())
         old_servers = max(1, len(self._crashes_of_old))
--- a/thistleline/rollout/confidence.py
+++ b/thistleline/rollout/confidence.py
@@ -1,21 +1,21 @@
-"""A confidence sequence: bounds on a mean that hold at any look. No I/O, no clock.
+"""A confidence sequence: bounds on a mean that are valid at any stopping time. No I/O, no clock.
 
-Who looks after every sample and stops when it suits is not fooled more often than `alpha`. This is the
-predictable plug-in empirical Bernstein confidence sequence (Waudby-Smith and Ramdas 2023, theorem 2): for
-samples in [0, 1] whose mean, given all before, is the same. No shape of distribution is taken for granted,
-and it narrows as their variance does.
+The bounds may be checked after every sample and sampling may stop at any time: the probability that the mean
+is ever outside of them is at most `alpha`. This is the predictable plug-in empirical Bernstein confidence
+sequence (Waudby-Smith and Ramdas 2023, theorem 2), for samples in [0, 1] with a constant conditional mean
+given the earlier samples. It assumes no distribution, and it narrows with the variance of the samples.
 """
 
 from math import log, sqrt
 
-BET_MAX = 0.9  # the paper's c, below 1
+BET_MAX = 0.9  # c in the paper; has to be below 1
 
 
 class ConfidenceSequence:
     """Bounds on the mean of the samples added so far.
 
     Attributes:
-        count: Samples so far.
+        count: Number of samples so far.
         lower: Lower bound on the mean.
         upper: Upper bound on the mean.
     """
@@ -33,7 +33,7 @@
     )
 
     def __init__(self, alpha: float) -> None:
-        """Begin without a sample; `alpha`: how often the mean may ever lie outside, at most."""
+        """Create an empty sequence; `alpha` is the maximum probability that the mean is ever outside."""
         self._alpha = alpha
         self._total = 0.0
         self._squared_deviations = 0.0
@@ -58,11 +58,11 @@
         self._squared_deviations += (sample - mean) ** 2
         centre = self._weighted / self._bets
         half_width = (log(2 / self._alpha) + self._penalty) / self._bets
-        # Running intersection: what was once excluded stays so.
+        # Running intersection: a value that was excluded once stays excluded.
         self.lower = max(self.lower, centre - half_width)
         self.upper = min(self.upper, centre + half_width)
 
     @property
     def mean(self) -> float:
-        """Mean of the samples; 0.5 where there is none."""
+        """Mean of the samples; 0.5 without samples."""
         return self._total / self.count if self.count else 0.5
--- a/thistleline/rollout/controller.py
+++ b/thistleline/rollout/controller.py
@@ -1,9 +1,9 @@
-"""What a rollout controller decides: who changes next, when a stage is judged, when all is rolled back.
+"""Rollout state machine: chooses which servers change next, judges each stage, and rolls back if it is worse.
 
-A pure state machine without I/O or clock: events of `events.py` come in by `handle`, effects of `effects.py`
-come out. Whatever it does follows from the record that is decided and from what members show, so that a
-successor goes on where it stopped. Only how far a stage has been judged is in memory: a successor judges it
-anew.
+It does no I/O and reads no clock: `handle` takes the events of `events.py` and returns the effects of
+`effects.py`. All decisions follow from the committed record and from the facts that members publish, so that
+a succeeding controller continues where its predecessor stopped. Only the analysis of the current stage is
+kept in memory alone: a succeeding controller restarts it.
 """
 
 from collections.abc import Callable
@@ -32,19 +32,19 @@
 from thistleline.supervisor.model import Version
 
 MAX_FINDINGS_LOGGED = 5
-MAX_DOWN_NAMED = 8  # servers named in a reason
+MAX_DOWN_NAMED = 8  # servers that are down, listed in a reason
 
 
 class RolloutController:
-    """Leads a change through the fleet.
+    """Carries out a rollout across the fleet.
 
     Attributes:
-        record: The change as it was last decided.
-        pending_record: The record that is being decided; nothing else is done until it is.
-        servers: The fleet as it was last seen, by server id.
-        changes: Changes of single servers under way.
-        analysis: Judges the current stage; None outside of one.
-        sampler: Turns figures into samples of slots.
+        record: The rollout record that was last committed.
+        pending_record: The record that is being committed; no other step is taken until it is.
+        servers: The servers as last observed, by server id.
+        changes: Pending changes of single servers.
+        analysis: Analysis of the current stage; None outside of a stage.
+        sampler: Converts cumulative figures into samples per slot.
         next_slot: When the current slot ends, ns.
     """
 
@@ -56,14 +56,14 @@
         timing: RolloutTiming,
         make_analysis: Callable[..., CanaryAnalysis] = CanaryAnalysis,
     ) -> None:
-        """Go on from what is recorded.
+        """Continue from the recorded state.
 
         Args:
             now: Boot time, ns.
             wall_clock: Returns wall clock ms.
-            record: The change as the replicated log has it, of this or an earlier controller.
-            timing: How long things may take.
-            make_analysis: Makes the analysis of a stage.
+            record: The rollout record in the replicated log, written by this or an earlier controller.
+            timing: Durations and limits of a rollout.
+            make_analysis: Creates the analysis of a stage.
         """
         self.now = now
         self.wall_clock = wall_clock
@@ -76,36 +76,36 @@
         self.sampler = SlotSampler()
         self.next_slot = now + timing.slot
         self._make_analysis = make_analysis
-        self._observed = False  # whether the fleet was seen at all
-        self._crashes_before = dict(record.crashes) if record is not None else {}  # as the stage began
-        self._cold_baseline = ColdBaseline()  # of this change: how the base does cold is true of all stages
+        self._observed = False  # whether the servers were observed at least once
+        self._crashes_before = dict(record.crashes) if record is not None else {}  # at the start of the stage
+        self._cold_baseline = ColdBaseline()  # of all stages of a rollout, as they have the same base
         self._effects: list[Effect] = []
 
     def copy(self) -> "RolloutController":
-        """Return an independent copy but for the analysis, for exploration."""
-        made = RolloutController.__new__(RolloutController)
-        made.__dict__.update(self.__dict__)
-        made.servers = dict(self.servers)
-        made.changes = self.changes.copy()
-        made.sampler = self.sampler.copy()
-        made._crashes_before = dict(self._crashes_before)
-        made._effects = []
-        return made
+        """Return a copy that shares only the analysis, for state-space exploration."""
+        duplicate = RolloutController.__new__(RolloutController)
+        duplicate.__dict__.update(self.__dict__)
+        duplicate.servers = dict(self.servers)
+        duplicate.changes = self.changes.copy()
+        duplicate.sampler = self.sampler.copy()
+        duplicate._crashes_before = dict(self._crashes_before)
+        duplicate._effects = []
+        return duplicate
 
     def state_key(self) -> tuple[Any, ...]:
-        """Return all that decisions can depend on but how far a stage is judged; hashable."""
+        """Return a hashable key of all that decisions depend on, except the progress of the analysis."""
         return (
             self.record,
             self.pending_record,
             tuple(self.servers.items()),
-            tuple(self.changes.under_way.items()),
+            tuple(self.changes.pending.items()),
             self.analysis is None,
             frozenset(self.changes.restarted_controls),
             self._observed,
         )
 
     def handle(self, now: int, event: Event) -> list[Effect]:
-        """Take an event at boot time `now` (ns) and return the effects to carry out, in order."""
+        """Handle an event at boot time `now` (ns) and return the effects to carry out, in order."""
         self.now = max(self.now, now)
         match event:
             case ServersObserved(servers):
@@ -125,10 +125,10 @@
     def _log(self, event: str, **fields: Any) -> None:
         self._effects.append(LogEvent(event, fields))
 
-    # ---- the record
+    # ---- record
 
     def _store_step(self, step: str, reason: str, **changes: Any) -> None:
-        """Have a step of the change decided, with these fields of the record changed."""
+        """Request that a step of the rollout is committed, with these fields of the record changed."""
         assert self.record is not None
         history = (*self.record.history, HistoryEntry(self.wall_clock(), step, reason))
         changed = msgspec.structs.replace(
@@ -146,7 +146,7 @@
         before = self.record
         record = self.record = self.pending_record
         self.pending_record = None
-        self.changes.no_room_since = self.now
+        self.changes.blocked_since = self.now
         self._crashes_before = dict(record.crashes)
         if before is None or (before.number, before.stage_index) != (record.number, record.stage_index):
             self.analysis = None
@@ -157,7 +157,7 @@
     # ---- orders
 
     def _on_order(self, order: Order) -> None:
-        """Follow an order once; one that makes no sense now is answered in the log and nowhere else."""
+        """Execute an order once; an order that does not apply now is only logged as refused."""
         record = self.record
         if self.pending_record is not None or (record is not None and order.number <= record.last_order):
             return
@@ -167,7 +167,9 @@
             return
         transition = TRANSITIONS[order.command]
         if record is None or record.phase not in transition.allowed_in:
-            self._log("order refused", number=order.number, why="nothing to " + order.command)
+            self._log(
+                "order refused", number=order.number, why="no rollout in a phase that allows " + order.command
+            )
         elif order.command == "skip":
             self._next_stage(f"skipped: {reason}", last_order=order.number)
         else:
@@ -177,7 +179,7 @@
     def _start(self, order: Order, reason: str) -> None:
         fault = start_fault(order)
         if self.record is not None and not self.record.is_over:
-            fault = f"change {self.record.number} is under way"
+            fault = f"rollout {self.record.number} is in progress"
         if fault:
             self._log("order refused", number=order.number, why=fault)
             return
@@ -196,26 +198,26 @@
         )
         self._store(record, "start")
 
-    # ---- the fleet
+    # ---- servers
 
     def _on_servers_observed(self, servers: list[ServerStatus]) -> None:
         self.servers = {server.id: server for server in servers}
         self._observed = True
 
     def _on_desired_versions_recovered(self, versions: dict[str, Version]) -> None:
-        """Prevent a successor from taking for up what is about to go down."""
+        """Adopt pending changes, so that servers that are about to restart are counted as down."""
         for server_id, version in versions.items():
             if not self._runs(server_id, version):
-                self.changes.expect(server_id, version, self.now)
+                self.changes.recover(server_id, version, self.now)
 
     def _runs(self, server_id: str, version: Version) -> bool:
         return server_id in self.servers and self.servers[server_id].runs(version)
 
-    def _steer(self, record: RolloutRecord, desired: dict[str, Version]) -> None:
-        """Bring each server towards what it should run."""
+    def _converge_servers(self, record: RolloutRecord, desired: dict[str, Version]) -> None:
+        """Issue the next changes towards the version that each server should run."""
         self._effects += self.changes.plan(self.now, record, self.servers, desired)
 
-    # ---- time
+    # ---- timers
 
     def _on_timer(self) -> None:
         if self.now >= self.next_slot:
@@ -229,12 +231,12 @@
         elif record.phase == "backing":
             self._roll_back(record)
         elif record.is_over:
-            # Who was away comes back with what it had then.
+            # A server that was away returns with the version that it ran before.
             version = record.version if record.phase == "done" else record.base
-            self._steer(record, dict.fromkeys(self.servers, version))
+            self._converge_servers(record, dict.fromkeys(self.servers, version))
 
     def _advance(self, record: RolloutRecord) -> None:
-        """Carry the current stage on: choose targets, change them, judge them."""
+        """Advance the current stage: choose its targets, change them and judge them."""
         if self._choose_targets(record):
             return
         if self.analysis is None:
@@ -243,41 +245,43 @@
                 zones, self.timing.alpha, self.timing.min_slots, self._cold_baseline
             )
         targets = set(record.targets)
-        desired = {one: record.version if one in targets else record.base for one in self.servers}
-        self._steer(record, desired)
-        late = self.changes.late(record.version, self.now, self.timing.change_timeout)
+        desired = {
+            server_id: record.version if server_id in targets else record.base for server_id in self.servers
+        }
+        self._converge_servers(record, desired)
+        late = self.changes.late_server(record.version, self.now, self.timing.change_timeout)
         if late:
-            self._store_step("back", f"{late} does not come up with it", phase="backing")
-        elif self.changes.no_room and self.now - self.changes.no_room_since >= self.timing.change_timeout:
+            self._store_step("back", f"{late} did not start the new version in time", phase="backing")
+        elif self.changes.blocked and self.now - self.changes.blocked_since >= self.timing.change_timeout:
             down = [server.id for server in self.servers.values() if not server.up]
             named = ", ".join(down[:MAX_DOWN_NAMED]) or "none"
-            reason = f"no room to change {self.changes.no_room[0]}: down are {named}"
+            reason = f"servers that are down block the change of {self.changes.blocked[0]}: {named}"
             self._store_step("ask", reason, phase="asking")
         else:
             self._judge(record, self.analysis)
 
     def _choose_targets(self, record: RolloutRecord) -> bool:
-        """Have the targets and controls of the stage decided, unless they are."""
+        """Commit the targets and controls of the stage unless that was done; return whether it was needed."""
         servers = list(self.servers.values())
         targets = choose_targets(record.stage, record.targets, servers)
         if len(targets) <= len(record.targets) or (record.targets and self.analysis is not None):
             return False
         controls = choose_controls(record.stage, targets, servers)
-        # In the record, so that a successor counts from the same.
-        crashes = tuple((one.id, one.figures[CRASHES]) for one in servers if one.crashes)
+        # Recorded, so that a succeeding controller counts crashes from the same start.
+        crashes = tuple((server.id, server.figures[CRASHES]) for server in servers if server.crashes)
         self._store_step("stage", record.stage, targets=targets, controls=controls, crashes=crashes)
         return True
 
     def _judge(self, record: RolloutRecord, analysis: CanaryAnalysis) -> None:
-        """Follow the verdict on the stage, once all its targets run the new version."""
+        """Act on the verdict: 'worse' at once, others once all live targets run the new version."""
         zone_of = {server.id: server.zone for server in self.servers.values()}
         judgement = analysis.judge(zone_of)
         if judgement.verdict == "worse":
             self._log_findings(judgement)
             self._store_step("back", judgement.reason, phase="backing")
             return
-        here = [self.servers[one] for one in record.targets if one in self.servers]
-        if not all(server.runs(record.version) for server in here if server.alive):
+        present = [self.servers[server_id] for server_id in record.targets if server_id in self.servers]
+        if not all(server.runs(record.version) for server in present if server.alive):
             return
         if judgement.verdict == "not worse":
             self._log("verdict", verdict=judgement.verdict, why=judgement.reason)
@@ -301,14 +305,14 @@
             self._store_step("done", reason, phase="done", **changes)
 
     def _roll_back(self, record: RolloutRecord) -> None:
-        self._steer(record, dict.fromkeys(self.servers, record.base))
+        self._converge_servers(record, dict.fromkeys(self.servers, record.base))
         if all(server.runs(record.base) for server in self.servers.values() if server.alive):
             self._store_step("back", record.reason, phase="back")
 
     # ---- slots
 
     def _end_slot(self) -> None:
-        """Hand what servers did in the slot to the analysis."""
+        """Pass the samples of the slot to the analysis."""
         record = self.record
         servers = self.servers.values()
         targets = frozenset(record.targets if record is not None else ())
@@ -316,5 +320,5 @@
         if self.analysis is None or record is None or record.phase != "going":
             return
         samples += crashed_targets(servers, record, targets, self._crashes_before)
-        running = [one for one in record.targets if self._runs(one, record.version)]
+        running = [server_id for server_id in record.targets if self._runs(server_id, record.version)]
         self.analysis.add_slot(samples, running)
--- a/thistleline/rollout/effects.py
+++ b/thistleline/rollout/effects.py
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreRecord:
-    """Have the record decided by the replicated log, then answer with `RecordStored`."""
+    """Commit the record to the replicated log, then answer with `RecordStored`."""
 
     record: RolloutRecord
 
 
 @dataclass(frozen=True, slots=True)
 class SetDesiredVersion:
-    """Want a version of a server; idempotent. Another `restart_token` restarts it with the same version."""
+    """Set the desired version of a server; idempotent. A new `restart_token` restarts the same version."""
 
     server_id: str
     version: Version
--- a/thistleline/rollout/events.py
+++ b/thistleline/rollout/events.py
@@ -10,28 +10,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ServersObserved:
-    """All servers as the members know them now."""
+    """The current status of all servers, from the facts that members publish."""
 
     servers: list[ServerStatus]
 
 
 @dataclass(frozen=True, slots=True)
 class DesiredVersionsRecovered:
-    """What earlier controllers wanted, by server id, and may not have come about yet."""
+    """Desired versions that earlier controllers set, by server id; they may not have taken effect yet."""
 
     versions: dict[str, Version]
 
 
 @dataclass(frozen=True, slots=True)
 class OrderReceived:
-    """The replicated log holds this order, new or known."""
+    """This order was read from the replicated log; it may be known already."""
 
     order: Order
 
 
 @dataclass(frozen=True, slots=True)
 class RecordStored:
-    """The last `StoreRecord` was decided."""
+    """The last `StoreRecord` was committed."""
 
 
 Event = ServersObserved | DesiredVersionsRecovered | OrderReceived | RecordStored | DeadlineReached
--- a/thistleline/rollout/leased_records.py
+++ b/thistleline/rollout/leased_records.py
@@ -1,36 +1,36 @@
-"""Records of the replicated log that are written under a lease."""
+"""Reads and writes records of the replicated log under a lease."""
 
 from thistleline.lease.client import LeaseClient
 from thistleline.lease.protocol import Denied, Done, Get, Got, Put, Unavailable
 from thistleline.lease.session import HeldLease
 from thistleline.rollout.record import LEASE_NAME
 
-WRITE_TIMEOUT = 8.0  # s in which a read or write has to be decided, else the lease is given back
+WRITE_TIMEOUT = 8.0  # s for a read or write to be decided; after it, the lease is released
 WRITE_ATTEMPTS = 3
 
 
 class UndecidedError(Exception):
-    """Nothing is known of a write: all begins anew from what the replicated log has."""
+    """The outcome of a read or write is unknown; the controller restarts from the replicated log."""
 
 
 class LeasedRecords:
-    """Reads records, and writes them with the lease's epoch as fencing token.
+    """Reads records, and writes them with the epoch of the lease as fencing token.
 
     Attributes:
         versions: Version of each record as last read or written; 0 for none.
     """
 
     def __init__(self, client: LeaseClient, lease: HeldLease) -> None:
-        """Use a client of the replicated log and a lease that is held."""
+        """Use a client of the replicated log and a held lease."""
         self.client = client
         self.lease = lease
         self.versions: dict[str, int] = {}
 
     async def get(self, key: str) -> bytes | None:
-        """Return the value of a record; None where there is none.
+        """Return the value of a record; None if there is none.
 
         Raises:
-            UndecidedError: No answer in time.
+            UndecidedError: There was no answer in time.
         """
         answer = await self.client.request_until_decided(Get(key), WRITE_TIMEOUT)
         if not isinstance(answer, Got):
@@ -39,10 +39,10 @@
         return answer.value if answer.version else None
 
     async def put(self, key: str, value: bytes) -> None:
-        """Write a record; a write of what is there already costs nothing.
+        """Write a record; the write is skipped if the value read is already the same.
 
         Raises:
-            UndecidedError: It was not decided, or the lease is held no more.
+            UndecidedError: The write was not decided, or the lease was lost.
         """
         for _ in range(WRITE_ATTEMPTS):
             if key not in self.versions and await self.get(key) == value:
--- a/thistleline/rollout/metrics.py
+++ b/thistleline/rollout/metrics.py
@@ -1,26 +1,26 @@
-"""Guardrail metrics: what servers did in a slot of time, and how much worse one value is than another."""
+"""Guardrail metrics: samples of servers per time slot, and how much worse one value is than another."""
 
 from typing import NamedTuple
 
-RELATIVE_FLOOR = 1e-9  # least base of a relative metric
+RELATIVE_FLOOR = 1e-9  # lower bound on the base of a relative metric; prevents a division by zero
 
 
 class SlotSample(NamedTuple):
-    """What one server did in one slot.
+    """Sample of one server in one slot.
 
     Attributes:
-        id: The server.
-        zone: Its zone.
+        id: Id of the server.
+        zone: Zone of the server.
         new: Whether it runs the new version.
-        cold: Whether it started a short while ago.
-        tasks: Tasks that came.
-        served: Part of the utility of what came that was finished in time, 0 to 1.
-        rejected: Part of what came.
-        abandoned: Part of what came.
-        slow: Part of what finished that took longer than it should, of the worst stage.
-        memory: Part of the scale's whole.
-        crashes: Since the stage began, not asked for.
-        broken: Rules broken, as the server itself noticed them.
+        cold: Whether it started recently.
+        tasks: Number of tasks that arrived.
+        served: Share of the utility that arrived that was finished in time, 0 to 1.
+        rejected: Share of the tasks that arrived.
+        abandoned: Share of the tasks that arrived.
+        slow: Share of the finished tasks that took longer than they should, of the worst stage.
+        memory: Memory use as a share of MEMORY_SCALE.
+        crashes: Unrequested exits since the stage began.
+        broken: Broken rules that the server itself detected.
     """
 
     id: str
@@ -42,9 +42,9 @@
 
     Attributes:
         name: Field of `SlotSample`.
-        margin: A worsening of so much is of no practical matter.
-        sign: 1 where more is worse, -1 where less is.
-        relative: Whether the worsening is relative to what the old servers have.
+        margin: Largest worsening without practical significance.
+        sign: 1 if a greater value is worse, -1 if a smaller one is.
+        relative: Whether the worsening is relative to the value of the old servers.
     """
 
     name: str
@@ -53,7 +53,7 @@
     relative: bool = False
 
     def worsening(self, value: float, base: float) -> float:
-        """Return how much worse `value` is than `base`; negative where it is better."""
+        """Return how much worse `value` is than `base`; negative if it is better."""
         worse = self.sign * (value - base)
         return worse / max(RELATIVE_FLOOR, base) if self.relative else worse
 
--- a/thistleline/rollout/order.py
+++ b/thistleline/rollout/order.py
@@ -1,4 +1,4 @@
-"""An operator's order to the rollout controller, as it stands in the replicated log."""
+"""Orders of an operator to the rollout controller, stored in the replicated log."""
 
 from typing import Literal, NamedTuple
 
@@ -8,21 +8,21 @@
 from thistleline.rollout.stages import STAGES
 from thistleline.supervisor.model import Version
 
-ORDER_KEY = "roll/order"  # in the replicated log
+ORDER_KEY = "roll/order"  # key in the replicated log
 
 
 class Order(msgspec.Struct, frozen=True):
-    """An order of a person, followed once.
+    """An order of an operator, executed once.
 
     Attributes:
-        number: Greater than that of the order before.
+        number: Number of the order, greater than that of the previous order.
         command: What to do.
-        reason: Why, for the history.
-        version: Of `start`: the version to go to.
-        base: Of `start`: the version to go back to.
-        stages: Of `start`: the stages in their order.
-        max_down: Of `start`: servers that may be down at once, of the fleet.
-        max_down_per_zone: Of `start`: and of each zone.
+        reason: Reason for the order, kept in the history.
+        version: For `start`: the version to roll out.
+        base: For `start`: the version to roll back to.
+        stages: For `start`: the stages, in order.
+        max_down: For `start`: servers that may be down at once in the fleet.
+        max_down_per_zone: For `start`: servers that may be down at once in a zone.
     """
 
     number: int
@@ -51,9 +51,9 @@
 
 
 def start_fault(order: Order) -> str:
-    """Return why an order to start makes no sense; nothing if it does."""
+    """Return why an order to start is invalid; an empty string if it is valid."""
     if order.version is None or order.base is None:
-        return "it names no version to go to, or none to go back to"
+        return "the order lacks the new version or the base version"
     return (
         _versions_fault(order.version, order.base)
         or _stages_fault(order.stages)
@@ -65,33 +65,33 @@
 
 def _versions_fault(version: Version, base: Version) -> str:
     if version == base:
-        return "nothing would change"
+        return "the new version is the base version"
     if (version.release, version.settings) == (base.release, base.settings):
-        return "the same release and settings number with other content"
+        return "the same release and settings number with different content"
     same_settings = version.settings == base.settings != 0
     if same_settings and version.settings_digest != base.settings_digest:
-        return "the same settings number with other content"
+        return "the same settings number with different content"
     return ""
 
 
 def _stages_fault(stages: tuple[str, ...]) -> str:
     unknown = [stage for stage in stages if stage not in STAGES]
     if unknown or not stages or stages[-1] != "all":
-        return f"stages are of {', '.join(STAGES)}, and 'all' is the last"
+        return f"stages must be among {', '.join(STAGES)}, and 'all' must be the last"
     return ""
 
 
 def _formats_fault(writer: Version, reader: Version) -> str:
-    """Return why `reader` could not take over the ledger of `writer`."""
+    """Return why `reader` could not take over the ledger of `writer`, to roll out or back; empty if it could."""
     written, readable = writer.written_format, reader.readable_formats
     if not written or not readable or written in readable:
         return ""
     known = ", ".join(map(str, readable))
-    what = f"{writer.release} writes a ledger of form {written}, {reader.release} reads {known}"
-    return f"{what}: there is no way back"
+    what = f"{writer.release} writes ledger format {written}, {reader.release} reads {known}"
+    return f"{what}: the ledger could not be handed over"
 
 
 def _limits_fault(order: Order) -> str:
     if order.max_down < 1 or order.max_down_per_zone < 1:
-        return "nothing can change with no server down"
+        return "at least one server must be allowed to be down, in the fleet and in each zone"
     return ""
--- a/thistleline/rollout/record.py
+++ b/thistleline/rollout/record.py
@@ -1,4 +1,4 @@
-"""A change on its way through the fleet, as the replicated log has it: what a successor goes on from."""
+"""The rollout record in the replicated log, from which a succeeding controller continues."""
 
 from typing import Literal
 
@@ -7,18 +7,18 @@
 from thistleline.supervisor.model import Version
 
 Phase = Literal["going", "paused", "asking", "backing", "done", "back"]
-MAX_HISTORY = 64  # entries; the oldest go
-RECORD_KEY = "roll"  # in the replicated log
-LEASE_NAME = "conductor"  # of the controller that leads
+MAX_HISTORY = 64  # entries; older ones are dropped
+RECORD_KEY = "roll"  # key in the replicated log
+LEASE_NAME = "conductor"  # lease of the active controller
 
 
 class HistoryEntry(msgspec.Struct, frozen=True, array_like=True):
-    """A step of a change.
+    """A step of a rollout.
 
     Attributes:
-        at: Wall clock, ms.
-        step: What was done.
-        reason: Why.
+        at: Wall clock time, ms.
+        step: Name of the step.
+        reason: Reason for the step.
     """
 
     at: int
@@ -27,23 +27,23 @@
 
 
 class RolloutRecord(msgspec.Struct, frozen=True):
-    """A change: all that a controller's decisions rest on beside what members show.
+    """A rollout: the state that a controller's decisions depend on, besides the facts that members publish.
 
     Attributes:
-        number: Number of the change.
-        version: The version to go to.
-        base: The version to go back to; it runs where the change has not been.
+        number: Number of the rollout.
+        version: The version to roll out.
+        base: The version to roll back to; servers that were not changed yet run it.
         stages: Names of the stages, in order.
-        max_down: Servers that may be down at once, of the fleet.
-        max_down_per_zone: And of each zone.
-        phase: How it stands.
-        stage_index: Place of the current stage in `stages`.
-        controls: Old servers that are restarted in this stage, to see how those do cold.
-        targets: Servers that run the new version by this stage; empty while they are still to be chosen.
-        crashes: Of servers that had any, as the stage began.
-        reason: Why it stands as it does.
-        last_order: Number of the last order that was followed.
-        history: Its last steps, the oldest first.
+        max_down: Servers that may be down at once in the fleet.
+        max_down_per_zone: Servers that may be down at once in a zone.
+        phase: Current phase.
+        stage_index: Index of the current stage in `stages`.
+        controls: Old servers that are restarted in this stage, as a baseline for cold servers.
+        targets: Servers that run the new version in this stage; empty until they are chosen.
+        crashes: Crash counts at the start of the stage, by server id; servers without crashes are left out.
+        reason: Reason for the current phase.
+        last_order: Number of the last order that was executed.
+        history: The latest steps, the oldest first.
     """
 
     number: int
@@ -63,7 +63,7 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether the change is done or rolled back."""
+        """Whether the rollout is done or rolled back."""
         return self.phase in ("done", "back")
 
     @property
--- a/thistleline/rollout/server_changes.py
+++ b/thistleline/rollout/server_changes.py
@@ -1,4 +1,4 @@
-"""Which servers are changed next, with no more down at once than is allowed."""
+"""Selects the servers to change next, within the limits on servers that are down at once."""
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
@@ -8,23 +8,23 @@
 from thistleline.rollout.server_status import ServerStatus
 from thistleline.supervisor.model import Version
 
-RESTART_TOKENS_PER_CHANGE = 100  # more than a change has stages
+RESTART_TOKENS_PER_ROLLOUT = 100  # more than a rollout has stages
 
 
-class Change(NamedTuple):
-    """A version that was wanted of a server, and since when, ns."""
+class PendingChange(NamedTuple):
+    """A version that was requested for a server, and the time of the request, ns."""
 
     version: Version
     since: int
 
 
 class DownBudget:
-    """Counts servers that are down, whoever took them down, against what a change allows."""
+    """Counts servers that are down, for whatever reason, against the limits of a rollout."""
 
     __slots__ = ("_by_zone", "_max_down", "_max_per_zone", "_total")
 
     def __init__(self, record: RolloutRecord, down_zones: Iterable[str]) -> None:
-        """Begin with one server down for each of `down_zones`."""
+        """Create a budget; `down_zones` has the zone of each server that is down."""
         self._max_down = record.max_down
         self._max_per_zone = record.max_down_per_zone
         self._total = 0
@@ -33,7 +33,7 @@
             self.spend(zone)
 
     def has_room(self, zone: str) -> bool:
-        """Tell whether one more server of the zone may go down."""
+        """Return whether one more server of the zone may go down."""
         return self._total < self._max_down and self._by_zone.get(zone, 0) < self._max_per_zone
 
     def spend(self, zone: str) -> None:
@@ -43,46 +43,46 @@
 
 
 class ServerChanges:
-    """The changes of single servers that are under way.
+    """The pending changes of single servers.
 
     Attributes:
-        under_way: What is wanted of whom, where it has not come about.
-        restarted_controls: Controls of this stage that were restarted, once each.
-        no_room: Who would be changed next, if others were not down.
-        no_room_since: Since when nothing has moved for want of room, ns.
+        pending: Requested changes that have not taken effect, by server id.
+        restarted_controls: Controls of this stage that were restarted; each is restarted once.
+        blocked: Servers that can't be changed until fewer servers are down.
+        blocked_since: Time since which no change was possible because of the limits, ns.
     """
 
     def __init__(self, now: int) -> None:
-        """Begin with none, at `now` (ns)."""
-        self.under_way: dict[str, Change] = {}
+        """Create the object without changes, at `now` (ns)."""
+        self.pending: dict[str, PendingChange] = {}
         self.restarted_controls: set[str] = set()
-        self.no_room: tuple[str, ...] = ()
-        self.no_room_since = now
+        self.blocked: tuple[str, ...] = ()
+        self.blocked_since = now
 
     def copy(self) -> "ServerChanges":
         """Return an independent copy."""
-        made = ServerChanges(self.no_room_since)
-        made.under_way = dict(self.under_way)
-        made.restarted_controls = set(self.restarted_controls)
-        made.no_room = self.no_room
-        return made
+        duplicate = ServerChanges(self.blocked_since)
+        duplicate.pending = dict(self.pending)
+        duplicate.restarted_controls = set(self.restarted_controls)
+        duplicate.blocked = self.blocked
+        return duplicate
 
-    def expect(self, server_id: str, version: Version, now: int) -> None:
-        """Note what an earlier controller wanted of a server, unless something is known already."""
-        self.under_way.setdefault(server_id, Change(version, now))
+    def recover(self, server_id: str, version: Version, now: int) -> None:
+        """Record a change that an earlier controller requested, unless one is known already."""
+        self.pending.setdefault(server_id, PendingChange(version, now))
 
     def begin_stage(self, servers: Mapping[str, ServerStatus]) -> None:
-        """Forget the controls of the last stage and the changes that have come about."""
+        """Forget the controls of the last stage and the changes that have taken effect."""
         self.restarted_controls = set()
-        self.under_way = {
+        self.pending = {
             server_id: change
-            for server_id, change in self.under_way.items()
-            if not _has_come_about(change, servers.get(server_id))
+            for server_id, change in self.pending.items()
+            if not _has_taken_effect(change, servers.get(server_id))
         }
 
-    def late(self, version: Version, now: int, timeout: int) -> str:
-        """Return a server that does not come up with the version in time (ns); nothing if there is none."""
-        for server_id, change in self.under_way.items():
+    def late_server(self, version: Version, now: int, timeout: int) -> str:
+        """Return a server that did not start the version within `timeout` (ns); empty if there is none."""
+        for server_id, change in self.pending.items():
             if change.version == version and now - change.since >= timeout:
                 return server_id
         return ""
@@ -94,50 +94,52 @@
         servers: Mapping[str, ServerStatus],
         desired: Mapping[str, Version],
     ) -> list[SetDesiredVersion]:
-        """Return the next changes towards what each server should run, by the order of ids."""
-        moved = self._forget_finished(servers)
-        down_zones = (one.zone for one in servers.values() if not one.up or one.id in self.under_way)
+        """Return the next changes towards the version that each server should run, in order of server ids."""
+        progressed = self._forget_finished(servers)
+        down_zones = (
+            server.zone for server in servers.values() if not server.up or server.id in self.pending
+        )
         budget = DownBudget(record, down_zones)
         effects: list[SetDesiredVersion] = []
-        no_room: list[str] = []
+        blocked: list[str] = []
         for server_id, version in sorted(desired.items()):
             server = servers[server_id]
             if server.runs(version) or not server.alive:
                 continue
-            change = self.under_way.get(server_id)
+            change = self.pending.get(server_id)
             if change is not None and change.version == version:
                 continue
-            down_already = not server.up or change is not None  # a change takes no other server down
+            down_already = not server.up or change is not None  # changing it takes no further server down
             if not down_already:
                 if not budget.has_room(server.zone):
-                    no_room.append(server_id)
+                    blocked.append(server_id)
                     continue
                 budget.spend(server.zone)
-            self.under_way[server_id] = Change(version, now)
+            self.pending[server_id] = PendingChange(version, now)
             effects.append(SetDesiredVersion(server_id, version))
-        if moved or effects or not no_room:
-            self.no_room_since = now
-        self.no_room = tuple(no_room)
+        if progressed or effects or not blocked:
+            self.blocked_since = now
+        self.blocked = tuple(blocked)
         if record.phase == "going":
             effects += self._restart_controls(record, servers, budget)
         return effects
 
     def _forget_finished(self, servers: Mapping[str, ServerStatus]) -> bool:
-        """Forget changes that have come about or whose server is gone; tell whether there were any."""
+        """Forget changes that have taken effect or whose server is gone; return whether there were any."""
         finished = [
             server_id
-            for server_id, change in self.under_way.items()
+            for server_id, change in self.pending.items()
             if server_id not in servers or servers[server_id].runs(change.version)
         ]
         for server_id in finished:
-            del self.under_way[server_id]
+            del self.pending[server_id]
         return bool(finished)
 
     def _restart_controls(
         self, record: RolloutRecord, servers: Mapping[str, ServerStatus], budget: DownBudget
     ) -> list[SetDesiredVersion]:
-        """Restart old servers, once each: how they do cold is what cold new ones are held against."""
-        restart_token = record.number * RESTART_TOKENS_PER_CHANGE + record.stage_index + 1
+        """Restart old servers, once each, as the baseline that cold new servers are compared with."""
+        restart_token = record.number * RESTART_TOKENS_PER_ROLLOUT + record.stage_index + 1
         effects: list[SetDesiredVersion] = []
         for server_id in record.controls:
             server = servers.get(server_id)
@@ -150,5 +152,5 @@
         return effects
 
 
-def _has_come_about(change: Change, server: ServerStatus | None) -> bool:
+def _has_taken_effect(change: PendingChange, server: ServerStatus | None) -> bool:
     return server is not None and server.runs(change.version)
--- a/thistleline/rollout/service.py
+++ b/thistleline/rollout/service.py
@@ -1,4 +1,4 @@
-"""The rollout controller as a program: under its lease it watches members and writes records."""
+"""The rollout controller process: while it holds the lease, it watches members and writes records."""
 
 from collections.abc import Callable
 from contextlib import suppress
@@ -25,9 +25,9 @@
 from thistleline.supervisor.model import DesiredVersion, Version
 from thistleline.supervisor.records import desired_version_key
 
-POLL = 0.2  # s between two looks at the fleet
-LEAD_RETRY = 0.5  # s after a lease was lost, before it is asked for again
-CONTROLLER_RELEASE = "conductor"  # what a controller's member shows as its release
+POLL = 0.2  # s between two observations of the servers
+LEASE_RETRY_DELAY = 0.5  # s after a lease was lost, before it is requested again
+CONTROLLER_RELEASE = "conductor"  # published as the release of a controller's member
 
 _decode_record = msgspec.msgpack.Decoder(RolloutRecord).decode
 _decode_desired = msgspec.msgpack.Decoder(DesiredVersion).decode
@@ -36,15 +36,15 @@
 
 
 class RolloutService:
-    """Leads changes whenever no other controller does."""
+    """Carries out rollouts while it holds the lease of the active controller."""
 
     def __init__(self, conf: ProgramConfig, log: Callable[..., None]) -> None:
-        """Read the settings; nothing runs yet."""
+        """Read the configuration; `run` starts the service."""
         assert conf.members is not None
         assert conf.council is not None
         settings = conf.conductor or RolloutConfig()
         self.timing = RolloutTiming(settings.slot, settings.change, settings.enough, settings.patience)
-        self.lease_length = settings.lease / SECOND  # s
+        self.lease_duration = settings.lease / SECOND  # s
         self.conf = conf
         self.log = log
         self.name = conf.members.name
@@ -54,7 +54,7 @@
         """Run until cancelled.
 
         Raises:
-            OSError: The member's address can't be listened on.
+            OSError: The member can't listen on its address.
         """
         assert self.conf.council is not None
         async with anyio.create_task_group() as group:
@@ -62,15 +62,15 @@
             client = LeaseClient(dict(self.conf.council.voter), group)
             while True:
                 try:
-                    async with lease(client, LEASE_NAME, self.lease_length, owner=self.name) as held:
+                    async with lease(client, LEASE_NAME, self.lease_duration, owner=self.name) as held:
                         self.log("conducts", epoch=held.epoch)
                         await self._lead(client, held)
                 except (LeaseLostError, LeaseRefusedError, UndecidedError) as error:
                     self.log("conducts no more", why=str(error))
-                    await anyio.sleep(LEAD_RETRY)
+                    await anyio.sleep(LEASE_RETRY_DELAY)
 
     async def _lead(self, client: LeaseClient, held: HeldLease) -> None:
-        """Go on from what is recorded, for as long as the lease is held.
+        """Continue from the recorded state, for as long as the lease is held.
 
         Raises:
             UndecidedError: A record could not be read or written.
@@ -81,20 +81,20 @@
         controller = RolloutController(boot_now(), wall_ms, record, self.timing)
         leadership = _Leadership(self, records, controller)
         while True:
-            await leadership.look()
+            await leadership.poll()
             await anyio.sleep(POLL)
 
     def server_statuses(self) -> list[ServerStatus]:
-        """Return the servers of the fleet; whoever says that it runs none, and never did, is none."""
-        found = []
-        for word in self.member.records():
-            facts = word.facts
-            if word.id == self.name or facts.release == CONTROLLER_RELEASE:
+        """Return the status of all members that are servers; rollout controllers are left out."""
+        statuses = []
+        for record in self.member.records():
+            facts = record.facts
+            if record.id == self.name or facts.release == CONTROLLER_RELEASE:
                 continue
-            alive = word.status < DEAD and (word.status == ALIVE or facts.accepting)
-            found.append(
+            alive = record.status < DEAD and (record.status == ALIVE or facts.accepting)
+            statuses.append(
                 ServerStatus(
-                    word.id,
+                    record.id,
                     facts.zone,
                     alive,
                     facts.release,
@@ -105,11 +105,11 @@
                     facts.utility,
                 )
             )
-        return found
+        return statuses
 
 
 class _Leadership:
-    """What one controller does from the grant of its lease to its end."""
+    """The work of one controller while it holds its lease."""
 
     def __init__(
         self, service: RolloutService, records: LeasedRecords, controller: RolloutController
@@ -117,10 +117,10 @@
         self.service = service
         self.records = records
         self.controller = controller
-        self._recovered: set[str] = set()  # servers whose desired version was read
+        self._recovered: set[str] = set()  # ids of servers whose desired version was read
 
-    async def look(self) -> None:
-        """Show the controller the fleet and the order, and carry out what follows."""
+    async def poll(self) -> None:
+        """Pass the servers and the current order to the controller, and carry out its effects."""
         servers = self.service.server_statuses()
         pending = self._handle(events.ServersObserved(servers))
         versions = await self._recover_desired_versions(servers)
@@ -138,7 +138,7 @@
         return self.controller.handle(boot_now(), event)
 
     async def _recover_desired_versions(self, servers: list[ServerStatus]) -> dict[str, Version]:
-        """Return what is wanted of servers that were not seen before."""
+        """Return the stored desired versions of servers that were not seen before."""
         versions: dict[str, Version] = {}
         for server in servers:
             if server.id in self._recovered:
@@ -150,7 +150,7 @@
         return versions
 
     async def _carry_out(self, effect: effects.Effect) -> list[effects.Effect]:
-        """Carry out an effect and return those that follow from it."""
+        """Carry out an effect and return the effects that result from it."""
         match effect:
             case LogEvent(event, fields):
                 self.service.log(event, **fields)
--- a/thistleline/rollout/slot_sampler.py
+++ b/thistleline/rollout/slot_sampler.py
@@ -1,4 +1,4 @@
-"""What servers did in a slot: samples for the canary analysis, from the figures that members show."""
+"""Samples per time slot for the canary analysis, from the cumulative figures that members publish."""
 
 from collections.abc import Collection, Iterable, Mapping
 
@@ -6,25 +6,25 @@
 from thistleline.rollout.record import RolloutRecord
 from thistleline.rollout.server_status import COUNTERS, CRASHES, FIGURES, INCARNATION, MEMORY, ServerStatus
 
-MEMORY_SCALE = 1_000_000  # kB that count as the whole, so that growth is a small part
+MEMORY_SCALE = 1_000_000  # kB; memory use is a share of this, chosen large so that growth is a small share
 
 
 class SlotSampler:
-    """Turns figures that only grow into what was done in each slot.
+    """Converts cumulative figures into samples per slot.
 
     Attributes:
-        previous: Figures and value of each server at the end of the last slot.
+        previous: Figures and utility of each server at the end of the last slot.
     """
 
     def __init__(self) -> None:
-        """Begin with nothing to compare with."""
+        """Create a sampler without earlier figures."""
         self.previous: dict[str, tuple[int, ...]] = {}
 
     def copy(self) -> "SlotSampler":
         """Return an independent copy."""
-        made = SlotSampler()
-        made.previous = dict(self.previous)
-        return made
+        duplicate = SlotSampler()
+        duplicate.previous = dict(self.previous)
+        return duplicate
 
     def sample(
         self,
@@ -33,18 +33,18 @@
         targets: Collection[str],
         crashes_before: Mapping[str, int],
     ) -> list[SlotSample]:
-        """End a slot and return what each server did in it.
+        """End a slot and return a sample of each server.
 
         Args:
-            servers: The fleet as it is seen now.
-            record: The change; without one the figures are only remembered.
+            servers: Current status of the servers.
+            record: The rollout; without one, the figures are only stored for the next slot.
             targets: Servers that should run the new version.
-            crashes_before: Crashes of servers as the stage began, 0 where not named.
+            crashes_before: Crash counts at the start of the stage; 0 for servers that are left out.
         """
         servers = list(servers)
-        # Where one does not say what its work was worth, counts are compared; prevents the value of new ones
-        # from being held against the counts of old ones.
-        by_value = all(one.value[0] for one in servers if one.up and one.figures[:1] > (0,))
+        # Utility is used only if all servers report it, else task counts are; prevents the utility of new
+        # servers from being compared with the counts of old ones.
+        by_value = all(server.value[0] for server in servers if server.up and server.figures[:1] > (0,))
         samples = []
         for server in servers:
             if len(server.figures) < FIGURES:
@@ -54,10 +54,10 @@
             self.previous[server.id] = now
             if before is None or not server.up or record is None:
                 continue
-            # Figures of another incarnation began anew.
+            # The counters of another incarnation started at zero.
             since = before if before[INCARNATION] == now[INCARNATION] else (0,) * len(now)
             new = server.runs(record.version)
-            # Crashes of one that should run the new version and does not are counted by `crashed_targets`.
+            # Crashes of targets that don't run the new version are counted by `crashed_targets`.
             crashes = 0 if server.id in targets and not new else _crashes_since(server, crashes_before)
             samples.append(_sample(server, new, since, now, by_value, crashes))
         return samples
@@ -71,7 +71,7 @@
     by_value: bool,
     crashes: int,
 ) -> SlotSample:
-    """Return what a server did between two figures."""
+    """Return the sample of a server between two sets of figures."""
     tasks, finished, rejected, abandoned, slow = (max(0, now[k] - since[k]) for k in range(COUNTERS))
     arrived_value, served_value = (max(0, now[k] - since[k]) for k in (FIGURES, FIGURES + 1))
     arrived = max(1, tasks)
@@ -98,10 +98,10 @@
     targets: Collection[str],
     crashes_before: Mapping[str, int],
 ) -> list[SlotSample]:
-    """Return samples of crashes alone, of targets that don't run the new version.
+    """Return samples with only crashes, for targets that don't run the new version.
 
-    One that crashes, or whose successors do while the old version serves on, shows no figures of the new
-    version; its crashes are the new version's all the same.
+    A target that crashes, or whose successors crash while the old version keeps serving, reports no figures
+    of the new version; its crashes still count for the new version.
     """
     samples = []
     for server in servers:
--- a/thistleline/rollout/stages.py
+++ b/thistleline/rollout/stages.py
@@ -1,4 +1,4 @@
-"""Stages of a change: which servers run the new version in each, and which old ones are controls."""
+"""Stages of a rollout: which servers run the new version in each, and which old servers are controls."""
 
 from collections.abc import Iterable
 from math import ceil
@@ -6,22 +6,22 @@
 from thistleline.rollout.server_status import ServerStatus
 
 STAGES = ("one", "one a zone", "tenth", "half", "all")
-STAGES_WITH_CONTROLS = ("one", "one a zone")  # later ones have seen enough cold old servers
+STAGES_WITH_CONTROLS = ("one", "one a zone")  # by the later stages, enough cold old servers were sampled
 CONTROLS_PER_TARGET = 2
 
 
 def choose_targets(
     stage: str, chosen_before: tuple[str, ...], servers: Iterable[ServerStatus]
 ) -> tuple[str, ...]:
-    """Return who runs the new version by a stage.
+    """Return the servers that run the new version in a stage.
 
-    Those chosen before, and more by the order of their ids, zones in turn. Those that are up come first: on
-    one that is down nothing is learned.
+    These are the servers chosen before, and further ones in order of their ids, alternating between zones.
+    Servers that are up come first: a server that is down provides no evidence.
     """
     by_zone: dict[str, list[str]] = {}
     for server in sorted(servers, key=lambda server: (not server.up, server.id)):
         by_zone.setdefault(server.zone, []).append(server.id)
-    spread = _zones_in_turn(by_zone)
+    spread = _interleave_zones(by_zone)
     count = max(_stage_size(stage, len(spread), len(by_zone)), len(chosen_before))
     chosen = dict.fromkeys(chosen_before)
     for server_id in spread:
@@ -31,10 +31,10 @@
     return tuple(chosen)
 
 
-def _zones_in_turn(by_zone: dict[str, list[str]]) -> list[str]:
+def _interleave_zones(by_zone: dict[str, list[str]]) -> list[str]:
     """Return one server of each zone, then a second of each, and so on."""
     rounds = max(map(len, by_zone.values()), default=0)
-    return [ids[turn] for turn in range(rounds) for _, ids in sorted(by_zone.items()) if turn < len(ids)]
+    return [ids[index] for index in range(rounds) for _, ids in sorted(by_zone.items()) if index < len(ids)]
 
 
 def _stage_size(stage: str, servers: int, zones: int) -> int:
@@ -50,7 +50,7 @@
 def choose_controls(stage: str, targets: tuple[str, ...], servers: Iterable[ServerStatus]) -> tuple[str, ...]:
     """Return the old servers that are restarted for comparison.
 
-    For each target two of its zone, the last by their ids.
+    For each target, CONTROLS_PER_TARGET servers of its zone are chosen, those with the highest ids.
     """
     if stage not in STAGES_WITH_CONTROLS:
         return ()
@@ -59,7 +59,9 @@
     found: dict[str, None] = {}
     for target in targets:
         zone = zone_of.get(target)
-        beside = [one.id for one in servers if one.zone == zone and one.up and one.id not in targets]
-        free = [server_id for server_id in sorted(beside, reverse=True) if server_id not in found]
-        found |= dict.fromkeys(free[:CONTROLS_PER_TARGET])
+        candidates = [
+            server.id for server in servers if server.zone == zone and server.up and server.id not in targets
+        ]
+        available = [server_id for server_id in sorted(candidates, reverse=True) if server_id not in found]
+        found |= dict.fromkeys(available[:CONTROLS_PER_TARGET])
     return tuple(found)
--- a/thistleline/rollout/timing.py
+++ b/thistleline/rollout/timing.py
@@ -1,4 +1,4 @@
-"""How long the parts of a change may take."""
+"""Durations and limits of a rollout."""
 
 from dataclasses import dataclass
 
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutTiming:
-    """Durations of a change and the error rate of its verdicts.
+    """Durations of a rollout and the error rate of its verdicts.
 
     Attributes:
-        slot: Duration of what is compared, ns.
-        change_timeout: For a server to come up with a version, ns; past it the version counts as failed.
-        min_slots: Slots before 'not worse' may be said.
-        max_slots: Slots before a person is asked.
-        alpha: How often a harmless change may be called worse, at most.
+        slot: Duration of a slot of the comparison, ns.
+        change_timeout: Time for a server to start a version, ns; after it, the version counts as failed.
+        min_slots: Slots required for the verdict 'not worse'.
+        max_slots: Slots without a verdict after which an operator is asked.
+        alpha: Maximum probability that a harmless rollout is judged worse.
     """
 
     slot: int = 5 * SECOND
