--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -62,7 +62,7 @@
 from thistleline.supervisor.model import DesiredVersion, SupervisorState, Version
 from thistleline.supervisor.releases import Releases, content_digest, ledger_formats
 from thistleline.supervisor.service import SupervisorService
-from thistleline.supervisor.settings import settings_fault
+from thistleline.supervisor.settings import unfit_settings
 from thistleline.supervisor.state_machine import AfterPersist, Supervisor
 from thistleline.supervisor.timing import SECOND
 
@@ -593,7 +593,7 @@
 def test_invalid_settings_are_refused_with_a_reason(
     changes: dict[str, Any], limits: dict[str, Any] | None, reason: str
 ) -> None:
-    fault = settings_fault(json.dumps({**SETTINGS, **changes}).encode(), limits)
+    fault = unfit_settings(json.dumps({**SETTINGS, **changes}).encode(), limits)
     assert (reason in fault) if reason else fault == ""
 
 
@@ -607,7 +607,7 @@
 def test_settings_and_consensus_records_have_the_same_size_limit(size: int, reason: str) -> None:
     content = json.dumps(SETTINGS).encode()
     content += b" " * (size - len(content))
-    assert settings_fault(content) == reason
+    assert unfit_settings(content) == reason
     assert bool(validate(Put("settings/1", content, 0))) == bool(reason)
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -42,7 +42,7 @@
     tick,
 )
 from thistleline.policy import SECOND, TICK, WINDOW, Policy
-from thistleline.supervisor.settings import settings_fault
+from thistleline.supervisor.settings import unfit_settings
 from thistleline.wire.settings import read_server_settings
 
 SIZES = (10, 30, 100, 300)
@@ -211,8 +211,8 @@
 def test_the_check_of_settings_grows_no_faster_than_they_do(per: str, at: str) -> None:
     sizes = (10, 30, 60, 120)
     texts = [text_of(3, n, 1) if per == "tenant" else text_of(n, 3, 1) for n in sizes]
-    assert [settings_fault(one) for one in texts] == [""] * len(sizes)
-    values = [steps_of(lambda one=one: settings_fault(one)) for one in texts]  # type: ignore[misc]
+    assert [unfit_settings(one) for one in texts] == [""] * len(sizes)
+    values = [steps_of(lambda one=one: unfit_settings(one)) for one in texts]  # type: ignore[misc]
     held_to("unfit_settings", "linear", sizes, values, at)
 
 
--- a/thistleline/cli/settings.py
+++ b/thistleline/cli/settings.py
@@ -14,7 +14,7 @@
 from thistleline.lease.protocol import Put
 from thistleline.rollout.record import RolloutRecord
 from thistleline.supervisor.records import digest_settings, settings_key
-from thistleline.supervisor.settings import flatten_settings, settings_fault
+from thistleline.supervisor.settings import flatten_settings, unfit_settings
 
 MAX_GAP = 16  # numbers in a row without settings, after which there are no more
 MAX_NUMBER = 1 << 31
@@ -74,7 +74,7 @@
     """
     content = file.read_bytes()
     limits = _read_limits(server_configuration) if server_configuration is not None else None
-    fault = settings_fault(content, limits)
+    fault = unfit_settings(content, limits)
     if fault:
         raise InputError(f"{file}: {fault}")
     return content
--- a/thistleline/lab/scale/settings_costs.py
+++ b/thistleline/lab/scale/settings_costs.py
@@ -35,7 +35,7 @@
 from thistleline.rollout.stages import STAGES
 from thistleline.rollout.timing import SECOND, RolloutTiming
 from thistleline.supervisor.model import DesiredVersion, Version
-from thistleline.supervisor.settings import SETTINGS_SIZE_LIMIT, settings_fault
+from thistleline.supervisor.settings import SETTINGS_SIZE_LIMIT, unfit_settings
 from thistleline.wire.settings import read_server_settings
 
 NAME = "settings"
@@ -189,7 +189,7 @@
     for per, sizes, at in (("stage", (10, 30, 100, 200), routes), ("tenant", (10, 30, 100, 300), tenants)):
         texts = [_text_by(per, n, seed) for n in sizes]
         found.append(row(f"unfit_settings by {per}: steps", "count", "steps", per, sizes,
-                         [steps_of(lambda one=one: settings_fault(one)) for one in texts], at))  # type: ignore[misc]  # fmt: skip
+                         [steps_of(lambda one=one: unfit_settings(one)) for one in texts], at))  # type: ignore[misc]  # fmt: skip
     return found
 
 
@@ -252,7 +252,7 @@
     sizes = (60, 200, 400, 600) if quick else (200, 600, 1200, 2000)
     name = "unfit_settings by stage: time"
     loops, seconds = loops_by_size(
-        name, sizes, lambda n: partial(settings_fault, _text_by("stage", n, seed)), 5, tell
+        name, sizes, lambda n: partial(unfit_settings, _text_by("stage", n, seed)), 5, tell
     )
     figures |= seconds
     rows.append(row(name, "time", "loops", "stage", sizes, loops, size("routes"), 5,
--- a/thistleline/rollout/canary.py
+++ b/thistleline/rollout/canary.py
@@ -27,7 +27,7 @@
 Verdict = Literal["worse", "not worse", "can't tell"]
 MAX_DIFFERENCE = 0.10  # differences are clipped to +/- this; a wider range would widen the bounds
 FEW_CANARIES = 2  # up to this many new servers, only severe differences count
-SEVERE_DIFFERENCE = 0.06  # least worsening that counts with a single new server; divided by n with n of them
+SEVERE_DIFFERENCE = 0.06  # least worsening that counts with one new server; with n, the n-th part
 DETECTABLE_DIFFERENCE = 0.03  # the verdict 'not worse' does not have to exclude a smaller worsening
 MIN_SERVER_SAMPLES = 3  # samples of a new server, before it counts for the agreement
 UNANIMOUS_CANARIES = 4  # up to this many new servers, each of them has to show a worsening
@@ -103,7 +103,7 @@
     Attributes:
         slots: Number of slots so far.
         compared_slots: Slots in which warm new servers could be compared with warm old ones.
-        min_slots: Compared slots required for 'not worse'.
+        min_slots: Slots required for 'not worse', if the bounds allow it.
         health: Checks that stop the stage immediately.
     """
 
@@ -115,7 +115,7 @@
         Args:
             zones: Zones of the fleet.
             alpha: Maximum probability that a harmless version is judged worse.
-            min_slots: Compared slots required for 'not worse'.
+            min_slots: Slots required for 'not worse'.
             cold_baseline: Samples of cold old servers from earlier stages of the rollout; extended here.
         """
         self.zones = tuple(zones)
@@ -124,7 +124,7 @@
         self.compared_slots = 0
         self.health = CanaryHealth()
         self._cold_baseline = ColdBaseline() if cold_baseline is None else cold_baseline
-        comparisons = len(GUARDRAIL_METRICS) * (len(self.zones) + 1) * 2  # warm and cold servers
+        comparisons = len(GUARDRAIL_METRICS) * (len(self.zones) + 1) * 2  # warm and cold apart
         self._alpha = alpha / comparisons
         self._sequences: dict[_Key, ConfidenceSequence] = {}
         self._by_server: dict[_Key, tuple[int, float]] = {}  # count and sum of each new server's worsening
--- a/thistleline/rollout/controller.py
+++ b/thistleline/rollout/controller.py
@@ -82,7 +82,7 @@
         self._effects: list[Effect] = []
 
     def copy(self) -> "RolloutController":
-        """Return a copy that shares only the analysis, for state-space exploration."""
+        """Return an independent copy, except for the analysis, for state-space exploration."""
         duplicate = RolloutController.__new__(RolloutController)
         duplicate.__dict__.update(self.__dict__)
         duplicate.servers = dict(self.servers)
@@ -231,7 +231,7 @@
         elif record.phase == "backing":
             self._roll_back(record)
         elif record.is_over:
-            # A server that was away returns with the version that it ran before.
+            # A server that was away may return with another version; it is changed then.
             version = record.version if record.phase == "done" else record.base
             self._converge_servers(record, dict.fromkeys(self.servers, version))
 
--- a/thistleline/rollout/order.py
+++ b/thistleline/rollout/order.py
@@ -57,7 +57,7 @@
     return (
         _versions_fault(order.version, order.base)
         or _stages_fault(order.stages)
-        or _formats_fault(order.version, order.base)
+        or _formats_fault(order.version, order.base)  # else there is no rollback
         or _formats_fault(order.base, order.version)
         or _limits_fault(order)
     )
@@ -82,7 +82,7 @@
 
 
 def _formats_fault(writer: Version, reader: Version) -> str:
-    """Return why `reader` could not take over the ledger of `writer`, to roll out or back; empty if it could."""
+    """Return why `reader` could not take over the ledger of `writer`; an empty string if it could."""
     written, readable = writer.written_format, reader.readable_formats
     if not written or not readable or written in readable:
         return ""
--- a/thistleline/supervisor/service.py
+++ b/thistleline/supervisor/service.py
@@ -32,7 +32,7 @@
 from thistleline.supervisor.releases import Releases
 from thistleline.supervisor.server_log import ServerLog
 from thistleline.supervisor.server_processes import RunningServer, ServerProcesses
-from thistleline.supervisor.settings import settings_fault
+from thistleline.supervisor.settings import unfit_settings
 from thistleline.supervisor.settings_files import SettingsFiles
 from thistleline.supervisor.state_machine import Supervisor
 
@@ -187,7 +187,7 @@
         if digest_settings(content) != version.settings_digest:
             raise ReleaseError(f"the local copy of settings {number} has a different digest")
         limits = orjson.loads(self.conf.plate.read_bytes()).get("limits")
-        fault = settings_fault(content, limits)
+        fault = unfit_settings(content, limits)
         if fault:
             raise ReleaseError(f"settings {number} don't fit this server: {fault}")
 
--- a/thistleline/supervisor/settings.py
+++ b/thistleline/supervisor/settings.py
@@ -20,7 +20,7 @@
 CONNECTIONS_MEMORY_DIVISOR = 4  # connections may use at most 1/4 of the memory
 
 
-def settings_fault(content: bytes, limits: dict[str, Any] | None = None) -> str:
+def unfit_settings(content: bytes, limits: dict[str, Any] | None = None) -> str:
     """Return why a server would reject the settings; an empty string if it would accept them.
 
     Args:
