--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -535,7 +535,7 @@
     net.sent.clear()
     net.run(HEARTBEAT_INTERVAL_NS + 2 * RECONNECT_JITTER_NS)
     net.settled()
-    assert ("x", "another digest") in net.drops
+    assert ("x", "digest mismatch") in net.drops
     assert [one.load_snapshot for one in told(net, "x", FollowAccepted)] == [True]
 
 
@@ -679,7 +679,7 @@
     written.some(10)
     net = following(written, "x")
     net.tell("x", UpstreamMessage("a", FollowAccepted(4, True, 1, 0, 0, False)))
-    assert ("x", "its snapshot is older") in net.drops
+    assert ("x", "snapshot older than the current state") in net.drops
     assert net.follower("x").table.sequence == 10
 
 
@@ -851,7 +851,7 @@
             source.handle(0, SubscriberMessage(1, FetchPart(400, index)))
             assert len(source.snapshots.by_kind["wide"].parts) == index + 1
         assert source.handle(0, SubscriberMessage(1, FetchPart(400, 300))) == [
-            CloseDownstream(1, "a part out of turn")
+            CloseDownstream(1, "snapshot part out of order")
         ]
         assert len(source.snapshots.by_kind["wide"].parts) == 5
 
@@ -1128,7 +1128,7 @@
     strange = FeedTable().update(4, (("route/strange", b"{}", 1),))
     net.follow("x", "a", "b", table=strange)
     net.run(6 * SECOND)
-    assert [why for _, why in net.drops] == ["another digest"]
+    assert [why for _, why in net.drops] == ["digest mismatch"]
     table = net.follower("x").table
     assert (table.sequence, table.digest("wide")) == (5, history.table.digest("wide"))
 
@@ -1171,7 +1171,7 @@
     one.handle(0, DeadlineReached())
     one.handle(0, UpstreamConnected("s"))
     assert one.handle(0, UpstreamMessage("s", FollowAccepted(0, False, 0, 1, 0, False))) == [
-        DisconnectUpstream("s", "not above it")
+        DisconnectUpstream("s", "level not lower than the follower's")
     ]
 
 
@@ -1191,7 +1191,7 @@
     assert net.follower("k").upstream == "c"
     net.serving("c", WriterChanged(5, False, 0))  # it lost its lease, and says so at once
     net.pump()
-    assert ("k", "it does not write") in net.drops
+    assert ("k", "not the writer") in net.drops
     net.run(6 * RECONNECT_JITTER_NS)
     assert net.follower("k").upstream not in ("b", "c")  # b's epoch is over
     net.serving("b", WriterChanged(6, True, 0))
@@ -1251,7 +1251,7 @@
         net.run(3 * RECONNECT_JITTER_NS)
     assert (late.table.sequence, cold.table.sequence) == (5, 0)  # nobody says that a snapshot is of this feed
     assert len(told(net, "late", Delta)) == 3
-    assert {why for _, why in net.drops} == {"it does not write"}
+    assert {why for _, why in net.drops} == {"not the writer"}
     net.serve("b", written.history())
     net.serving("b", WriterChanged(1, True, 0))
     net.run(3 * SECOND)
@@ -1448,7 +1448,7 @@
     one.handle(0, UpstreamConnected("a"))
     one.handle(0, UpstreamMessage("a", FollowAccepted(3, True, 0, 0, 0, False)))
     effects = one.handle(0, UpstreamMessage("a", SnapshotPart(3, index, 0, (), b"")))
-    assert effects == [DisconnectUpstream("a", "a part out of turn")]
+    assert effects == [DisconnectUpstream("a", "snapshot part out of order")]
     assert one.snapshot is None
 
 
@@ -1481,7 +1481,7 @@
     net.tell("x", SourcesChanged(("b", "a")))
     assert net.follower("x").upstream == "a"
     net.tell("x", SourcesChanged(("b",)))
-    assert net.drops == [("x", "not to be followed any more")]
+    assert net.drops == [("x", "no longer a configured source")]
     net.tell("x", SourcesChanged(()))
     net.run(10 * SECOND)
     assert net.follower("x").phase == "waiting"
--- a/thistleline/config_feed/client.py
+++ b/thistleline/config_feed/client.py
@@ -1,11 +1,11 @@
-"""An instance's side of the feed as a library.
+"""Client library of the feed, for instances.
 
     async with anyio.create_task_group() as tasks:
         feed = FeedClient("instance-7", {"relay-a": ("10.0.0.4", 7300), ...}, folder=Path(...))
         tasks.start_soon(feed.run)
         result = feed.lookup("route/checkout")     # never waits; `known` says whether it is an answer
 
-A folder keeps the last good state over a restart; without one it is loaded anew.
+The folder stores the last state across restarts; without one, a restart loads the state from a source.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class FeedClient(FollowerService):
-    """Follows all sections but the tenants', and caches those tenants that are looked up.
+    """Follows all sections except the tenants, and caches the tenants that are looked up.
 
     Attributes:
         lookups: The follower and its cache.
@@ -32,9 +32,9 @@
         return self.lookups
 
     def lookup(self, key: str) -> LookupResult:
-        """Return what is known of a key; never waits.
+        """Return the cached value of a key without waiting.
 
-        A tenant that is not known yet is fetched; until then `known` is false.
+        A tenant that is not cached is fetched in the background; until then `known` is false.
         """
         result = self.lookups.lookup(key)
         if not result.known:
--- a/thistleline/config_feed/downstream.py
+++ b/thistleline/config_feed/downstream.py
@@ -1,4 +1,4 @@
-"""One connection that came in to a server of the feed."""
+"""One incoming connection of a keeper or relay."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from thistleline.config_feed.send_queue import SendQueue
 from thistleline.store.clock import boot_now
 
-IDLE_TIMEOUT = 60 * SECOND  # ns; a connection that sends nothing for so long ends
+IDLE_TIMEOUT = 60 * SECOND  # ns without data from the peer, after which its connection is ended
 
 
 class DownstreamConnection:
-    """A connection of a follower, or of one who only asks something.
+    """A connection of a follower, or of a client that sends a single request.
 
     Attributes:
         number: Identifies the connection in this process.
-        id: What the other side calls itself; empty before its hello.
-        follows: Whether it has asked to follow; else it asks something and goes.
-        last_received_at: When it was read last, in ns of the boot clock.
+        id: Id of the peer, as given by its hello; empty before.
+        follows: Whether the peer has asked to follow; otherwise it sends requests only.
+        last_received_at: When data was last received, in ns of the boot clock.
         scope: Cancelled to end the connection.
-        queue: What waits to be sent.
-        reason: Why the connection ends, once it does.
+        queue: Frames that wait to be sent.
+        reason: Why the connection ends or has ended; empty before.
     """
 
     def __init__(self, number: int, stream: SocketStream) -> None:
-        """Take a connection that was accepted."""
+        """Wrap the stream of a connection that was accepted."""
         self.number = number
         self.stream = stream
         self.scope = anyio.CancelScope()
@@ -36,23 +36,23 @@
         self.last_received_at = boot_now()
         self.reason = ""
 
-    def end(self, reason: str = "it takes nothing") -> None:
-        """End the connection now."""
+    def end(self, reason: str = "peer does not read") -> None:
+        """End the connection without sending what is queued."""
         self.note(reason)
         self.scope.cancel()
 
     def end_after_sending(self, reason: str) -> None:
-        """End the connection once all that is queued is sent."""
+        """End the connection after sending what is queued."""
         self.note(reason)
         self.queue.end_after_sending()
 
     def check(self, now: int) -> None:
-        """End the connection if the peer takes nothing or sends nothing; `now` in ns of the boot clock."""
+        """End the connection if the peer reads nothing or sends nothing; `now` in ns of the boot clock."""
         if self.queue.is_stalled(now):
             self.end()
         elif self.last_received_at < now - IDLE_TIMEOUT:
-            self.end("it says nothing")
+            self.end("idle")
 
     def note(self, reason: str) -> None:
-        """Remember why the connection ends; the first reason counts."""
+        """Record why the connection ends, unless a reason is recorded already."""
         self.reason = self.reason or reason
--- a/thistleline/config_feed/effects.py
+++ b/thistleline/config_feed/effects.py
@@ -1,4 +1,4 @@
-"""Outputs of the feed's state machines: what whoever runs them has to carry out, in order."""
+"""Outputs of the feed's state machines, to be carried out in order by the caller."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from thistleline.config_feed.messages import Delta, FollowerMessage, SourceMessage
 from thistleline.config_feed.table import FeedTable
 
-# ---- of a follower
+# ---- effects of a follower
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DisconnectUpstream:
-    """End the connection to this source; nothing more of it may be passed in."""
+    """End the connection to this source; no more events of it may be passed in."""
 
     source: str
     reason: str
@@ -43,13 +43,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotLoaded:
-    """The follower's table is a snapshot that was loaded whole; nothing leads there from the one before."""
+    """The follower's table was replaced by a snapshot; no items lead there from the previous table."""
 
 
 FollowerEffect = ConnectUpstream | SendUpstream | DisconnectUpstream | DeltaApplied | SnapshotLoaded
 
 
-# ---- of a source
+# ---- effects of a source
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseDownstream:
-    """End the connection of a subscriber once all that was sent to it before is out."""
+    """End the connection of a subscriber after delivering what was sent to it before."""
 
     peer: int
     reason: str
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubscriberDurable:
-    """A subscriber says that its disk has the state `sequence`."""
+    """A subscriber has reported that its disk has the state `sequence`."""
 
     subscriber: str
     sequence: int
@@ -79,12 +79,12 @@
 SourceEffect = SendDownstream | CloseDownstream | SubscriberDurable
 
 
-# ---- of a relay
+# ---- effects of a relay
 
 
 @dataclass(frozen=True, slots=True)
 class PersistStep:
-    """Write to the archive what leads from the state `first` to this table."""
+    """Append to the archive the items that lead from the state `first` to this table."""
 
     table: FeedTable
     first: int
@@ -93,6 +93,6 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistTable:
-    """Write this table to the archive as a whole: nothing leads there."""
+    """Replace the archive's content by this table, to which no items lead."""
 
     table: FeedTable
--- a/thistleline/config_feed/events.py
+++ b/thistleline/config_feed/events.py
@@ -8,19 +8,19 @@
 from thistleline.config_feed.table import FeedTable
 from thistleline.reducer.events import DeadlineReached
 
-# ---- of a follower, about its upstream
+# ---- events of a follower
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamConnected:
-    """The connection asked for by `ConnectUpstream` stands."""
+    """The connection requested by `ConnectUpstream` is established."""
 
     source: str
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamLost:
-    """The connection to this source has ended or could not be made."""
+    """The connection to this source has ended or could not be established."""
 
     source: str
     reason: str
@@ -36,31 +36,31 @@
 
 @dataclass(frozen=True, slots=True)
 class StateDurable:
-    """The own disk has the state `sequence`: a restart would find it."""
+    """This process's disk has the state `sequence`: a restart would recover it."""
 
     sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class SourcesChanged:
-    """These are the sources to choose from now, in order of preference."""
+    """The sources to choose from have changed; they are in order of preference."""
 
     sources: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class FollowingSuspended:
-    """Follow nobody from now on, as the writer does."""
+    """Following is suspended, because this keeper is or becomes the writer."""
 
 
 @dataclass(frozen=True, slots=True)
 class FollowingResumed:
-    """Follow again.
+    """Following is resumed, or the eligible sources have changed.
 
     Attributes:
-        any_source: Whether keepers that are not the writer will do too, as for a keeper that catches up to
-            become the writer.
-        table: The state to go on from, where it advanced while following was suspended.
+        any_source: Whether keepers that are not the writer may be followed too, as by a keeper that catches
+            up to become the writer.
+        table: The state to resume from, if it advanced while following was suspended.
     """
 
     any_source: bool = False
@@ -79,12 +79,12 @@
 )
 
 
-# ---- of a source, about its subscribers
+# ---- events of a source
 
 
 @dataclass(frozen=True, slots=True)
 class SubscriberJoined:
-    """A connection that wants to follow was accepted; `peer` is its number from now on."""
+    """A connection has sent its first message as a follower; `peer` is its number from now on."""
 
     peer: int
 
@@ -106,12 +106,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryAdvanced:
-    """The history has a newer table, and its steps lead there."""
+    """The history has a newer table, and steps that lead to it."""
 
 
 @dataclass(frozen=True, slots=True)
 class HistoryReplaced:
-    """The history has a newer table that no step leads to."""
+    """The history has a newer table, and no steps that lead to it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,7 +122,7 @@
         epoch: Fencing epoch of the writer's lease, 0 while unknown.
         is_writer: Whether this process is the writer.
         level: This process's distance from the writer.
-        leader: Id of the keeper that is the writer, if known and another one.
+        leader: Id of the keeper that is the writer, if known and not this one.
     """
 
     epoch: int
--- a/thistleline/config_feed/follower.py
+++ b/thistleline/config_feed/follower.py
@@ -1,9 +1,9 @@
-"""The follower: which source to follow, from which state on, and the newest state held. No I/O, no clock.
+"""State machine of a follower: selects a source, resumes or loads from it, holds the newest state.
 
-After `DeltaApplied` and `SnapshotLoaded` the new state is `table`. After `DisconnectUpstream`, and after
-`UpstreamLost` was passed in, nothing more of that connection may be passed in. Staleness is judged by
-`DeadlineReached` alone: what arrived during a pause of the process and lies unread is to be passed in first.
-Times are integer nanoseconds.
+It does no I/O and reads no clock. After `DeltaApplied` and `SnapshotLoaded` the new state is `table`. After
+`DisconnectUpstream`, and after `UpstreamLost` was passed in, the caller must pass in no more events of that
+connection. Only `DeadlineReached` checks for a silent source: messages that arrived during a pause of the
+process and are still unread must be passed in before it. Times are integer nanoseconds.
 """
 
 from __future__ import annotations
@@ -48,20 +48,20 @@
 from thistleline.reducer.events import DeadlineReached
 
 Phase = Literal["quiet", "waiting", "connecting", "greeting", "loading", "following"]
-PART_WINDOW = 4  # parts requested ahead, so that loading from far away is not one round trip per part
+PART_WINDOW = 4  # parts requested ahead: avoids one round trip per part on links with high latency
 MAX_REASON_LENGTH = 100  # characters
 
 
 class Follower:
-    """Follows one source at a time and holds the newest state that it got whole.
+    """Follows one source at a time and holds the newest complete state that it has received.
 
     Attributes:
         table: The newest state held.
         phase: `waiting` for the next attempt, `connecting`, `greeting` until the source has answered
-            `Follow`, `loading` a snapshot, `following`; or `quiet`, following nobody.
+            `Follow`, `loading` a snapshot, `following`; or `quiet` while following is suspended.
         upstream: The source that is followed or being connected to; empty in the phases waiting and quiet.
         accepted: The last `FollowAccepted` received.
-        durable: The sequence number that a restart would find on the own disk.
+        durable: The sequence number of the state on this process's disk, which a restart would recover.
     """
 
     __slots__ = (
@@ -103,13 +103,14 @@
         """Start with the first attempt due within `RECONNECT_JITTER_NS`.
 
         Args:
-            id: The id to follow under.
-            kind: What to hold.
-            table: The state to go on from.
+            id: The id that this follower sends to its sources.
+            kind: Which entries to hold.
+            table: The state to start from.
             sources: Names of the sources, in order of preference.
             now: Time in ns.
             random_delay: Draws a random part of a duration in ns, for the backoff between attempts.
-            level: The own distance from the writer; 0 for a keeper, and for an instance, which serves nobody.
+            level: Distance of this follower from the writer; 0 for a keeper, and for an instance, which has
+                no followers.
         """
         self.id = id
         self.kind = kind
@@ -120,29 +121,32 @@
         self.level = level
         self.phase: Phase = "waiting"
         self.upstream = ""
-        self.next_source = 0  # index into `sources` of the next one to try
+        self.next_source = 0  # index into `sources` of the next source to try
         self.retry_at = now + random_delay(RECONNECT_JITTER_NS)
         self.last_received_at = now
         self.accepted: FollowAccepted | None = None
-        self.epoch = 0  # the highest one seen of a writer
+        self.epoch = 0  # the highest epoch of a writer seen so far
         self.accept_any_source = False
         self.durable = 0
-        self.state_suspect = False  # a digest differed: the next source is asked for a snapshot
-        self.redirected = False  # the next attempt goes where a source that is not the writer sent it
-        self.follow_until = 0  # sequence number up to which a keeper follows one that is not the writer
-        self.snapshot: FeedTable | None = None  # as far as it is loaded
-        self.next_part = 0  # index of the snapshot's part that has to come next
+        self.state_suspect = False  # a digest did not match: the next source is asked for a snapshot
+        self.redirected = False  # the next attempt goes to the writer that the last source named
+        self.follow_until = 0  # sequence number up to which a keeper follows another that is not the writer
+        self.snapshot: FeedTable | None = None  # the parts received so far
+        self.next_part = 0  # index of the snapshot part expected next
         self.next_fetch = 0  # index of the part to request next
         self._effects: list[FollowerEffect] = []
 
     def copy(self) -> Follower:
         """Return an independent copy."""
-        made = shallow_copy(self)
-        made._effects = []
-        return made
+        clone = shallow_copy(self)
+        clone._effects = []
+        return clone
 
     def state_key(self) -> tuple[Any, ...]:
-        """Return the state that decides its behaviour; tables by number and digest, times relative to now."""
+        """Return the state that determines its behaviour.
+
+        Tables are represented by sequence number and digest, and times are relative to now.
+        """
         snapshot = self.snapshot
         return (
             self.id,
@@ -171,7 +175,7 @@
     # ---- events
 
     def handle(self, now: int, event: FollowerEvent) -> list[FollowerEffect]:
-        """Take in one event at the time `now` and return what has to be done."""
+        """Handle one event at the time `now` and return the effects to carry out."""
         self.now = max(self.now, now)
         match event:
             case UpstreamMessage():
@@ -205,14 +209,14 @@
         if self.upstream in sources:
             self.next_source = sources.index(self.upstream)
         elif self.upstream:
-            self._disconnect("not to be followed any more")
+            self._disconnect("no longer a configured source")
             self.next_source = 0
         elif self.phase == "waiting":
             self.retry_at = min(self.retry_at, self.now + self.random_delay(RECONNECT_JITTER_NS))
 
     def _suspend(self) -> None:
         if self.upstream:
-            self._disconnect("it writes")
+            self._disconnect("this keeper takes over as the writer")
         self.phase = "quiet"
 
     def _resume(self, any_source: bool, table: FeedTable | None) -> None:
@@ -222,15 +226,15 @@
         if self.phase == "quiet":
             self._back_off()
         elif self.phase in ("loading", "following") and self.accepted and not self._eligible(self.accepted):
-            self._disconnect("it does not write")
+            self._disconnect("not the writer")
 
     def _on_durable(self, sequence: int) -> None:
-        if self.phase != "quiet":  # while suspended the table that this is about comes with the resumption
+        if self.phase != "quiet":  # while suspended, `table` is outdated until `FollowingResumed`
             sequence = min(sequence, self.table.sequence)
         if sequence > self.durable:
             self.durable = sequence
             if self.kind == "all" and self.phase in ("loading", "following"):
-                self._acknowledge()  # of other kinds nobody counts it
+                self._acknowledge()  # the durable number of other kinds is not counted
 
     def _on_timer(self) -> None:
         if self.now < self.next_deadline():
@@ -264,7 +268,7 @@
             case FollowAccepted():
                 self._on_accepted(message)
             case _ if self.phase == "greeting":
-                self._disconnect("no Welcome")
+                self._disconnect("message before FollowAccepted")
             case Heartbeat():
                 self._on_heartbeat(message)
             case Delta():
@@ -290,10 +294,10 @@
         self._back_off()
 
     def _back_off(self) -> None:
-        """Try the next source after a random wait.
+        """Schedule an attempt at the next source after a random delay.
 
-        Prevents the followers of a dead source from all arriving at the next one at once. Keepers wait for
-        less: there are few of them, and the relays wait for what they find.
+        The delay prevents all followers of a failed source from connecting to the next one at once. Keepers
+        use a shorter delay: there are few of them, and the relays get no changes until they have connected.
         """
         self.phase = "waiting"
         self.upstream = ""
@@ -307,15 +311,15 @@
         )
 
     def _suspect_state(self) -> None:
-        """Reload all from the next source: either the own state or the source's is not what it should be."""
+        """Load a snapshot from the next source: this follower's state or the source's is corrupt."""
         self.state_suspect = True
         self.durable = 0
-        self._disconnect("another digest")
+        self._disconnect("digest mismatch")
 
     # ---- from the source
 
     def _eligible(self, accepted: FollowAccepted) -> bool:
-        """Return whether this follower may follow a source that says so of itself."""
+        """Return whether this follower may follow a source that describes itself like this."""
         if self.level:
             return accepted.level < self.level
         if self.kind == "wide":
@@ -326,23 +330,24 @@
 
     def _on_accepted(self, accepted: FollowAccepted) -> None:
         if min(accepted.sequence, accepted.epoch, accepted.level) < 0:
-            self._disconnect("out of bounds")
+            self._disconnect("field out of range")
             return
         self.accepted = accepted
-        if self._eligible_for_now(accepted):
+        if self._eligible_until_writer_found(accepted):
             self.phase = "following"
             self.follow_until = accepted.newest
         elif not self._eligible(accepted):
-            self._leave_ineligible(accepted)
+            self._disconnect_ineligible(accepted)
         else:
             self.epoch = max(self.epoch, accepted.epoch)
             self.follow_until = 0
-            self._go_on(accepted)
+            self._load_or_resume(accepted)
 
-    def _eligible_for_now(self, accepted: FollowAccepted) -> bool:
-        """Return whether a keeper that finds no writer takes deltas from this other keeper meanwhile.
+    def _eligible_until_writer_found(self, accepted: FollowAccepted) -> bool:
+        """Return whether a keeper that finds no writer may apply deltas from this other keeper meanwhile.
 
-        Such deltas hold only what was committed. It takes no snapshot: nothing says that it is of this feed.
+        Such deltas contain committed changes only. A snapshot is not loaded, because without a writer nothing
+        proves that it belongs to this feed.
         """
         return (
             (self.kind, self.level, accepted.level, self.phase) == ("all", 0, 0, "greeting")
@@ -352,29 +357,30 @@
             and accepted.sequence == self.table.sequence < accepted.newest
         )
 
-    def _leave_ineligible(self, accepted: FollowAccepted) -> None:
-        # Once in a row: prevents two keepers from sending this one back and forth without a wait.
+    def _disconnect_ineligible(self, accepted: FollowAccepted) -> None:
+        # At most one redirect in a row: prevents two keepers from redirecting this one to each other
+        # endlessly without a delay.
         redirect = not self.level and not self.redirected and accepted.leader in self.sources
-        self._disconnect("not above it" if self.level else "it does not write")
+        self._disconnect("level not lower than the follower's" if self.level else "not the writer")
         if redirect:
             self.redirected = True
             self.next_source = self.sources.index(accepted.leader)
             self.retry_at = self.now
 
-    def _go_on(self, accepted: FollowAccepted) -> None:
-        """Load the snapshot that the source offers, or follow on from the own state."""
+    def _load_or_resume(self, accepted: FollowAccepted) -> None:
+        """Load the snapshot that the source offers, or resume from the current state."""
         if accepted.load_snapshot:
             self._begin_snapshot(accepted)
         elif self.phase == "greeting" and accepted.sequence == self.table.sequence and not self.state_suspect:
             self.phase = "following"
             if self.durable:
                 self._acknowledge()
-        elif self.phase != "following":  # while following it only tells anew who the writer is
-            self._disconnect("out of turn")
+        elif self.phase != "following":  # while following, the message only announces a change of the writer
+            self._disconnect("unexpected FollowAccepted")
 
     def _begin_snapshot(self, accepted: FollowAccepted) -> None:
         if accepted.sequence < self.table.sequence:
-            self._disconnect("its snapshot is older")
+            self._disconnect("snapshot older than the current state")
             return
         self.phase = "loading"
         self.snapshot = FeedTable()
@@ -385,7 +391,7 @@
 
     def _apply_delta(self, delta: Delta) -> None:
         if self.phase != "following" or delta.first != self.table.sequence or delta.last <= delta.first:
-            self._disconnect("what it sends does not lead from here")
+            self._disconnect("delta does not start at the current state")
             return
         table = self.table.update(delta.last, delta.items, self.kind)
         if table.digest(self.kind) != delta.digest:
@@ -396,7 +402,7 @@
             self.table = table
             self._effects.append(DeltaApplied(delta))
             if 0 < self.follow_until <= delta.last:
-                self._disconnect("it does not write")
+                self._disconnect("not the writer")
             else:
                 self._acknowledge()
 
@@ -404,9 +410,9 @@
         if self.phase != "loading" or self.snapshot is None or self.accepted is None:
             return
         if part.sequence != self.accepted.sequence:
-            return  # of a snapshot that its source has replaced since
+            return  # part of a snapshot that the source has replaced meanwhile
         if part.index != self.next_part:
-            self._disconnect("a part out of turn")
+            self._disconnect("snapshot part out of order")
             return
         self.snapshot = self.snapshot.update(part.sequence, part.items, self.kind)
         self.next_part += 1
@@ -417,15 +423,15 @@
         elif self.snapshot.digest(self.kind) != part.digest:
             self._suspect_state()
         else:
-            self._take_snapshot(self.snapshot)
+            self._install_snapshot(self.snapshot)
 
-    def _take_snapshot(self, snapshot: FeedTable) -> None:
-        """Hold the snapshot, which is whole."""
+    def _install_snapshot(self, snapshot: FeedTable) -> None:
+        """Replace the current state by the snapshot, which is complete."""
         self.table = snapshot
         self.snapshot = None
         self.phase = "following"
         self.state_suspect = False
-        self.durable = 0  # what is on disk until the new state is there may be of another history
+        self.durable = 0  # until the new state is on disk, the state there may belong to another history
         self._effects.append(SnapshotLoaded())
         self._acknowledge()
 
--- a/thistleline/config_feed/follower_service.py
+++ b/thistleline/config_feed/follower_service.py
@@ -1,4 +1,4 @@
-"""A follower in a program: its clock, its connection and its disk around the state machine."""
+"""Runs a follower: connects its state machine to the clock, the network and the disk."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 from thistleline.store.clock import boot_now
 from thistleline.transport.address import Address
 
-LEAF_LEVEL = 64  # level of one that holds everything and serves nobody
+LEAF_LEVEL = 64  # level of a follower that holds all entries and has no followers of its own
 
 
 class FollowerStateMachine(Protocol):
-    """A `Follower`, or what is around one."""
+    """A `Follower`, or a state machine that wraps one."""
 
     def handle(self, now: int, event: FollowerEvent) -> list[FollowerEffect]:
-        """Take in one event."""
+        """Handle one event at the time `now` in ns and return the effects to carry out."""
 
     def next_deadline(self) -> int:
         """Return when the timer expires, in ns."""
@@ -52,9 +52,9 @@
     """Follows the feed and holds the whole table.
 
     Attributes:
-        kind: What it holds.
+        kind: Which entries it holds.
         follower: The follower itself.
-        state_machine: What gets the events: the follower, or what is around it.
+        state_machine: Handles the events: the follower, or a state machine that wraps it.
         inbox: Events that have not been handled yet.
     """
 
@@ -70,16 +70,17 @@
         on_state: Callable[[FeedTable, Items | None], None] | None = None,
         immediate: bool = False,
     ) -> None:
-        """Take the folder and recover the last state from it; blocks.
+        """Lock the folder and recover the last state from it; blocks.
 
         Args:
-            id: The id to follow under.
-            sources: Where the sources listen.
+            id: The id that the follower sends to its sources.
+            sources: Addresses of the sources, by name.
             log: Called with an event's name and its fields.
-            folder: Where the state is kept over a restart; without one it is loaded anew.
-            random: Source of the random waits and of the order of the sources.
-            on_state: Called with each new state and the items that led there, None for a snapshot.
-            immediate: Do not wait at random before connecting: this is not one of many.
+            folder: Where the state is stored across restarts; without one, a restart loads it from a source.
+            random: Generates the random delays and the order of the sources.
+            on_state: Called with each new state and the items that changed; None instead of items for a
+                snapshot.
+            immediate: Connect without a random delay, for a follower that does not start along with many.
 
         Raises:
             DiskLockedError: The folder is in use.
@@ -98,7 +99,7 @@
         )
         table = self._archive.table if self._archive is not None else FeedTable()
         names = sorted(sources)
-        self._random.shuffle(names)  # prevents all instances from going to the first source at once
+        self._random.shuffle(names)  # prevents all instances from connecting to the same source first
         level = LEAF_LEVEL if self.kind == "all" else 0
         self.follower = Follower(id, self.kind, table, tuple(names), boot_now(), self._random_delay, level)
         self.state_machine = self._make_state_machine()
@@ -120,7 +121,7 @@
     async def run(self) -> None:
         """Follow until this is cancelled.
 
-        What came last may not be in the folder then; it comes again after a restart.
+        The last changes may not be in the folder by then; they are received again after a restart.
         """
         digest = self.table.digest(self.kind).hex()
         self.log("started", id=self.id, number=self.table.sequence, digest=digest)
@@ -138,7 +139,7 @@
             await self._handle_events()
 
     async def wait_for(self, sequence: int) -> FeedTable:
-        """Return the state at that sequence number or after it, once it is here."""
+        """Wait until the state has reached this sequence number, and return the state."""
         while self.table.sequence < sequence:
             await self._advanced.wait()
         return self.table
--- a/thistleline/config_feed/heap_freezer.py
+++ b/thistleline/config_feed/heap_freezer.py
@@ -1,4 +1,4 @@
-"""Keeps a large table out of the garbage collector's way."""
+"""Excludes a large table from garbage collection."""
 
 from __future__ import annotations
 
@@ -6,14 +6,15 @@
 
 from thistleline.config_feed.table import FeedTable
 
-FREEZE_EVERY = 1 << 16  # changes
+FREEZE_EVERY = 1 << 16  # changes of the table between two freezes
 
 
 class HeapFreezer:
-    """Moves what is on the heap now to the permanent generation, now and then.
+    """Moves all objects on the heap to the permanent generation of the garbage collector from time to time.
 
-    Prevents collections that go through a whole table: at 1.3 million tenants one takes longer than followers
-    wait for a heartbeat. Objects that live now and die later as a cycle stay forever, so it is done seldom.
+    Prevents collections that scan the whole table: with 1.3 million tenants one takes longer than followers
+    wait for a heartbeat. Objects on the heap that later become garbage in a reference cycle are never freed,
+    so the heap is frozen rarely.
     """
 
     def __init__(self) -> None:
@@ -21,12 +22,12 @@
         self._frozen_at = 0  # sequence number of the table
 
     def freeze(self, table: FeedTable) -> None:
-        """Freeze the heap, which holds this table."""
+        """Freeze the heap, which contains this table."""
         self._frozen_at = table.sequence
         gc.collect(1)
         gc.freeze()
 
     def on_advanced(self, table: FeedTable) -> None:
-        """Freeze the heap again if the table has changed much since."""
+        """Freeze the heap again if the table has changed by `FREEZE_EVERY` since the last time."""
         if table.sequence >= self._frozen_at + FREEZE_EVERY:
             self.freeze(table)
--- a/thistleline/config_feed/inbox.py
+++ b/thistleline/config_feed/inbox.py
@@ -1,4 +1,4 @@
-"""The inbox of a service: events that its connections bring, taken in batches by its main loop."""
+"""The inbox of a service: events of its connections, handled in batches by its main loop."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from thistleline.config_feed.limits import HEARTBEAT_INTERVAL_NS, MS, SECOND
 from thistleline.store.clock import boot_now
 
-STANDSTILL = 100 * MS  # ns past a heartbeat; after a pause as long, all that lies unread is read first
-READ_FIRST = 8  # turns of the event loop
+PAUSE_MARGIN_NS = 100 * MS  # the process was paused if this much more than a heartbeat interval has passed
+READ_TURNS_AFTER_PAUSE = 8  # turns of the event loop in which connections read what arrived meanwhile
 
 Event = TypeVar("Event")
 EventIn = TypeVar("EventIn", contravariant=True)
 
 
 class EventSink(Protocol[EventIn]):
-    """The inbox, as those see it who put events into it."""
+    """The producers' interface to an inbox."""
 
     def put(self, event: EventIn) -> None:
         """Add an event."""
@@ -29,10 +29,10 @@
 
 
 class EventInbox(Generic[Event]):
-    """Holds what came in until the main loop takes it, all at once.
+    """Holds events until the main loop takes all of them as a batch.
 
-    A connection's reader waits for the batch that takes its own messages, so that what waits here of one peer
-    is at most one piece of its stream.
+    The reader of a connection waits for the batch that takes its messages, so that the inbox holds at most
+    one chunk of each peer's stream.
     """
 
     def __init__(self) -> None:
@@ -40,18 +40,18 @@
         self._events: list[Event] = []
         self._arrived = anyio.Event()
         self._drained = anyio.Event()
-        self._last_drained_at = 0  # ns; 0: never
+        self._last_drained_at = 0  # ns of the boot clock; 0 before the first batch
 
     async def next_batch(self, deadline: int) -> list[Event]:
-        """Return what came in, once there is something or `deadline` (ns of the boot clock) has come.
+        """Wait for an event or for `deadline` (ns of the boot clock), and return all events.
 
-        After a pause of the process there may be messages that lie unread: they are read before anybody
-        judges by the clock.
+        After a pause of the process there may be unread messages: they are read before the caller checks for
+        timeouts.
         """
         self._last_drained_at = self._last_drained_at or boot_now()
         await self._wait((deadline - boot_now()) / SECOND)
-        paused = boot_now() - self._last_drained_at > STANDSTILL + HEARTBEAT_INTERVAL_NS
-        for _ in range(READ_FIRST if paused else 1):
+        paused = boot_now() - self._last_drained_at > PAUSE_MARGIN_NS + HEARTBEAT_INTERVAL_NS
+        for _ in range(READ_TURNS_AFTER_PAUSE if paused else 1):
             await anyio.lowlevel.checkpoint()
         self._last_drained_at = boot_now()
         return self.drain()
@@ -68,18 +68,18 @@
         await self._drained.wait()
 
     def wake(self) -> None:
-        """Have the main loop look at its deadline again."""
+        """Make the main loop recompute its deadline."""
         self._arrived.set()
 
     def drain(self) -> list[Event]:
-        """Take out all events and release those who wait for that."""
+        """Remove and return all events, and wake the producers that wait for this."""
         events, self._events = self._events, []
         self._drained.set()
         self._drained = anyio.Event()
         return events
 
     async def _wait(self, timeout: float) -> None:
-        """Wait for an event, for so many seconds at most."""
+        """Wait for an event, for at most `timeout` seconds."""
         if not self._events:
             self._arrived = anyio.Event()
             with anyio.move_on_after(max(0.0, timeout)):
--- a/thistleline/config_feed/listener.py
+++ b/thistleline/config_feed/listener.py
@@ -22,22 +22,23 @@
 from thistleline.transport.handshake import receive_hello
 
 HELLO_TIMEOUT = 2.0  # s
-MAX_GUESTS = 64  # connections beside the followers
+MAX_NON_FOLLOWERS = 64  # connections in addition to those of followers
 RESERVED_FILES = 64  # file descriptors for everything else
 ACCEPT_BACKOFF = 0.1  # s after a connection could not be accepted
-UNKNOWN_PEER = "who comes"  # in the log
+UNKNOWN_PEER = "who comes"  # peer name in the log before its hello
 
 
 class FeedListener:
-    """Holds the connections that came in, at most `max_connections`.
+    """Holds the incoming connections, at most `max_connections`.
 
-    Messages go to the inbox as `SubscriberMessage`, one of each connection in a batch, and none while too
-    much waits to be sent there: prevents that one which asks without end, or reads no answers, holds up the
-    others.
+    Messages are put into the inbox as `SubscriberMessage`: at most one of each connection in a batch, and
+    none while too much is queued to be sent on that connection. This prevents a peer that sends requests
+    endlessly, or does not read the answers, from delaying the others.
 
     Attributes:
-        connections: By number.
-        max_connections: Beyond it a guest has to go for each new one.
+        connections: Connections by number.
+        max_connections: Limit of connections; at the limit, each new one replaces the oldest that does not
+            follow.
     """
 
     def __init__(
@@ -49,47 +50,47 @@
     ) -> None:
         """Begin without connections."""
         files = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        self.max_connections = max(1, min(max_followers + MAX_GUESTS, files - RESERVED_FILES))
+        self.max_connections = max(1, min(max_followers + MAX_NON_FOLLOWERS, files - RESERVED_FILES))
         self.connections: dict[int, DownstreamConnection] = {}
         self._name = name
         self._inbox = inbox
         self._peer_log = peer_log
         self._encoder = FrameEncoder()
-        # Connections that do not follow, the oldest first.
-        self._guests: OrderedDict[int, DownstreamConnection] = OrderedDict()
+        # Connections that have not asked to follow, the oldest first.
+        self._non_followers: OrderedDict[int, DownstreamConnection] = OrderedDict()
         self._accepted = 0
 
     # ---- for the service
 
     def check(self, now: int) -> None:
-        """End connections that take nothing or send nothing; `now` in ns of the boot clock."""
+        """End connections whose peer reads nothing or sends nothing; `now` in ns of the boot clock."""
         for connection in self.connections.values():
             connection.check(now)
 
     def begin_following(self, connection: DownstreamConnection) -> None:
-        """Count a connection as a follower's from now on, no more as a guest's."""
+        """Mark a connection as a follower's: it is no longer closed to make room for a new one."""
         connection.follows = True
-        self._guests.pop(connection.number, None)
+        self._non_followers.pop(connection.number, None)
 
     def send(self, number: int, message: SourceMessage) -> None:
-        """Send a message on a connection, if it is still there."""
+        """Send a message on a connection, if it is still open."""
         connection = self.connections.get(number)
         if connection is not None:
             connection.queue.put(self._encoder.frame(message))
 
     def close(self, number: int, reason: str) -> None:
-        """End a connection once all that was sent on it is out."""
+        """End a connection after sending what is queued on it."""
         connection = self.connections.get(number)
         if connection is not None:
             self._peer_log.report("refused", connection.id, reason)
             connection.end_after_sending(reason)
 
-    # ---- connections that come in
+    # ---- incoming connections
 
     async def accept(self, listener: Listener[SocketStream], tasks: TaskGroup) -> None:
-        """Serve all who connect, until this is cancelled.
+        """Serve incoming connections until this is cancelled.
 
-        Goes on where a connection can not be accepted, as where no file descriptor is left.
+        Continues after a connection could not be accepted, for example for lack of file descriptors.
         """
         while True:
             try:
@@ -100,22 +101,23 @@
 
     async def _serve(self, stream: SocketStream) -> None:
         if len(self.connections) >= self.max_connections:
-            self._peer_log.report("refused", UNKNOWN_PEER, "all connections are taken")
-            if not self._guests:
+            self._peer_log.report("refused", UNKNOWN_PEER, "connection limit reached")
+            if not self._non_followers:
                 await anyio.aclose_forcefully(stream)
                 return
-            # Prevents that those who only connect keep others out: who follows or asks is soon done with it.
-            _, oldest = self._guests.popitem(last=False)
-            oldest.end("another came")
+            # Prevents peers that connect and then do nothing from blocking others: a peer that follows or
+            # sends a request does so soon after it has connected.
+            _, oldest = self._non_followers.popitem(last=False)
+            oldest.end("replaced by a new connection")
         self._accepted += 1
         connection = DownstreamConnection(self._accepted, stream)
         self.connections[connection.number] = connection
-        self._guests[connection.number] = connection
+        self._non_followers[connection.number] = connection
         try:
             await self._run(connection)
         finally:
             del self.connections[connection.number]
-            self._guests.pop(connection.number, None)
+            self._non_followers.pop(connection.number, None)
             if connection.follows:
                 self._inbox.put(SubscriberLeft(connection.number))
 
@@ -124,23 +126,23 @@
         with connection.scope, report_disconnects(connection.note):
             async with stream:
                 with anyio.fail_after(HELLO_TIMEOUT):
-                    await self._shake_hands(connection)
+                    await self._exchange_hellos(connection)
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(connection.queue.send_all, stream)
                     await self._receive(connection)
 
-    async def _shake_hands(self, connection: DownstreamConnection) -> None:
-        """Exchange hellos as the side that was connected to.
+    async def _exchange_hellos(self, connection: DownstreamConnection) -> None:
+        """Exchange hellos as the server.
 
         Raises:
-            ProtocolError: The other side does not speak this protocol.
+            ProtocolError: The peer does not speak this protocol.
         """
-        there = await receive_hello(connection.stream)
+        peer_hello = await receive_hello(connection.stream)
         own = Hello("follower", self._name)
-        negotiate_version(own, there)
-        if there.kind != "follower":
-            raise ProtocolError(f"a {there.kind} has no business here")
-        connection.id = there.id[:PEER_ID_LENGTH_LIMIT]
+        negotiate_version(own, peer_hello)
+        if peer_hello.kind != "follower":
+            raise ProtocolError(f"a {peer_hello.kind} cannot connect to a feed server")
+        connection.id = peer_hello.id[:PEER_ID_LENGTH_LIMIT]
         await connection.stream.send(encode_frame(msgspec.msgpack.encode(own)))
 
     async def _receive(self, connection: DownstreamConnection) -> None:
--- a/thistleline/config_feed/operations.py
+++ b/thistleline/config_feed/operations.py
@@ -1,4 +1,4 @@
-"""What commands ask of the feed: reading, proposing a change, exporting all of it."""
+"""Operations that commands use: read values, propose a change, export the whole table."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 ATTEMPT_TIMEOUT = 4.0  # s for one attempt of a proposal
 PROPOSE_TIMEOUT = 10.0  # s for all attempts
 RETRY_DELAY = 0.1  # s between two attempts, on average
-POLL_INTERVAL = 0.02  # s between two looks at whether an export has begun
+POLL_INTERVAL = 0.02  # s between two checks whether an export has begun to follow
 
 
 async def read(
     address: Address, keys: tuple[str, ...] = (), timeout: float = READ_TIMEOUT
 ) -> ReadResult | None:
-    """Return a server's status and its values of the keys; None where it does not answer in time."""
+    """Return a server's status and its values of the keys; None if it does not answer in time."""
     return await request(address, ReadRequest(keys), ReadResult, timeout)
 
 
@@ -43,11 +43,12 @@
 class EndpointSelector:
     """Selects the keeper that a change is proposed to.
 
-    Prevents that a keeper which names one that is gone, or two which name each other, hold up a proposal: a
-    redirect is followed once between two pauses, and not to one that has just not answered.
+    At most one redirect is followed between two pauses, and none to the keeper that last failed to answer.
+    Otherwise a keeper that names a failed one as the writer, or two that name each other, could block a
+    proposal.
 
     Attributes:
-        current: The keeper to ask.
+        current: The keeper to send the next attempt to.
     """
 
     __slots__ = ("current", "names", "redirected", "unresponsive")
@@ -56,7 +57,7 @@
         """Begin with `current`, one of the names."""
         self.names = names
         self.current = current
-        self.unresponsive = ""  # the last one that did not answer
+        self.unresponsive = ""  # the last keeper that did not answer
         self.redirected = False
 
     def advance(self, answered: bool, leader: str = "") -> bool:
@@ -67,7 +68,7 @@
             leader: The keeper that it named as the writer.
 
         Returns:
-            Whether to ask at once, being redirected; else only after a pause.
+            Whether to retry at once because of a redirect; otherwise the caller pauses first.
         """
         if not answered:
             self.unresponsive = self.current
@@ -87,9 +88,9 @@
     timeout: float = PROPOSE_TIMEOUT,
     random: Random | None = None,
 ) -> ProposeResult:
-    """Propose a change until it is committed or refused, for `timeout` seconds at most.
+    """Propose a change until it is committed or refused, for at most `timeout` seconds.
 
-    All attempts carry the same request id, so that the change is made once.
+    All attempts carry the same request id, so that the change is committed at most once.
     """
     random = random or Random(os.urandom(8))
     names = sorted(keepers)
@@ -116,7 +117,7 @@
 
 
 async def export_table(servers: dict[str, Address], timeout: float) -> FeedTable | None:
-    """Return all that one of the servers holds; None where none sends it within `timeout` seconds."""
+    """Return the whole table of one of the servers; None if none sends it within `timeout` seconds."""
     service = FollowerService(f"export-{os.urandom(4).hex()}", servers, immediate=True)
     done = False
     with anyio.move_on_after(timeout):
@@ -125,7 +126,7 @@
             while service.follower.phase != "following":
                 await anyio.sleep(POLL_INTERVAL)
             accepted = service.follower.accepted
-            # Several deltas may lead to the source's newest state: none of those in between is exported.
+            # Several deltas may lead to the source's newest state: do not export a state in between.
             await service.wait_for(max(accepted.sequence, accepted.newest) if accepted is not None else 0)
             done = True
             tasks.cancel_scope.cancel()
--- a/thistleline/config_feed/peer_log.py
+++ b/thistleline/config_feed/peer_log.py
@@ -1,4 +1,4 @@
-"""Log lines about what peers do, limited in number."""
+"""A rate-limited log of events of peers."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 
 class PeerLog:
-    """Logs what happened to a peer once, until something else happens to the same one.
+    """Logs an event of a peer, unless the last line of the same peer had the same reason.
 
-    At most so many lines go out in a second: prevents a log that is as long as strangers like, each under a
-    name of its own.
+    At most `MAX_LINES_PER_SECOND` lines are written: prevents unknown peers, each with a name of its own,
+    from flooding the log.
 
     Attributes:
-        last_reasons: By peer, what was logged last.
+        last_reasons: By peer, the reason that was logged last.
     """
 
     def __init__(self, log: Callable[..., None]) -> None:
-        """Write to this log."""
+        """Begin with no peers; `log` is called with an event's name and its fields."""
         self.last_reasons: dict[str, str] = {}
         self._log = log
-        self._lines = 0  # in this second
-        self._second_ends_at = 0  # ns
+        self._lines = 0  # written in the current second
+        self._second_ends_at = 0  # ns of the boot clock
 
     def report(self, event: str, peer: str, reason: str) -> None:
-        """Log an event of a peer, unless it was logged last or too much was."""
+        """Log an event of a peer, unless it repeats the peer's last reason or the rate limit is reached."""
         now = boot_now()
         if now >= self._second_ends_at:
             self._lines = 0
--- a/thistleline/config_feed/relay.py
+++ b/thistleline/config_feed/relay.py
@@ -1,8 +1,8 @@
-"""A keeper or a relay: follower, source and writer as one state machine, as the service runs it.
+"""State machine of a keeper or a relay: combines the follower, the source and the writer.
 
-No I/O, no clock. Events for one of the three are passed on to it; what one of them must know of another is
-passed on here. The effects are those of the three, but for those that only concern another one, and
-`PersistStep` and `PersistTable` for the own disk.
+It does no I/O and reads no clock. Each event is dispatched to the components that it concerns, and changes of
+one component that affect another are propagated. The effects are those of the components, except for the
+ones that are handled by another component, plus `PersistStep` and `PersistTable` for the local disk.
 """
 
 from __future__ import annotations
@@ -82,25 +82,25 @@
 
 
 class KnownWriter(NamedTuple):
-    """What is known of the writer."""
+    """What this process knows about the writer."""
 
-    epoch: int = 0  # fencing epoch of its lease, 0 while unknown
-    is_here: bool = False
-    leader: str = ""  # which other keeper it is, if known
+    epoch: int = 0  # fencing epoch of its lease; 0 while unknown
+    is_local: bool = False  # whether this process is the writer
+    leader: str = ""  # id of the other keeper that is the writer, if known
 
 
 class FeedRelay:
-    """A keeper, or a relay, which is one without a writer.
+    """A keeper, or a relay, which has no writer component.
 
     Attributes:
-        known_writer: What the source was last told of the writer.
+        known_writer: What the source was last informed of about the writer.
     """
 
     __slots__ = (
         "_effects",
         "_follow_mode",
         "_keeper_peers",
-        "_persisted",
+        "_persisted_sequence",
         "_sender",
         "follower",
         "history",
@@ -122,17 +122,17 @@
         keepers: tuple[str, ...] = (),
         max_followers: int = FOLLOWERS_LIMIT,
     ) -> None:
-        """Begin with this state.
+        """Start from the given state.
 
         Args:
-            id: Of the keeper or relay.
-            level: Distance from the writer, 0 for a keeper.
-            table: The state to begin with.
-            sources: Whom to follow, in order of preference.
+            id: Id of this keeper or relay.
+            level: Distance from the writer; 0 for a keeper.
+            table: The state to start from.
+            sources: Names of the sources to follow, in order of preference.
             now: Time in ns.
             random_delay: Draws a random part of a duration in ns, for backoff.
-            keepers: For a keeper, the ids of all of them.
-            max_followers: How many to serve, keepers aside.
+            keepers: For a keeper, the ids of all keepers, including its own; empty for a relay.
+            max_followers: Limit of followers to serve, not counting keepers.
         """
         self.id = id
         self.level = level
@@ -142,24 +142,24 @@
         self.writer = FeedWriter(id, self.history, keepers, now) if keepers else None
         self.known_writer = KnownWriter()
         self._follow_mode: FollowMode = "writer"
-        self._keeper_peers: dict[str, int] = {}  # the newest connection of each keeper that follows here
+        self._keeper_peers: dict[str, int] = {}  # newest connection of each keeper that follows this one
         self._sender = 0  # the connection whose event is being handled
-        self._persisted = table.sequence  # up to which `PersistStep` and `PersistTable` have gone out
+        self._persisted_sequence = table.sequence  # of the last `PersistStep` or `PersistTable` effect
         self._effects: list[RelayEffect] = []
 
     def copy(self) -> FeedRelay:
         """Return an independent copy."""
-        made = shallow_copy(self)
-        made.history = self.history.copy()
-        made.source = self.source.copy(made.history)
-        made.follower = self.follower.copy()
-        made.writer = self.writer.copy(made.history) if self.writer is not None else None
-        made._keeper_peers = dict(self._keeper_peers)
-        made._effects = []
-        return made
+        clone = shallow_copy(self)
+        clone.history = self.history.copy()
+        clone.source = self.source.copy(clone.history)
+        clone.follower = self.follower.copy()
+        clone.writer = self.writer.copy(clone.history) if self.writer is not None else None
+        clone._keeper_peers = dict(self._keeper_peers)
+        clone._effects = []
+        return clone
 
     def state_key(self) -> tuple[Any, ...]:
-        """Return the state that decides its behaviour, with times relative to now."""
+        """Return the state that determines its behaviour, with times relative to now."""
         return (
             self.source.state_key(),
             self.follower.state_key(),
@@ -176,12 +176,12 @@
 
     @property
     def is_writer(self) -> bool:
-        """Whether this is the writer, with its lease and a table that is complete."""
+        """Whether this is the writer: it holds the lease and its table is complete."""
         return self.writer is not None and self.writer.phase in ("settling", "writing")
 
     @property
     def leader(self) -> str:
-        """Which other keeper is the writer, as far as this one knows."""
+        """Id of the other keeper that is the writer; empty if unknown."""
         follower = self.follower
         accepted = follower.accepted
         known = accepted is not None and accepted.is_writer and follower.phase in ("loading", "following")
@@ -202,7 +202,7 @@
         return min(self.source.next_deadline(), self.follower.next_deadline(), writer)
 
     def handle(self, now: int, event: RelayEvent) -> list[RelayEffect]:
-        """Take in one event at the time `now` and return what has to be done."""
+        """Handle one event at the time `now` and return the effects to carry out."""
         match event:
             case SubscriberMessage():
                 self._on_subscriber_message(now, event)
@@ -217,12 +217,12 @@
                 self._on_timer(now, event)
             case _:
                 self._write(now, event)
-        self._exchange(now)
+        self._propagate_changes(now)
         effects, self._effects = self._effects, []
         return effects
 
     def propose(self, now: int, ticket: Any, proposal: Propose) -> list[RelayEffect]:
-        """Take in a proposal; its `AnswerProposal` has this ticket and comes now or later."""
+        """Handle a proposal; it is answered by an `AnswerProposal` with this ticket, now or later."""
         if self.writer is not None:
             return self.handle(now, ProposalReceived(ticket, proposal))
         reason = "a relay writes nothing"
@@ -232,8 +232,9 @@
     def _on_subscriber_message(self, now: int, event: SubscriberMessage) -> None:
         message = event.message
         if isinstance(message, Follow) and self._is_from_keeper(message):
-            # Prevents that a keeper which lost its disk still counts for what it had. Counted here, so that
-            # one which the source rejects says so too.
+            # Resets the durable number of a keeper that reconnects: it may have lost its disk, and must not
+            # count as having stored what it had before. Done before the source handles the request, so that
+            # it also happens where the source rejects the keeper.
             self._keeper_peers[message.id] = event.peer
             self._write(now, KeeperDurable(message.id, 0))
         self._sender = event.peer
@@ -273,7 +274,8 @@
             if not isinstance(effect, SubscriberDurable):
                 self._effects.append(effect)
             elif self.writer is not None and self._keeper_peers.get(effect.subscriber) == self._sender:
-                # Only by its newest connection: on an older one there may be news of a disk that is lost.
+                # Only from the keeper's newest connection: an older one may still report the content of a
+                # disk that was lost since.
                 self._write(now, KeeperDurable(effect.subscriber, effect.sequence))
 
     def _write(self, now: int, event: WriterEvent) -> None:
@@ -285,22 +287,22 @@
                 case AnswerProposal():
                     self._effects.append(AnswerProposal(effect.ticket, self._with_leader(effect.result)))
                 case FollowKeepers():
-                    pass  # `_exchange` sees to it
+                    pass  # `_propagate_changes` resumes following
                 case _:
                     self._effects.append(effect)
 
     def _with_leader(self, result: ProposeResult) -> ProposeResult:
-        """Name the writer, where this is another one.
+        """Add the writer's id and `unknown` to a failure, unless this keeper is the writer.
 
-        One that is not the writer cannot say whether a request was committed before.
+        A keeper that is not the writer cannot say whether a request was committed before.
         """
         if result.sequence or self.is_writer:
             return result
         return msgspec.structs.replace(result, unknown=True, leader=self.leader)
 
     def _on_advanced(self, now: int) -> None:
-        items = self._items_since(self._persisted)
-        self._effects.append(PersistStep(self.table, self._persisted, items))
+        items = self._items_since(self._persisted_sequence)
+        self._effects.append(PersistStep(self.table, self._persisted_sequence, items))
         self._on_new_table(now, HistoryAdvanced())
 
     def _on_replaced(self, now: int) -> None:
@@ -308,13 +310,13 @@
         self._on_new_table(now, HistoryReplaced())
 
     def _on_new_table(self, now: int, event: HistoryAdvanced | HistoryReplaced) -> None:
-        self._persisted = self.table.sequence
+        self._persisted_sequence = self.table.sequence
         self._serve(now, event)
         if self.writer is not None and self.writer.phase == "catching_up":
             self._write(now, CatchUpAdvanced())
 
     def _items_since(self, sequence: int) -> Items:
-        """Return the newest item of each key that was written since a state of the history."""
+        """Return the newest item of each key that was written after the state `sequence` of the history."""
         newest: dict[str, tuple[bytes | None, int]] = {}
         for first, _, items, _ in reversed(self.history.steps):
             if first < sequence:
@@ -323,14 +325,14 @@
                 newest.setdefault(key, (value, version))
         return tuple((key, value, version) for key, (value, version) in newest.items())
 
-    def _exchange(self, now: int) -> None:
-        """Pass on what one of the three must know of another."""
+    def _propagate_changes(self, now: int) -> None:
+        """Inform the follower about the writer's phase, and the source about who the writer is."""
         if self.writer is not None:
             self._update_following(now, self.writer)
         known = KnownWriter(self._writer_epoch(), self.is_writer, self.leader)
         if known != self.known_writer:
             self.known_writer = known
-            self._serve(now, WriterChanged(known.epoch, known.is_here, self.level, known.leader))
+            self._serve(now, WriterChanged(known.epoch, known.is_local, self.level, known.leader))
 
     def _update_following(self, now: int, writer: FeedWriter) -> None:
         mode: FollowMode = "nobody"
--- a/thistleline/config_feed/request.py
+++ b/thistleline/config_feed/request.py
@@ -1,4 +1,4 @@
-"""Connecting to a server of the feed, and single requests on a connection of their own."""
+"""The handshake with a keeper or relay, and single requests, each on its own connection."""
 
 from __future__ import annotations
 
@@ -16,34 +16,34 @@
 from thistleline.transport.disconnects import DISCONNECT_ERRORS
 from thistleline.transport.handshake import receive_hello
 
-CONNECT_TIMEOUT = 1.5  # s for a connection, and for its handshake
+CONNECT_TIMEOUT = 1.5  # s to connect, and again for the handshake
 
 Answer = TypeVar("Answer", bound=SourceMessage)
 
 
-async def shake_hands(stream: ByteStream, own: Hello) -> Hello:
-    """Exchange hellos as the side that connects, and return the server's.
+async def exchange_hellos(stream: ByteStream, own: Hello) -> Hello:
+    """Exchange hellos as the client and return the server's hello.
 
     Raises:
-        ProtocolError: The other side does not speak this protocol.
+        ProtocolError: The server does not speak this protocol.
         OSError: The connection has ended; also other errors of `DISCONNECT_ERRORS`.
     """
     await stream.send(encode_frame(encode(own)))
-    there = await receive_hello(stream)
-    negotiate_version(own, there)
-    return there
+    peer_hello = await receive_hello(stream)
+    negotiate_version(own, peer_hello)
+    return peer_hello
 
 
 async def request(
     address: Address, message: FollowerMessage, answer_type: type[Answer], timeout: float
 ) -> Answer | None:
-    """Send one request and return its answer; None where there is none within `timeout` seconds."""
+    """Send one request and return its answer; None if there is none within `timeout` seconds."""
     with anyio.move_on_after(timeout), suppress(*DISCONNECT_ERRORS):
         with anyio.fail_after(CONNECT_TIMEOUT):
             stream = await anyio.connect_tcp(*address)
         async with stream:
             with anyio.fail_after(CONNECT_TIMEOUT):
-                await shake_hands(stream, Hello("follower", ""))
+                await exchange_hellos(stream, Hello("follower", ""))
             await stream.send(encode_frame(encode(message)))
             decoder = FrameDecoder(MESSAGE_SIZE_LIMIT)
             while True:
--- a/thistleline/config_feed/send_queue.py
+++ b/thistleline/config_feed/send_queue.py
@@ -1,4 +1,4 @@
-"""What waits to be sent on a connection of the feed, bounded, and how messages become frames."""
+"""The bounded send queue of a connection, and the encoding of messages as frames."""
 
 from __future__ import annotations
 
@@ -14,19 +14,20 @@
 from thistleline.transport.codec import encode_frame
 
 CHUNK_SIZE = 1 << 18  # bytes read or sent at once
-MAX_QUEUED = 4 << 20  # bytes that a peer has not taken; past it the connection ends
-# Bytes; while more is queued, the peer is not read. Above a delta and all tenants that may be asked for.
+MAX_QUEUED = 4 << 20  # bytes queued for a peer; beyond it the connection is ended
+# Bytes; while more is queued, nothing is read from the peer. Larger than a delta together with all tenants
+# that a peer may request.
 READ_THRESHOLD = MAX_QUEUED // 2
-MAX_ENCODED = 16  # frames that are kept for other receivers
-CHECK_INTERVAL = 500 * MS  # ns between two checks for peers that take nothing or send nothing
+MAX_ENCODED = 16  # frames that are cached for other receivers
+CHECK_INTERVAL = 500 * MS  # ns between two checks for peers that read nothing or send nothing
 
 
 class FrameEncoder:
-    """Encodes messages as frames; one object that goes to many receivers is encoded once."""
+    """Encodes messages as frames; a message object that is sent to many receivers is encoded once."""
 
     def __init__(self) -> None:
         """Begin with nothing encoded."""
-        # By the id of the message. The message is held too: while it lives its id is its own.
+        # Keyed by `id()` of the message. The message is stored too, so that no other object gets its id.
         self.encoded: OrderedDict[int, tuple[SourceMessage, bytes]] = OrderedDict()
 
     def frame(self, message: SourceMessage) -> bytes:
@@ -52,23 +53,23 @@
     """Frames that wait to be sent on one connection, in order.
 
     Attributes:
-        size: Bytes that the peer has not taken.
+        size: Bytes that are queued or being sent.
     """
 
     def __init__(self, end: Callable[[], None]) -> None:
-        """Begin empty; `end` is called when the connection is to end."""
+        """Begin empty; `end` is called to end the connection."""
         self.size = 0
         self._end = end
         self._frames: deque[bytes] = deque()
         self._added = anyio.Event()
         self._shrunk = anyio.Event()
-        self._sending_since = 0  # ns; 0: nothing is being sent
-        self._closing = False  # nothing more is added: the connection ends once all is sent
+        self._sending_since = 0  # ns of the boot clock; 0 while nothing is being sent
+        self._closing = False  # the connection ends as soon as the queue is empty
 
     def put(self, frame: bytes) -> None:
-        """Add a frame; past `MAX_QUEUED` bytes the connection ends."""
+        """Add a frame; if more than `MAX_QUEUED` bytes are queued then, end the connection."""
         if self.size > MAX_QUEUED:
-            return  # it is ending
+            return  # the connection is being ended already
         self._frames.append(frame)
         self.size += len(frame)
         if self.size > MAX_QUEUED:
@@ -76,20 +77,20 @@
         self._added.set()
 
     def end_after_sending(self) -> None:
-        """End the connection once all that is queued is sent."""
+        """End the connection after sending what is queued."""
         self._closing = True
         self._added.set()
 
     async def wait_until_readable(self) -> None:
-        """Wait until so little is queued that more may be read from the peer."""
+        """Wait until at most `READ_THRESHOLD` bytes are queued, so that more may be read from the peer."""
         while self.size > READ_THRESHOLD:
             await self._shrunk.wait()
 
     async def send_all(self, stream: ByteStream) -> None:
-        """Send what is queued until this is cancelled.
+        """Send queued frames until this is cancelled.
 
-        Whoever runs it checks `is_stalled` now and then: a timer for each send would cost a relay of many
-        followers a quarter of its core.
+        The caller has to check `is_stalled` regularly: a timer for each send would take a quarter of a core
+        in a relay with many followers.
         """
         while True:
             while self._frames:
@@ -113,15 +114,15 @@
         self._shrunk = anyio.Event()
 
     def is_stalled(self, now: int) -> bool:
-        """Return whether the peer has taken nothing for too long; `now` in ns of the boot clock."""
+        """Return whether a send has been blocked for too long; `now` in ns of the boot clock."""
         return 0 < self._sending_since < now - STALL_TIMEOUT_NS
 
 
 async def check_regularly(check: Callable[[int], None]) -> None:
-    """Call `check` with the time in ns, twice a second.
+    """Call `check` with the time in ns of the boot clock, twice a second.
 
-    A check that would be late is left out: after a pause of the process all that peers did meanwhile is to be
-    taken first.
+    A check that is late is skipped: after a pause of the process, the messages that peers sent meanwhile have
+    to be read first.
     """
     while True:
         began = boot_now()
--- a/thistleline/config_feed/service.py
+++ b/thistleline/config_feed/service.py
@@ -1,7 +1,7 @@
-"""A keeper or a relay of the feed as a program: the listener, connection, disk and lease around `FeedRelay`.
+"""Runs a keeper or a relay: connects `FeedRelay` to its listener, upstream connection, archive and lease.
 
-The keeper that holds the lease `feed` is the writer; the other keepers follow it, and relays follow what is
-above them.
+The keeper that holds the lease `feed` is the writer. The other keepers follow it, and relays follow keepers
+or relays of a lower level.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
 from thistleline.store.clock import boot_now
 from thistleline.transport.address import Address
 
-LEAVE_TIMEOUT = 3.0  # s to give the lease back and to write down what waits
+SHUTDOWN_TIMEOUT = 3.0  # s to release the lease and to write pending changes to the archive
 
 
 class FeedService:
@@ -64,10 +64,10 @@
 
     Attributes:
         relay: The state machine.
-        listener: Connections that came in.
-        archive: The state on disk, if there is a folder.
-        peer_log: What was logged of peers.
-        address: Where it listens.
+        listener: Incoming connections.
+        archive: The state on disk, if a folder is configured.
+        peer_log: Log of events of peers, limited in rate.
+        address: The address to listen on.
         inbox: Events that have not been handled yet.
     """
 
@@ -78,17 +78,17 @@
         log: Callable[..., None],
         random: Random | None = None,
     ) -> None:
-        """Take the folder and recover the last state from it; blocks.
+        """Lock the folder and recover the last state from it; blocks.
 
         Args:
-            config: Of the keeper or relay, with a name and an address to listen on.
-            consensus: Where a keeper finds the consensus cluster.
+            config: Settings of the keeper or relay, with a name and an address to listen on.
+            consensus: For a keeper, the addresses of the consensus cluster.
             log: Called with an event's name and its fields.
-            random: Source of the random waits.
+            random: Generates the random delays.
 
         Raises:
             DiskLockedError: The folder is in use.
-            CorruptFrameError: The folder is of no feed.
+            CorruptFrameError: The folder does not hold an archive of a feed.
             OSError: The folder cannot be read.
         """
         assert config.name is not None
@@ -119,8 +119,8 @@
         )
         self._freezer = HeapFreezer()
         self._writer_lease: WriterLease | None = None
-        self._epoch = 0  # of the lease that is held here; 0 without
-        self._logged_phase = ("", "")  # phase and upstream
+        self._epoch = 0  # fencing epoch of the lease while this process holds it, else 0
+        self._logged_phase = ("", "")  # phase and upstream that were logged last
 
     def _random_delay(self, max_delay: int) -> int:
         return self._random.randrange(max_delay + 1)
@@ -135,9 +135,9 @@
         """Run until SIGTERM or SIGINT.
 
         Raises:
-            OSError: It can not listen on its address.
+            OSError: It cannot listen on its address.
         """
-        # Open to the very end: prevents a second signal from ending the process at once.
+        # Signals are received until the end: otherwise a second signal during shutdown kills the process.
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             with self.archive or nullcontext():
                 await self._run(signals)
@@ -150,7 +150,7 @@
         self._freezer.freeze(self.relay.table)
         async with listener, anyio.create_task_group() as tasks:
             self._upstream = UpstreamConnection(self.name, self._sources, tasks, self.inbox)
-            tasks.start_soon(self._leave_at_signal, signals, tasks.cancel_scope)
+            tasks.start_soon(self._shut_down_on_signal, signals, tasks.cancel_scope)
             for one in listener.listeners:
                 tasks.start_soon(self.listener.accept, one, tasks)
             tasks.start_soon(self._handle_events)
@@ -158,9 +158,9 @@
             if self.archive is not None:
                 tasks.start_soon(self.archive.run)
             if self._replicas:
-                self._start_wanting_lease(tasks)
+                self._start_lease_acquisition(tasks)
 
-    def _start_wanting_lease(self, tasks: TaskGroup) -> None:
+    def _start_lease_acquisition(self, tasks: TaskGroup) -> None:
         client = LeaseClient(self._replicas, tasks, self._random)
         self._records = RecordClient(client, tasks, self.inbox)
         self._writer_lease = WriterLease(
@@ -168,13 +168,13 @@
         )
         tasks.start_soon(self._writer_lease.run)
 
-    async def _leave_at_signal(
+    async def _shut_down_on_signal(
         self, signals: AsyncIterator[signal.Signals], scope: anyio.CancelScope
     ) -> None:
         async for _ in signals:
             break
         self.log("leaving", number=self.relay.table.sequence)
-        with anyio.move_on_after(LEAVE_TIMEOUT):
+        with anyio.move_on_after(SHUTDOWN_TIMEOUT):
             if self._writer_lease is not None:
                 await self._writer_lease.leave()
             if self.archive is not None:
@@ -186,7 +186,7 @@
             for event in await self.inbox.next_batch(self.relay.next_deadline()):
                 self.handle(event)
             if self.relay.next_deadline() <= boot_now():
-                self._pass_on(DeadlineReached())
+                self._handle_in_relay(DeadlineReached())
             self._log_phase()
 
     # ---- events
@@ -197,23 +197,23 @@
             case SubscriberMessage():
                 self._on_message(event)
             case UpstreamMessage() | UpstreamConnected() | SubscriberLeft():
-                self._pass_on(event)
+                self._handle_in_relay(event)
             case UpstreamLost():
                 self.peer_log.report("lost", event.source, event.reason)
-                self._pass_on(event)
+                self._handle_in_relay(event)
             case ArchiveDurable():
-                # Of a state that was replaced since it counts no more.
+                # Ignored if the archived state was replaced since the write.
                 if self.archive is not None and event.generation == self.archive.generation:
-                    self._pass_on(StateDurable(event.sequence))
+                    self._handle_in_relay(StateDurable(event.sequence))
             case LeaseAcquired():
                 self._epoch = event.epoch
-                self._pass_on(event)
+                self._handle_in_relay(event)
             case LeaseLost():
                 self._epoch = 0
-                self._pass_on(event)
+                self._handle_in_relay(event)
             case RecordAnswered():
-                if event.epoch == self._epoch:  # an answer to an epoch that is over counts no more
-                    self._pass_on(event.answer)
+                if event.epoch == self._epoch:  # ignores answers under a lease that was lost since
+                    self._handle_in_relay(event.answer)
 
     def _on_message(self, event: SubscriberMessage) -> None:
         connection = self.listener.connections.get(event.peer)
@@ -227,10 +227,10 @@
         else:
             if not connection.follows:
                 self.listener.begin_following(connection)
-                self._pass_on(SubscriberJoined(event.peer))
-            self._pass_on(event)
+                self._handle_in_relay(SubscriberJoined(event.peer))
+            self._handle_in_relay(event)
 
-    def _pass_on(self, event: RelayEvent) -> None:
+    def _handle_in_relay(self, event: RelayEvent) -> None:
         self._carry_out_all(self.relay.handle(boot_now(), event))
 
     # ---- effects
@@ -294,7 +294,7 @@
         )
 
     def _log_phase(self) -> None:
-        """Log whom it follows, or that it is the writer, once each time that this has changed."""
+        """Log the source that is followed, or that this is the writer, once after each change."""
         relay = self.relay
         phase = relay.phase, relay.follower.upstream
         if phase != self._logged_phase and relay.phase in ("following", "writing"):
@@ -304,9 +304,9 @@
 
 
 def sources_of(config: FeedConfig) -> dict[str, Address]:
-    """Return whom a relay or keeper may follow, in the order of the settings' lines.
+    """Return the sources that a relay or keeper may follow, in the order of the settings' lines.
 
-    For a keeper these are the other keepers, by another way (`up`) where one is given.
+    For a keeper these are the other keepers; an address given by `up` replaces the one given by `keeper`.
     """
     if config.role != "keeper":
         return dict(config.up)
@@ -316,6 +316,6 @@
 
 
 def run(config: FeedConfig, consensus: ConsensusConfig | None, log: Callable[..., None]) -> None:
-    """Run a keeper or a relay until it is ended by a signal."""
+    """Run a keeper or a relay until a signal ends it."""
     with suppress(KeyboardInterrupt):
         anyio.run(FeedService(config, consensus, log).run)
--- a/thistleline/config_feed/service_events.py
+++ b/thistleline/config_feed/service_events.py
@@ -1,4 +1,4 @@
-"""Events in the inbox of a keeper's or relay's service, beside those of its state machine."""
+"""Events in the inbox of the service of a keeper or relay, in addition to those of its state machine."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
     """The archive has the state `sequence` on disk.
 
     Attributes:
-        sequence: Of the state.
-        generation: Of the archive, as of the write: it is another one once the table was replaced.
+        sequence: Sequence number of the state.
+        generation: Generation of the archive at the time of the write; it changes when the table is replaced.
     """
 
     sequence: int
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordAnswered:
-    """The consensus cluster has answered a request for a record, made under the lease of this epoch."""
+    """The consensus cluster has answered a request for a record, sent under the lease of this epoch."""
 
     epoch: int
     answer: RecordRead | RecordWritten | WriteDenied | WriteUnanswered
--- a/thistleline/config_feed/source.py
+++ b/thistleline/config_feed/source.py
@@ -1,9 +1,10 @@
-"""The source: what goes to each subscriber, and when. No I/O, no clock.
+"""State machine of a source: decides what to send to each subscriber, and when. No I/O, no clock.
 
-What was sent to a subscriber before `CloseDownstream` still goes out; after it nothing of that subscriber may
-be passed in. Messages of a subscriber are to be read only while what is sent to it flows: together with the
-flow control window of one delta this is why nothing has to be queued. Times are integer nanoseconds. An event
-costs what it touches; only pushing a change costs by the number of subscribers.
+Messages sent to a subscriber before `CloseDownstream` must still be delivered; after it, the caller must pass
+in no more events of that subscriber. The caller must read a subscriber's messages only while the subscriber
+reads what it is sent: together with the flow control window of one delta, this makes a queue in here
+unnecessary. Times are integer nanoseconds. The cost of an event does not depend on the number of subscribers,
+except for pushing a change and for another writer.
 """
 
 from __future__ import annotations
@@ -57,7 +58,9 @@
 from thistleline.reducer.events import DeadlineReached
 
 MAX_LEVEL = 64
-RESERVED_FOR_KEEPERS = 8  # places for keepers alone: else no change is committed where all others are taken
+# Connections for keepers alone, beyond `max_followers`: without them, keepers could not follow a full writer,
+# and no change would be committed.
+RESERVED_FOR_KEEPERS = 8
 DIGEST_SIZE = 16  # bytes
 
 
@@ -65,13 +68,14 @@
     """Serves the states of a history to its subscribers: deltas, snapshots, tenants on demand, heartbeats.
 
     Attributes:
-        history: The states to serve; advanced by others, which then pass in `HistoryAdvanced`.
-        level: The own distance from the writer: 0 for a keeper; a relay's is above that of what it follows.
-        epoch: Fencing epoch of the writer's lease, as far as known.
-        is_writer: Whether the writer is in this process.
-        leader: Else the keeper that is the writer, if known.
-        subscribers: By the number of their connection.
-        up_to_date: Subscribers that hold the newest state and have nothing in flight.
+        history: The states to serve; the owner advances it and then passes in `HistoryAdvanced`.
+        level: Distance of this process from the writer: 0 for a keeper; a relay's level is higher than that
+            of its source.
+        epoch: Fencing epoch of the writer's lease; 0 while unknown.
+        is_writer: Whether this process is the writer.
+        leader: Id of the keeper that is the writer, if known and not this one.
+        subscribers: Subscribers by the number of their connection.
+        up_to_date: Connections of subscribers that hold the newest state and have nothing in flight.
     """
 
     __slots__ = (
@@ -101,27 +105,30 @@
         self.leader = ""
         self.subscribers: dict[int, Subscriber] = {}
         self.up_to_date: dict[int, None] = {}
-        # Each in order of the times in it. OrderedDict, because finding the first item of a plain dict passes
-        # over all that was deleted before it.
+        # Both are ordered by time. They are an OrderedDict, because finding the first item of a plain dict
+        # scans over the entries that were deleted before it.
         self.last_received_at: OrderedDict[int, int] = OrderedDict()
-        self.last_sent_at: OrderedDict[int, int] = OrderedDict()  # only of accepted subscribers
+        self.last_sent_at: OrderedDict[int, int] = OrderedDict()  # accepted subscribers only
         self.snapshots = SnapshotCache(now)
         self._effects: list[SourceEffect] = []
 
     def copy(self, history: History | None = None) -> Source:
-        """Return an independent copy, with this history or a copy of its own."""
-        made = shallow_copy(self)
-        made.history = self.history.copy() if history is None else history
-        made.subscribers = {peer: one.copy() for peer, one in self.subscribers.items()}
-        made.up_to_date = self.up_to_date.copy()
-        made.last_received_at = self.last_received_at.copy()
-        made.last_sent_at = self.last_sent_at.copy()
-        made.snapshots = self.snapshots.copy()
-        made._effects = []
-        return made
+        """Return an independent copy that uses `history`, or a copy of this source's own history."""
+        clone = shallow_copy(self)
+        clone.history = self.history.copy() if history is None else history
+        clone.subscribers = {peer: one.copy() for peer, one in self.subscribers.items()}
+        clone.up_to_date = self.up_to_date.copy()
+        clone.last_received_at = self.last_received_at.copy()
+        clone.last_sent_at = self.last_sent_at.copy()
+        clone.snapshots = self.snapshots.copy()
+        clone._effects = []
+        return clone
 
     def state_key(self) -> tuple[Any, ...]:
-        """Return the state that decides its behaviour; tables by number and digest, times relative to now."""
+        """Return the state that determines its behaviour.
+
+        Tables are represented by sequence number and digest, and times are relative to now.
+        """
         table = self.history.table
         return (
             table.sequence,
@@ -141,7 +148,7 @@
     # ---- events
 
     def handle(self, now: int, event: SourceEvent) -> list[SourceEffect]:
-        """Take in one event at the time `now` and return what has to be done."""
+        """Handle one event at the time `now` and return the effects to carry out."""
         self.now = max(self.now, now)
         match event:
             case SubscriberMessage():
@@ -153,9 +160,9 @@
             case SubscriberJoined():
                 self._on_joined(event.peer)
             case SubscriberLeft():
-                self._forget(event.peer)
+                self._remove(event.peer)
             case HistoryReplaced():
-                self.snapshots.by_kind.clear()  # who loads one begins anew with the next part it asks for
+                self.snapshots.by_kind.clear()  # a loading subscriber starts over at its next FetchPart
                 self._push()
             case WriterChanged():
                 self._on_writer_changed(event)
@@ -177,7 +184,7 @@
         self.subscribers[peer] = Subscriber()
         self.last_received_at[peer] = self.now
 
-    def _forget(self, peer: int) -> None:
+    def _remove(self, peer: int) -> None:
         self.subscribers.pop(peer, None)
         self.up_to_date.pop(peer, None)
         self.last_received_at.pop(peer, None)
@@ -193,7 +200,7 @@
             case Follow():
                 fault = self._on_follow(peer, subscriber, message)
             case _ if subscriber.phase == "new":
-                fault = "it does not follow yet"
+                fault = "message before Follow"
             case Acknowledge():
                 fault = self._on_acknowledge(peer, subscriber, message)
             case FetchPart():
@@ -201,12 +208,12 @@
             case FetchTenants():
                 fault = self._on_fetch_tenants(peer, subscriber, message)
             case _:
-                fault = "no word of a follower"
+                fault = "unexpected message type"
         if fault:
             self._close(peer, fault)
 
     def _push(self) -> None:
-        """Send the newest state to all who wait for it."""
+        """Send the next delta to all subscribers that were up to date."""
         waiting, self.up_to_date = self.up_to_date, {}
         for peer in waiting:
             self._send_next(peer, self.subscribers[peer])
@@ -222,10 +229,10 @@
         for peer, subscriber in list(self.subscribers.items()):
             if subscriber.phase == "new":
                 continue
-            if not self._is_above(subscriber.kind, subscriber.level):
+            if not self._may_serve(subscriber.kind, subscriber.level):
                 self._reject(peer, "not below")
             elif subscriber.kind == "all" and subscriber.phase == "following":
-                self._accept(peer, subscriber)  # instances need not know the writer
+                self._accept(peer, subscriber)  # instances do not need to know the writer
 
     def _on_timer(self) -> None:
         while self.last_received_at:
@@ -253,7 +260,7 @@
         self._close(peer, reason)
 
     def _close(self, peer: int, reason: str) -> None:
-        self._forget(peer)
+        self._remove(peer)
         self._effects.append(CloseDownstream(peer, reason))
 
     def _accept(self, peer: int, subscriber: Subscriber) -> None:
@@ -272,7 +279,7 @@
         )
 
     def _send_next(self, peer: int, subscriber: Subscriber) -> None:
-        """Send what a subscriber with nothing in flight lacks, and behind that the tenants it asked for."""
+        """Send a subscriber with nothing in flight its next delta, then the tenants that it requested."""
         table = self.history.table
         if not self.history.contains(subscriber.sequence, subscriber.digest, subscriber.kind):
             self._offer_snapshot(peer, subscriber)
@@ -303,11 +310,11 @@
             self._send_tenants(peer, subscriber)
 
     def _has_newest(self, subscriber: Subscriber) -> bool:
-        """Return whether the newest state is held there or on its way."""
+        """Return whether the subscriber holds the newest state or the delta to it is in flight."""
         return subscriber.newest_sent == self.history.table.sequence
 
     def _send_tenants(self, peer: int, subscriber: Subscriber) -> None:
-        """Send the tenants that were asked for, in messages of bounded size."""
+        """Send the requested tenants in messages of bounded size."""
         table = self.history.table
         size = 0
         items: list[tuple[str, bytes | None, int]] = []
@@ -323,30 +330,30 @@
             self._send(peer, TenantEntries(table.sequence, tuple(items)))
         subscriber.pending_tenants = {}
 
-    # ---- from a subscriber: each returns why its connection is closed, or ""
+    # ---- from a subscriber: a handler returns the reason to close the connection, or ""
 
-    def _is_above(self, kind: Kind, level: int) -> bool:
+    def _may_serve(self, kind: Kind, level: int) -> bool:
         """Return whether a follower of this kind and level may follow this source.
 
-        Prevents rings: who serves others follows only what is above it; keepers have level 0 and follow
-        keepers, of which the writer follows nobody.
+        Prevents cycles: a relay follows only sources of a lower level. Keepers have level 0 and follow other
+        keepers, but the writer does not follow any.
         """
         return level > self.level or (level == 0 and (kind == "wide" or self.level == 0))
 
     def _on_follow(self, peer: int, subscriber: Subscriber, request: Follow) -> str:
         if subscriber.phase != "new":
-            return "it follows already"
+            return "repeated Follow"
         if (
             not 0 < len(request.id) <= PEER_ID_LENGTH_LIMIT
             or not 0 <= request.level <= MAX_LEVEL
             or request.sequence < 0
             or len(request.digest) > DIGEST_SIZE
         ):
-            return "out of bounds"
+            return "field out of range"
         is_keeper = request.kind == "all" and not request.level
         if not is_keeper and len(self.subscribers) > self.max_followers:
             self._reject(peer, "full")
-        elif not self._is_above(request.kind, request.level):
+        elif not self._may_serve(request.kind, request.level):
             self._reject(peer, "not below")
         elif request.sequence > self.history.table.sequence:
             self._reject(peer, "behind")
@@ -366,41 +373,41 @@
         self._send_next(peer, subscriber)
 
     def _can_resume(self, subscriber: Subscriber) -> bool:
-        """Return whether a delta leads on from the state that the subscriber holds."""
+        """Return whether the subscriber's state can be updated by a delta, without a snapshot."""
         known = self.history.contains(subscriber.sequence, subscriber.digest, subscriber.kind)
         return known and self.history.delta(subscriber.sequence, subscriber.kind) is not None
 
     def _on_acknowledge(self, peer: int, subscriber: Subscriber, message: Acknowledge) -> str:
         if not 0 <= message.durable <= message.sequence:
-            return "out of bounds"
+            return "field out of range"
         if subscriber.phase == "loading":
             return self._on_loaded(peer, subscriber, message)
         if subscriber.in_flight and message.sequence == subscriber.in_flight[0]:
             subscriber.sequence, subscriber.digest = subscriber.in_flight
             subscriber.in_flight = None
-            self._note_durable(subscriber, message.durable)
+            self._record_durable(subscriber, message.durable)
             self._send_next(peer, subscriber)
             return ""
         if message.sequence != subscriber.sequence:
-            return "it has what was not sent"
-        self._note_durable(subscriber, message.durable)
+            return "acknowledged a state that was not sent"
+        self._record_durable(subscriber, message.durable)
         return ""
 
     def _on_loaded(self, peer: int, subscriber: Subscriber, message: Acknowledge) -> str:
-        """Take an acknowledgement in the phase loading: of the snapshot, or a sign of life."""
+        """Handle an acknowledgement in the phase loading: of the whole snapshot, or a mere keepalive."""
         loaded = subscriber.loading
         if loaded and subscriber.last_part_sent and message.sequence == loaded[0]:
             subscriber.phase = "following"
             subscriber.sequence, subscriber.digest = loaded
             subscriber.loading = None
             if subscriber.kind == "all":
-                self._accept(peer, subscriber)  # the writer may have changed since the load began
-            self._note_durable(subscriber, message.durable)
+                self._accept(peer, subscriber)  # the writer may have changed since loading began
+            self._record_durable(subscriber, message.durable)
             self._send_next(peer, subscriber)
             return ""
-        return "" if message.sequence == subscriber.sequence else "it has what was not sent"
+        return "" if message.sequence == subscriber.sequence else "acknowledged a state that was not sent"
 
-    def _note_durable(self, subscriber: Subscriber, sequence: int) -> None:
+    def _record_durable(self, subscriber: Subscriber, sequence: int) -> None:
         if sequence > subscriber.durable:
             subscriber.durable = sequence
             self._effects.append(SubscriberDurable(subscriber.id, sequence))
@@ -413,9 +420,9 @@
             or request.sequence != loading[0]
             or subscriber.last_part_sent
         ):
-            return ""  # of a snapshot that is loaded, or was replaced meanwhile; or past the last part
+            return ""  # late request: the snapshot was already loaded or replaced, or has no more parts
         if request.index != subscriber.next_part:
-            return "a part out of turn"
+            return "snapshot part out of order"
         snapshot = self.snapshots.by_kind.get(subscriber.kind)
         if snapshot is None or (snapshot.sequence, snapshot.digest) != loading:
             self._offer_snapshot(peer, subscriber)
@@ -429,12 +436,16 @@
         return ""
 
     def _on_fetch_tenants(self, peer: int, subscriber: Subscriber, request: FetchTenants) -> str:
-        """Answer behind a delta to the newest state, so that the answer is as new as what is held there."""
+        """Queue a request for tenants.
+
+        It is answered once the newest state has been sent, so that the answer matches the state that the
+        subscriber holds when it arrives.
+        """
         if len(subscriber.pending_tenants) + len(request.keys) > FETCHED_TENANTS_LIMIT:
-            return "it asks for too much"
+            return "too many tenants requested"
         for key in request.keys:
             if not key.startswith(TENANT_PREFIX) or len(key) > KEY_LENGTH_LIMIT:
-                return "no key of a tenant"
+                return "not a valid tenant key"
             subscriber.pending_tenants[key] = None
         if subscriber.phase == "following":
             self._answer_if_newest(peer, subscriber)
--- a/thistleline/config_feed/status.py
+++ b/thistleline/config_feed/status.py
@@ -14,7 +14,7 @@
     """Return the answer to a read request.
 
     Args:
-        relay: What is read.
+        relay: The keeper or relay to read from.
         durable: Sequence number of the state on disk.
         request: The keys; those that do not fit into one answer are left out.
     """
@@ -24,7 +24,7 @@
         digest=relay.table.digest("all"),
         epoch=known.epoch,
         phase=relay.phase,
-        is_writer=known.is_here,
+        is_writer=known.is_local,
         items=_read_items(relay, request),
         counters=_counters(relay, durable),
     )
--- a/thistleline/config_feed/subscriber.py
+++ b/thistleline/config_feed/subscriber.py
@@ -1,4 +1,4 @@
-"""One subscriber of a source: what it holds, what is on its way to it, what it has asked for."""
+"""What a source knows about one subscriber: its state, the delta in flight, pending requests."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 @dataclass(slots=True)
 class Subscriber:
-    """A follower as its source knows it.
+    """A follower from the point of view of its source.
 
     Attributes:
         phase: `new` until its `Follow` was accepted.
-        id: What it calls itself.
-        kind: What it holds.
+        id: Id given by its `Follow`.
+        kind: Which entries it holds.
         level: Its distance from the writer; 0 for a keeper or an instance.
-        sequence: The state it holds, as it says itself or as it has acknowledged,
-        digest: and that state's digest.
-        in_flight: Where the delta leads that it has not acknowledged; the flow control window is one delta.
-        loading: The state whose snapshot it loads.
-        next_part: Index of the part that it may ask for next.
+        sequence: Sequence number of its state, as given by its `Follow` or acknowledged since.
+        digest: Digest of its state.
+        in_flight: The state that an unacknowledged delta leads to; the flow control window is one delta.
+        loading: The state whose snapshot it is loading.
+        next_part: Index of the part that it may request next.
         last_part_sent: Whether the last part of the snapshot was sent.
-        durable: The sequence number that it says is on its disk.
-        pending_tenants: Keys to answer for behind the next delta, in order.
+        durable: Sequence number of the state that it has reported as being on its disk.
+        pending_tenants: Requested keys, in order, that are answered after the next delta.
     """
 
     phase: Phase = "new"
@@ -46,16 +46,16 @@
 
     def copy(self) -> Subscriber:
         """Return an independent copy."""
-        made = shallow_copy(self)
-        made.pending_tenants = dict(self.pending_tenants)
-        return made
+        clone = shallow_copy(self)
+        clone.pending_tenants = dict(self.pending_tenants)
+        return clone
 
     def state_key(self) -> tuple[Any, ...]:
-        """Return the state that decides its source's behaviour."""
+        """Return the state that determines the source's behaviour."""
         values = (getattr(self, one.name) for one in fields(self) if one.name != "pending_tenants")
         return *values, tuple(self.pending_tenants)
 
     @property
     def newest_sent(self) -> int:
-        """The sequence number that it holds once all that was sent to it has arrived."""
+        """The sequence number of its state once all messages sent to it have arrived."""
         return self.in_flight[0] if self.in_flight else self.sequence
--- a/thistleline/config_feed/upstream.py
+++ b/thistleline/config_feed/upstream.py
@@ -9,7 +9,7 @@
 from thistleline.config_feed.inbox import EventSink
 from thistleline.config_feed.limits import MESSAGE_SIZE_LIMIT
 from thistleline.config_feed.messages import FollowerMessage, decode_source
-from thistleline.config_feed.request import CONNECT_TIMEOUT, shake_hands
+from thistleline.config_feed.request import CONNECT_TIMEOUT, exchange_hellos
 from thistleline.config_feed.send_queue import CHUNK_SIZE, SendQueue, check_regularly, to_frame
 from thistleline.transport.address import Address
 from thistleline.transport.codec import FrameDecoder, Hello
@@ -19,9 +19,9 @@
 
 
 class UpstreamConnection:
-    """Carries out what a follower asks for: connects, sends, disconnects. There is one connection at a time.
+    """Connects, sends and disconnects as the follower requests. There is one connection at a time.
 
-    What happens to it goes to the inbox as events; of a connection that was given up nothing more does.
+    Its events go to the inbox, except for those of a connection that the follower has abandoned.
     """
 
     def __init__(
@@ -30,10 +30,10 @@
         """Begin without a connection.
 
         Args:
-            id: The id to follow under.
-            sources: Where each source listens.
+            id: The id of the follower.
+            sources: Addresses of the sources, by name.
             tasks: Runs the connection.
-            inbox: Gets the events.
+            inbox: Receives the events.
         """
         self._id = id
         self._sources = sources
@@ -42,18 +42,18 @@
         self._session: _Session | None = None
 
     def connect(self, source: str) -> None:
-        """Connect to a source, in place of any other."""
+        """Connect to a source, ending any other connection."""
         self.disconnect(self._session.source if self._session is not None else "")
         self._session = _Session(source)
         self._tasks.start_soon(self._run, self._session)
 
     def send(self, source: str, message: FollowerMessage) -> None:
-        """Send a message, if this is the source that is connected."""
+        """Send a message if this source is connected."""
         if self._session is not None and self._session.source == source:
             self._session.queue.put(to_frame(message))
 
     def disconnect(self, source: str) -> None:
-        """End the connection to this source, if it is the one."""
+        """End the connection if it is to this source."""
         if self._session is not None and self._session.source == source:
             self._session.abandoned = True
             self._session.scope.cancel()
@@ -70,7 +70,7 @@
                 stream = await anyio.connect_tcp(*self._sources[source])
             async with stream:
                 with anyio.fail_after(CONNECT_TIMEOUT):
-                    await shake_hands(stream, Hello("follower", self._id))
+                    await exchange_hellos(stream, Hello("follower", self._id))
                 self._emit(session, UpstreamConnected(source))
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(session.queue.send_all, stream)
@@ -78,7 +78,7 @@
                     await self._receive(stream, session)
         if self._session is session:
             self._session = None
-        self._emit(session, UpstreamLost(source, session.reason or "it takes nothing"))
+        self._emit(session, UpstreamLost(source, session.reason or "peer does not read"))
 
     async def _receive(self, stream: SocketStream, session: _Session) -> None:
         decoder = FrameDecoder(MESSAGE_SIZE_LIMIT)
@@ -92,14 +92,14 @@
 
 
 class _Session:
-    """One connection to a source, from the wish to its end."""
+    """One connection to a source, from the request to connect until it has ended."""
 
     def __init__(self, source: str) -> None:
         self.source = source
         self.scope = anyio.CancelScope()
         self.queue = SendQueue(self.scope.cancel)
-        self.abandoned = False  # the follower has given it up
-        self.reason = ""  # why it ended, the first one
+        self.abandoned = False  # the follower has disconnected: no more events go to the inbox
+        self.reason = ""  # the first reason noted for its end
 
     def note(self, reason: str) -> None:
         self.reason = self.reason or reason
