--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -1,6 +1,6 @@
-"""Sources and followers of the feed against each other, over links in memory that hold, lose and reorder;
-the look-ups of an instance; and what a table and its history promise. An account of what was written stands
-apart: whatever a follower holds has to be the state that was written under that number."""
+"""Tests of sources and followers over simulated links that block, disconnect and interleave; of the tenant
+cache of an instance; and of a table and its history. A reference model of all written states is independent
+of the tested code: a follower's table has to equal the model's state of the same sequence number."""
 
 from collections import Counter, deque
 from collections.abc import Callable, Iterable, Iterator
@@ -92,8 +92,8 @@
 Entries = tuple[tuple[str, bytes | None], ...]
 
 
-class Written:
-    """What was written, in order, apart from the code that carries it: plain dicts, copied at each number."""
+class ReferenceModel:
+    """Reference model: the state after each change, as plain dicts, without the code that distributes it."""
 
     def __init__(self) -> None:
         self.states: list[dict[str, tuple[bytes, int]]] = [{}]
@@ -101,7 +101,7 @@
         self.tables = [FeedTable()]
 
     @property
-    def number(self) -> int:
+    def newest(self) -> int:
         return len(self.states) - 1
 
     def write(self, *items: tuple[str, bytes | None]) -> int:
@@ -117,143 +117,150 @@
         self.tables.append(self.tables[-1].apply(Change(number, str(number), items)))
         return number
 
-    def some(self, count: int, size: int = 10, prefix: str = "route/") -> None:
-        """So many changes of one entry each, every one with a key of its own."""
+    def write_many(self, count: int, size: int = 10, prefix: str = "route/") -> None:
+        """Write `count` changes of one entry each, every one with a different key."""
         for _ in range(count):
-            self.write((f"{prefix}{self.number}", bytes(size)))
+            self.write((f"{prefix}{self.newest}", bytes(size)))
 
     def history(self, first: int = 0, last: int | None = None) -> History:
-        """The state `last`, and the steps that led there from `first` on."""
-        made = History(self.tables[first])
-        self.bring(made, last)
-        return made
+        """Return a history of the states from `first` to `last`, by default to the newest."""
+        history = History(self.tables[first])
+        self.advance_history(history, last)
+        return history
 
-    def bring(self, history: History, last: int | None = None) -> None:
-        for number in range(history.table.sequence + 1, (self.number if last is None else last) + 1):
+    def advance_history(self, history: History, last: int | None = None) -> None:
+        for number in range(history.table.sequence + 1, (self.newest if last is None else last) + 1):
             history.advance(number, tuple((key, value, number) for key, value in self.changes[number]))
 
     def check(self, table: FeedTable, kind: Kind) -> None:
-        held = {key: (value, version) for key, value, version in table.entries(kind)}
+        actual = {key: (value, version) for key, value, version in table.entries(kind)}
         state = self.states[table.sequence]
-        apart = () if kind == "all" else ("tenant/", "made/")
-        assert held == {key: entry for key, entry in state.items() if not key.startswith(apart)}
+        excluded = () if kind == "all" else ("tenant/", "made/")
+        assert actual == {key: entry for key, entry in state.items() if not key.startswith(excluded)}
 
 
 class Closed(NamedTuple):
-    why: str
+    reason: str
 
 
 class Connection:
-    """What is on its way, in order. Held, nothing more arrives at that end."""
+    """Messages in transit, in order. In a blocked direction nothing is delivered."""
 
     def __init__(self, peer: int, server: str) -> None:
         self.peer, self.server = peer, server
-        self.up: deque[FollowerMessage] = deque()
-        self.down: deque[SourceMessage | Closed] = deque()
-        self.held: set[Literal["up", "down"]] = set()
-        self.most = 0  # Deltas and parts that lay in `down` at once
+        self.to_source: deque[FollowerMessage] = deque()
+        self.to_follower: deque[SourceMessage | Closed] = deque()
+        self.blocked: set[Literal["to_source", "to_follower"]] = set()
+        self.max_in_transit = 0  # most deltas and parts in transit to the follower at the same time
 
 
-class Net:
-    """Sources and followers, and one clock. Which link goes next is drawn; on each, order stays. A connection
-    that ends delivers a part of what was on its way, drawn too. All messages pass the codec."""
+class Network:
+    """Simulates sources and followers with a shared clock.
 
-    def __init__(self, written: Written, seed: int = 1) -> None:
-        self.written, self.chance, self.now = written, Random(seed), 0
+    The next link to deliver a message is drawn at random; each link keeps the order. A link that ends first
+    delivers a random number of the messages in transit. All messages pass through the codec.
+    """
+
+    def __init__(self, reference: ReferenceModel, seed: int = 1) -> None:
+        self.reference, self.random, self.now = reference, Random(seed), 0
         self.sources: dict[str, Source] = {}
         self.followers: dict[str, Follower | LookupCache] = {}
-        self.links: dict[str, Connection] = {}  # by the follower's id
+        self.links: dict[str, Connection] = {}  # by id of the follower
         self.peers: dict[int, str] = {}
-        self.opening: list[tuple[str, str]] = []
-        self.relays: dict[str, str] = {}  # a follower, and the source that serves what it holds
-        self.paused: set[str] = set()  # followers that do nothing
-        self.numbers: dict[str, int] = {}  # the newest that each has held
+        self.pending_connects: list[tuple[str, str]] = []
+        self.relays: dict[str, str] = {}  # follower -> source that serves the follower's states
+        self.paused: set[str] = set()  # followers that handle no events
+        self.newest_held: dict[str, int] = {}  # newest sequence number that each follower has held
         self.sent: list[tuple[str, SourceMessage]] = []
-        self.asked: list[tuple[str, FollowerMessage]] = []
-        self.drops: list[tuple[str, str]] = []
+        self.sent_upstream: list[tuple[str, FollowerMessage]] = []
+        self.disconnects: list[tuple[str, str]] = []
         self.closed: list[tuple[str, str]] = []
         self.durable: list[tuple[str, int]] = []
         self.connects: list[tuple[str, str, int]] = []
-        self.steps: Counter[type[FollowerEffect]] = Counter()
+        self.effect_counts: Counter[type[FollowerEffect]] = Counter()
 
-    # ---- who is there
+    # ---- nodes
 
-    def serve(self, name: str, history: History, level: int = 0, bound: int = 1024) -> Source:
-        self.sources[name] = Source(history, level, self.now, bound)
+    def add_source(self, name: str, history: History, level: int = 0, max_followers: int = 1024) -> Source:
+        self.sources[name] = Source(history, level, self.now, max_followers)
         return self.sources[name]
 
-    def spread(self, span: int) -> int:
-        return self.chance.randrange(span)
+    def random_delay(self, span: int) -> int:
+        return self.random.randrange(span)
 
-    def follow(
+    def add_follower(
         self,
         id: str,
         *names: str,
         kind: Kind = "wide",
         table: FeedTable | None = None,
         level: int = 0,
-        spread: Callable[[int], int] | None = None,
+        random_delay: Callable[[int], int] | None = None,
     ) -> Follower:
-        made = Follower(id, kind, table or FeedTable(), names, self.now, spread or self.spread, level)
-        self.followers[id] = made
-        self.numbers[id] = made.table.sequence
-        return made
-
-    def relay(self, id: str, *names: str, level: int, table: FeedTable | None = None) -> Follower:
-        made = self.follow(id, *names, kind="all", level=level, table=table)
-        self.serve(id, History(made.table), level)
+        follower = Follower(
+            id, kind, table or FeedTable(), names, self.now, random_delay or self.random_delay, level
+        )
+        self.followers[id] = follower
+        self.newest_held[id] = follower.table.sequence
+        return follower
+
+    def add_relay(self, id: str, *names: str, level: int, table: FeedTable | None = None) -> Follower:
+        follower = self.add_follower(id, *names, kind="all", level=level, table=table)
+        self.add_source(id, History(follower.table), level)
         self.relays[id] = id
-        return made
+        return follower
 
     def follower(self, id: str) -> Follower:
         one = self.followers[id]
         return one.follower if isinstance(one, LookupCache) else one
 
     def write(self, *items: tuple[str, bytes | None], to: Iterable[str] = ("a",)) -> None:
-        self.written.write(*items)
+        self.reference.write(*items)
         for name in to:
-            self.bring(name)
+            self.advance_source(name)
 
-    def bring(self, name: str, last: int | None = None) -> None:
+    def advance_source(self, name: str, last: int | None = None) -> None:
         source = self.sources[name]
-        self.written.bring(source.history, last)
-        self.serving(name, HistoryAdvanced())
+        self.reference.advance_history(source.history, last)
+        self.pass_to_source(name, HistoryAdvanced())
 
-    # ---- what they are told
+    # ---- events
 
-    def tell(self, id: str, event: FollowerEvent) -> None:
+    def pass_to_follower(self, id: str, event: FollowerEvent) -> None:
         one = self.followers[id]
         for effect in one.handle(self.now, event):
             match effect:
                 case ConnectUpstream(source):
-                    self.opening.append((id, source))
+                    self.pending_connects.append((id, source))
                     self.connects.append((id, source, self.now))
                 case DisconnectUpstream(_, reason):
-                    self.drops.append((id, reason))
-                    self.opening = [(other, at) for other, at in self.opening if other != id]
-                    self.end(id)
+                    self.disconnects.append((id, reason))
+                    self.pending_connects = [
+                        (other, at) for other, at in self.pending_connects if other != id
+                    ]
+                    self.close_link(id)
                 case SendUpstream(source, message):
                     assert self.links[id].server == source
-                    self.asked.append((id, message))
-                    self.links[id].up.append(decode_follower(encode(message)))
+                    self.sent_upstream.append((id, message))
+                    self.links[id].to_source.append(decode_follower(encode(message)))
                 case _:
-                    self.steps[type(effect)] += 1
-                    self.saw(id, effect.delta if isinstance(effect, DeltaApplied) else None)
+                    self.effect_counts[type(effect)] += 1
+                    self.check_new_table(id, effect.delta if isinstance(effect, DeltaApplied) else None)
 
-    def saw(self, id: str, delta: Delta | None) -> None:
+    def check_new_table(self, id: str, delta: Delta | None) -> None:
         table, kind = self.follower(id).table, self.follower(id).kind
-        assert table.sequence >= self.numbers[id], "an older state after a newer one"
-        self.numbers[id] = table.sequence
-        self.written.check(table, kind)
+        assert table.sequence >= self.newest_held[id], "the table went back to an older state"
+        self.newest_held[id] = table.sequence
+        self.reference.check(table, kind)
         if id in self.relays:
             history = self.sources[self.relays[id]].history
             if delta is None:
                 history.reset(table)
             else:
                 history.append(table, delta.items)
-            self.serving(self.relays[id], HistoryAdvanced() if delta else HistoryReplaced())
+            self.pass_to_source(self.relays[id], HistoryAdvanced() if delta else HistoryReplaced())
 
-    def serving(self, name: str, event: SourceEvent) -> None:
+    def pass_to_source(self, name: str, event: SourceEvent) -> None:
         for effect in self.sources[name].handle(self.now, event):
             if isinstance(effect, SubscriberDurable):
                 self.durable.append((effect.subscriber, effect.sequence))
@@ -267,136 +274,143 @@
             if link is None or link.peer != effect.peer:
                 continue
             if isinstance(effect, CloseDownstream):
-                link.down.append(Closed(effect.reason))
+                link.to_follower.append(Closed(effect.reason))
                 continue
             data = encode(effect.message)
             assert len(data) <= MESSAGE_SIZE_LIMIT
-            link.down.append(decode_source(data))
-            link.most = max(link.most, sum(isinstance(one, Delta | SnapshotPart) for one in link.down))
+            link.to_follower.append(decode_source(data))
+            link.max_in_transit = max(
+                link.max_in_transit, sum(isinstance(one, Delta | SnapshotPart) for one in link.to_follower)
+            )
 
     # ---- links
 
-    def opened(self, id: str, name: str) -> None:
-        self.opening.remove((id, name))
+    def complete_connect(self, id: str, name: str) -> None:
+        self.pending_connects.remove((id, name))
         if name not in self.sources:
-            self.tell(id, UpstreamLost(name, "nobody there"))
+            self.pass_to_follower(id, UpstreamLost(name, "connection refused"))
             return
         peer = len(self.peers) + 1
         self.peers[peer] = id
         self.links[id] = Connection(peer, name)
-        self.serving(name, SubscriberJoined(peer))
-        self.tell(id, UpstreamConnected(name))
+        self.pass_to_source(name, SubscriberJoined(peer))
+        self.pass_to_follower(id, UpstreamConnected(name))
 
-    def end(self, id: str) -> None:
-        """The follower's end closes: some of what it sent still arrives."""
+    def close_link(self, id: str) -> None:
+        """Close a link at the follower's end: a random part of what it sent is still delivered."""
         link = self.links.pop(id, None)
         if link is None or link.server not in self.sources:
             return
-        for _ in range(self.chance.randint(0, len(link.up))):
-            self.reach(link)
-        self.serving(link.server, SubscriberLeft(link.peer))
+        for _ in range(self.random.randint(0, len(link.to_source))):
+            self.deliver_to_source(link)
+        self.pass_to_source(link.server, SubscriberLeft(link.peer))
+
+    def break_link(self, id: str, notify: bool = True) -> None:
+        """Break a link: a random part of the messages in transit is still delivered at both ends.
 
-    def cut(self, id: str, told: bool = True) -> None:
-        """The net ends the link: some arrives at both ends. Not told, the follower finds out by silence."""
+        Without `notify`, the link is blocked instead and the follower has to detect this by its timeout.
+        """
         link = self.links.get(id)
         if link is None:
             return
-        for _ in range(self.chance.randint(0, len(link.down))):
+        for _ in range(self.random.randint(0, len(link.to_follower))):
             if self.links.get(id) is not link:
                 return
-            self.arrive(id, link)
+            self.deliver_to_follower(id, link)
         if self.links.get(id) is link:
-            if told:
-                self.end(id)
-                self.tell(id, UpstreamLost(link.server, "cut"))
+            if notify:
+                self.close_link(id)
+                self.pass_to_follower(id, UpstreamLost(link.server, "link broken"))
             else:
-                link.held |= {"up", "down"}
+                link.blocked |= {"to_source", "to_follower"}
 
     def kill(self, name: str) -> None:
         for id, link in list(self.links.items()):
             if link.server == name:
-                self.cut(id)
+                self.break_link(id)
         del self.sources[name]
 
-    def reach(self, link: Connection) -> None:
-        self.serving(link.server, SubscriberMessage(link.peer, link.up.popleft()))
+    def deliver_to_source(self, link: Connection) -> None:
+        self.pass_to_source(link.server, SubscriberMessage(link.peer, link.to_source.popleft()))
 
-    def arrive(self, id: str, link: Connection) -> None:
-        message = link.down.popleft()
+    def deliver_to_follower(self, id: str, link: Connection) -> None:
+        message = link.to_follower.popleft()
         if not isinstance(message, Closed):
-            self.tell(id, UpstreamMessage(link.server, message))
+            self.pass_to_follower(id, UpstreamMessage(link.server, message))
         else:
             del self.links[id]
-            self.tell(id, UpstreamLost(link.server, message.why))
+            self.pass_to_follower(id, UpstreamLost(link.server, message.reason))
 
     # ---- the clock
 
-    def pump(self) -> None:
-        """Till nothing is on its way that isn't held."""
+    def deliver_all(self) -> None:
+        """Deliver messages until all that are left are on blocked links."""
         for _ in range(200_000):
-            moves: list[Callable[[], None]] = [partial(self.opened, *one) for one in self.opening]
+            moves: list[Callable[[], None]] = [
+                partial(self.complete_connect, *one) for one in self.pending_connects
+            ]
             for id, link in self.links.items():
-                if link.up and "up" not in link.held:
-                    moves.append(partial(self.reach, link))
-                if link.down and "down" not in link.held and id not in self.paused:
-                    moves.append(partial(self.arrive, id, link))
+                if link.to_source and "to_source" not in link.blocked:
+                    moves.append(partial(self.deliver_to_source, link))
+                if link.to_follower and "to_follower" not in link.blocked and id not in self.paused:
+                    moves.append(partial(self.deliver_to_follower, id, link))
             if not moves:
                 return
-            self.chance.choice(moves)()
-        raise AssertionError("it never comes to rest")
+            self.random.choice(moves)()
+        raise AssertionError("the nodes do not stop sending messages")
 
     def run(self, span: int = SECOND) -> None:
-        """So long on. Who wakes from a pause reads first; then the clock counts for it."""
+        """Advance the clock by `span`. After a pause a follower handles its messages before its timer."""
         until = self.now + span
-        self.pump()
+        self.deliver_all()
         while True:
-            dues = [(source.next_deadline(), 0, name) for name, source in self.sources.items()]
-            dues += [
+            timers = [(source.next_deadline(), 0, name) for name, source in self.sources.items()]
+            timers += [
                 (one.next_deadline(), 1, id) for id, one in self.followers.items() if id not in self.paused
             ]
-            due = min(dues, default=(until + 1, 0, ""))[0]
-            if due > until:
+            deadline = min(timers, default=(until + 1, 0, ""))[0]
+            if deadline > until:
                 break
-            self.now = max(self.now, due)
-            for at, follows, name in dues:
+            self.now = max(self.now, deadline)
+            for at, follows, name in timers:
                 if at <= self.now and follows:
-                    self.tell(name, DeadlineReached())
+                    self.pass_to_follower(name, DeadlineReached())
                 elif at <= self.now:
-                    self.serving(name, DeadlineReached())
-            self.pump()
+                    self.pass_to_source(name, DeadlineReached())
+            self.deliver_all()
         self.now = until
 
-    def settled(self) -> None:
-        newest = self.written.number
+    def check_all_newest(self) -> None:
+        newest = self.reference.newest
         for id in self.followers:
             assert (id, self.follower(id).table.sequence) == (id, newest)
-            self.written.check(self.follower(id).table, self.follower(id).kind)
+            self.reference.check(self.follower(id).table, self.follower(id).kind)
 
 
 @contextmanager
-def small(**bounds: int) -> Iterator[None]:
-    """Bounds of a source and a history that a few entries reach."""
+def lowered_limits(**limits: int) -> Iterator[None]:
+    """Set limits of sources and histories so low that a few entries reach them."""
     with pytest.MonkeyPatch.context() as patch:
-        for name, value in bounds.items():
+        for name, value in limits.items():
             for module in (sources, snapshots, histories):
                 if hasattr(module, name):
                     patch.setattr(module, name, value)
         yield
 
 
-def told(net: Net, id: str, what: Any) -> list[Any]:
-    return [message for to, message in net.sent if to == id and isinstance(message, what)]
+def messages_to(net: Network, id: str, message_type: Any) -> list[Any]:
+    return [message for to, message in net.sent if to == id and isinstance(message, message_type)]
 
 
-def following(written: Written, *ids: str, kind: Kind = "wide") -> Net:
-    """One source `a`, and these follow it."""
-    net = Net(written)
-    net.serve("a", written.history())
-    net.serving("a", WriterChanged(1, True, 0))
+def network_following(reference: ReferenceModel, *ids: str, kind: Kind = "wide") -> Network:
+    """Return a network of one source `a` and these followers of it."""
+    net = Network(reference)
+    net.add_source("a", reference.history())
+    net.pass_to_source("a", WriterChanged(1, True, 0))
     for id in ids:
-        net.follow(id, "a", kind=kind)
+        net.add_follower(id, "a", kind=kind)
     net.run(2 * RECONNECT_JITTER_NS)
-    net.settled()
+    net.check_all_newest()
     assert all(net.follower(id).phase == "following" for id in ids)
     net.sent.clear()
     return net
@@ -405,446 +419,456 @@
 # ---- resuming
 
 
-def test_who_comes_back_is_brought_on_by_the_changes_that_it_missed() -> None:
-    net = following(Written(), "x")
-    net.written.some(20)
-    net.bring("a")
+def test_reconnecting_follower_gets_missed_changes_as_delta() -> None:
+    net = network_following(ReferenceModel(), "x")
+    net.reference.write_many(20)
+    net.advance_source("a")
     net.run()
-    net.cut("x")
-    net.written.some(5)
-    net.bring("a")
+    net.break_link("x")
+    net.reference.write_many(5)
+    net.advance_source("a")
     net.sent.clear()
     net.run(2 * RECONNECT_JITTER_NS)
-    net.settled()
-    assert [one.load_snapshot for one in told(net, "x", FollowAccepted)] == [False]
-    assert [(one.first, one.last) for one in told(net, "x", Delta)] == [(20, 25)]
+    net.check_all_newest()
+    assert [one.load_snapshot for one in messages_to(net, "x", FollowAccepted)] == [False]
+    assert [(one.first, one.last) for one in messages_to(net, "x", Delta)] == [(20, 25)]
 
 
-def test_who_missed_more_than_the_history_keeps_gets_the_snapshot() -> None:
-    with small(HISTORY_STEPS_LIMIT=10, PART_SIZE=300):
-        net = following(Written(), "x")
-        net.written.some(5)
-        net.bring("a")
+def test_follower_behind_history_loads_snapshot() -> None:
+    with lowered_limits(HISTORY_STEPS_LIMIT=10, PART_SIZE=300):
+        net = network_following(ReferenceModel(), "x")
+        net.reference.write_many(5)
+        net.advance_source("a")
         net.run()
-        net.cut("x")
-        net.written.some(11)
-        net.bring("a")
+        net.break_link("x")
+        net.reference.write_many(11)
+        net.advance_source("a")
         net.sent.clear()
         net.run(2 * RECONNECT_JITTER_NS)
-        net.settled()
-    assert [one.load_snapshot for one in told(net, "x", FollowAccepted)] == [True]
-    assert len(told(net, "x", SnapshotPart)) > 1
+        net.check_all_newest()
+    assert [one.load_snapshot for one in messages_to(net, "x", FollowAccepted)] == [True]
+    assert len(messages_to(net, "x", SnapshotPart)) > 1
 
 
 @pytest.mark.parametrize("kind", ["wide", "all"])
-def test_who_missed_more_than_a_delta_holds_gets_several_one_after_the_other(kind: Kind) -> None:
-    """An hour's changes are more than one delta holds, and far less than all that a relay has."""
-    written = Written()
-    with small(DELTA_SIZE_LIMIT=2000):
-        net = following(written, "x", kind=kind)
-        net.links["x"].held.add("up")
-        written.some(150, 10, "route/")
-        net.bring("a", 1)
-        net.pump()
-        net.bring("a")
-        net.links["x"].held.clear()
+def test_large_backlog_is_sent_as_several_deltas(kind: Kind) -> None:
+    """The changes of an hour exceed the size of a delta, but are far smaller than a relay's whole table."""
+    reference = ReferenceModel()
+    with lowered_limits(DELTA_SIZE_LIMIT=2000):
+        net = network_following(reference, "x", kind=kind)
+        net.links["x"].blocked.add("to_source")
+        reference.write_many(150, 10, "route/")
+        net.advance_source("a", 1)
+        net.deliver_all()
+        net.advance_source("a")
+        net.links["x"].blocked.clear()
         net.run()
-        net.settled()
-        found = told(net, "x", Delta)
-        assert not told(net, "x", FollowAccepted)
-        assert len(found) > 3
-        assert [one.first for one in found[1:]] == [one.last for one in found[:-1]]
-        for one in found:
+        net.check_all_newest()
+        deltas = messages_to(net, "x", Delta)
+        assert not messages_to(net, "x", FollowAccepted)
+        assert len(deltas) > 3
+        assert [one.first for one in deltas[1:]] == [one.last for one in deltas[:-1]]
+        for one in deltas:
             assert histories.items_size(one.items) <= 2000
 
 
-def test_who_missed_more_than_all_there_is_gets_the_snapshot_also_on_a_link_that_stands() -> None:
-    """One key, changed ever again: what leads on is more than the state."""
-    written = Written()
-    with small(DELTA_SIZE_LIMIT=200):
-        net = following(written, "x")
-        net.links["x"].held.add("up")
+def test_backlog_larger_than_state_is_replaced_by_snapshot_on_open_link() -> None:
+    """One key that is changed many times: the missing steps are larger than the state."""
+    reference = ReferenceModel()
+    with lowered_limits(DELTA_SIZE_LIMIT=200):
+        net = network_following(reference, "x")
+        net.links["x"].blocked.add("to_source")
         for _ in range(60):
-            written.write(("route/1", bytes(10)))
-        net.bring("a", 1)
-        net.pump()
-        net.bring("a")
-        net.links["x"].held.clear()
+            reference.write(("route/1", bytes(10)))
+        net.advance_source("a", 1)
+        net.deliver_all()
+        net.advance_source("a")
+        net.links["x"].blocked.clear()
         net.run()
-        net.settled()
-    assert [one.load_snapshot for one in told(net, "x", FollowAccepted)] == [True]
-
-
-def test_a_tenant_asked_for_on_the_way_is_told_once_that_way_is_gone() -> None:
-    """Between two deltas an answer would be newer than what is held."""
-    written = Written()
-    written.write(("tenant/a", b"1"))
-    with small(DELTA_SIZE_LIMIT=2000):
-        net = following(written, "x")
-        net.links["x"].held.add("up")
-        written.some(100, 10, "route/")
-        written.write(("tenant/a", b"2"))
-        net.bring("a", 2)
-        net.pump()
-        net.bring("a")
+        net.check_all_newest()
+    assert [one.load_snapshot for one in messages_to(net, "x", FollowAccepted)] == [True]
+
+
+def test_tenant_requested_between_deltas_is_answered_after_the_last() -> None:
+    """An answer between two deltas would be newer than the state that the follower holds."""
+    reference = ReferenceModel()
+    reference.write(("tenant/a", b"1"))
+    with lowered_limits(DELTA_SIZE_LIMIT=2000):
+        net = network_following(reference, "x")
+        net.links["x"].blocked.add("to_source")
+        reference.write_many(100, 10, "route/")
+        reference.write(("tenant/a", b"2"))
+        net.advance_source("a", 2)
+        net.deliver_all()
+        net.advance_source("a")
         net.sent.clear()
-        asked = net.sources["a"].handle(
+        effects = net.sources["a"].handle(
             net.now, SubscriberMessage(net.links["x"].peer, FetchTenants(("tenant/a",)))
         )
-        assert not asked
-        net.links["x"].held.clear()
+        assert not effects
+        net.links["x"].blocked.clear()
         net.run()
-        net.settled()
-    assert [(one.sequence, one.items) for one in told(net, "x", TenantEntries)] == [
-        (written.number, (("tenant/a", b"2", written.number),))
+        net.check_all_newest()
+    assert [(one.sequence, one.items) for one in messages_to(net, "x", TenantEntries)] == [
+        (reference.newest, (("tenant/a", b"2", reference.newest),))
     ]
 
 
-def test_the_requests_that_are_made_are_no_part_of_what_an_instance_holds() -> None:
-    written = Written()
-    net = following(written, "x")
-    net.follow("k", "a", kind="all", level=1)
+def test_request_ids_are_not_sent_to_instances() -> None:
+    reference = ReferenceModel()
+    net = network_following(reference, "x")
+    net.add_follower("k", "a", kind="all", level=1)
     net.run(2 * RECONNECT_JITTER_NS)
     net.write(("route/1", b"1"), ("made/1", b"a request"))
-    net.pump()
-    net.settled()
-    assert [key for key, _, _ in told(net, "x", Delta)[-1].items] == ["route/1"]
+    net.deliver_all()
+    net.check_all_newest()
+    assert [key for key, _, _ in messages_to(net, "x", Delta)[-1].items] == ["route/1"]
     assert net.follower("x").table.get("made/1") is None
-    assert net.follower("k").table.get("made/1") == (b"a request", written.number)
+    assert net.follower("k").table.get("made/1") == (b"a request", reference.newest)
 
 
-def test_a_state_of_another_digest_is_replaced_by_the_snapshot() -> None:
-    written = Written()
-    written.some(10)
-    net = Net(written)
-    net.serve("a", written.history())
+def test_state_with_unknown_digest_is_replaced_by_snapshot() -> None:
+    reference = ReferenceModel()
+    reference.write_many(10)
+    net = Network(reference)
+    net.add_source("a", reference.history())
     other = FeedTable().update(10, [("route/1", b"from elsewhere", 3)])
-    net.follow("x", "a", table=other)
+    net.add_follower("x", "a", table=other)
     net.run(2 * RECONNECT_JITTER_NS)
-    net.settled()
-    assert [one.load_snapshot for one in told(net, "x", FollowAccepted)] == [True]
+    net.check_all_newest()
+    assert [one.load_snapshot for one in messages_to(net, "x", FollowAccepted)] == [True]
 
 
-def test_a_state_that_went_wrong_under_way_is_noticed_by_a_beat() -> None:
-    net = following(Written(), "x")
-    net.written.some(3)
-    net.bring("a")
+def test_heartbeat_detects_corrupt_state() -> None:
+    net = network_following(ReferenceModel(), "x")
+    net.reference.write_many(3)
+    net.advance_source("a")
     net.run()
     one = net.follower("x")
     one.table = one.table.update(3, [("route/0", b"flipped", 1)])
     net.sent.clear()
     net.run(HEARTBEAT_INTERVAL_NS + 2 * RECONNECT_JITTER_NS)
-    net.settled()
-    assert ("x", "digest mismatch") in net.drops
-    assert [one.load_snapshot for one in told(net, "x", FollowAccepted)] == [True]
+    net.check_all_newest()
+    assert ("x", "digest mismatch") in net.disconnects
+    assert [one.load_snapshot for one in messages_to(net, "x", FollowAccepted)] == [True]
 
 
-def test_a_delta_that_does_not_come_to_its_digest_is_not_taken_and_the_state_is_loaded() -> None:
-    """Its source knows that number and digest: asked to go on from there it would send the same again."""
-    net = following(Written(), "x")
-    net.written.some(3)
-    net.bring("a")
+def test_delta_with_digest_mismatch_is_rejected_and_snapshot_loaded() -> None:
+    """The follower must not resume: the source knows its sequence number and digest and would send the same
+    delta again."""
+    net = network_following(ReferenceModel(), "x")
+    net.reference.write_many(3)
+    net.advance_source("a")
     net.run()
     one = net.follower("x")
     one.table = one.table._replace(wide=one.table.wide.delete("route/0").set("route/0", (b"rot", 1)))
     net.write(("route/0", b"new"))
     net.run(2 * RECONNECT_JITTER_NS)
-    net.settled()
+    net.check_all_newest()
     assert not one.state_suspect
 
 
 @pytest.mark.parametrize(
     ("first", "last", "digest"),
     [
-        (1, 3, None),  # leads from before
-        (3, 4, None),  # leads from after: a gap
-        (2, 2, None),  # leads nowhere
+        (1, 3, None),  # starts before the current state
+        (3, 4, None),  # starts after the current state: a gap
+        (2, 2, None),  # empty
         (2, 1, None),
-        (2, 3, bytes(16)),  # not what its digest says
+        (2, 3, bytes(16)),  # wrong digest
     ],
 )
-def test_nothing_is_taken_that_leads_from_another_state(first: int, last: int, digest: bytes | None) -> None:
-    """Also where it would come to its digest by chance."""
-    net = following(Written(), "x")
-    net.written.some(2)
-    net.bring("a")
+def test_delta_from_another_state_is_rejected(first: int, last: int, digest: bytes | None) -> None:
+    """Also where the digest after applying the delta happens to match."""
+    net = network_following(ReferenceModel(), "x")
+    net.reference.write_many(2)
+    net.advance_source("a")
     net.run()
     before = net.follower("x").table
     items: Items = (("route/0", b"", last),)
     after = before.update(last, items, "wide").digest("wide")
-    net.tell("x", UpstreamMessage("a", Delta(first, last, items, after if digest is None else digest)))
+    net.pass_to_follower(
+        "x", UpstreamMessage("a", Delta(first, last, items, after if digest is None else digest))
+    )
     assert (net.follower("x").table, net.follower("x").phase) == (before, "waiting")
     net.run(2 * RECONNECT_JITTER_NS)
-    net.settled()
+    net.check_all_newest()
 
 
-def test_a_follower_that_is_ahead_is_refused_and_keeps_its_state() -> None:
-    written = Written()
-    written.some(10)
-    net = Net(written)
-    net.serve("behind", written.history(0, 4))
-    net.follow("x", "behind", table=written.tables[9])
+def test_source_rejects_follower_ahead_of_it_which_keeps_its_state() -> None:
+    reference = ReferenceModel()
+    reference.write_many(10)
+    net = Network(reference)
+    net.add_source("behind", reference.history(0, 4))
+    net.add_follower("x", "behind", table=reference.tables[9])
     net.run(5 * SECOND)
     assert net.follower("x").table.sequence == 9
     assert {type(one) for _, one in net.sent} == {FollowRejected}
-    assert ("x", "refused: behind") in net.drops
-    net.bring("behind")
+    assert ("x", "refused: behind") in net.disconnects
+    net.advance_source("behind")
     net.run(3 * SECOND)
-    net.settled()
+    net.check_all_newest()
 
 
-def test_a_follower_that_is_ahead_of_one_goes_to_the_next() -> None:
-    written = Written()
-    written.some(10)
-    net = Net(written)
-    net.serve("behind", written.history(0, 4))
-    net.serve("a", written.history())
-    net.follow("x", "behind", "a", table=written.tables[9])
+def test_follower_ahead_of_one_source_follows_the_next() -> None:
+    reference = ReferenceModel()
+    reference.write_many(10)
+    net = Network(reference)
+    net.add_source("behind", reference.history(0, 4))
+    net.add_source("a", reference.history())
+    net.add_follower("x", "behind", "a", table=reference.tables[9])
     net.run(3 * RECONNECT_JITTER_NS)
-    net.settled()
+    net.check_all_newest()
     assert net.follower("x").upstream == "a"
 
 
 # ---- snapshots
 
 
-def loading(written: Written, at: int, spread: Callable[[int], int] | None = None) -> Net:
-    """A source `a` that can't lead on from 0, and `x` in the middle of its snapshot with the state `at`."""
-    net = Net(written)
-    net.serve("a", written.history(written.number))
-    net.follow("x", "a", "b", table=written.tables[at], spread=spread)
+def network_loading(
+    reference: ReferenceModel, at: int, random_delay: Callable[[int], int] | None = None
+) -> Network:
+    """Return a network of a source `a` without history, and `x` with the state `at`, loading its snapshot."""
+    net = Network(reference)
+    net.add_source("a", reference.history(reference.newest))
+    net.add_follower("x", "a", "b", table=reference.tables[at], random_delay=random_delay)
     net.now = RECONNECT_JITTER_NS
-    net.tell("x", DeadlineReached())
+    net.pass_to_follower("x", DeadlineReached())
     while net.follower("x").next_part < 3:
-        for one in list(net.opening):
-            net.opened(*one)
+        for one in list(net.pending_connects):
+            net.complete_connect(*one)
         link = net.links["x"]
-        if link.up:
-            net.reach(link)
+        if link.to_source:
+            net.deliver_to_source(link)
         else:
-            net.arrive("x", link)
+            net.deliver_to_follower("x", link)
     return net
 
 
-def test_changes_go_on_in_the_middle_of_a_snapshot_and_the_old_state_serves_till_its_end() -> None:
-    written = Written()
-    written.some(60)
-    with small(PART_SIZE=300):
-        net = loading(written, 7)
+def test_changes_while_loading_snapshot_keep_old_state_until_complete() -> None:
+    reference = ReferenceModel()
+    reference.write_many(60)
+    with lowered_limits(PART_SIZE=300):
+        net = network_loading(reference, 7)
         for number in range(5):
             net.write((f"route/{number}", b"changed"), ("route/50", None))
-            net.links["x"].held.add("down")
-            net.pump()
-            written.check(net.follower("x").table, "wide")
+            net.links["x"].blocked.add("to_follower")
+            net.deliver_all()
+            reference.check(net.follower("x").table, "wide")
             assert net.follower("x").table.sequence == 7
-        net.links["x"].held.clear()
+        net.links["x"].blocked.clear()
         net.run()
-        net.settled()
-    assert (net.steps[SnapshotLoaded], net.steps[DeltaApplied]) == (1, 1)  # all that went on came as one
+        net.check_all_newest()
+    assert (net.effect_counts[SnapshotLoaded], net.effect_counts[DeltaApplied]) == (1, 1)  # one merged delta
 
 
-def test_the_source_dies_in_the_middle_of_a_snapshot_and_the_next_has_another() -> None:
-    written = Written()
-    written.some(60)
-    with small(PART_SIZE=300):
-        net = loading(written, 7)
-        written.write(("route/1", b"later"), ("route/2", None))
-        net.serve("b", written.history(written.number))
+def test_source_failure_while_loading_loads_snapshot_of_next_source() -> None:
+    reference = ReferenceModel()
+    reference.write_many(60)
+    with lowered_limits(PART_SIZE=300):
+        net = network_loading(reference, 7)
+        reference.write(("route/1", b"later"), ("route/2", None))
+        net.add_source("b", reference.history(reference.newest))
         net.kill("a")
         assert net.follower("x").table.sequence == 7
         net.run(3 * RECONNECT_JITTER_NS)
-        net.settled()
-    assert net.steps[SnapshotLoaded] == 1
-    assert {one.sequence for one in told(net, "x", SnapshotPart)} == {60, 61}
-
-
-def test_the_next_source_has_an_older_snapshot_than_the_last_and_both_are_whole() -> None:
-    """Nothing of the newer one counts yet, so an older one may be taken; but none older than what is held."""
-    written = Written()
-    written.some(60)
-    with small(PART_SIZE=300):
-        net = loading(written, 7)
-        net.serve("b", written.history(40, 40))
+        net.check_all_newest()
+    assert net.effect_counts[SnapshotLoaded] == 1
+    assert {one.sequence for one in messages_to(net, "x", SnapshotPart)} == {60, 61}
+
+
+def test_next_source_may_offer_older_snapshot_than_the_one_being_loaded() -> None:
+    """A partly loaded snapshot may be replaced by an older one, but not the current state."""
+    reference = ReferenceModel()
+    reference.write_many(60)
+    with lowered_limits(PART_SIZE=300):
+        net = network_loading(reference, 7)
+        net.add_source("b", reference.history(40, 40))
         net.kill("a")
         net.run(3 * RECONNECT_JITTER_NS)
         assert net.follower("x").table.sequence == 40
         net.kill("b")
-        net.serve("b", written.history(30, 30))
+        net.add_source("b", reference.history(30, 30))
         net.run(3 * RECONNECT_JITTER_NS)
         assert net.follower("x").table.sequence == 40
 
 
-def test_a_snapshot_older_than_what_is_held_is_not_taken() -> None:
-    written = Written()
-    written.some(10)
-    net = following(written, "x")
-    net.tell("x", UpstreamMessage("a", FollowAccepted(4, True, 1, 0, 0, False)))
-    assert ("x", "snapshot older than the current state") in net.drops
+def test_snapshot_older_than_current_state_is_rejected() -> None:
+    reference = ReferenceModel()
+    reference.write_many(10)
+    net = network_following(reference, "x")
+    net.pass_to_follower("x", UpstreamMessage("a", FollowAccepted(4, True, 1, 0, 0, False)))
+    assert ("x", "snapshot older than the current state") in net.disconnects
     assert net.follower("x").table.sequence == 10
 
 
-def test_parts_of_an_older_snapshot_after_a_newer_state_change_nothing() -> None:
-    written = Written()
-    written.some(20)
-    net = following(written, "x")
+def test_late_parts_of_older_snapshot_are_ignored_while_following() -> None:
+    reference = ReferenceModel()
+    reference.write_many(20)
+    net = network_following(reference, "x")
     before = net.follower("x").table
-    snapshot = Snapshot(written.tables[4], "wide")
+    snapshot = Snapshot(reference.tables[4], "wide")
     part = snapshot.part(0)
     assert part is not None
     assert part.parts == 1
-    net.tell("x", UpstreamMessage("a", part))
+    net.pass_to_follower("x", UpstreamMessage("a", part))
     assert (net.follower("x").table, net.follower("x").phase) == (before, "following")
 
 
-def test_parts_of_a_load_that_was_begun_anew_are_passed_over() -> None:
-    """A relay loads a snapshot itself: what its followers were loading leads nowhere any more. Its parts on
-    the way, and what was asked for of it, still come."""
-    written = Written()
-    written.some(60)
-    with small(PART_SIZE=300):
-        net = loading(written, 7)
+def test_parts_of_replaced_snapshot_are_ignored() -> None:
+    """A relay that loads a snapshot itself drops the one that its followers are loading. Parts of the old
+    one, and requests for them, are still in transit."""
+    reference = ReferenceModel()
+    reference.write_many(60)
+    with lowered_limits(PART_SIZE=300):
+        net = network_loading(reference, 7)
         link = net.links["x"]
-        link.held.add("down")
-        net.pump()
+        link.blocked.add("to_follower")
+        net.deliver_all()
         assert (
-            [one.sequence for one in link.down if isinstance(one, SnapshotPart)]
-            == [60] * len(link.down)
+            [one.sequence for one in link.to_follower if isinstance(one, SnapshotPart)]
+            == [60] * len(link.to_follower)
             != []
         )
-        written.some(3)
-        net.sources["a"].history.reset(written.tables[-1])
-        net.serving("a", HistoryReplaced())
-        link.held = {"up"}
-        net.pump()  # it asks for more of the old one
-        link.held = {"down"}
-        net.pump()
-        link.held.clear()
+        reference.write_many(3)
+        net.sources["a"].history.reset(reference.tables[-1])
+        net.pass_to_source("a", HistoryReplaced())
+        link.blocked = {"to_source"}
+        net.deliver_all()  # it requests more parts of the old snapshot
+        link.blocked = {"to_follower"}
+        net.deliver_all()
+        link.blocked.clear()
         net.run()
-        net.settled()
-    assert net.steps[SnapshotLoaded] == 1
-    assert not net.drops
+        net.check_all_newest()
+    assert net.effect_counts[SnapshotLoaded] == 1
+    assert not net.disconnects
     assert not net.closed
 
 
-@pytest.mark.parametrize("why", ["cut", "much", "older"])
-def test_a_snapshot_that_leads_no_further_is_made_anew_for_all_who_load(why: str) -> None:
-    """One loads it meanwhile, another comes: to load the old one again would never end."""
-    written = Written()
-    written.some(60)
-    with small(PART_SIZE=300, HISTORY_STEPS_LIMIT=10 if why == "cut" else 1000, DELTA_SIZE_LIMIT=2000):
-        net = loading(written, 7)
+@pytest.mark.parametrize("cause", ["history trimmed", "steps larger", "subscriber diverged"])
+def test_snapshot_without_delta_to_newest_state_is_replaced_for_all_loading_followers(cause: str) -> None:
+    """A second follower connects while one loads: if it got the old snapshot, loading would never end."""
+    reference = ReferenceModel()
+    reference.write_many(60)
+    with lowered_limits(
+        PART_SIZE=300, HISTORY_STEPS_LIMIT=10 if cause == "history trimmed" else 1000, DELTA_SIZE_LIMIT=2000
+    ):
+        net = network_loading(reference, 7)
         old = net.sources["a"].snapshots.by_kind["wide"]
-        net.links["x"].held.add("down")
-        if why == "older":
+        net.links["x"].blocked.add("to_follower")
+        if cause == "subscriber diverged":
             net.write(("route/1", b"1"))
-            net.follow("y", "a", table=FeedTable().update(61, [("route/1", b"of another line", 1)]))
+            net.add_follower("y", "a", table=FeedTable().update(61, [("route/1", b"of another line", 1)]))
         else:
-            for _ in range(0 if why == "cut" else 400):  # more to tell than there is
-                written.write(("route/1", bytes(10)))
-            written.some(11)
-            net.bring("a")
-            net.follow("y", "a")
+            for _ in range(0 if cause == "history trimmed" else 400):  # steps larger than the state
+                reference.write(("route/1", bytes(10)))
+            reference.write_many(11)
+            net.advance_source("a")
+            net.add_follower("y", "a")
         net.run(RECONNECT_JITTER_NS)
-        assert net.sources["a"].snapshots.by_kind["wide"].sequence == written.number > old.sequence
-        assert net.follower("y").table.sequence == written.number
-        net.links["x"].held.clear()
+        assert net.sources["a"].snapshots.by_kind["wide"].sequence == reference.newest > old.sequence
+        assert net.follower("y").table.sequence == reference.newest
+        net.links["x"].blocked.clear()
         net.run(4 * RECONNECT_JITTER_NS)
-        net.settled()
-    assert net.steps[SnapshotLoaded] == 2
-    assert {one.sequence for one in told(net, "y", SnapshotPart)} == {written.number}
-
-
-def test_who_has_loaded_all_is_not_begun_anew_by_a_part_asked_for_too_much() -> None:
-    """It asks ahead, past the end too. Is the snapshot replaced, its acknowledgement is still true."""
-    written = Written()
-    written.some(60)
-    with small(PART_SIZE=300):
-        net = loading(written, 7)
+        net.check_all_newest()
+    assert net.effect_counts[SnapshotLoaded] == 2
+    assert {one.sequence for one in messages_to(net, "y", SnapshotPart)} == {reference.newest}
+
+
+def test_fetch_past_the_last_part_does_not_restart_a_completed_load() -> None:
+    """A follower requests parts ahead, also past the end. If the snapshot is replaced meanwhile, the
+    acknowledgement that follows is still valid."""
+    reference = ReferenceModel()
+    reference.write_many(60)
+    with lowered_limits(PART_SIZE=300):
+        net = network_loading(reference, 7)
         link = net.links["x"]
         while net.follower("x").phase == "loading":
-            if link.down:
-                net.arrive("x", link)
+            if link.to_follower:
+                net.deliver_to_follower("x", link)
             else:
-                net.reach(link)
-        assert [type(one) for one in link.up] == [FetchPart] * (len(link.up) - 1) + [Acknowledge]
-        assert len(link.up) > 1
-        written.some(3)
-        net.sources["a"].history.reset(written.tables[-1])
-        net.serving("a", HistoryReplaced())
+                net.deliver_to_source(link)
+        assert [type(one) for one in link.to_source] == [FetchPart] * (len(link.to_source) - 1) + [
+            Acknowledge
+        ]
+        assert len(link.to_source) > 1
+        reference.write_many(3)
+        net.sources["a"].history.reset(reference.tables[-1])
+        net.pass_to_source("a", HistoryReplaced())
         net.run()
-        net.settled()
+        net.check_all_newest()
     assert not net.closed
 
 
-def test_a_part_of_another_snapshot_is_no_part_of_this_one() -> None:
-    written = Written()
-    written.some(60)
-    with small(PART_SIZE=300):
-        net = loading(written, 7)
+def test_part_of_another_snapshot_is_ignored() -> None:
+    reference = ReferenceModel()
+    reference.write_many(60)
+    with lowered_limits(PART_SIZE=300):
+        net = network_loading(reference, 7)
         one = net.follower("x")
-        frozen = one.state_key()
+        state_before = one.state_key()
         for number in (8, 59, 61):
             part = SnapshotPart(number, one.next_part, one.next_part + 1, (), bytes(16))
             assert one.handle(net.now, UpstreamMessage("a", part)) == []
-        assert one.state_key() == frozen
+        assert one.state_key() == state_before
         net.run()
-        net.settled()
+        net.check_all_newest()
 
 
-def test_a_last_part_that_does_not_come_to_the_digest_changes_nothing() -> None:
-    written = Written()
-    written.some(60)
-    with small(PART_SIZE=300):
-        net = loading(written, 7)
+def test_snapshot_with_digest_mismatch_is_discarded() -> None:
+    reference = ReferenceModel()
+    reference.write_many(60)
+    with lowered_limits(PART_SIZE=300):
+        net = network_loading(reference, 7)
         one = net.follower("x")
         assert one.snapshot is not None
         key, _, version = next(one.snapshot.entries("wide"))
         one.snapshot = one.snapshot.update(60, [(key, b"rot", version)])
         while one.phase == "loading":
             link = net.links["x"]
-            if link.up:
-                net.reach(link)
+            if link.to_source:
+                net.deliver_to_source(link)
             else:
-                net.arrive("x", link)
+                net.deliver_to_follower("x", link)
         assert (one.table.sequence, one.phase) == (7, "waiting")
         net.run(4 * RECONNECT_JITTER_NS)
-        net.settled()
+        net.check_all_newest()
 
 
-def test_a_snapshot_is_cut_part_by_part_and_shared_by_all_who_load_it() -> None:
-    written = Written()
-    written.some(400)
-    with small(PART_SIZE=300):
-        net = Net(written)
-        source = net.serve("a", written.history(400))
+def test_snapshot_parts_are_made_on_demand_and_shared() -> None:
+    reference = ReferenceModel()
+    reference.write_many(400)
+    with lowered_limits(PART_SIZE=300):
+        net = Network(reference)
+        source = net.add_source("a", reference.history(400))
         for id in "xyz":
-            net.follow(id, "a")
-        net.pump()
+            net.add_follower(id, "a")
+        net.deliver_all()
         for id in "xyz":
             net.now = RECONNECT_JITTER_NS
-            net.tell(id, DeadlineReached())
-        for one in list(net.opening):
-            net.opened(*one)
+            net.pass_to_follower(id, DeadlineReached())
+        for one in list(net.pending_connects):
+            net.complete_connect(*one)
         for id in "xyz":
-            net.reach(net.links[id])
-        made = source.snapshots.by_kind["wide"]
-        assert made.parts == []  # a FollowAccepted costs nothing
-        net.written.write(("route/1", b"meanwhile"))
-        net.bring("a")
+            net.deliver_to_source(net.links[id])
+        snapshot = source.snapshots.by_kind["wide"]
+        assert snapshot.parts == []  # no part is made for a FollowAccepted
+        net.reference.write(("route/1", b"meanwhile"))
+        net.advance_source("a")
         net.run()
-        assert source.snapshots.by_kind["wide"] is made  # a delta leads on from it, for who comes now too
-        net.settled()
-    assert net.steps[SnapshotLoaded] == 3
+        assert source.snapshots.by_kind["wide"] is snapshot  # kept, because a delta leads on from it
+        net.check_all_newest()
+    assert net.effect_counts[SnapshotLoaded] == 3
     net.run(SNAPSHOT_TTL)
     assert not source.snapshots.by_kind
 
 
-def test_each_part_asked_for_cuts_one_at_the_most() -> None:
-    """Guards against a stranger that asks for the last part first."""
-    written = Written()
-    written.some(400)
-    with small(PART_SIZE=300):
-        source = Source(written.history(400), 0, 0)
+def test_each_request_makes_at_most_one_part() -> None:
+    """Otherwise a peer could make a source build all parts by requesting the last one first."""
+    reference = ReferenceModel()
+    reference.write_many(400)
+    with lowered_limits(PART_SIZE=300):
+        source = Source(reference.history(400), 0, 0)
         source.handle(0, SubscriberJoined(1))
         source.handle(0, SubscriberMessage(1, Follow("x", "wide", 0, b"")))
         for index in range(5):
@@ -856,11 +880,11 @@
         assert len(source.snapshots.by_kind["wide"].parts) == 5
 
 
-def test_parts_have_a_bounded_size_and_an_empty_table_is_one() -> None:
-    written = Written()
-    written.some(100, VALUE_SIZE_LIMIT)
-    made = Snapshot(written.tables[-1], "wide")
-    parts = [made.part(index) for index in range(8)]
+def test_parts_have_bounded_size_and_empty_table_is_one_part() -> None:
+    reference = ReferenceModel()
+    reference.write_many(100, VALUE_SIZE_LIMIT)
+    snapshot = Snapshot(reference.tables[-1], "wide")
+    parts = [snapshot.part(index) for index in range(8)]
     sizes = [len(encode(part)) for part in parts if part is not None]
     assert all(size < PART_SIZE + VALUE_SIZE_LIMIT + KEY_LENGTH_LIMIT for size in sizes)
     assert [part.parts for part in parts if part is not None] == [0] * (len(sizes) - 1) + [len(sizes)]
@@ -868,16 +892,16 @@
     assert Snapshot(FeedTable(), "all").part(1) is None
 
 
-def test_the_sections_of_tenants_come_with_the_snapshot_to_those_alone_who_hold_all() -> None:
-    written = Written()
-    written.some(10)
-    written.some(10, prefix="tenant/")
-    net = Net(written)
-    net.serve("a", written.history(20))
-    net.follow("w", "a")
-    net.follow("k", "a", kind="all", level=1)
+def test_snapshot_contains_tenants_only_for_followers_of_kind_all() -> None:
+    reference = ReferenceModel()
+    reference.write_many(10)
+    reference.write_many(10, prefix="tenant/")
+    net = Network(reference)
+    net.add_source("a", reference.history(20))
+    net.add_follower("w", "a")
+    net.add_follower("k", "a", kind="all", level=1)
     net.run(2 * RECONNECT_JITTER_NS)
-    net.settled()
+    net.check_all_newest()
     assert len(net.follower("w").table.tenants) == 0
     assert len(net.follower("k").table.tenants) == 10
 
@@ -885,43 +909,43 @@
 # ---- pushing
 
 
-def test_a_slow_follower_gets_one_merged_delta_and_stalls_nobody() -> None:
-    net = following(Written(), "slow", "quick")
-    net.links["slow"].held.add("up")
+def test_slow_follower_gets_one_merged_delta_and_does_not_delay_others() -> None:
+    net = network_following(ReferenceModel(), "slow", "quick")
+    net.links["slow"].blocked.add("to_source")
     for _ in range(10):
         for number in range(1000):
-            net.written.write((f"route/{number % 50}", str(net.written.number).encode()))
-            net.bring("a")
-            net.pump()
-            assert net.follower("quick").table.sequence == net.written.number
-    assert net.links["slow"].most == 1
-    assert len(told(net, "slow", Delta)) == 1
-    net.links["slow"].held.clear()
-    net.pump()
-    net.settled()
-    assert [(one.first, one.last) for one in told(net, "slow", Delta)] == [(0, 1), (1, 10_000)]
-    assert len(told(net, "slow", Delta)[1].items) == 50
-    assert len(told(net, "quick", Delta)) == 10_000
-
-
-def test_what_is_out_to_one_who_takes_nothing_is_bounded_till_it_is_let_go() -> None:
-    net = following(Written(), "dead", "quick")
+            net.reference.write((f"route/{number % 50}", str(net.reference.newest).encode()))
+            net.advance_source("a")
+            net.deliver_all()
+            assert net.follower("quick").table.sequence == net.reference.newest
+    assert net.links["slow"].max_in_transit == 1
+    assert len(messages_to(net, "slow", Delta)) == 1
+    net.links["slow"].blocked.clear()
+    net.deliver_all()
+    net.check_all_newest()
+    assert [(one.first, one.last) for one in messages_to(net, "slow", Delta)] == [(0, 1), (1, 10_000)]
+    assert len(messages_to(net, "slow", Delta)[1].items) == 50
+    assert len(messages_to(net, "quick", Delta)) == 10_000
+
+
+def test_messages_to_unresponsive_follower_are_bounded_until_it_is_closed() -> None:
+    net = network_following(ReferenceModel(), "dead", "quick")
     link = net.links["dead"]
-    link.held |= {"up", "down"}
+    link.blocked |= {"to_source", "to_follower"}
     net.paused.add("dead")
     for _ in range(1000):
-        net.write(("route/0", str(net.written.number).encode()))
+        net.write(("route/0", str(net.reference.newest).encode()))
         net.run(STALL_TIMEOUT_NS // 900)
-    assert (link.most, len(link.down)) == (
+    assert (link.max_in_transit, len(link.to_follower)) == (
         1,
         1 + (STALL_TIMEOUT_NS - 1) // HEARTBEAT_INTERVAL_NS + 1,
-    )  # a Delta, its Beats, the end
+    )  # a delta, its heartbeats, the end of the connection
     assert ("dead", "silent") in net.closed
     assert len(net.sources["a"].subscribers) == 1
     assert net.follower("quick").table.sequence == 1000
 
 
-def test_who_says_nothing_at_all_is_let_go() -> None:
+def test_silent_subscriber_is_closed() -> None:
     source = Source(History(), 0, 0)
     source.handle(0, SubscriberJoined(1))
     assert source.next_deadline() == STALL_TIMEOUT_NS
@@ -931,57 +955,57 @@
     assert not source.last_received_at
 
 
-def test_a_full_source_refuses_and_the_refused_goes_elsewhere() -> None:
-    written = Written()
-    net = Net(written)
-    net.serve("a", written.history(), bound=2)
-    net.serve("b", written.history())
+def test_full_source_rejects_follower_which_follows_another() -> None:
+    reference = ReferenceModel()
+    net = Network(reference)
+    net.add_source("a", reference.history(), max_followers=2)
+    net.add_source("b", reference.history())
     for id in "xyz":
-        net.follow(id, "a", "b")
+        net.add_follower(id, "a", "b")
     net.run(4 * RECONNECT_JITTER_NS)
-    net.settled()
+    net.check_all_newest()
     assert Counter(net.follower(id).upstream for id in "xyz") == {"a": 2, "b": 1}
-    assert [why for _, why in net.drops] == ["refused: full"]
+    assert [reason for _, reason in net.disconnects] == ["refused: full"]
 
 
-def test_the_followers_of_a_dead_one_come_back_spread_out() -> None:
-    written = Written()
-    net = Net(written)
-    net.serve("a", written.history())
-    net.serve("b", written.history())
+def test_reconnects_after_source_failure_are_spread_over_time() -> None:
+    reference = ReferenceModel()
+    net = Network(reference)
+    net.add_source("a", reference.history())
+    net.add_source("b", reference.history())
     for number in range(200):
-        net.follow(f"x{number}", "a", "b")
+        net.add_follower(f"x{number}", "a", "b")
     net.run(2 * RECONNECT_JITTER_NS)
     assert len(net.sources["a"].subscribers) == 200
     net.kill("a")
-    died = net.now
+    killed_at = net.now
     net.write(("route/1", b"new"), to=["b"])
     net.connects.clear()
     net.run(RECONNECT_JITTER_NS)
-    net.settled()
-    came = Counter((at - died) * 10 // RECONNECT_JITTER_NS for _, _, at in net.connects)
-    assert len(came) == 10
-    assert max(came.values()) < 50
+    net.check_all_newest()
+    attempts = Counter((at - killed_at) * 10 // RECONNECT_JITTER_NS for _, _, at in net.connects)
+    assert len(attempts) == 10
+    assert max(attempts.values()) < 50
 
 
-def test_who_beats_no_more_is_left_after_a_silence() -> None:
-    written = Written()
-    net = following(written, "x")
+def test_source_without_heartbeats_is_left_after_timeout() -> None:
+    reference = ReferenceModel()
+    net = network_following(reference, "x")
     net.follower("x").sources = ("a", "b")
-    net.serve("b", written.history())
-    net.cut("x", told=False)
-    heard = net.follower("x").last_received_at
-    net.run(heard + SOURCE_TIMEOUT_NS - 1 - net.now)
+    net.add_source("b", reference.history())
+    net.break_link("x", notify=False)
+    last_received_at = net.follower("x").last_received_at
+    net.run(last_received_at + SOURCE_TIMEOUT_NS - 1 - net.now)
     assert net.follower("x").upstream == "a"
     net.run(1)
-    assert net.drops == [("x", "silent")]
+    assert net.disconnects == [("x", "silent")]
     net.run(RECONNECT_JITTER_NS)
     assert net.follower("x").upstream == "b"
 
 
-def test_a_source_that_does_not_answer_at_all_is_left_too() -> None:
-    net = Net(Written())
-    one = net.follow("x", "a", "b", spread=lambda span: 0)
+def test_source_that_never_answers_is_left_after_timeout() -> None:
+    net = Network(ReferenceModel())
+    one = net.add_follower("x", "a", "b", random_delay=lambda span: 0)
     assert one.handle(0, DeadlineReached()) == [ConnectUpstream("a")]
     assert one.handle(SOURCE_TIMEOUT_NS - 1, DeadlineReached()) == []
     assert one.handle(SOURCE_TIMEOUT_NS, DeadlineReached()) == [DisconnectUpstream("a", "silent")]
@@ -992,181 +1016,182 @@
     assert one.handle(2 * SOURCE_TIMEOUT_NS, DeadlineReached()) == [DisconnectUpstream("b", "silent")]
 
 
-def test_after_a_pause_what_lies_unread_counts_before_the_clock() -> None:
-    net = following(Written(), "x")
+def test_unread_messages_after_pause_are_handled_before_timeout() -> None:
+    net = network_following(ReferenceModel(), "x")
     net.paused.add("x")
     for _ in range(4):
-        net.run(STALL_TIMEOUT_NS // 5)  # beats lie unread
+        net.run(STALL_TIMEOUT_NS // 5)  # heartbeats stay unread
     net.write(("route/1", b"1"))
     net.paused.clear()
     net.run(0)
-    assert not net.drops
-    net.settled()
+    assert not net.disconnects
+    net.check_all_newest()
 
 
-def test_beats_are_sent_only_where_nothing_else_was() -> None:
-    net = following(Written(), "x", "y")
+def test_heartbeats_are_sent_only_to_idle_subscribers() -> None:
+    net = network_following(ReferenceModel(), "x", "y")
     net.run(HEARTBEAT_INTERVAL_NS)
     assert {type(one) for _, one in net.sent} == {Heartbeat}
     net.sent.clear()
     for _ in range(10):
-        net.write(("route/1", str(net.written.number).encode()))
+        net.write(("route/1", str(net.reference.newest).encode()))
         net.run(HEARTBEAT_INTERVAL_NS // 2)
     assert {type(one) for _, one in net.sent} == {Delta}
 
 
-def test_an_idle_second_costs_two_beats_and_two_answers() -> None:
-    net = following(Written(), "x")
+def test_idle_second_costs_two_heartbeats_and_two_acknowledgements() -> None:
+    net = network_following(ReferenceModel(), "x")
     net.run(HEARTBEAT_INTERVAL_NS)
     net.sent.clear()
-    net.asked.clear()
+    net.sent_upstream.clear()
     net.run(10 * SECOND)
     assert Counter(type(one) for _, one in net.sent) == {Heartbeat: 20}
-    assert Counter(type(one) for _, one in net.asked) == {Acknowledge: 20}
+    assert Counter(type(one) for _, one in net.sent_upstream) == {Acknowledge: 20}
 
 
-def test_what_a_push_does_not_touch_costs_nothing() -> None:
-    """A follower that has not answered yet is not looked at by the moves between."""
+def test_push_does_not_access_subscribers_with_delta_in_flight() -> None:
+    """A push does not access followers that have not acknowledged the previous delta."""
 
-    class Watched(dict[int, Any]):
-        touched = 0
+    class CountingDict(dict[int, Any]):
+        reads = 0
 
         def __getitem__(self, key: int) -> Any:
-            Watched.touched += 1
+            CountingDict.reads += 1
             return super().__getitem__(key)
 
-    net = following(Written(), *(f"x{number}" for number in range(50)))
-    net.sources["a"].subscribers = Watched(net.sources["a"].subscribers)
+    net = network_following(ReferenceModel(), *(f"x{number}" for number in range(50)))
+    net.sources["a"].subscribers = CountingDict(net.sources["a"].subscribers)
     for _ in range(100):
         net.write(("route/1", b"1"))
-    assert Watched.touched == 50
+    assert CountingDict.reads == 50
 
 
-def test_all_who_stand_at_the_same_place_are_sent_one_and_the_same_delta() -> None:
-    net = following(Written(), "x", "y", "z")
+def test_followers_at_same_state_share_one_delta_object() -> None:
+    net = network_following(ReferenceModel(), "x", "y", "z")
     net.write(("route/1", b"1"))
     assert len({id(message) for _, message in net.sent if isinstance(message, Delta)}) == 1
 
 
-def test_a_load_of_tenants_makes_instances_forget_theirs_and_not_load_anew() -> None:
-    written = Written()
-    with small(DELTA_SIZE_LIMIT=1000):
-        net = following(written, "x")
-        net.links["x"].held.add("up")
+def test_mass_update_of_tenants_evicts_cached_tenants_without_snapshot() -> None:
+    reference = ReferenceModel()
+    with lowered_limits(DELTA_SIZE_LIMIT=1000):
+        net = network_following(reference, "x")
+        net.links["x"].blocked.add("to_source")
         net.write(("route/1", b"1"))
-        net.pump()
-        net.written.some(30, 40, "tenant/")
-        net.written.write(("route/1", b"2"))
-        net.bring("a")
-        net.links["x"].held.clear()
-        net.pump()
-        net.settled()
-    last = told(net, "x", Delta)[-1]
+        net.deliver_all()
+        net.reference.write_many(30, 40, "tenant/")
+        net.reference.write(("route/1", b"2"))
+        net.advance_source("a")
+        net.links["x"].blocked.clear()
+        net.deliver_all()
+        net.check_all_newest()
+    last = messages_to(net, "x", Delta)[-1]
     assert (last.evict_tenants, [key for key, _, _ in last.items]) == (True, ["route/1"])
-    assert not told(net, "x", FollowAccepted)
+    assert not messages_to(net, "x", FollowAccepted)
 
 
 # ---- relays and keepers
 
 
-def test_a_change_goes_down_a_tree_of_relays() -> None:
-    written = Written()
-    written.some(5)
-    net = Net(written)
-    net.serve("a", written.history())
-    net.relay("r1", "a", level=1)
-    net.relay("r2", "r1", level=2)
-    net.follow("x", "r2")
+def test_change_reaches_follower_through_two_relays() -> None:
+    reference = ReferenceModel()
+    reference.write_many(5)
+    net = Network(reference)
+    net.add_source("a", reference.history())
+    net.add_relay("r1", "a", level=1)
+    net.add_relay("r2", "r1", level=2)
+    net.add_follower("x", "r2")
     net.run(5 * SECOND)
-    net.settled()
+    net.check_all_newest()
     net.write(("route/1", b"new"), ("tenant/1", b"t"))
-    net.pump()
-    net.settled()
+    net.deliver_all()
+    net.check_all_newest()
 
 
-def test_who_stands_inside_a_step_of_the_next_relay_goes_on_from_there() -> None:
-    """The relay that dies had each change by itself, the other one several at once."""
-    written = Written()
-    written.some(20)
-    net = Net(written)
-    net.serve("a", written.history())
+def test_follower_inside_merged_step_of_next_relay_resumes() -> None:
+    """The relay that fails received each change separately, the other one several as one step."""
+    reference = ReferenceModel()
+    reference.write_many(20)
+    net = Network(reference)
+    net.add_source("a", reference.history())
     for relay in ("r1", "r2"):
-        net.relay(relay, "a", level=1)
-    net.follow("x", "r1", "r2")
+        net.add_relay(relay, "a", level=1)
+    net.add_follower("x", "r1", "r2")
     net.run(5 * SECOND)
-    net.settled()
-    net.links["r2"].held.add("up")
+    net.check_all_newest()
+    net.links["r2"].blocked.add("to_source")
     for value in (b"1", b"2", b"3"):
         net.write(("route/1", value), ("tenant/1", value))
-        net.pump()
-    net.links["r1"].held.add("down")
+        net.deliver_all()
+    net.links["r1"].blocked.add("to_follower")
     net.write(("route/2", b"4"))
-    net.links["r2"].held.clear()
-    net.pump()
-    assert net.follower("x").table.sequence == written.number - 1
-    assert written.number - 1 not in {last for _, last, _, _ in net.sources["r2"].history.steps}
+    net.links["r2"].blocked.clear()
+    net.deliver_all()
+    assert net.follower("x").table.sequence == reference.newest - 1
+    assert reference.newest - 1 not in {last for _, last, _, _ in net.sources["r2"].history.steps}
     net.sent.clear()
-    net.end("r1")
+    net.close_link("r1")
     del net.followers["r1"]
     net.kill("r1")
     net.run(3 * SECOND)
-    net.settled()
-    assert [one.load_snapshot for one in told(net, "x", FollowAccepted)] == [False]
+    net.check_all_newest()
+    assert [one.load_snapshot for one in messages_to(net, "x", FollowAccepted)] == [False]
 
 
-def test_who_stands_inside_a_step_with_another_state_loads_anew() -> None:
-    """That step leads it to another digest; the next one has the same step."""
-    written = Written()
-    written.some(6)
-    history = History(written.tables[2])
+def test_follower_inside_merged_step_with_diverged_state_loads_snapshot() -> None:
+    """That step leads to another digest. The next source has the same step."""
+    reference = ReferenceModel()
+    reference.write_many(6)
+    history = History(reference.tables[2])
     history.advance(
-        5, tuple((key, value, number) for number in (3, 4, 5) for key, value in written.changes[number])
+        5, tuple((key, value, number) for number in (3, 4, 5) for key, value in reference.changes[number])
     )
-    net = Net(written)
+    net = Network(reference)
     for name in ("a", "b"):
-        net.serve(name, history.copy())
+        net.add_source(name, history.copy())
     strange = FeedTable().update(4, (("route/strange", b"{}", 1),))
-    net.follow("x", "a", "b", table=strange)
+    net.add_follower("x", "a", "b", table=strange)
     net.run(6 * SECOND)
-    assert [why for _, why in net.drops] == ["digest mismatch"]
+    assert [reason for _, reason in net.disconnects] == ["digest mismatch"]
     table = net.follower("x").table
     assert (table.sequence, table.digest("wide")) == (5, history.table.digest("wide"))
 
 
-def test_a_relay_that_loads_anew_has_its_followers_follow_suit() -> None:
-    written = Written()
-    written.some(5)
-    with small(HISTORY_STEPS_LIMIT=10, PART_SIZE=200):
-        net = Net(written)
-        net.serve("a", written.history())
-        net.relay("r", "a", level=1)
-        net.follow("x", "r")
+def test_followers_of_relay_that_loads_snapshot_load_it_too() -> None:
+    reference = ReferenceModel()
+    reference.write_many(5)
+    with lowered_limits(HISTORY_STEPS_LIMIT=10, PART_SIZE=200):
+        net = Network(reference)
+        net.add_source("a", reference.history())
+        net.add_relay("r", "a", level=1)
+        net.add_follower("x", "r")
         net.run(3 * SECOND)
-        net.settled()
-        net.cut("r")
-        written.some(30)
-        net.bring("a")
+        net.check_all_newest()
+        net.break_link("r")
+        reference.write_many(30)
+        net.advance_source("a")
         net.run(3 * SECOND)
-        net.settled()
-    assert [one.load_snapshot for one in told(net, "x", FollowAccepted)][-1]
+        net.check_all_newest()
+    assert [one.load_snapshot for one in messages_to(net, "x", FollowAccepted)][-1]
 
 
-def test_no_ring_of_relays_feeds_itself() -> None:
-    """Cut off from all above they have each other's addresses; none follows one that is not above it."""
-    written = Written()
-    written.some(5)
-    net = Net(written)
+def test_relays_do_not_follow_each_other_in_a_cycle() -> None:
+    """Relays without a connection to a keeper have only each other as sources; none follows a source whose
+    level is not lower."""
+    reference = ReferenceModel()
+    reference.write_many(5)
+    net = Network(reference)
     for id, names in (("r1", ("r2", "s1")), ("s1", ("r2", "r1")), ("r2", ("r1",))):
-        net.relay(id, *names, level=int(id[1]), table=written.tables[5])
+        net.add_relay(id, *names, level=int(id[1]), table=reference.tables[5])
     net.run(5 * SECOND)
     assert net.follower("r2").upstream == "r1"
     assert (net.follower("r1").phase, net.follower("s1").phase) != ("following", "following")
     for id in ("r1", "s1"):
         assert net.follower(id).phase in ("waiting", "connecting")
-    assert {why for _, why in net.drops} == {"refused: not below"}
+    assert {reason for _, reason in net.disconnects} == {"refused: not below"}
 
 
-def test_a_follower_finds_out_itself_that_its_source_is_not_above_it() -> None:
+def test_follower_leaves_source_whose_level_is_not_lower() -> None:
     one = Follower("r", "all", FeedTable(), ("s",), 0, lambda span: 0, level=1)
     one.handle(0, DeadlineReached())
     one.handle(0, UpstreamConnected("s"))
@@ -1175,35 +1200,35 @@
     ]
 
 
-def test_a_keeper_follows_only_who_writes_under_the_highest_epoch_it_has_seen() -> None:
-    written = Written()
-    written.some(5)
-    net = Net(written)
+def test_keeper_follows_only_writer_of_highest_known_epoch() -> None:
+    reference = ReferenceModel()
+    reference.write_many(5)
+    net = Network(reference)
     for name, epoch, holds in (("a", 0, False), ("b", 3, True), ("c", 4, True)):
-        net.serve(name, written.history())
-        net.serving(name, WriterChanged(epoch, holds, 0))
-    net.follow("k", "a", "b", kind="all")
+        net.add_source(name, reference.history())
+        net.pass_to_source(name, WriterChanged(epoch, holds, 0))
+    net.add_follower("k", "a", "b", kind="all")
     net.run(4 * RECONNECT_JITTER_NS)
     assert (net.follower("k").upstream, net.follower("k").epoch) == ("b", 3)
-    net.tell("k", SourcesChanged(("c", "b")))
-    net.cut("k")
+    net.pass_to_follower("k", SourcesChanged(("c", "b")))
+    net.break_link("k")
     net.run(4 * RECONNECT_JITTER_NS)
     assert net.follower("k").upstream == "c"
-    net.serving("c", WriterChanged(5, False, 0))  # it lost its lease, and says so at once
-    net.pump()
-    assert ("k", "not the writer") in net.drops
+    net.pass_to_source("c", WriterChanged(5, False, 0))  # it lost its lease and announces this at once
+    net.deliver_all()
+    assert ("k", "not the writer") in net.disconnects
     net.run(6 * RECONNECT_JITTER_NS)
-    assert net.follower("k").upstream not in ("b", "c")  # b's epoch is over
-    net.serving("b", WriterChanged(6, True, 0))
+    assert net.follower("k").upstream not in ("b", "c")  # b's epoch is outdated
+    net.pass_to_source("b", WriterChanged(6, True, 0))
     net.run(4 * RECONNECT_JITTER_NS)
     assert net.follower("k").upstream == "b"
 
 
-def test_a_keeper_goes_straight_to_who_writes_and_is_sent_on_by_each_but_once() -> None:
+def test_keeper_follows_at_most_one_redirect_in_a_row() -> None:
     one = Follower("k", "all", FeedTable(), ("a", "b", "c"), 0, lambda span: span)
 
-    def asks(leader: str) -> str:
-        """Whom it asks at once, having been told by the next that this one writes."""
+    def redirect_target(leader: str) -> str:
+        """Return the source to try at once after the next one named `leader` as the writer, else empty."""
         now = one.next_deadline()
         connects = one.handle(now, DeadlineReached())
         assert isinstance(connects[0], ConnectUpstream)
@@ -1213,128 +1238,136 @@
         assert isinstance(one.handle(now, UpstreamMessage(at, accepted))[0], DisconnectUpstream)
         return one.sources[one.next_source] if one.next_deadline() == now else ""
 
-    assert asks("") == ""
-    assert asks("nobody") == ""
-    assert asks("a") == "a"
-    assert asks("c") == ""  # two that send it to each other cost a wait for each round
-    assert asks("c") == "c"
+    assert redirect_target("") == ""
+    assert redirect_target("nobody") == ""
+    assert redirect_target("a") == "a"
+    assert redirect_target("c") == ""  # two keepers that name each other cause a delay in each round
+    assert redirect_target("c") == "c"
 
 
-def test_a_keeper_finds_a_place_where_all_are_taken() -> None:
-    written = Written()
-    written.some(3)
-    net = Net(written)
-    net.serve("a", written.history(), bound=2)
-    net.serving("a", WriterChanged(1, True, 0))
+def test_full_source_accepts_keepers_on_reserved_connections() -> None:
+    reference = ReferenceModel()
+    reference.write_many(3)
+    net = Network(reference)
+    net.add_source("a", reference.history(), max_followers=2)
+    net.pass_to_source("a", WriterChanged(1, True, 0))
     for id in ("x", "y", "z"):
-        net.follow(id, "a")
-    net.relay("r", "a", level=1)
+        net.add_follower(id, "a")
+    net.add_relay("r", "a", level=1)
     net.run(3 * SECOND)
-    keepers = [net.follow(f"k{place}", "a", kind="all") for place in range(8)]
+    keepers = [net.add_follower(f"k{place}", "a", kind="all") for place in range(8)]
     net.run(3 * SECOND)
     assert [one.table.sequence for one in keepers] == [3] * 8
     assert Counter(net.follower(id).table.sequence for id in ("x", "y", "z", "r")) == {3: 2, 0: 2}
-    net.follow("k", "a", kind="all")
+    net.add_follower("k", "a", kind="all")
     net.run(3 * SECOND)
     assert net.follower("k").table.sequence == 0
     assert len(net.sources["a"].subscribers) <= 2 + 8
 
 
-def test_while_nobody_writes_a_keeper_takes_what_leads_on_from_its_state_and_goes_on_searching() -> None:
-    written = Written()
-    written.some(5)
-    net = Net(written)
-    net.serve("a", written.history(2))
-    late = net.follow("late", "a", "b", kind="all", table=written.tables[2])
-    cold = net.follow("cold", "a", "b", kind="all")
-    with small(DELTA_SIZE_LIMIT=1):  # a change each
+def test_without_writer_keeper_applies_deltas_and_keeps_searching() -> None:
+    reference = ReferenceModel()
+    reference.write_many(5)
+    net = Network(reference)
+    net.add_source("a", reference.history(2))
+    late = net.add_follower("late", "a", "b", kind="all", table=reference.tables[2])
+    cold = net.add_follower("cold", "a", "b", kind="all")
+    with lowered_limits(DELTA_SIZE_LIMIT=1):  # one change per delta
         net.run(3 * RECONNECT_JITTER_NS)
-    assert (late.table.sequence, cold.table.sequence) == (5, 0)  # nobody says that a snapshot is of this feed
-    assert len(told(net, "late", Delta)) == 3
-    assert {why for _, why in net.drops} == {"not the writer"}
-    net.serve("b", written.history())
-    net.serving("b", WriterChanged(1, True, 0))
+    # Without a writer nothing proves that a snapshot belongs to this feed.
+    assert (late.table.sequence, cold.table.sequence) == (5, 0)
+    assert len(messages_to(net, "late", Delta)) == 3
+    assert {reason for _, reason in net.disconnects} == {"not the writer"}
+    net.add_source("b", reference.history())
+    net.pass_to_source("b", WriterChanged(1, True, 0))
     net.run(3 * SECOND)
-    net.settled()
+    net.check_all_newest()
     assert (late.upstream, cold.upstream) == ("b", "b")
 
 
-def test_who_gets_the_lease_keeps_the_keeper_that_takes_from_it_meanwhile() -> None:
-    written = Written()
-    written.some(5)
-    net = Net(written)
-    net.serve("a", written.history(2))
-    late = net.follow("late", "a", kind="all", table=written.tables[2], spread=lambda span: 0)
-    net.tell("late", StateDurable(2))
-    net.tell("late", DeadlineReached())
-    net.opened("late", "a")
-    with small(DELTA_SIZE_LIMIT=1):  # a change each
-        net.reach(net.links["late"])  # the FollowAccepted and the first Delta are on their way
-        net.serving("a", WriterChanged(1, True, 0))
+def test_keeper_that_becomes_writer_keeps_its_following_keeper() -> None:
+    reference = ReferenceModel()
+    reference.write_many(5)
+    net = Network(reference)
+    net.add_source("a", reference.history(2))
+    late = net.add_follower("late", "a", kind="all", table=reference.tables[2], random_delay=lambda span: 0)
+    net.pass_to_follower("late", StateDurable(2))
+    net.pass_to_follower("late", DeadlineReached())
+    net.complete_connect("late", "a")
+    with lowered_limits(DELTA_SIZE_LIMIT=1):  # one change per delta
+        net.deliver_to_source(net.links["late"])  # the FollowAccepted and the first Delta are in transit
+        net.pass_to_source("a", WriterChanged(1, True, 0))
         net.run(SECOND)
     net.write(("route/x", b"x"))
     net.run(SECOND)
-    net.settled()
-    assert (late.phase, net.drops) == ("following", [])
+    net.check_all_newest()
+    assert (late.phase, net.disconnects) == ("following", [])
     assert net.durable == [("late", 2)]
 
 
-def test_a_keeper_that_is_to_write_catches_up_from_one_that_does_not() -> None:
-    written = Written()
-    written.some(5)
-    net = Net(written)
-    net.serve("b", written.history(2))
-    one = net.follow("k", "b", kind="all")
+def test_future_writer_catches_up_from_any_keeper() -> None:
+    reference = ReferenceModel()
+    reference.write_many(5)
+    net = Network(reference)
+    net.add_source("b", reference.history(2))
+    one = net.add_follower("k", "b", kind="all")
     net.run(3 * RECONNECT_JITTER_NS)
     assert one.table.sequence == 0
-    net.tell("k", FollowingResumed(True))
+    net.pass_to_follower("k", FollowingResumed(True))
     net.run(3 * RECONNECT_JITTER_NS)
-    net.settled()
-    net.tell("k", FollowingSuspended())
+    net.check_all_newest()
+    net.pass_to_follower("k", FollowingSuspended())
     assert (one.phase, one.upstream, "k" in net.links) == ("quiet", "", False)
-    written.some(2)
+    reference.write_many(2)
     net.run(10 * SECOND)
     assert one.phase == "quiet"
-    net.tell("k", FollowingResumed(False, written.tables[7]))  # what it wrote itself
+    net.pass_to_follower(
+        "k", FollowingResumed(False, reference.tables[7])
+    )  # the changes that it wrote itself
     assert (one.phase, one.table.sequence, one.accept_any_source) == ("waiting", 7, False)
 
 
-def test_what_is_durable_is_told_as_it_moves_on_and_once() -> None:
-    net = following(Written(), "k", kind="all")
+def test_durable_number_is_reported_once_per_advance_and_connection() -> None:
+    net = network_following(ReferenceModel(), "k", kind="all")
     for number in (1, 2, 3):
         net.write(("route/1", str(number).encode()))
-        net.pump()
-    net.tell("k", StateDurable(2))
-    net.tell("k", StateDurable(9))  # more than it holds
+        net.deliver_all()
+    net.pass_to_follower("k", StateDurable(2))
+    net.pass_to_follower("k", StateDurable(9))  # beyond its state
     net.run(3 * HEARTBEAT_INTERVAL_NS)
     assert net.durable == [("k", 2), ("k", 3)]
-    net.cut("k")
+    net.break_link("k")
     net.run(2 * RECONNECT_JITTER_NS)
-    assert net.durable == [("k", 2), ("k", 3), ("k", 3)]  # a new writer has to hear it too
-
-
-def test_a_state_of_another_line_counts_as_durable_no_more() -> None:
-    """Its disk has a 4 that was never written so; what replaces it counts once that lies there."""
-    written = Written()
-    written.some(5)
-    net = Net(written)
-    net.serve("a", written.history(5))
-    net.serving("a", WriterChanged(1, True, 0))
-    net.follow("k", "a", kind="all", table=FeedTable().update(4, [("route/1", b"of another line", 4)]))
-    net.tell("k", StateDurable(4))
+    assert net.durable == [
+        ("k", 2),
+        ("k", 3),
+        ("k", 3),
+    ]  # repeated on a new connection: the writer may be another one
+
+
+def test_durable_number_of_replaced_state_is_not_reported() -> None:
+    """The follower's disk has a state 4 that differs from the one written to the feed. It must not count; the
+    loaded state counts once it is on disk."""
+    reference = ReferenceModel()
+    reference.write_many(5)
+    net = Network(reference)
+    net.add_source("a", reference.history(5))
+    net.pass_to_source("a", WriterChanged(1, True, 0))
+    net.add_follower("k", "a", kind="all", table=FeedTable().update(4, [("route/1", b"of another line", 4)]))
+    net.pass_to_follower("k", StateDurable(4))
     net.run(4 * RECONNECT_JITTER_NS)
-    net.settled()
+    net.check_all_newest()
     assert not net.durable
-    net.tell("k", StateDurable(5))
-    net.pump()
+    net.pass_to_follower("k", StateDurable(5))
+    net.deliver_all()
     assert net.durable == [("k", 5)]
 
 
-# ---- strangers
+# ---- invalid messages
 
 FOLLOW = Follow("x", "wide", 0, bytes(16))
 HUGE = 1 << 63
-NONSENSE: list[tuple[str, FollowerMessage]] = [
+INVALID_FOLLOWER_MESSAGES: list[tuple[str, FollowerMessage]] = [
     ("new", Follow("", "wide", 0, b"")),
     ("new", Follow("x" * (PEER_ID_LENGTH_LIMIT + 1), "wide", 0, b"")),
     ("new", Follow("x", "wide", -1, b"")),
@@ -1365,18 +1398,18 @@
 ]
 
 
-@pytest.mark.parametrize(("phase", "message"), NONSENSE)
-def test_nonsense_ends_its_connection_and_no_other(phase: str, message: FollowerMessage) -> None:
-    written = Written()
-    written.some(3)
-    source = Source(written.history(1), 0, 0)
+@pytest.mark.parametrize(("phase", "message"), INVALID_FOLLOWER_MESSAGES)
+def test_invalid_message_closes_only_its_connection(phase: str, message: FollowerMessage) -> None:
+    reference = ReferenceModel()
+    reference.write_many(3)
+    source = Source(reference.history(1), 0, 0)
     for peer in (1, 2):
         source.handle(0, SubscriberJoined(peer))
-    source.handle(0, SubscriberMessage(2, Follow("y", "wide", 3, written.tables[3].digest("wide"))))
+    source.handle(0, SubscriberMessage(2, Follow("y", "wide", 3, reference.tables[3].digest("wide"))))
     if phase == "loading":
         source.handle(0, SubscriberMessage(1, FOLLOW))
     elif phase == "following":
-        source.handle(0, SubscriberMessage(1, Follow("x", "wide", 3, written.tables[3].digest("wide"))))
+        source.handle(0, SubscriberMessage(1, Follow("x", "wide", 3, reference.tables[3].digest("wide"))))
     effects = source.handle(0, SubscriberMessage(1, message))
     assert isinstance(effects[-1], CloseDownstream)
     assert effects[-1].peer == 1
@@ -1392,23 +1425,25 @@
     assert source.handle(0, SubscriberLeft(1)) == []
 
 
-def test_harmless_words_out_of_place_grow_nothing() -> None:
-    written = Written()
-    written.some(3)
-    source = Source(written.history(1), 0, 0)
+def test_late_or_unexpected_messages_change_no_state() -> None:
+    reference = ReferenceModel()
+    reference.write_many(3)
+    source = Source(reference.history(1), 0, 0)
     source.handle(0, SubscriberJoined(1))
     source.handle(0, SubscriberMessage(1, FOLLOW))
-    frozen = source.state_key()
+    state_before = source.state_key()
     for number in (-1, 0, 2, HUGE):
-        assert source.handle(0, SubscriberMessage(1, FetchPart(number, 0))) == []  # of no load of now
-    assert source.handle(0, SubscriberMessage(1, Acknowledge(0))) == []  # it lives
-    assert source.state_key() == frozen
+        assert (
+            source.handle(0, SubscriberMessage(1, FetchPart(number, 0))) == []
+        )  # not the snapshot being loaded
+    assert source.handle(0, SubscriberMessage(1, Acknowledge(0))) == []  # a keepalive
+    assert source.state_key() == state_before
     assert source.handle(0, SubscriberMessage(99, Acknowledge(0))) == []
     assert source.handle(0, SubscriberLeft(99)) == []
     assert list(source.subscribers) == [1]
 
 
-BAD: list[SourceMessage] = [
+INVALID_SOURCE_MESSAGES: list[SourceMessage] = [
     FollowAccepted(-1, True, 0, 0, 0, False),
     FollowAccepted(0, True, 0, -1, 0, False),
     FollowAccepted(0, False, 0, 0, -1, False),
@@ -1419,19 +1454,19 @@
 ]
 
 
-@pytest.mark.parametrize("message", BAD)
+@pytest.mark.parametrize("message", INVALID_SOURCE_MESSAGES)
 @pytest.mark.parametrize("phase", ["greeting", "loading", "following"])
-def test_nonsense_from_a_source_has_it_left_and_the_state_stands(phase: str, message: SourceMessage) -> None:
-    written = Written()
-    written.some(3)
-    one = Follower("x", "wide", written.tables[3], ("a", "b"), 0, lambda span: 0)
+def test_invalid_message_from_source_disconnects_and_keeps_state(phase: str, message: SourceMessage) -> None:
+    reference = ReferenceModel()
+    reference.write_many(3)
+    one = Follower("x", "wide", reference.tables[3], ("a", "b"), 0, lambda span: 0)
     one.handle(0, DeadlineReached())
     one.handle(0, UpstreamConnected("a"))
     if phase != "greeting":
         one.handle(0, UpstreamMessage("a", FollowAccepted(3, phase == "loading", 0, 0, 0, False)))
     assert one.phase == phase
     effects = one.handle(0, UpstreamMessage("a", message))
-    assert one.table is written.tables[3]
+    assert one.table is reference.tables[3]
     if phase == "loading" and isinstance(message, Heartbeat):
         assert [type(effect) for effect in effects] == [SendUpstream]
     else:
@@ -1442,7 +1477,7 @@
 
 
 @pytest.mark.parametrize("index", [-1, 1, HUGE])
-def test_a_part_out_of_turn_ends_the_load(index: int) -> None:
+def test_part_out_of_order_ends_loading(index: int) -> None:
     one = Follower("x", "wide", FeedTable(), ("a",), 0, lambda span: 0)
     one.handle(0, DeadlineReached())
     one.handle(0, UpstreamConnected("a"))
@@ -1452,14 +1487,14 @@
     assert one.snapshot is None
 
 
-def test_what_comes_late_of_another_source_is_passed_over() -> None:
+def test_late_events_of_previous_source_are_ignored() -> None:
     one = Follower("x", "wide", FeedTable(), ("a", "b"), 0, lambda span: 0)
     one.handle(0, DeadlineReached())
     one.handle(0, UpstreamConnected("a"))
     one.handle(0, UpstreamLost("a", "cut"))
     one.handle(0, DeadlineReached())
     assert (one.upstream, one.phase) == ("b", "connecting")
-    frozen = one.state_key()
+    state_before = one.state_key()
     events: tuple[FollowerEvent, ...] = (
         UpstreamMessage("a", FollowAccepted(0, False, 0, 0, 0, False)),
         UpstreamLost("a", "again"),
@@ -1468,243 +1503,248 @@
     )
     for event in events:
         assert one.handle(0, event) == []
-    assert one.state_key() == frozen
+    assert one.state_key() == state_before
     one.handle(0, UpstreamConnected("b"))
-    frozen = one.state_key()
+    state_before = one.state_key()
     for late in (FollowAccepted(0, False, 0, 0, 0, False), FollowRejected("full"), Heartbeat(0, bytes(16))):
         assert one.handle(0, UpstreamMessage("a", late)) == []
-    assert one.state_key() == frozen
+    assert one.state_key() == state_before
 
 
-def test_sources_may_change_under_way() -> None:
-    net = following(Written(), "x")
-    net.tell("x", SourcesChanged(("b", "a")))
+def test_sources_may_change_while_following() -> None:
+    net = network_following(ReferenceModel(), "x")
+    net.pass_to_follower("x", SourcesChanged(("b", "a")))
     assert net.follower("x").upstream == "a"
-    net.tell("x", SourcesChanged(("b",)))
-    assert net.drops == [("x", "no longer a configured source")]
-    net.tell("x", SourcesChanged(()))
+    net.pass_to_follower("x", SourcesChanged(("b",)))
+    assert net.disconnects == [("x", "no longer a configured source")]
+    net.pass_to_follower("x", SourcesChanged(()))
     net.run(10 * SECOND)
     assert net.follower("x").phase == "waiting"
-    net.tell("x", SourcesChanged(("a",)))
+    net.pass_to_follower("x", SourcesChanged(("a",)))
     net.run(2 * RECONNECT_JITTER_NS)
     assert net.follower("x").phase == "following"
 
 
-# ---- look-ups
+# ---- tenant cache of an instance
 
 
-def looking(written: Written, bound: int = 100) -> tuple[Net, LookupCache]:
-    net = Net(written)
-    net.serve("a", written.history())
-    made = LookupCache(net.follow("x", "a"), bound)
-    net.followers["x"] = made
+def network_with_cache(reference: ReferenceModel, max_tenants: int = 100) -> tuple[Network, LookupCache]:
+    net = Network(reference)
+    net.add_source("a", reference.history())
+    cache = LookupCache(net.add_follower("x", "a"), max_tenants)
+    net.followers["x"] = cache
     net.run(2 * RECONNECT_JITTER_NS)
-    net.settled()
+    net.check_all_newest()
     net.sent.clear()
-    net.asked.clear()
-    return net, made
+    net.sent_upstream.clear()
+    return net, cache
 
 
-def test_a_tenant_is_not_known_first_the_common_share_counts_and_the_answer_comes() -> None:
-    written = Written()
-    written.write(("common/tenant", b"share"), ("tenant/1", b"own"))
-    net, view = looking(written)
-    assert view.lookup("tenant/1") == UNKNOWN
-    assert view.lookup("common/tenant") == LookupResult(b"share", 1, True)
-    assert view.next_deadline() <= net.now
+def test_uncached_tenant_is_unknown_until_its_answer_arrives() -> None:
+    reference = ReferenceModel()
+    reference.write(("common/tenant", b"share"), ("tenant/1", b"own"))
+    net, cache = network_with_cache(reference)
+    assert cache.lookup("tenant/1") == UNKNOWN
+    assert cache.lookup("common/tenant") == LookupResult(b"share", 1, True)
+    assert cache.next_deadline() <= net.now
     net.run(0)
-    assert view.lookup("tenant/1") == LookupResult(b"own", 1, True)
-    assert view.next_deadline() > net.now
+    assert cache.lookup("tenant/1") == LookupResult(b"own", 1, True)
+    assert cache.next_deadline() > net.now
 
 
-def test_before_anything_was_held_nothing_is_known() -> None:
-    view = LookupCache(Follower("x", "wide", FeedTable(), (), 0, lambda span: 0))
-    assert view.lookup("route/1") == UNKNOWN
-    assert view.lookup("tenant/1") == UNKNOWN
+def test_lookups_are_unknown_before_first_state() -> None:
+    cache = LookupCache(Follower("x", "wide", FeedTable(), (), 0, lambda span: 0))
+    assert cache.lookup("route/1") == UNKNOWN
+    assert cache.lookup("tenant/1") == UNKNOWN
 
 
-def test_a_thousand_look_ups_of_one_tenant_ask_once_and_one_that_is_not_there_is_held_as_such() -> None:
-    net, view = looking(Written())
+def test_repeated_lookups_fetch_once_and_absence_is_cached() -> None:
+    net, cache = network_with_cache(ReferenceModel())
     for _ in range(1000):
-        assert view.lookup("tenant/nobody") == UNKNOWN
+        assert cache.lookup("tenant/nobody") == UNKNOWN
     net.run(0)
     for _ in range(1000):
-        assert view.lookup("tenant/nobody") == ABSENT
+        assert cache.lookup("tenant/nobody") == ABSENT
     net.run()
-    assert [one for _, one in net.asked if isinstance(one, FetchTenants)] == [
+    assert [one for _, one in net.sent_upstream if isinstance(one, FetchTenants)] == [
         FetchTenants(("tenant/nobody",))
     ]
     net.write(("tenant/nobody", b"here"))
-    net.pump()
-    assert view.lookup("tenant/nobody") == LookupResult(b"here", 1, True)
+    net.deliver_all()
+    assert cache.lookup("tenant/nobody") == LookupResult(b"here", 1, True)
     net.write(("tenant/nobody", None))
-    net.pump()
-    assert view.lookup("tenant/nobody") == ABSENT
+    net.deliver_all()
+    assert cache.lookup("tenant/nobody") == ABSENT
 
 
-def test_a_thousand_tenants_are_asked_for_in_batches_and_answered_in_bounded_messages() -> None:
-    written = Written()
+def test_many_tenants_are_fetched_in_batches_and_bounded_messages() -> None:
+    reference = ReferenceModel()
     for number in range(1000):
-        written.write((f"tenant/{number}", bytes(VALUE_SIZE_LIMIT)))
-    net, view = looking(written, 2000)
+        reference.write((f"tenant/{number}", bytes(VALUE_SIZE_LIMIT)))
+    net, cache = network_with_cache(reference, 2000)
     for number in range(1000):
-        view.lookup(f"tenant/{number}")
+        cache.lookup(f"tenant/{number}")
     net.run(0)
-    batches = [len(one.keys) for _, one in net.asked if isinstance(one, FetchTenants)]
+    batches = [len(one.keys) for _, one in net.sent_upstream if isinstance(one, FetchTenants)]
     assert (max(batches), sum(batches)) == (FETCHED_TENANTS_LIMIT, 1000)
-    assert all(view.lookup(f"tenant/{number}").known for number in range(1000))
+    assert all(cache.lookup(f"tenant/{number}").known for number in range(1000))
 
 
-def test_the_cache_is_bounded_and_the_least_lately_used_go_first() -> None:
-    written = Written()
+def test_cache_is_bounded_and_evicts_least_recently_used() -> None:
+    reference = ReferenceModel()
     for number in range(10):
-        written.write((f"tenant/{number}", b"own"))
-    net, view = looking(written, 4)
+        reference.write((f"tenant/{number}", b"own"))
+    net, cache = network_with_cache(reference, 4)
     for number in range(4):
-        view.lookup(f"tenant/{number}")
+        cache.lookup(f"tenant/{number}")
     net.run(0)
-    view.lookup("tenant/0")
-    view.lookup("tenant/4")
+    cache.lookup("tenant/0")
+    cache.lookup("tenant/4")
     net.run(0)
-    assert list(view.tenants) == ["tenant/2", "tenant/3", "tenant/0", "tenant/4"]
+    assert list(cache.tenants) == ["tenant/2", "tenant/3", "tenant/0", "tenant/4"]
     for number in range(1000):
-        view.lookup(f"tenant/stranger{number}")
-    assert len(view.wanted) == 4
+        cache.lookup(f"tenant/stranger{number}")
+    assert len(cache.wanted) == 4
     net.run(0)
-    assert len(view.tenants) == 4
+    assert len(cache.tenants) == 4
 
 
 @pytest.mark.parametrize("key", ["tenant/" + "x" * KEY_LENGTH_LIMIT, "tenant/\ud800"])
-def test_a_name_that_can_t_be_set_is_not_asked_for(key: str) -> None:
-    net, view = looking(Written())
-    assert view.lookup(key) == ABSENT
+def test_invalid_tenant_name_is_not_fetched(key: str) -> None:
+    net, cache = network_with_cache(ReferenceModel())
+    assert cache.lookup(key) == ABSENT
     net.run(0)
-    assert not [one for _, one in net.asked if isinstance(one, FetchTenants)]
+    assert not [one for _, one in net.sent_upstream if isinstance(one, FetchTenants)]
 
 
-def test_a_tenant_and_a_route_of_one_change_are_seen_together() -> None:
-    written = Written()
-    written.write(("route/1", b"1"), ("tenant/1", b"1"))
-    net, view = looking(written)
-    view.lookup("tenant/1")
+def test_tenant_and_route_of_one_change_become_visible_together() -> None:
+    reference = ReferenceModel()
+    reference.write(("route/1", b"1"), ("tenant/1", b"1"))
+    net, cache = network_with_cache(reference)
+    cache.lookup("tenant/1")
     net.run(0)
     for number in range(2, 40):
         net.write(("route/1", str(number).encode()), ("tenant/1", str(number).encode()))
-        while (link := net.links["x"]).down or link.up:
-            if link.down:
-                net.arrive("x", link)
+        while (link := net.links["x"]).to_follower or link.to_source:
+            if link.to_follower:
+                net.deliver_to_follower("x", link)
             else:
-                net.reach(link)
-            assert view.lookup("route/1") == view.lookup("tenant/1")
-    assert view.lookup("tenant/1") == LookupResult(b"39", 39, True)
-
-
-def test_an_answer_comes_behind_the_delta_it_belongs_to() -> None:
-    """Asked while a delta is out and more has changed since: an answer at once would be of another number."""
-    written = Written()
-    written.write(("tenant/1", b"1"))
-    net, view = looking(written)
-    net.links["x"].held.add("down")
+                net.deliver_to_source(link)
+            assert cache.lookup("route/1") == cache.lookup("tenant/1")
+    assert cache.lookup("tenant/1") == LookupResult(b"39", 39, True)
+
+
+def test_tenant_answer_is_sent_after_its_delta() -> None:
+    """The request arrives while a delta is in flight and more has changed since: an immediate answer would
+    belong to another sequence number."""
+    reference = ReferenceModel()
+    reference.write(("tenant/1", b"1"))
+    net, cache = network_with_cache(reference)
+    net.links["x"].blocked.add("to_follower")
     net.write(("route/1", b"2"))
     net.write(("tenant/1", b"3"))
-    view.lookup("tenant/1")
+    cache.lookup("tenant/1")
     net.run(0)
-    assert not told(net, "x", TenantEntries)
-    net.links["x"].held.clear()
+    assert not messages_to(net, "x", TenantEntries)
+    net.links["x"].blocked.clear()
     net.run(0)
-    assert [(one.sequence, one.items) for one in told(net, "x", TenantEntries)] == [
+    assert [(one.sequence, one.items) for one in messages_to(net, "x", TenantEntries)] == [
         (3, (("tenant/1", b"3", 3),))
     ]
-    assert view.lookup("tenant/1") == LookupResult(b"3", 3, True)
+    assert cache.lookup("tenant/1") == LookupResult(b"3", 3, True)
 
 
 @pytest.mark.parametrize("number", [0, 2, HUGE])
-def test_an_answer_of_another_number_is_dropped_and_asked_anew(number: int) -> None:
-    written = Written()
-    written.write(("tenant/1", b"1"))
-    net, view = looking(written)
-    view.lookup("tenant/1")
-    net.tell("x", DeadlineReached())
-    net.tell("x", UpstreamMessage("a", TenantEntries(number, (("tenant/1", b"of another state", number),))))
-    assert view.lookup("tenant/1") == UNKNOWN
+def test_tenant_answer_of_another_sequence_is_dropped_and_fetched_again(number: int) -> None:
+    reference = ReferenceModel()
+    reference.write(("tenant/1", b"1"))
+    net, cache = network_with_cache(reference)
+    cache.lookup("tenant/1")
+    net.pass_to_follower("x", DeadlineReached())
+    net.pass_to_follower(
+        "x", UpstreamMessage("a", TenantEntries(number, (("tenant/1", b"of another state", number),)))
+    )
+    assert cache.lookup("tenant/1") == UNKNOWN
     net.run(0)
-    assert view.lookup("tenant/1") == LookupResult(b"1", 1, True)
-    assert len([one for _, one in net.asked if isinstance(one, FetchTenants)]) == 2
+    assert cache.lookup("tenant/1") == LookupResult(b"1", 1, True)
+    assert len([one for _, one in net.sent_upstream if isinstance(one, FetchTenants)]) == 2
 
 
-def test_answers_that_nobody_asked_for_are_not_held() -> None:
-    net, view = looking(Written())
-    net.tell("x", UpstreamMessage("a", TenantEntries(0, tuple((f"tenant/{n}", b"", 0) for n in range(500)))))
-    net.tell("x", UpstreamMessage("elsewhere", TenantEntries(0, (("tenant/1", b"", 0),))))
-    assert not view.tenants
+def test_unrequested_tenant_answers_are_not_cached() -> None:
+    net, cache = network_with_cache(ReferenceModel())
+    net.pass_to_follower(
+        "x", UpstreamMessage("a", TenantEntries(0, tuple((f"tenant/{n}", b"", 0) for n in range(500))))
+    )
+    net.pass_to_follower("x", UpstreamMessage("elsewhere", TenantEntries(0, (("tenant/1", b"", 0),))))
+    assert not cache.tenants
 
 
-def test_what_was_not_answered_is_asked_anew_on_the_next_link() -> None:
-    written = Written()
-    written.write(("tenant/1", b"1"), ("tenant/2", b"2"))
-    net, view = looking(written)
-    view.lookup("tenant/1")
-    net.links["x"].held.add("up")
+def test_unanswered_tenants_are_fetched_again_after_reconnect() -> None:
+    reference = ReferenceModel()
+    reference.write(("tenant/1", b"1"), ("tenant/2", b"2"))
+    net, cache = network_with_cache(reference)
+    cache.lookup("tenant/1")
+    net.links["x"].blocked.add("to_source")
     net.run(0)
-    net.cut("x")
-    view.lookup("tenant/2")
-    assert list(view.wanted) == ["tenant/1", "tenant/2"]
+    net.break_link("x")
+    cache.lookup("tenant/2")
+    assert list(cache.wanted) == ["tenant/1", "tenant/2"]
     net.run(2 * RECONNECT_JITTER_NS)
-    assert (view.lookup("tenant/1").value, view.lookup("tenant/2").value) == (b"1", b"2")
+    assert (cache.lookup("tenant/1").value, cache.lookup("tenant/2").value) == (b"1", b"2")
 
 
-def test_a_source_that_answers_all_but_the_question_is_asked_again() -> None:
-    written = Written()
-    written.write(("tenant/1", b"1"))
-    net, view = looking(written)
-    view.lookup("tenant/1")
-    net.tell("x", DeadlineReached())
-    net.links["x"].up.clear()  # it forgot
+def test_unanswered_tenants_are_fetched_again_after_timeout() -> None:
+    reference = ReferenceModel()
+    reference.write(("tenant/1", b"1"))
+    net, cache = network_with_cache(reference)
+    cache.lookup("tenant/1")
+    net.pass_to_follower("x", DeadlineReached())
+    net.links["x"].to_source.clear()  # the request is lost
     net.run(2 * STALL_TIMEOUT_NS)
-    assert view.lookup("tenant/1") == LookupResult(b"1", 1, True)
+    assert cache.lookup("tenant/1") == LookupResult(b"1", 1, True)
 
 
-def test_what_is_held_of_tenants_stays_over_a_lost_link_and_goes_with_a_snapshot() -> None:
-    written = Written()
-    written.write(("tenant/1", b"1"), ("route/1", b"1"))
-    with small(HISTORY_STEPS_LIMIT=3):
-        net, view = looking(written)
-        view.lookup("tenant/1")
+def test_cached_tenants_survive_disconnect_and_are_evicted_by_snapshot() -> None:
+    reference = ReferenceModel()
+    reference.write(("tenant/1", b"1"), ("route/1", b"1"))
+    with lowered_limits(HISTORY_STEPS_LIMIT=3):
+        net, cache = network_with_cache(reference)
+        cache.lookup("tenant/1")
         net.run(0)
-        net.cut("x")
-        assert view.lookup("tenant/1") == LookupResult(b"1", 1, True)
+        net.break_link("x")
+        assert cache.lookup("tenant/1") == LookupResult(b"1", 1, True)
         net.write(("tenant/1", b"2"))
         net.run(2 * RECONNECT_JITTER_NS)
-        assert view.lookup("tenant/1") == LookupResult(b"2", 2, True)  # by the delta
-        net.cut("x")
+        assert cache.lookup("tenant/1") == LookupResult(b"2", 2, True)  # updated by the delta
+        net.break_link("x")
         for _ in range(5):
             net.write(("tenant/1", b"3"), ("route/1", b"3"))
-        assert view.lookup("tenant/1") == LookupResult(b"2", 2, True)
+        assert cache.lookup("tenant/1") == LookupResult(b"2", 2, True)
         net.run(2 * RECONNECT_JITTER_NS)
-        assert view.lookup("route/1") == LookupResult(b"3", 7, True)
-        assert view.lookup("tenant/1") == UNKNOWN  # rather than of an older state than the route
+        assert cache.lookup("route/1") == LookupResult(b"3", 7, True)
+        assert cache.lookup("tenant/1") == UNKNOWN  # not the value of a state older than the route's
         net.run(0)
-        assert view.lookup("tenant/1") == LookupResult(b"3", 7, True)
+        assert cache.lookup("tenant/1") == LookupResult(b"3", 7, True)
 
 
-def test_forgotten_tenants_are_asked_for_again() -> None:
-    written = Written()
-    written.write(("tenant/1", b"1"))
-    with small(DELTA_SIZE_LIMIT=1000):
-        net, view = looking(written)
-        view.lookup("tenant/1")
+def test_evicted_tenants_are_fetched_again() -> None:
+    reference = ReferenceModel()
+    reference.write(("tenant/1", b"1"))
+    with lowered_limits(DELTA_SIZE_LIMIT=1000):
+        net, cache = network_with_cache(reference)
+        cache.lookup("tenant/1")
         net.run(0)
-        net.links["x"].held.add("up")
+        net.links["x"].blocked.add("to_source")
         net.write(("route/1", b"2"))
-        net.pump()
-        written.some(30, 40, "tenant/")
-        written.write(("tenant/1", b"new"))
-        net.bring("a")
-        net.links["x"].held.clear()
-        net.pump()
-        assert view.lookup("tenant/1") == UNKNOWN
+        net.deliver_all()
+        reference.write_many(30, 40, "tenant/")
+        reference.write(("tenant/1", b"new"))
+        net.advance_source("a")
+        net.links["x"].blocked.clear()
+        net.deliver_all()
+        assert cache.lookup("tenant/1") == UNKNOWN
         net.run(0)
-        assert view.lookup("tenant/1") == LookupResult(b"new", 33, True)
+        assert cache.lookup("tenant/1") == LookupResult(b"new", 33, True)
 
 
 # ---- table and history
@@ -1719,72 +1759,72 @@
 
 
 @given(CHANGES, st.randoms(use_true_random=False))
-def test_a_digest_depends_on_what_stands_and_on_nothing_else(changes: list[Entries], chance: Random) -> None:
-    written = Written()
+def test_digest_depends_only_on_current_entries(changes: list[Entries], random: Random) -> None:
+    reference = ReferenceModel()
     for items in changes:
-        written.write(*items)
-    table = written.tables[-1]
+        reference.write(*items)
+    table = reference.tables[-1]
     entries = list(table.entries("all"))
-    chance.shuffle(entries)
-    there = FeedTable()
-    for key, value, version in entries:  # one by one, some twice, some past another value
-        if chance.random() < 0.3:
-            there = there.update(0, [(key, b"other", version + 1)])
-        there = there.update(0, [(key, value, version)])
+    random.shuffle(entries)
+    rebuilt = FeedTable()
+    for key, value, version in entries:  # one at a time, some after another value of the same key
+        if random.random() < 0.3:
+            rebuilt = rebuilt.update(0, [(key, b"other", version + 1)])
+        rebuilt = rebuilt.update(0, [(key, value, version)])
     for key in ("route/gone", "tenant/gone"):
-        there = there.update(0, [(key, b"x", 1)]).update(0, [(key, None, 2)])
-    assert there._replace(sequence=table.sequence) == table
-    assert {k: (v, n) for k, v, n in table.entries("all")} == written.states[-1]
-    assert table.entry_count("all") == len(written.states[-1])
+        rebuilt = rebuilt.update(0, [(key, b"x", 1)]).update(0, [(key, None, 2)])
+    assert rebuilt._replace(sequence=table.sequence) == table
+    assert {k: (v, n) for k, v, n in table.entries("all")} == reference.states[-1]
+    assert table.entry_count("all") == len(reference.states[-1])
     assert table.entry_count("wide") == len(list(table.entries("wide")))
 
 
 @given(CHANGES)
-def test_a_digest_tells_states_apart(changes: list[Entries]) -> None:
-    written = Written()
+def test_different_states_have_different_digests(changes: list[Entries]) -> None:
+    reference = ReferenceModel()
     for items in changes:
-        written.write(*items)
-    states = zip(written.states, written.tables, strict=True)
+        reference.write(*items)
+    states = zip(reference.states, reference.tables, strict=True)
     digests = {tuple(sorted(state.items())): table.digest("all") for state, table in states}
     assert len(set(digests.values())) == len(digests)
 
 
 @given(CHANGES, st.data())
-def test_a_merged_delta_comes_to_the_same_as_the_steps(changes: list[Entries], data: st.DataObject) -> None:
-    written = Written()
+def test_merged_delta_equals_its_steps(changes: list[Entries], data: st.DataObject) -> None:
+    reference = ReferenceModel()
     for items in changes:
-        written.write(*items)
+        reference.write(*items)
     history = History()
-    while history.table.sequence < written.number:  # in steps of one change or of several, as a relay's are
-        last = data.draw(st.integers(history.table.sequence + 1, written.number))
+    while history.table.sequence < reference.newest:  # steps of one or several changes, as in a relay
+        last = data.draw(st.integers(history.table.sequence + 1, reference.newest))
         merged: dict[str, tuple[str, bytes | None, int]] = {}
         for number in range(history.table.sequence + 1, last + 1):
-            merged |= {key: (key, value, number) for key, value in written.changes[number]}
+            merged |= {key: (key, value, number) for key, value in reference.changes[number]}
         history.advance(last, tuple(merged.values()))
-    assert history.table == written.tables[-1]
+    assert history.table == reference.tables[-1]
     numbers = {0, *(last for _, last, _, _ in history.steps)}
     kinds: tuple[Kind, Kind] = ("wide", "all")
-    for number, table in enumerate(written.tables):
+    for number, table in enumerate(reference.tables):
         for kind in kinds:
             assert history.contains(number, table.digest(kind), kind)
             assert history.contains(number, b"another digest..", kind) == (number not in numbers)
-            held = table if kind == "all" else FeedTable().update(number, table.entries("wide"), "wide")
+            before = table if kind == "all" else FeedTable().update(number, table.entries("wide"), "wide")
             delta = history.delta(number, kind)
             assert delta is not None
             assert len({key for key, _, _ in delta.items}) == len(delta.items)
-            after = held.update(delta.last, delta.items, kind)
+            after = before.update(delta.last, delta.items, kind)
             assert after.digest(kind) == delta.digest == history.table.digest(kind)
-            written.check(after, kind)
-            other = held.update(number, [("route/of another line", b"x", number)], kind)
+            reference.check(after, kind)
+            other = before.update(number, [("route/of another line", b"x", number)], kind)
             assert other.update(delta.last, delta.items, kind).digest(kind) != delta.digest
 
 
-def test_a_wide_table_passes_over_tenants() -> None:
+def test_wide_table_ignores_tenants() -> None:
     table = FeedTable().update(1, [("route/1", b"r", 1), ("tenant/1", b"t", 1)], "wide")
     assert (len(table.wide), len(table.tenants), table.digest("all")) == (1, 0, table.digest("wide"))
 
 
-def test_a_change_that_is_not_the_next_is_refused() -> None:
+def test_change_out_of_sequence_is_rejected() -> None:
     with pytest.raises(ValueError, match="does not follow"):
         FeedTable().apply(Change(2, "r", ()))
     history = History(FeedTable().update(3, ()))
@@ -1793,28 +1833,26 @@
             history.advance(number, ())
 
 
-def test_a_state_that_is_held_stays_while_changes_go_on() -> None:
-    written = Written()
-    written.some(500)
-    entries = written.tables[-1].entries("wide")
+def test_iterated_table_is_not_affected_by_later_changes() -> None:
+    reference = ReferenceModel()
+    reference.write_many(500)
+    entries = reference.tables[-1].entries("wide")
     seen = [next(entries) for _ in range(100)]
     for number in range(500):
-        written.write((f"route/{number}", None))
+        reference.write((f"route/{number}", None))
     seen += entries
-    assert {key for key, _, _ in seen} == set(written.states[500])
+    assert {key for key, _, _ in seen} == set(reference.states[500])
 
 
 @given(st.integers(1, 5), st.integers(100, 400), CHANGES)
-def test_a_history_keeps_within_its_bounds_and_knows_what_it_keeps(
-    steps: int, size: int, changes: list[Entries]
-) -> None:
-    written = Written()
+def test_history_keeps_within_its_limits(steps: int, size: int, changes: list[Entries]) -> None:
+    reference = ReferenceModel()
     for items in changes:
-        written.write(*items)
-    with small(HISTORY_STEPS_LIMIT=steps, HISTORY_SIZE_LIMIT=size):
+        reference.write(*items)
+    with lowered_limits(HISTORY_STEPS_LIMIT=steps, HISTORY_SIZE_LIMIT=size):
         history = History()
-        for number in range(1, written.number + 1):
-            written.bring(history, number)
+        for number in range(1, reference.newest + 1):
+            reference.advance_history(history, number)
             assert len(history.steps) <= steps
             assert history.size == sum(cost for _, _, _, cost in history.steps) <= size
             known = {n for n in range(number + 1) if history.digest_at(n, "wide") is not None}
@@ -1823,200 +1861,216 @@
     history.reset(FeedTable().update(1000, ()))
     assert (history.base, history.size, len(history.steps)) == (1000, 0, 0)
     assert history.contains(1000, bytes(16), "all")
-    assert not history.contains(written.number, written.tables[-1].digest("all"), "all")
+    assert not history.contains(reference.newest, reference.tables[-1].digest("all"), "all")
 
 
-def test_a_delta_leads_as_far_as_it_holds_and_tenants_are_forgotten_first() -> None:
+def test_delta_is_limited_in_size_and_leaves_out_tenants_first() -> None:
     history = History()
     value = bytes(VALUE_SIZE_LIMIT)
     many = DELTA_SIZE_LIMIT // VALUE_SIZE_LIMIT - 2
     for number, section in enumerate(("tenant", "tenant", "route", "route"), 1):
         items = tuple((f"{section}/{number}-{n}", value, number) for n in range(many))
         history.advance(number, items)
-    ways = []
+    paths = []
     for kind in KINDS:
-        at, way = 0, [(0, False)]
+        at, path = 0, [(0, False)]
         while at < 4:
             delta = history.delta(at, kind)
             assert delta is not None
             assert histories.items_size(delta.items) <= DELTA_SIZE_LIMIT
             at = delta.last
-            way.append((at, delta.evict_tenants))
-        ways.append(way)
-    assert ways == [
+            path.append((at, delta.evict_tenants))
+        paths.append(path)
+    assert paths == [
         [(0, False), (3, True), (4, False)],
         [(0, False), (1, False), (2, False), (3, False), (4, False)],
     ]
     assert history.delta(4, "wide") == Delta(4, 4, (), history.table.digest("wide"))
 
 
-def test_where_more_leads_on_than_there_is_nothing_does() -> None:
+def test_no_delta_where_snapshot_is_smaller() -> None:
     history = History()
     for number in range(1, 12):
         history.advance(number, (("route/1", bytes(DELTA_SIZE_LIMIT), number),))
     assert history.delta(1, "all") is None
     newest = history.delta(10, "all")
-    assert newest is not None  # a step can't be cut
+    assert newest is not None  # a step cannot be split
     assert (newest.last, len(newest.items)) == (11, 1)
 
 
-# ---- all of it at random
+# ---- random runs
 
 
-def items_of(chance: Random) -> Entries:
+def random_items(random: Random) -> Entries:
     keys = [f"route/{n}" for n in range(6)] + [f"tenant/{n}" for n in range(4)] + ["common/tenant"]
     return tuple(
-        (key, None if chance.random() < 0.2 else str(chance.randrange(100)).encode())
-        for key in chance.sample(keys, chance.randint(1, 3))
+        (key, None if random.random() < 0.2 else str(random.randrange(100)).encode())
+        for key in random.sample(keys, random.randint(1, 3))
     )
 
 
 KINDS: tuple[Kind, Kind] = ("wide", "all")
 
-ACTS = ("write", "write", "lag", "cut", "vanish", "slow", "pause", "resume", "die", "restart", "look", "run")
+ACTIONS = (
+    "write",
+    "write",
+    "advance lagging source",
+    "break link",
+    "break link silently",
+    "block link",
+    "pause",
+    "resume",
+    "restart source",
+    "restart follower",
+    "look up",
+    "run",
+)
 
 
 @settings(max_examples=150, deadline=None)
 @given(st.integers(0, 1 << 32), st.integers(1, 80))
-def test_whatever_happens_each_holds_what_was_written_and_ends_at_the_newest(seed: int, count: int) -> None:
-    """Two sources, of which one lags; a relay below them; instances that follow all; one looks up tenants."""
-    written, chance = Written(), Random(seed)
-    net = Net(written, seed)
+def test_random_faults_never_corrupt_a_state_and_all_reach_the_newest(seed: int, count: int) -> None:
+    """Two sources, one of them lagging; a relay that follows them; instances that follow any of these; one
+    instance looks up tenants."""
+    reference, random = ReferenceModel(), Random(seed)
+    net = Network(reference, seed)
     durable: dict[str, int] = {"x": 0, "y": 0}
-    with small(HISTORY_STEPS_LIMIT=8, PART_SIZE=150, DELTA_SIZE_LIMIT=600):
+    with lowered_limits(HISTORY_STEPS_LIMIT=8, PART_SIZE=150, DELTA_SIZE_LIMIT=600):
         for name in "ab":
-            net.serve(name, History())
-        net.relay("r", "a", "b", level=1)
-        net.follow("x", "a", "b")
-        net.follow("y", "r", "b")
-        view = LookupCache(net.follow("z", "b", "r", "a"))
-        net.followers["z"] = view
+            net.add_source(name, History())
+        net.add_relay("r", "a", "b", level=1)
+        net.add_follower("x", "a", "b")
+        net.add_follower("y", "r", "b")
+        cache = LookupCache(net.add_follower("z", "b", "r", "a"))
+        net.followers["z"] = cache
         seen: dict[str, int] = {}
 
-        def look() -> None:
-            """What is known is of one state, the one that the table says."""
-            state = written.states[view.follower.table.sequence]
+        def check_cache() -> None:
+            """Check that all cached values belong to the table's state."""
+            state = reference.states[cache.follower.table.sequence]
             for key in ("route/1", "tenant/1", "tenant/2", "tenant/absent", "common/tenant"):
-                found = view.lookup(key)
-                if found.known:
-                    assert (found.value, found.version) == state.get(key, (None, 0))
-                    assert view.follower.table.sequence >= seen.get(key, 0)
-                    seen[key] = view.follower.table.sequence
-
-        for act in chance.choices(ACTS, k=count):
-            id = chance.choice(["r", "x", "y", "z"])
+                result = cache.lookup(key)
+                if result.known:
+                    assert (result.value, result.version) == state.get(key, (None, 0))
+                    assert cache.follower.table.sequence >= seen.get(key, 0)
+                    seen[key] = cache.follower.table.sequence
+
+        for action in random.choices(ACTIONS, k=count):
+            id = random.choice(["r", "x", "y", "z"])
             link = net.links.get(id)
-            if act == "write":
-                for _ in range(chance.choice((1, 1, 1, 3, 12))):
-                    written.write(*items_of(chance))
+            if action == "write":
+                for _ in range(random.choice((1, 1, 1, 3, 12))):
+                    reference.write(*random_items(random))
                 if "a" in net.sources:
-                    net.bring("a")
-            elif act == "lag" and "b" in net.sources:
-                net.bring("b", chance.randint(net.sources["b"].history.table.sequence, written.number))
-            elif act == "cut":
-                net.cut(id)
-            elif act == "vanish":
-                net.cut(id, told=False)
-            elif act == "slow" and link is not None:
-                link.held.add(chance.choice(("up", "down")))
-            elif act == "pause":
+                    net.advance_source("a")
+            elif action == "advance lagging source" and "b" in net.sources:
+                net.advance_source(
+                    "b", random.randint(net.sources["b"].history.table.sequence, reference.newest)
+                )
+            elif action == "break link":
+                net.break_link(id)
+            elif action == "break link silently":
+                net.break_link(id, notify=False)
+            elif action == "block link" and link is not None:
+                link.blocked.add(random.choice(("to_source", "to_follower")))
+            elif action == "pause":
                 net.paused.add(id)
-            elif act == "resume":
+            elif action == "resume":
                 net.paused.clear()
                 for one in net.links.values():
-                    one.held.clear()
-            elif act == "die":
-                name = chance.choice("ab")
+                    one.blocked.clear()
+            elif action == "restart source":
+                name = random.choice("ab")
                 if name in net.sources:
                     number = net.sources[name].history.table.sequence
                     net.kill(name)
-                    net.serve(name, written.history(max(0, number - chance.randint(0, 9)), number))
-            elif act == "restart" and id in durable:
-                net.end(id)
-                net.opening = [one for one in net.opening if one[0] != id]
-                durable[id] = chance.randint(durable[id], net.numbers[id])
-                state = written.tables[durable[id]]
+                    net.add_source(name, reference.history(max(0, number - random.randint(0, 9)), number))
+            elif action == "restart follower" and id in durable:
+                net.close_link(id)
+                net.pending_connects = [one for one in net.pending_connects if one[0] != id]
+                durable[id] = random.randint(durable[id], net.newest_held[id])
+                state = reference.tables[durable[id]]
                 table = FeedTable().update(durable[id], state.entries("wide"), "wide")
-                net.follow(id, *net.follower(id).sources, table=table)
-            elif act == "look":
-                look()
-            elif act == "run":
-                net.run(chance.choice((1 * MS, 100 * MS, SECOND, 3 * SECOND)))
-            if chance.random() < 0.5:
-                net.pump()
-            look()
+                net.add_follower(id, *net.follower(id).sources, table=table)
+            elif action == "look up":
+                check_cache()
+            elif action == "run":
+                net.run(random.choice((1 * MS, 100 * MS, SECOND, 3 * SECOND)))
+            if random.random() < 0.5:
+                net.deliver_all()
+            check_cache()
             for one in net.links.values():
-                assert sum(isinstance(message, Delta) for message in one.down) <= 1
+                assert sum(isinstance(message, Delta) for message in one.to_follower) <= 1
         net.paused.clear()
         for one in net.links.values():
-            one.held.clear()
+            one.blocked.clear()
         for name in "ab":
-            net.bring(name)
+            net.advance_source(name)
         net.run(20 * SECOND)
-        net.settled()
-        look()
+        net.check_all_newest()
+        check_cache()
         net.run(0)
-        assert view.lookup("tenant/1").known
-        assert {why for _, why in net.closed} <= {"behind", "silent"}  # nobody here talks nonsense
-        assert {why for _, why in net.drops} <= {"refused: behind", "silent"}
+        assert cache.lookup("tenant/1").known
+        assert {reason for _, reason in net.closed} <= {"behind", "silent"}  # no message was invalid
+        assert {reason for _, reason in net.disconnects} <= {"refused: behind", "silent"}
         assert {net.follower(id).phase for id in net.followers} == {"following"}
 
 
-# ---- exploration
+# ---- copies, as used by exploration
 
 
 @settings(max_examples=50, deadline=None)
 @given(st.integers(0, 1 << 32))
-def test_a_copy_does_as_the_first_and_leaves_it_as_it_was(seed: int) -> None:
-    """The same inputs to both; then to the copy alone."""
-    chance, written = Random(seed), Written()
-    written.some(10)
-    with small(PART_SIZE=200):
-        source = Source(written.history(5), 0, 0)
+def test_source_copy_behaves_like_original_and_is_independent(seed: int) -> None:
+    """Passes inputs to the copy first, then the same inputs to the original."""
+    random, reference = Random(seed), ReferenceModel()
+    reference.write_many(10)
+    with lowered_limits(PART_SIZE=200):
+        source = Source(reference.history(5), 0, 0)
         peers = range(1, 4)
         inputs: list[SourceEvent] = []
         for peer in peers:
             inputs.append(SubscriberJoined(peer))
         for _ in range(30):
-            peer, now = chance.choice(peers), written.tables[chance.randint(0, 10)]
+            peer, now = random.choice(peers), reference.tables[random.randint(0, 10)]
             choices: list[SourceEvent] = [
                 SubscriberMessage(peer, Follow(f"x{peer}", "wide", now.sequence, now.digest("wide"))),
-                SubscriberMessage(peer, Acknowledge(chance.randint(8, 12))),
-                SubscriberMessage(peer, FetchPart(10, chance.randint(0, 2))),
+                SubscriberMessage(peer, Acknowledge(random.randint(8, 12))),
+                SubscriberMessage(peer, FetchPart(10, random.randint(0, 2))),
                 SubscriberMessage(peer, FetchTenants(("tenant/1",))),
                 DeadlineReached(),
                 SubscriberJoined(peer),
                 SubscriberLeft(peer),
             ]
-            inputs.append(chance.choice(choices))
+            inputs.append(random.choice(choices))
         half = len(inputs) // 2
         for at, input in enumerate(inputs[:half]):
             source.handle(at * 300 * MS, input)
-        twin = source.copy()
-        frozen = source.state_key()
-        assert (hash(twin.state_key()), twin.state_key()) == (hash(frozen), frozen)
+        clone = source.copy()
+        state_before = source.state_key()
+        assert (hash(clone.state_key()), clone.state_key()) == (hash(state_before), state_before)
         done = []
         for at, input in enumerate(inputs[half:], half):
-            done.append(twin.handle(at * 300 * MS, input))
-        twin.history.advance(11, (("route/1", b"x", 11),))
-        twin.handle(60 * SECOND, HistoryAdvanced())
-        assert source.state_key() == frozen
+            done.append(clone.handle(at * 300 * MS, input))
+        clone.history.advance(11, (("route/1", b"x", 11),))
+        clone.handle(60 * SECOND, HistoryAdvanced())
+        assert source.state_key() == state_before
         assert [source.handle(at * 300 * MS, input) for at, input in enumerate(inputs[half:], half)] == done
 
 
-def test_a_copy_of_look_ups_goes_its_own_way() -> None:
-    written = Written()
-    written.write(("tenant/1", b"1"), ("route/1", b"1"))
-    net, view = looking(written)
-    view.lookup("tenant/1")
-    twin, frozen = view.copy(), view.state_key()
-    assert (twin.state_key(), hash(twin.state_key())) == (frozen, hash(frozen))
-    delta = written.history(0).delta(0, "wide")
+def test_lookup_cache_copy_is_independent() -> None:
+    reference = ReferenceModel()
+    reference.write(("tenant/1", b"1"), ("route/1", b"1"))
+    net, cache = network_with_cache(reference)
+    cache.lookup("tenant/1")
+    clone, state_before = cache.copy(), cache.state_key()
+    assert (clone.state_key(), hash(clone.state_key())) == (state_before, hash(state_before))
+    delta = reference.history(0).delta(0, "wide")
     assert delta is not None
-    assert twin.handle(net.now, DeadlineReached()) != []
-    assert view.state_key() == frozen != twin.state_key()
-    twin.handle(net.now, UpstreamMessage("a", delta))
-    assert (twin.follower.phase, view.follower.phase) == ("waiting", "following")
+    assert clone.handle(net.now, DeadlineReached()) != []
+    assert cache.state_key() == state_before != clone.state_key()
+    clone.handle(net.now, UpstreamMessage("a", delta))
+    assert (clone.follower.phase, cache.follower.phase) == ("waiting", "following")
 
 
 @pytest.mark.parametrize(
@@ -2024,11 +2078,11 @@
     [
         encode(Delta(1, 2, (("route/x", b"{}", -1),), bytes(16))),
         encode(SnapshotPart(1, 0, 1, (("route/x", b"{}", -1),), bytes(16))),
-        b"\x82\xa4type\xa4beat\xa1x" + b"\x91" * 3000 + b"\x01",  # a list in a list in a list
+        b"\x82\xa4type\xa4beat\xa1x" + b"\x91" * 3000 + b"\x01",  # deeply nested lists
     ],
     ids=("delta", "part", "deep"),
 )
-def test_what_no_source_says_ends_its_link_and_not_the_follower(message: bytes) -> None:
+def test_malformed_source_message_raises_disconnect_error(message: bytes) -> None:
     with pytest.raises(DISCONNECT_ERRORS):
         decode_source(message)
 
