--- a/tests/test_feed_service.py
+++ b/tests/test_feed_service.py
@@ -1,4 +1,4 @@
-"""The feed between processes of the program: keepers, relays and subscribers, with faults between them."""
+"""Tests of the feed across processes: keepers, relays and subscribers, with injected faults."""
 
 import errno
 import gc
@@ -51,13 +51,16 @@
 from thistleline.transport.codec import FrameDecoder, Hello, encode_frame
 from thistleline.transport.disconnects import DISCONNECT_ERRORS
 
-Story = Callable[[FeedFleet], Awaitable[None]]
+Scenario = Callable[[FeedFleet], Awaitable[None]]
 
 
-def with_feed(
-    folder: Path, story: Story, keepers: int = 3, subscribers: int = 2, without: str = ""
+def run_with_fleet(
+    folder: Path, scenario: Scenario, keepers: int = 3, subscribers: int = 2, without: str = ""
 ) -> list[str]:
-    """A story told to processes, then what the oracle finds wrong; it ends by itself after a minute."""
+    """Run a scenario on a fleet of processes and return the violations that the oracle finds.
+
+    It fails after a minute.
+    """
 
     async def run() -> list[str]:
         with anyio.fail_after(60):
@@ -65,58 +68,64 @@
                 feed = FeedFleet(folder, group, 1, keepers, without)
                 try:
                     await feed.start(subscribers)
-                    await story(feed)
+                    await scenario(feed)
                     await feed.settle()
-                    wrong = await feed.judge()
+                    violations = await feed.judge()
                 finally:
                     feed.close()
                     group.cancel_scope.cancel()
-        return wrong
+        return violations
 
     return anyio.run(run)
 
 
-def command(feed: FeedFleet, *words: str) -> subprocess.CompletedProcess[str]:
-    at = [word for name in feed.keepers for word in ("--at", f"{name}=127.0.0.1:{feed.fleet.ports[name]}")]
-    told = [sys.executable, "-m", "thistleline", "feed", words[0], *at, *words[1:]]
+def run_feed_command(feed: FeedFleet, *words: str) -> subprocess.CompletedProcess[str]:
+    addresses = [
+        word for name in feed.keepers for word in ("--at", f"{name}=127.0.0.1:{feed.fleet.ports[name]}")
+    ]
+    arguments = [sys.executable, "-m", "thistleline", "feed", words[0], *addresses, *words[1:]]
     return subprocess.run(
-        told, capture_output=True, text=True, timeout=30, env={**os.environ, "PYTHONPATH": "."}
+        arguments, capture_output=True, text=True, timeout=30, env={**os.environ, "PYTHONPATH": "."}
     )
 
 
-# ---- as an operator meets it
+# ---- commands and settings
 
 
-def test_a_change_is_put_got_followed_exported_and_put_again(tmp_path: Path) -> None:
-    async def story(feed: FeedFleet) -> None:
+def test_commands_put_get_follow_export_and_import(tmp_path: Path) -> None:
+    async def scenario(feed: FeedFleet) -> None:
         async def run(*words: str) -> subprocess.CompletedProcess[str]:
-            return await anyio.to_thread.run_sync(partial(command, feed, *words))
+            return await anyio.to_thread.run_sync(partial(run_feed_command, feed, *words))
 
-        two = 'common/left-0={"n": 1}', 'common/right-0={"n":1}'
-        one = await run("put", *two, "--expect", "common/left-0=0", "--request", "1")
-        assert (one.stdout, one.returncode) == ("change 1\n", 0)
+        pair = 'common/left-0={"n": 1}', 'common/right-0={"n":1}'
+        created = await run("put", *pair, "--expect", "common/left-0=0", "--request", "1")
+        assert (created.stdout, created.returncode) == ("change 1\n", 0)
         again = await run("put", 'common/left-0={"n":2}', "--expect", "common/left-0=0")
         assert (again.returncode, "has version 1, 0 was expected" in again.stderr) == (1, True)
         faulty = await run("put", 'route/x={"limit_ms": -1, "speed": 3}', "nowhere/x={}")
         assert faulty.returncode == 1
         for word in ("'speed'", "limit_ms", "effect is missing", "nowhere/x"):
             assert word in faulty.stderr, word
-        told = await run("put", "common/x", "common/y={", "--expect", "z")
-        assert (told.returncode, len(told.stderr.splitlines())) == (2, 3)
+        result = await run("put", "common/x", "common/y={", "--expect", "z")
+        assert (result.returncode, len(result.stderr.splitlines())) == (2, 3)
         assert (await run("put", 'common/gone={"n":1}', "--request", "once")).stdout == "change 2\n"
         assert (await run("put", 'common/gone={"n":1}', "--request", "once")).stdout == "change 2\n"
-        told = await run("put", "--delete", "common/gone", 'tenant/a={"share":0.5}', "--request", "3")
-        assert told.stdout == "change 3\n"
+        result = await run("put", "--delete", "common/gone", 'tenant/a={"share":0.5}', "--request", "3")
+        assert result.stdout == "change 3\n"
         got = await run("get", "common/left-0", "common/gone", "--json")
-        facts = [json.loads(line) for line in got.stdout.splitlines()]
-        assert [(one["value"], one["version"]) for one in facts] == [({"n": 1}, 1), (None, 0)]
+        lines = [json.loads(line) for line in got.stdout.splitlines()]
+        assert [(one["value"], one["version"]) for one in lines] == [({"n": 1}, 1), (None, 0)]
         assert got.returncode == 1
-        strange = "common/\udcff"  # bytes that are no UTF-8
-        words = ["--delete", strange, "--expect", f"{strange}=1", "--request", strange]
-        told = await run("put", *words)
-        assert (told.returncode, told.stderr.count("is no text"), "Trace" in told.stderr) == (2, 3, False)
-        told = await run("get", strange)
-        assert (told.returncode, told.stderr) == (2, "Error: 'common/\\udcff' is no text\n")
+        invalid_key = "common/\udcff"  # bytes that are not valid UTF-8
+        words = ["--delete", invalid_key, "--expect", f"{invalid_key}=1", "--request", invalid_key]
+        result = await run("put", *words)
+        assert (result.returncode, result.stderr.count("is no text"), "Trace" in result.stderr) == (
+            2,
+            3,
+            False,
+        )
+        result = await run("get", invalid_key)
+        assert (result.returncode, result.stderr) == (2, "Error: 'common/\\udcff' is no text\n")
         got = await run("get", "made/2", "--json")
         assert json.loads(got.stdout)["value"] == "once"
         status = await run("status", "--json")
@@ -142,48 +151,48 @@
             feed.processes[name].start()
         for name in feed.keepers:
             await feed.reaches(name, 4)
-        # What the commands did the oracle was not told of.
+        # The commands' changes were made without the oracle, so they are added to it here.
         await feed.writer()
         items = (("common/left-0", b'{"n":1}'), ("common/right-0", b'{"n":1}'))
         feed.oracle.made = {1: ("1", items), 2: ("once", (("common/gone", b'{"n":1}'),)),
                             3: ("3", (("common/gone", None), ("tenant/a", b'{"share":0.5}'))),
                             4: ("4.0", (*items, ("tenant/a", b'{"share":0.5}')))}  # fmt: skip
 
-    assert with_feed(tmp_path, story) == []
+    assert run_with_fleet(tmp_path, scenario) == []
 
 
-def test_faulty_settings_end_with_2_and_all_faults(tmp_path: Path) -> None:
+def test_invalid_settings_exit_with_2_and_report_all_errors(tmp_path: Path) -> None:
     conf = tmp_path / "faulty.conf"
     conf.write_text("feed role keeper\nfeed name k1\nfeed level 3\nfeed lease soon\nfeed listen 0.0.0.0:1\n"
                     "feed keeper k2=127.0.0.1:7000\nfeed up k9=127.0.0.1:7001\n")  # fmt: skip
-    told = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "thistleline", "feed", "--conf", str(conf)],
         capture_output=True, text=True, timeout=30, env={**os.environ, "PYTHONPATH": "."},
     )  # fmt: skip
-    assert told.returncode == 2
+    assert result.returncode == 2
     for words in ("'soon' is not a duration", "wildcard or multicast address", "'feed folder'",
                   "level' must be 0", "own name 'k1'",
                   "no 'feed keeper' of that name", "'council voter'"):  # fmt: skip
-        assert words in told.stderr, words
+        assert words in result.stderr, words
 
 
-@pytest.mark.parametrize(("text", "words"), [
+@pytest.mark.parametrize(("text", "expected"), [
     ("feed role relay\nfeed name r\nfeed listen 127.0.0.1:1\n", ["'feed up'", "level' must be 1"]),
     ("feed role other\n", ["invalid enum value 'other'"]),
     ("feed role relay\nfeed level 99\n", ["'feed name'", "'feed listen'", "'feed up'", "<= 15"]),
 ])  # fmt: skip
-def test_what_a_part_misses_is_told_at_once(text: str, words: list[str]) -> None:
-    with pytest.raises(ConfigError) as found:
+def test_missing_settings_are_all_reported(text: str, expected: list[str]) -> None:
+    with pytest.raises(ConfigError) as error:
         parse_config("x", text)
-    assert all(word in str(found.value) for word in words), str(found.value)
+    assert all(word in str(error.value) for word in expected), str(error.value)
     assert parse_config("x", "feed keeper k1=127.0.0.1:1\n").feed is not None  # enough for commands
 
 
 # ---- faults of keepers
 
 
-def test_the_writer_is_killed_among_changes_and_another_goes_on(tmp_path: Path) -> None:
-    async def story(feed: FeedFleet) -> None:
+def test_killed_writer_is_replaced_during_changes(tmp_path: Path) -> None:
+    async def scenario(feed: FeedFleet) -> None:
         await feed.pairs(2 * RING_SLOTS)
         writer = await feed.writer()
         async with anyio.create_task_group() as group:
@@ -195,11 +204,11 @@
         feed.processes[writer].start()
         await feed.reaches(writer, feed.oracle.newest)
 
-    assert with_feed(tmp_path, story) == []
+    assert run_with_fleet(tmp_path, scenario) == []
 
 
-def test_a_stopped_writer_that_goes_on_beside_the_next_changes_nothing(tmp_path: Path) -> None:
-    async def story(feed: FeedFleet) -> None:
+def test_resumed_former_writer_commits_nothing(tmp_path: Path) -> None:
+    async def scenario(feed: FeedFleet) -> None:
         await feed.pairs(4)
         writer = await feed.writer()
         feed.processes[writer].pause()
@@ -209,11 +218,11 @@
         await feed.pairs(4)
         await feed.reaches(writer, feed.oracle.newest)
 
-    assert with_feed(tmp_path, story) == []
+    assert run_with_fleet(tmp_path, scenario) == []
 
 
-def test_a_keeper_whose_disk_is_lost_has_all_again_and_one_that_writes_too(tmp_path: Path) -> None:
-    async def story(feed: FeedFleet) -> None:
+def test_keeper_and_writer_recover_from_lost_disk(tmp_path: Path) -> None:
+    async def scenario(feed: FeedFleet) -> None:
         await feed.pairs(2 * RING_SLOTS)
         for writes in (False, True):
             writer = await feed.writer()
@@ -224,15 +233,15 @@
             await feed.reaches(name, feed.oracle.newest)
             await feed.pairs(RING_SLOTS + 2)
 
-    assert with_feed(tmp_path, story) == []
+    assert run_with_fleet(tmp_path, scenario) == []
 
 
-async def one_disk_lost_while_another_sleeps(feed: FeedFleet) -> None:
-    """Of two keepers one stands still, changes go on, and the other's disk is lost."""
+async def lose_disk_while_other_keeper_is_paused(feed: FeedFleet) -> None:
+    """Pause one of two keepers, make changes, then empty the disk of the other."""
     await feed.pairs(2)
     writer = await feed.writer()
     (other,) = [one for one in feed.keepers if one != writer]
-    await feed.kept(writer, 2)  # what it holds it may not have on disk yet, and then the ring is full sooner
+    await feed.kept(writer, 2)  # otherwise the ring may fill earlier: its state may not be on disk yet
     feed.processes[other].pause()
     feed.asked = [writer]
     await feed.pairs(RING_SLOTS)
@@ -244,53 +253,53 @@
     await feed.writer(5.0)
 
 
-def test_without_a_majority_of_keepers_changes_wait_and_none_is_lost(tmp_path: Path) -> None:
-    waited: list[str] = []
+def test_changes_without_majority_of_keepers_wait_and_are_not_lost(tmp_path: Path) -> None:
+    unanswered: list[str] = []
 
-    async def story(feed: FeedFleet) -> None:
-        await one_disk_lost_while_another_sleeps(feed)
-        waited.extend(feed.oracle.open)
+    async def scenario(feed: FeedFleet) -> None:
+        await lose_disk_while_other_keeper_is_paused(feed)
+        unanswered.extend(feed.oracle.open)
 
-    assert with_feed(tmp_path, story, keepers=2, subscribers=1) == []
-    assert len(waited) == 4
+    assert run_with_fleet(tmp_path, scenario, keepers=2, subscribers=1) == []
+    assert len(unanswered) == 4
 
 
 # ---- faults of relays and subscribers
 
 
-def test_a_relay_killed_stopped_and_cut_one_way_holds_up_nobody(tmp_path: Path) -> None:
-    async def story(feed: FeedFleet) -> None:
+def test_failed_relay_does_not_delay_others(tmp_path: Path) -> None:
+    async def scenario(feed: FeedFleet) -> None:
         await feed.pairs(4)
-        for fault in ("kill", "stop", "deaf", "mute"):
+        for fault in ("kill", "stop", "drop to followers", "drop to source"):
             for name in [*feed.relays, *feed.subscribers]:
                 await feed.reaches(name, feed.oracle.newest)
-            hurt = next(name for name in feed.relays if feed.fleet.relays["s1", name].connections)
+            failed = next(name for name in feed.relays if feed.fleet.relays["s1", name].connections)
             if fault == "kill":
-                feed.processes[hurt].kill()
+                feed.processes[failed].kill()
             elif fault == "stop":
-                feed.processes[hurt].pause()
-            elif fault == "deaf":  # its words come to nobody below it
+                feed.processes[failed].pause()
+            elif fault == "drop to followers":  # its messages do not reach its followers
                 for (_, to), relay in feed.fleet.relays.items():
-                    if to == hurt:
+                    if to == failed:
                         relay.backward = LinkFault(drop=True)
-            else:  # nor to anybody above it
-                feed.fleet.partition(hurt, incoming=False)
+            else:  # its messages do not reach its source
+                feed.fleet.partition(failed, incoming=False)
             await feed.pairs(3)
-            if fault != "mute":  # where nobody above hears it, it serves on what it has
-                begun = time.monotonic()
+            if fault != "drop to source":  # a relay that its source cannot hear keeps serving its state
+                started_at = time.monotonic()
                 for name in feed.subscribers:
                     await feed.reaches(name, feed.oracle.newest, 7.0)
-                assert time.monotonic() - begun < 7.0
+                assert time.monotonic() - started_at < 7.0
             feed.fleet.heal()
-            feed.processes[hurt].resume()
-            if not feed.processes[hurt].is_running:
-                feed.processes[hurt].start()
+            feed.processes[failed].resume()
+            if not feed.processes[failed].is_running:
+                feed.processes[failed].start()
 
-    assert with_feed(tmp_path, story) == []
+    assert run_with_fleet(tmp_path, scenario) == []
 
 
-def test_late_messages_and_a_stopped_subscriber_cost_the_others_nothing(tmp_path: Path) -> None:
-    async def story(feed: FeedFleet) -> None:
+def test_delayed_messages_and_paused_subscriber_do_not_delay_others(tmp_path: Path) -> None:
+    async def scenario(feed: FeedFleet) -> None:
         await feed.pairs(2)
         feed.asked = [await feed.writer()]
         for relay in feed.fleet.relays.values():
@@ -302,16 +311,16 @@
         feed.processes["s1"].resume()
         await feed.reaches("s1", feed.oracle.newest)
         feed.processes["s1"].kill()
-        at = feed.seen("s1")[-1]["number"]
+        last_seen = feed.seen("s1")[-1]["number"]
         feed.processes["s1"].start()
         await feed.event("s1", "started", after=1)
         started = [one for one in feed.processes["s1"].events() if one["event"] == "started"][-1]
-        assert 0 < started["number"] <= at  # its folder had it
+        assert 0 < started["number"] <= last_seen  # recovered from its folder
 
-    assert with_feed(tmp_path, story) == []
+    assert run_with_fleet(tmp_path, scenario) == []
 
 
-async def a_newer_one_goes_to_a_relay_that_is_behind(feed: FeedFleet) -> None:
+async def reconnect_subscribers_to_relay_behind_them(feed: FeedFleet) -> None:
     await feed.pairs(3)
     for name in [*feed.relays, *feed.subscribers]:
         await feed.reaches(name, 3)
@@ -328,7 +337,7 @@
     for name in feed.subscribers:
         await feed.event(name, "dropped", after=0)
         await feed.reaches(name, 6)
-    # Till they were at r2 and have been refused there, or were not.
+    # Wait until a subscriber was refused by r2, or went back to an older state.
     r2 = feed.processes["r2"]
     with anyio.fail_after(10):
         while not any(one.get("why") == "behind" for one in r2.events()):
@@ -337,20 +346,20 @@
             await anyio.sleep(0.02)
 
 
-def test_who_has_more_is_no_follower_of_who_is_behind(tmp_path: Path) -> None:
-    assert with_feed(tmp_path, a_newer_one_goes_to_a_relay_that_is_behind) == []
+def test_relay_rejects_subscriber_ahead_of_it(tmp_path: Path) -> None:
+    assert run_with_fleet(tmp_path, reconnect_subscribers_to_relay_behind_them) == []
 
 
-def test_strangers_end_their_own_connection_and_nothing_else(tmp_path: Path) -> None:
-    """A relay that has nobody above it; what comes to it is anything but a follower."""
-    port, nowhere = free_port(), free_port()
+def test_invalid_input_closes_only_its_connection(tmp_path: Path) -> None:
+    """A relay without a source receives invalid bytes and messages on its connections."""
+    port, closed_port = free_port(), free_port()
     conf = tmp_path / "r.conf"
     conf.write_text(f"feed role relay\nfeed name r\nfeed level 1\nfeed listen 127.0.0.1:{port}\n"
-                    f"feed up k=127.0.0.1:{nowhere}\nfeed followers 2\n")  # fmt: skip
+                    f"feed up k=127.0.0.1:{closed_port}\nfeed followers 2\n")  # fmt: skip
     hello = encode_frame(encode(Hello("follower", "x" * 900)))
-    deep = b"\x91" * 3000 + b"\x01"  # a list in a list in a list
-    follow = hello + encode_frame(encode(Follow("x", "wide", 0, bytes(16))))
-    words = [
+    deep = b"\x91" * 3000 + b"\x01"  # deeply nested lists
+    follow_bytes = hello + encode_frame(encode(Follow("x", "wide", 0, bytes(16))))
+    inputs = [
         *(b"GET / HTTP/1.1\r\n\r\n", b"\xff\xff\xff\xff", encode_frame(b"\x00"), hello + b"\x7f\xff\xff\xff"),
         *(
             encode_frame(encode(Hello("voter", "a"))),
@@ -362,51 +371,51 @@
             hello + encode_frame(encode(FetchPart(-1, 1 << 40))),
         ),
         hello + encode_frame(encode(Follow("x" * 500, "wide", -1, b"", 99))),
-        follow + encode_frame(encode(FetchTenants(("tenant/x",) * 500))),
+        follow_bytes + encode_frame(encode(FetchTenants(("tenant/x",) * 500))),
         *(
             encode_frame(b"\x82\xa4type\xa5hello\xa1x" + deep),
             hello + encode_frame(b"\x82\xa4type\xa4have\xa1x" + deep),
         ),
     ]
 
-    async def ends(text: bytes) -> None:
+    async def send_until_closed(text: bytes) -> None:
         with suppress(*DISCONNECT_ERRORS):
             async with await anyio.connect_tcp("127.0.0.1", port) as stream:
                 await stream.send(text)
                 while True:
                     await stream.receive()
 
-    async def story() -> None:
+    async def scenario() -> None:
         with anyio.fail_after(20):
             while await read(("127.0.0.1", port)) is None:
                 await anyio.sleep(0.02)
             async with anyio.create_task_group() as group:
-                for text in words:
-                    group.start_soon(ends, text)
-            asked = tuple(f"common/{place}" for place in range(5000))
-            found = await read(("127.0.0.1", port), asked)
-            assert found is not None
-            assert len(found.items) == MAX_READ_KEYS
+                for text in inputs:
+                    group.start_soon(send_until_closed, text)
+            keys = tuple(f"common/{place}" for place in range(5000))
+            result = await read(("127.0.0.1", port), keys)
+            assert result is not None
+            assert len(result.items) == MAX_READ_KEYS
             refused = Propose("x", (("common/x", b"{}"),))
             answer = await propose({"r": ("127.0.0.1", port)}, refused, 0.3)
             assert (answer.unknown, answer.reason) == (True, "a relay writes nothing")
-            # Of three followers the third is told that there is no place.
-            open_ones, told = [], None
+            # The third follower exceeds the limit of two and is rejected.
+            streams, last_message = [], None
             for _ in range(3):
-                open_ones.append(await anyio.connect_tcp("127.0.0.1", port))
-                await open_ones[-1].send(follow)
-                unpacker, heard = FrameDecoder(MESSAGE_SIZE_LIMIT), list[bytes]()
-                while len(heard) < 2:
-                    heard += unpacker.feed(await open_ones[-1].receive())
-                told = decode_source(heard[1])
-            assert told == FollowRejected("full")
-            for stream in open_ones:
+                streams.append(await anyio.connect_tcp("127.0.0.1", port))
+                await streams[-1].send(follow_bytes)
+                decoder, messages = FrameDecoder(MESSAGE_SIZE_LIMIT), list[bytes]()
+                while len(messages) < 2:
+                    messages += decoder.feed(await streams[-1].receive())
+                last_message = decode_source(messages[1])
+            assert last_message == FollowRejected("full")
+            for stream in streams:
                 await stream.aclose()
 
     relay = Process("r", ["feed", "--conf", str(conf)], {}, tmp_path)
     relay.start()
     try:
-        anyio.run(story)
+        anyio.run(scenario)
         relay.signal(signal.SIGTERM)
         assert relay.process is not None
         assert relay.process.wait(10) == 0
@@ -415,159 +424,161 @@
     assert "Traceback" not in (tmp_path / "r.log").read_text()
 
 
-def in_process(story: Callable[[FeedService], Awaitable[None]], items: Items = ()) -> list[tuple[str, Any]]:
-    """A relay in this process that holds these entries and has nobody above it; what it logged."""
+def run_relay_in_process(
+    scenario: Callable[[FeedService], Awaitable[None]], items: Items = ()
+) -> list[tuple[str, Any]]:
+    """Run a scenario on a relay in this process, with these entries and without a source; return its log."""
     logged: list[tuple[str, Any]] = []
-    at, nowhere = ("127.0.0.1", free_port()), ("127.0.0.1", free_port())
-    conf = FeedConfig(name="r", listen=at, role="relay", level=1, up={"k": nowhere}, followers=2)
+    address, closed_address = ("127.0.0.1", free_port()), ("127.0.0.1", free_port())
+    conf = FeedConfig(name="r", listen=address, role="relay", level=1, up={"k": closed_address}, followers=2)
 
     async def run() -> None:
-        relay = FeedService(conf, None, lambda event, **facts: logged.append((event, facts)))
+        relay = FeedService(conf, None, lambda event, **fields: logged.append((event, fields)))
         if items:
             relay.relay.history.reset(FeedTable().update(1, items))
         with anyio.fail_after(20):
             async with anyio.create_task_group() as group:
                 group.start_soon(relay.run)
-                while await read(at) is None:
+                while await read(address) is None:
                     await anyio.sleep(0.02)
-                await story(relay)
+                await scenario(relay)
                 group.cancel_scope.cancel()
 
     anyio.run(run)
     return logged
 
 
-def test_who_asks_without_end_and_reads_nothing_costs_a_bounded_part_and_stalls_nobody(
+def test_peer_that_requests_without_reading_is_bounded_and_does_not_delay_others(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """50 MB of answers, if all were made; between two turns of the loop one of them at the most."""
+    """A peer requests 50 MB of answers; the main loop handles at most one of its requests per turn."""
     keys = tuple(f"common/{place}" for place in range(MAX_READ_KEYS))
-    asks = encode_frame(encode(Hello("follower", "x"))) + 100 * encode_frame(encode(ReadRequest(keys)))
-    rounds: list[int] = []
-    waits: list[int] = []
+    requests = encode_frame(encode(Hello("follower", "x"))) + 100 * encode_frame(encode(ReadRequest(keys)))
+    batch_sizes: list[int] = []
+    queue_sizes: list[int] = []
 
-    def counted(self: SendQueue, frame: bytes, had: Any = SendQueue.put) -> None:
-        had(self, frame)
-        waits.append(self.size)
+    def counting_put(self: SendQueue, frame: bytes, original: Any = SendQueue.put) -> None:
+        original(self, frame)
+        queue_sizes.append(self.size)
 
-    def taken(self: EventInbox[Any], had: Any = EventInbox.drain) -> Any:
-        found = had(self)
-        rounds.append(len(found))
-        return found
+    def counting_drain(self: EventInbox[Any], original: Any = EventInbox.drain) -> Any:
+        events = original(self)
+        batch_sizes.append(len(events))
+        return events
 
-    monkeypatch.setattr(SendQueue, "put", counted)
-    monkeypatch.setattr(EventInbox, "drain", taken)
+    monkeypatch.setattr(SendQueue, "put", counting_put)
+    monkeypatch.setattr(EventInbox, "drain", counting_drain)
     monkeypatch.setattr(send_queue, "STALL_TIMEOUT_NS", 300 * MS)
 
-    def there(relay: FeedService) -> bool:
+    def is_connected(relay: FeedService) -> bool:
         return any(peer.id == "x" for peer in relay.listener.connections.values())
 
-    async def story(relay: FeedService) -> None:
+    async def scenario(relay: FeedService) -> None:
         async with await anyio.connect_tcp(*relay.address) as stream:
-            await stream.send(asks)
-            while not there(relay):
+            await stream.send(requests)
+            while not is_connected(relay):
                 await anyio.sleep(0)
-            while there(relay):
+            while is_connected(relay):
                 assert await read(relay.address) is not None
-        assert max(waits) <= MAX_QUEUED
-        assert max(rounds) <= 3  # of both peers, and that one left
+        assert max(queue_sizes) <= MAX_QUEUED
+        assert max(batch_sizes) <= 3  # one message of each peer, and one SubscriberLeft
 
-    in_process(story, tuple((key, bytes(4000), 1) for key in keys))
+    run_relay_in_process(scenario, tuple((key, bytes(4000), 1) for key in keys))
 
 
-def test_who_says_nothing_for_long_is_let_go_and_who_speaks_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connection_is_closed_and_active_one_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(downstream, "IDLE_TIMEOUT", 800 * MS)
-    hello = Hello("follower", "quiet")
+    hello = Hello("follower", "silent")
 
-    async def story(relay: FeedService) -> None:
+    async def scenario(relay: FeedService) -> None:
         async with (
-            await anyio.connect_tcp(*relay.address) as quiet,
-            await anyio.connect_tcp(*relay.address) as speaks,
+            await anyio.connect_tcp(*relay.address) as silent,
+            await anyio.connect_tcp(*relay.address) as active,
         ):
-            for stream in (quiet, speaks):
+            for stream in (silent, active):
                 await stream.send(encode_frame(encode(hello)))
             while (left := len(relay.listener.connections)) < 2:
                 await anyio.sleep(0)
             began = time.monotonic()
             while left == 2 or time.monotonic() < began + 2:
-                await speaks.send(encode_frame(encode(ReadRequest(()))))
+                await active.send(encode_frame(encode(ReadRequest(()))))
                 await anyio.sleep(0.05)
-                left = sum(peer.id == "quiet" for peer in relay.listener.connections.values())
+                left = sum(peer.id == "silent" for peer in relay.listener.connections.values())
             assert left == 1
 
-    in_process(story)
+    run_relay_in_process(scenario)
 
 
-def test_a_look_at_peers_that_comes_late_judges_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    """After a standstill what they did meanwhile lies unread."""
-    now, looked = [0], list[int]()
+def test_late_peer_check_is_skipped(monkeypatch: pytest.MonkeyPatch) -> None:
+    """After a pause of the process, messages that peers sent meanwhile are still unread."""
+    now, checked_at = [0], list[int]()
 
-    async def asleep(span: float) -> None:
-        now[0] += int(span * SECOND) * (10 if len(looked) == 1 and now[0] < SECOND else 1)
+    async def fake_sleep(span: float) -> None:
+        now[0] += int(span * SECOND) * (10 if len(checked_at) == 1 and now[0] < SECOND else 1)
         if now[0] > 8 * SECOND:
             raise TimeoutError
 
     monkeypatch.setattr(send_queue, "boot_now", lambda: now[0])
-    monkeypatch.setattr(anyio, "sleep", asleep)
+    monkeypatch.setattr(anyio, "sleep", fake_sleep)
     with pytest.raises(TimeoutError):
-        anyio.run(send_queue.check_regularly, looked.append)
-    assert looked[:2] == [SECOND // 2, 6 * SECOND]
+        anyio.run(send_queue.check_regularly, checked_at.append)
+    assert checked_at[:2] == [SECOND // 2, 6 * SECOND]
 
 
-def test_a_table_that_is_held_is_left_out_of_collections() -> None:
-    """A look through all of it would stand still for longer than its followers wait."""
+def test_table_is_excluded_from_garbage_collection() -> None:
+    """A garbage collection of the whole table would take longer than followers wait for a heartbeat."""
     entries = tuple((f"tenant/t{place}", b"{}", 1) for place in range(20_000))
 
-    async def story(relay: FeedService) -> None:
-        tracked = gc.get_freeze_count()
+    async def scenario(relay: FeedService) -> None:
+        frozen_count = gc.get_freeze_count()
         table = relay.relay.table
         relay.carry_out(PersistStep(table.update(heap_freezer.FREEZE_EVERY, ()), 1, ()))
-        assert gc.get_freeze_count() == tracked  # it holds as many changes more by one
+        assert gc.get_freeze_count() == frozen_count  # one change less than the interval
         relay.carry_out(PersistStep(table.update(heap_freezer.FREEZE_EVERY + 1, ()), 1, ()))
-        assert gc.get_freeze_count() > tracked
+        assert gc.get_freeze_count() > frozen_count
         loaded = table.update(9, ((f"tenant/more-{place}", b"{}", 9) for place in range(5_000)))
-        tracked = gc.get_freeze_count()
+        frozen_count = gc.get_freeze_count()
         relay.carry_out(PersistTable(loaded))
-        assert gc.get_freeze_count() > tracked + 1_000
+        assert gc.get_freeze_count() > frozen_count + 1_000
 
     before = gc.get_freeze_count()
     try:
-        in_process(story, entries)
+        run_relay_in_process(scenario, entries)
         assert gc.get_freeze_count() > before + 5_000
     finally:
         gc.unfreeze()
 
 
-def test_a_connection_that_can_t_be_taken_ends_nothing() -> None:
-    """No descriptor is left for a moment."""
+def test_listener_continues_after_failed_accept() -> None:
+    """The process has no file descriptor left for a moment."""
     limits = resource.getrlimit(resource.RLIMIT_NOFILE)
 
-    async def story(relay: FeedService) -> None:
-        with socket.socket() as one:
-            resource.setrlimit(resource.RLIMIT_NOFILE, (one.fileno(), limits[1]))
+    async def scenario(relay: FeedService) -> None:
+        with socket.socket() as client:
+            resource.setrlimit(resource.RLIMIT_NOFILE, (client.fileno(), limits[1]))
             try:
-                one.connect(relay.address)
+                client.connect(relay.address)
                 while "who comes" not in relay.peer_log.last_reasons:
                     await anyio.sleep(0.01)
             finally:
                 resource.setrlimit(resource.RLIMIT_NOFILE, limits)
         assert await read(relay.address) is not None
 
-    logged = in_process(story)
+    logged = run_relay_in_process(scenario)
     assert ("refused", {"of": "who comes", "why": os.strerror(errno.EMFILE)}) in logged
 
 
-def test_a_second_notice_changes_nothing(tmp_path: Path) -> None:
-    """A keeper that leaves waits for a council that is not there; it is told to leave once more."""
-    port, nowhere = free_port(), free_port()
+def test_second_signal_does_not_interrupt_shutdown(tmp_path: Path) -> None:
+    """A keeper that shuts down waits for an unreachable consensus cluster, and gets a second signal."""
+    port, closed_port = free_port(), free_port()
     conf = tmp_path / "k.conf"
     conf.write_text(f"feed role keeper\nfeed name k\nfeed listen 127.0.0.1:{port}\n"
                     f"feed folder {tmp_path / 'k'}\nfeed keeper k=127.0.0.1:{port}\n"
-                    f"council voter a=127.0.0.1:{nowhere}\n")  # fmt: skip
+                    f"council voter a=127.0.0.1:{closed_port}\n")  # fmt: skip
     keeper = Process("k", ["feed", "--conf", str(conf)], {}, tmp_path)
 
-    def reached(event: str) -> bool:
-        return any(told["event"] == event for told in keeper.events())
+    def has_logged(event: str) -> bool:
+        return any(line["event"] == event for line in keeper.events())
 
     keeper.start()
     try:
@@ -578,20 +589,21 @@
             ("leaving", signal.SIGINT),
         ):
             until = time.monotonic() + 20
-            while not reached(event):
+            while not has_logged(event):
                 assert time.monotonic() < until
                 time.sleep(0.01)
             keeper.signal(number)
         assert keeper.process.wait(20) == 0
-        assert reached("left")
+        assert has_logged("left")
     finally:
         keeper.close()
 
 
-def test_strangers_with_ever_new_names_do_not_fill_the_log(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(peer_log, "SECOND", 3600 * SECOND)  # the second is not over while this runs
+def test_peers_with_changing_names_do_not_flood_the_log(monkeypatch: pytest.MonkeyPatch) -> None:
+    # The second of the rate limit does not end during the test.
+    monkeypatch.setattr(peer_log, "SECOND", 3600 * SECOND)
 
-    async def story(relay: FeedService) -> None:
+    async def scenario(relay: FeedService) -> None:
         for place in range(100):
             async with await anyio.connect_tcp(*relay.address) as stream:
                 await stream.send(
@@ -602,16 +614,16 @@
                     while True:
                         await stream.receive()
 
-    assert 1 < sum(event == "refused" for event, _ in in_process(story)) <= 32
+    assert 1 < sum(event == "refused" for event, _ in run_relay_in_process(scenario)) <= 32
 
 
-def test_an_export_is_all_that_was_there_also_where_changes_lead_to_it(
+def test_export_is_complete_where_several_deltas_lead_to_newest_state(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """More of them than go into one Delta; who exports looks at each turn of the loop."""
+    """The changes do not fit into one delta; the export checks its state at each turn of the event loop."""
     sleep = anyio.sleep
 
-    async def story(relay: FeedService) -> None:
+    async def scenario(relay: FeedService) -> None:
         monkeypatch.setattr(anyio, "sleep", lambda span: sleep(0))
         for place in range(200):
             relay.relay.history.advance(place + 1, ((f"common/{place}", bytes(4000), place + 1),))
@@ -619,14 +631,14 @@
         assert table is not None
         assert (table.sequence, len(table.wide)) == (200, 200)
 
-    in_process(story)
+    run_relay_in_process(scenario)
 
 
-def test_those_who_only_connect_keep_nobody_out() -> None:
-    """Some say who they are and nothing more, some not even that; one follows, and stays."""
+def test_idle_connections_do_not_block_new_ones() -> None:
+    """Some peers send only a hello, some nothing; the one that follows is not closed."""
     hello = encode_frame(encode(Hello("follower", "x")))
 
-    async def story(relay: FeedService) -> None:
+    async def scenario(relay: FeedService) -> None:
         async with AsyncExitStack() as stack:
             for place in range(relay.listener.max_connections + 10):
                 stream = await stack.enter_async_context(await anyio.connect_tcp(*relay.address))
@@ -640,36 +652,38 @@
             assert len(relay.listener.connections) <= relay.listener.max_connections + 1
             assert len(relay.relay.source.subscribers) == 1
 
-    in_process(story)
+    run_relay_in_process(scenario)
 
 
-def test_a_state_that_was_given_up_while_it_was_written_is_not_told_as_durable(tmp_path: Path) -> None:
-    """A write is under way as another state is loaded, or its end is known and not heeded yet."""
-    goes_on, told = threading.Event(), list[int]()
-    of_another = FeedTable().update(2, (("common/of-another", b"{}", 2),))
+def test_state_replaced_during_its_write_is_not_reported_as_durable(tmp_path: Path) -> None:
+    """A write is in progress while another state is loaded, or is complete but not handled yet."""
+    write_allowed, reported = threading.Event(), list[int]()
+    diverged = FeedTable().update(2, (("common/of-another", b"{}", 2),))
     loaded = FeedTable().update(3, (("common/a", b"{}", 3),))
-    persist = ArchiveWriter(tmp_path / "one", "all", lambda *_, **__: None, told.append)
-    written: Any = persist.archive.write
-    persist.archive.write = lambda *told: goes_on.wait(10) and written(*told)  # type: ignore[method-assign]
+    writer = ArchiveWriter(tmp_path / "one", "all", lambda *_, **__: None, reported.append)
+    write: Any = writer.archive.write
+    writer.archive.write = lambda *arguments: write_allowed.wait(10) and write(*arguments)  # type: ignore[method-assign]
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with anyio.create_task_group() as group:
-            group.start_soon(persist.run)
-            persist.append(of_another, 0, (("common/of-another", b"{}", 2),))
-            while persist.is_pending:
+            group.start_soon(writer.run)
+            writer.append(diverged, 0, (("common/of-another", b"{}", 2),))
+            while writer.is_pending:
                 await anyio.sleep(0.001)
-            persist.replace(loaded)
-            goes_on.set()
-            while persist.durable != 3:
+            writer.replace(loaded)
+            write_allowed.set()
+            while writer.durable != 3:
                 await anyio.sleep(0.001)
-            await persist.flush()
+            await writer.flush()
             group.cancel_scope.cancel()
 
-    anyio.run(story)
-    persist.close()
-    assert told == [0, 3]
-    at, nowhere = ("127.0.0.1", free_port()), ("127.0.0.1", free_port())
-    conf = FeedConfig(name="r", listen=at, role="relay", level=1, up={"k": nowhere}, folder=tmp_path / "two")
+    anyio.run(scenario)
+    writer.close()
+    assert reported == [0, 3]
+    address, closed_address = ("127.0.0.1", free_port()), ("127.0.0.1", free_port())
+    conf = FeedConfig(
+        name="r", listen=address, role="relay", level=1, up={"k": closed_address}, folder=tmp_path / "two"
+    )
     relay = FeedService(conf, None, lambda *_, **__: None)
     assert relay.archive is not None
     relay.relay.follower.table = loaded
@@ -683,7 +697,7 @@
     relay.archive.close()
 
 
-def test_one_object_for_many_is_encoded_once_and_who_takes_nothing_is_let_go() -> None:
+def test_shared_message_is_encoded_once_and_send_queue_is_bounded() -> None:
     encoder = FrameEncoder()
     delta = Delta(1, 2, (("common/x", b"{}", 2),), bytes(16))
     assert encoder.frame(delta) is encoder.frame(delta)
@@ -691,24 +705,24 @@
         encoder.frame(Delta(place, place + 1, (), bytes(16)))
     assert len(encoder.encoded) <= 16
 
-    async def story() -> None:
+    async def scenario() -> None:
         ended: list[bool] = []
-        out = SendQueue(lambda: ended.append(True))
-        out.put(bytes(MAX_QUEUED))
+        queue = SendQueue(lambda: ended.append(True))
+        queue.put(bytes(MAX_QUEUED))
         assert not ended
-        out.put(b"x")
+        queue.put(b"x")
         assert ended
-        out.put(b"x")
-        assert out.size == MAX_QUEUED + 1
+        queue.put(b"x")
+        assert queue.size == MAX_QUEUED + 1
 
-    anyio.run(story)
+    anyio.run(scenario)
 
 
-# ---- faults of the council
+# ---- faults of the consensus cluster
 
 
-def test_a_council_without_a_majority_stops_changes_and_nothing_else(tmp_path: Path) -> None:
-    async def story(feed: FeedFleet) -> None:
+def test_consensus_cluster_without_majority_stops_changes_only(tmp_path: Path) -> None:
+    async def scenario(feed: FeedFleet) -> None:
         fleet = feed.fleet
         await feed.pairs(3)
         fleet.processes[await fleet.leader()].kill()
@@ -724,9 +738,9 @@
         (answer,) = await feed.pairs(1, 1.5)
         assert answer.sequence == 0
         for name in feed.relays:
-            found = await feed.looked(name)
-            assert found is not None
-            assert found.sequence == feed.oracle.newest
+            status = await feed.looked(name)
+            assert status is not None
+            assert status.sequence == feed.oracle.newest
         feed.processes["s1"].kill()
         feed.processes["s1"].start()
         await feed.reaches("s1", feed.oracle.newest)
@@ -734,23 +748,23 @@
             fleet.processes[name].start()
         await feed.pairs(3)
 
-    assert with_feed(tmp_path, story) == []
+    assert run_with_fleet(tmp_path, scenario) == []
 
 
-# ---- the oracle can fail
+# ---- the oracle detects violations
 
 
-@pytest.mark.parametrize(("without", "story", "keepers", "words"), [
-    ("newer", a_newer_one_goes_to_a_relay_that_is_behind, 3, "went back from"),
-    ("majority", one_disk_lost_while_another_sleeps, 2, "no keeper writes in 5.0 s"),
+@pytest.mark.parametrize(("without", "scenario", "keepers", "expected"), [
+    ("newer", reconnect_subscribers_to_relay_behind_them, 3, "went back from"),
+    ("majority", lose_disk_while_other_keeper_is_paused, 2, "no keeper writes in 5.0 s"),
 ])  # fmt: skip
-def test_without_a_protection_the_oracle_finds_it(
-    tmp_path: Path, without: str, story: Story, keepers: int, words: str
+def test_oracle_detects_removed_safeguard(
+    tmp_path: Path, without: str, scenario: Scenario, keepers: int, expected: str
 ) -> None:
     try:
-        wrong = with_feed(tmp_path, story, keepers, 1, without)
+        violations = run_with_fleet(tmp_path, scenario, keepers, 1, without)
     except* RunTimeoutError as group:
-        wrong = [str(one) for one in group.exceptions]
-    assert any(words in one for one in wrong), wrong
+        violations = [str(one) for one in group.exceptions]
+    assert any(expected in one for one in violations), violations
     for path in tmp_path.glob("*.log"):
         assert "Traceback" not in path.read_text(), path
