--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -678,7 +678,7 @@
 
 
 def test_next_source_may_offer_older_snapshot_than_the_one_being_loaded() -> None:
-    """A partly loaded snapshot may be replaced by an older one, but not the current state."""
+    """A partly loaded snapshot does not count yet: an older one may replace it, but not the current state."""
     reference = ReferenceModel()
     reference.write_many(60)
     with lowered_limits(PART_SIZE=300):
