--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -578,10 +578,10 @@
 
 @pytest.mark.parametrize(("changes", "limits", "reason"), [
     ({"classes": 3}, None, "TypeError"),
-    ({"classes": []}, None, "no stages"),
+    ({"classes": []}, None, "'classes' is empty"),
     ({"classes": 2 * SETTINGS["classes"]}, None, "'booking' is defined more than once"),
-    ({"familyInfo": {**SETTINGS["familyInfo"], "cpus": 0}}, None, "without cores"),
-    ({"familyInfo": {**SETTINGS["familyInfo"], "memoryKb": 0}}, None, "without memory"),
+    ({"familyInfo": {**SETTINGS["familyInfo"], "cpus": 0}}, None, "'cpus' must be above 0"),
+    ({"familyInfo": {**SETTINGS["familyInfo"], "memoryKb": 0}}, None, "'memoryKb' must be above 0"),
     ({"familyInfo": {**SETTINGS["familyInfo"], "dependsOn": "shared"}}, None, ""),
     ({"projects": []}, None, ""),
     ({"familyInfo": {**SETTINGS["familyInfo"], "upstreams": 600}}, {"sockets": 512, "memory_mb": 256},
