--- a/tests/test_scale_parts.py
+++ b/tests/test_scale_parts.py
@@ -133,9 +133,9 @@
 
 def test_a_read_is_confirmed_by_a_question_and_an_answer_of_each_other_voter() -> None:
     for voters in (3, 5, 7):
-        made = council.CountedCouncil(voters, 1)
-        assert council.reads(made, 20).messages == 2 * (voters - 1)
-        assert council.writes(made, 20).messages == 2 * (voters - 1)
+        made = council.CountingCluster(voters, 1)
+        assert council.read_round(made, 20).messages == 2 * (voters - 1)
+        assert council.write_round(made, 20).messages == 2 * (voters - 1)
         assert made.sent["AppendRequest"] > 0
 
 
@@ -169,11 +169,11 @@
 
 
 def test_the_bounds_of_the_table_are_the_ones_it_keeps() -> None:
-    told = council.bounds()
-    assert told["wants_bytes"] == 6600 * len(council.WANT)
+    told = council.table_bounds()
+    assert told["wants_bytes"] == 6600 * len(council.DESIRED_VERSION)
     assert told["settings_kb_refused"] == [257, 512]  # by the council,
     assert told["settings_size_bound"] == told["value_bound"]  # and by the check before it
-    asked = council.polls(1e-5, 1e-4)
+    asked = council.poll_costs(1e-5, 1e-4)
     assert asked["reads_a_second"] == 26_400
     assert asked["cores_of_a_leader_rounds_of_1_ms"] == pytest.approx(0.36, abs=0.01)
 
--- a/thistleline/lab/scale/feed.py
+++ b/thistleline/lab/scale/feed.py
@@ -20,7 +20,7 @@
 from thistleline.config_feed.limits import MS, SECOND
 from thistleline.config_feed.messages import Propose
 from thistleline.config_feed.table import FeedTable
-from thistleline.lab.scale.council import FULL
+from thistleline.lab.scale.council import FULL_CORE_FIGURE
 from thistleline.lab.scale.size import FOLDER, size
 from thistleline.lab.scale.slopes import Part, Row, Shape, judge, loop_cpu, memory_of, row, steps_of
 from thistleline.lab.simulation.feed_fleet import VirtualFeed, quantile
@@ -484,7 +484,7 @@
 def answered_s() -> float:
     """Reads a second that fill the leader's core, by the run of real processes."""
     told = json.loads((FOLDER / "instance.json").read_text())
-    return float(told["figures"]["council"][FULL]) / POLL
+    return float(told["figures"]["council"][FULL_CORE_FIGURE]) / POLL
 
 
 def polled(plan: Plan, name: str, reads_s: float) -> dict[str, Any]:
