--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -5,7 +5,7 @@
 import pytest
 
 from thistleline.lab.scale import control
-from thistleline.lab.scale.members import word_bytes
+from thistleline.lab.scale.members import update_bytes
 from thistleline.lab.scale.slopes import Row, judge, steps_of
 from thistleline.rollout import controller as rollout_controller
 from thistleline.rollout.canary import CanaryAnalysis
@@ -63,7 +63,7 @@
     assert found["crash"]["notes to disk"] == 1
     assert found["other settings, beside"]["notes to disk"] == 4  # want, heir, serves, good
     for one in found.values():
-        assert one["bytes of these words"] == one[control.WORDS] * word_bytes()
+        assert one["bytes of these words"] == one[control.WORDS] * update_bytes()
     assert found["started anew, beside"][control.WORDS] < found["started anew"][control.WORDS]
 
 
--- a/tests/test_scale_parts.py
+++ b/tests/test_scale_parts.py
@@ -28,37 +28,37 @@
 
 
 def test_the_same_seed_counts_the_same() -> None:
-    assert members.hollow_counts(SIZES, 7) == members.hollow_counts(SIZES, 7)
-    assert members.one_word(20, 7, 1) == members.one_word(20, 7, 1)
-    assert members.lost_at_once(30, 2, 7) == members.lost_at_once(30, 2, 7)
+    assert members.member_counts(SIZES, 7) == members.member_counts(SIZES, 7)
+    assert members.update_costs(20, 7, 1) == members.update_costs(20, 7, 1)
+    assert members.deaths_costs(30, 2, 7) == members.deaths_costs(30, 2, 7)
     assert members.age_of_figures(20, 7, 2) == members.age_of_figures(20, 7, 2)
     assert council.round_rows(7) == council.round_rows(7)
 
 
 def test_a_hollow_member_keeps_what_is_promised_of_it() -> None:
-    assert missed(judge(members.hollow_counts(SIZES, 1), members.PROMISED)) == []
+    assert missed(judge(members.member_counts(SIZES, 1), members.PROMISED)) == []
 
 
 def test_a_hollow_fleet_tells_all_and_sends_the_same_in_quiet_whatever_its_size() -> None:
-    told = [members.one_word(size, 1, 1) for size in (10, 30, 60, 100)]
+    told = [members.update_costs(size, 1, 1) for size in (10, 30, 60, 100)]
     assert min(one.periods for one in told) > 0
     quiet = [one.quiet for one in told]
     assert max(quiet) < 1.05 * min(quiet)
     assert told[0].bytes > 0
-    lost = members.lost_at_once(40, 4, 1)
+    lost = members.deaths_costs(40, 4, 1)
     assert 0 < lost.periods < 60
 
 
 def test_a_fleet_that_was_apart_is_whole_again() -> None:
-    told = members.healed(20, 20.0, 1)
+    told = members.heal_costs(20, 20.0, 1)
     assert 0 < told.periods < 200
     assert told.bytes > 0
 
 
 def test_a_fleet_that_forgets_who_is_gone_stays_apart(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(gossip, "FORGET_AFTER", 5 * gossip.SECOND)
-    assert members.healed(10, 400.0, 1, False, 300).periods == -1
-    assert members.healed(10, 400.0, 1, True, 300).periods > 0
+    assert members.heal_costs(10, 400.0, 1, False, 300).periods == -1
+    assert members.heal_costs(10, 400.0, 1, True, 300).periods > 0
 
 
 def test_news_that_are_looked_for_among_all_are_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -72,7 +72,7 @@
         return had(self, max_size, max_transmits, first)
 
     monkeypatch.setattr(MembershipView, "select_updates", among_all)
-    bars = judge(members.hollow_counts(SIZES, 1), members.PROMISED)
+    bars = judge(members.member_counts(SIZES, 1), members.PROMISED)
     assert "member: words encoded in a quiet period: flat" in missed(bars)
 
 
@@ -85,7 +85,7 @@
         had(self)
 
     monkeypatch.setattr(Gossip, "_send_digest", for_each)
-    bars = judge(members.hollow_counts(SIZES, 1), members.PROMISED)
+    bars = judge(members.member_counts(SIZES, 1), members.PROMISED)
     assert missed(bars) == ["member: words looked through in a quiet period: linear"]
 
 
@@ -100,7 +100,7 @@
             self._probe(word)
 
     monkeypatch.setattr(Gossip, "_run_period", more)
-    bars = judge(members.hollow_counts(SIZES, 1), members.PROMISED)
+    bars = judge(members.member_counts(SIZES, 1), members.PROMISED)
     assert "member: bytes sent in a quiet period: flat" in missed(bars)
     assert "member: messages sent in a quiet period: flat" in missed(bars)
 
@@ -112,13 +112,13 @@
         return [self.records[first]] if first in self.records else []
 
     monkeypatch.setattr(MembershipView, "select_updates", first_alone)
-    told = [members.one_word(size, 1, 1) for size in (40, 80)]
+    told = [members.update_costs(size, 1, 1) for size in (40, 80)]
     assert min(one.periods for one in told) == -1
 
 
 def test_a_day_of_failures_is_worked_out_from_the_words_themselves() -> None:
-    day = members.day()
-    assert day["word_bytes"] == len(encode(members.word_of(6599)))
+    day = members.ordinary_day()
+    assert day["word_bytes"] == len(encode(members.record_of(6599)))
     assert day["words_a_second_of_failures"] == pytest.approx((33_000 + 190) * 3 / 86_400, abs=0.01)
     assert day["ids_if_each_restart_brings_another"] < day["members_bound"]
 
--- a/thistleline/lab/scale/control.py
+++ b/thistleline/lab/scale/control.py
@@ -26,7 +26,7 @@
 from thistleline.lab.processes.machines import ROOT, SupervisedFleet
 from thistleline.lab.scale import slopes
 from thistleline.lab.scale.instance import cpu_seconds, machine, resident
-from thistleline.lab.scale.members import hollow, word_bytes
+from thistleline.lab.scale.members import make_member, update_bytes
 from thistleline.lab.scale.settings_costs import HollowRollout
 from thistleline.lab.scale.size import size
 from thistleline.lab.scale.slopes import (
@@ -188,7 +188,7 @@
             kept.want(1000 + ("settings" in name), 1)
         kept.spent[WORDS] += 1  # once it is warm
         told = dict(kept.spent)
-        told["bytes of these words"] = told[WORDS] * word_bytes()
+        told["bytes of these words"] = told[WORDS] * update_bytes()
         # Settings that are not here yet are asked for once; all else comes by the questions of each POLL.
         told["questions to the council"] = int("settings" in name)
         found[name] = told
@@ -208,7 +208,7 @@
     """Whose member knows so many."""
     conf = service_conf(folder, "steward folder FOLDER/s\nsteward plate FOLDER/p\nsteward releases FOLDER/r")
     service = SupervisorService(conf, _log)
-    service.member.gossip = hollow(known, 1)
+    service.member.gossip = make_member(known, 1)
     return service
 
 
@@ -361,7 +361,7 @@
     that takes over a fleet at rest."""
     base = Version("2.31.4", DIGESTS[0], 118, DIGESTS[0], (3, 4), 4)
     service = RolloutService(service_conf(Path(), ""), _log)
-    service.member.gossip = hollow(instances, 1)
+    service.member.gossip = make_member(instances, 1)
     council: Any = Answering(2, RolloutRecord(1, version(119), base, STAGES, 1, 1, "back"))
     held: Any = None  # it writes nothing
     try:
@@ -374,7 +374,7 @@
 def picturing(instances: int) -> Callable[[], Any]:
     """The picture that is made of members for each look."""
     service = RolloutService(service_conf(Path(), ""), _log)
-    service.member.gossip = hollow(instances, 1)
+    service.member.gossip = make_member(instances, 1)
     return service.server_statuses
 
 
