--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -30,7 +30,7 @@
 
 def of(what: str, sizes: list[int], call: Any) -> list[str]:
     """What is missed of one promise."""
-    return missed([control.counted(control.Case(what, sizes, call))])
+    return missed([control.count_row(control.Case(what, sizes, call))])
 
 
 LOOK = "conductor: steps of a look in a change by instance"
@@ -45,17 +45,20 @@
 
 
 def test_the_same_seed_counts_the_same() -> None:
-    for call in (lambda: control.conducted(81, 10, 7).slot, lambda: control.decided(54, 3, True).decide):
+    for call in (
+        lambda: control.make_rollout(81, 10, 7).end_slot,
+        lambda: control.make_zones(54, 3, True).decide,
+    ):
         assert steps_of(call()) == steps_of(call())
-    assert control.compared_in_slot(60, 7) == control.compared_in_slot(60, 7)
-    assert control.a_restart() == control.a_restart()
+    assert control.id_comparisons(60, 7) == control.id_comparisons(60, 7)
+    assert control.restart_costs() == control.restart_costs()
 
 
 # ---- the steward
 
 
 def test_a_restart_costs_a_steward_its_notes_and_words_and_no_question_unless_settings_are_new() -> None:
-    found = control.a_restart()
+    found = control.restart_costs()
     assert {name: one["questions to the council"] for name, one in found.items()} == {
         "crash": 0, "started anew": 0, "started anew, beside": 0,
         "other settings": 1, "other settings, beside": 1,
@@ -63,12 +66,14 @@
     assert found["crash"]["notes to disk"] == 1
     assert found["other settings, beside"]["notes to disk"] == 4  # want, heir, serves, good
     for one in found.values():
-        assert one["bytes of these words"] == one[control.WORDS] * update_bytes()
-    assert found["started anew, beside"][control.WORDS] < found["started anew"][control.WORDS]
+        assert one["bytes of these words"] == one[control.UPDATES_FIGURE] * update_bytes()
+    assert (
+        found["started anew, beside"][control.UPDATES_FIGURE] < found["started anew"][control.UPDATES_FIGURE]
+    )
 
 
 def test_a_calm_hour_is_a_question_and_an_answer_each_poll() -> None:
-    told = control.calm_hour()
+    told = control.quiet_hour()
     assert told["messages an hour"] == 2 * 3600 / POLL
     assert told["bytes an hour"] == told["bytes a question and answer"] * 3600 / POLL
 
@@ -84,7 +89,7 @@
 
     monkeypatch.setattr(Supervisor, "_on_desired_version", through_all)
     what = "steward: steps of a look with nothing new by want"
-    assert of(what, [3, 10, 30, 60], lambda n: control.followed(n).look) == [f"{what}: flat"]
+    assert of(what, [3, 10, 30, 60], lambda n: control.make_supervisor(n).poll) == [f"{what}: flat"]
 
 
 def test_a_steward_that_notes_more_each_time_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -99,7 +104,7 @@
 
     monkeypatch.setattr(Supervisor, "_on_desired_version", longer)
     what = "steward: bytes of its state by want"
-    assert of(what, [3, 10, 30, 60], lambda n: control.followed(n).state_bytes()) == [f"{what}: flat"]
+    assert of(what, [3, 10, 30, 60], lambda n: control.make_supervisor(n).state_bytes()) == [f"{what}: flat"]
 
 
 def test_a_check_that_looks_at_all_releases_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -115,14 +120,14 @@
 
 
 def test_what_the_imports_of_a_process_hold_is_seen() -> None:
-    assert control.bare("pass") + (1 << 20) < control.bare("import anyio") < 1 << 30
+    assert control.interpreter_bytes("pass") + (1 << 20) < control.interpreter_bytes("import anyio") < 1 << 30
 
 
 # ---- the conductor
 
 
 def test_a_conductor_that_takes_over_asks_for_the_want_of_each_and_then_for_the_order_alone() -> None:
-    (first, _), (second, _) = control.looks_asked(20)
+    (first, _), (second, _) = control.cluster_reads(20)
     assert first == 20 + 2  # the roll, each want, the order
     assert second - first == 1
 
@@ -137,7 +142,7 @@
         return await had(self, key)
 
     monkeypatch.setattr(LeasedRecords, "get", again)
-    asked = {n: control.looks_asked(n) for n in SIZES}
+    asked = {n: control.cluster_reads(n) for n in SIZES}
     what = "conductor: reads of the council of a later look by instance"
     assert of(what, SIZES, lambda n: asked[n][1][0] - asked[n][0][0]) == [f"{what}: flat"]
 
@@ -151,7 +156,7 @@
         had(self, record, desired)
 
     monkeypatch.setattr(RolloutController, "_steer", for_each)
-    assert of(LOOK, SIZES, lambda n: control.conducted(n, 0, 1).look) == [f"{LOOK}: linear"]
+    assert of(LOOK, SIZES, lambda n: control.make_rollout(n, 0, 1).observe) == [f"{LOOK}: linear"]
 
 
 def test_a_slot_that_holds_each_against_each_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -164,18 +169,18 @@
 
     monkeypatch.setattr(CanaryAnalysis, "_compare_warm", each)
     what = "conductor: steps of a slot judged by instance"
-    assert of(what, SIZES, lambda n: control.conducted(n, 0, 1).slot) == [f"{what}: linear"]
+    assert of(what, SIZES, lambda n: control.make_rollout(n, 0, 1).end_slot) == [f"{what}: linear"]
 
 
 def test_a_slot_that_looks_each_up_in_a_row_of_all_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
     what = "conductor: comparisons of ids in a slot by instance"
-    assert of(what, SIZES, lambda n: control.compared_in_slot(n, 1)) == []
+    assert of(what, SIZES, lambda n: control.id_comparisons(n, 1)) == []
     monkeypatch.setattr(rollout_controller, "frozenset", tuple, raising=False)
-    assert of(what, SIZES, lambda n: control.compared_in_slot(n, 1)) == [f"{what}: linear"]
+    assert of(what, SIZES, lambda n: control.id_comparisons(n, 1)) == [f"{what}: linear"]
 
 
 def test_the_conductor_that_is_measured_judges_and_waits_for_room() -> None:
-    made = control.conducted(108, 10, 1).controller
+    made = control.make_rollout(108, 10, 1).controller
     assert made.record is not None
     assert made.record.phase == "going"
     assert made.analysis is not None
@@ -185,16 +190,16 @@
 
 
 def test_comparisons_in_c_are_counted() -> None:
-    control.Id.compared = 0
-    assert control.Id("a") in (control.Id("b"), control.Id("a"))
-    assert control.Id.compared == 2
+    control.CountedId.comparisons = 0
+    assert control.CountedId("a") in (control.CountedId("b"), control.CountedId("a"))
+    assert control.CountedId.comparisons == 2
 
 
 # ---- the decider of zones
 
 
 def test_a_lost_zone_that_is_measured_spills_and_calm_does_not() -> None:
-    calm, lost = control.Decided(54, 9, 4), control.Decided(54, 9, 4, True)
+    calm, lost = control.SimulatedZones(54, 9, 4), control.SimulatedZones(54, 9, 4, True)
     assert calm.decide().shares == ()
     assert {one.origin for one in lost.decide().shares} == {"z00"}
     assert lost.decide() == lost.decide()
@@ -209,7 +214,7 @@
         had(self, picture, demand, away)
 
     monkeypatch.setattr(ZoneDecider, "_limit_receivers", each)
-    assert of(CALM, [3, 10, 30, 60], lambda n: control.decided(54, n).decide) == [f"{CALM}: linear"]
+    assert of(CALM, [3, 10, 30, 60], lambda n: control.make_zones(54, n).decide) == [f"{CALM}: linear"]
 
 
 def test_a_picture_that_passes_over_all_reports_for_each_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -222,8 +227,8 @@
 
     monkeypatch.setattr(FleetStatusTracker, "_zone_status", each)
     what = "decider: steps of a picture by instance"
-    assert of(what, SIZES, lambda n: control.decided(n, 2).picture) == [f"{what}: linear"]
+    assert of(what, SIZES, lambda n: control.make_zones(n, 2).fleet_status) == [f"{what}: linear"]
 
 
 def test_the_picture_for_a_look_holds_all_servers() -> None:
-    assert len(control.picturing(30)()) == 30
+    assert len(control.status_building(30)()) == 30
--- a/thistleline/lab/scale/control.py
+++ b/thistleline/lab/scale/control.py
@@ -1,8 +1,8 @@
-"""What steers the fleet: a steward on each machine, the conductor, the decider of zones; steps, messages,
-memory, time of each by how many there are.
+"""Costs of the control plane: supervisors, the rollout controller and the decider of zones.
 
-The reducers that run, without I/O. The long run adds stewards, servers and conductors as real processes at a
-council of three, with their memory and processor time from /proc.
+Counts steps, messages, memory and time of each by the sizes that drive it, with the real state machines and
+without I/O. The long run adds supervisors, servers and rollout controllers as real processes at a consensus
+cluster of three replicas, with their memory and CPU time from /proc.
 """
 
 import statistics
@@ -79,119 +79,134 @@
 
 NAME = "control"
 DIGESTS = ["5f" * 32, "a0" * 32]
-SETTLE = 2.0  # s until all is calm once servers are good
-CALM = 12.0  # s of processor time that are looked at
-RUNS = 3  # of the real processes, in the long run
+SETTLE_S = 2.0  # from good servers until measurement
+CALM_S = 12.0  # span over which CPU time is measured
+PROCESS_RUNS = 3  # runs of the real processes
 MACHINES = 3
-PROGRAM = "program"  # the release of them
-RELEASES_THERE = 100  # that a machine may have kept
-ENTERED = 270  # servers whose reports have more or fewer entries
-REPEATS = 3  # of a time
-TRIP = "a read of the council on loopback, s"
-TRIPS = 200  # reads one after the other, as a conductor that takes over does
+PROGRAM_RELEASE = "program"  # release that the real servers run
+STORED_RELEASES = 100  # releases that a machine may keep
+REPORTING_SERVERS = 270  # their reports have more or fewer entries
+REPEATS = 3  # runs of each timing
+READ_TIME_FIGURE = "a read of the council on loopback, s"
+TIMED_READS = 200  # sequential, like those of a rollout controller that takes over
 
 
 def version(number: int) -> Version:
-    """Settings change with each; each digest has strings of its own."""
+    """Return a version with settings of that number; each digest has strings of its own."""
     return Version("2.31.4", DIGESTS[0], number, f"{number:064x}", (3, 4), 4)
 
 
-# ---- the steward
+# ---- the supervisor
 
-WORDS = "words to members, at the most"
+UPDATES_FIGURE = "words to members, at the most"
 
 
-class Kept:
-    """A steward's reducer whose disk, releases and servers answer at once, and what that took."""
+class SimulatedSupervisor:
+    """A supervisor's state machine whose disk, releases and servers answer at once.
 
-    def __init__(self, beside: bool) -> None:
-        self.now, self.life, self.beside = SECOND, 0, beside
-        self.supervisor = Supervisor(SECOND, self.now, beside)
-        self.spent: Counter[str] = Counter()
-        self.told: tuple[Any, ...] = ()
+    Attributes:
+        now: Simulated time, in ns.
+        incarnation: Incarnation of the newest server.
+        overlapping: Whether a successor starts beside the server that it replaces.
+        supervisor: The state machine.
+        costs: What was spent, by kind.
+        published: Facts that members learned last.
+    """
+
+    def __init__(self, overlapping: bool) -> None:
+        """Recover a supervisor that has no desired version yet."""
+        self.now, self.incarnation, self.overlapping = SECOND, 0, overlapping
+        self.supervisor = Supervisor(SECOND, self.now, overlapping)
+        self.costs: Counter[str] = Counter()
+        self.published: tuple[Any, ...] = ()
         self.handle(StateRecovered(SupervisorState(incarnation=1000), False))
 
     def handle(self, event: Event) -> None:
+        """Handle an event and all events that its effects lead to, counting steps and inputs."""
         effects: list[Effect] = []
-        taken = partial(self.supervisor.handle, self.now, event)
-        self.spent["steps"] += steps_of(lambda: effects.extend(taken()))
-        self.spent["inputs"] += 1
-        self._count_words()
+        handle_event = partial(self.supervisor.handle, self.now, event)
+        self.costs["steps"] += steps_of(lambda: effects.extend(handle_event()))
+        self.costs["inputs"] += 1
+        self._count_updates()
         for effect in effects:
             self._carry_out(effect)
 
-    def _count_words(self) -> None:
-        """Of what members hear of it that was not so before (supervisor/service.py, _publish)."""
+    def _count_updates(self) -> None:
+        """Count changes of the facts that members learn (supervisor/service.py, `_publish`)."""
         supervisor, state = self.supervisor, self.supervisor.state
         serves = supervisor.serves and state.running
-        told = (serves, state.incarnation, supervisor.crashes.total)
-        self.spent[WORDS] += told != self.told
-        self.told = told
+        published = (serves, state.incarnation, supervisor.crashes.total)
+        self.costs[UPDATES_FIGURE] += published != self.published
+        self.published = published
 
     def _carry_out(self, effect: Effect) -> None:
         match effect:
             case PersistState():
-                self.spent["notes to disk"] += 1
-                self.spent["bytes to disk"] += self.state_bytes()
+                self.costs["notes to disk"] += 1
+                self.costs["bytes to disk"] += self.state_bytes()
                 self.handle(StatePersisted())
             case VerifyVersion():
-                self.spent["checks of a release"] += 1
+                self.costs["checks of a release"] += 1
                 self.handle(VersionVerified(""))
             case SpawnServer(incarnation):
-                elder, self.life = self.life, incarnation
+                predecessor, self.incarnation = self.incarnation, incarnation
                 self.handle(ServerSpawned(1))
                 if self.supervisor.phase == "succeeding":
-                    self.handle(ServerReady(self.life))
-                    self.handle(ServerExited(0, elder))
+                    self.handle(ServerReady(self.incarnation))
+                    self.handle(ServerExited(0, predecessor))
             case TerminateServer(incarnation):
                 self.handle(ServerExited(0, incarnation))
 
-    def want(self, number: int, turn: int = 0) -> None:
-        """Followed, and its server taken for good."""
-        self.handle(DesiredVersionReceived(DesiredVersion(7, number, version(number), turn)))
+    def follow(self, number: int, restart_token: int = 0) -> None:
+        """Follow a desired version until its server is taken for good."""
+        self.handle(DesiredVersionReceived(DesiredVersion(7, number, version(number), restart_token)))
         self.settle()
 
     def settle(self) -> None:
+        """Let time pass until the running server is taken for good."""
         for _ in range(2):
             self.now = max(self.now + GOOD_AFTER, self.supervisor.next_deadline())
             self.handle(DeadlineReached())
 
     def state_bytes(self) -> int:
+        """Return the bytes of the persistent state."""
         return len(msgspec.json.encode(self.supervisor.state))
 
-    def look(self) -> None:
-        """What comes of an answer of the council that says nothing new, and of the clock."""
+    def poll(self) -> None:
+        """Handle a poll of the consensus cluster that returned nothing new, and a deadline."""
         assert self.supervisor.state.desired is not None
         self.supervisor.handle(self.now, ConsensusPolled(True))
         self.supervisor.handle(self.now, DesiredVersionReceived(self.supervisor.state.desired))
         self.supervisor.handle(self.now, DeadlineReached())
 
 
-def followed(wants: int, beside: bool = True) -> Kept:
-    kept = Kept(beside)
-    for number in range(1000, 1000 + wants):  # lives too: all of as many digits
-        kept.want(number)
-    return kept
+def make_supervisor(desired_versions: int, overlapping: bool = True) -> SimulatedSupervisor:
+    """Return a supervisor that has followed so many desired versions."""
+    supervisor = SimulatedSupervisor(overlapping)
+    # Versions and incarnations all have the same number of digits.
+    for number in range(1000, 1000 + desired_versions):
+        supervisor.follow(number)
+    return supervisor
 
 
-def a_restart() -> dict[str, dict[str, int]]:
-    """What a restart costs a steward, by what it came of, until its server is taken for good."""
+def restart_costs() -> dict[str, dict[str, int]]:
+    """Return what a restart costs a supervisor until its server is taken for good, by the cause."""
     found = {}
-    for name, beside in (("crash", False), ("started anew", False), ("started anew, beside", True),
+    for name, overlapping in (("crash", False), ("started anew", False), ("started anew, beside", True),
                          ("other settings", False), ("other settings, beside", True)):  # fmt: skip
-        kept = followed(1, beside)
-        kept.spent.clear()
+        supervisor = make_supervisor(1, overlapping)
+        supervisor.costs.clear()
         if name == "crash":
-            kept.handle(ServerExited(1, kept.life))
-            kept.settle()
+            supervisor.handle(ServerExited(1, supervisor.incarnation))
+            supervisor.settle()
         else:
-            kept.want(1000 + ("settings" in name), 1)
-        kept.spent[WORDS] += 1  # once it is warm
-        told = dict(kept.spent)
-        told["bytes of these words"] = told[WORDS] * update_bytes()
-        # Settings that are not here yet are asked for once; all else comes by the questions of each POLL.
-        told["questions to the council"] = int("settings" in name)
-        found[name] = told
+            supervisor.follow(1000 + ("settings" in name), 1)
+        supervisor.costs[UPDATES_FIGURE] += 1  # the update once the server is warm
+        costs = dict(supervisor.costs)
+        costs["bytes of these words"] = costs[UPDATES_FIGURE] * update_bytes()
+        # Settings that are not stored yet are requested once; all else arrives by polls.
+        costs["questions to the council"] = int("settings" in name)
+        found[name] = costs
     return found
 
 
@@ -199,272 +214,325 @@
     return None
 
 
-def service_conf(folder: Path, more: str) -> Any:
+def make_conf(folder: Path, text: str) -> Any:
+    """Return a server's configuration with this text added; FOLDER stands for the folder."""
     return parse_config("conf", f"members name i00000\nmembers listen 127.0.0.1:9\nmembers zone z00\n"
-                         f"council voter a=127.0.0.1:9\n{more}\n".replace("FOLDER", str(folder)))  # fmt: skip
+                         f"council voter a=127.0.0.1:9\n{text}\n".replace("FOLDER", str(folder)))  # fmt: skip
 
 
-def steward_of(known: int, folder: Path) -> SupervisorService:
-    """Whose member knows so many."""
-    conf = service_conf(folder, "steward folder FOLDER/s\nsteward plate FOLDER/p\nsteward releases FOLDER/r")
+def make_service(known: int, folder: Path) -> SupervisorService:
+    """Return a supervisor service whose member knows so many instances."""
+    conf = make_conf(folder, "steward folder FOLDER/s\nsteward plate FOLDER/p\nsteward releases FOLDER/r")
     service = SupervisorService(conf, _log)
     service.member.gossip = make_member(known, 1)
     return service
 
 
-def teller(known: int) -> Callable[[], Any]:
-    """What a steward says each TAIL to its member of a server that works."""
+def publishing(known: int) -> Callable[[], Any]:
+    """Return the call with which a supervisor publishes the facts of a working server to its member."""
     with TemporaryDirectory() as folder:
-        service = steward_of(known, Path(folder))
-    kept = followed(1)
-    service.supervisor, service.servers.pids = kept.supervisor, {kept.life: 1}
+        service = make_service(known, Path(folder))
+    supervisor = make_supervisor(1)
+    service.supervisor, service.servers.pids = supervisor.supervisor, {supervisor.incarnation: 1}
     service._publish()
     return service._publish
 
 
 def steps_of_verify(releases: int) -> int:
-    """Of a look at one release beside so many others."""
+    """Count the steps of verifying one release beside so many others."""
     with TemporaryDirectory() as folder:
-        source, known = Path(folder) / "source", Releases(Path(folder) / "releases")
+        source, stored = Path(folder) / "source", Releases(Path(folder) / "releases")
         source.mkdir()
         (source / RUN).write_text("#!/bin/sh\n")
         (source / RUN).chmod(0o755)
-        digests = [known.add(f"r{place}", source) for place in range(releases)]
-        return steps_of(lambda: known.verify("r0", digests[0]))
-
-
-def calm_hour() -> dict[str, Any]:
-    """What a steward and the council say to each other where nothing changes, by POLL and the program's own
-    encoding; on TCP, whose acknowledgements are not in it."""
-    want = encode(DesiredVersion(7, 1182, version(118), 2))
-    question = encode_frame(encode_client(Request(100_000, Get(desired_version_key("i00000.zone-01")))))
-    answer = encode_frame(encode_client(Reply(100_000, Got(want, 5_000_000))))
-    questions = round(3600 / POLL)
-    each = len(question) + len(answer)
+        digests = [stored.add(f"r{index}", source) for index in range(releases)]
+        return steps_of(lambda: stored.verify("r0", digests[0]))
+
+
+def quiet_hour() -> dict[str, Any]:
+    """Return the traffic between a supervisor and the consensus cluster while nothing changes.
+
+    Derived from POLL and the program's own encoding; TCP acknowledgements are not counted.
+    """
+    desired = encode(DesiredVersion(7, 1182, version(118), 2))
+    request = encode_frame(encode_client(Request(100_000, Get(desired_version_key("i00000.zone-01")))))
+    answer = encode_frame(encode_client(Reply(100_000, Got(desired, 5_000_000))))
+    polls = round(3600 / POLL)
+    bytes_a_poll = len(request) + len(answer)
     return {
-        "messages an hour": 2 * questions,
-        "bytes an hour": questions * each,
-        "bytes a question and answer": each,
+        "messages an hour": 2 * polls,
+        "bytes an hour": polls * bytes_a_poll,
+        "bytes a question and answer": bytes_a_poll,
         "messages a second, all stewards": round(2 * size("instances") / POLL),
     }
 
 
-# ---- the conductor
+# ---- the rollout controller
+
 
+class SimulatedRollout:
+    """A rollout controller in the last stage of a change, and the servers of its fleet.
 
-class Conducted:
-    """A conductor in the last stage of a change: half of each zone has the new version, the rest is to have
-    it and waits for room; all servers work, `cold` of a hundred have come up just now."""
+    Half of each zone runs the new version; the rest has yet to get it and waits for room. All servers work;
+    `cold` of a hundred have just started.
+    """
 
     def __init__(self, instances: int, zones: int, cold: int, seed: int) -> None:
-        self.chance, self.cold, self.now = Random(seed), cold, SECOND
-        self.places = [(f"i{place:05}", f"z{place % zones:02}", place // zones % 2 == 0)
-                       for place in range(instances)]  # fmt: skip
+        """Run the rollout for some slots, so that the controller has a slot to judge."""
+        self.random, self.cold, self.now = Random(seed), cold, SECOND
+        self.instances = [(f"i{index:05}", f"z{index % zones:02}", index // zones % 2 == 0)
+                       for index in range(instances)]  # fmt: skip
         self.old, self.new = version(117), version(118)
-        self.figures = [[0, 0, 0, 0, 0] for _ in self.places]
-        all_of_them = tuple(id for id, _, _ in self.places)
-        last = len(STAGES) - 1
-        roll = RolloutRecord(1, self.new, self.old, STAGES, 1, 1, stage_index=last, targets=all_of_them)
-        self.controller = RolloutController(self.now, lambda: 1_790_000_000_000, roll, RolloutTiming())
-        self.pass_time()
-        self.look()
+        self.counters = [[0, 0, 0, 0, 0] for _ in self.instances]
+        ids = tuple(id for id, _, _ in self.instances)
+        last_stage = len(STAGES) - 1
+        record = RolloutRecord(1, self.new, self.old, STAGES, 1, 1, stage_index=last_stage, targets=ids)
+        self.controller = RolloutController(self.now, lambda: 1_790_000_000_000, record, RolloutTiming())
+        self.run_slot()
+        self.observe()
         for _ in range(4):
-            self.pass_time()
-            self.slot()
-        self.pass_time()
+            self.run_slot()
+            self.end_slot()
+        self.run_slot()
 
-    def pass_time(self) -> None:
-        """A slot in which all of them worked; the conductor sees it, with ids that came in anew."""
+    def run_slot(self) -> None:
+        """Let all servers work for a slot and pass their statuses to the controller.
+
+        The ids are new strings, as they are when they arrive.
+        """
         self.now += self.controller.timing.slot
-        found = []
-        for place, (id, zone, new) in enumerate(self.places):
-            tasks = self.chance.randint(1400, 1600)
-            counts = self.figures[place]
-            for at, more in enumerate((tasks, tasks - self.chance.randint(0, 90), self.chance.randint(0, 60),
-                                       self.chance.randint(0, 20), self.chance.randint(0, 30))):  # fmt: skip
-                counts[at] += more
-            runs = self.new if new else self.old
-            found.append(
-                ServerStatus(self.id_of(id), zone, True, runs.release, runs.settings, True,
-                     place % 100 >= self.cold, (*counts, 96_000 + self.chance.randint(0, 999), 0, 12))
+        statuses = []
+        for index, (id, zone, new) in enumerate(self.instances):
+            tasks = self.random.randint(1400, 1600)
+            counts = self.counters[index]
+            for kind, added in enumerate((tasks, tasks - self.random.randint(0, 90),
+                                          self.random.randint(0, 60), self.random.randint(0, 20),
+                                          self.random.randint(0, 30))):  # fmt: skip
+                counts[kind] += added
+            running = self.new if new else self.old
+            statuses.append(
+                ServerStatus(self.id_of(id), zone, True, running.release, running.settings, True,
+                     index % 100 >= self.cold, (*counts, 96_000 + self.random.randint(0, 999), 0, 12))
             )  # fmt: skip
-        self.controller.handle(self.now, ServersObserved(found))
-        self.seen, self.before = found, dict(self.controller.sampler.previous)
+        self.controller.handle(self.now, ServersObserved(statuses))
+        self.statuses, self.samples_before = statuses, dict(self.controller.sampler.previous)
 
     def id_of(self, id: str) -> str:
+        """Return the id as a new string."""
         return str(id.encode(), "ascii")
 
-    def slot(self) -> None:
-        """The last one that passed; the same work each time."""
-        self.controller.sampler.previous = dict(self.before)
+    def end_slot(self) -> None:
+        """End the last slot; the work is the same each time."""
+        self.controller.sampler.previous = dict(self.samples_before)
         self.controller._end_slot()
 
-    def look(self) -> None:
+    def observe(self) -> None:
+        """Pass the last statuses to the controller, and a deadline at which no slot ends."""
         self.controller.next_slot = self.now + SECOND
-        self.controller.handle(self.now, ServersObserved(self.seen))
+        self.controller.handle(self.now, ServersObserved(self.statuses))
         self.controller.handle(self.now, DeadlineReached())
 
 
-class Id(str):
-    """Counts how often one is compared with another of it, which is done in C and is no step of bytecode."""
+class CountedId(str):
+    """A string that counts comparisons with others of its type.
+
+    These happen in C, so they are no steps of bytecode.
+    """
 
     __slots__ = ()
-    compared: ClassVar[int] = 0
+    comparisons: ClassVar[int] = 0
 
     def __eq__(self, other: object) -> bool:
-        Id.compared += 1
+        """Count the comparison and compare."""
+        CountedId.comparisons += 1
         return str.__eq__(self, other)
 
     __hash__ = str.__hash__
 
 
-class Compared(Conducted):
+class IdCountingRollout(SimulatedRollout):
+    """A rollout whose ids count their comparisons."""
+
     def id_of(self, id: str) -> str:
-        return Id(id)
+        """Return the id as a counted one."""
+        return CountedId(id)
+
 
+def id_comparisons(instances: int, seed: int) -> int:
+    """Count the comparisons of ids at the end of a slot."""
+    rollout = IdCountingRollout(instances, size("zones"), 0, seed)
+    CountedId.comparisons = 0
+    rollout.end_slot()
+    return CountedId.comparisons
 
-def compared_in_slot(instances: int, seed: int) -> int:
-    made = Compared(instances, size("zones"), 0, seed)
-    Id.compared = 0
-    made.slot()
-    return Id.compared
 
+class ObservationsDoneError(Exception):
+    """Ends the controller's service after the requested number of observations."""
 
-class Enough(Exception):
-    """Of looks."""
 
+class AnsweringCluster:
+    """A consensus cluster that answers at once.
 
-class Answering:
-    """A council that answers at once, and how much it was asked by the end of each look's questions."""
+    Attributes:
+        reads: Reads so far.
+        bytes: Bytes of their requests and answers.
+        by_observation: Reads and bytes by the end of each observation of the controller.
+    """
 
-    def __init__(self, looks: int, roll: RolloutRecord) -> None:
-        self.looks, self.roll = looks, roll
+    def __init__(self, observations: int, record: RolloutRecord) -> None:
+        """Answer with this rollout record, for so many observations."""
+        self.observations, self.record = observations, record
         self.reads = self.bytes = 0
-        self.by_look: list[tuple[int, int]] = []
+        self.by_observation: list[tuple[int, int]] = []
 
     async def request_until_decided(self, op: Op, timeout: float) -> Answer:
+        """Answer a read.
+
+        Raises:
+            ObservationsDoneError: The last observation has read all that it reads.
+        """
         assert isinstance(op, Get), op
-        value = encode(self.roll) if op.key == RECORD_KEY else encode(DesiredVersion(7, 1, self.roll.base))
+        value = (
+            encode(self.record) if op.key == RECORD_KEY else encode(DesiredVersion(7, 1, self.record.base))
+        )
         answer = Got(b"", 0) if op.key == ORDER_KEY else Got(value, 7)
         self.reads += 1
         self.bytes += len(encode_frame(encode_client(Request(self.reads, op))))
         self.bytes += len(encode_frame(encode_client(Reply(self.reads, answer))))
         if op.key == ORDER_KEY:
-            self.by_look.append((self.reads, self.bytes))
-            if len(self.by_look) == self.looks:
-                raise Enough
+            self.by_observation.append((self.reads, self.bytes))
+            if len(self.by_observation) == self.observations:
+                raise ObservationsDoneError
         return answer
 
 
-def looks_asked(instances: int) -> list[tuple[int, int]]:
-    """Reads of the council and their bytes until the first look, and until the second one, of a conductor
-    that takes over a fleet at rest."""
+def cluster_reads(instances: int) -> list[tuple[int, int]]:
+    """Return reads of the consensus cluster and their bytes by the end of the first and second observation.
+
+    The rollout controller takes over a fleet in which no change is under way.
+    """
     base = Version("2.31.4", DIGESTS[0], 118, DIGESTS[0], (3, 4), 4)
-    service = RolloutService(service_conf(Path(), ""), _log)
+    service = RolloutService(make_conf(Path(), ""), _log)
     service.member.gossip = make_member(instances, 1)
-    council: Any = Answering(2, RolloutRecord(1, version(119), base, STAGES, 1, 1, "back"))
-    held: Any = None  # it writes nothing
+    cluster: Any = AnsweringCluster(2, RolloutRecord(1, version(119), base, STAGES, 1, 1, "back"))
+    lease: Any = None  # nothing is written
     try:
-        anyio.run(service._lead, council, held)
-    except Enough:
-        return list(council.by_look)
-    raise AssertionError("it asks no more")
+        anyio.run(service._lead, cluster, lease)
+    except ObservationsDoneError:
+        return list(cluster.by_observation)
+    raise AssertionError("the controller ended before its last observation")
 
 
-def picturing(instances: int) -> Callable[[], Any]:
-    """The picture that is made of members for each look."""
-    service = RolloutService(service_conf(Path(), ""), _log)
+def status_building(instances: int) -> Callable[[], Any]:
+    """Return the call that builds the server statuses of an observation from the member's view."""
+    service = RolloutService(make_conf(Path(), ""), _log)
     service.member.gossip = make_member(instances, 1)
     return service.server_statuses
 
 
-def resting(instances: int) -> Callable[[], Any]:
-    """A look at a fleet where no change is under way."""
-    carried = HollowRollout(instances, instances).run()
-    seen = carried.server_statuses()
+def idle_observation(instances: int) -> Callable[[], Any]:
+    """Return an observation of a fleet in which no change is under way."""
+    rollout = HollowRollout(instances, instances).run()
+    statuses = rollout.server_statuses()
 
-    def look() -> None:
-        carried.handle(ServersObserved(seen))
-        carried.handle(DeadlineReached())
+    def observe() -> None:
+        rollout.handle(ServersObserved(statuses))
+        rollout.handle(DeadlineReached())
 
-    return look
+    return observe
 
 
-def resting_slot(made: Conducted) -> Callable[[], Any]:
-    """Its change is over: nothing is judged any more."""
-    assert made.controller.record is not None
-    made.controller.record = msgspec.structs.replace(made.controller.record, phase="done")
-    made.controller.analysis = None
-    return made.slot
+def idle_slot(rollout: SimulatedRollout) -> Callable[[], Any]:
+    """Return the end of a slot after the change is complete, in which nothing is judged any more."""
+    assert rollout.controller.record is not None
+    rollout.controller.record = msgspec.structs.replace(rollout.controller.record, phase="done")
+    rollout.controller.analysis = None
+    return rollout.end_slot
 
 
 # ---- the decider of zones
 
 
-class Decided:
-    """Zones at three fifths of their capacity, and one that may be lost; what comes is spread evenly over its
-    zone's servers and all stages."""
+class SimulatedZones:
+    """Zones at three fifths of their capacity, one of which may be lost.
+
+    Requests are spread evenly over the servers of a zone and all stages.
+    """
 
     def __init__(self, instances: int, zones: int, stages: int, lost: bool = False) -> None:
-        self.names = [f"z{place:02}" for place in range(zones)]
-        self.pictures = FleetStatusTracker(self.names)
-        self.now, self.turn = SECOND, 0
-        self.reports = [(f"i{place:05}", self.names[place % zones]) for place in range(instances)]
+        """Report all servers and make a first decision; with `lost`, let the first zone's reports expire."""
+        self.names = [f"z{index:02}" for index in range(zones)]
+        self.tracker = FleetStatusTracker(self.names)
+        self.now, self.report_number = SECOND, 0
+        self.reports = [(f"i{index:05}", self.names[index % zones]) for index in range(instances)]
         self.stages = stages
-        self.report()
-        price = {(one, other): 1.0 + abs(at - to) / 100 for at, one in enumerate(self.names)
-                 for to, other in enumerate(self.names) if at != to}  # fmt: skip
+        self.report_all()
+        price = {(origin, target): 1.0 + abs(at - to) / 100 for at, origin in enumerate(self.names)
+                 for to, target in enumerate(self.names) if at != to}  # fmt: skip
         self.rules = RoutingRules(price, {stage: 1.0 + stage for stage in range(stages)})
-        self.deciding = ZoneDecider(self.rules, RoutingTable())
-        self.deciding.decide(self.picture())
+        self.decider = ZoneDecider(self.rules, RoutingTable())
+        self.decider.decide(self.fleet_status())
         if lost:
             self.now += 2 * REPORT_TTL
-            self.report(self.names[0])
-        self.known = self.picture()
+            self.report_all(self.names[0])
+        self.status = self.fleet_status()
 
-    def report(self, without: str = "") -> None:
-        self.turn += 1
+    def report_all(self, silent_zone: str = "") -> None:
+        """Report all servers but those of one zone."""
+        self.report_number += 1
         for id, zone in self.reports:
-            if zone != without:
-                came = tuple((zone, stage, 6.0 / self.stages) for stage in range(self.stages))
-                self.pictures.add_report(ServerReport(id, zone, self.now, 10.0, self.turn, 1.0, came))
+            if zone != silent_zone:
+                counts = tuple((zone, stage, 6.0 / self.stages) for stage in range(self.stages))
+                self.tracker.add_report(
+                    ServerReport(id, zone, self.now, 10.0, self.report_number, 1.0, counts)
+                )
 
-    def picture(self) -> Any:
-        return self.pictures.status(self.now)
+    def fleet_status(self) -> Any:
+        """Return the status of all zones by the reports."""
+        return self.tracker.status(self.now)
 
     def decide(self) -> RoutingTable:
-        """The same each time: of the table that holds before."""
-        return ZoneDecider(self.rules, self.deciding.table).decide(self.known)
+        """Make the next decision; it starts from the same routing table each time."""
+        return ZoneDecider(self.rules, self.decider.table).decide(self.status)
 
 
 # ---- what is measured
 
 
 class Case(NamedTuple):
-    """A row, named `WHAT: UNIT of ... by PER`."""
+    """A row to measure, named `WHAT: QUANTITY of ... by PER`.
+
+    Attributes:
+        name: Name of the row.
+        sizes: Sizes to measure.
+        measured: By size: a call to count or time, an object whose memory is measured, or a count.
+        note: Note of the row.
+    """
 
     name: str
     sizes: Sequence[int]
-    of: Callable[[int], Any]  # by size: what is called, for its steps or time; what is held; or a count
+    measured: Callable[[int], Any]
     note: str = ""
 
     def row(self, kind: Kind, values: Sequence[float], repeats: int = 1) -> Row:
-        per, word = self.name.rpartition(" by ")[2], self.name.partition(": ")[2].split(" ")[0]
-        unit = {"time": "loops", "memory": "bytes"}.get(word, word)
-        at = {"want": size("changes_day"), "release": RELEASES_THERE, "instance": size("instances"),
+        """Return the row of these values."""
+        per, quantity = self.name.rpartition(" by ")[2], self.name.partition(": ")[2].split(" ")[0]
+        unit = {"time": "loops", "memory": "bytes"}.get(quantity, quantity)
+        at = {"want": size("changes_day"), "release": STORED_RELEASES, "instance": size("instances"),
               "zone": size("zones"), "stage": size("routes"), "service": size("services"),
               "entry": size("requests_s")}[per]  # fmt: skip
         return slopes.row(self.name, kind, unit, per, self.sizes, values, at, repeats, self.note)
 
 
-def counted(case: Case) -> Row:
-    told = [case.of(one) for one in case.sizes]
-    return case.row("count", [float(steps_of(one) if callable(one) else one) for one in told])
+def count_row(case: Case) -> Row:
+    """Measure a case by counts."""
+    measured = [case.measured(item) for item in case.sizes]
+    return case.row("count", [float(steps_of(item) if callable(item) else item) for item in measured])
 
 
-ENTRY = "what came to one server of one origin and stage; at the most one for each request of a second"
-LOST = "decider: time of a decision, a zone lost, by stage"
-FIRST_READS = "conductor: reads of the council before its first decision by instance"
+ENTRY_NOTE = "what came to one server of one origin and stage; at the most one for each request of a second"
+LOST_ZONE_ROW = "decider: time of a decision, a zone lost, by stage"
+FIRST_READS_ROW = "conductor: reads of the council before its first decision by instance"
 PROMISED: dict[str, Shape] = {
     "steward: steps of a look with nothing new by want": "flat",
     "steward: bytes of its state by want": "flat",
@@ -476,7 +544,7 @@
     "conductor: steps of a slot judged by instance": "linear",
     "conductor: steps of a slot judged, one in ten cold, by instance": "linear",
     "conductor: comparisons of ids in a slot by instance": "linear",
-    FIRST_READS: "linear",
+    FIRST_READS_ROW: "linear",
     "conductor: reads of the council of a later look by instance": "flat",
     "conductor: bytes of a later look's reads by instance": "flat",
     "decider: steps of a picture by instance": "linear",
@@ -489,112 +557,131 @@
 }
 
 
-def conducted(instances: int, cold: int, seed: int) -> Conducted:
-    return Conducted(instances, size("zones"), cold, seed)
+def make_rollout(instances: int, cold: int, seed: int) -> SimulatedRollout:
+    """Return a simulated rollout with the planned number of zones."""
+    return SimulatedRollout(instances, size("zones"), cold, seed)
 
 
-def decided(instances: int, stages: int, lost: bool = False) -> Decided:
-    return Decided(instances, size("zones"), stages, lost)
+def make_zones(instances: int, stages: int, lost: bool = False) -> SimulatedZones:
+    """Return simulated zones, as many as planned."""
+    return SimulatedZones(instances, size("zones"), stages, lost)
 
 
-def entered(entries: int) -> Decided:
-    return decided(ENTERED, entries // ENTERED)
+def zones_with_entries(entries: int) -> SimulatedZones:
+    """Return simulated zones whose reports have so many entries in all."""
+    return make_zones(REPORTING_SERVERS, entries // REPORTING_SERVERS)
 
 
-def steward_rows(quick: bool) -> list[Row]:
-    few, known = [3, 10, 30, 60], [60, 100, 300, 600] if quick else [100, 300, 1000, 3000, 6600]
+def supervisor_rows(quick: bool) -> list[Row]:
+    """Count the costs of a supervisor."""
+    counts, fleets = [3, 10, 30, 60], [60, 100, 300, 600] if quick else [100, 300, 1000, 3000, 6600]
     cases = [
-        Case("steward: steps of a look with nothing new by want", few, lambda n: followed(n).look,
+        Case("steward: steps of a look with nothing new by want", counts, lambda n: make_supervisor(n).poll,
              "wants followed before; a day on which it has all changes"),
-        Case("steward: bytes of its state by want", few, lambda n: followed(n).state_bytes()),
-        Case("steward: steps of what it tells its member by instance", known, teller),
-        Case("steward: steps of a check of a release by release", few, steps_of_verify, "releases beside it"),
+        Case("steward: bytes of its state by want", counts, lambda n: make_supervisor(n).state_bytes()),
+        Case("steward: steps of what it tells its member by instance", fleets, publishing),
+        Case("steward: steps of a check of a release by release", counts, steps_of_verify,
+             "releases beside it"),
     ]  # fmt: skip
-    return [counted(one) for one in cases]
+    return [count_row(case) for case in cases]
 
 
-def conductor_rows(quick: bool, seed: int) -> list[Row]:
-    # Quick: new ones and old ones in each zone.
+def controller_rows(quick: bool, seed: int) -> list[Row]:
+    """Count the costs of the rollout controller."""
+    # The sizes of the quick run leave servers of both versions in each zone.
     fleets = [54, 108, 270, 540] if quick else [60, 100, 300, 1000, 3000, 6600]
-    rolled = {n: conducted(n, 0, seed) for n in fleets}
-    asked = {n: looks_asked(n) for n in fleets}
+    rollouts = {n: make_rollout(n, 0, seed) for n in fleets}
+    reads = {n: cluster_reads(n) for n in fleets}
     cases = [
-        Case("conductor: steps of the picture for a look by instance", fleets, picturing),
+        Case("conductor: steps of the picture for a look by instance", fleets, status_building),
         Case("conductor: steps of a look in a change by instance", fleets,
-             lambda n: rolled[n].look, "the last stage, half changed; each look asks for the verdict"),
+             lambda n: rollouts[n].observe, "the last stage, half changed; each look asks for the verdict"),
         Case("conductor: steps of a look in a change by zone", [3, 9, 27, 81],
-             lambda n: Conducted(162, n, 0, seed).look, "162 instances"),
-        Case("conductor: steps of a slot judged by instance", fleets, lambda n: rolled[n].slot),
+             lambda n: SimulatedRollout(162, n, 0, seed).observe, "162 instances"),
+        Case("conductor: steps of a slot judged by instance", fleets, lambda n: rollouts[n].end_slot),
         Case("conductor: steps of a slot judged, one in ten cold, by instance", fleets,
-             lambda n: conducted(n, 10, seed).slot),
+             lambda n: make_rollout(n, 10, seed).end_slot),
         Case("conductor: comparisons of ids in a slot by instance", fleets,
-             lambda n: compared_in_slot(n, seed), "in C, so no steps"),
-        Case(FIRST_READS, fleets, lambda n: asked[n][0][0], "one after the other"),
+             lambda n: id_comparisons(n, seed), "in C, so no steps"),
+        Case(FIRST_READS_ROW, fleets, lambda n: reads[n][0][0], "one after the other"),
         Case("conductor: reads of the council of a later look by instance", fleets,
-             lambda n: asked[n][1][0] - asked[n][0][0]),
+             lambda n: reads[n][1][0] - reads[n][0][0]),
         Case("conductor: bytes of a later look's reads by instance", fleets,
-             lambda n: asked[n][1][1] - asked[n][0][1]),
+             lambda n: reads[n][1][1] - reads[n][0][1]),
     ]  # fmt: skip
-    return [counted(one) for one in cases]
+    return [count_row(case) for case in cases]
 
 
 def decider_rows(quick: bool) -> list[Row]:
-    known, stages = [60, 100, 300, 600] if quick else [100, 300, 1000, 3000, 6600], [10, 30, 60, 100]
+    """Count the costs of the decider of zones."""
+    fleets, stages = [60, 100, 300, 600] if quick else [100, 300, 1000, 3000, 6600], [10, 30, 60, 100]
     zones = [3, 9, 27, 81]
     cases = [
-        Case("decider: steps of a picture by instance", known, lambda n: decided(n, 2).picture, "two stages"),
-        Case("decider: steps of a picture by entry", [ENTERED * n for n in (1, 3, 10, 30)],
-             lambda n: entered(n).picture, ENTRY),
-        Case("decider: steps of a picture by zone", zones, lambda n: Decided(324, n, 2).picture,
+        Case("decider: steps of a picture by instance", fleets,
+             lambda n: make_zones(n, 2).fleet_status, "two stages"),
+        Case("decider: steps of a picture by entry", [REPORTING_SERVERS * n for n in (1, 3, 10, 30)],
+             lambda n: zones_with_entries(n).fleet_status, ENTRY_NOTE),
+        Case("decider: steps of a picture by zone", zones, lambda n: SimulatedZones(324, n, 2).fleet_status,
              "324 instances, two stages"),
-        Case("decider: steps of a decision in calm by instance", known, lambda n: decided(n, 2).decide),
-        Case("decider: steps of a decision in calm by stage", stages, lambda n: decided(54, n).decide,
+        Case("decider: steps of a decision in calm by instance", fleets, lambda n: make_zones(n, 2).decide),
+        Case("decider: steps of a decision in calm by stage", stages, lambda n: make_zones(54, n).decide,
              "a stage for each route"),
         Case("decider: steps of a decision, a zone lost, by zone", zones,
-             lambda n: Decided(162, n, 10, True).decide, "ten stages"),
+             lambda n: SimulatedZones(162, n, 10, True).decide, "ten stages"),
         Case("decider: steps of a decision, a zone lost, by stage", stages,
-             lambda n: decided(54, n, True).decide, "a stage for each route"),
+             lambda n: make_zones(54, n, True).decide, "a stage for each route"),
     ]  # fmt: skip
-    return [counted(one) for one in cases]
+    return [count_row(case) for case in cases]
+
 
+def memory_and_time(seed: int, tell: Callable[[str], None]) -> tuple[list[Row], dict[str, Any]]:
+    """Measure memory and time, in the long run.
 
-def costs(seed: int, tell: Callable[[str], None]) -> tuple[list[Row], dict[str, Any]]:
-    """Memory and time, in the long run. The reference loop is the middle of all moments of it: guards against
-    seconds that are twice those measured, where another program held the machine as the loop was run."""
+    The reference loop is the median of runs throughout the measurement: a single run while another program
+    held the machine made seconds come out at twice those measured.
+    """
     fleets, entries = [600, 1500, 3000, 6600], [27_000, 81_000, 135_000, 270_000]
     stages = [200, 500, 1000, 2000]
-    rolled = {n: conducted(n, 0, seed) for n in fleets}
-    held = [
+    rollouts = {n: make_rollout(n, 0, seed) for n in fleets}
+    memory_cases = [
         Case("conductor: memory of what it sees and judges by instance", fleets,
-             lambda n: conducted(n, 0, seed).controller),
-        Case("decider: memory of reports by entry", entries, lambda n: entered(n).pictures, ENTRY),
+             lambda n: make_rollout(n, 0, seed).controller),
+        Case("decider: memory of reports by entry", entries,
+             lambda n: zones_with_entries(n).tracker, ENTRY_NOTE),
     ]  # fmt: skip
-    timed = [
-        Case("conductor: time of the picture for a look by instance", fleets, picturing),
-        Case("conductor: time of a look at rest by instance", fleets, resting),
+    time_cases = [
+        Case("conductor: time of the picture for a look by instance", fleets, status_building),
+        Case("conductor: time of a look at rest by instance", fleets, idle_observation),
         Case("conductor: time of a look in a change by instance", fleets,
-             lambda n: rolled[n].look),
-        Case("conductor: time of a slot judged by instance", fleets, lambda n: rolled[n].slot),
+             lambda n: rollouts[n].observe),
+        Case("conductor: time of a slot judged by instance", fleets, lambda n: rollouts[n].end_slot),
         Case("conductor: time of a slot judged, one in ten cold, by instance", fleets,
-             lambda n: conducted(n, 10, seed).slot),
-        Case("conductor: time of a slot at rest by instance", fleets, lambda n: resting_slot(rolled[n])),
-        Case("decider: time of a picture by instance", fleets, lambda n: decided(n, 2).picture, "two stages"),
-        Case("decider: time of a picture by entry", entries, lambda n: entered(n).picture, ENTRY),
-        Case("decider: time of a decision in calm by stage", stages, lambda n: decided(54, n).decide),
-        Case(LOST, stages, lambda n: decided(54, n, True).decide, "a stage for each route"),
+             lambda n: make_rollout(n, 10, seed).end_slot),
+        Case("conductor: time of a slot at rest by instance", fleets, lambda n: idle_slot(rollouts[n])),
+        Case("decider: time of a picture by instance", fleets,
+             lambda n: make_zones(n, 2).fleet_status, "two stages"),
+        Case("decider: time of a picture by entry", entries,
+             lambda n: zones_with_entries(n).fleet_status, ENTRY_NOTE),
+        Case("decider: time of a decision in calm by stage", stages, lambda n: make_zones(54, n).decide),
+        Case(LOST_ZONE_ROW, stages, lambda n: make_zones(54, n, True).decide, "a stage for each route"),
     ]  # fmt: skip
-    rows = [one.row("memory", [memory_of(partial(one.of, n))[0] for n in one.sizes]) for one in held]
+    rows = [
+        case.row("memory", [memory_of(partial(case.measured, n))[0] for n in case.sizes])
+        for case in memory_cases
+    ]
     seconds: dict[str, Any] = {}
-    moments = [loop_cpu()]
-    for one in timed:
-        told = [loops_of(one.of(n), REPEATS) for n in one.sizes]
-        rows.append(one.row("time", [loops for loops, _ in told], REPEATS))
-        moments.append(loop_cpu())
-        seconds[f"{one.name}, CPU seconds by size"] = rounded(one.sizes, [took for _, took in told])
-        tell(f"control: {one.name}: {slopes.per_one(rows[-1])}")
-    service = Case(LOST.replace("stage", "service"), stages, timed[-1].of, "the same runs")
-    return [*rows, service.row("time", rows[-1]["values"], REPEATS)], {
-        "loop_s": statistics.median(moments),
+    reference_loops = [loop_cpu()]
+    for case in time_cases:
+        timings = [loops_of(case.measured(n), REPEATS) for n in case.sizes]
+        rows.append(case.row("time", [loops for loops, _ in timings], REPEATS))
+        reference_loops.append(loop_cpu())
+        seconds[f"{case.name}, CPU seconds by size"] = rounded(case.sizes, [took for _, took in timings])
+        tell(f"control: {case.name}: {slopes.per_one(rows[-1])}")
+    service_case = Case(
+        LOST_ZONE_ROW.replace("stage", "service"), stages, time_cases[-1].measured, "the same runs"
+    )
+    return [*rows, service_case.row("time", rows[-1]["values"], REPEATS)], {
+        "loop_s": statistics.median(reference_loops),
         **seconds,
     }
 
@@ -602,70 +689,70 @@
 # ---- the long run: real processes
 
 
-def bare(words: str) -> int:
-    """Resident bytes of an interpreter that has done this and nothing more."""
-    command = [sys.executable, "-c", f"{words}\nprint(flush=True)\ninput()"]
+def interpreter_bytes(program: str) -> int:
+    """Return the resident bytes of an interpreter that has run this program and nothing more."""
+    command = [sys.executable, "-c", f"{program}\nprint(flush=True)\ninput()"]
     with subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, cwd=ROOT) as process:
         assert process.stdout is not None
         process.stdout.readline()
-        found = resident(process.pid)
+        resident_bytes = resident(process.pid)
         process.communicate(b"\n")
-    return found
+    return resident_bytes
 
 
-async def processes(folder: Path, seed: int) -> dict[str, list[tuple[float, int]]]:
-    """Cores and resident bytes of each process by what it is, over CALM seconds in which nothing changes."""
+async def measure_processes(folder: Path, seed: int) -> dict[str, list[tuple[float, int]]]:
+    """Return cores and resident bytes of each process by its kind, over CALM_S seconds without changes."""
     async with anyio.create_task_group() as group:
         machines = SupervisedFleet(folder, group, seed, MACHINES, MACHINES)
-        fleet, names = machines.fleet, [one.name for one in machines.machines]
+        fleet, names = machines.fleet, [machine.name for machine in machines.machines]
         try:
             await machines.start()
-            for name in (*names, "c0", "c1"):  # members with the period of the program, not the lab's
+            for name in (*names, "c0", "c1"):  # members with the program's gossip period, not the lab's
                 fleet.processes[name].kill()
                 conf = folder / f"{name}.conf"
                 lines = conf.read_text().splitlines()
                 conf.write_text("\n".join(line for line in lines if "members period" not in line) + "\n")
                 fleet.processes[name].start()
-            # The program as it is, without the lab's figures twice a second.
-            source = folder / "sources" / PROGRAM
+            # The program as it is, without the figures that the lab's program publishes twice a second.
+            source = folder / "sources" / PROGRAM_RELEASE
             source.mkdir()
             lines = ["#!/bin/sh", f"export PYTHONPATH='{ROOT}'", f"exec {sys.executable} -m thistleline"]
             (source / RUN).write_text("\n".join(lines) + "\n")
             (source / RUN).chmod(0o755)
-            machines.digests[PROGRAM] = machines.releases.add(PROGRAM, source)
-            await machines.order_rollout(PROGRAM, "", ("all",))
+            machines.digests[PROGRAM_RELEASE] = machines.releases.add(PROGRAM_RELEASE, source)
+            await machines.order_rollout(PROGRAM_RELEASE, "", ("all",))
             await machines.wait_for_rollout(60, 1)
-            # Whom the conductor did not know yet as the stage began is brought along once it is over.
-            await machines.wait_until("all are good", partial(_good, fleet, names))
+            # Servers unknown to the controller when the stage began are changed after it.
+            await machines.wait_until("all are good", partial(_all_good, fleet, names))
             serving = {name: machines.serving(name).incarnation for name in names}
-            await anyio.sleep(SETTLE)
-            pids = {"steward": [_pid(fleet.processes[one]) for one in names],
-                    "its server": [int((folder / name / "lives" / f"{life}.pid").read_text())
-                                   for name, life in serving.items()],
-                    "conductor": [_pid(fleet.processes[one]) for one in ("c0", "c1")]}  # fmt: skip
-            begun = time.monotonic()
-            before = {pid: cpu_seconds(pid) for found in pids.values() for pid in found}
-            await anyio.sleep(CALM)
-            span = time.monotonic() - begun
-            told = {what: [((cpu_seconds(pid) - before[pid]) / span, resident(pid)) for pid in found]
-                    for what, found in pids.items()}  # fmt: skip
+            await anyio.sleep(SETTLE_S)
+            pids = {"steward": [_pid(fleet.processes[machine]) for machine in names],
+                    "its server": [int((folder / name / "lives" / f"{incarnation}.pid").read_text())
+                                   for name, incarnation in serving.items()],
+                    "conductor": [_pid(fleet.processes[machine]) for machine in ("c0", "c1")]}  # fmt: skip
+            started = time.monotonic()
+            before = {pid: cpu_seconds(pid) for group_pids in pids.values() for pid in group_pids}
+            await anyio.sleep(CALM_S)
+            span = time.monotonic() - started
+            usage = {kind: [((cpu_seconds(pid) - before[pid]) / span, resident(pid)) for pid in group_pids]
+                    for kind, group_pids in pids.items()}  # fmt: skip
             client = LeaseClient({name: fleet.address(name) for name in fleet.names}, group, fleet.rng)
             await client.request_until_decided(Get(RECORD_KEY), 10.0)
-            begun = time.monotonic()
-            for _ in range(TRIPS):
+            started = time.monotonic()
+            for _ in range(TIMED_READS):
                 await client.request_until_decided(Get(RECORD_KEY), 10.0)
-            told["a read of the council"] = [((time.monotonic() - begun) / TRIPS, 0)]
+            usage["a read of the council"] = [((time.monotonic() - started) / TIMED_READS, 0)]
         finally:
             machines.close()
         group.cancel_scope.cancel()
-    return told
+    return usage
 
 
-def _good(fleet: Fleet, names: list[str]) -> bool:
-    """Whether each steward has taken its server of this run for good."""
+def _all_good(fleet: Fleet, names: list[str]) -> bool:
+    """Return whether each supervisor has taken its server of this run for good."""
     return all(
         any(
-            event["event"] == "good" and event["release"] == PROGRAM
+            event["event"] == "good" and event["release"] == PROGRAM_RELEASE
             for event in fleet.processes[name].events()
         )
         for name in names
@@ -678,56 +765,60 @@
     return process.process.pid
 
 
-def real(seed: int, tell: Callable[[str], None]) -> dict[str, Any]:
-    found: dict[str, list[tuple[float, int]]] = {}
-    for turn in range(RUNS):
+def process_figures(seed: int, tell: Callable[[str], None]) -> dict[str, Any]:
+    """Measure the real processes in some runs and return their figures."""
+    usage: dict[str, list[tuple[float, int]]] = {}
+    for run in range(PROCESS_RUNS):
         with run_folder("control", f"lab scale --part control --seed {seed}") as folder:
-            for what, each in anyio.run(processes, folder, seed + turn).items():
-                found.setdefault(what, []).extend(each)
-        for what, words in (
+            for kind, each in anyio.run(measure_processes, folder, seed + run).items():
+                usage.setdefault(kind, []).extend(each)
+        for kind, program in (
             ("python with anyio", "import anyio"),
             ("python with a steward's imports", "import thistleline.supervisor.service"),
         ):
-            found.setdefault(what, []).append((0.0, bare(words)))
-        tell(f"control: real processes, {turn + 1} of {RUNS}")
-    trip = statistics.median(took for took, _ in found.pop("a read of the council"))
-    told = {
-        what: {
+            usage.setdefault(kind, []).append((0.0, interpreter_bytes(program)))
+        tell(f"control: real processes, {run + 1} of {PROCESS_RUNS}")
+    read_time = statistics.median(took for took, _ in usage.pop("a read of the council"))
+    figures = {
+        kind: {
             "measured": len(each),
             "cores": round(statistics.median(cores for cores, _ in each), 5),
             "cores most": round(max(cores for cores, _ in each), 5),
-            "resident bytes": round(statistics.median(held for _, held in each)),
-            "resident bytes most": max(held for _, held in each),
+            "resident bytes": round(statistics.median(resident_bytes for _, resident_bytes in each)),
+            "resident bytes most": max(resident_bytes for _, resident_bytes in each),
         }
-        for what, each in found.items()
+        for kind, each in usage.items()
     }
-    return {"processes": told, TRIP: round(trip, 5), "machine": machine()}
+    return {"processes": figures, READ_TIME_FIGURE: round(read_time, 5), "machine": machine()}
 
 
 def measure(quick: bool, seed: int, tell: Callable[[str], None]) -> Part:
-    rows = steward_rows(quick)
-    tell("control: steps of a steward")
-    rows += conductor_rows(quick, seed)
-    tell("control: steps of a conductor")
+    """Measure the part: counts, and in the long run memory, time and real processes."""
+    rows = supervisor_rows(quick)
+    tell("control: steps of a supervisor")
+    rows += controller_rows(quick, seed)
+    tell("control: steps of a rollout controller")
     rows += decider_rows(quick)
     tell("control: steps of a decider of zones")
     bars = judge(rows, PROMISED)
     figures: dict[str, Any] = {
-        "a steward in calm": calm_hour(),
-        "a restart": a_restart(),
+        "a steward in calm": quiet_hour(),
+        "a restart": restart_costs(),
         "a day": {"restarts of an instance": size("restarts_day") / size("instances"),
                   "restarts a second, of all": round(size("restarts_day") / size("day_s"), 3)},
         "slots a second": SECOND / RolloutConfig().slot,
     }  # fmt: skip
     if not quick:
-        more, seconds = costs(seed, tell)
-        rows += more
-        figures |= {**seconds, **real(seed, tell)}
-        reads = next(one for one in rows if one["name"] == FIRST_READS)["at_size"]
+        cost_rows, seconds = memory_and_time(seed, tell)
+        rows += cost_rows
+        figures |= {**seconds, **process_figures(seed, tell)}
+        first_reads = next(row for row in rows if row["name"] == FIRST_READS_ROW)["at_size"]
         figures["seconds until a conductor's first decision, by reads of so long"] = {
-            "as measured on loopback": round(reads * figures[TRIP], 1), "50 ms": round(reads * 0.05, 1),
+            "as measured on loopback": round(first_reads * figures[READ_TIME_FIGURE], 1),
+            "50 ms": round(first_reads * 0.05, 1),
         }  # fmt: skip
         bars["steward: all stewards and servers of the real runs were measured"] = all(
-            figures["processes"][what]["measured"] == RUNS * MACHINES for what in ("steward", "its server")
+            figures["processes"][kind]["measured"] == PROCESS_RUNS * MACHINES
+            for kind in ("steward", "its server")
         )
     return Part(rows=rows, figures=figures, bars=bars)
