--- a/tests/test_feed_sockets.py
+++ b/tests/test_feed_sockets.py
@@ -10,7 +10,7 @@
 from thistleline.config_feed.messages import decode_group
 from thistleline.config_feed.table import entry_hash
 from thistleline.lab.scale import feedsockets, slopes
-from thistleline.lab.scale.feed import made_table
+from thistleline.lab.scale.feed import make_table
 from thistleline.lab.scale.feedsockets import (
     Changes,
     Kept,
@@ -93,7 +93,7 @@
 
 
 def test_parts_come_to_the_state_that_a_table_comes_to_and_are_made_once() -> None:
-    table = made_table(300, 0, 1)
+    table = make_table(300, 0, 1)
     entries = list(table.entries("wide"))
     cut = [tuple(entries[first : first + 50]) for first in range(0, len(entries), 50)]
     loads = [SharedSnapshot(), SharedSnapshot()]
--- a/tests/test_feed_worlds.py
+++ b/tests/test_feed_worlds.py
@@ -11,7 +11,7 @@
 from thistleline.config_feed.messages import Propose, ProposeResult
 from thistleline.config_feed.table import FeedTable
 from thistleline.lab.scale import feed
-from thistleline.lab.scale.feed import Load, begin, case, made_table
+from thistleline.lab.scale.feed import Load, make_table, run_case, start_fleet
 from thistleline.lab.simulation import feed_mutants as feedmutants
 from thistleline.lab.simulation.feed_fleet import LENGTH, Oracle, Shared, VirtualFeed, quantile
 from thistleline.lab.simulation.feed_mutants import MUTANTS, SCENARIOS, explore_scenario
@@ -84,13 +84,13 @@
 
 
 def small(seed: int = 1, zones: int = 0) -> VirtualFeed:
-    fleet = VirtualFeed(made_table(50, 50, seed), seed, 24, regions=3, relays=2, keepers=3, zones=zones)
-    begin(fleet)
+    fleet = VirtualFeed(make_table(50, 50, seed), seed, 24, regions=3, relays=2, keepers=3, zones=zones)
+    start_fleet(fleet)
     return fleet
 
 
 def test_a_fleet_s_day_is_the_same_for_the_same_seed() -> None:
-    one, other = (case(Load(small(), 50, 50, 1), 5.0, 3.0) for _ in range(2))
+    one, other = (run_case(Load(small(), 50, 50, 1), 5.0, 3.0) for _ in range(2))
     assert one == other
     assert one["changes"] > 5
     assert not one["behind"]
@@ -98,7 +98,7 @@
 
 def test_a_relay_that_dies_without_a_word_costs_its_followers_no_more_than_their_patience() -> None:
     fleet = small()
-    told = case(Load(fleet, 50, 50, 1), 5.0, 5.0, lambda: feed.relay_dies(fleet))
+    told = run_case(Load(fleet, 50, 50, 1), 5.0, 5.0, lambda: feed.kill_relay(fleet))
     assert not told["behind"]
     assert 1000 < told["last_ms"] < 7000  # somebody had to go elsewhere
     assert not fleet.faults()
@@ -106,7 +106,7 @@
 
 def test_a_side_that_is_cut_off_serves_its_last_state_and_catches_up() -> None:
     fleet = small()
-    told = feed.split(Load(fleet, 50, 50, 1), 20, 5.0)
+    told = feed.run_partition(Load(fleet, 50, 50, 1), 20, 5.0)
     assert told["states_of_the_cut_side"] == 1
     assert told["caught_up"]
     assert told["caught_up_s"] < 7
@@ -116,8 +116,8 @@
 def test_who_comes_back_cold_or_with_an_older_state_holds_the_newest_soon() -> None:
     fleet = small(zones=6)
     load = Load(fleet, 50, 50, 1)
-    cold = case(load, 5.0, 4.0, lambda: feed.zone_returns(fleet))
-    late = case(load, 5.0, 4.0, lambda: feed.rack_returns(fleet, 4, SECOND))
+    cold = run_case(load, 5.0, 4.0, lambda: feed.restart_zone_cold(fleet))
+    late = run_case(load, 5.0, 4.0, lambda: feed.restart_rack(fleet, 4, SECOND))
     assert not cold["behind"] + late["behind"]
     assert max(cold["last_ms"], late["last_ms"]) < 7000
     assert not fleet.faults()
@@ -166,7 +166,7 @@
 
 
 def test_zones_are_dealt_out_to_regions_that_differ_in_size_with_them() -> None:
-    fleet = VirtualFeed(made_table(5, 5, 1), 1, 270, regions=10, relays=2, keepers=5, zones=27)
+    fleet = VirtualFeed(make_table(5, 5, 1), 1, 270, regions=10, relays=2, keepers=5, zones=27)
     zones = Counter(fleet.places[name].zone for name in fleet.instances)
     assert set(zones.values()) == {10}
     regions = Counter(fleet.places[name].region for name in fleet.instances)
@@ -179,10 +179,10 @@
 
 def test_a_zone_is_lost_with_its_relay_and_its_instances_come_back_to_the_other_one() -> None:
     fleet = small(zones=6)
-    told = case(Load(fleet, 50, 50, 1), 5.0, 12.0, lambda: feed.zone_lost(fleet))
+    told = run_case(Load(fleet, 50, 50, 1), 5.0, 12.0, lambda: feed.lose_zone(fleet))
     assert [name for name in fleet.relays if not fleet.places[name].alive] == ["r0.1"]
     assert told["relay_followers_most"] >= 8  # all of the region, where 4 were before
-    assert all(fleet.places[name].since > 0 for name in feed.of_zone(fleet, 3))
+    assert all(fleet.places[name].since > 0 for name in feed.instances_in_zone(fleet, 3))
     assert not told["behind"]
     assert told["last_ms"] < 7000
     assert not fleet.faults()
@@ -200,7 +200,7 @@
     fleet = small()
     first = fleet.writer().name
     died = fleet.now
-    feed.writer_dies(fleet)
+    feed.kill_writer(fleet)
     fleet.run(died + 10 * SECOND, lambda: any(one.node.is_writer for one in keepers(fleet) if one.alive))
     assert fleet.writer().name != first
     assert LENGTH // 2 < fleet.now - died < LENGTH + SECOND
@@ -220,7 +220,7 @@
 
 def test_what_is_asked_while_the_writer_is_dead_is_asked_again_until_it_is_known() -> None:
     fleet = small()
-    told = case(Load(fleet, 50, 50, 1), 5.0, 12.0, lambda: feed.writer_dies(fleet))
+    told = run_case(Load(fleet, 50, 50, 1), 5.0, 12.0, lambda: feed.kill_writer(fleet))
     assert told["changes"] == len(fleet.made)
     assert not fleet.proposals
     assert not told["behind"]
@@ -237,7 +237,7 @@
     fleet.run(fleet.now + SECOND, lambda: any(b"once" in value for value, _ in records.values()))
     assert fleet.index > decided
     assert "once" not in fleet.made
-    feed.writer_dies(fleet)
+    feed.kill_writer(fleet)
     fleet.propose(Propose("after", (("common/y", b"{}"),)))
     fleet.run(fleet.now + 15 * SECOND)
     fleet.settle()
--- a/tests/test_polled.py
+++ b/tests/test_polled.py
@@ -82,10 +82,10 @@
 
 def test_the_feed_s_lines_stand_beside_those_of_today() -> None:
     plan = feed.Plan(1, 50, 50, 24, {"regions": 3, "zones": 6, "relays": 2, "keepers": 3}, (3, 3), 2, 30)
-    found = {name: feed.fleet_case(plan, name)[0] for name in feed.FACTORS}
-    ways = [(name, way) for name in feed.FACTORS for way in (feed.UNBOUND, feed.BOUND)]
-    today = {one: feed.polled(plan, one[0], 0.0) for one in ways}
-    told = feed.beside(plan, found, today)
-    for name in feed.FACTORS:
-        assert told[f"{name}, the feed"]["changes"] == told[f"{name}, {feed.UNBOUND}"]["changes"] > 0
-        assert told[f"{name}, {feed.UNBOUND}"]["instance_bytes_s_to_the_feed"] > 1
+    found = {name: feed.fleet_case(plan, name)[0] for name in feed.RATE_FACTORS}
+    ways = [(name, way) for name in feed.RATE_FACTORS for way in (feed.POLLED_UNLIMITED, feed.POLLED_LIMITED)]
+    today = {one: feed.run_polled(plan, one[0], 0.0) for one in ways}
+    told = feed.compare(plan, found, today)
+    for name in feed.RATE_FACTORS:
+        assert told[f"{name}, the feed"]["changes"] == told[f"{name}, {feed.POLLED_UNLIMITED}"]["changes"] > 0
+        assert told[f"{name}, {feed.POLLED_UNLIMITED}"]["instance_bytes_s_to_the_feed"] > 1
--- a/thistleline/lab/scale/feedsockets.py
+++ b/thistleline/lab/scale/feedsockets.py
@@ -34,7 +34,7 @@
 from thistleline.lab.processes.feed_fleet import FeedFleet
 from thistleline.lab.processes.harness import RunTimeoutError, free_port, run_folder
 from thistleline.lab.scale import slopes
-from thistleline.lab.scale.feed import DAY, HOT, Load, made_table, route_key, route_value
+from thistleline.lab.scale.feed import DAY, HOT_TENANTS, Load, make_table, route_key, route_value
 from thistleline.lab.scale.followers import FollowersSettings, Report
 from thistleline.lab.scale.instance import cpu_seconds, machine, resident
 from thistleline.lab.scale.size import size
@@ -436,7 +436,7 @@
 def write_folder(folder: Path, routes: int, tenants: int, seed: int) -> tuple[bytes, Entries, int, int]:
     """A keeper's, by the feed's own archive: a table and one change on top, which is the council's first
     record. That record, the entries without the tenants, the number and the bytes on disk."""
-    table = made_table(routes, tenants, seed)
+    table = make_table(routes, tenants, seed)
     change = Change(table.sequence + 1, "first", (("common/first", b"{}"),))
     made = table.apply(change)
     record = encode(Group(0, (change,), table.digest("all"), made.digest("all")))
@@ -486,7 +486,7 @@
     await region.start_with(b"")
     kept, put, faults = await put_all(region, routes, seed)
     tell(f"{NAME}: {routes} routes put: {put}")
-    changes = Changes(region, kept, routes, HOT, seed)
+    changes = Changes(region, kept, routes, HOT_TENANTS, seed)
     found: dict[str, Any] = {"put": put, "by followers": {}}
     for many in sizes:
         found["by followers"][str(many)], more = await phase(region, changes, many, seconds, seed, tell)
--- a/thistleline/lab/scale/followers.py
+++ b/thistleline/lab/scale/followers.py
@@ -29,7 +29,7 @@
 from thistleline.config_feed.lookups import LookupCache
 from thistleline.config_feed.messages import Kind, SnapshotPart
 from thistleline.config_feed.table import PARTIAL_PREFIXES, FeedTable
-from thistleline.lab.scale.feed import HOT, LOOKS, tenant_key
+from thistleline.lab.scale.feed import HOT_TENANTS, LOOKUPS_S, tenant_key
 from thistleline.lab.simulation.feed_fleet import Shared
 from thistleline.transport.codec import FrameDecoder, encode_frame
 
@@ -254,8 +254,8 @@
         random = Random(self.settings.seed + self.settings.first)
         many = self.settings.tenants
         while True:
-            await anyio.sleep(random.expovariate(LOOKS * len(self.all)))
-            place = random.randrange(min(many, random.choice((HOT, many))))
+            await anyio.sleep(random.expovariate(LOOKUPS_S * len(self.all)))
+            place = random.randrange(min(many, random.choice((HOT_TENANTS, many))))
             random.choice(self.all).client.lookup(tenant_key(place))
 
 
