--- a/tests/test_feed_sockets.py
+++ b/tests/test_feed_sockets.py
@@ -12,14 +12,14 @@
 from thistleline.lab.scale import feedsockets, slopes
 from thistleline.lab.scale.feed import make_table
 from thistleline.lab.scale.feedsockets import (
-    Changes,
-    Kept,
+    AcknowledgedChanges,
+    ChangeLoad,
     Region,
-    crowd,
-    full_table,
-    links,
-    put_all,
-    with_region,
+    connection_figures,
+    measure_full_table,
+    put_entries,
+    run_followers,
+    run_with_region,
 )
 from thistleline.lab.scale.followers import FollowerReport, Report, SharedSnapshot
 from thistleline.store.disk import Disk
@@ -32,11 +32,15 @@
     return (sum(entry_hash(key, *one) for key, one in entries.items()) % (1 << 128)).to_bytes(16, "big")
 
 
-def kept() -> Kept:
+def kept() -> AcknowledgedChanges:
     """Two changes on top of 5: of a route, and of a tenant."""
-    made = Kept(BASE, 5)
+    made = AcknowledgedChanges(BASE, 5)
     made.items = {6: (("route/a", b'{"n":1}'),), 7: (("tenant/t", b"{}"),)}
-    made.asked, made.at, made.last = {6: 0, 7: 10_000_000}, {6: 1_000_000, 7: 11_000_000}, 7
+    made.proposed_at, made.acknowledged_at, made.last = (
+        {6: 0, 7: 10_000_000},
+        {6: 1_000_000, 7: 11_000_000},
+        7,
+    )
     return made
 
 
@@ -69,24 +73,24 @@
 def test_a_number_nobody_was_told_of_and_a_change_that_was_not_made_are_named() -> None:
     made = kept()
     del made.items[6]
-    made.lost.append("change-3: no keeper answers")
+    made.refused.append("change-3: no keeper answers")
     found = made.faults(saw())
-    assert any("nobody was told of [6]" in one for one in found)
+    assert any("changes never acknowledged: [6]" in one for one in found)
     assert "change-3: no keeper answers" in found
 
 
 def test_the_time_is_from_the_acknowledgement_to_the_first_state_that_has_it() -> None:
-    told = kept().took(saw(), [6, 7])
+    told = kept().latencies(saw(), [6, 7])
     assert (told["counted"], told["last_ms"], told["last_ms_from_asking"]) == (2, 20.0, 21.0)
-    merged = kept().took(saw(states=[(7, 31_000_000)]), [6, 7])
+    merged = kept().latencies(saw(states=[(7, 31_000_000)]), [6, 7])
     assert merged["last_ms"] == 30.0  # 6 came with 7
 
 
 def test_what_was_told_in_two_parts_is_one_whole() -> None:
     first = saw(states=[(6, 1)], loads=1, connects=2, silent=3_000_000)
-    whole = feedsockets.joined(first, saw(states=[(7, 2)], connects=1, silent=2_000_000))
+    whole = feedsockets.merge_reports(first, saw(states=[(7, 2)], connects=1, silent=2_000_000))
     assert whole[0].followers[0].states == [(6, 1), (7, 2)]
-    assert links(whole) == {"connected_again": 3, "loaded_again": 1, "longest_silent_ms": 3}
+    assert connection_figures(whole) == {"connected_again": 3, "loaded_again": 1, "longest_silent_ms": 3}
 
 
 # ---- what is shared, what lies on disk
@@ -108,7 +112,7 @@
 def test_a_folder_that_was_put_in_place_is_what_a_keeper_finds_and_the_council_goes_on_from(
     tmp_path: Path,
 ) -> None:
-    record, held, number, stored = feedsockets.write_folder(tmp_path / "k1", 50, 70, 3)
+    record, held, number, stored = feedsockets.write_keeper_folder(tmp_path / "k1", 50, 70, 3)
     disk = Disk(tmp_path / "k1", "feed")
     table = Archive(disk, "all").recover()
     assert table is not None
@@ -123,7 +127,7 @@
 
 
 def test_a_region_whose_relay_dies_has_all_followers_at_the_other_and_none_loads_again() -> None:
-    found, faults = with_region(1, 3, partial(full_table, 60, 40, 6, 1.5, 1, lambda text: None))
+    found, faults = run_with_region(1, 3, partial(measure_full_table, 60, 40, 6, 1.5, 1, lambda text: None))
     cases = found["cases"]
     assert faults == []
     for one in cases.values():
@@ -138,18 +142,18 @@
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))  # its folder is kept
 
     async def story(region: Region) -> tuple[dict[str, Any], list[str]]:
-        await region.start_with(b"")
-        known, _, faults = await put_all(region, 30, 1)
-        changes = Changes(region, known, 30, 10, 1)
-        async with crowd(region, 2, 10, 1) as followers:
+        await region.start_from_record(b"")
+        known, _, faults = await put_entries(region, 30, 1)
+        changes = ChangeLoad(region, known, 30, 10, 1)
+        async with run_followers(region, 2, 10, 1) as followers:
             await followers.ask("go", int)
             await changes.run(10.0, 0.5)
-            await followers.stand(known.last)
+            await followers.wait_for(known.last)
             known.items[known.last] += (("common/never", b"{}"),)  # as if it had been acknowledged
-            faults += known.faults(await followers.tell())
+            faults += known.faults(await followers.report())
         return {}, faults
 
-    _, faults = with_region(1, 1, story)
+    _, faults = run_with_region(1, 1, story)
     assert ["ends at" in one for one in faults] == [True, True]
 
 
--- a/thistleline/lab/scale/feedsockets.py
+++ b/thistleline/lab/scale/feedsockets.py
@@ -1,9 +1,12 @@
-"""A region of the change feed on real sockets and disks: a council, three keepers and two relays of the
-program, followers that are the client that runs (scale/followers.py), a real connection each.
+"""The change feed of one region on real sockets and disks.
 
-The oracle knows what was acknowledged and what the followers saw, and makes the digest that all must end at
-from a plain dict. Times are from the acknowledgement to the moment from which a follower's look-ups answer by
-it. All processes share one machine: a follower's share is that of a process of which it is the only one.
+A consensus cluster, three keepers and two relays of the program serve followers that run the real feed client
+(scale/followers.py), with a real connection each.
+
+The oracle knows which changes were acknowledged and what the followers observed; it computes the digest that
+all must reach from a plain dict. Times are from the acknowledgement to the moment from which a follower's
+look-ups use the change. All processes share one machine: a follower's CPU share is measured in a process that
+has no other follower.
 """
 
 import shutil
@@ -45,142 +48,187 @@
 
 NAME = "feed on sockets"
 SIZES = [35, 75, 150, 350, 735]  # followers of the region
-PROCESSES = 4  # that many followers are in, beside the one that is alone
-PATIENCE = 120.0  # s for all of the followers, or for a keeper that reads the full table
-LINE_BOUND = 64 << 20  # bytes of what a process of followers tells
+FOLLOWER_PROCESSES = 4  # processes for all followers but the one that is alone
+TIMEOUT_S = 120.0  # for all followers, or for a keeper that reads the full table
+MAX_LINE_SIZE = 64 << 20  # bytes of a report of a process
 Tell = Callable[[str], None]
 Entries = dict[str, tuple[bytes, int]]
 
 
 class Region(FeedFleet):
-    """As a region stands: relays side by side, with folders; no relay of the lab between."""
+    """Relays side by side with folders of their own, and direct connections without the lab's proxies."""
 
     lease = "3s"
 
     async def way(self, source: str, to: str) -> Address:
+        """Return the address itself."""
         return self.address(to)
 
-    async def start_with(self, first: bytes) -> None:
-        """`first`: the council's first record; what the keepers' folders hold ends with it."""
+    async def start_from_record(self, first: bytes) -> None:
+        """Start all processes.
+
+        Args:
+            first: First record of the consensus cluster, or nothing; the keepers' folders end with it.
+
+        Raises:
+            RunTimeoutError: The cluster did not take the record, or no keeper writes.
+        """
         fleet = self.fleet
         for name in [*self.keepers, *self.relays]:
             fleet.ports[name] = free_port()
         await fleet.start_replicas()
         await fleet.form()
         if first and not isinstance(await fleet.request(Put(record_key(0), first, 0)), Done):
-            raise RunTimeoutError("the council takes no first record")
+            raise RunTimeoutError("the consensus cluster did not take the first record")
         for name in self.keepers:
             await self._start_keeper(name)
         for name in self.relays:
             await self._start_relay(name, 1, self.keepers, True)
         self.to_keepers = {name: self.address(name) for name in self.keepers}
-        await self.writer(PATIENCE)
+        await self.writer(TIMEOUT_S)
 
     def pid(self, name: str) -> int:
+        """Return the process id."""
         process = self.processes[name].process
         assert process is not None
         return process.pid
 
-    async def number(self) -> int:
-        found = await self.looked(await self.writer())
-        return found.sequence if found is not None else 0
+    async def newest_number(self) -> int:
+        """Return the writer's sequence number."""
+        result = await self.looked(await self.writer())
+        return result.sequence if result is not None else 0
+
+    async def restart(self, name: str) -> dict[str, Any]:
+        """Start a process again with what its disk holds.
 
-    async def started(self, name: str) -> dict[str, Any]:
-        """Its next life, by what its disk has: seconds till it answers, and its memory then."""
-        begun = time.monotonic()
+        Returns:
+            Seconds until it answers, and its memory then.
+        """
+        started = time.monotonic()
         self.processes[name].start()
-        await self.reaches(name, 1, PATIENCE)
-        return {"s": round(time.monotonic() - begun, 2), "resident_bytes": resident(self.pid(name))}
+        await self.reaches(name, 1, TIMEOUT_S)
+        return {"s": round(time.monotonic() - started, 2), "resident_bytes": resident(self.pid(name))}
 
 
 # ---- the followers
 
 
-class Some:
-    """A process of them."""
+class FollowerProcess:
+    """A process of followers."""
 
     def __init__(self, process: Process) -> None:
+        """Take the started process."""
         assert process.stdout is not None
         self.process, self.out = process, BufferedByteReceiveStream(process.stdout)
 
-    async def ask(self, word: str) -> bytes:
+    async def ask(self, command: str) -> bytes:
+        """Send a command and return its answer."""
         assert self.process.stdin is not None
-        await self.process.stdin.send(word.encode() + b"\n")
-        return await self.out.receive_until(b"\n", LINE_BOUND)
+        await self.process.stdin.send(command.encode() + b"\n")
+        return await self.out.receive_until(b"\n", MAX_LINE_SIZE)
 
 
-class Crowd:
-    """All followers, the first of them alone in its process."""
+class Followers:
+    """All followers; the first of them is alone in its process."""
 
-    def __init__(self, some: list[Some], many: int) -> None:
-        self.some, self.many = some, many
+    def __init__(self, processes: list[FollowerProcess], count: int) -> None:
+        """Take the processes and the number of their followers."""
+        self.processes, self.count = processes, count
 
-    async def ask(self, word: str, kind: Any) -> list[Any]:
-        found: list[Any] = [None] * len(self.some)
+    async def ask(self, command: str, kind: Any) -> list[Any]:
+        """Send a command to all processes at the same time and return their decoded answers."""
+        answers: list[Any] = [None] * len(self.processes)
 
-        async def one(place: int) -> None:
-            found[place] = msgspec.json.decode(await self.some[place].ask(word), type=kind)
+        async def ask_one(index: int) -> None:
+            answers[index] = msgspec.json.decode(await self.processes[index].ask(command), type=kind)
 
         async with anyio.create_task_group() as group:
-            for place in range(len(self.some)):
-                group.start_soon(one, place)
-        return found
+            for index in range(len(self.processes)):
+                group.start_soon(ask_one, index)
+        return answers
 
-    async def tell(self) -> list[Report]:
+    async def report(self) -> list[Report]:
+        """Return the reports since the last ones."""
         return await self.ask("tell", Report)
 
-    async def stand(self, number: int, at: str = "") -> None:
-        """Till all stand there, and follow that one if one is named. Raises RunTimeoutError."""
-        with anyio.move_on_after(PATIENCE):
+    async def wait_for(self, number: int, upstream: str = "") -> None:
+        """Wait until all followers have reached the number, and follow the upstream if one is named.
+
+        Raises:
+            RunTimeoutError: They did not within TIMEOUT_S.
+        """
+        with anyio.move_on_after(TIMEOUT_S):
             while True:
-                told = await self.ask("stands", tuple[dict[int, int], dict[str, int]])
-                if all(min(one[0]) >= number and (not at or list(one[1]) == [at]) for one in told):
+                positions = await self.ask("stands", tuple[dict[int, int], dict[str, int]])
+                if all(
+                    min(position[0]) >= number and (not upstream or list(position[1]) == [upstream])
+                    for position in positions
+                ):
                     return
                 await anyio.sleep(0.1)
-        raise RunTimeoutError(f"not all followers stand at {number} after {PATIENCE} s: {told}")
+        raise RunTimeoutError(f"not all followers reached {number} within {TIMEOUT_S} s: {positions}")
 
 
 @asynccontextmanager
-async def crowd(region: Region, many: int, tenants: int, seed: int) -> AsyncIterator[Crowd]:
-    """Processes of so many followers that have not begun; they end with it."""
-    rest = many - 1
-    shares = [1, *(rest * (n + 1) // PROCESSES - rest * n // PROCESSES for n in range(PROCESSES))]
+async def run_followers(region: Region, count: int, tenants: int, seed: int) -> AsyncIterator[Followers]:
+    """Run processes of so many followers that are not started yet, until the context is left."""
+    others = count - 1
+    shares = [
+        1,
+        *(
+            others * (n + 1) // FOLLOWER_PROCESSES - others * n // FOLLOWER_PROCESSES
+            for n in range(FOLLOWER_PROCESSES)
+        ),
+    ]
     sources = {name: region.address(name) for name in region.relays}
-    some: list[Some] = []
+    processes: list[FollowerProcess] = []
     first = 0
     with (region.folder / "followers.log").open("ab") as log:
         try:
             for share in filter(None, shares):
-                told = msgspec.json.encode(FollowersSettings(sources, first, share, tenants, seed)).decode()
-                words = [sys.executable, "-m", "thistleline.lab.scale.followers", told]
-                some.append(Some(await anyio.open_process(words, stderr=log)))
+                settings = msgspec.json.encode(
+                    FollowersSettings(sources, first, share, tenants, seed)
+                ).decode()
+                command = [sys.executable, "-m", "thistleline.lab.scale.followers", settings]
+                processes.append(FollowerProcess(await anyio.open_process(command, stderr=log)))
                 first += share
-            yield Crowd(some, many)
+            yield Followers(processes, count)
         finally:
-            for one in some:
-                if one.process.returncode is None:
-                    one.process.kill()
+            for process in processes:
+                if process.process.returncode is None:
+                    process.process.kill()
             with anyio.CancelScope(shield=True):
-                for one in some:
-                    await one.process.wait()
-                    await one.process.aclose()
+                for process in processes:
+                    await process.process.wait()
+                    await process.process.aclose()
 
 
 # ---- the oracle
 
 
-class Kept:
-    """What was acknowledged, on top of a state that is known; and when it was asked for and acknowledged, ns
-    of the monotonic clock."""
+class AcknowledgedChanges:
+    """The changes acknowledged on top of a known table.
+
+    Attributes:
+        base: Entries of the known table.
+        first: Number of the known table.
+        last: Newest acknowledged number.
+        proposed_at: When each number was proposed, in ns of the monotonic clock.
+        acknowledged_at: When each number was acknowledged, in ns of the monotonic clock.
+        items: Items of each change.
+        refused: Changes that were not made, with the reasons.
+    """
 
     def __init__(self, base: Entries, number: int) -> None:
+        """Start from a table of that number."""
         self.base, self.first, self.last = base, number, number
-        self.asked: dict[int, int] = {}
-        self.at: dict[int, int] = {}
+        self.proposed_at: dict[int, int] = {}
+        self.acknowledged_at: dict[int, int] = {}
         self.items: dict[int, tuple[tuple[str, bytes | None], ...]] = {}
-        self.lost: list[str] = []  # what was not made
+        self.refused: list[str] = []
 
     def entries(self) -> Entries:
+        """Return the entries after all acknowledged changes."""
         held = dict(self.base)
         for number in sorted(self.items):
             for key, value in self.items[number]:
@@ -190,285 +238,364 @@
         return held
 
     def faults(self, reports: list[Report]) -> list[str]:
-        """What is wrong with what all of them saw; they must have come to the newest."""
-        found = list(self.lost[:3])
+        """Return what is wrong with the followers' reports; they must have reached the newest number."""
+        found = list(self.refused[:3])
         missing = sorted(set(range(self.first + 1, self.last + 1)) - self.items.keys())
         if missing:
-            found.append(f"nobody was told of {missing[:3]}")
+            found.append(f"changes never acknowledged: {missing[:3]}")
         held = self.entries()
-        sums = sum(entry_hash(key, *one) for key, one in held.items() if not key.startswith(PARTIAL_PREFIXES))
+        sums = sum(
+            entry_hash(key, *entry) for key, entry in held.items() if not key.startswith(PARTIAL_PREFIXES)
+        )
         digest = (sums % (1 << 128)).to_bytes(16, "big")
-        for one in (seen for report in reports for seen in report.followers):
-            numbers = [number for number, _ in one.states]
-            if (one.number, one.digest) != (self.last, digest):
-                found.append(f"{one.name} ends at {one.number} {one.digest.hex()}, not {self.last}")
-            if numbers != sorted(numbers) or (numbers and numbers[-1] != one.number):
-                found.append(f"{one.name} went back")
-            if one.wrong:
-                found.append(f"{one.name}: {one.wrong} look-ups did not answer by their state")
-            for key, told in one.tenants.items():
-                if key in held and held[key] != told:
-                    found.append(f"{one.name} holds {key} as of {told[1]}")
+        for follower in (one for report in reports for one in report.followers):
+            numbers = [number for number, _ in follower.states]
+            if (follower.number, follower.digest) != (self.last, digest):
+                found.append(
+                    f"{follower.name} ends at {follower.number} {follower.digest.hex()}, not {self.last}"
+                )
+            if numbers != sorted(numbers) or (numbers and numbers[-1] != follower.number):
+                found.append(f"{follower.name} went back")
+            if follower.wrong:
+                found.append(f"{follower.name}: {follower.wrong} look-ups did not use their state")
+            for key, entry in follower.tenants.items():
+                if key in held and held[key] != entry:
+                    found.append(f"{follower.name} holds {key} as of {entry[1]}")
         return found
 
-    def took(self, reports: list[Report], numbers: Iterable[int]) -> dict[str, Any]:
-        """From each of these acknowledgements, and proposals, until each follower's look-ups answer by it."""
-        after, whole = [], []
-        for seen in (one for report in reports for one in report.followers):
+    def latencies(self, reports: list[Report], numbers: Iterable[int]) -> dict[str, Any]:
+        """Return quantiles of the times until look-ups use these changes, over all followers.
+
+        The times are from the acknowledgement and from the proposal.
+        """
+        from_acknowledgement, from_proposal = [], []
+        for seen in (follower for report in reports for follower in report.followers):
             states = [number for number, _ in seen.states]
             for number in numbers:
-                when = seen.states[bisect_left(states, number)][1]
-                after.append(max(0, when - self.at[number]))
-                whole.append(when - self.asked[number])
-        after.sort()
-        whole.sort()
+                in_force_at = seen.states[bisect_left(states, number)][1]
+                from_acknowledgement.append(max(0, in_force_at - self.acknowledged_at[number]))
+                from_proposal.append(in_force_at - self.proposed_at[number])
+        from_acknowledgement.sort()
+        from_proposal.sort()
         return {
-            "counted": len(after),
-            "middle_ms": _ms(after, 0.5),
-            "of_99_in_100_ms": _ms(after, 0.99),
-            "last_ms": _ms(after, 1.0),
-            "middle_ms_from_asking": _ms(whole, 0.5),
-            "last_ms_from_asking": _ms(whole, 1.0),
+            "counted": len(from_acknowledgement),
+            "middle_ms": _quantile_ms(from_acknowledgement, 0.5),
+            "of_99_in_100_ms": _quantile_ms(from_acknowledgement, 0.99),
+            "last_ms": _quantile_ms(from_acknowledgement, 1.0),
+            "middle_ms_from_asking": _quantile_ms(from_proposal, 0.5),
+            "last_ms_from_asking": _quantile_ms(from_proposal, 1.0),
         }
 
 
-def _ms(spans: list[int], part: float) -> float:
-    """Of ns in order."""
-    return round(spans[min(len(spans) - 1, int(len(spans) * part))] / 1e6, 1)
+def _quantile_ms(spans: list[int], quantile: float) -> float:
+    """Return a quantile of sorted times in ns, in ms."""
+    return round(spans[min(len(spans) - 1, int(len(spans) * quantile))] / 1e6, 1)
+
 
+# ---- changes and their costs
 
-# ---- changes, and what they cost
 
+class CpuUsage(NamedTuple):
+    """CPU time of processes since a start.
 
-class Spent(NamedTuple):
-    """Cores over a span, by process."""
+    Attributes:
+        started: Start, in seconds of the monotonic clock.
+        cpu: CPU seconds at the start, by process id.
+    """
 
-    begun: float
+    started: float
     cpu: dict[int, float]
 
     @classmethod
-    def now(cls, pids: list[int]) -> "Spent":
+    def now(cls, pids: list[int]) -> "CpuUsage":
+        """Start to measure these processes."""
         return cls(time.monotonic(), {pid: cpu_seconds(pid) for pid in pids})
 
     def cores(self, pid: int) -> float:
-        return round((cpu_seconds(pid) - self.cpu[pid]) / (time.monotonic() - self.begun), 4)
+        """Return the cores that a process has used since the start."""
+        return round((cpu_seconds(pid) - self.cpu[pid]) / (time.monotonic() - self.started), 4)
 
 
-class Changes:
-    """Drawn as those of the fleets in virtual time; open loop: each is proposed at its time."""
+class ChangeLoad:
+    """Changes like those of the fleets in virtual time.
 
-    def __init__(self, region: Region, kept: Kept, routes: int, tenants: int, seed: int) -> None:
-        nowhere: Any = None  # of a load only its changes are asked for
-        self.region, self.kept = region, kept
-        self.load, self.chance = Load(nowhere, routes, tenants, seed), Random(seed)
+    The load is open loop: each change is proposed at its time, whether or not earlier ones were answered.
+    """
+
+    def __init__(
+        self, region: Region, acknowledged: AcknowledgedChanges, routes: int, tenants: int, seed: int
+    ) -> None:
+        """Draw changes to a table of so many routes and tenants."""
+        no_fleet: Any = None  # only the changes of the load are used
+        self.region, self.acknowledged = region, acknowledged
+        self.load, self.random = Load(no_fleet, routes, tenants, seed), Random(seed)
 
     async def run(self, rate: float, seconds: float) -> None:
+        """Propose changes for some seconds, as a Poisson process, and wait for their answers."""
         end = due = time.monotonic()
         end += seconds
         async with anyio.create_task_group() as group:
-            while (due := due + self.chance.expovariate(rate)) < end:
+            while (due := due + self.random.expovariate(rate)) < end:
                 await anyio.sleep(max(0.0, due - time.monotonic()))
-                group.start_soon(self._one, self.load.change())
+                group.start_soon(self._propose, self.load.change())
 
-    async def _one(self, told: Propose) -> None:
-        asked = time.monotonic_ns()
-        answer = await self.region.ask(told, 15.0)
-        kept = self.kept
+    async def _propose(self, proposal: Propose) -> None:
+        proposed_at = time.monotonic_ns()
+        answer = await self.region.ask(proposal, 15.0)
+        acknowledged = self.acknowledged
         if not answer.sequence:
-            kept.lost.append(f"{told.request_id}: {answer.reason}")
+            acknowledged.refused.append(f"{proposal.request_id}: {answer.reason}")
             return
-        kept.asked[answer.sequence], kept.at[answer.sequence] = asked, time.monotonic_ns()
-        kept.items[answer.sequence] = told.items
-        kept.last = max(kept.last, answer.sequence)
-
-
-async def phase(
-    region: Region, changes: Changes, many: int, seconds: float, seed: int, tell: Tell, death: bool = False
+        acknowledged.proposed_at[answer.sequence], acknowledged.acknowledged_at[answer.sequence] = (
+            proposed_at,
+            time.monotonic_ns(),
+        )
+        acknowledged.items[answer.sequence] = proposal.items
+        acknowledged.last = max(acknowledged.last, answer.sequence)
+
+
+async def run_phase(
+    region: Region,
+    changes: ChangeLoad,
+    count: int,
+    seconds: float,
+    seed: int,
+    tell: Tell,
+    kill_relay: bool = False,
 ) -> tuple[dict[str, Any], list[str]]:
-    """So many followers, cold at once, then changes at ten times the day's rate; and with `death` as long
-    again, a relay killed on the way. The faults that were found with it."""
-    kept, rate = changes.kept, 10 * size("changes_day") / DAY
-    async with crowd(region, many, changes.load.tenants, seed) as all_of_them:
-        begun = min(await all_of_them.ask("go", int))
-        spent = Spent.now([region.pid(name) for name in region.relays])
-        await all_of_them.stand(kept.last)
-        cold = await all_of_them.tell()
-        loaded = [seen.states[-1][1] for one in cold for seen in one.followers]
+    """Start so many followers cold at the same time, then send changes at ten times the day's mean rate.
+
+    Args:
+        region: The running region.
+        changes: The changes.
+        count: Number of followers.
+        seconds: Duration of the changes.
+        seed: Seed of the followers' look-ups.
+        tell: Receives progress lines.
+        kill_relay: Whether changes go on as long again, with a relay killed meanwhile.
+
+    Returns:
+        Figures and faults.
+    """
+    acknowledged, rate = changes.acknowledged, 10 * size("changes_day") / DAY
+    async with run_followers(region, count, changes.load.tenants, seed) as followers:
+        started = min(await followers.ask("go", int))
+        usage = CpuUsage.now([region.pid(name) for name in region.relays])
+        await followers.wait_for(acknowledged.last)
+        cold_reports = await followers.report()
+        loaded_at = [seen.states[-1][1] for report in cold_reports for seen in report.followers]
         found: dict[str, Any] = {
-            "followers": many,
-            "cold_s": round((max(loaded) - begun) / 1e9, 2),
-            "cold_bytes": sum(one.got for one in cold) // many,
-            "cold_silent_ms": links(cold)["longest_silent_ms"],
-            "cold_relay_core": spent.cores(region.pid(region.relays[0])),
+            "followers": count,
+            "cold_s": round((max(loaded_at) - started) / 1e9, 2),
+            "cold_bytes": sum(report.got for report in cold_reports) // count,
+            "cold_silent_ms": connection_figures(cold_reports)["longest_silent_ms"],
+            "cold_relay_core": usage.cores(region.pid(region.relays[0])),
         }
-        faults = kept.faults(cold)
+        faults = acknowledged.faults(cold_reports)
         pids = [*map(region.pid, region.relays), *map(region.pid, region.keepers)]
-        pids += [one.process.pid for one in all_of_them.some]
-        before, first, spent = await all_of_them.tell(), kept.last, Spent.now(pids)
+        pids += [process.process.pid for process in followers.processes]
+        reports_before, first_number, usage = await followers.report(), acknowledged.last, CpuUsage.now(pids)
         await changes.run(rate, seconds)
-        span = time.monotonic() - spent.begun
+        span = time.monotonic() - usage.started
         writer = await region.writer()
-        cores = {name: spent.cores(region.pid(name)) for name in [*region.relays, *region.keepers]}
-        after = await all_of_them.tell()
-        crowds = [spent.cores(one.process.pid) for one in all_of_them.some]
-        await all_of_them.stand(kept.last)
-        rest = await all_of_them.tell()
-        whole = joined(after, rest)
-        faults += kept.faults(whole)
-        alone = [after[0].cpu - before[0].cpu, after[0].reducers - before[0].reducers]
-        got, sent = (sum(getattr(one, what) for one in after) - sum(getattr(one, what) for one in before)
-                     for what in ("got", "sent"))  # fmt: skip
+        cores = {name: usage.cores(region.pid(name)) for name in [*region.relays, *region.keepers]}
+        load_reports = await followers.report()
+        follower_cores = [usage.cores(process.process.pid) for process in followers.processes]
+        await followers.wait_for(acknowledged.last)
+        last_reports = await followers.report()
+        reports = merge_reports(load_reports, last_reports)
+        faults += acknowledged.faults(reports)
+        alone_ns = [
+            load_reports[0].cpu - reports_before[0].cpu,
+            load_reports[0].reducers - reports_before[0].reducers,
+        ]
+        got, sent = (sum(getattr(report, direction) for report in load_reports)
+                     - sum(getattr(report, direction) for report in reports_before)
+                     for direction in ("got", "sent"))  # fmt: skip
         found |= {
-            "changes": kept.last - first,
-            **kept.took(whole, range(first + 1, kept.last + 1)),
+            "changes": acknowledged.last - first_number,
+            **acknowledged.latencies(reports, range(first_number + 1, acknowledged.last + 1)),
             "relay_core": sum(cores[name] for name in region.relays) / len(region.relays),
             "relay_core_most": max(cores[name] for name in region.relays),
             "relay_resident_bytes": max(resident(region.pid(name)) for name in region.relays),
             "relay_bytes_s": round((got + sent) / span / len(region.relays)),
-            "follower_bytes_s": round((got + sent) / span / many, 1),
-            "follower_core": sum(crowds) / many,
-            "follower_core_alone": alone[0] / 1e9 / span,
-            "follower_core_alone_without_reducers": (alone[0] - alone[1]) / 1e9 / span,
+            "follower_bytes_s": round((got + sent) / span / count, 1),
+            "follower_core": sum(follower_cores) / count,
+            "follower_core_alone": alone_ns[0] / 1e9 / span,
+            "follower_core_alone_without_reducers": (alone_ns[0] - alone_ns[1]) / 1e9 / span,
             "writer_core": cores[writer],
             "writer_resident_bytes": resident(region.pid(writer)),
-            **links(whole),
+            **connection_figures(reports),
             "load_1_min": machine()["load_1_min"],
         }
         tell(f"{NAME}: {found}")
-        if death:
-            told, more = await _relay_dies(region, changes, all_of_them, rate, seconds)
-            found["death"], faults = told, faults + more
-            tell(f"{NAME}: a relay dies: {told}")
+        if kill_relay:
+            death_figures, more_faults = await _kill_relay(region, changes, followers, rate, seconds)
+            found["death"], faults = death_figures, faults + more_faults
+            tell(f"{NAME}: a relay dies: {death_figures}")
     return found, faults
 
 
-def links(reports: list[Report]) -> dict[str, Any]:
-    """How well they were served: a relay that says nothing for long is left."""
-    seen = [one for report in reports for one in report.followers]
+def connection_figures(reports: list[Report]) -> dict[str, Any]:
+    """Return how often followers reconnected or reloaded; they leave a relay that is silent for long."""
+    seen = [follower for report in reports for follower in report.followers]
     return {
-        "connected_again": sum(one.connects for one in seen),
-        "loaded_again": sum(one.loads for one in seen),
-        "longest_silent_ms": round(max(one.silent for one in seen) / 1e6),
+        "connected_again": sum(follower.connects for follower in seen),
+        "loaded_again": sum(follower.loads for follower in seen),
+        "longest_silent_ms": round(max(follower.silent for follower in seen) / 1e6),
     }
 
 
-def joined(first: list[Report], then: list[Report]) -> list[Report]:
-    """Of what was told in two parts one whole: the states of both, all else of the later."""
-    for early, late in zip(first, then, strict=True):
-        for one, other in zip(early.followers, late.followers, strict=True):
-            other.states = one.states + other.states
-            other.loads += one.loads
-            other.wrong += one.wrong
-            other.connects += one.connects
-            other.silent = max(other.silent, one.silent)
-    return then
+def merge_reports(earlier: list[Report], later: list[Report]) -> list[Report]:
+    """Merge two reports of each follower into the later one.
 
+    It gets the states of both, the sums of the counts and the longest silence; all else of it stays.
+    """
+    for early, late in zip(earlier, later, strict=True):
+        for before, after in zip(early.followers, late.followers, strict=True):
+            after.states = before.states + after.states
+            after.loads += before.loads
+            after.wrong += before.wrong
+            after.connects += before.connects
+            after.silent = max(after.silent, before.silent)
+    return later
 
-async def _relay_dies(
-    region: Region, changes: Changes, all_of_them: Crowd, rate: float, seconds: float
+
+async def _kill_relay(
+    region: Region, changes: ChangeLoad, followers: Followers, rate: float, seconds: float
 ) -> tuple[dict[str, Any], list[str]]:
-    """One is killed among changes; all of its followers go to the other one."""
-    kept, (dies, stays) = changes.kept, region.relays
-    first = kept.last
+    """Kill a relay while changes are made; all of its followers move to the other one."""
+    acknowledged, (killed_relay, other_relay) = changes.acknowledged, region.relays
+    first_number = acknowledged.last
     async with anyio.create_task_group() as group:
         group.start_soon(changes.run, rate, seconds)
         await anyio.sleep(seconds / 4)
-        region.processes[dies].kill()
-        killed = time.monotonic_ns()
-        spent = Spent.now([region.pid(stays)])
-    core = spent.cores(region.pid(stays))
-    await all_of_them.stand(kept.last, stays)
-    reports = await all_of_them.tell()
-    numbers = range(first + 1, kept.last + 1)
-    later = [number for number in numbers if kept.at[number] >= killed]
-    told = {
+        region.processes[killed_relay].kill()
+        killed_at = time.monotonic_ns()
+        usage = CpuUsage.now([region.pid(other_relay)])
+    core = usage.cores(region.pid(other_relay))
+    await followers.wait_for(acknowledged.last, other_relay)
+    reports = await followers.report()
+    numbers = range(first_number + 1, acknowledged.last + 1)
+    numbers_after = [number for number in numbers if acknowledged.acknowledged_at[number] >= killed_at]
+    figures = {
         "changes": len(numbers),
-        **kept.took(reports, numbers),
-        "changes_after_it": len(later),
-        "last_ms_after_it": kept.took(reports, later)["last_ms"],
-        **links(reports),
+        **acknowledged.latencies(reports, numbers),
+        "changes_after_it": len(numbers_after),
+        "last_ms_after_it": acknowledged.latencies(reports, numbers_after)["last_ms"],
+        **connection_figures(reports),
         "relay_core": core,
-        "relay_resident_bytes": resident(region.pid(stays)),
+        "relay_resident_bytes": resident(region.pid(other_relay)),
     }
-    found = kept.faults(reports)
-    told["relay_start"] = await region.started(dies)
-    return told, found
+    faults = acknowledged.faults(reports)
+    figures["relay_start"] = await region.restart(killed_relay)
+    return figures, faults
 
 
-# ---- a table as an operator loads it, and as a disk has it
+# ---- tables: loaded by an operator, and stored on disk
 
 
 def write_entries(path: Path, routes: int, seed: int) -> Entries:
-    """As `export` prints them; what they are in the table, all of version 0."""
-    chance = Random(seed)
-    entries = [(route_key(place), route_value(chance)) for place in range(routes)]
+    """Write a table as `export` prints it; return its entries, all of version 0."""
+    random = Random(seed)
+    entries = [(route_key(index), route_value(random)) for index in range(routes)]
     held: Entries = {}
     with path.open("wb") as file:
         for key, value in [("common/tenant", b'{"share":0.0001}'), *entries]:
-            told = orjson.loads(value)
-            held[key] = orjson.dumps(told), 0
-            file.write(orjson.dumps({"key": key, "value": told}) + b"\n")
+            decoded = orjson.loads(value)
+            held[key] = orjson.dumps(decoded), 0
+            file.write(orjson.dumps({"key": key, "value": decoded}) + b"\n")
     return held
 
 
-async def put_all(region: Region, routes: int, seed: int) -> tuple[Kept, dict[str, Any], list[str]]:
-    """By the command, a process of its own as an operator runs it."""
+async def put_entries(
+    region: Region, routes: int, seed: int
+) -> tuple[AcknowledgedChanges, dict[str, Any], list[str]]:
+    """Put a table by the command, in a process of its own as an operator runs it.
+
+    Returns:
+        The acknowledged changes, figures and faults.
+
+    Raises:
+        RunTimeoutError: The command failed, or a keeper or relay did not get the table.
+    """
     path = region.folder / "entries"
-    wanted = write_entries(path, routes, seed)
+    put = write_entries(path, routes, seed)
     ports = {name: region.fleet.ports[name] for name in region.keepers}
-    at = [word for name in ports for word in ("--at", f"{name}=127.0.0.1:{ports[name]}")]
-    words = [sys.executable, "-m", "thistleline", "feed", "put", *at, "--file", str(path), "--in-parts"]
-    begun = time.monotonic()
-    done = await anyio.run_process(words, check=False, stderr=subprocess.STDOUT)
-    took = time.monotonic() - begun
-    if done.returncode:
-        raise RunTimeoutError(f"put of {routes} routes ends with {done.returncode}: {done.stdout[-300:]!r}")
-    number = await region.number()
+    endpoints = [argument for name in ports for argument in ("--at", f"{name}=127.0.0.1:{ports[name]}")]
+    command = [
+        sys.executable,
+        "-m",
+        "thistleline",
+        "feed",
+        "put",
+        *endpoints,
+        "--file",
+        str(path),
+        "--in-parts",
+    ]
+    started = time.monotonic()
+    result = await anyio.run_process(command, check=False, stderr=subprocess.STDOUT)
+    took = time.monotonic() - started
+    if result.returncode:
+        raise RunTimeoutError(
+            f"feed put of {routes} routes failed with exit code {result.returncode}: {result.stdout[-300:]!r}"
+        )
+    number = await region.newest_number()
     for name in [*region.keepers, *region.relays]:
-        await region.reaches(name, number, PATIENCE)
-    table = await region.table(region.relays[0], number, PATIENCE)
+        await region.reaches(name, number, TIMEOUT_S)
+    table = await region.table(region.relays[0], number, TIMEOUT_S)
     held = {key: (value, version) for key, value, version in table.entries("wide")}
-    same = {key: value for key, (value, _) in held.items()} == {key: one for key, (one, _) in wanted.items()}
-    faults = [] if same else ["what was put is not what is held"]
-    return Kept(held, number), {"put_s": round(took, 2), "changes": number}, faults
+    same = {key: value for key, (value, _) in held.items()} == {key: value for key, (value, _) in put.items()}
+    faults = [] if same else ["the table differs from the entries that were put"]
+    return AcknowledgedChanges(held, number), {"put_s": round(took, 2), "changes": number}, faults
 
 
-def write_folder(folder: Path, routes: int, tenants: int, seed: int) -> tuple[bytes, Entries, int, int]:
-    """A keeper's, by the feed's own archive: a table and one change on top, which is the council's first
-    record. That record, the entries without the tenants, the number and the bytes on disk."""
+def write_keeper_folder(
+    folder: Path, routes: int, tenants: int, seed: int
+) -> tuple[bytes, Entries, int, int]:
+    """Write a keeper's folder with the feed's own archive.
+
+    It holds a table with one change on top, which is the first record of the consensus cluster.
+
+    Returns:
+        That record, the entries without the tenants, the newest number and the bytes on disk.
+    """
     table = make_table(routes, tenants, seed)
     change = Change(table.sequence + 1, "first", (("common/first", b"{}"),))
-    made = table.apply(change)
-    record = encode(Group(0, (change,), table.digest("all"), made.digest("all")))
+    newest = table.apply(change)
+    record = encode(Group(0, (change,), table.digest("all"), newest.digest("all")))
     disk = Disk(folder, "feed")
     disk.acquire()
     try:
         archive = Archive(disk, "all")
         archive.recover()
-        archive.write(made)
-        stored = sum(length for _, length in disk.segments())
+        archive.write(newest)
+        disk_bytes = sum(length for _, length in disk.segments())
     finally:
         disk.release()
-    held = {key: (value, version) for key, value, version in made.entries("wide")}
-    return record, held, made.sequence, stored
+    held = {key: (value, version) for key, value, version in newest.entries("wide")}
+    return record, held, newest.sequence, disk_bytes
 
 
 # ---- the runs
 
 
-Story = Callable[[Region], Awaitable[tuple[dict[str, Any], list[str]]]]
+Scenario = Callable[[Region], Awaitable[tuple[dict[str, Any], list[str]]]]
+
 
+def run_with_region(seed: int, keepers: int, scenario: Scenario) -> tuple[dict[str, Any], list[str]]:
+    """Run a scenario on a region; tracebacks in logs are faults, and the folder is kept if there are any."""
 
-def with_region(seed: int, keepers: int, story: Story) -> tuple[dict[str, Any], list[str]]:
     async def run(folder: Path) -> tuple[dict[str, Any], list[str]]:
         async with anyio.create_task_group() as group:
             region = Region(folder, group, seed, keepers)
             try:
-                found, faults = await story(region)
+                found, faults = await scenario(region)
             finally:
                 region.close()
                 group.cancel_scope.cancel()
-        faults += [f"{path.name} has a traceback" for path in sorted(folder.glob("*.log"))
+        faults += [f"{path.name} contains a traceback" for path in sorted(folder.glob("*.log"))
                    if b"Traceback" in path.read_bytes()]  # fmt: skip
         return found, faults
 
@@ -479,70 +606,84 @@
         return found, faults
 
 
-async def by_followers(
+async def measure_by_followers(
     sizes: list[int], routes: int, seconds: float, seed: int, tell: Tell, region: Region
 ) -> tuple[dict[str, Any], list[str]]:
-    """Followers of each of these sizes, one after the other, at a table that an operator has loaded."""
-    await region.start_with(b"")
-    kept, put, faults = await put_all(region, routes, seed)
-    tell(f"{NAME}: {routes} routes put: {put}")
-    changes = Changes(region, kept, routes, HOT_TENANTS, seed)
-    found: dict[str, Any] = {"put": put, "by followers": {}}
-    for many in sizes:
-        found["by followers"][str(many)], more = await phase(region, changes, many, seconds, seed, tell)
-        faults += more
+    """Measure each number of followers in turn, on a table that an operator has loaded."""
+    await region.start_from_record(b"")
+    acknowledged, put_figures, faults = await put_entries(region, routes, seed)
+    tell(f"{NAME}: put {routes} routes: {put_figures}")
+    changes = ChangeLoad(region, acknowledged, routes, HOT_TENANTS, seed)
+    found: dict[str, Any] = {"put": put_figures, "by followers": {}}
+    for count in sizes:
+        found["by followers"][str(count)], more_faults = await run_phase(
+            region, changes, count, seconds, seed, tell
+        )
+        faults += more_faults
     return found, faults
 
 
-async def full_table(
-    routes: int, tenants: int, many: int, seconds: float, seed: int, tell: Tell, region: Region
+async def measure_full_table(
+    routes: int, tenants: int, count: int, seconds: float, seed: int, tell: Tell, region: Region
 ) -> tuple[dict[str, Any], list[str]]:
-    """Keepers that start from their disks, relays that load all from them, then all followers and a death."""
-    work = partial(_apart, write_folder, region.folder / region.keepers[0], routes, tenants, seed)
-    record, held, number, stored = await anyio.to_thread.run_sync(work)
+    """Measure the full table.
+
+    Keepers start from their disks and relays load all from them; then all followers start, and a relay dies.
+    """
+    write_folder = partial(
+        _in_own_process, write_keeper_folder, region.folder / region.keepers[0], routes, tenants, seed
+    )
+    record, held, newest, disk_bytes = await anyio.to_thread.run_sync(write_folder)
     for name in region.keepers[1:]:
         shutil.copytree(region.folder / region.keepers[0], region.folder / name)
-    begun = time.monotonic()
-    await region.start_with(record)
-    found: dict[str, Any] = {"disk_bytes": stored, "keepers_s": round(time.monotonic() - begun, 2)}
+    started = time.monotonic()
+    await region.start_from_record(record)
+    found: dict[str, Any] = {"disk_bytes": disk_bytes, "keepers_s": round(time.monotonic() - started, 2)}
     for name in region.relays:
-        await region.reaches(name, number, PATIENCE)
-    found["relays_cold_s"] = round(time.monotonic() - begun - found["keepers_s"], 2)
-    changes = Changes(region, Kept(held, number), routes, tenants, seed)
-    begun = time.monotonic()
+        await region.reaches(name, newest, TIMEOUT_S)
+    found["relays_cold_s"] = round(time.monotonic() - started - found["keepers_s"], 2)
+    changes = ChangeLoad(region, AcknowledgedChanges(held, newest), routes, tenants, seed)
+    started = time.monotonic()
     await changes.run(10 * size("changes_day") / DAY, 1.0)
-    await region.kept(await region.writer(), changes.kept.last, PATIENCE)
-    found["first_on_disk_s"] = round(time.monotonic() - begun, 2)
+    await region.kept(await region.writer(), changes.acknowledged.last, TIMEOUT_S)
+    found["first_on_disk_s"] = round(time.monotonic() - started, 2)
     tell(f"{NAME}: {routes} routes and {tenants} tenants: {found}")
     writer = await region.writer()
-    other = next(name for name in region.keepers if name != writer)
-    region.processes[other].kill()
-    again = await region.started(other)
-    found |= {"keeper_start_s": again["s"], "keeper_start_resident_bytes": again["resident_bytes"]}
-    told, faults = await phase(region, changes, many, seconds, seed, tell, True)
-    death = told.pop("death")
-    start = death.pop("relay_start")
-    found |= {"relay_start_s": start["s"], "relay_start_resident_bytes": start["resident_bytes"]}
-    return {"full table": found, "cases": {"ten times": told, "a relay dies": death}}, faults
-
-
-def _apart(call: Callable[..., Any], *told: Any) -> Any:
-    """In a process of its own, so that this one's loop goes on and its memory stays small."""
+    other_keeper = next(name for name in region.keepers if name != writer)
+    region.processes[other_keeper].kill()
+    keeper_start = await region.restart(other_keeper)
+    found |= {
+        "keeper_start_s": keeper_start["s"],
+        "keeper_start_resident_bytes": keeper_start["resident_bytes"],
+    }
+    phase_figures, faults = await run_phase(region, changes, count, seconds, seed, tell, True)
+    death = phase_figures.pop("death")
+    relay_start = death.pop("relay_start")
+    found |= {"relay_start_s": relay_start["s"], "relay_start_resident_bytes": relay_start["resident_bytes"]}
+    return {"full table": found, "cases": {"ten times": phase_figures, "a relay dies": death}}, faults
+
+
+def _in_own_process(call: Callable[..., Any], *args: Any) -> Any:
+    """Call in a process of its own, so that this one's event loop runs on and its memory stays small."""
     with ProcessPoolExecutor(1, get_context("spawn")) as pool:
-        return pool.submit(call, *told).result()
+        return pool.submit(call, *args).result()
 
 
 def rows_of(found: dict[str, Any]) -> list[Row]:
-    each = list(found.values())
-    many = [one["followers"] for one in each]
-    region, half = size("instances") // size("regions"), size("instances") // size("regions") // 2
+    """Return the rows by followers."""
+    phases = list(found.values())
+    counts = [phase["followers"] for phase in phases]
+    region_followers, relay_followers = (
+        size("instances") // size("regions"),
+        size("instances") // size("regions") // 2,
+    )
     note = "two relays; 9.7 changes a second"
 
-    def row(name: str, kind: slopes.Kind, unit: str, what: str, relay: bool = False) -> Row:
-        sizes = [one // 2 for one in many] if relay else many
-        values = [float(one[what]) for one in each]
-        return slopes.row(f"region: {name}", kind, unit, "follower", sizes, values, half if relay else region,
-                          1, note)  # fmt: skip
+    def row(name: str, kind: slopes.Kind, unit: str, figure: str, relay: bool = False) -> Row:
+        sizes = [count // 2 for count in counts] if relay else counts
+        values = [float(phase[figure]) for phase in phases]
+        return slopes.row(f"region: {name}", kind, unit, "follower", sizes, values,
+                          relay_followers if relay else region_followers, 1, note)  # fmt: skip
 
     return [
         row("bytes of a relay a second", "count", "bytes", "relay_bytes_s", True),
@@ -557,35 +698,38 @@
 
 
 def measure(quick: bool, seed: int, tell: Tell) -> Part:
+    """Measure the part: by followers, and in the long run the full table."""
     routes, tenants = (300, 100) if quick else (size("routes"), size("tenants"))
     sizes, seconds = ([12], 2.0) if quick else (SIZES, 10.0)
     tell(f"{NAME}: {sizes[0]} to {sizes[-1]} followers of real processes")
-    begun = machine()
-    found, faults = with_region(
-        seed, 1 if quick else 3, partial(by_followers, sizes, routes, seconds, seed, tell)
+    machine_before = machine()
+    found, faults = run_with_region(
+        seed, 1 if quick else 3, partial(measure_by_followers, sizes, routes, seconds, seed, tell)
     )
-    told = found["by followers"].values()
+    phases = found["by followers"].values()
     bars = {
         "all followers end at what was acknowledged, none goes back": not faults,
         "every change was told to every follower": all(
-            one["counted"] == one["changes"] * one["followers"] and one["changes"] for one in told
+            phase["counted"] == phase["changes"] * phase["followers"] and phase["changes"] for phase in phases
         ),
-        "no follower loads all again": not any(one["loaded_again"] for one in told),
+        "no follower loads all again": not any(phase["loaded_again"] for phase in phases),
     }
-    figures: dict[str, Any] = {**found, "machine": begun}
+    figures: dict[str, Any] = {**found, "machine": machine_before}
     if quick:
         return {"rows": [], "figures": figures | {"faults": faults}, "bars": bars}
-    more, others = with_region(seed, 3, partial(full_table, routes, tenants, sizes[-1], 20.0, seed, tell))
-    figures |= more | {"faults": faults + others, "machine at the end": machine()}
-    cases, bound = more["cases"], size("in_force_s") * 1000
+    full_table, full_faults = run_with_region(
+        seed, 3, partial(measure_full_table, routes, tenants, sizes[-1], 20.0, seed, tell)
+    )
+    figures |= full_table | {"faults": faults + full_faults, "machine at the end": machine()}
+    cases, max_ms = full_table["cases"], size("in_force_s") * 1000
     bars |= {
-        "with all tenants: all end at what was acknowledged, none goes back": not others,
+        "with all tenants: all end at what was acknowledged, none goes back": not full_faults,
         "last in force under 7 s, up to 735 followers": all(
-            one["last_ms_from_asking"] < bound for one in told
+            phase["last_ms_from_asking"] < max_ms for phase in phases
         ),
         **{
-            f"last in force under 7 s, with all tenants, {name}": one["last_ms_from_asking"] < bound
-            for name, one in cases.items()
+            f"last in force under 7 s, with all tenants, {name}": phase["last_ms_from_asking"] < max_ms
+            for name, phase in cases.items()
         },
         "no follower loads all again as a relay dies": not cases["a relay dies"]["loaded_again"],
     }
