--- a/thistleline/lab/scale/__init__.py
+++ b/thistleline/lab/scale/__init__.py
@@ -113,8 +113,8 @@
         name: [one for one in rows if any(one["values"])] for name, rows in result["rows"].items() if rows
     }
     figure = Figure(figsize=(9, 5 * len(parts)), layout="constrained")
-    for place, (name, rows) in enumerate(parts.items()):
-        axes = figure.add_subplot(len(parts), 1, place + 1, xscale="log", yscale="log", title=name)
+    for index, (name, rows) in enumerate(parts.items()):
+        axes = figure.add_subplot(len(parts), 1, index + 1, xscale="log", yscale="log", title=name)
         for one in rows:
             axes.plot(one["sizes"], one["values"], marker="o", linewidth=1, label=one["name"])
         axes.set_xlabel("how many")
--- a/thistleline/lab/scale/added.py
+++ b/thistleline/lab/scale/added.py
@@ -40,7 +40,7 @@
 MAX_SETTLE_TIME = 5.0  # s for the last answers
 
 
-class Loaded(NamedTuple):
+class LoadResult(NamedTuple):
     """Result of the load at one rate; times in milliseconds. The field names are those of the stored JSON."""
 
     rate: int
@@ -109,7 +109,7 @@
             self.added.record_value(max(1, int(waited_us - int(outcome.value) / 1e3)))
 
 
-async def load(server: Instance, rate: int, seconds: float, seed: int) -> Loaded:
+async def load(server: Instance, rate: int, seconds: float, seed: int) -> LoadResult:
     """Send `rate` requests a second at random times for `seconds`, after a warm-up that does not count."""
     run = _OpenLoopLoad(server, rate, seconds, seed)
     await run.run()
@@ -118,7 +118,7 @@
         return round(float(histogram.get_value_at_percentile(percentile)) / 1000, 3)
 
     finished = run.outcomes.pop("finished", 0)
-    return Loaded(
+    return LoadResult(
         rate=rate,
         sent=run.sent,
         finished=finished,
@@ -162,8 +162,8 @@
     rates = [150] if quick else sorted({50, 150, *named.values(), 450, 600})
     seconds = 1.5 if quick else 10.0
     before = machine()
-    baseline: list[Loaded] = []
-    found: list[Loaded] = []
+    baseline: list[LoadResult] = []
+    found: list[LoadResult] = []
     idle = 0.0
     for rate in rates:
         # A new instance for each rate, so that no rate starts with what another left behind.
--- a/thistleline/lab/scale/budget.py
+++ b/thistleline/lab/scale/budget.py
@@ -8,7 +8,7 @@
     code MODULE.NAME   a limit in the code
     row PART/NAME      a cost extrapolated to the planned size; loops in seconds of CPU
     slope PART/NAME    its cost for one more, in the same units
-    figure PART/NAME   another figure of a run; PART/NAME/WHICH of one made of several
+    figure PART/NAME   another figure of a run; PART/NAME/WHICH of a nested one
 
 A term that begins with `per ` divides. A product without terms, or with one that no run has, is not measured.
 """
@@ -58,7 +58,7 @@
             if not isinstance(figure, int | float):
                 raise NotMeasuredError(f"no run has {what}")
             return float(figure)
-        raise ValueError(f"{term!r} is no term")
+        raise ValueError(f"{term!r} is not a term")
 
     def _row_value(self, kind: str, what: str) -> float:
         if what not in self.rows:
@@ -74,7 +74,7 @@
         found: Any = self.figures.get(part, {})
         if name in found:
             return found[name]
-        for step in name.split("/"):  # of a figure that is made of several
+        for step in name.split("/"):  # of a nested figure
             found = found.get(step) if isinstance(found, dict) else None
         return found
 
@@ -169,29 +169,31 @@
         ImportError: A `code` term names a module that does not exist.
     """
     found = []
-    for one in budgets:
-        limit = measurements.product(one["limit"])
+    for budget in budgets:
+        limit = measurements.product(budget["limit"])
         if limit is None:
-            raise ValueError(f"{one['name']}: its limit is not known")
-        spent = {part["what"]: measurements.product(part["is"]) for part in one["part"]}
-        beyond = tuple(part["what"] for part in one["part"] if measurements.is_extrapolated(part["is"]))
-        bound = one.get("bound", "none known")
-        found.append(Line(one["name"], one["unit"], limit, spent, beyond, one["carried_by"], bound))
+            raise ValueError(f"{budget['name']}: its limit is not measured")
+        spent = {part["what"]: measurements.product(part["is"]) for part in budget["part"]}
+        beyond = tuple(part["what"] for part in budget["part"] if measurements.is_extrapolated(part["is"]))
+        bound = budget.get("bound", "none known")
+        found.append(Line(budget["name"], budget["unit"], limit, spent, beyond, budget["carried_by"], bound))
     return found
 
 
-def rank_candidates(settings: list[dict[str, Any]], measurements: Measurements) -> list[Candidate]:
+def rank_candidates(candidates: list[dict[str, Any]], measurements: Measurements) -> list[Candidate]:
     """Evaluate the candidates, the largest ratio first and those not measured last."""
     found = [
         Candidate(
-            one["name"],
-            one["unit"],
-            measurements.product(one["need"]),
-            measurements.product(one["carries"]),
-            measurements.is_extrapolated([*one["need"], *one["carries"]]),
-            one["carried_by"],
-            one["bound"],
+            candidate["name"],
+            candidate["unit"],
+            measurements.product(candidate["need"]),
+            measurements.product(candidate["carries"]),
+            measurements.is_extrapolated([*candidate["need"], *candidate["carries"]]),
+            candidate["carried_by"],
+            candidate["bound"],
         )
-        for one in settings
+        for candidate in candidates
     ]
-    return sorted(found, key=lambda one: -1.0 if one.ratio is None else one.ratio, reverse=True)
+    return sorted(
+        found, key=lambda candidate: -1.0 if candidate.ratio is None else candidate.ratio, reverse=True
+    )
--- a/thistleline/lab/scale/connections.py
+++ b/thistleline/lab/scale/connections.py
@@ -81,10 +81,10 @@
 def reports(instances: int) -> int:
     """Return the bytes a second of so many instances' reports, each on a persistent connection."""
     sent = 0
-    for place in range(instances):
+    for index in range(instances):
         sent += len(
             AnnounceConnection("10.1.2.3:8761").encode_report(
-                f"i{place:05}.zone-{place % size('zones'):02}", True
+                f"i{index:05}.zone-{index % size('zones'):02}", True
             )
         )
     return round(sent / REPORT_INTERVAL)
--- a/thistleline/lab/scale/followers.py
+++ b/thistleline/lab/scale/followers.py
@@ -222,8 +222,10 @@
     def __init__(self, settings: FollowersSettings) -> None:
         """Make the followers; they do not run yet."""
         self.settings = settings
-        places = range(settings.first, settings.first + settings.many)
-        self.all = [HollowInstance(f"i{place}", settings, settings.seed * 10_000 + place) for place in places]
+        numbers = range(settings.first, settings.first + settings.many)
+        self.all = [
+            HollowInstance(f"i{number}", settings, settings.seed * 10_000 + number) for number in numbers
+        ]
 
     async def run(self) -> None:
         """Answer commands until standard input ends."""
@@ -255,8 +257,8 @@
         many = self.settings.tenants
         while True:
             await anyio.sleep(random.expovariate(LOOKUPS_S * len(self.all)))
-            place = random.randrange(min(many, random.choice((HOT_TENANTS, many))))
-            random.choice(self.all).client.lookup(tenant_key(place))
+            number = random.randrange(min(many, random.choice((HOT_TENANTS, many))))
+            random.choice(self.all).client.lookup(tenant_key(number))
 
 
 def main() -> None:
--- a/thistleline/lab/scale/page.py
+++ b/thistleline/lab/scale/page.py
@@ -1,6 +1,6 @@
 """Generate the tables of docs/CAPACITY.md from the JSON of long runs: `python -m thistleline.lab.scale.page`.
 
-A table stands between `<!-- table NAME -->` and `<!-- end -->`. NAME is a part of a run, `budget`,
+A table is placed between `<!-- table NAME -->` and `<!-- end -->`. NAME is a part of a run, `budget`,
 `candidates` or `runs`. With --check nothing is written; exit code 1 and what differs where page and runs have
 drifted apart.
 """
@@ -55,14 +55,14 @@
         OSError: A file can't be read.
     """
     found = {}
-    for place in sorted(folder.glob("*.json")):
+    for path in sorted(folder.glob("*.json")):
         try:
-            run = json.loads(place.read_text())
+            run = json.loads(path.read_text())
         except ValueError as error:
-            raise PageError(f"{place.name}: {error}") from error
+            raise PageError(f"{path.name}: {error}") from error
         if not isinstance(run, dict) or not {"rows", "figures", "bars", "seed", "quick"} <= set(run):
-            raise PageError(f"{place.name} is no run of `lab scale`")
-        found[place.name] = run
+            raise PageError(f"{path.name} is not a run of `lab scale`")
+        found[path.name] = run
     return Runs(found)
 
 
@@ -175,16 +175,16 @@
     if whole != opened:
         raise PageError(f"a table does not end before the next: {', '.join(opened)}")
     if "<!-- table" in TABLE.sub("", page) or page.count("<!-- end -->") != len(whole):
-        raise PageError("an end without its table")
+        raise PageError("an end marker without its table")
     unknown = [name for name in whole if name not in found]
     if unknown:
         raise PageError(f"no run has the tables {', '.join(unknown)}; there are {', '.join(found)}")
     return TABLE.sub(lambda one: one[1] + found[one["name"]] + one["end"], page)
 
 
-def drift(page: str, made: str) -> list[str]:
+def drift(page: str, generated: str) -> list[str]:
     """Return the lines that differ between the page and the generated one; none where they agree."""
-    before, after = page.splitlines(), made.splitlines()
+    before, after = page.splitlines(), generated.splitlines()
     return list(difflib.unified_diff(before, after, "the page", "the runs", lineterm="", n=0))
 
 
@@ -196,17 +196,17 @@
     """Make the tables of docs/CAPACITY.md from the runs in docs/capacity/."""
     try:
         before = place.read_text(encoding="utf-8")
-        made = fill_tables(before, tables(read_runs(folder), read_plan()))
+        filled = fill_tables(before, tables(read_runs(folder), read_plan()))
     except (OSError, PageError) as error:
         click.echo(str(error), err=True)
         raise SystemExit(2) from error
     if check:
-        differs = drift(before, made)
+        differs = drift(before, filled)
         for line in differs:
             click.echo(line)
         raise SystemExit(1 if differs else 0)
-    if made != before:
-        place.write_text(made, encoding="utf-8")
+    if filled != before:
+        place.write_text(filled, encoding="utf-8")
 
 
 if __name__ == "__main__":
--- a/thistleline/lab/scale/settings_costs.py
+++ b/thistleline/lab/scale/settings_costs.py
@@ -31,7 +31,7 @@
 from thistleline.rollout.order import Order
 from thistleline.rollout.record import RolloutRecord
 from thistleline.rollout.server_status import ServerStatus
-from thistleline.rollout.service import POLL as LOOK
+from thistleline.rollout.service import POLL as OBSERVATION_INTERVAL
 from thistleline.rollout.stages import STAGES
 from thistleline.rollout.timing import SECOND, RolloutTiming
 from thistleline.supervisor.model import DesiredVersion, Version
@@ -53,7 +53,7 @@
     "a change: bytes of the roll's records by instance": "linear",
     "a look at a fleet at rest by instance: steps": "linear",
 }
-ZONES = 3  # of the hollow fleet; the counts don't depend on it while one server is down at a time
+ZONES = 3  # of the simulated fleet; the counts don't depend on it while one server is down at a time
 DAY = 86_400  # s
 encode = msgspec.msgpack.Encoder().encode
 
@@ -77,18 +77,26 @@
         return Judgement("not worse", [], "nothing to judge")
 
 
-def status_of(place: int, settings: int, figures: tuple[int, ...] = ()) -> ServerStatus:
-    """Return the status of a healthy hollow server at this version of the settings."""
-    return ServerStatus(f"i{place:05}", f"z{place % ZONES}", True, "r1", settings, True, True, figures)
+def status_of(index: int, settings: int, figures: tuple[int, ...] = ()) -> ServerStatus:
+    """Return the status of a healthy simulated server at this version of the settings."""
+    return ServerStatus(f"i{index:05}", f"z{index % ZONES}", True, "r1", settings, True, True, figures)
 
 
 class HollowRollout:
-    """One rollout through a hollow fleet whose servers are up again by the controller's next observation."""
+    """A rollout through a simulated fleet whose servers are up again by the controller's next observation.
+
+    Attributes:
+        observations: Observations of the fleet until the rollout was over.
+        version_writes: Desired versions written.
+        version_bytes: Bytes of these.
+        records: Rollout records written.
+        record_bytes: Bytes of these.
+    """
 
     def __init__(self, instances: int, down: int = 1) -> None:
         """Start the rollout; `down` servers of the fleet, and of a zone, may be down at once."""
-        self.looks = self.wants = self.want_bytes = self.roll_bytes = self.records = 0
-        self.place_of = {f"i{place:05}": place for place in range(instances)}
+        self.observations = self.version_writes = self.version_bytes = self.record_bytes = self.records = 0
+        self.index_of = {f"i{index:05}": index for index in range(instances)}
         self.settings = [1] * instances
         self.now = SECOND
         analysis: Any = PassingAnalysis
@@ -100,7 +108,7 @@
 
     def server_statuses(self) -> list[ServerStatus]:
         """Return the status of every server."""
-        return [status_of(place, settings) for place, settings in enumerate(self.settings)]
+        return [status_of(index, settings) for index, settings in enumerate(self.settings)]
 
     def handle(self, event: Event) -> None:
         """Hand the event to the controller and carry out its effects at once."""
@@ -109,12 +117,12 @@
             match effects.pop(0):
                 case StoreRecord(record):
                     self.records += 1
-                    self.roll_bytes += len(encode(record))
+                    self.record_bytes += len(encode(record))
                     effects += self.controller.handle(self.now, RecordStored())
                 case SetDesiredVersion(id, version, restart_token):
-                    self.wants += 1
-                    self.want_bytes += len(encode(DesiredVersion(1, 1, version, restart_token)))
-                    self.settings[self.place_of[id]] = version.settings
+                    self.version_writes += 1
+                    self.version_bytes += len(encode(DesiredVersion(1, 1, version, restart_token)))
+                    self.settings[self.index_of[id]] = version.settings
 
     @property
     def record(self) -> RolloutRecord:
@@ -128,29 +136,30 @@
         Raises:
             RuntimeError: It takes far too many observations.
         """
-        max_looks = 100 + 20 * len(self.settings)
+        max_observations = 100 + 20 * len(self.settings)
         while not self.record.is_over:
-            self.looks += 1
-            self.now += round(LOOK * SECOND)
+            self.observations += 1
+            self.now += round(OBSERVATION_INTERVAL * SECOND)
             self.handle(ServersObserved(self.server_statuses()))
             self.handle(DeadlineReached())
-            if self.looks > max_looks:
+            if self.observations > max_observations:
                 raise RuntimeError(
-                    f"a change is {self.record.phase} after {max_looks} looks: {self.record.reason}"
+                    f"the rollout is in phase {self.record.phase} after {max_observations} observations: "
+                    f"{self.record.reason}"
                 )
         return self
 
 
-def steps_of_look(instances: int) -> int:
+def steps_of_observation(instances: int) -> int:
     """Count the steps of an observation of a fleet with no rollout under way."""
     rollout = HollowRollout(instances).run()
     statuses = rollout.server_statuses()
 
-    def look() -> None:
+    def observe() -> None:
         rollout.controller.handle(rollout.now, ServersObserved(statuses))
         rollout.controller.handle(rollout.now, DeadlineReached())
 
-    return steps_of(look)
+    return steps_of(observe)
 
 
 def _text_by(per: str, count: int, seed: int) -> bytes:
@@ -204,19 +213,20 @@
         return row(name, "count", unit, "instance", fleets, values, instances, note=note)
 
     found = [
-        change("the conductor's looks", "looks", [one.looks for one in rollouts],
+        change("the conductor's looks", "looks", [rollout.observations for rollout in rollouts],
                "one server down at once, each up again by the next look, nothing to judge"),
         row("a change, all down at once: the conductor's looks by instance", "count", "looks", "instance",
-            fleets, [HollowRollout(n, n).run().looks for n in fleets], instances,
+            fleets, [HollowRollout(n, n).run().observations for n in fleets], instances,
             note="a look waits for the council's answer to every want, which is not in it"),
-        change("wants written", "records", [one.wants for one in rollouts], "each by the council"),
-        change("bytes of the wants", "bytes", [one.want_bytes for one in rollouts], ""),
-        change("bytes of the roll's records", "bytes", [one.roll_bytes for one in rollouts],
+        change("wants written", "records", [rollout.version_writes for rollout in rollouts],
+               "each by the council"),
+        change("bytes of the wants", "bytes", [rollout.version_bytes for rollout in rollouts], ""),
+        change("bytes of the roll's records", "bytes", [rollout.record_bytes for rollout in rollouts],
                "a record a step, with all targets in it"),
         row("a look at a fleet at rest by instance: steps", "count", "steps", "instance", fleets,
-            [steps_of_look(n) for n in fleets], instances),
+            [steps_of_observation(n) for n in fleets], instances),
     ]  # fmt: skip
-    tell(f"settings: a change through {fleets[-1]} hollow instances")
+    tell(f"settings: a change through {fleets[-1]} simulated instances")
     return found
 
 
@@ -263,9 +273,9 @@
 def most_that_fit(rows: list[Row], max_bytes: int) -> dict[str, int]:
     """Return how many stages, or tenants, a text of `max_bytes` may have."""
     found = {}
-    for one in rows:
-        if one["name"] in ("text by stage: bytes", "text by tenant: bytes"):
-            found[one["per"]] = int((max_bytes - one["base"]) / one["slope"])
+    for measured in rows:
+        if measured["name"] in ("text by stage: bytes", "text by tenant: bytes"):
+            found[measured["per"]] = int((max_bytes - measured["base"]) / measured["slope"])
     return found
 
 
@@ -274,36 +284,39 @@
 
     `loop_s` is the CPU time of the reference loop, in seconds.
     """
-    known = {one["name"]: one for one in rows}
-    instances, day = size("instances"), size("changes_day")
-    looks = known["a change: the conductor's looks by instance"]["at_size"]
+    by_name = {row["name"]: row for row in rows}
+    instances, changes_day = size("instances"), size("changes_day")
+    observations = by_name["a change: the conductor's looks by instance"]["at_size"]
     timing = RolloutTiming()
-    carrying = looks * LOOK
-    judging = len(STAGES) * timing.min_slots * timing.slot / SECOND
-    content = SETTINGS_SIZE_LIMIT
-    at_once = known["a change, all down at once: the conductor's looks by instance"]["at_size"] * LOOK
-    wants = known["a change: bytes of the wants by instance"]["at_size"]
-    roll = known["a change: bytes of the roll's records by instance"]["at_size"]
-    within = size("in_force_s")
-    texts = known["text by stage: bytes"], known["text by tenant: bytes"]
-    readings = known["reading by stage: time"], known["reading by tenant: time"]
+    rollout_s = observations * OBSERVATION_INTERVAL
+    judging_s = len(STAGES) * timing.min_slots * timing.slot / SECOND
+    settings_bytes = SETTINGS_SIZE_LIMIT
+    all_down_s = (
+        by_name["a change, all down at once: the conductor's looks by instance"]["at_size"]
+        * OBSERVATION_INTERVAL
+    )
+    version_bytes = by_name["a change: bytes of the wants by instance"]["at_size"]
+    record_bytes = by_name["a change: bytes of the roll's records by instance"]["at_size"]
+    in_force_s = size("in_force_s")
+    texts = by_name["text by stage: bytes"], by_name["text by tenant: bytes"]
+    readings = by_name["reading by stage: time"], by_name["reading by tenant: time"]
     return {
-        "bytes of the settings at the size": sum(one["at_size"] for one in texts),
-        "seconds of CPU to read the settings at the size": loop_s * sum(one["at_size"] for one in readings),
-        "a change: bytes of a record, at the most": content,
-        "a change: bytes over the fleet": instances * content + wants + roll,
-        "a change: bytes to an instance": content + wants / instances,
-        "a change: seconds to carry, nothing to judge": carrying,
-        "a change: seconds to judge its stages, at the least": judging,
-        "changes a second that could be carried": 1 / (carrying + judging),
-        "changes a second that could be carried, unjudged": 1 / carrying,
-        "changes a second, unjudged, all down at once, without the council's part": 1 / at_once,
-        "changes a second wanted": day / DAY,
-        "changes that wait within the time to be in force": day * within / DAY,
-        "bytes a second to an instance at the day's rate": content * day / DAY,
+        "bytes of the settings at the size": sum(row["at_size"] for row in texts),
+        "seconds of CPU to read the settings at the size": loop_s * sum(row["at_size"] for row in readings),
+        "a change: bytes of a record, at the most": settings_bytes,
+        "a change: bytes over the fleet": instances * settings_bytes + version_bytes + record_bytes,
+        "a change: bytes to an instance": settings_bytes + version_bytes / instances,
+        "a change: seconds to carry, nothing to judge": rollout_s,
+        "a change: seconds to judge its stages, at the least": judging_s,
+        "changes a second that could be carried": 1 / (rollout_s + judging_s),
+        "changes a second that could be carried, unjudged": 1 / rollout_s,
+        "changes a second, unjudged, all down at once, without the council's part": 1 / all_down_s,
+        "changes a second wanted": changes_day / DAY,
+        "changes that wait within the time to be in force": changes_day * in_force_s / DAY,
+        "bytes a second to an instance at the day's rate": settings_bytes * changes_day / DAY,
         "stages and tenants in a record": most_that_fit(rows, SETTINGS_SIZE_LIMIT),
-        "days till RECORDS_BOUND is full of numbered settings": (MAX_RECORDS - instances) / day,
-        "settings of full size that RECORDS_SIZE holds": MAX_RECORDS_SIZE // content,
+        "days till RECORDS_BOUND is full of numbered settings": (MAX_RECORDS - instances) / changes_day,
+        "settings of full size that RECORDS_SIZE holds": MAX_RECORDS_SIZE // settings_bytes,
     }
 
 
--- a/thistleline/lab/scale/settings_text.py
+++ b/thistleline/lab/scale/settings_text.py
@@ -12,16 +12,16 @@
     """Return the settings document that a server reads at its start."""
     random = Random(seed)
     classes = [
-        {"name": f"route-{place:06}", "effect": EFFECTS[place % len(EFFECTS)], 
-         "credit": 1.0 + place % UTILITY_COUNT,
+        {"name": f"route-{index:06}", "effect": EFFECTS[index % len(EFFECTS)], 
+         "credit": 1.0 + index % UTILITY_COUNT,
          "promise": round(random.uniform(0.2, 2.0), 3), "deadline": round(random.uniform(2.0, 9.0), 3),
          "window": 2.0, "lateShare": 0.1}
-        for place in range(stages)
+        for index in range(stages)
     ]  # fmt: skip
     projects = [
-        {"name": f"t-{place:07}", "portion": round(random.uniform(1e-7, 1e-6), 9),
+        {"name": f"t-{index:07}", "portion": round(random.uniform(1e-7, 1e-6), 9),
          "allowancePerS": round(random.uniform(0.1, 9.0), 2)}
-        for place in range(tenants)
+        for index in range(tenants)
     ]  # fmt: skip
     return {
         "allowed": {"maxRetryAfter": 1.0, "retryAfter": True},
--- a/thistleline/lab/scale/slopes.py
+++ b/thistleline/lab/scale/slopes.py
@@ -163,7 +163,9 @@
         ValueError: The sizes are too few or too near each other for a fit.
     """
     if len(sizes) != len(values) or len(sizes) < MIN_SIZES or max(sizes) < MIN_SPREAD * min(sizes):
-        raise ValueError(f"{name}: four sizes at least, spread by ten times, each with its value")
+        raise ValueError(
+            f"{name}: a fit needs at least four sizes, each with a value, the largest ten times the smallest"
+        )
     exponent = exponent_of(sizes, values)
     line, squares, logs = (fit(sizes, values, term) for term in (_plain, _squared, _n_log_n))
     shape, (slope, base, residual) = _shape(exponent, line, squares, logs)
