--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -28,7 +28,7 @@
     tables,
 )
 from thistleline.lab.scale.page import main as page_command
-from thistleline.lab.scale.settings_costs import HollowRollout, steps_of_observation
+from thistleline.lab.scale.settings_costs import FleetRollout, steps_of_observation
 from thistleline.lab.scale.settings_text import text_of
 from thistleline.lab.scale.size import FOLDER, read_plan, size
 from thistleline.lab.scale.slopes import Part, Row, grows_within, judge, memory_of, row, steps_of
@@ -229,7 +229,7 @@
 
 def test_change_takes_a_linear_number_of_observations_and_desired_versions() -> None:
     fleets = (15, 30, 60, 150)
-    rollouts = [HollowRollout(n).run() for n in fleets]
+    rollouts = [FleetRollout(n).run() for n in fleets]
     assert all(rollout.settings == [2] * n for rollout, n in zip(rollouts, fleets, strict=True))
     assert_grows_within(
         "looks", "linear", fleets, [rollout.observations for rollout in rollouts], "instances"
--- a/thistleline/lab/scale/control.py
+++ b/thistleline/lab/scale/control.py
@@ -27,7 +27,7 @@
 from thistleline.lab.scale import slopes
 from thistleline.lab.scale.instance import cpu_seconds, machine, resident
 from thistleline.lab.scale.members import make_member, update_bytes
-from thistleline.lab.scale.settings_costs import HollowRollout
+from thistleline.lab.scale.settings_costs import FleetRollout
 from thistleline.lab.scale.size import size
 from thistleline.lab.scale.slopes import (
     Kind,
@@ -229,7 +229,10 @@
 
 
 def publishing(known: int) -> Callable[[], Any]:
-    """Return the call with which a supervisor publishes the facts of a working server to its member."""
+    """Return the call with which a supervisor publishes a working server's facts to its member.
+
+    The service makes it every PUBLISH_INTERVAL.
+    """
     with TemporaryDirectory() as folder:
         service = make_service(known, Path(folder))
     supervisor = make_supervisor(1)
@@ -432,7 +435,7 @@
 
 def idle_observation(instances: int) -> Callable[[], Any]:
     """Return an observation of a fleet in which no change is under way."""
-    rollout = HollowRollout(instances, instances).run()
+    rollout = FleetRollout(instances, instances).run()
     statuses = rollout.server_statuses()
 
     def observe() -> None:
--- a/thistleline/lab/scale/council.py
+++ b/thistleline/lab/scale/council.py
@@ -444,7 +444,8 @@
 def poll_costs(read_s: float, round_s: float) -> dict[str, Any]:
     """Estimate the leader's cores that polling supervisors use, without its sockets.
 
-    Every supervisor reads every POLL seconds.
+    Every supervisor reads every POLL seconds. The cores are given for a round of its own for each read, and
+    for rounds of 1 ms.
 
     Args:
         read_s: CPU seconds of one more read in a round.
--- a/thistleline/lab/scale/followers.py
+++ b/thistleline/lab/scale/followers.py
@@ -1,4 +1,4 @@
-"""Many hollow instances in one process: `python -m thistleline.lab.scale.followers JSON`.
+"""Many instances that only follow the feed, in one process: `python -m thistleline.lab.scale.followers JSON`.
 
 Each runs the real feed client with a connection of its own; equal tables are shared, so that hundreds fit.
 
@@ -175,9 +175,9 @@
 
     def handle(self, now: int, event: FollowerEvent) -> list[FollowerEffect]:
         """Handle the event, recording the time, connection attempts and silences."""
-        begun = time.thread_time_ns()
+        started = time.thread_time_ns()
         effects = self.inner.handle(now, event)
-        TimedStateMachine.spent += time.thread_time_ns() - begun
+        TimedStateMachine.spent += time.thread_time_ns() - started
         if isinstance(event, UpstreamMessage):
             self.seen.silent = max(self.seen.silent, now - (self.received_at or now))
             self.received_at = now
@@ -187,7 +187,7 @@
         return effects
 
 
-class HollowInstance:
+class FollowingInstance:
     """One feed client and what it observed."""
 
     def __init__(self, name: str, settings: FollowersSettings, seed: int) -> None:
@@ -224,7 +224,7 @@
         self.settings = settings
         numbers = range(settings.first, settings.first + settings.many)
         self.all = [
-            HollowInstance(f"i{number}", settings, settings.seed * 10_000 + number) for number in numbers
+            FollowingInstance(f"i{number}", settings, settings.seed * 10_000 + number) for number in numbers
         ]
 
     async def run(self) -> None:
--- a/thistleline/lab/scale/settings_costs.py
+++ b/thistleline/lab/scale/settings_costs.py
@@ -82,7 +82,7 @@
     return ServerStatus(f"i{index:05}", f"z{index % ZONES}", True, "r1", settings, True, True, figures)
 
 
-class HollowRollout:
+class FleetRollout:
     """A rollout through a simulated fleet whose servers are up again by the controller's next observation.
 
     Attributes:
@@ -130,7 +130,7 @@
         assert self.controller.record is not None
         return self.controller.record
 
-    def run(self) -> "HollowRollout":
+    def run(self) -> "FleetRollout":
         """Observe the fleet until the rollout is over.
 
         Raises:
@@ -152,7 +152,7 @@
 
 def steps_of_observation(instances: int) -> int:
     """Count the steps of an observation of a fleet with no rollout under way."""
-    rollout = HollowRollout(instances).run()
+    rollout = FleetRollout(instances).run()
     statuses = rollout.server_statuses()
 
     def observe() -> None:
@@ -206,7 +206,7 @@
     """Measure what one change of the settings takes, by the size of the fleet."""
     instances = size("instances")
     fleets = (60, 150, 300, 600) if quick else (150, 300, 600, 1500)
-    rollouts = [HollowRollout(n).run() for n in fleets]
+    rollouts = [FleetRollout(n).run() for n in fleets]
 
     def change(name: str, unit: str, values: list[int], note: str) -> Row:
         name = f"a change: {name} by instance"
@@ -216,7 +216,7 @@
         change("the conductor's looks", "looks", [rollout.observations for rollout in rollouts],
                "one server down at once, each up again by the next look, nothing to judge"),
         row("a change, all down at once: the conductor's looks by instance", "count", "looks", "instance",
-            fleets, [HollowRollout(n, n).run().observations for n in fleets], instances,
+            fleets, [FleetRollout(n, n).run().observations for n in fleets], instances,
             note="a look waits for the council's answer to every want, which is not in it"),
         change("wants written", "records", [rollout.version_writes for rollout in rollouts],
                "each by the council"),
