--- a/thistleline/lab/scale/followers.py
+++ b/thistleline/lab/scale/followers.py
@@ -1,4 +1,4 @@
-"""Many hollow instances in one process: `python -m thistleline.lab.scale.followers JSON`.
+"""Many instances that only follow the feed, in one process: `python -m thistleline.lab.scale.followers JSON`.
 
 Each runs the real feed client with a connection of its own; equal tables are shared, so that hundreds fit.
 
@@ -29,7 +29,7 @@
 from thistleline.config_feed.lookups import LookupCache
 from thistleline.config_feed.messages import Kind, SnapshotPart
 from thistleline.config_feed.table import PARTIAL_PREFIXES, FeedTable
-from thistleline.lab.scale.feed import HOT, LOOKS, tenant_key
+from thistleline.lab.scale.feed import HOT_TENANTS, LOOKUPS_S, tenant_key
 from thistleline.lab.simulation.feed_fleet import Shared
 from thistleline.transport.codec import FrameDecoder, encode_frame
 
@@ -175,9 +175,9 @@
 
     def handle(self, now: int, event: FollowerEvent) -> list[FollowerEffect]:
         """Handle the event, recording the time, connection attempts and silences."""
-        begun = time.thread_time_ns()
+        started = time.thread_time_ns()
         effects = self.inner.handle(now, event)
-        TimedStateMachine.spent += time.thread_time_ns() - begun
+        TimedStateMachine.spent += time.thread_time_ns() - started
         if isinstance(event, UpstreamMessage):
             self.seen.silent = max(self.seen.silent, now - (self.received_at or now))
             self.received_at = now
@@ -187,7 +187,7 @@
         return effects
 
 
-class HollowInstance:
+class FollowingInstance:
     """One feed client and what it observed."""
 
     def __init__(self, name: str, settings: FollowersSettings, seed: int) -> None:
@@ -222,8 +222,10 @@
     def __init__(self, settings: FollowersSettings) -> None:
         """Make the followers; they do not run yet."""
         self.settings = settings
-        places = range(settings.first, settings.first + settings.many)
-        self.all = [HollowInstance(f"i{place}", settings, settings.seed * 10_000 + place) for place in places]
+        numbers = range(settings.first, settings.first + settings.many)
+        self.all = [
+            FollowingInstance(f"i{number}", settings, settings.seed * 10_000 + number) for number in numbers
+        ]
 
     async def run(self) -> None:
         """Answer commands until standard input ends."""
@@ -254,9 +256,9 @@
         random = Random(self.settings.seed + self.settings.first)
         many = self.settings.tenants
         while True:
-            await anyio.sleep(random.expovariate(LOOKS * len(self.all)))
-            place = random.randrange(min(many, random.choice((HOT, many))))
-            random.choice(self.all).client.lookup(tenant_key(place))
+            await anyio.sleep(random.expovariate(LOOKUPS_S * len(self.all)))
+            number = random.randrange(min(many, random.choice((HOT_TENANTS, many))))
+            random.choice(self.all).client.lookup(tenant_key(number))
 
 
 def main() -> None:
