--- a/tests/test_feed_service.py
+++ b/tests/test_feed_service.py
@@ -134,7 +134,7 @@
         put = await run("put", "--file", str(feed.folder / "all"), "--in-parts", "--request", "4")
         assert (put.stdout, put.returncode) == ("change 4\n", 0)
         for name in [*feed.keepers, *feed.relays, *feed.subscribers]:
-            await feed.reaches(name, 4)
+            await feed.wait_for_sequence(name, 4)
         for name in [*feed.subscribers, "r2", "r1", *feed.keepers]:
             process = feed.processes[name].process
             assert process is not None
@@ -145,11 +145,11 @@
         for name in [*feed.keepers, *feed.relays, *feed.subscribers]:
             feed.processes[name].start()
         for name in feed.keepers:
-            await feed.reaches(name, 4)
+            await feed.wait_for_sequence(name, 4)
         # What the commands did the oracle was not told of.
         await feed.writer()
         items = (("common/left-0", b'{"n":1}'), ("common/right-0", b'{"n":1}'))
-        feed.oracle.made = {1: ("1", items), 2: ("once", (("common/gone", b'{"n":1}'),)),
+        feed.oracle.committed = {1: ("1", items), 2: ("once", (("common/gone", b'{"n":1}'),)),
                             3: ("3", (("common/gone", None), ("tenant/a", b'{"share":0.5}'))),
                             4: ("4.0", (*items, ("tenant/a", b'{"share":0.5}')))}  # fmt: skip
 
@@ -188,61 +188,62 @@
 
 def test_the_writer_is_killed_among_changes_and_another_goes_on(tmp_path: Path) -> None:
     async def story(feed: FeedFleet) -> None:
-        await feed.pairs(2 * RING_SLOTS)
+        await feed.change_pairs(2 * RING_SLOTS)
         writer = await feed.writer()
         async with anyio.create_task_group() as group:
-            group.start_soon(feed.pairs, 12)
-            group.start_soon(feed.pairs, 12)
-            await feed.reaches(writer, feed.oracle.newest + 4)
+            group.start_soon(feed.change_pairs, 12)
+            group.start_soon(feed.change_pairs, 12)
+            await feed.wait_for_sequence(writer, feed.oracle.newest + 4)
             feed.processes[writer].kill()
         assert await feed.writer() != writer
         feed.processes[writer].start()
-        await feed.reaches(writer, feed.oracle.newest)
+        await feed.wait_for_sequence(writer, feed.oracle.newest)
 
     assert with_feed(tmp_path, story) == []
 
 
 def test_a_stopped_writer_that_goes_on_beside_the_next_changes_nothing(tmp_path: Path) -> None:
     async def story(feed: FeedFleet) -> None:
-        await feed.pairs(4)
+        await feed.change_pairs(4)
         writer = await feed.writer()
         feed.processes[writer].pause()
-        await feed.pairs(4)
+        await feed.change_pairs(4)
         assert await feed.writer() != writer
         feed.processes[writer].resume()
-        await feed.pairs(4)
-        await feed.reaches(writer, feed.oracle.newest)
+        await feed.change_pairs(4)
+        await feed.wait_for_sequence(writer, feed.oracle.newest)
 
     assert with_feed(tmp_path, story) == []
 
 
 def test_a_keeper_whose_disk_is_lost_has_all_again_and_one_that_writes_too(tmp_path: Path) -> None:
     async def story(feed: FeedFleet) -> None:
-        await feed.pairs(2 * RING_SLOTS)
+        await feed.change_pairs(2 * RING_SLOTS)
         for writes in (False, True):
             writer = await feed.writer()
             name = writer if writes else next(one for one in feed.keepers if one != writer)
-            feed.empty(name)
-            await feed.pairs(6)
+            feed.lose_disk(name)
+            await feed.change_pairs(6)
             feed.processes[name].start()
-            await feed.reaches(name, feed.oracle.newest)
-            await feed.pairs(RING_SLOTS + 2)
+            await feed.wait_for_sequence(name, feed.oracle.newest)
+            await feed.change_pairs(RING_SLOTS + 2)
 
     assert with_feed(tmp_path, story) == []
 
 
 async def one_disk_lost_while_another_sleeps(feed: FeedFleet) -> None:
     """Of two keepers one stands still, changes go on, and the other's disk is lost."""
-    await feed.pairs(2)
+    await feed.change_pairs(2)
     writer = await feed.writer()
     (other,) = [one for one in feed.keepers if one != writer]
-    await feed.kept(writer, 2)  # what it holds it may not have on disk yet, and then the ring is full sooner
+    # what it holds it may not have on disk yet, and then the ring is full sooner
+    await feed.wait_until_durable(writer, 2)
     feed.processes[other].pause()
-    feed.asked = [writer]
-    await feed.pairs(RING_SLOTS)
-    await feed.pairs(4, 0.4)
-    feed.asked = feed.keepers
-    feed.empty(writer)
+    feed.proposal_targets = [writer]
+    await feed.change_pairs(RING_SLOTS)
+    await feed.change_pairs(4, 0.4)
+    feed.proposal_targets = feed.keepers
+    feed.lose_disk(writer)
     feed.processes[other].resume()
     feed.processes[writer].start()
     await feed.writer(5.0)
@@ -253,7 +254,7 @@
 
     async def story(feed: FeedFleet) -> None:
         await one_disk_lost_while_another_sleeps(feed)
-        waited.extend(feed.oracle.open)
+        waited.extend(feed.oracle.undecided)
 
     assert with_feed(tmp_path, story, keepers=2, subscribers=1) == []
     assert len(waited) == 4
@@ -264,10 +265,10 @@
 
 def test_a_relay_killed_stopped_and_cut_one_way_holds_up_nobody(tmp_path: Path) -> None:
     async def story(feed: FeedFleet) -> None:
-        await feed.pairs(4)
+        await feed.change_pairs(4)
         for fault in ("kill", "stop", "deaf", "mute"):
             for name in [*feed.relays, *feed.subscribers]:
-                await feed.reaches(name, feed.oracle.newest)
+                await feed.wait_for_sequence(name, feed.oracle.newest)
             hurt = next(name for name in feed.relays if feed.fleet.relays["s1", name].connections)
             if fault == "kill":
                 feed.processes[hurt].kill()
@@ -279,11 +280,11 @@
                         relay.backward = LinkFault(drop=True)
             else:  # nor to anybody above it
                 feed.fleet.partition(hurt, incoming=False)
-            await feed.pairs(3)
+            await feed.change_pairs(3)
             if fault != "mute":  # where nobody above hears it, it serves on what it has
                 begun = time.monotonic()
                 for name in feed.subscribers:
-                    await feed.reaches(name, feed.oracle.newest, 7.0)
+                    await feed.wait_for_sequence(name, feed.oracle.newest, 7.0)
                 assert time.monotonic() - begun < 7.0
             feed.fleet.heal()
             feed.processes[hurt].resume()
@@ -295,20 +296,20 @@
 
 def test_late_messages_and_a_stopped_subscriber_cost_the_others_nothing(tmp_path: Path) -> None:
     async def story(feed: FeedFleet) -> None:
-        await feed.pairs(2)
-        feed.asked = [await feed.writer()]
+        await feed.change_pairs(2)
+        feed.proposal_targets = [await feed.writer()]
         for relay in feed.fleet.relays.values():
             relay.forward = relay.backward = LinkFault(delay=0.02, jitter=0.08)
         feed.processes["s1"].pause()
-        await feed.pairs(4)
-        await feed.reaches("s2", feed.oracle.newest)
+        await feed.change_pairs(4)
+        await feed.wait_for_sequence("s2", feed.oracle.newest)
         feed.fleet.heal()
         feed.processes["s1"].resume()
-        await feed.reaches("s1", feed.oracle.newest)
+        await feed.wait_for_sequence("s1", feed.oracle.newest)
         feed.processes["s1"].kill()
-        at = feed.seen("s1")[-1]["number"]
+        at = feed.reported_states("s1")[-1]["number"]
         feed.processes["s1"].start()
-        await feed.event("s1", "started", after=1)
+        await feed.wait_for_event("s1", "started", after=1)
         started = [one for one in feed.processes["s1"].events() if one["event"] == "started"][-1]
         assert 0 < started["number"] <= at  # its folder had it
 
@@ -316,27 +317,27 @@
 
 
 async def a_newer_one_goes_to_a_relay_that_is_behind(feed: FeedFleet) -> None:
-    await feed.pairs(3)
+    await feed.change_pairs(3)
     for name in [*feed.relays, *feed.subscribers]:
-        await feed.reaches(name, 3)
+        await feed.wait_for_sequence(name, 3)
     for (source, _), relay in feed.fleet.relays.items():
         if source == "r2":
             relay.disconnect()
     for name in feed.subscribers:
         feed.fleet.relays[name, "r2"].disconnect()
-    await feed.pairs(3)
+    await feed.change_pairs(3)
     for name in feed.subscribers:
         feed.fleet.relays[name, "r2"].heal()
-        await feed.reaches(name, 6)
+        await feed.wait_for_sequence(name, 6)
     feed.processes["r1"].pause()
     for name in feed.subscribers:
-        await feed.event(name, "dropped", after=0)
-        await feed.reaches(name, 6)
+        await feed.wait_for_event(name, "dropped", after=0)
+        await feed.wait_for_sequence(name, 6)
     # Till they were at r2 and have been refused there, or were not.
     r2 = feed.processes["r2"]
     with anyio.fail_after(10):
         while not any(one.get("why") == "behind" for one in r2.events()):
-            if feed.seen("s1")[-1]["number"] < 6:
+            if feed.reported_states("s1")[-1]["number"] < 6:
                 break
             await anyio.sleep(0.02)
 
@@ -714,29 +715,29 @@
 def test_a_council_without_a_majority_stops_changes_and_nothing_else(tmp_path: Path) -> None:
     async def story(feed: FeedFleet) -> None:
         fleet = feed.fleet
-        await feed.pairs(3)
+        await feed.change_pairs(3)
         fleet.processes[await fleet.leader()].kill()
-        await feed.pairs(3)
+        await feed.change_pairs(3)
         for name in fleet.names:
             if not fleet.processes[name].is_running:
                 fleet.processes[name].start()
         await fleet.leader()
         for name in [*feed.keepers, *feed.relays]:
-            await feed.reaches(name, feed.oracle.newest)
+            await feed.wait_for_sequence(name, feed.oracle.newest)
         for name in fleet.names[:2]:
             fleet.processes[name].kill()
-        (answer,) = await feed.pairs(1, 1.5)
+        (answer,) = await feed.change_pairs(1, 1.5)
         assert answer.sequence == 0
         for name in feed.relays:
-            found = await feed.looked(name)
+            found = await feed.read_status(name)
             assert found is not None
             assert found.sequence == feed.oracle.newest
         feed.processes["s1"].kill()
         feed.processes["s1"].start()
-        await feed.reaches("s1", feed.oracle.newest)
+        await feed.wait_for_sequence("s1", feed.oracle.newest)
         for name in fleet.names[:2]:
             fleet.processes[name].start()
-        await feed.pairs(3)
+        await feed.change_pairs(3)
 
     assert with_feed(tmp_path, story) == []
 
--- a/thistleline/lab/feeds.py
+++ b/thistleline/lab/feeds.py
@@ -163,7 +163,7 @@
     async def _propose(self) -> None:
         """Propose changes one after the other until the storm is over."""
         while not self.over:
-            (answer,) = await self.feed.pairs(1, PROPOSAL_TIMEOUT)
+            (answer,) = await self.feed.change_pairs(1, PROPOSAL_TIMEOUT)
             if answer.sequence:
                 self.acknowledged.append(time.monotonic())
             await anyio.sleep(PROPOSAL_INTERVAL)
@@ -274,13 +274,13 @@
             RunTimeoutError: It lacks some after `RECOVERY_TIMEOUT`.
         """
         name = self.random.choice(self.feed.keepers)
-        self.feed.empty(name)
+        self.feed.lose_disk(name)
         await anyio.sleep(self.random.uniform(0.0, 1.0))
         number = self.feed.oracle.newest
         self.feed.processes[name].start()
         deadline = time.monotonic() + RECOVERY_TIMEOUT
         while True:
-            status = await self.feed.looked(name)
+            status = await self.feed.read_status(name)
             if status is not None and status.counters.get("durable", 0) >= number:
                 return
             if time.monotonic() > deadline:
@@ -307,7 +307,7 @@
         await anyio.sleep(0.3)
         number = self.feed.oracle.newest + 1
         for name in self.feed.subscribers:
-            await self.feed.reaches(name, number)
+            await self.feed.wait_for_sequence(name, number)
             relays[name, "r2"].heal()
         self.feed.processes["r1"].pause()
         await anyio.sleep(MAX_FAULT_DURATION + 1.0)
--- a/thistleline/lab/scale/feedsockets.py
+++ b/thistleline/lab/scale/feedsockets.py
@@ -57,8 +57,8 @@
 
     lease = "3s"
 
-    async def way(self, source: str, to: str) -> Address:
-        return self.address(to)
+    async def open_relay(self, source: str, target: str) -> Address:
+        return self.address(target)
 
     async def start_with(self, first: bytes) -> None:
         """`first`: the council's first record; what the keepers' folders hold ends with it."""
@@ -73,7 +73,7 @@
             await self._start_keeper(name)
         for name in self.relays:
             await self._start_relay(name, 1, self.keepers, True)
-        self.to_keepers = {name: self.address(name) for name in self.keepers}
+        self.keeper_addresses = {name: self.address(name) for name in self.keepers}
         await self.writer(PATIENCE)
 
     def pid(self, name: str) -> int:
@@ -82,14 +82,14 @@
         return process.pid
 
     async def number(self) -> int:
-        found = await self.looked(await self.writer())
+        found = await self.read_status(await self.writer())
         return found.sequence if found is not None else 0
 
     async def started(self, name: str) -> dict[str, Any]:
         """Its next life, by what its disk has: seconds till it answers, and its memory then."""
         begun = time.monotonic()
         self.processes[name].start()
-        await self.reaches(name, 1, PATIENCE)
+        await self.wait_for_sequence(name, 1, PATIENCE)
         return {"s": round(time.monotonic() - begun, 2), "resident_bytes": resident(self.pid(name))}
 
 
@@ -272,7 +272,7 @@
 
     async def _one(self, told: Propose) -> None:
         asked = time.monotonic_ns()
-        answer = await self.region.ask(told, 15.0)
+        answer = await self.region.propose(told, 15.0)
         kept = self.kept
         if not answer.sequence:
             kept.lost.append(f"{told.request_id}: {answer.reason}")
@@ -425,7 +425,7 @@
         raise RunTimeoutError(f"put of {routes} routes ends with {done.returncode}: {done.stdout[-300:]!r}")
     number = await region.number()
     for name in [*region.keepers, *region.relays]:
-        await region.reaches(name, number, PATIENCE)
+        await region.wait_for_sequence(name, number, PATIENCE)
     table = await region.table(region.relays[0], number, PATIENCE)
     held = {key: (value, version) for key, value, version in table.entries("wide")}
     same = {key: value for key, (value, _) in held.items()} == {key: one for key, (one, _) in wanted.items()}
@@ -506,12 +506,12 @@
     await region.start_with(record)
     found: dict[str, Any] = {"disk_bytes": stored, "keepers_s": round(time.monotonic() - begun, 2)}
     for name in region.relays:
-        await region.reaches(name, number, PATIENCE)
+        await region.wait_for_sequence(name, number, PATIENCE)
     found["relays_cold_s"] = round(time.monotonic() - begun - found["keepers_s"], 2)
     changes = Changes(region, Kept(held, number), routes, tenants, seed)
     begun = time.monotonic()
     await changes.run(10 * size("changes_day") / DAY, 1.0)
-    await region.kept(await region.writer(), changes.kept.last, PATIENCE)
+    await region.wait_until_durable(await region.writer(), changes.kept.last, PATIENCE)
     found["first_on_disk_s"] = round(time.monotonic() - begun, 2)
     tell(f"{NAME}: {routes} routes and {tenants} tenants: {found}")
     writer = await region.writer()
