--- a/thistleline/lab/processes/__init__.py
+++ b/thistleline/lab/processes/__init__.py
@@ -1,1 +1,1 @@
-"""Real processes: the harness, what it starts beside the program, and the faults between them."""
+"""Real processes for the lab: the harness, the helper programs that it starts, and injected faults."""
--- a/thistleline/lab/processes/harness.py
+++ b/thistleline/lab/processes/harness.py
@@ -1,7 +1,7 @@
 """The harness of all tests with several processes: start, kill, pause, restart, partition, record, clean up.
 
 It starts the program as its users start it, on free ports of loopback, and ends only what it started. The
-folder of a failed run is left in place: logs, settings and the record of the faults that were injected.
+folder of a failed run is kept: logs, settings and the record of the faults that were injected.
 """
 
 import fcntl
@@ -38,11 +38,11 @@
 
 HEARTBEAT_INTERVAL = "40ms"
 ELECTION_TIMEOUT = "250ms"
-POLL_INTERVAL = 0.05  # s between two looks for a leader
+POLL_INTERVAL = 0.05  # s between two checks for a leader
 
 
 class RunTimeoutError(Exception):
-    """What a run waited for did not happen in time."""
+    """Something that a run waited for did not happen in time."""
 
 
 PORTS = range(15_000, 32_000)  # below the ephemeral ports of outgoing connections
@@ -52,7 +52,7 @@
 def free_port() -> int:
     """Reserve a port for this process until it ends, whether it is used or not.
 
-    The lock file prevents that a port goes to another run between being found free and being listened on.
+    A lock file keeps other runs from taking the port between this check and the start of its listener.
 
     Raises:
         RunTimeoutError: No port of `PORTS` is free.
@@ -76,7 +76,7 @@
 
 
 def read_events(log: Path) -> list[dict[str, Any]]:
-    """Return the JSON objects of a log, one a line; other lines and torn ones are left out."""
+    """Return the JSON objects of a log, one a line; other and incomplete lines are skipped."""
     lines = log.read_bytes().splitlines()
     return [json.loads(line) for line in lines if line.startswith(b"{") and line.endswith(b"}")]
 
@@ -85,7 +85,7 @@
     """One process of the program, through all its incarnations; they append to the same log."""
 
     def __init__(self, name: str, arguments: list[str], env: dict[str, str], folder: Path) -> None:
-        """Name a process without starting it.
+        """Create a process without starting it.
 
         Args:
             name: Its name in the fleet, and of its log file.
@@ -108,7 +108,7 @@
         if self.process is not None and self.process.stdin is not None:
             self.process.stdin.close()
         command = [sys.executable, "-m", "thistleline.lab.processes.program", *self.arguments]
-        # Its standard input ends when this process does, in whatever way: no orphan is left running.
+        # Its standard input ends when this process ends, however it ends, so that no orphan keeps running.
         self.process = subprocess.Popen(
             command, env=self.env, stdin=subprocess.PIPE, stdout=self.log, stderr=self.log
         )
@@ -126,12 +126,12 @@
             self.process.send_signal(number)
 
     def pause(self) -> None:
-        """Suspend the process, as a machine that swaps or is migrated."""
+        """Suspend the process (SIGSTOP), as swapping or a migration of its machine would."""
         self.is_paused = True
         self.signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a paused process run on."""
+        """Resume a paused process (SIGCONT)."""
         self.is_paused = False
         self.signal(signal.SIGCONT)
 
@@ -143,7 +143,7 @@
         self.is_paused = False
 
     def events(self) -> list[dict[str, Any]]:
-        """Return the JSON events of the log, of all incarnations."""
+        """Return the JSON events in the log of all incarnations."""
         return read_events(self.folder / f"{self.name}.log")
 
     def close(self) -> None:
@@ -181,11 +181,11 @@
         self.history.append({"at": round(time.monotonic() - self.started_at, 3), "what": what, **details})
 
     def address(self, name: str) -> Address:
-        """Return the replica's own address, past all relays."""
+        """Return the address of a replica or another process itself, bypassing all relays."""
         return "127.0.0.1", self.ports[name]
 
     async def open_relay(self, source: str, target: str) -> Address:
-        """Open the relay that `source` dials to reach the replica `target`, and return its address."""
+        """Open the relay that `source` dials to reach the process `target`, and return its address."""
         relay = Relay(self.address(target), self.rng)
         self.relays[source, target] = relay
         await relay.serve(self.group)
@@ -200,7 +200,7 @@
 
         Args:
             env: More environment variables, by replica.
-            without: The safety measure that the replicas leave out (processes/program.py).
+            without: The protection that the replicas leave out (processes/program.py).
         """
         for name in self.names:
             settings = await self._write_settings(name)
@@ -246,14 +246,14 @@
         return answer
 
     async def status(self, name: str, timeout: float = 10.0) -> ReplicaStatus:
-        """Return what a replica says of itself.
+        """Return a replica's status.
 
         Raises:
-            RunTimeoutError: It says nothing in `timeout` seconds.
+            RunTimeoutError: It does not answer in `timeout` seconds.
         """
         answer = await self.request(GetStatus(), {name: self.address(name)}, timeout)
         if not isinstance(answer, ReplicaStatus):
-            raise RunTimeoutError(f"replica {name} does not give its status in {timeout} s")
+            raise RunTimeoutError(f"replica {name} does not report its status in {timeout} s")
         return answer
 
     async def leader(self, timeout: float = 15.0) -> str:
@@ -276,7 +276,7 @@
         raise RunTimeoutError(f"no leader in {timeout} s")
 
     async def replace_replica(self, name: str) -> None:
-        """Lose a replica's disk: it comes back empty, under a new id, and the membership is changed.
+        """Replace a replica whose disk is lost: it restarts empty under a new id; the membership is changed.
 
         Raises:
             RunTimeoutError: The membership change is not decided.
@@ -300,13 +300,13 @@
         return self.folder / f"{name}.disk"
 
     def set_disk_fault(self, name: str, fault: str) -> None:
-        """Set what a process's disk does from now on: "fail", "slow", or "" for no fault."""
+        """Set the fault of a process's disk from now on: "fail", "slow", or "" for none."""
         self._disk_fault_file(name).write_text(fault)
 
     def partition(self, name: str, outgoing: bool = True, incoming: bool = True) -> None:
-        """Cut a process off: what it sends, what others send to it, or both.
+        """Partition a process: what it sends, what others send to it, or both.
 
-        One direction alone loses bytes silently; both directions end and refuse connections.
+        One direction alone drops bytes silently; for both, connections are ended and new ones refused.
         """
         for (source, target), relay in self.relays.items():
             if (source == name and outgoing) or (target == name and incoming):
@@ -321,7 +321,7 @@
             relay.heal()
 
     def restore(self) -> None:
-        """Remove all faults: of relays and disks; resume what is paused, restart what is dead."""
+        """Remove all faults of relays and disks; resume paused processes, restart those that have ended."""
         self.heal()
         for name, process in self.processes.items():
             self.set_disk_fault(name, "")
@@ -339,19 +339,19 @@
 
 @contextmanager
 def run_folder(run: str, command: str) -> Iterator[Path]:
-    """Make a folder for a run; leave it in place if the run fails or a file `keep` is in it.
+    """Make a folder for a run; keep it if the run fails or leaves a file `keep` in it.
 
     Args:
         run: The name of the run, part of the folder's name.
-        command: Repeats the run; printed with the folder that is left.
+        command: The command that repeats the run; printed if the folder is kept.
     """
     folder = Path(tempfile.mkdtemp(prefix=f"thistleline-{run}-"))
     try:
         yield folder
     except BaseException:
-        print(f"kept: {folder}; again: {command}", file=sys.stderr)
+        print(f"folder kept: {folder}; repeat with: {command}", file=sys.stderr)
         raise
     if (folder / "keep").exists():
-        print(f"kept: {folder}; again: {command}", file=sys.stderr)
+        print(f"folder kept: {folder}; repeat with: {command}", file=sys.stderr)
     else:
         shutil.rmtree(folder)
--- a/thistleline/lab/processes/load_generator.py
+++ b/thistleline/lab/processes/load_generator.py
@@ -1,4 +1,4 @@
-"""An open-loop load generator: bookings begin at times drawn before the run, and are retried until final."""
+"""An open-loop load generator: bookings start at times independent of answers and are retried until final."""
 
 import random
 import time
@@ -12,7 +12,7 @@
 from thistleline.wire import stub
 from thistleline.wire.buffer import Buffer
 
-ATTEMPT_TIMEOUT = 3.0  # s; an attempt without an answer for so long is given up
+ATTEMPT_TIMEOUT = 3.0  # s; an attempt without an answer after this time counts as lost
 READ_SIZE = 65536  # bytes
 FIRST_BACKOFF = 0.02  # s between the first two attempts; it doubles
 MAX_BACKOFF = 0.3  # s
@@ -20,7 +20,7 @@
 
 
 class AttemptOutcome(NamedTuple):
-    """What came back for one attempt.
+    """The outcome of one attempt.
 
     Attributes:
         key: The request's idempotency key, the same for all its attempts.
@@ -40,10 +40,10 @@
 
 
 class PendingAnswer:
-    """An attempt's answer, once there is one; an attempt whose connection ends is woken without."""
+    """The answer to an attempt, awaited with `woken`; it stays "lost" if the connection ends first."""
 
     def __init__(self) -> None:
-        """Wait for an answer."""
+        """Start without an answer."""
         self.woken = anyio.Event()
         self.kind = "lost"
         self.value: Any = None
@@ -56,7 +56,7 @@
     """One connection to the server, dialled again when it ends."""
 
     def __init__(self, address: Callable[[], Address]) -> None:
-        """Make a connection, dialled with the first attempt; `address` is asked at each dial."""
+        """Make a connection, dialled with the first attempt; `address` is called at each dial."""
         self.address = address
         self.stream: SocketStream | None = None
         self.sequence = 0
@@ -64,7 +64,7 @@
         self.dialling = anyio.Lock()
 
     async def attempt(self, fields: dict[str, str], body: bytes, group: TaskGroup) -> tuple[str, Any]:
-        """Send one attempt; return the answer's kind and value, ("lost", None) where none came.
+        """Send one attempt; return the answer's kind and value, or ("lost", None) without one.
 
         Args:
             fields: The request's header fields.
@@ -94,7 +94,7 @@
         return answer.kind, answer.value
 
     async def _read(self, stream: SocketStream, pending: PendingAnswers) -> None:
-        """Read answers until the stream ends; after a dismissal new attempts go on another one."""
+        """Read answers until the stream ends; after a dismissal new attempts use another one."""
         buffer = Buffer(stub.MAX_RESPONSE_SIZE)
         try:
             while pending or self.stream is stream:
@@ -125,14 +125,14 @@
     def __init__(
         self, address: Callable[[], Address], seed: int, connections: int, stage: str, tenant: str
     ) -> None:
-        """Make a caller that has dialled nothing yet."""
+        """Make a caller without open connections."""
         self.rng = random.Random(seed)
         self.connections = [CallerConnection(address) for _ in range(connections)]
         self.stage = stage
         self.tenant = tenant
         self.outcomes: list[AttemptOutcome] = []
         self.created_at: dict[str, float] = {}  # by attempt id; s of the monotonic clock
-        self.max_delay = 0.0  # s that the latest first attempt was sent after its time
+        self.max_delay = 0.0  # s, greatest delay of a first attempt after its scheduled time
 
     def request_fields(self, key: str, is_retry: bool) -> dict[str, str]:
         """Return the header fields of a new attempt, with a random attempt id."""
@@ -163,13 +163,13 @@
     async def book(
         self, number: int, start_at: float, timeout: float, repeat_share: float, group: TaskGroup
     ) -> None:
-        """Send a booking at its time, and retry it until it is final or timed out.
+        """Send a booking at its scheduled time, and retry it until a final answer or the timeout.
 
         Args:
             number: Of the booking; key and body follow from it.
             start_at: Seconds of the monotonic clock.
             timeout: Seconds of retrying.
-            repeat_share: Share of bookings that are asked for again after their end, for as long.
+            repeat_share: Share of bookings that are sent again after the final answer, with the same timeout.
             group: Runs the readers of new connections.
         """
         await anyio.sleep(max(0.0, start_at - time.monotonic()))
--- a/thistleline/lab/processes/machines.py
+++ b/thistleline/lab/processes/machines.py
@@ -1,9 +1,8 @@
 """Machines under supervisors, with the program itself as their servers, fake farm agents and callers.
 
-A fleet of real processes that is rolled from release to release while parts of it fail,
-built on processes/harness.py.
-What a release does wrong is a fault plan of processes/faulty_server.py in its start script (`RELEASES`). The
-oracle is the ledger's (lab/ledger.py), over all machines.
+The fleet of real processes, built on processes/harness.py, is rolled from release to release while parts
+fail. The faults of a release are a fault plan of processes/faulty_server.py in its start script (`RELEASES`).
+The oracle is the ledger's (lab/ledger.py), over all machines.
 """
 
 import fcntl
@@ -37,8 +36,8 @@
 REPORT_INTERVAL = 0.5  # s between two reports of a server's metrics
 RATE = 12.0  # bookings a second to a machine
 BOOKING_TIMEOUT = 6.0  # s that a caller retries a booking
-REPEAT_SHARE = 0.1  # of bookings that are asked for again after their end
-POLL_INTERVAL = 0.05  # s between two looks at a condition
+REPEAT_SHARE = 0.1  # of bookings that are sent again after the final answer
+POLL_INTERVAL = 0.05  # s between two checks of a condition
 ROLLOUT_POLL_INTERVAL = 0.1  # s between two reads of the rollout's record
 REPLICAS = 3
 SEEDS = 3  # machines that are gossip seeds
@@ -67,7 +66,7 @@
 
 
 class ServingRelease(NamedTuple):
-    """What serves on a machine: a release in an incarnation; ("", 0): nothing."""
+    """The release and the incarnation that serve on a machine; ("", 0) if none does."""
 
     release: str
     incarnation: int
@@ -77,7 +76,7 @@
     """One machine: its fake agent, its callers, and the files of its supervisor and server."""
 
     def __init__(self, name: str, zone: str, folder: Path, seed: int, handover: bool) -> None:
-        """Make a machine; `handover`: whether a new server starts beside the old one and takes over."""
+        """Make a machine; `handover` is whether a new server starts beside the old one and takes over."""
         self.name = name
         self.zone = zone
         self.folder = folder
@@ -97,7 +96,7 @@
 
     @property
     def handover_setting(self) -> str:
-        """The line of settings that turns handovers on, for server and supervisor alike."""
+        """The line of settings that turns on handovers, the same for server and supervisor."""
         return f"handover folder {self.folder}/handover\n" if self.handover else ""
 
 
@@ -123,10 +122,10 @@
             seed: Of faults and load.
             count: Of machines.
             zones: Machines are spread over them in turn.
-            handover: Whether servers hand over to each other side by side.
-            slot: The rollout controllers' setting, a duration.
+            handover: Whether a new server starts beside the old one and takes over.
+            slot: The setting `conductor slot` of the rollout controllers, a duration.
             revisions: Revisions of this repository, each a release by that name beside those of `RELEASES`.
-                One that knows no handovers can't run where `handover` is set.
+                A revision without support for handovers can't run with `handover`.
         """
         self.slot = slot
         self.revisions = revisions
@@ -165,7 +164,7 @@
             await self._start_program("conductor", name, ports, lines, {})
 
     def _write_release(self, name: str) -> Path:
-        """Write a release's folder with its start script; a revision brings its own program."""
+        """Write a release's folder with its start script; a revision's folder has its own program."""
         source = self.folder / "sources" / name
         source.mkdir(parents=True)
         fault_plan = RELEASES.get(name, {})
@@ -257,8 +256,8 @@
         await self._store_order(order)
 
     async def order_rollback(self) -> None:
-        """Order that the rollout under way is taken back."""
-        await self._store_order(Order(self.order_number + 1, "back", "it can't be told"))
+        """Order the rollback of the rollout in progress."""
+        await self._store_order(Order(self.order_number + 1, "back", "the verdict is undecided"))
 
     async def _store_order(self, order: Order) -> None:
         self.order_number = order.number
@@ -279,7 +278,7 @@
             timeout: Seconds.
             number: Of the rollout's order.
             inject: Injects a fault, once, as soon as the first stage has targets.
-            stop_at_asking: Whether to return also when the controller asks a person.
+            stop_at_asking: Whether to return also when the controller waits for an operator's decision.
 
         Raises:
             RunTimeoutError: It is not over in time.
@@ -299,7 +298,7 @@
     # ---- observation
 
     def machines_reached(self, release: str) -> list[str]:
-        """Return the machines on which a release was ever started, by their supervisors' logs."""
+        """Return the machines on which a release was ever started, according to their supervisors' logs."""
         field = f'"release": "{release}"'.encode()
         reached = []
         for machine in self.machines:
@@ -309,7 +308,7 @@
         return reached
 
     def serving(self, name: str) -> ServingRelease:
-        """Return what serves on a machine, by its supervisor's log."""
+        """Return what serves on a machine, according to its supervisor's log."""
         serving = ServingRelease("", 0)
         for event in self.fleet.processes[name].events():
             if event["event"] == "serves" or (event["event"] == "started" and "life" in event):
@@ -339,11 +338,11 @@
         while not condition():
             if time.monotonic() > deadline:
                 serving = [self.serving(machine.name) for machine in self.machines]
-                raise RunTimeoutError(f"{what}: not in {timeout} s: {await self.rollout()} {serving}")
+                raise RunTimeoutError(f"{what}: not reached in {timeout} s: {await self.rollout()} {serving}")
             await anyio.sleep(POLL_INTERVAL)
 
     def close(self) -> None:
-        """End every process, servers too: they outlive their supervisors."""
+        """End every process, including the servers, which outlive their supervisors."""
         self.fleet.close()
         for machine in self.machines:
             for pid_file in (machine.folder / "lives").glob("*.pid"):
@@ -351,7 +350,7 @@
 
 
 def _kill_server(pid_file: Path) -> None:
-    """Kill the server of a pid file if it still holds its lock, which proves that the pid is its own."""
+    """Kill the server of a pid file if it still holds its lock, which shows that the pid was not reused."""
     for lock_file in (pid_file.with_suffix(".lock"), pid_file.parent.parent / "server.lock"):
         if not lock_file.exists():
             continue
--- a/thistleline/lab/processes/network_relay.py
+++ b/thistleline/lab/processes/network_relay.py
@@ -1,7 +1,7 @@
 """TCP proxies between each ordered pair of processes: partitions, delays, message loss, trickled bytes.
 
-A connection dials in one direction only (lease/service.py), so a fault on a relay's `forward` or `backward`
-direction is a fault of one direction between two processes.
+Each relay serves the connections that one process dials to one other (lease/service.py), so a fault on its
+`forward` or `backward` direction is a fault of one direction between the two.
 """
 
 from collections import deque
@@ -16,19 +16,19 @@
 from thistleline.transport.disconnects import DISCONNECT_ERRORS
 
 READ_SIZE = 65536  # bytes
-MAX_QUEUED_BYTES = 8 << 20  # held by one delayed direction; past it nothing more is read
-TRICKLE_BYTES = 7  # most bytes sent at a time
+MAX_QUEUED_BYTES = 8 << 20  # queued in one delayed direction; above this, it stops reading
+TRICKLE_BYTES = 7  # greatest size of a send
 TRICKLE_PAUSE = 0.001  # s between two such sends
-BACKPRESSURE_PAUSE = 0.01  # s between two looks at a full queue
+BACKPRESSURE_PAUSE = 0.01  # s between two checks of a full queue
 
 
 class LinkFault(NamedTuple):
-    """What happens to the bytes of one direction."""
+    """A fault of one direction of a relay."""
 
     delay: float = 0.0  # s
-    jitter: float = 0.0  # s, added up to this much; order is preserved
-    drop: bool = False  # bytes are read and lost
-    trickle: bool = False  # a few bytes at a time
+    jitter: float = 0.0  # s, most random delay added to `delay`; order is preserved
+    drop: bool = False  # bytes are read and discarded
+    trickle: bool = False  # bytes are sent a few at a time
 
 
 NO_FAULT = LinkFault()
@@ -53,23 +53,23 @@
         """Listen on a free loopback port, named by `port`, for as long as `group` runs."""
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         self.port = listener.extra(anyio.abc.SocketAttribute.local_port)
-        group.start_soon(listener.serve, self._carry)
+        group.start_soon(listener.serve, self._serve_connection)
 
     def disconnect(self) -> None:
-        """End every connection and refuse new ones until `heal`."""
+        """Close every connection and refuse new ones until `heal`."""
         self.refuses = True
-        self._end_all(both=True)
+        self._close_connections(both=True)
 
     def delay_in_flight(self, delay: float) -> None:
-        """Cut off the dialling side, so that it dials again, while what it sent arrives `delay` seconds late.
+        """Close the dialling side, so that it dials again, while bytes in flight arrive `delay` seconds late.
 
         The new connection's messages may overtake those of the old one.
         """
         self.forward = LinkFault(delay=delay)
-        self._end_all(both=False)
+        self._close_connections(both=False)
 
     def half_close(self) -> None:
-        """Send end-of-file to the target; the backward direction goes on."""
+        """Send end-of-file to the target; the backward direction stays open."""
         for number in list(self.connections):
             stream = self.connections[number][-1]
             self.half_closed.add(id(stream))
@@ -81,12 +81,12 @@
         self.forward = NO_FAULT
         self.backward = NO_FAULT
 
-    def _end_all(self, both: bool) -> None:
+    def _close_connections(self, both: bool) -> None:
         for streams in list(self.connections.values()):
             for stream in streams if both else streams[:1]:
                 self.group.start_soon(anyio.aclose_forcefully, stream)
 
-    async def _carry(self, near: SocketStream) -> None:
+    async def _serve_connection(self, near: SocketStream) -> None:
         self.accepted += 1
         number = self.accepted
         async with near:
--- a/thistleline/lab/processes/program.py
+++ b/thistleline/lab/processes/program.py
@@ -1,15 +1,19 @@
-"""The program as its users start it, with the clock and disk of the lab.
+"""The program as its users start it, with injected faults of its clocks and disk.
 
 Started by `python -m thistleline.lab.processes.program SUB`.
 
 Environment variables inject the faults:
 
-    LAB_CLOCK   {"rate": 1.2, "wall_ahead_s": 3600}: how fast its clocks go, how far its wall clock is ahead
-    LAB_DISK    a file whose content holds from the next sync on: "fail", "slow" (each sync takes 0.7 s), or
+    LAB_CLOCK   {"rate": 1.2, "wall_ahead_s": 3600}: rate of the clocks, and offset of the wall clock
+    LAB_DISK    a file that holds the fault of each sync from now on: "fail", "slow" (each takes 0.7 s), or
                 nothing
-    LAB_WITHOUT a protection that is left out, so that an oracle has something to find: "pre-vote", "drift",
-                "clock" (the lease holder's own); of the feed "majority" (a group goes out before a majority
-                of keepers has it), "newer" (a source that is behind serves, and an older snapshot is taken)
+    LAB_WITHOUT a protection that is left out, to check that an oracle detects its absence:
+                "pre-vote"  a replica starts elections without a pre-vote
+                "drift"     a lease holder allows for no drift between clocks
+                "clock"     a lease holder acts for ten times the length of its lease
+                "majority"  the feed's writer publishes a group before a majority of keepers has it
+                "newer"     a source serves a follower that is ahead of it, and a follower loads an older
+                            snapshot
 
 The process ends when its standard input does, so that it never outlives its harness.
 """
@@ -26,7 +30,7 @@
 
 
 def inject_clock_faults() -> None:
-    """Replace the clocks; to be called before anything else imports them by name."""
+    """Replace the clocks; must be called before other modules import them by name."""
     from thistleline.store import clock
 
     fault = json.loads(os.environ.get("LAB_CLOCK", "{}"))
@@ -39,7 +43,7 @@
 
 
 def inject_disk_faults() -> None:
-    """Let each sync do what the file named by LAB_DISK says."""
+    """Apply the fault in the file named by LAB_DISK to each sync."""
     from thistleline.store import disk
 
     name = os.environ.get("LAB_DISK")
@@ -86,7 +90,7 @@
 
 
 def leave_out_feed_order() -> None:
-    """Let a source that is behind serve, and a follower take an older snapshot."""
+    """Let a source serve followers that are ahead of it, and a follower load an older snapshot."""
     from thistleline.config_feed.follower import Follower
     from thistleline.config_feed.messages import Follow, FollowAccepted
     from thistleline.config_feed.source import Source
@@ -121,7 +125,7 @@
 
 
 def main() -> int:
-    """Inject the faults, then run a subcommand of the lab's or the program's."""
+    """Inject the faults, then run a helper program of the lab or a command of the program."""
     end_with_parent()
     inject_clock_faults()
     inject_disk_faults()
--- a/thistleline/lab/processes/render_farm.py
+++ b/thistleline/lab/processes/render_farm.py
@@ -1,7 +1,7 @@
-"""A fake farm agent that outlives the server and records every run: what the ledger's oracle judges by.
+"""A fake farm agent that outlives the server and records every run, for the ledger's oracle.
 
-It speaks the agent's side of wire/agent.py. Runs go on without a connection; notices of their ends are stored
-and sent again from the number that a new connection subscribes from.
+It implements the agent's side of wire/agent.py. Runs continue without a connection; notices of their ends are
+stored, and a new connection gets those after the number from which it subscribes.
 """
 
 import random
@@ -24,7 +24,7 @@
         body: The request's body.
         id: The attempt that started it.
         started_at: Seconds of the monotonic clock.
-        result: What it gives when it ends.
+        result: The result, sent when the run ends.
     """
 
     body: bytes
@@ -37,7 +37,7 @@
     """One agent on a free loopback port; only the newest connection gets notices."""
 
     def __init__(self, seed: int, run_seconds: tuple[float, float]) -> None:
-        """Make an agent whose runs take between the least and the most of `run_seconds`."""
+        """Make an agent; `run_seconds` is the least and the greatest duration of a run."""
         self.rng = random.Random(seed)
         self.run_seconds = run_seconds
         self.started_at = time.monotonic()
@@ -84,15 +84,15 @@
                 self.connection = None
 
     async def _subscribe(self, connection: SocketStream, after: int) -> None:
-        """Replace the connection before this one; greet, and send the notices after number `after`."""
+        """Close the previous connection; greet, and send the notices after number `after`."""
         age_ms = int((time.monotonic() - self.started_at) * 1000)
         async with self.sending:
             previous = self.connection
             self.connection = connection
             if previous is not None and previous is not connection:
                 await previous.aclose()
-            forgotten = self.notice_number - len(self.notices)
-            missed = list(self.notices)[max(0, after - forgotten) :]
+            discarded = self.notice_number - len(self.notices)
+            missed = list(self.notices)[max(0, after - discarded) :]
             await connection.send(b"greeting old %d\r\n" % age_ms + b"".join(missed))
 
     def _launch(self, id: str, body: bytes) -> None:
