--- a/thistleline/lab/feeds.py
+++ b/thistleline/lab/feeds.py
@@ -2,8 +2,8 @@
 
 The consensus cluster, keepers, relays and subscribers are processes of the program, with a network relay of
 the lab between each pair. Proposals, the plan of faults and the verdict are here, the oracle is in
-processes/feed_fleet.py. It looks for changes that are lost, made twice, half visible or taken back; it knows
-what was acknowledged and what subscribers reported, and nothing of the program's own view.
+processes/feed_fleet.py. It looks for changes that are lost, committed twice, visible in part or undone; it
+knows what was acknowledged and what subscribers reported, and nothing of the program's own view.
 """
 
 import time
@@ -19,18 +19,18 @@
 from thistleline.lab.processes.harness import RunTimeoutError, run_folder
 from thistleline.lab.processes.network_relay import LinkFault
 
-Tell = Callable[[str], None]
+Progress = Callable[[str], None]
 
 KEEPERS = 3
 SUBSCRIBERS = 3  # the first with a folder
 PROPOSERS = 2
-PROPOSAL_TIMEOUT = 4.0  # s; then it is unknown whether the change was made
+PROPOSAL_TIMEOUT = 4.0  # s; after it, the change may be committed or not
 PROPOSAL_INTERVAL = 0.02  # s between an answer and the next proposal
 MIN_FAULT_DURATION = 0.2  # s
 MAX_FAULT_DURATION = 2.4  # s; a silent peer is noticed after 1.6
 CALM_DURATION = 0.5  # s between two faults
 SECOND_FAULT_PROBABILITY = 0.4
-RECOVERY_TIMEOUT = 25.0  # s for an acknowledgement once all faults are removed; then the fleet hangs
+RECOVERY_TIMEOUT = 25.0  # s without an acknowledgement after all faults are removed; then the fleet hangs
 POLL_INTERVAL = 0.02  # s
 MAX_ADDED_DELAY = 0.06  # s, of the fault "late"
 DELAY_JITTER = 0.05  # s, of the fault "late"
@@ -45,7 +45,7 @@
 KINDS = ("kill", "stop", "cut", "mute", "deaf", "slow", "fail")
 DISK_KINDS = ("slow", "fail")
 DISK_TARGETS = ("writer", "keeper", "leader", "voter")
-ALONE = ("late", "lose_keeper", "lose_voter", "strand")  # faults of the fleet, never with a second one
+ALONE = ("late", "lose_keeper", "lose_voter", "strand")  # faults of the fleet, never combined with others
 
 
 class Fault(NamedTuple):
@@ -61,14 +61,14 @@
 
 
 class FaultPlan:
-    """Draws faults from a seeded random source, every kind once before any comes again."""
+    """Draws faults from a seeded random source in shuffled order; every third is of the whole fleet."""
 
     def __init__(self, random: Random, only: tuple[str, ...]) -> None:
         """Begin a plan.
 
         Args:
             random: The source of all draws.
-            only: Faults of `ALONE` to draw in turn, with no others; empty for all faults.
+            only: Faults of `ALONE`, drawn in turn without any others; empty for all faults.
         """
         self._random = random
         self._only = only
@@ -80,22 +80,22 @@
             if kind not in DISK_KINDS or target in DISK_TARGETS
         ]
 
-    def step(self, place: int) -> list[Fault]:
-        """Return the faults of a step of the storm, which come at once."""
-        if place % len(self._process_faults) == 0:
+    def step(self, index: int) -> list[Fault]:
+        """Return the faults of a step of the storm, which are injected together."""
+        if index % len(self._process_faults) == 0:
             self._random.shuffle(self._process_faults)
         if self._only:
-            return [self._fleet_faults[place % len(self._fleet_faults)]]
-        if place % 3 == 2:
-            return [self._fleet_faults[place // 3 % len(self._fleet_faults)]]
-        faults = [self._process_faults[place % len(self._process_faults)]]
+            return [self._fleet_faults[index % len(self._fleet_faults)]]
+        if index % 3 == 2:
+            return [self._fleet_faults[index // 3 % len(self._fleet_faults)]]
+        faults = [self._process_faults[index % len(self._process_faults)]]
         if self._random.random() < SECOND_FAULT_PROBABILITY:
             faults.append(self._random.choice(self._process_faults))
         return faults
 
 
 class Storm:
-    """One fleet and its faults, by a seeded plan."""
+    """One fleet and the faults injected into it by a seeded plan."""
 
     def __init__(self, folder: Path, seed: int, without: str = "", only: tuple[str, ...] = ()) -> None:
         """Prepare a storm.
@@ -103,8 +103,8 @@
         Args:
             folder: Where the processes write.
             seed: Of all random draws.
-            without: The safeguard that the processes leave out; empty for none.
-            only: Faults of `ALONE` to inject, with no others; empty for all faults.
+            without: The protection that the processes leave out (processes/program.py); empty for none.
+            only: Faults of `ALONE`, injected without any others; empty for all faults.
         """
         self.folder = folder
         self.seed = seed
@@ -115,12 +115,12 @@
         self.acknowledged: list[float] = []  # monotonic times in s
         self.over = False
 
-    async def run(self, seconds: float, tell: Tell) -> dict[str, Any]:
+    async def run(self, seconds: float, progress: Progress) -> dict[str, Any]:
         """Run the fleet under faults and return the result.
 
         Args:
             seconds: How long faults are injected.
-            tell: Called with each line of progress.
+            progress: Called with each line of progress.
 
         Raises:
             RunTimeoutError: The fleet hangs.
@@ -133,7 +133,7 @@
                 async with anyio.create_task_group() as proposers:
                     for _ in range(PROPOSERS):
                         proposers.start_soon(self._propose)
-                    await self._run_faults(seconds, tell)
+                    await self._run_faults(seconds, progress)
                     self.over = True
                 await self.feed.settle()
                 wrong = await self.feed.judge()
@@ -170,13 +170,13 @@
 
     # ---- faults
 
-    async def _run_faults(self, seconds: float, tell: Tell) -> None:
-        """Inject faults and recover from them, step by step, for so many seconds."""
+    async def _run_faults(self, seconds: float, progress: Progress) -> None:
+        """Inject faults and recover from them, step by step, for `seconds`."""
         began = time.monotonic()
-        place = 0
+        index = 0
         while time.monotonic() - began < seconds:
-            faults = self.plan.step(place)
-            place += 1
+            faults = self.plan.step(index)
+            index += 1
             self.fleet.record(" and ".join(fault.name for fault in faults))
             for fault in faults:
                 self.faults[fault.name] += 1
@@ -186,14 +186,14 @@
                     await self._inject_alone(fault.kind)
             await anyio.sleep(self.random.uniform(MIN_FAULT_DURATION, MAX_FAULT_DURATION))
             await self._recover()
-            if place % STEPS_PER_REPORT == 0:
+            if index % STEPS_PER_REPORT == 0:
                 oracle = self.feed.oracle
-                tell(f"{place} faults, {oracle.newest} changes, wrong: {oracle.wrong}")
+                progress(f"{index} faults, {oracle.newest} changes, wrong: {oracle.wrong}")
 
     async def _recover(self) -> None:
         """Remove all faults and wait until changes are acknowledged.
 
-        A connection of which something was dropped ends: TCP loses nothing in the middle of one that goes on.
+        Connections of which bytes were dropped are closed: TCP never loses bytes within an open connection.
 
         Raises:
             RunTimeoutError: No change is acknowledged in `RECOVERY_TIMEOUT`.
@@ -233,7 +233,7 @@
         try:
             name = await self._choose_process(target)
         except RunTimeoutError:
-            return  # the first of two faults took the only process in this role
+            return  # the other fault of this step has stopped the only process in this role
         process = self.feed.processes[name]
         if kind == "kill":
             process.kill()
@@ -257,7 +257,7 @@
                 relay.backward = LinkFault(drop=True)
 
     async def _inject_alone(self, kind: str) -> None:
-        """Inject a fault of `ALONE`; each is the method of its name."""
+        """Inject a fault of `ALONE` by the method named after it."""
         inject: Callable[[], Awaitable[None]] = getattr(self, f"_{kind}")
         await inject()
 
@@ -268,10 +268,10 @@
             relay.backward = LinkFault(self.random.uniform(0.0, MAX_ADDED_DELAY), DELAY_JITTER)
 
     async def _lose_keeper(self) -> None:
-        """Destroy a keeper's disk and wait until it has all changes again.
+        """Delete a keeper's data and wait until it has all changes on disk again.
 
         Raises:
-            RunTimeoutError: It lacks some after `RECOVERY_TIMEOUT`.
+            RunTimeoutError: Some are missing after `RECOVERY_TIMEOUT`.
         """
         name = self.random.choice(self.feed.keepers)
         self.feed.lose_disk(name)
@@ -285,7 +285,7 @@
                 return
             if time.monotonic() > deadline:
                 raise RunTimeoutError(
-                    f"{name} has not all on disk {RECOVERY_TIMEOUT} s after its disk was lost"
+                    f"{name} does not have all changes on disk {RECOVERY_TIMEOUT} s after its disk was lost"
                 )
             await anyio.sleep(POLL_INTERVAL)
 
@@ -294,9 +294,9 @@
         await self.fleet.replace_replica(self.random.choice(self.fleet.names))
 
     async def _strand(self) -> None:
-        """Let subscribers come to a relay that is behind them.
+        """Reconnect subscribers to a relay that is behind them.
 
-        r2 is cut off from its sources while changes go on at r1; then r1 is paused.
+        r2 is disconnected from its sources while r1 gets more changes; then r1 is paused.
         """
         relays = self.fleet.relays
         for (source, _), relay in relays.items():
@@ -314,34 +314,34 @@
 
 
 def storm(
-    seed: int, seconds: float, tell: Tell, without: str = "", only: tuple[str, ...] = ()
+    seed: int, seconds: float, progress: Progress, without: str = "", only: tuple[str, ...] = ()
 ) -> dict[str, Any]:
-    """Run one storm and return its result; a fleet that hangs is wrong too.
+    """Run one storm and return its result; a fleet that hangs counts as wrong.
 
-    The folder of a run that found something is left in place, unless a safeguard was left out.
+    The folder of a run that found a violation is kept, unless a protection was left out.
 
     Args:
         seed: Of all random draws.
         seconds: How long faults are injected.
-        tell: Called with each line of progress.
-        without: The safeguard that the processes leave out; empty for none.
-        only: Faults of `ALONE` to inject, with no others; empty for all faults.
+        progress: Called with each line of progress.
+        without: The protection that the processes leave out (processes/program.py); empty for none.
+        only: Faults of `ALONE`, injected without any others; empty for all faults.
     """
     with run_folder("feeds", f"thistleline lab feeds --seed {seed}") as folder:
-        one = Storm(folder, seed, without, only)
+        feed_storm = Storm(folder, seed, without, only)
         result: dict[str, Any] = {}
         try:
-            result = anyio.run(one.run, seconds, tell)
+            result = anyio.run(feed_storm.run, seconds, progress)
         except* RunTimeoutError as group:
             result = {
-                "wrong": [*one.feed.oracle.wrong, *(str(error) for error in _leaves(group))],
+                "wrong": [*feed_storm.feed.oracle.wrong, *(str(error) for error in _leaves(group))],
                 "hung": True,
-                "acknowledged": len(one.acknowledged),
-                "faults": dict(sorted(one.faults.items())),
+                "acknowledged": len(feed_storm.acknowledged),
+                "faults": dict(sorted(feed_storm.faults.items())),
             }
         if result["wrong"] and not without:
             (folder / "keep").write_text("\n".join(result["wrong"]))
-            tell(f"wrong: {result['wrong']}")
+            progress(f"wrong: {result['wrong']}")
         return result
 
 
@@ -356,22 +356,22 @@
     return leaves
 
 
-def run(quick: bool, seed: int, tell: Tell) -> dict[str, Any]:
-    """Run all storms and return the figures, the bars and whether they held.
+def run(quick: bool, seed: int, progress: Progress) -> dict[str, Any]:
+    """Run all storms; return the figures, the criteria and whether all held.
 
     Args:
-        quick: One short storm in place of `SEEDS` long ones.
-        seed: The first one.
-        tell: Called with each line of progress.
+        quick: Whether to run one short storm instead of `SEEDS` long ones.
+        seed: Of the first storm.
+        progress: Called with each line of progress.
     """
     figures: dict[str, Any] = {}
     seeds = [seed] if quick else list(range(seed, seed + SEEDS))
     for storm_seed in seeds:
-        tell(f"a storm, seed {storm_seed}")
-        figures[f"seed {storm_seed}"] = storm(storm_seed, QUICK_SECONDS if quick else SECONDS, tell)
+        progress(f"storm with seed {storm_seed}")
+        figures[f"seed {storm_seed}"] = storm(storm_seed, QUICK_SECONDS if quick else SECONDS, progress)
     storms = list(figures.values())
-    tell("who is behind serves, and an older snapshot is taken: the oracle has to find it")
-    mutant = storm(seed, MUTANT_SECONDS, tell, "newer", ("strand",))
+    progress("storm without the protection 'newer', which the oracle has to detect")
+    mutant = storm(seed, MUTANT_SECONDS, progress, "newer", ("strand",))
     figures["without 'newer'"] = mutant
     bars = {
         "nothing lost, made twice, half seen or seen to go back": not any(one["wrong"] for one in storms),
