--- a/thistleline/lab/handover.py
+++ b/thistleline/lab/handover.py
@@ -2,7 +2,7 @@
 
 Real processes and sockets. The fake farm agent (processes/render_farm.py) runs in this process and outlives
 every server. The oracle judges bookings as for the ledger (lab/ledger.py), and lookups by whether each was
-answered. It has to find a server that goes on starting effects after it has handed over ("keeps its right").
+answered. It has to detect a server that still starts effects after it has handed over ("keeps its right").
 """
 
 import json
@@ -28,31 +28,31 @@
 from thistleline.lab.processes.render_farm import FakeFarmAgent
 from thistleline.transport.address import Address
 
-STOP_MS = 1500  # the server's time to stop
+STOP_MS = 1500  # a server has so long to stop
 RATE = 60.0  # bookings a second, and as many lookups
 START_TIMEOUT = 15.0  # s for a new server to serve
 MAX_START_ATTEMPTS = 8
-POLL_INTERVAL = 0.005  # s between two looks at a process
+POLL_INTERVAL = 0.005  # s between two checks of a process
 BOOKING_TIMEOUT = 8.0  # s that a caller retries a booking
 LOOKUP_TIMEOUT = 6.0  # s that a caller retries a lookup
-REPEAT_SHARE = 0.3  # of bookings that are asked for again after their end
-OLD, NEW = "elder", "heir"  # the sides of a handover
-KILL_POINTS = (  # (side, where processes/faulty_server.py kills itself)
-    (OLD, "in:SuccessorReady"),
-    (OLD, "before:HandOver"),
-    (OLD, "after:HandOver"),
-    (OLD, "before:ForwardTask"),
-    (NEW, "in:EffectsRecovered"),
-    (NEW, "in:Inherited"),
-    (NEW, "in:AgentGreeted"),
-    (NEW, "before:RelayAgentEvent"),
-    (OLD, "in:ForwardedAnswered"),
-    (OLD, "after:ReportRunEnd"),
-    (OLD, "in:RunCompleted"),
-    (NEW, "in:TaskForwarded"),
-    (NEW, "in:HostedRunStarted"),
-    (NEW, "in:PredecessorRunEnded"),
-    (NEW, "before:WriteLedger"),
+REPEAT_SHARE = 0.3  # of bookings that are sent again after the final answer
+PREDECESSOR, SUCCESSOR = "elder", "heir"  # the sides of a handover
+KILL_POINTS = (  # (side, point at which processes/faulty_server.py kills itself)
+    (PREDECESSOR, "in:SuccessorReady"),
+    (PREDECESSOR, "before:HandOver"),
+    (PREDECESSOR, "after:HandOver"),
+    (PREDECESSOR, "before:ForwardTask"),
+    (SUCCESSOR, "in:EffectsRecovered"),
+    (SUCCESSOR, "in:Inherited"),
+    (SUCCESSOR, "in:AgentGreeted"),
+    (SUCCESSOR, "before:RelayAgentEvent"),
+    (PREDECESSOR, "in:ForwardedAnswered"),
+    (PREDECESSOR, "after:ReportRunEnd"),
+    (PREDECESSOR, "in:RunCompleted"),
+    (SUCCESSOR, "in:TaskForwarded"),
+    (SUCCESSOR, "in:HostedRunStarted"),
+    (SUCCESSOR, "in:PredecessorRunEnded"),
+    (SUCCESSOR, "before:WriteLedger"),
 )
 POINTS_PASSED_ONCE = (
     "in:SuccessorReady",
@@ -107,11 +107,11 @@
 
     @property
     def owner(self) -> int:
-        """The incarnation that has the right to serve, by the handover folder; 0: none."""
+        """The incarnation that has the right to serve, according to the handover folder; 0 if none has."""
         return (read_owner(self.folder / "handover") or (0, 0))[0]
 
     async def wait_until_serving(self, incarnation: int, timeout: float) -> bool:
-        """Return whether it became the owner in `timeout` seconds, and runs."""
+        """Return whether the incarnation became the owner in `timeout` seconds, without ending before."""
         deadline = time.monotonic() + timeout
         while time.monotonic() < deadline and self.is_running(incarnation):
             if self.owner == incarnation:
@@ -120,7 +120,7 @@
         return False
 
     async def wait_for_exit(self, incarnation: int, timeout: float) -> bool:
-        """Return whether it ended in `timeout` seconds."""
+        """Return whether the incarnation ended in `timeout` seconds."""
         deadline = time.monotonic() + timeout
         while time.monotonic() < deadline and self.is_running(incarnation):
             await anyio.sleep(POLL_INTERVAL)
@@ -143,7 +143,7 @@
 
 
 class Load:
-    """An open-loop load of bookings with repeats, and of lookups; and the oracle's judgement of both."""
+    """An open-loop load of bookings with repeats, and of lookups; with the oracle's counts for both."""
 
     def __init__(self, farm: FakeFarmAgent, address: Callable[[], Address], seed: int) -> None:
         """Make a load that begins with `generate`."""
@@ -169,13 +169,13 @@
         self.done.set()
 
     async def end(self) -> None:
-        """Send nothing new, and wait until all is answered, or no caller retries any more."""
+        """Stop sending new requests, and wait, for 20 s at most, until no caller waits or retries."""
         self.is_running = False
         with anyio.move_on_after(20.0):
             await self.done.wait()
 
     def judge(self) -> dict[str, int]:
-        """Return the oracle's counts; the agent's record is left as it was."""
+        """Return the oracle's counts; the agent's record stays unchanged."""
         lookup_runs = {
             body: self.farm.runs.pop(body) for body in list(self.farm.runs) if body.startswith(b"lookup")
         }
@@ -198,17 +198,20 @@
     return round(max(latencies, default=0.0) * 1000, 1)
 
 
-def _fault_plan(rng: random.Random, handover: int, faults: bool, keeps: bool) -> dict[str, Any]:
+def _fault_plan(
+    rng: random.Random, handover: int, faults: bool, starts_after_handover: bool
+) -> dict[str, Any]:
     """Return the faults of the server that takes over in a handover.
 
-    A kill of the old side is given to a server at its start, so it shows at the handover after.
+    A kill on the predecessor's side is in the plan with which that server starts, so it takes effect at the
+    handover after this one.
     """
     side, point = KILL_POINTS[handover % len(KILL_POINTS)]
     next_side, next_point = KILL_POINTS[(handover + 1) % len(KILL_POINTS)]
-    plan: dict[str, Any] = {"keeps": keeps}
-    if faults and side == NEW:
+    plan: dict[str, Any] = {"keeps": starts_after_handover}
+    if faults and side == SUCCESSOR:
         plan["kill"] = [point, 1 if point in POINTS_PASSED_ONCE else rng.randint(1, 3)]
-    elif faults and next_side == OLD:
+    elif faults and next_side == PREDECESSOR:
         plan["kill"] = [next_point, 1 if next_point in POINTS_PASSED_ONCE else rng.randint(1, 3)]
     return plan
 
@@ -216,19 +219,21 @@
 class HandoverRun:
     """One run: handovers of the servers, one after another, under load."""
 
-    def __init__(self, servers: ServerIncarnations, seed: int, faults: bool, keeps: bool) -> None:
+    def __init__(
+        self, servers: ServerIncarnations, seed: int, faults: bool, starts_after_handover: bool
+    ) -> None:
         """Make a run.
 
         Args:
             servers: The machine's servers.
             seed: Of the fault plan.
             faults: Whether each handover has a fault on one side or the other.
-            keeps: Whether servers wrongly go on starting effects after they handed over.
+            starts_after_handover: Whether servers start effects after they handed over (fault "keeps").
         """
         self.servers = servers
         self.rng = random.Random(seed)
         self.faults = faults
-        self.keeps = keeps
+        self.starts_after_handover = starts_after_handover
         self.current = 0  # the incarnation that should serve
         self.counts: Counter[str] = Counter()
 
@@ -238,19 +243,19 @@
         Raises:
             RunTimeoutError: It does not serve.
         """
-        self.current = self.servers.start({"keeps": self.keeps})
+        self.current = self.servers.start({"keeps": self.starts_after_handover})
         if not await self.servers.wait_until_serving(self.current, 20):
             raise RunTimeoutError("the first server does not serve in 20 s")
 
     async def hand_over(self, handover: int) -> None:
-        """Start a server that takes over; see that one serves and that the old one ends.
+        """Start a successor; wait until a server serves and check that the predecessor ends.
 
         Raises:
-            RunTimeoutError: No server comes to serve.
+            RunTimeoutError: No server starts serving.
         """
         servers = self.servers
         await anyio.sleep(self.rng.uniform(0.3, 1.0))
-        plan = _fault_plan(self.rng, handover, self.faults, self.keeps)
+        plan = _fault_plan(self.rng, handover, self.faults, self.starts_after_handover)
         previous = self.current
         self.current = servers.start(plan)
         if self.faults and handover % 5 == 4:
@@ -279,13 +284,18 @@
             attempts += 1
             if attempts > MAX_START_ATTEMPTS:
                 raise RunTimeoutError(
-                    f"no server comes to serve in {MAX_START_ATTEMPTS} attempts, the last one {self.current}"
+                    f"no server serves after {MAX_START_ATTEMPTS} attempts, last incarnation {self.current}"
                 )
-            self.current = self.servers.start({"keeps": self.keeps})
+            self.current = self.servers.start({"keeps": self.starts_after_handover})
 
 
 async def run_handovers(
-    folder: Path, seed: int, count: int, faults: bool, keeps: bool, tell: Callable[[str], None]
+    folder: Path,
+    seed: int,
+    count: int,
+    faults: bool,
+    starts_after_handover: bool,
+    progress: Callable[[str], None],
 ) -> dict[str, Any]:
     """Hand over `count` times under load; see `HandoverRun` for the arguments.
 
@@ -298,14 +308,14 @@
         await farm.serve(group)
         servers = ServerIncarnations(folder, farm.port)
         load = Load(farm, lambda: ("127.0.0.1", servers.port), seed)
-        run = HandoverRun(servers, seed, faults, keeps)
+        run = HandoverRun(servers, seed, faults, starts_after_handover)
         try:
             await run.start_first()
             group.start_soon(load.generate, RATE, group)
             for handover in range(count):
                 await run.hand_over(handover)
                 if handover % 10 == 9:
-                    tell(f"{handover + 1} changes, {len(farm.runs)} runs")
+                    progress(f"{handover + 1} handovers, {len(farm.runs)} runs")
             await load.end()
         finally:
             servers.close()
@@ -329,21 +339,21 @@
 
 
 def _run_in_folder(
-    seed: int, count: int, faults: bool, keeps: bool, tell: Callable[[str], None]
+    seed: int, count: int, faults: bool, starts_after_handover: bool, progress: Callable[[str], None]
 ) -> dict[str, Any]:
-    """Run handovers in a folder of their own, left in place where the oracle found a run twice."""
+    """Run handovers in a folder of their own, which is kept if the oracle found an effect run twice."""
     with run_folder("handover", f"thistleline lab handover --seed {seed}") as folder:
-        figures = anyio.run(run_handovers, folder, seed, count, faults, keeps, tell)
-        if figures["run_twice"] and not keeps:
+        figures = anyio.run(run_handovers, folder, seed, count, faults, starts_after_handover, progress)
+        if figures["run_twice"] and not starts_after_handover:
             (folder / "keep").touch()
         return figures
 
 
-def run(quick: bool, seed: int, tell: Callable[[str], None]) -> dict[str, Any]:
+def run(quick: bool, seed: int, progress: Callable[[str], None]) -> dict[str, Any]:
     """Run all parts; return the figures, the criteria and whether all held."""
-    calm = _run_in_folder(seed, 5 if quick else 30, False, False, tell)
-    storm = _run_in_folder(seed + 1, 9 if quick else 120, True, False, tell)
-    broken = _run_in_folder(seed + 2, 3 if quick else 10, False, True, tell)
+    calm = _run_in_folder(seed, 5 if quick else 30, False, False, progress)
+    storm = _run_in_folder(seed + 1, 9 if quick else 120, True, False, progress)
+    broken = _run_in_folder(seed + 2, 3 if quick else 10, False, True, progress)
     bars = {"a server that keeps its right is found": broken["run_twice"] > 0}
     for name, found in (("calm", calm), ("with faults", storm)):
         for what in ("run_twice", "rejected_after_run", "acknowledged_and_lost", "another_result"):
--- a/thistleline/lab/leases.py
+++ b/thistleline/lab/leases.py
@@ -1,4 +1,4 @@
-"""Leases under faults: do two holders ever act at the same time, and how long is there none?
+"""Leases under faults: whether two holders ever act at the same time, and the times without a holder.
 
 Replicas and contenders are processes of the program (processes/lease_contender.py); relays, the recording
 resource and the fault plan are in this process. The oracle, `judge`, reads what reached the resource, by the
@@ -31,19 +31,20 @@
 REPLICA_CLOCKS = {"b": {"rate": 1.2}, "c": {"wall_ahead_s": 3600}, "d": {"rate": 0.85}}
 CONTENDER_CLOCKS = {0: {"rate": 0.8}, 1: {"rate": 1.15}, 2: {"wall_ahead_s": -3600}}
 CALM = 1.0  # s between two faults
-ACT_TIMEOUT = 20.0  # s without any act; then the run has stalled
+ACT_TIMEOUT = 20.0  # s without any act until the run counts as stalled
 
-Fault = Callable[[], Coroutine[Any, Any, None]]  # injects it; named in the figures by its __name__
+# Injects a fault; its __name__ is the name of the fault in the figures.
+Fault = Callable[[], Coroutine[Any, Any, None]]
 
 
 class ResourceWrite(NamedTuple):
-    """What reached the resource.
+    """A write that reached the resource, or the end of a connection in the middle of an act.
 
     Attributes:
         at: Seconds of the resource's monotonic clock.
-        who: The contender.
+        who: Name of the contender.
         act: Number of the contender's act.
-        epoch: Its fencing token.
+        epoch: The contender's fencing token.
         what: begin, step or end of an act; gone: its connection ended.
         good: Whether the fencing guard admitted it.
     """
@@ -57,7 +58,7 @@
 
 
 class RecordingResource:
-    """The protected resource: records every write; with a guard, refuses tokens older than it has seen."""
+    """The protected resource: records every write; with a guard, refuses tokens older than the newest."""
 
     def __init__(self, folder: Path, fenced: bool) -> None:
         """Make the resource, with a fencing guard if `fenced`."""
@@ -102,8 +103,8 @@
     """Count overlaps of holders in the resource's record.
 
     With a guard an overlap is a write of an older epoch that was admitted after one of a newer epoch. Without
-    one it is two holders' acts that overlap in time; an act lasts until its last write or the
-    end of its connection.
+    one, acts of two holders that overlap in time are an overlap; an act lasts until its last write or the end
+    of its connection.
     """
     counts = Counter({"overlaps": 0, "refused": 0, "acts": 0, "holders": 0})
     newest_epoch = 0
@@ -173,8 +174,8 @@
         self.gaps: list[float] = []  # s without a holder after a holder's death
         self.minority_gaps: list[float] = []  # of these: with a minority of replicas dead or cut off
 
-    async def run(self, changes: int, seconds: float, tell: Callable[[str], None]) -> dict[str, Any]:
-        """Inject faults until so many changes of holder or seconds; return the counts and figures."""
+    async def run(self, changes: int, seconds: float, progress: Callable[[str], None]) -> dict[str, Any]:
+        """Inject faults until the given changes of holder or seconds; return the counts and figures."""
         async with anyio.create_task_group() as group:
             fleet = self.fleet = Fleet(self.folder, group, self.seed, self.replicas)
             resource = self.resource = RecordingResource(self.folder, self.fenced)
@@ -184,7 +185,7 @@
                 await fleet.start_replicas(clocks)
                 await fleet.form()
                 await self._start_contenders()
-                await self._inject_faults(changes, seconds, tell)
+                await self._inject_faults(changes, seconds, progress)
                 counts = judge(resource.writes, self.fenced)
                 terms = (await fleet.status(await fleet.leader())).term
             finally:
@@ -213,7 +214,7 @@
                 "name": LEASE_NAME,
                 "length": LEASE_SECONDS,
                 "longest": MAX_STEP_SECONDS,
-                "acts": 40 if index % 4 == 0 else 3,  # a quarter works longer than a lease lasts
+                "acts": 40 if index % 4 == 0 else 3,  # a quarter of them acts for longer than a lease lasts
                 "pause": 0.05,
                 "seed": self.seed * 100 + index,
             }
@@ -224,9 +225,9 @@
 
     # ---- fault injection
 
-    async def _inject_faults(self, changes: int, seconds: float, tell: Callable[[str], None]) -> None:
-        """Inject one fault after another; after each all is restored and somebody acts."""
-        started_at = told_at = time.monotonic()
+    async def _inject_faults(self, changes: int, seconds: float, progress: Callable[[str], None]) -> None:
+        """Inject faults one by one; after each, remove it and wait until a contender acts."""
+        started_at = reported_at = time.monotonic()
         common, rare = self._fault_kinds()
         count = 0
         while time.monotonic() - started_at < seconds and self._changes() < changes:
@@ -240,12 +241,12 @@
             self.fleet.restore()
             await self._wait_for_act()
             await anyio.sleep(CALM)
-            if time.monotonic() - told_at > 10:
-                told_at = time.monotonic()
-                tell(f"{self._changes()} holders, {len(self.resource.writes)} writes, {count} faults")
+            if time.monotonic() - reported_at > 10:
+                reported_at = time.monotonic()
+                progress(f"{self._changes()} holders, {len(self.resource.writes)} writes, {count} faults")
 
     def _fault_kinds(self) -> tuple[list[Fault], list[Fault]]:
-        """Return the common faults, in turns of a shuffled order, and the rare ones, each eighth."""
+        """Return the common faults, injected in shuffled order, and the rare ones: every eighth fault."""
         if self.delay_only:
             return [self.slow_net], [self.slow_net]
         common: list[Fault] = [
@@ -279,7 +280,7 @@
         deadline = time.monotonic() + ACT_TIMEOUT
         while not any(write.what == "begin" for write in self.resource.writes[count:]):
             if time.monotonic() > deadline:
-                raise RunTimeoutError(f"nobody acts in {ACT_TIMEOUT} s")
+                raise RunTimeoutError(f"no contender acts in {ACT_TIMEOUT} s")
             await anyio.sleep(0.005)
 
     async def _holder(self) -> str:
@@ -287,10 +288,10 @@
         return self.resource.writes[-1].who
 
     async def _kill_in_act(self, name: str) -> None:
-        """Kill a holder in the middle of an act and measure how long nobody acts.
+        """Kill a holder in the middle of an act and measure the time until the next holder writes.
 
         Raises:
-            RunTimeoutError: Nobody acts after it.
+            RunTimeoutError: No contender acts after it.
         """
         process, writes = self.fleet.processes[name], self.resource.writes
         deadline = time.monotonic() + 2.0
@@ -304,14 +305,14 @@
         process.kill()
         while not any(write.epoch > epoch for write in writes[-4:]):
             if time.monotonic() - killed_at > ACT_TIMEOUT:
-                raise RunTimeoutError(f"nobody acts in {ACT_TIMEOUT} s after a holder's death")
+                raise RunTimeoutError(f"no contender acts in {ACT_TIMEOUT} s after a holder was killed")
             await anyio.sleep(0.002)
         gap = round(time.monotonic() - killed_at, 3)
         self.gaps.append(gap)
         self.minority_gaps.append(gap)
 
     async def kill_holder(self) -> None:
-        """Kill the holder in its act."""
+        """Kill the holder during an act."""
         await self._kill_in_act(await self._holder())
 
     def _sample_replicas(self, count: int) -> list[str]:
@@ -323,13 +324,13 @@
         await self._wait_for_act()
 
     async def kill_voter(self) -> None:
-        """Kill a minority of replicas, then the holder in its act."""
+        """Kill a minority of replicas, then the holder during an act."""
         for name in self._sample_replicas((self.replicas - 1) // 2):
             self.fleet.processes[name].kill()
         await self._kill_in_act(await self._holder())
 
     async def kill_all(self) -> None:
-        """Kill all replicas and start them after a while."""
+        """Kill all replicas and restart them after up to two lengths of the lease."""
         for name in self.fleet.names:
             self.fleet.processes[name].kill()
         await anyio.sleep(self.rng.uniform(0.0, 2 * LEASE_SECONDS))
@@ -338,7 +339,7 @@
         await self._wait_for_act()
 
     async def cut_leader(self) -> None:
-        """Cut the leader off with one other replica, so that it believes in its lead for a while."""
+        """Partition the leader and one other replica from the rest, so that it still acts as leader."""
         leader = await self.fleet.leader()
         other = self.rng.choice([name for name in self.fleet.names if name != leader])
         for (source, target), relay in self.fleet.relays.items():
@@ -348,7 +349,7 @@
         await anyio.sleep(self.rng.uniform(0.2, 2 * LEASE_SECONDS))
 
     async def one_way(self) -> None:
-        """Lose one replica's messages in one direction."""
+        """Drop one replica's messages in one direction."""
         name = self._sample_replicas(1)[0]
         incoming = self.rng.random() < 0.5
         self.fleet.partition(name, outgoing=not incoming, incoming=incoming)
@@ -362,7 +363,7 @@
         await anyio.sleep(self.rng.uniform(0.2, LEASE_SECONDS))
 
     async def overtake(self) -> None:
-        """End half of the connections and delay what was sent on them."""
+        """Close the connections of half of the relays, and delay the bytes that are in flight on them."""
         for relay in self.rng.sample(list(self.fleet.relays.values()), len(self.fleet.relays) // 2):
             relay.delay_in_flight(self.rng.uniform(0.05, 1.5 * LEASE_SECONDS))
         await anyio.sleep(0.1)
@@ -380,7 +381,7 @@
         await anyio.sleep(0.1)
 
     async def cut_holder(self) -> None:
-        """Cut the holder off from the replicas, not from the resource."""
+        """Disconnect the holder from the replicas, but not from the resource."""
         name = await self._holder()
         for (source, _), relay in self.fleet.relays.items():
             if source == name:
@@ -400,18 +401,18 @@
         await anyio.sleep(self.rng.uniform(0.2, LEASE_SECONDS))
 
     async def lose_disk(self) -> None:
-        """Lose the disk of a replica, which is replaced."""
+        """Replace a replica whose disk is lost."""
         await self.fleet.replace_replica(self._sample_replicas(1)[0])
 
     async def pause_holder(self) -> None:
-        """Pause the holder in an act, past its lease or not; it resumes where it was."""
+        """Pause the holder during an act, for less or more than the lease; it continues where it was."""
         name = await self._holder()
         self.fleet.processes[name].pause()
         await anyio.sleep(self.rng.uniform(0.2, 2.0) * LEASE_SECONDS)
         self.fleet.processes[name].resume()
 
     async def pause_leader(self) -> None:
-        """Pause the leader, longer than its lease of leadership or not."""
+        """Pause the leader, for less or more than the lease on its leadership."""
         name = await self.fleet.leader()
         self.fleet.processes[name].pause()
         await anyio.sleep(self.rng.uniform(0.2, 1.5) * LEASE_SECONDS)
@@ -425,22 +426,22 @@
     contenders: int,
     changes: int,
     seconds: float,
-    tell: Callable[[str], None],
+    progress: Callable[[str], None],
     fenced: bool = True,
     pauses: bool = False,
     without: str = "",
     delay_only: bool = False,
 ) -> dict[str, Any]:
-    """Run a storm in a folder of its own, left in place where it found something unexpected.
+    """Run a storm in a folder of its own, which is kept if the storm found something unexpected.
 
     Args:
         purpose: Part of the folder's name.
-        seed: See `LeaseStorm`, as the other arguments.
+        seed: Of the fault plan.
         replicas: How many.
         contenders: How many.
-        changes: Of holder; the run ends after so many,
-        seconds: or after so long.
-        tell: Called with lines of progress.
+        changes: The run ends after so many changes of holder.
+        seconds: The run ends after so many seconds, even with fewer changes.
+        progress: Called with lines of progress.
         fenced: Whether the resource has a fencing guard.
         pauses: Whether processes are paused too.
         without: The protection that is left out.
@@ -448,14 +449,14 @@
     """
     with run_folder(purpose, f"thistleline lab leases --seed {seed}") as folder:
         lease_storm = LeaseStorm(folder, seed, replicas, contenders, fenced, pauses, without, delay_only)
-        figures = anyio.run(partial(lease_storm.run, changes, seconds, tell))
+        figures = anyio.run(partial(lease_storm.run, changes, seconds, progress))
         if figures["crashes"] or (figures["overlaps"] and not without and (fenced or not pauses)):
             (folder / "keep").touch()
         return figures
 
 
 def summarize_gaps(gaps: list[float]) -> dict[str, Any]:
-    """Return quantiles and a histogram, in bins of half a second, of times without a holder (s)."""
+    """Return quantiles and a histogram, in bins of half a second, of the times without a holder (s)."""
     if not gaps:
         return {"deaths": 0}
     ordered = sorted(gaps)
@@ -468,7 +469,7 @@
     }
 
 
-def run(quick: bool, seed: int, tell: Callable[[str], None]) -> dict[str, Any]:
+def run(quick: bool, seed: int, progress: Callable[[str], None]) -> dict[str, Any]:
     """Run all parts; return the figures, the criteria and whether all held."""
     from thistleline.lab.simulation.lease_costs import cost
     from thistleline.lab.simulation.lease_mutants import prove
@@ -481,24 +482,24 @@
     )
     gaps: list[float] = []
     for name, fenced, pauses, changes, seconds in arms:
-        tell(name)
-        arm = storm("leases", seed, 5, 8, changes, seconds, tell, fenced, pauses)
+        progress(name)
+        arm = storm("leases", seed, 5, 8, changes, seconds, progress, fenced, pauses)
         gaps += arm.pop("minority_gaps")
         arm["after_a_death"] = summarize_gaps(arm.pop("gaps"))
         figures[name] = arm
     figures["new holder, a minority dead"] = summarize_gaps(gaps)
-    tell("bare bursts of delay")
-    calm = storm("delay", seed, 5, 8, 10_000, 6.0 if quick else 60.0, tell, False, delay_only=True)
+    progress("bursts of delay as the only fault")
+    calm = storm("delay", seed, 5, 8, 10_000, 6.0 if quick else 60.0, progress, False, delay_only=True)
     figures["bare bursts of delay"] = {
         name: calm[name] for name in ("holders", "acts", "overlaps", "leases_lost_to_their_holder", "faults")
     }
     if not quick:
-        tell("holders that do not heed their own clock: the oracle has to find them")
-        blind = storm("blind", seed, 3, 6, 400, 120.0, tell, False, False, "clock")
+        progress("holders that act past the end of their lease, which the oracle has to detect")
+        blind = storm("blind", seed, 3, 6, 400, 120.0, progress, False, False, "clock")
         figures["without the holder's own clock"] = {"overlaps": blind["overlaps"], "acts": blind["acts"]}
-    tell("exploration")
-    figures["exploration"], found = prove(2_000 if quick else 200_000, tell)
-    figures["cost"] = cost(quick, tell)
+    progress("exploration of the reducers")
+    figures["exploration"], found = prove(2_000 if quick else 200_000, progress)
+    figures["cost"] = cost(quick, progress)
     within = sum(1 for gap in gaps if gap <= LEASE_SECONDS + 1.0)
     figures["within the length and a second"] = round(within / max(1, len(gaps)), 4)
     bars = {
--- a/thistleline/lab/ledger.py
+++ b/thistleline/lab/ledger.py
@@ -1,8 +1,8 @@
-"""Bookings while the server is killed and its disk fails: does any run twice, is any lost after it ran?
+"""Bookings while the server is killed and its disk fails: whether any runs twice or is lost after its run.
 
 Real processes and sockets. The fake farm agent (processes/render_farm.py) runs in this process, outlives
-every server and records every run. The oracle, `judge`, compares that record with what callers were answered
-(processes/load_generator.py); it reads nothing of the server's. The verdict rests on its counts and on the
+every server and records every run. The oracle, `judge`, compares that record with the answers to callers
+(processes/load_generator.py) and uses no data of the server's. The verdict rests on its counts and on the
 bounds of disk use.
 """
 
@@ -33,14 +33,14 @@
 from thistleline.store.clock import boot_now
 from thistleline.store.disk import Disk
 
-# Of the class `booking`, in seconds: idempotency window, deadline, promised answer.
+# Of the stage `booking`, in seconds: idempotency window, deadline, promised time of an answer.
 WINDOW, DEADLINE, PROMISE = 9.0, 4.0, 2.0
-INCARNATION_SECONDS = 0.75  # about, of a server with its start; sets the rate of bookings
+INCARNATION_SECONDS = 0.75  # approximate, including the start; sets the rate of bookings
 SERVING_SECONDS = (0.2, 1.0)  # of a server between its first connection and its kill
-POLL_INTERVAL = 0.005  # s between two looks at a process
+POLL_INTERVAL = 0.005  # s between two checks of a process
 BOOKING_TIMEOUT = 8.0  # s that a caller retries a booking
-REPEAT_SHARE = 0.3  # of bookings that are asked for again after their end
-KILL_POINTS = (  # processes/faulty_server.py kills itself there
+REPEAT_SHARE = 0.3  # of bookings that are sent again after the final answer
+KILL_POINTS = (  # points at which processes/faulty_server.py kills itself
     "in:TaskReceived",
     "in:RunCompleted",
     "in:WriteCompleted",
@@ -54,7 +54,8 @@
     "before:AnswerFinished",
     "after:AnswerFinished",
 )
-FIRST_PASS_POINTS = ("in:WriteCompleted", "in:AgentGreeted", "in:EffectsRecovered")  # others: at a random one
+# The server kills itself when it first reaches one of these points, and at a random pass of the others.
+FIRST_PASS_POINTS = ("in:WriteCompleted", "in:AgentGreeted", "in:EffectsRecovered")
 DISK_FAULTS = ("once", "slow", "full", "read-only")
 SETTINGS: dict[str, Any] = {
     "allowed": {"maxRetryAfter": 1.0, "retryAfter": True},
@@ -96,7 +97,7 @@
     """
 
     def __init__(self, folder: Path, agent_port: int, port: int, ledger: bool) -> None:
-        """Write the server's files; `ledger`: whether it has one."""
+        """Write the server's configuration files; `ledger` is whether it has a ledger."""
         self.folder = folder
         self.port = port
         config = folder / "config.json"
@@ -152,23 +153,24 @@
 
 
 def _describe_violation(outcome: AttemptOutcome, caller: Caller, runs: list[RunRecord]) -> str:
-    """Return all that is known of a booking whose outcome breaks an invariant."""
+    """Describe a booking that violates an invariant, with all its attempts and runs."""
     attempts = [
         f"{one.kind} {one.sent_at:.3f}-{one.answered_at:.3f}"
         for one in caller.outcomes
         if one.key == outcome.key
     ]
     ran = [
-        f"began {run.started_at:.3f}, its try made {caller.created_at.get(run.id, 0.0):.3f}" for run in runs
+        f"started {run.started_at:.3f}, its attempt created {caller.created_at.get(run.id, 0.0):.3f}"
+        for run in runs
     ]
-    return f"wrong: {outcome.body!r}: tries {attempts}; runs {ran}"
+    return f"wrong: {outcome.body!r}: attempts {attempts}; runs {ran}"
 
 
 def judge(farm: FakeFarmAgent, caller: Caller) -> dict[str, int]:
-    """Compare the agent's record of runs with what callers were answered, and count violations.
+    """Compare the agent's record of runs with the answers to callers, and count violations.
 
-    The idempotency window counts from the creation of the attempt that ran, as the agent's pages have it, and
-    not from the start of the run, which may be much later where this process or the agent was paused.
+    The idempotency window counts from the creation of the attempt that ran, as the agent defines it, and not
+    from the start of the run, which may be much later if this process or the agent was paused.
     """
     counts: Counter[str] = Counter(
         {
@@ -182,7 +184,7 @@
     for runs in farm.runs.values():
         starts = sorted(run.started_at for run in runs)
         counts["run_twice"] += sum(1 for first, second in pairwise(starts) if second - first < WINDOW)
-    results: dict[str, bytes] = {}  # the first one that a caller was given, by key
+    results: dict[str, bytes] = {}  # the first result that a caller got, by key
     for outcome in sorted(caller.outcomes, key=lambda outcome: outcome.answered_at):
         counts[outcome.kind] += 1
         runs = farm.runs.get(outcome.body, [])
@@ -217,7 +219,7 @@
 
 
 def _judge_bookings(farm: FakeFarmAgent, caller: Caller, counts: Counter[str]) -> None:
-    """Count bookings by the best answer of all their attempts; those that never ran, by that answer."""
+    """Count unanswered bookings, and those that never ran by the best answer to any of their attempts."""
     kinds_of: dict[str, set[str]] = {}
     for outcome in caller.outcomes:
         kinds_of.setdefault(outcome.key, set()).add(outcome.kind)
@@ -233,7 +235,7 @@
 
 
 def _fault_plan(rng: random.Random, incarnation: int, kills: int, sync: bool) -> dict[str, Any]:
-    """Return the faults of one incarnation: every second one is killed, every fifth has a disk fault."""
+    """Return the faults of one incarnation: every second one has a kill point, every fifth a disk fault."""
     plan: dict[str, Any] = {"sync": sync}
     if incarnation <= kills and incarnation % 2:
         point = KILL_POINTS[incarnation // 2 % len(KILL_POINTS)]
@@ -244,7 +246,7 @@
 
 
 async def _serve_until_killed(server: ServerProcess, plan: dict[str, Any], rng: random.Random) -> str:
-    """Wait until the server is killed, by itself or by us; return the point of the kill."""
+    """Wait until the server is killed, by its fault or by this process; return the point of the kill."""
     await server.wait_until_listening()
     point = "at random"
     if "kill" in plan:
@@ -257,7 +259,7 @@
 
 
 async def storm(
-    folder: Path, seed: int, bookings: int, kills: int, sync: bool, tell: Callable[[str], None]
+    folder: Path, seed: int, bookings: int, kills: int, sync: bool, progress: Callable[[str], None]
 ) -> dict[str, Any]:
     """Send bookings while servers are killed and disks fail.
 
@@ -265,9 +267,9 @@
         folder: Of the run.
         seed: Of the fault plan and the load.
         bookings: How many, spread over the expected time of the kills.
-        kills: How many incarnations are killed; the last one serves the rest.
-        sync: Whether the ledger syncs its files; without, the oracle has to find violations.
-        tell: Called with lines of progress.
+        kills: How many incarnations are killed; the one after them serves the remaining bookings.
+        sync: Whether the ledger syncs its files; if not, the oracle has to find violations.
+        progress: Called with lines of progress.
 
     Returns:
         The oracle's counts, and figures of the run.
@@ -306,9 +308,9 @@
                 break
             kill_points[await _serve_until_killed(server, plan, rng)] += 1
             if incarnation % max(1, kills // 10) == 0:
-                tell(
+                progress(
                     f"{incarnation} of {kills} kills, {len(farm.runs)} bookings run, "
-                    f"{len(caller.outcomes)} tries"
+                    f"{len(caller.outcomes)} attempts"
                 )
         server.kill()
         group.cancel_scope.cancel()
@@ -338,7 +340,7 @@
 
     Args:
         folder: Of the run.
-        ledger: Whether the server has one.
+        ledger: Whether the server has a ledger.
         each: Whether every record is written by itself instead of in groups.
         seconds: Of load.
         callers: How many, each with one request at a time.
@@ -365,9 +367,9 @@
                 if outcome.kind == "finished":
                     latencies.append(outcome.answered_at - outcome.sent_at)
 
-        async with anyio.create_task_group() as asking:
+        async with anyio.create_task_group() as callers_group:
             for first in range(callers):
-                asking.start_soon(call, first)
+                callers_group.start_soon(call, first)
         cpu_before = _cpu_seconds_of_children()
         server.kill()
         cpu_seconds = _cpu_seconds_of_children() - cpu_before
@@ -414,10 +416,10 @@
 def steady(
     folder: Path, seconds: int, rate: int, window: float, result: int, max_bytes: int
 ) -> dict[str, Any]:
-    """Write bookings at a steady rate in virtual time to real files, and find the folder's greatest size.
+    """Write bookings at a steady rate in virtual time to real files, and measure the folder's greatest size.
 
-    Each booking ends 50 ms after its start; a group is written every 10 ms; without sync, as
-    nothing is killed.
+    Each booking ends 50 ms after its start; a group is written every 10 ms. Files are not synced, as no
+    process is killed.
 
     Args:
         folder: Of the ledger.
@@ -463,7 +465,7 @@
     }
 
 
-def run(quick: bool, seed: int, tell: Callable[[str], None]) -> dict[str, Any]:
+def run(quick: bool, seed: int, progress: Callable[[str], None]) -> dict[str, Any]:
     """Run all parts; return the figures, the criteria and whether all held."""
     bookings, kills = (1000, 20) if quick else (10_000, 200)
     with tempfile.TemporaryDirectory() as name:
@@ -473,22 +475,24 @@
             (folder / part).mkdir()
             return folder / part
 
-        tell(f"{bookings} bookings, {kills} kills")
+        progress(f"{bookings} bookings, {kills} kills")
         figures: dict[str, Any] = {
-            "storm": anyio.run(storm, subfolder("storm"), seed, bookings, kills, True, tell)
+            "storm": anyio.run(storm, subfolder("storm"), seed, bookings, kills, True, progress)
         }
-        tell("the same with the sync left out: the oracle has to find it")
-        unsynced = anyio.run(storm, subfolder("blind"), seed, bookings // 4, max(10, kills // 4), False, tell)
+        progress("the same without syncs, which the oracle has to detect")
+        unsynced = anyio.run(
+            storm, subfolder("blind"), seed, bookings // 4, max(10, kills // 4), False, progress
+        )
         figures["sync_left_out"] = {"run_twice": unsynced["run_twice"], "kills": unsynced["kills"]}
         for mode, ledger, each in (("off", False, False), ("on", True, False), ("each", True, True)):
-            tell(f"speed, ledger {mode}")
+            progress(f"throughput, ledger {mode}")
             figures[f"speed_{mode}"] = anyio.run(
                 speed, subfolder(mode), ledger, each, 2.0 if quick else 6.0, 64
             )
         for entries in (10_000, 100_000) if quick else (10_000, 100_000, 1_000_000):
-            tell(f"recovery of {entries} entries")
+            progress(f"recovery of {entries} entries")
             figures[f"recovery_{entries}"] = recovery(subfolder(f"r{entries}"), entries)
-        tell("ten minutes of bookings, in virtual time")
+        progress("a steady rate of bookings, in virtual time")
         seconds = 60 if quick else 600
         figures["steady"] = steady(subfolder("steady"), seconds, 2300, 23.0, 64, 64 << 20)
         figures["steady_over_bound"] = steady(subfolder("over"), seconds, 2300, 23.0, 64, 4 << 20)
