--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -248,7 +248,7 @@
     pytest.importorskip("highspy")
     result = simulate(4, 40, 0.6, faults, 1, 150)
     assert result.kept >= 0.95
-    assert result.toppled == 0
+    assert result.overloaded_by_moves == 0
     if improves:
         assert result.kept > result.alone
     else:
--- a/thistleline/lab/__init__.py
+++ b/thistleline/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: stand-ins, load, faults and oracles that know nothing of the code they judge."""
+"""The lab: test doubles, load generators, injected faults, and oracles independent of the code they judge."""
--- a/thistleline/lab/members.py
+++ b/thistleline/lab/members.py
@@ -1,8 +1,9 @@
 """Membership in virtual time: how soon deaths are detected, false positives, healing of partitions, traffic.
 
 A discrete-event simulation of the gossip reducers that run in production, without I/O: datagrams with delay
-and loss, stalled members, crashes, partitions. The oracle is the simulation itself: it knows who is alive.
-Times are in nanoseconds of a simulated clock; the figures count gossip periods.
+and loss, stalled members, crashes, partitions. The oracle is the simulation itself, as it
+knows which members are alive. Times are in nanoseconds of a simulated clock; the figures count gossip
+periods.
 """
 
 import statistics
@@ -50,10 +51,11 @@
         self.scheduled = 0
         self.members: dict[str, Gossip] = {}
         self.crashed: set[str] = set()
-        self.stalled: dict[str, int] = {}  # until when a member handles nothing, ns
+        self.stalled: dict[str, int] = {}  # time until which a member handles no events, ns
         self.is_partitioned: Callable[[str, str], bool] = lambda source, target: False
-        self.declared_dead: dict[str, dict[str, int]] = {}  # by member: who holds it for dead, since when
-        self.returned: dict[str, dict[str, int]] = {}  # by member: who sees it alive again, since when
+        # By member, then by observer: since when the observer considers the member dead, or alive again; ns.
+        self.declared_dead: dict[str, dict[str, int]] = {}
+        self.returned: dict[str, dict[str, int]] = {}
         facts = MemberFacts("1", 1, "z", 0, True, True, (1, 2, 3))
         for index in range(members):
             self.add(f"m{index}", 1, facts)
@@ -63,7 +65,7 @@
                 if record.id != member.id:
                     member.view.put(record)
             for record in records:
-                member.view.stop_spreading(record.id)  # nothing of it is news
+                member.view.stop_spreading(record.id)  # all members know the record
 
     def add(self, id: str, incarnation: int, facts: MemberFacts, seeds: tuple[str, ...] = ()) -> Gossip:
         """Add a member, or the next incarnation of one that crashed."""
@@ -132,12 +134,12 @@
         return [id for id in self.members if id not in self.crashed]
 
     def believing_dead(self, id: str) -> set[str]:
-        """Return the living members that hold a member for dead."""
+        """Return the living members that consider a member dead."""
         return {by for by in self.alive() if by != id and self.members[by].view.records[id].status >= DEAD}
 
 
 def detect_crash(members: int, seed: int) -> dict[str, float]:
-    """Return the periods from a crash until the first member, half and all know; all: -1 if never."""
+    """Return the periods from a crash until the first member, half and all know; `all` is -1 if never."""
     fleet = SimulatedMembership(members, seed)
     fleet.run(5 * SECOND)
     fleet.crashed.add("m0")
@@ -149,13 +151,13 @@
 
 
 def count_false_deaths(members: int, seed: int, loss: float, stalls: bool, seconds: int) -> dict[str, float]:
-    """Count living members that anybody held for dead, and traffic.
+    """Count the living members that any other considered dead, and measure the traffic.
 
     Args:
         members: How many.
         seed: Of all random draws.
         loss: Probability that a datagram is lost.
-        stalls: Whether a tenth of the members stalls now and then.
+        stalls: Whether a tenth of the members stalls at random times.
         seconds: Of virtual time.
     """
     fleet = SimulatedMembership(members, seed, loss)
@@ -179,8 +181,8 @@
     """Partition the members into halves, heal, and measure the recovery.
 
     Returns:
-        parted: The share of pairs across the partition in which one holds the other for dead. healed_after:
-        periods from healing until nobody is held for dead; -1 if never.
+        parted: The share of pairs across the partition in which one considers the other dead. healed_after:
+        periods from healing until no member is considered dead; -1 if never.
     """
     fleet = SimulatedMembership(members, seed)
     half = {f"m{index}" for index in range(members // 2)}
@@ -207,18 +209,18 @@
     return {"p50": round(statistics.median(times), 1), "least": least, "most": most}
 
 
-def figures(quick: bool, seed: int, tell: Callable[[str], None]) -> dict[str, Any]:
+def figures(quick: bool, seed: int, progress: Callable[[str], None]) -> dict[str, Any]:
     """Return the figures by fleet size."""
     found: dict[str, Any] = {}
     for members in (30, 100) if quick else (30, 300, 1000):
         runs = 3 if quick else (20 if members < 1000 else 5)
-        tell(f"{members} members: deaths")
-        deaths = [detect_crash(members, seed + run) for run in range(runs)]
+        progress(f"{members} members: crashes")
+        detection_times = [detect_crash(members, seed + run) for run in range(runs)]
         size_figures: dict[str, Any] = {
-            f"death, {part} know, periods": summarize([one[part] for one in deaths])
+            f"death, {part} know, periods": summarize([one[part] for one in detection_times])
             for part in ("first", "half", "all")
         }
-        tell(f"{members} members: loss and stalls")
+        progress(f"{members} members: loss and stalls")
         seconds = 20 if quick else 60
         for loss, stalls in ((0.0, False), (0.2, False), (0.2, True)):
             name = f"loss {loss:.0%}" + (", a tenth stalls" if stalls else "")
@@ -226,15 +228,15 @@
             for run in range(max(1, runs // 5)):
                 sums.update(count_false_deaths(members, seed + run, loss, stalls, seconds))
             size_figures[name] = {what: round(value / max(1, runs // 5), 1) for what, value in sums.items()}
-        tell(f"{members} members: a split")
+        progress(f"{members} members: partition")
         size_figures["a split"] = partition(members, seed, 30 if quick else 60)
         found[f"{members} members"] = size_figures
     return found
 
 
-def run(quick: bool, seed: int, tell: Callable[[str], None]) -> dict[str, Any]:
+def run(quick: bool, seed: int, progress: Callable[[str], None]) -> dict[str, Any]:
     """Run all sizes; return the figures, the criteria and whether all held."""
-    found = figures(quick, seed, tell)
+    found = figures(quick, seed, progress)
     bars: dict[str, bool] = {}
     for name, size_figures in found.items():
         bars[f"{name}: every death known to all"] = size_figures["death, all know, periods"]["least"] > 0
--- a/thistleline/lab/roll.py
+++ b/thistleline/lab/roll.py
@@ -2,7 +2,7 @@
 
 With real processes (processes/machines.py) releases are rolled out while controllers, supervisors and
 replicas are killed, paused and cut off. The simulated rollouts are those of simulation/rollouts.py. The
-verdict rests on what became of harmful and harmless releases, and on the ledger's oracle over all callers.
+verdict rests on the outcomes of harmful and harmless releases, and on the ledger's oracle over all callers.
 """
 
 import subprocess
@@ -23,11 +23,11 @@
 
 
 class RealResult(NamedTuple):
-    """What came of the rollouts of one fleet of real processes.
+    """The result of the rollouts of one fleet of real processes.
 
     Attributes:
-        changes: Release, fault, phase, reason and reach of each.
-        callers: The ledger's oracle over all machines.
+        changes: Release, fault, phase, reason and number of machines reached, of each rollout.
+        callers: The counts of the ledger's oracle over all machines.
         failed: The traceback that ended the fleet early; "" if none.
     """
 
@@ -40,10 +40,10 @@
     folder: Path,
     seed: int,
     plan: tuple[str, ...],
-    tell: Callable[[str], None],
+    progress: Callable[[str], None],
     revisions: tuple[str, ...] = (),
 ) -> RealResult:
-    """Roll out one release after another under load, each with a fault in its course."""
+    """Roll out one release after another under load, each with a fault during it."""
     rng = Random(seed)
     changes: list[dict[str, Any]] = []
     failed = ""
@@ -58,33 +58,33 @@
             await anyio.sleep(2)
             for release in plan:
                 if release == base:
-                    continue  # the one before it was rolled back
-                number = len(changes) + 2  # the first rollout was that of the base
+                    continue  # it runs already, as the rollout before was rolled back
+                number = len(changes) + 2  # the rollout of the base was the first
                 change = await _roll_out(machines, number, release, base, rng)
                 changes.append(change)
-                tell(str(change))
+                progress(str(change))
                 if change["phase"] == "asking":
                     await machines.order_rollback()
                     await machines.wait_for_rollout(120, number, stop_at_asking=False)
                 base = release if change["phase"] == "done" else base
                 machines.fleet.heal()
-            await anyio.sleep(8)  # the last requests are answered
+            await anyio.sleep(8)  # time for the answers to the last requests
         except Exception:
-            failed = traceback.format_exc()[-2000:]  # the changes before it are reported all the same
-            tell(failed)
+            failed = traceback.format_exc()[-2000:]  # earlier rollouts are still reported
+            progress(failed)
             (folder / "keep").touch()
         finally:
             machines.load_scope.cancel()
-            judged = machines.judge()
+            counts = machines.judge()
             machines.close()
             group.cancel_scope.cancel()
-    return RealResult(changes, judged, failed)
+    return RealResult(changes, counts, failed)
 
 
 async def _roll_out(
     machines: SupervisedFleet, number: int, release: str, base: str, rng: Random
 ) -> dict[str, Any]:
-    """Roll out one release with a random fault, and return what came of it."""
+    """Roll out one release with a random fault, and return the result."""
     fault = FAULTS[rng.randrange(len(FAULTS))]
     await machines.order_rollout(release, base, ("one", "one a zone", "all"))
     inject = partial(fault, machines.fleet, rng)
@@ -103,7 +103,7 @@
 
 
 async def _kill_conductors(fleet: Fleet, rng: Random) -> None:
-    """Kill one rollout controller after the other."""
+    """Kill and restart one rollout controller after the other."""
     for name in ("c0", "c1"):
         fleet.processes[name].kill()
         await anyio.sleep(rng.uniform(0.0, 3.0))
@@ -111,7 +111,7 @@
 
 
 async def _pause_conductors(fleet: Fleet, rng: Random) -> None:
-    """Pause one rollout controller after the other, past its lease: the first resumes without the lead."""
+    """Pause the rollout controllers one by one, past the lease: the first resumes without leadership."""
     for name in ("c0", "c1"):
         fleet.processes[name].pause()
         await anyio.sleep(3.0)
@@ -119,7 +119,7 @@
 
 
 async def _kill_leader(fleet: Fleet, rng: Random) -> None:
-    """Kill the leading replica."""
+    """Kill and restart the leading replica."""
     name = await fleet.leader()
     fleet.processes[name].kill()
     await anyio.sleep(1.0)
@@ -127,7 +127,7 @@
 
 
 async def _kill_stewards(fleet: Fleet, rng: Random) -> None:
-    """Kill four supervisors; their servers go on."""
+    """Kill and restart four supervisors; their servers continue."""
     names = [name for name in fleet.processes if name.startswith("m")]
     for name in rng.sample(names, 4):
         fleet.processes[name].kill()
@@ -135,7 +135,7 @@
 
 
 async def _no_majority(fleet: Fleet, rng: Random) -> None:
-    """Pause a majority of replicas: nothing is decided, and servers go on."""
+    """Pause a majority of replicas: nothing is decided, and servers continue."""
     for name in fleet.names[:2]:
         fleet.processes[name].pause()
     await anyio.sleep(4.0)
@@ -144,7 +144,7 @@
 
 
 async def _cut_half(fleet: Fleet, rng: Random) -> None:
-    """Cut half of the machines and a rollout controller off from the replicas."""
+    """Disconnect half of the machines and a rollout controller from the replicas."""
     names = [name for name in fleet.processes if name.startswith("m")]
     cut_off = {*rng.sample(names, len(names) // 2), rng.choice(("c0", "c1"))}
     for (source, _), relay in fleet.relays.items():
@@ -168,12 +168,12 @@
 def run_real(
     seed: int,
     plan: tuple[str, ...],
-    tell: Callable[[str], None] = print,
+    progress: Callable[[str], None] = print,
     revisions: tuple[str, ...] = (),
 ) -> RealResult:
     """Run the rollouts of one fleet in a folder of its own."""
     with run_folder("roll", f"thistleline lab roll --seed {seed}") as folder:
-        return anyio.run(_run_real, folder, seed, plan, tell, revisions)
+        return anyio.run(_run_real, folder, seed, plan, progress, revisions)
 
 
 def earlier_revisions() -> tuple[str, ...]:
@@ -192,15 +192,15 @@
 def plans(quick: bool, seed: int) -> list[tuple[str, ...]]:
     """Return the releases of each fleet, in order.
 
-    The long form has 40 over four fleets, a third of them harmful, each kind at least once, the harmless ones
-    between them.
+    Unless `quick`, there are 40 in four fleets. A third of them are harmful, each kind at least once, with
+    harmless ones between them.
     """
     if quick:
         return [("no-start",)]
     rng = Random(seed)
     harmful = [*HARMFUL, *rng.sample(HARMFUL, 4)]
     rng.shuffle(harmful)
-    made = []
+    fleet_plans = []
     for fleet in range(4):
         harmful_left = harmful[fleet::4]
         plan: list[str] = []
@@ -212,19 +212,19 @@
             else:
                 base = rng.choice([one for one in HARMLESS if one != base])
                 plan.append(base)
-        made.append(tuple(plan))
-    return made
+        fleet_plans.append(tuple(plan))
+    return fleet_plans
 
 
-def real_fleets(quick: bool, seed: int, tell: Callable[[str], None]) -> dict[str, Any]:
-    """Run all fleets of real processes side by side, and return what came of their rollouts."""
+def real_fleets(quick: bool, seed: int, progress: Callable[[str], None]) -> dict[str, Any]:
+    """Run all fleets of real processes side by side, and return the results of their rollouts."""
     changes: list[dict[str, Any]] = []
     callers: Counter[str] = Counter()
     failed = 0
-    with ProcessPoolExecutor(3) as pool:  # a fleet takes more than a core
+    with ProcessPoolExecutor(3) as pool:  # a fleet uses more than one core
         pending = [pool.submit(run_real, seed + index, plan) for index, plan in enumerate(plans(quick, seed))]
         revisions = () if quick else earlier_revisions()
-        if revisions:  # the present program beside each of them, there and back
+        if revisions:  # the present program beside each of them, as successor and as predecessor
             plan = ("good", revisions[1], "stalls", "better", revisions[0])
             pending.append(pool.submit(run_real, seed + 9, plan, print, revisions))
         for future in pending:
@@ -232,15 +232,15 @@
             changes += result.changes
             callers.update(result.callers)
             failed += bool(result.failed)
-            tell(f"{len(changes)} changes")
+            progress(f"{len(changes)} rollouts")
     return {"changes": changes, "callers": dict(callers), "fleets_failed": failed}
 
 
-def run(quick: bool, seed: int, tell: Callable[[str], None]) -> dict[str, Any]:
+def run(quick: bool, seed: int, progress: Callable[[str], None]) -> dict[str, Any]:
     """Run all parts; return the figures, the criteria and whether all held."""
-    real = real_fleets(quick, seed, tell)
+    real = real_fleets(quick, seed, progress)
     found: dict[str, Any] = {"real processes": real}
-    found |= figures(quick, seed, tell)
+    found |= figures(quick, seed, progress)
     changes, callers = real["changes"], real["callers"]
     bars = {
         "harmful ones taken back, or asked about": all(
--- a/thistleline/lab/zones.py
+++ b/thistleline/lab/zones.py
@@ -1,10 +1,10 @@
-"""Zones in virtual time: fleet status and routing decisions as they run, without I/O, against baselines.
+"""Zones in virtual time: the production fleet status and routing decisions, without I/O, against baselines.
 
-A discrete-time simulation; a step is a second. Work is measured in cores. What a zone is offered beyond its
-capacity is shed, the least valuable first, and overload costs capacity itself. Servers report with noise and
-follow a new routing table one by one, some steps late. The baselines are a solver that sees everything (a
-linear program), each zone by itself, and all work spread over all zones. The verdict rests on the utility
-compared with the solver's, and on calm runs in which nothing may be moved.
+A discrete-time simulation; a step is a second. Work is measured in cores. Work beyond a zone's capacity is
+shed, the least valuable first, and overload reduces the capacity itself. Servers report with noise and follow
+a new routing table one by one, some steps late. The baselines are a solver with full information (a linear
+program), each zone by itself, and all work spread over all zones. The verdict rests on the utility compared
+with the solver's, and on runs without faults, in which no work may be moved.
 """
 
 import statistics
@@ -21,8 +21,8 @@
 VALUE = {0: 1.0, 1: 3.0}  # utility of a unit of work, by stage: lookups, bookings
 DECISION_INTERVAL = 2  # steps
 MAX_TABLE_LAG = 3  # steps until every server follows a new table
-OVERLOAD_COST = 0.3  # share of the capacity lost for each multiple of it that is offered beyond it
-FIRST_FAULT = 20  # steps without a fault
+OVERLOAD_COST = 0.3  # share of the capacity lost for each multiple of it offered in excess
+FIRST_FAULT = 20  # first step that may have a fault
 
 
 CAPACITY_LEFT = {"lost": 0.0, "flaps": 0.0, "half": 0.5, "sick": 0.4, "grey": 0.3, "common": 0.6}
@@ -46,7 +46,7 @@
     until: int
 
     def is_active(self, step: int) -> bool:
-        """Whether it acts in a step; a zone that flaps is lost for seven steps of fourteen."""
+        """Whether the fault is active in a step; a zone that flaps is lost in 7 of every 14 steps."""
         return self.since <= step < self.until and (self.what != "flaps" or (step - self.since) // 7 % 2 == 0)
 
 
@@ -59,8 +59,8 @@
         Args:
             zones: How many.
             servers: Of all zones together.
-            load: Demand as a share of all capacity.
-            faults: That act during the run.
+            load: Demand as a share of the total capacity.
+            faults: Faults during the run.
             seed: Of all random draws.
         """
         self.rng = Random(seed)
@@ -98,7 +98,7 @@
         return cores
 
     def demand(self, step: int) -> Demand:
-        """Draw the work that comes to all zones in a step."""
+        """Draw the demand of all zones in a step."""
         found = {}
         for name in self.names:
             burst = 2.0 if "burst" in self.active_faults(step, name) else 1.0
@@ -170,15 +170,15 @@
 
 
 class SimulationResult(NamedTuple):
-    """What came of one run; utilities are shares of the solver's.
+    """The result of one run; utilities are relative to the solver's.
 
     Attributes:
         kept: Utility of the routing under test.
         alone: Utility of each zone by itself.
         spread: Utility of all work spread over all zones by capacity.
         near: Share of the work that was served in its own zone.
-        moves: Routing tables that were made.
-        toppled: Steps (over all zones) in which a zone was overloaded by work moved to it.
+        moves: Number of new routing tables.
+        overloaded_by_moves: Steps (over all zones) in which a zone was overloaded by work moved to it.
         longest_overload: Steps in a row in which some zone was overloaded though there was room for all.
     """
 
@@ -187,7 +187,7 @@
     spread: float
     near: float
     moves: int
-    toppled: int
+    overloaded_by_moves: int
     longest_overload: int
 
 
@@ -197,8 +197,8 @@
     def __init__(self) -> None:
         """Start with nothing."""
         self.utility: Counter[str] = Counter()  # in thousandths, by what is compared
-        self.toppled = 0
-        self.overload = 0  # steps in a row, up to now
+        self.overloaded_by_moves = 0
+        self.overload = 0  # current number of steps in a row
         self.longest_overload = 0
         self.work_near = 0.0
         self.work_total = 0.0
@@ -210,13 +210,13 @@
     def add_step(
         self, step: int, demand: Demand, capacity: dict[str, float], offered: dict[str, Demand]
     ) -> None:
-        """Add what the routing under test did in a step."""
+        """Add the results of the routing under test in a step."""
         any_overload = False
         for name, work in offered.items():
             self.add_utility("kept", utility_of(served(capacity[name], work)))
             near = sum(amount for (origin, _), amount in work.items() if origin == name)
             total = sum(work.values())
-            self.toppled += step > FIRST_FAULT and near <= capacity[name] < 0.999 * total
+            self.overloaded_by_moves += step > FIRST_FAULT and near <= capacity[name] < 0.999 * total
             any_overload = any_overload or total > 1.02 * capacity[name]
             self.work_near += near
             self.work_total += total
@@ -225,7 +225,7 @@
         self.longest_overload = max(self.longest_overload, self.overload)
 
     def add_baselines(self, fleet: SimulatedFleet, demand: Demand, capacity: dict[str, float]) -> None:
-        """Add what the solver, zones by themselves and an even spread would get in a step."""
+        """Add the utility of the solver, of zones by themselves and of an even spread in a step."""
         self.add_utility("best", best_utility(fleet, demand, capacity))
         for name in fleet.names:
             own = {key: work for key, work in demand.items() if key[0] == name}
@@ -235,7 +235,7 @@
             self.add_utility("spread", utility_of(served(capacity[name], spread)))
 
     def result(self, moves: int) -> SimulationResult:
-        """Return the result of a run that made so many routing tables."""
+        """Return the result of a run with `moves` new routing tables."""
         best = max(1, self.utility["best"])
         return SimulationResult(
             kept=self.utility["kept"] / best,
@@ -243,7 +243,7 @@
             spread=self.utility["spread"] / best,
             near=self.work_near / self.work_total,
             moves=moves,
-            toppled=self.toppled,
+            overloaded_by_moves=self.overloaded_by_moves,
             longest_overload=self.longest_overload,
         )
 
@@ -278,7 +278,7 @@
     capacity: dict[str, float],
     offered: dict[str, Demand],
 ) -> None:
-    """Report what servers say of themselves, and what zones observe of each other."""
+    """Add the reports of all servers, and the observations of zones about each other, to the tracker."""
     for name in fleet.names:
         faults = fleet.active_faults(step, name)
         total = sum(offered[name].values())
@@ -296,7 +296,11 @@
 def _server_report(
     fleet: SimulatedFleet, step: int, zone: str, index: int, zone_capacity: float, offered: Demand
 ) -> ServerReport:
-    """Return one server's report; a grey one believes that it is well, a liar's capacity is absurd."""
+    """Return one server's report.
+
+    With the fault "grey" servers report full capacity; with "liar" the first server's capacity is far too
+    great, and with "stuck" its count of finished work does not grow.
+    """
     faults = fleet.active_faults(step, zone)
     count = fleet.servers[zone]
     id = f"{zone}.{index}"
@@ -309,8 +313,8 @@
         capacity = 1e6
     if "stuck" not in faults or index != 0:
         fleet.finished[id] += 1 + int(good * total / count)
-    came = tuple((origin, stage, work / count) for (origin, stage), work in offered.items())
-    return ServerReport(id, zone, step * SECOND, capacity, fleet.finished[id], 1.0, came)
+    incoming = tuple((origin, stage, work / count) for (origin, stage), work in offered.items())
+    return ServerReport(id, zone, step * SECOND, capacity, fleet.finished[id], 1.0, incoming)
 
 
 FAULT_KINDS = ("lost", "half", "sick", "grey", "liar", "stuck", "burst", "common", "flaps")
@@ -337,35 +341,35 @@
 
 
 def simulate_calm(seed: int) -> SimulationResult:
-    """Simulate the scenario of a seed without its faults, for 600 steps."""
+    """Simulate the scenario of a seed without its faults for 600 steps."""
     zones, servers, load, _ = scenario(seed)
     return simulate(zones, servers, load, (), seed, 600)
 
 
-def run(quick: bool, seed: int, tell: Callable[[str], None]) -> dict[str, Any]:
+def run(quick: bool, seed: int, progress: Callable[[str], None]) -> dict[str, Any]:
     """Run all seeds; return the figures, the criteria and whether all held."""
     count = 16 if quick else 200
     seeds = range(seed, seed + count)
     with ProcessPoolExecutor() as pool:
-        faulty = list(pool.map(simulate_seed, seeds))
-        tell(f"{count} seeds with faults")
-        quiet = list(pool.map(simulate_calm, seeds[: max(4, count // 5)]))
-    kept = sorted(one.kept for one in faulty)
+        faulty_results = list(pool.map(simulate_seed, seeds))
+        progress(f"{count} seeds with faults")
+        calm_results = list(pool.map(simulate_calm, seeds[: max(4, count // 5)]))
+    kept = sorted(one.kept for one in faulty_results)
     tenth = kept[: max(1, count // 10)]
     found = {
         "with faults": {
             "kept_mean": round(statistics.fmean(kept), 4),
             "kept_worst_tenth": round(statistics.fmean(tenth), 4),
-            "alone_mean": round(statistics.fmean(one.alone for one in faulty), 4),
-            "spread_mean": round(statistics.fmean(one.spread for one in faulty), 4),
-            "toppled_steps": sum(one.toppled for one in faulty),
-            "longest_overload": max(one.longest_overload for one in faulty),
-            "moves_mean": round(statistics.fmean(one.moves for one in faulty), 1),
+            "alone_mean": round(statistics.fmean(one.alone for one in faulty_results), 4),
+            "spread_mean": round(statistics.fmean(one.spread for one in faulty_results), 4),
+            "toppled_steps": sum(one.overloaded_by_moves for one in faulty_results),
+            "longest_overload": max(one.longest_overload for one in faulty_results),
+            "moves_mean": round(statistics.fmean(one.moves for one in faulty_results), 1),
         },
         "in calm": {
-            "moves": sum(one.moves for one in quiet),
-            "near": round(statistics.fmean(one.near for one in quiet), 5),
-            "kept_mean": round(statistics.fmean(one.kept for one in quiet), 4),
+            "moves": sum(one.moves for one in calm_results),
+            "near": round(statistics.fmean(one.near for one in calm_results), 5),
+            "kept_mean": round(statistics.fmean(one.kept for one in calm_results), 4),
         },
     }
     bars = {
