--- a/tests/test_feed_service.py
+++ b/tests/test_feed_service.py
@@ -139,7 +139,7 @@
         put = await run("put", "--file", str(feed.folder / "all"), "--in-parts", "--request", "4")
         assert (put.stdout, put.returncode) == ("change 4\n", 0)
         for name in [*feed.keepers, *feed.relays, *feed.subscribers]:
-            await feed.reaches(name, 4)
+            await feed.wait_for_sequence(name, 4)
         for name in [*feed.subscribers, "r2", "r1", *feed.keepers]:
             process = feed.processes[name].process
             assert process is not None
@@ -150,11 +150,11 @@
         for name in [*feed.keepers, *feed.relays, *feed.subscribers]:
             feed.processes[name].start()
         for name in feed.keepers:
-            await feed.reaches(name, 4)
+            await feed.wait_for_sequence(name, 4)
         # The commands' changes were made without the oracle, so they are added to it here.
         await feed.writer()
         items = (("common/left-0", b'{"n":1}'), ("common/right-0", b'{"n":1}'))
-        feed.oracle.made = {1: ("1", items), 2: ("once", (("common/gone", b'{"n":1}'),)),
+        feed.oracle.committed = {1: ("1", items), 2: ("once", (("common/gone", b'{"n":1}'),)),
                             3: ("3", (("common/gone", None), ("tenant/a", b'{"share":0.5}'))),
                             4: ("4.0", (*items, ("tenant/a", b'{"share":0.5}')))}  # fmt: skip
 
@@ -193,61 +193,63 @@
 
 def test_killed_writer_is_replaced_during_changes(tmp_path: Path) -> None:
     async def scenario(feed: FeedFleet) -> None:
-        await feed.pairs(2 * RING_SLOTS)
+        await feed.change_pairs(2 * RING_SLOTS)
         writer = await feed.writer()
         async with anyio.create_task_group() as group:
-            group.start_soon(feed.pairs, 12)
-            group.start_soon(feed.pairs, 12)
-            await feed.reaches(writer, feed.oracle.newest + 4)
+            group.start_soon(feed.change_pairs, 12)
+            group.start_soon(feed.change_pairs, 12)
+            await feed.wait_for_sequence(writer, feed.oracle.newest + 4)
             feed.processes[writer].kill()
         assert await feed.writer() != writer
         feed.processes[writer].start()
-        await feed.reaches(writer, feed.oracle.newest)
+        await feed.wait_for_sequence(writer, feed.oracle.newest)
 
     assert run_with_fleet(tmp_path, scenario) == []
 
 
 def test_resumed_former_writer_commits_nothing(tmp_path: Path) -> None:
     async def scenario(feed: FeedFleet) -> None:
-        await feed.pairs(4)
+        await feed.change_pairs(4)
         writer = await feed.writer()
         feed.processes[writer].pause()
-        await feed.pairs(4)
+        await feed.change_pairs(4)
         assert await feed.writer() != writer
         feed.processes[writer].resume()
-        await feed.pairs(4)
-        await feed.reaches(writer, feed.oracle.newest)
+        await feed.change_pairs(4)
+        await feed.wait_for_sequence(writer, feed.oracle.newest)
 
     assert run_with_fleet(tmp_path, scenario) == []
 
 
 def test_keeper_and_writer_recover_from_lost_disk(tmp_path: Path) -> None:
     async def scenario(feed: FeedFleet) -> None:
-        await feed.pairs(2 * RING_SLOTS)
+        await feed.change_pairs(2 * RING_SLOTS)
         for writes in (False, True):
             writer = await feed.writer()
             name = writer if writes else next(one for one in feed.keepers if one != writer)
-            feed.empty(name)
-            await feed.pairs(6)
+            feed.lose_disk(name)
+            await feed.change_pairs(6)
             feed.processes[name].start()
-            await feed.reaches(name, feed.oracle.newest)
-            await feed.pairs(RING_SLOTS + 2)
+            await feed.wait_for_sequence(name, feed.oracle.newest)
+            await feed.change_pairs(RING_SLOTS + 2)
 
     assert run_with_fleet(tmp_path, scenario) == []
 
 
 async def lose_disk_while_other_keeper_is_paused(feed: FeedFleet) -> None:
     """Pause one of two keepers, make changes, then empty the disk of the other."""
-    await feed.pairs(2)
+    await feed.change_pairs(2)
     writer = await feed.writer()
     (other,) = [one for one in feed.keepers if one != writer]
-    await feed.kept(writer, 2)  # otherwise the ring may fill earlier: its state may not be on disk yet
+    await feed.wait_until_durable(
+        writer, 2
+    )  # otherwise the ring may fill earlier: its state may not be on disk yet
     feed.processes[other].pause()
-    feed.asked = [writer]
-    await feed.pairs(RING_SLOTS)
-    await feed.pairs(4, 0.4)
-    feed.asked = feed.keepers
-    feed.empty(writer)
+    feed.proposal_targets = [writer]
+    await feed.change_pairs(RING_SLOTS)
+    await feed.change_pairs(4, 0.4)
+    feed.proposal_targets = feed.keepers
+    feed.lose_disk(writer)
     feed.processes[other].resume()
     feed.processes[writer].start()
     await feed.writer(5.0)
@@ -258,7 +260,7 @@
 
     async def scenario(feed: FeedFleet) -> None:
         await lose_disk_while_other_keeper_is_paused(feed)
-        unanswered.extend(feed.oracle.open)
+        unanswered.extend(feed.oracle.undecided)
 
     assert run_with_fleet(tmp_path, scenario, keepers=2, subscribers=1) == []
     assert len(unanswered) == 4
@@ -269,10 +271,10 @@
 
 def test_failed_relay_does_not_delay_others(tmp_path: Path) -> None:
     async def scenario(feed: FeedFleet) -> None:
-        await feed.pairs(4)
+        await feed.change_pairs(4)
         for fault in ("kill", "stop", "drop to followers", "drop to source"):
             for name in [*feed.relays, *feed.subscribers]:
-                await feed.reaches(name, feed.oracle.newest)
+                await feed.wait_for_sequence(name, feed.oracle.newest)
             failed = next(name for name in feed.relays if feed.fleet.relays["s1", name].connections)
             if fault == "kill":
                 feed.processes[failed].kill()
@@ -284,11 +286,11 @@
                         relay.backward = LinkFault(drop=True)
             else:  # its messages do not reach its source
                 feed.fleet.partition(failed, incoming=False)
-            await feed.pairs(3)
+            await feed.change_pairs(3)
             if fault != "drop to source":  # a relay that its source cannot hear keeps serving its state
                 started_at = time.monotonic()
                 for name in feed.subscribers:
-                    await feed.reaches(name, feed.oracle.newest, 7.0)
+                    await feed.wait_for_sequence(name, feed.oracle.newest, 7.0)
                 assert time.monotonic() - started_at < 7.0
             feed.fleet.heal()
             feed.processes[failed].resume()
@@ -300,20 +302,20 @@
 
 def test_delayed_messages_and_paused_subscriber_do_not_delay_others(tmp_path: Path) -> None:
     async def scenario(feed: FeedFleet) -> None:
-        await feed.pairs(2)
-        feed.asked = [await feed.writer()]
+        await feed.change_pairs(2)
+        feed.proposal_targets = [await feed.writer()]
         for relay in feed.fleet.relays.values():
             relay.forward = relay.backward = LinkFault(delay=0.02, jitter=0.08)
         feed.processes["s1"].pause()
-        await feed.pairs(4)
-        await feed.reaches("s2", feed.oracle.newest)
+        await feed.change_pairs(4)
+        await feed.wait_for_sequence("s2", feed.oracle.newest)
         feed.fleet.heal()
         feed.processes["s1"].resume()
-        await feed.reaches("s1", feed.oracle.newest)
+        await feed.wait_for_sequence("s1", feed.oracle.newest)
         feed.processes["s1"].kill()
-        last_seen = feed.seen("s1")[-1]["number"]
+        last_seen = feed.reported_states("s1")[-1]["number"]
         feed.processes["s1"].start()
-        await feed.event("s1", "started", after=1)
+        await feed.wait_for_event("s1", "started", after=1)
         started = [one for one in feed.processes["s1"].events() if one["event"] == "started"][-1]
         assert 0 < started["number"] <= last_seen  # recovered from its folder
 
@@ -321,27 +323,27 @@
 
 
 async def reconnect_subscribers_to_relay_behind_them(feed: FeedFleet) -> None:
-    await feed.pairs(3)
+    await feed.change_pairs(3)
     for name in [*feed.relays, *feed.subscribers]:
-        await feed.reaches(name, 3)
+        await feed.wait_for_sequence(name, 3)
     for (source, _), relay in feed.fleet.relays.items():
         if source == "r2":
             relay.disconnect()
     for name in feed.subscribers:
         feed.fleet.relays[name, "r2"].disconnect()
-    await feed.pairs(3)
+    await feed.change_pairs(3)
     for name in feed.subscribers:
         feed.fleet.relays[name, "r2"].heal()
-        await feed.reaches(name, 6)
+        await feed.wait_for_sequence(name, 6)
     feed.processes["r1"].pause()
     for name in feed.subscribers:
-        await feed.event(name, "dropped", after=0)
-        await feed.reaches(name, 6)
+        await feed.wait_for_event(name, "dropped", after=0)
+        await feed.wait_for_sequence(name, 6)
     # Wait until a subscriber was refused by r2, or went back to an older state.
     r2 = feed.processes["r2"]
     with anyio.fail_after(10):
         while not any(one.get("why") == "behind" for one in r2.events()):
-            if feed.seen("s1")[-1]["number"] < 6:
+            if feed.reported_states("s1")[-1]["number"] < 6:
                 break
             await anyio.sleep(0.02)
 
@@ -724,29 +726,29 @@
 def test_consensus_cluster_without_majority_stops_changes_only(tmp_path: Path) -> None:
     async def scenario(feed: FeedFleet) -> None:
         fleet = feed.fleet
-        await feed.pairs(3)
+        await feed.change_pairs(3)
         fleet.processes[await fleet.leader()].kill()
-        await feed.pairs(3)
+        await feed.change_pairs(3)
         for name in fleet.names:
             if not fleet.processes[name].is_running:
                 fleet.processes[name].start()
         await fleet.leader()
         for name in [*feed.keepers, *feed.relays]:
-            await feed.reaches(name, feed.oracle.newest)
+            await feed.wait_for_sequence(name, feed.oracle.newest)
         for name in fleet.names[:2]:
             fleet.processes[name].kill()
-        (answer,) = await feed.pairs(1, 1.5)
+        (answer,) = await feed.change_pairs(1, 1.5)
         assert answer.sequence == 0
         for name in feed.relays:
-            status = await feed.looked(name)
+            status = await feed.read_status(name)
             assert status is not None
             assert status.sequence == feed.oracle.newest
         feed.processes["s1"].kill()
         feed.processes["s1"].start()
-        await feed.reaches("s1", feed.oracle.newest)
+        await feed.wait_for_sequence("s1", feed.oracle.newest)
         for name in fleet.names[:2]:
             fleet.processes[name].start()
-        await feed.pairs(3)
+        await feed.change_pairs(3)
 
     assert run_with_fleet(tmp_path, scenario) == []
 
--- a/thistleline/lab/scale/feedsockets.py
+++ b/thistleline/lab/scale/feedsockets.py
@@ -60,9 +60,9 @@
 
     lease = "3s"
 
-    async def way(self, source: str, to: str) -> Address:
+    async def open_relay(self, source: str, target: str) -> Address:
         """Return the address itself."""
-        return self.address(to)
+        return self.address(target)
 
     async def start_from_record(self, first: bytes) -> None:
         """Start all processes.
@@ -84,7 +84,7 @@
             await self._start_keeper(name)
         for name in self.relays:
             await self._start_relay(name, 1, self.keepers, True)
-        self.to_keepers = {name: self.address(name) for name in self.keepers}
+        self.keeper_addresses = {name: self.address(name) for name in self.keepers}
         await self.writer(TIMEOUT_S)
 
     def pid(self, name: str) -> int:
@@ -95,7 +95,7 @@
 
     async def newest_number(self) -> int:
         """Return the writer's sequence number."""
-        result = await self.looked(await self.writer())
+        result = await self.read_status(await self.writer())
         return result.sequence if result is not None else 0
 
     async def restart(self, name: str) -> dict[str, Any]:
@@ -106,7 +106,7 @@
         """
         started = time.monotonic()
         self.processes[name].start()
-        await self.reaches(name, 1, TIMEOUT_S)
+        await self.wait_for_sequence(name, 1, TIMEOUT_S)
         return {"s": round(time.monotonic() - started, 2), "resident_bytes": resident(self.pid(name))}
 
 
@@ -341,7 +341,7 @@
 
     async def _propose(self, proposal: Propose) -> None:
         proposed_at = time.monotonic_ns()
-        answer = await self.region.ask(proposal, 15.0)
+        answer = await self.region.propose(proposal, 15.0)
         acknowledged = self.acknowledged
         if not answer.sequence:
             acknowledged.refused.append(f"{proposal.request_id}: {answer.reason}")
@@ -543,7 +543,7 @@
         )
     number = await region.newest_number()
     for name in [*region.keepers, *region.relays]:
-        await region.reaches(name, number, TIMEOUT_S)
+        await region.wait_for_sequence(name, number, TIMEOUT_S)
     table = await region.table(region.relays[0], number, TIMEOUT_S)
     held = {key: (value, version) for key, value, version in table.entries("wide")}
     same = {key: value for key, (value, _) in held.items()} == {key: value for key, (value, _) in put.items()}
@@ -640,12 +640,12 @@
     await region.start_from_record(record)
     found: dict[str, Any] = {"disk_bytes": disk_bytes, "keepers_s": round(time.monotonic() - started, 2)}
     for name in region.relays:
-        await region.reaches(name, newest, TIMEOUT_S)
+        await region.wait_for_sequence(name, newest, TIMEOUT_S)
     found["relays_cold_s"] = round(time.monotonic() - started - found["keepers_s"], 2)
     changes = ChangeLoad(region, AcknowledgedChanges(held, newest), routes, tenants, seed)
     started = time.monotonic()
     await changes.run(10 * size("changes_day") / DAY, 1.0)
-    await region.kept(await region.writer(), changes.acknowledged.last, TIMEOUT_S)
+    await region.wait_until_durable(await region.writer(), changes.acknowledged.last, TIMEOUT_S)
     found["first_on_disk_s"] = round(time.monotonic() - started, 2)
     tell(f"{NAME}: {routes} routes and {tenants} tenants: {found}")
     writer = await region.writer()
