--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -24,11 +24,11 @@
 from thistleline.lab.simulation.rollout_world import following as following_rollout
 from thistleline.lab.simulation.rollouts import HARMS, Harm, simulate_rollout
 from thistleline.lab.simulation.supervisor_world import (
-    BesideWorld,
-    StewardWorld,
-    following,
-    following_beside,
-    wander,
+    SideBySideWorld,
+    SupervisorWorld,
+    explore_randomly,
+    next_states,
+    side_by_side_next_states,
 )
 from thistleline.lease.protocol import MAX_VALUE_SIZE, Put
 from thistleline.lease.table import validate
@@ -375,7 +375,7 @@
 
 
 def test_no_server_is_started_twice_or_unknown_whenever_the_steward_dies() -> None:
-    found = explore(StewardWorld(), following, 40, 20_000)
+    found = explore(SupervisorWorld(), next_states, 40, 20_000)
     assert not found.wrong, found.trace
 
 
@@ -402,13 +402,13 @@
 
 
 @pytest.mark.parametrize(("name", "put", "wanted"), [
-    ("_spawn", _spawn_unnoted, "nobody would know of"),
-    ("_on_desired_version", _any_want, "an older conductor"),
-    ("_on_verified", _unverified, "unfit is started"),
+    ("_spawn", _spawn_unnoted, "not recorded on disk"),
+    ("_on_desired_version", _any_want, "an older rollout controller"),
+    ("_on_verified", _unverified, "invalid version is started"),
 ])  # fmt: skip
 def test_a_protection_of_the_steward_left_out_is_found(name: str, put: Any, wanted: str) -> None:
     with without(((Supervisor, name, put),)):
-        assert wanted in explore(StewardWorld(), following, 40, 60_000).wrong
+        assert wanted in explore(SupervisorWorld(), next_states, 40, 60_000).wrong
 
 
 def _heir_unnoted(self: Supervisor, version: Version) -> None:
@@ -437,19 +437,19 @@
 
 
 def test_beside_each_other_two_live_at_most_and_what_is_wanted_comes_to_serve() -> None:
-    assert explore(BesideWorld(), following_beside, 60, 20_000).wrong == ""
-    assert wander(range(400), 150) == ""
+    assert explore(SideBySideWorld(), side_by_side_next_states, 60, 20_000).wrong == ""
+    assert explore_randomly(range(400), 150) == ""
 
 
 @pytest.mark.parametrize(("name", "put", "wanted"), [
-    ("_spawn_successor", _heir_unnoted, "nobody would know of"),
-    ("_on_recovered", _heir_forgotten, "too many live"),
-    ("_on_ready", _elder_forgotten, "too many live"),
-    ("_on_timer", _never_again, "does not come to serve"),
+    ("_spawn_successor", _heir_unnoted, "not recorded on disk"),
+    ("_on_recovered", _heir_forgotten, "too many are alive"),
+    ("_on_ready", _elder_forgotten, "too many are alive"),
+    ("_on_timer", _never_again, "does not serve in the end"),
 ])  # fmt: skip
 def test_a_protection_of_the_change_beside_left_out_is_found(name: str, put: Any, wanted: str) -> None:
     with without(((Supervisor, name, put),)):
-        assert wanted in wander(range(1500), 150)
+        assert wanted in explore_randomly(range(1500), 150)
 
 
 @pytest.mark.parametrize("root", [RolloutWorld, returned_in_last_stage])
