--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -24,9 +24,9 @@
 from thistleline.consensus.state import RaftTiming
 from thistleline.consensus.store import ReplicaStore
 from thistleline.lab.simulation.explorer import explore
-from thistleline.lab.simulation.lease_costs import one_way
+from thistleline.lab.simulation.lease_costs import count_terms_under_one_way_cut
 from thistleline.lab.simulation.lease_mutants import MUTANTS, SCENARIOS, without
-from thistleline.lab.simulation.lease_world import begin, following
+from thistleline.lab.simulation.lease_world import begin, next_states
 from thistleline.lab.simulation.replica_cluster import MS, SimulatedCluster
 from thistleline.lease.events import Event, RequestReceived
 from thistleline.lease.protocol import Acquire, ChangeReplicas, Denied, Done, Granted, Release, Unavailable
@@ -206,7 +206,7 @@
 
 @pytest.mark.parametrize("scenario_name", sorted(SCENARIOS))
 def test_exploration_finds_no_invariant_violation(scenario_name: str) -> None:
-    found = explore(begin(SCENARIOS[scenario_name]), following, 40, 1500)
+    found = explore(begin(SCENARIOS[scenario_name]), next_states, 40, 1500)
     assert not found.wrong, found.trace
 
 
@@ -215,7 +215,7 @@
 )
 def test_exploration_detects_each_mutant(mutant: Any) -> None:
     with without(mutant.patches):
-        found = explore(begin(SCENARIOS[mutant.scenario]), following, 40, 30_000)
+        found = explore(begin(SCENARIOS[mutant.scenario]), next_states, 40, 30_000)
     assert found.wrong
 
 
@@ -225,7 +225,7 @@
     scenario = SCENARIOS[scenario_name]._replace(ticks=8, crashes=3, doubles=3, losses=2, elections=6)
     world = begin(scenario._replace(elapse=(), net=8))
     for _ in range(40):
-        successors = list(following(world))
+        successors = list(next_states(world))
         if not successors:
             return
         world = successors[data.draw(st.integers(0, len(successors) - 1))][1]
@@ -237,7 +237,7 @@
         self.state.leader = ""
         self.start_election()
 
-    assert one_way(20)["terms"] == 0
+    assert count_terms_under_one_way_cut(20)["terms"] == 0
     with without(((Elections, "start_pre_vote", start_without_pre_vote),)):
         cluster = elected_cluster(5)
         partitioned = next(id for id in cluster.servers if id != cluster.leader())
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -21,7 +21,7 @@
 from thistleline.lab.simulation.explorer import explore
 from thistleline.lab.simulation.lease_mutants import without
 from thistleline.lab.simulation.rollout_world import RolloutWorld, returned_in_last_stage
-from thistleline.lab.simulation.rollout_world import following as following_rollout
+from thistleline.lab.simulation.rollout_world import next_states as next_rollout_states
 from thistleline.lab.simulation.rollouts import HARMS, Harm, simulate_rollout
 from thistleline.lab.simulation.supervisor_world import (
     SideBySideWorld,
@@ -456,7 +456,7 @@
 def test_a_rollout_stays_within_its_limits_whenever_controllers_and_servers_die(
     root: Callable[[], RolloutWorld],
 ) -> None:
-    found = explore(root(), following_rollout, 60, 8_000)
+    found = explore(root(), next_rollout_states, 60, 8_000)
     assert not found.wrong, found.trace
     assert found.states >= 8_000
 
@@ -475,7 +475,7 @@
 ])  # fmt: skip
 def test_a_broken_rollout_controller_is_found(where: type, name: str, put: Any, wanted: str) -> None:
     with without(((where, name, put),)):
-        assert wanted in explore(returned_in_last_stage(), following_rollout, 60, 8_000).wrong
+        assert wanted in explore(returned_in_last_stage(), next_rollout_states, 60, 8_000).wrong
 
 
 def kept(good: Version | None = OLD) -> Supervisor:
--- a/thistleline/lab/simulation/explorer.py
+++ b/thistleline/lab/simulation/explorer.py
@@ -41,7 +41,7 @@
 
 def explore(
     root: W,
-    following: Callable[[W], Iterator[tuple[str, W]]],
+    next_states: Callable[[W], Iterator[tuple[str, W]]],
     depth: int,
     states: int,
     tell: Callable[[str], None] = lambda _: None,
@@ -50,7 +50,7 @@
 
     Args:
         root: The first state.
-        following: Yields (event, next state) for each event that may happen in a state.
+        next_states: Yields (event, next state) for each event that may happen in a state.
         depth: Most events from the root.
         states: Exploration ends after the world with which so many states are seen.
         tell: Called with a line of progress for each depth.
@@ -60,7 +60,7 @@
     for reached in range(depth):
         next_frontier: list[tuple[Any, W]] = []
         for key, world in frontier:
-            for event, successor in following(world):
+            for event, successor in next_states(world):
                 successor_key = successor.key()
                 if successor_key in parents:
                     continue
--- a/thistleline/lab/simulation/lease_mutants.py
+++ b/thistleline/lab/simulation/lease_mutants.py
@@ -21,9 +21,9 @@
     Scenario,
     begin,
     cluster_with_leader,
-    following,
     lease_held,
     new_cluster,
+    next_states,
     settle,
 )
 from thistleline.lease import holder as holding
@@ -397,13 +397,13 @@
 
 
 def _explored(what: str, states: int) -> Explored:
-    return explore(begin(SCENARIOS[what]), following, DEPTH, states)
+    return explore(begin(SCENARIOS[what]), next_states, DEPTH, states)
 
 
 def _hunted(place: int, states: int) -> Explored:
     left_out = MUTANTS[place]
     with without(left_out.patches):
-        return explore(begin(SCENARIOS[left_out.scenario]), following, DEPTH, states)
+        return explore(begin(SCENARIOS[left_out.scenario]), next_states, DEPTH, states)
 
 
 def prove(states: int, tell: Callable[[str], None]) -> tuple[dict[str, Any], bool]:
--- a/thistleline/lab/simulation/lease_world.py
+++ b/thistleline/lab/simulation/lease_world.py
@@ -449,7 +449,7 @@
 }  # by the holder's phase; in all others its deadline is reached
 
 
-def following(world: LeaseWorld) -> Steps:
+def next_states(world: LeaseWorld) -> Steps:
     """Yield each step that may happen next: its name and the world after it."""
     for place in range(len(world.net)):
         yield from _message_steps(world, place)
--- a/thistleline/lab/simulation/rollout_world.py
+++ b/thistleline/lab/simulation/rollout_world.py
@@ -243,7 +243,7 @@
 Steps = Iterator[tuple[str, RolloutWorld]]
 
 
-def following(world: RolloutWorld) -> Steps:
+def next_states(world: RolloutWorld) -> Steps:
     """Yield each step that may happen next: its name and the world after it."""
     for epoch in world.controllers:
         yield from _controller_steps(world, epoch)
