--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -25,7 +25,7 @@
 from thistleline.consensus.store import ReplicaStore
 from thistleline.lab.simulation.explorer import explore
 from thistleline.lab.simulation.lease_costs import count_terms_under_one_way_cut
-from thistleline.lab.simulation.lease_mutants import MUTANTS, SCENARIOS, without
+from thistleline.lab.simulation.lease_mutants import MUTANTS, SCENARIOS, patched
 from thistleline.lab.simulation.lease_world import begin, next_states
 from thistleline.lab.simulation.replica_cluster import MS, SimulatedCluster
 from thistleline.lease.events import Event, RequestReceived
@@ -211,10 +211,10 @@
 
 
 @pytest.mark.parametrize(
-    "mutant", [mutant for mutant in MUTANTS if mutant.quick], ids=lambda mutant: mutant.what
+    "mutant", [mutant for mutant in MUTANTS if mutant.quick], ids=lambda mutant: mutant.protection
 )
 def test_exploration_detects_each_mutant(mutant: Any) -> None:
-    with without(mutant.patches):
+    with patched(mutant.patches):
         found = explore(begin(SCENARIOS[mutant.scenario]), next_states, 40, 30_000)
     assert found.wrong
 
@@ -238,7 +238,7 @@
         self.start_election()
 
     assert count_terms_under_one_way_cut(20)["terms"] == 0
-    with without(((Elections, "start_pre_vote", start_without_pre_vote),)):
+    with patched(((Elections, "start_pre_vote", start_without_pre_vote),)):
         cluster = elected_cluster(5)
         partitioned = next(id for id in cluster.servers if id != cluster.leader())
         cluster.is_lost = lambda source, to: to == partitioned
--- a/tests/test_feed_worlds.py
+++ b/tests/test_feed_worlds.py
@@ -26,10 +26,10 @@
     assert found.whole or found.states >= 3000
 
 
-@pytest.mark.parametrize("place", range(len(MUTANTS)), ids=[one.what for one in MUTANTS])
+@pytest.mark.parametrize("place", range(len(MUTANTS)), ids=[one.protection for one in MUTANTS])
 def test_a_protection_left_out_is_found(place: int) -> None:
     found = feedmutants.explore_mutant(place, 6000)
-    assert found.wrong, f"{MUTANTS[place].what}: {found.states} states, depth {found.depth}"
+    assert found.wrong, f"{MUTANTS[place].protection}: {found.states} states, depth {found.depth}"
 
 
 def test_an_exploration_is_the_same_each_time() -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -23,7 +23,7 @@
 from thistleline.lab.handover import HANDOVER_SETTINGS, Load, ServerIncarnations, run_handovers
 from thistleline.lab.processes.render_farm import FakeFarmAgent
 from thistleline.lab.simulation.handover_world import play
-from thistleline.lab.simulation.lease_mutants import without
+from thistleline.lab.simulation.lease_mutants import patched
 from thistleline.ledger import format as ledger_format
 from thistleline.state.attempts import Attempt, Run
 from thistleline.state.state_machine import ServerStateMachine
@@ -77,7 +77,7 @@
     ((("_try_to_hand_over", _hand_over_at_once),), "no input that can be taken"),
 ])  # fmt: skip
 def test_simulation_detects_a_disabled_protection(patches: Any, violation: str) -> None:
-    with without(tuple((HandoverStateMachine, name, replacement) for name, replacement in patches)):
+    with patched(tuple((HandoverStateMachine, name, replacement) for name, replacement in patches)):
         assert any(violation in play(seed).wrong for seed in range(30))
 
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -19,7 +19,7 @@
 from thistleline.lab.processes.harness import free_port
 from thistleline.lab.processes.machines import SupervisedFleet
 from thistleline.lab.simulation.explorer import explore
-from thistleline.lab.simulation.lease_mutants import without
+from thistleline.lab.simulation.lease_mutants import patched
 from thistleline.lab.simulation.rollout_world import RolloutWorld, returned_in_last_stage
 from thistleline.lab.simulation.rollout_world import next_states as next_rollout_states
 from thistleline.lab.simulation.rollouts import HARMS, Harm, simulate_rollout
@@ -407,7 +407,7 @@
     ("_on_verified", _unverified, "invalid version is started"),
 ])  # fmt: skip
 def test_a_protection_of_the_steward_left_out_is_found(name: str, put: Any, wanted: str) -> None:
-    with without(((Supervisor, name, put),)):
+    with patched(((Supervisor, name, put),)):
         assert wanted in explore(SupervisorWorld(), next_states, 40, 60_000).wrong
 
 
@@ -448,7 +448,7 @@
     ("_on_timer", _never_again, "does not serve in the end"),
 ])  # fmt: skip
 def test_a_protection_of_the_change_beside_left_out_is_found(name: str, put: Any, wanted: str) -> None:
-    with without(((Supervisor, name, put),)):
+    with patched(((Supervisor, name, put),)):
         assert wanted in explore_randomly(range(1500), 150)
 
 
@@ -474,7 +474,7 @@
     (RolloutController, "_roll_back", _roll_forward, "what is being taken back"),
 ])  # fmt: skip
 def test_a_broken_rollout_controller_is_found(where: type, name: str, put: Any, wanted: str) -> None:
-    with without(((where, name, put),)):
+    with patched(((where, name, put),)):
         assert wanted in explore(returned_in_last_stage(), next_rollout_states, 60, 8_000).wrong
 
 
--- a/thistleline/lab/leases.py
+++ b/thistleline/lab/leases.py
@@ -471,7 +471,7 @@
 def run(quick: bool, seed: int, tell: Callable[[str], None]) -> dict[str, Any]:
     """Run all parts; return the figures, the criteria and whether all held."""
     from thistleline.lab.simulation.lease_costs import measure_costs
-    from thistleline.lab.simulation.lease_mutants import prove
+    from thistleline.lab.simulation.lease_mutants import run_mutation_tests
 
     figures: dict[str, Any] = {}
     arms = (
@@ -497,7 +497,7 @@
         blind = storm("blind", seed, 3, 6, 400, 120.0, tell, False, False, "clock")
         figures["without the holder's own clock"] = {"overlaps": blind["overlaps"], "acts": blind["acts"]}
     tell("exploration")
-    figures["exploration"], found = prove(2_000 if quick else 200_000, tell)
+    figures["exploration"], found = run_mutation_tests(2_000 if quick else 200_000, tell)
     figures["cost"] = measure_costs(quick, tell)
     within = sum(1 for gap in gaps if gap <= LEASE_SECONDS + 1.0)
     figures["within the length and a second"] = round(within / max(1, len(gaps)), 4)
--- a/thistleline/lab/scale/feed.py
+++ b/thistleline/lab/scale/feed.py
@@ -24,7 +24,7 @@
 from thistleline.lab.scale.size import FOLDER, size
 from thistleline.lab.scale.slopes import Part, Row, Shape, judge, loop_cpu, memory_of, row, steps_of
 from thistleline.lab.simulation.feed_fleet import VirtualFeed, quantile
-from thistleline.lab.simulation.feed_mutants import prove
+from thistleline.lab.simulation.feed_mutants import run_mutation_tests
 from thistleline.lab.simulation.polled_settings import PolledFleet
 from thistleline.supervisor.service import POLL
 
@@ -686,7 +686,7 @@
         today = {way: pool.submit(polled, plan, way[0], reads[way[1]]) for way in ways}
         tell("feed: tables")
         rows = tables(seed, ENTRIES)
-        figures["explored"], good, caught = prove(1_000 if quick else 50_000, tell)
+        figures["explored"], good, caught = run_mutation_tests(1_000 if quick else 50_000, tell)
         figures["cases"] = {name: one.result()[0] for name, one in told.items()}
         figures["today"] = beside(plan, figures["cases"], {way: one.result() for way, one in today.items()})
         more, found, bars = by_size.result()
--- a/thistleline/lab/simulation/feed_fleet.py
+++ b/thistleline/lab/simulation/feed_fleet.py
@@ -66,7 +66,7 @@
     WriteDenied,
     WriterEvent,
 )
-from thistleline.lab.simulation.lease_mutants import without
+from thistleline.lab.simulation.lease_mutants import patched
 from thistleline.lease import holder_effects
 from thistleline.lease.holder import LeaseHolder
 from thistleline.lease.holder_effects import SendRequest
@@ -398,7 +398,7 @@
     # ---- time
 
     def run(self, until: int, over: Callable[[], bool] = lambda: False) -> bool:
-        with without(((following, "FeedTable", Shared),)):
+        with patched(((following, "FeedTable", Shared),)):
             return super().run(until, over)
 
     def _arm(self, place: Place) -> None:
--- a/thistleline/lab/simulation/feed_mutants.py
+++ b/thistleline/lab/simulation/feed_mutants.py
@@ -28,11 +28,11 @@
     Scenario,
     build_fleet,
     commit_changes,
+    next_states,
     settle,
     start_exploration,
-    successors,
 )
-from thistleline.lab.simulation.lease_mutants import account, mutant, without
+from thistleline.lab.simulation.lease_mutants import make_mutant, patched, summarize_explorations
 from thistleline.lease.table import LeaseTable
 from thistleline.reducer.events import DeadlineReached
 
@@ -287,35 +287,35 @@
 
 
 MUTANTS = (
-    mutant("resume: a state is gone on from by its digest too", "another's state",
+    make_mutant("resume: a state is gone on from by its digest too", "another's state",
             History, "contains", _contains_by_number),
-    mutant("a change is taken with its digest alone", "a change under way",
+    make_mutant("a change is taken with its digest alone", "a change under way",
             Follower, "_apply_delta", _apply_unverified_delta),
-    mutant("a snapshot is taken with its digest alone", "cold instance",
+    make_mutant("a snapshot is taken with its digest alone", "cold instance",
             Follower, "_add_part", _add_unverified_part),
-    mutant("whole changes: no part counts before the last", "cold instance",
+    make_mutant("whole changes: no part counts before the last", "cold instance",
             Follower, "_add_part", _use_partial_snapshot),
-    mutant("no older state is taken", "older relay", Follower, "_on_accepted", _accept_older_snapshot,
+    make_mutant("no older state is taken", "older relay", Follower, "_on_accepted", _accept_older_snapshot,
             Source, "_on_follow", _serve_client_ahead),
-    mutant("a tenant is told and taken at the number held", "tenants",
+    make_mutant("a tenant is told and taken at the number held", "tenants",
             LookupCache, "_on_tenant_entries", _accept_entries_of_any_sequence,
             Source, "_has_newest", _return_true),
-    mutant("the fence", "deposed writer", LeaseTable, "_put", _put_without_fencing),
-    mutant("the cut rule: a majority has it on disk first", "ring full",
+    make_mutant("the fence", "deposed writer", LeaseTable, "_put", _put_without_fencing),
+    make_mutant("the cut rule: a majority has it on disk first", "ring full",
             FeedWriter, "_slot_is_free", _return_true),
-    mutant("durable is what the disk has", "ring full",
+    make_mutant("durable is what the disk has", "ring full",
             Follower, "_acknowledge", _acknowledge_before_durable),
-    mutant("who takes over goes on from the records", "unanswered",
+    make_mutant("who takes over goes on from the records", "unanswered",
             FeedWriter, "_resume", _resume_without_records),
-    mutant("a Put without an answer is settled by reading", "unanswered", FeedWriter, "handle",
+    make_mutant("a Put without an answer is settled by reading", "unanswered", FeedWriter, "handle",
             _treat_unanswered_as_refused),
 )  # fmt: skip
 
 
 def explore_scenario(name: str, states: int, patches: tuple[tuple[Any, str, Any], ...] = ()) -> Explored:
     """Explore a scenario of small limits, up to a number of states, under patches."""
-    with without((*SMALL, *patches)):
-        return explore(_root(name), successors, DEPTH, states)
+    with patched((*SMALL, *patches)):
+        return explore(_root(name), next_states, DEPTH, states)
 
 
 def _root(name: str) -> FeedWorld:
@@ -333,13 +333,13 @@
         states: Exploration ends at so many states.
     """
     removed = MUTANTS[place]
-    with without(SMALL):
+    with patched(SMALL):
         world = _root(removed.scenario)
-        with without(removed.patches):
-            return explore(world, successors, DEPTH, states)
+        with patched(removed.patches):
+            return explore(world, next_states, DEPTH, states)
 
 
-def prove(states: int, tell: Callable[[str], None]) -> tuple[dict[str, Any], bool, bool]:
+def run_mutation_tests(states: int, tell: Callable[[str], None]) -> tuple[dict[str, Any], bool, bool]:
     """Explore every scenario and every mutant in this process.
 
     Args:
@@ -351,4 +351,4 @@
     """
     runs = (explore_scenario(name, states) for name in SCENARIOS)
     hunts = (explore_mutant(place, max(MIN_MUTANT_STATES, states)) for place in range(len(MUTANTS)))
-    return account(SCENARIOS, MUTANTS, runs, hunts, lambda line: tell(f"feed: {line}"))
+    return summarize_explorations(SCENARIOS, MUTANTS, runs, hunts, lambda line: tell(f"feed: {line}"))
--- a/thistleline/lab/simulation/feed_world.py
+++ b/thistleline/lab/simulation/feed_world.py
@@ -643,7 +643,7 @@
     spends: str = ""
 
 
-def successors(world: FeedWorld) -> Iterator[tuple[str, FeedWorld]]:
+def next_states(world: FeedWorld) -> Iterator[tuple[str, FeedWorld]]:
     """Yield each event that may happen in a world, with the world after it."""
     for step in _permitted_steps(world):
         successor = world.copy()
--- a/thistleline/lab/simulation/lease_mutants.py
+++ b/thistleline/lab/simulation/lease_mutants.py
@@ -1,4 +1,7 @@
-"""Each protection taken out in turn: the exploration has to find what it guards against."""
+"""Mutation testing of the lease service by exhaustive exploration.
+
+Each protection is removed in turn: the exploration has to find the violation that it prevents.
+"""
 
 import os
 from collections.abc import Callable, Iterable, Iterator
@@ -26,9 +29,9 @@
     next_states,
     settle,
 )
-from thistleline.lease import holder as holding
-from thistleline.lease import protocol as terms
-from thistleline.lease import table as tables
+from thistleline.lease import holder as holder_module
+from thistleline.lease import protocol
+from thistleline.lease import table as table_module
 from thistleline.lease.fencing import HighestEpochs
 from thistleline.lease.holder import LeaseHolder
 from thistleline.lease.holder_events import AcquireStarted, GrantHinted, ReleaseRequested
@@ -37,38 +40,50 @@
 from thistleline.reducer.events import DeadlineReached
 
 DEPTH = 40
-FAST_LEADER = (5, 4, 4, 3, 3)  # the leader's clock a quarter fast, the holders' a quarter slow
+FAST_LEADER = (5, 4, 4, 3, 3)  # clock rates: the leader's a quarter fast, the holders' a quarter slow
 
 
 class Mutant(NamedTuple):
-    what: str  # the protection that is left out
+    """A variant of the lease service with one protection removed.
+
+    Attributes:
+        protection: What is removed.
+        patches: Each an owner, the name of its attribute, and the attribute's replacement.
+        scenario: Name of the scenario in which the violation shows.
+        quick: Whether the violation shows within the first few thousand states.
+    """
+
+    protection: str
     patches: tuple[tuple[Any, str, Any], ...]
-    scenario: str  # where its fault shows
-    quick: bool = True  # found among the first few thousand states
+    scenario: str
+    quick: bool = True
 
 
-def mutant(what: str, scenario: str, *patch: Any, quick: bool = True) -> Mutant:
-    """`patch`: where, a name there and what takes its place, one after another."""
-    return Mutant(what, tuple(patch[place : place + 3] for place in range(0, len(patch), 3)), scenario, quick)
+def make_mutant(protection: str, scenario: str, *patch: Any, quick: bool = True) -> Mutant:
+    """Build a mutant; `patch` is a flat list of owner, attribute name and replacement."""
+    return Mutant(
+        protection, tuple(patch[place : place + 3] for place in range(0, len(patch), 3)), scenario, quick
+    )
 
 
 @contextmanager
-def without(patches: tuple[tuple[Any, str, Any], ...]) -> Iterator[None]:
+def patched(patches: tuple[tuple[Any, str, Any], ...]) -> Iterator[None]:
+    """Replace attributes for the duration of a `with` block."""
     before = [(where, name, getattr(where, name)) for where, name, _ in patches]
-    for where, name, put in patches:
-        setattr(where, name, put)
+    for where, name, replacement in patches:
+        setattr(where, name, replacement)
     try:
         yield
     finally:
-        for where, name, had in before:
-            setattr(where, name, had)
+        for where, name, original in before:
+            setattr(where, name, original)
 
 
 # ---- where explorations begin
 
 
-def _beaten(world: LeaseWorld, ticks: int) -> LeaseWorld:
-    """So long on, v0 having led all the while."""
+def _advance_led_by_v0(world: LeaseWorld, ticks: int) -> LeaseWorld:
+    """Advance by `ticks`, with v0 leading all the time."""
     for _ in range(ticks):
         world.ticks += 1
         world.step_replica(0, DeadlineReached())
@@ -76,15 +91,15 @@
     return world
 
 
-def _nearly_over() -> LeaseWorld:
-    """h1 has not been heard for its length but for the leader's next look; h2 waits."""
-    world = _beaten(lease_held(FAST_LEADER), 1)
+def _unnoticed_expiry() -> LeaseWorld:
+    """Return a world where the lease of h1 has run out, but the leader has yet to check; h2 waits."""
+    world = _advance_led_by_v0(lease_held(FAST_LEADER), 1)
     world.ticks += 1
     return world
 
 
 def _late_answer() -> LeaseWorld:
-    """h1 was granted it a tick ago, the answer is still on its way; h2 waits."""
+    """Return a world where the grant to h1 is a tick old and its answer still in flight; h2 waits."""
     world = cluster_with_leader(FAST_LEADER)
     world.step_holder(0, AcquireStarted())
     while world.net[0].to != "h1":
@@ -94,20 +109,21 @@
     settle(world)
     world.step_holder(1, AcquireStarted())
     settle(world)
-    _beaten(world, 1)
+    _advance_led_by_v0(world, 1)
     world.net = (answer,)
     return world
 
 
-def _renewed() -> LeaseWorld:
-    world = _beaten(lease_held(FAST_LEADER), 1)
+def _renewed_lease() -> LeaseWorld:
+    """Return a world where h1 has just renewed the lease; h2 waits."""
+    world = _advance_led_by_v0(lease_held(FAST_LEADER), 1)
     world.step_holder(0, DeadlineReached())
     settle(world)
     return world
 
 
-def _deposed() -> LeaseWorld:
-    """v0 leads and is cut off; v1 has been elected, v0 does not know, and h1 still asks v0."""
+def _deposed_leader() -> LeaseWorld:
+    """Return a world where v1 was elected and v0, cut off, still takes itself for the leader; h1 asks v0."""
     world = lease_held((4, 5, 5, 3, 3))
     world.ticks += 1
     world.step_holder(0, DeadlineReached())
@@ -119,8 +135,8 @@
     return world
 
 
-def _behind() -> LeaseWorld:
-    """v2 has not heard of anything that was decided."""
+def _lagging_replica() -> LeaseWorld:
+    """Return a world where v2 has received no entry since the election."""
     world = cluster_with_leader()
     world.step_holder(0, AcquireStarted())
     settle(world, lambda source, to: "v2" not in (source, to))
@@ -128,8 +144,8 @@
     return world
 
 
-def _standing() -> LeaseWorld:
-    """v0 stands; its word is on the way to v1, that to v2 is lost."""
+def _candidate() -> LeaseWorld:
+    """Return a world where v0 is a candidate; its vote request is in flight to v1, that to v2 is lost."""
     world = new_cluster()
     world.ticks += 2
     world.step_replica(0, DeadlineReached())
@@ -141,8 +157,8 @@
     return world
 
 
-def _passed_on(rates: tuple[int, ...]) -> LeaseWorld:
-    """h0 has given it back: h1 has it from the line and does not know; h2 is next."""
+def _released_to_next(rates: tuple[int, ...]) -> LeaseWorld:
+    """Return a world where h0 released the lease and h1 was granted it unawares; h2 is next."""
     world = cluster_with_leader(rates)
     world.add_holders("h0", "h1", "h2")
     for place in range(3):
@@ -153,20 +169,25 @@
     return world
 
 
-def _unaware() -> LeaseWorld:
-    """h1 was granted it from the line two ticks ago and does not know; its word is on the way, and the leader
-    has just proposed that the lease is over. h2 is next."""
-    world = _passed_on((5, 4, 4, 3, 3, 3))
-    _beaten(world, 1)
+def _grant_unknown() -> LeaseWorld:
+    """Return a world where h1 was granted the lease two ticks ago and does not know.
+
+    Its request is in flight, and the leader has just proposed that the lease expires. h2 is next.
+    """
+    world = _released_to_next((5, 4, 4, 3, 3, 3))
+    _advance_led_by_v0(world, 1)
     world.ticks += 1
     world.step_holder(1, GrantHinted())
     world.step_replica(0, DeadlineReached())
     return world
 
 
-def _unaware_deposed() -> LeaseWorld:
-    """As before, but v0 is cut off and v1 was elected a tick ago; h1's word is on the way to v0."""
-    world = _passed_on((4, 5, 5, 3, 3, 3))
+def _grant_unknown_leader_deposed() -> LeaseWorld:
+    """Return the world of `_grant_unknown`, but v0 is cut off and v1 was elected a tick ago.
+
+    The request of h1 is in flight to v0.
+    """
+    world = _released_to_next((4, 5, 5, 3, 3, 3))
     world.step_replica(0, DeadlineReached())
     settle(world)
     world.ticks += 1
@@ -178,21 +199,24 @@
     return world
 
 
-def _asked_again() -> LeaseWorld:
-    """h1 was granted it, the answer was lost; it asks again as its length is nearly over. h2 waits."""
+def _repeated_request() -> LeaseWorld:
+    """Return a world where h1 repeats its request as its granted lease nearly runs out; h2 waits.
+
+    The answer to the first request was lost.
+    """
     world = cluster_with_leader(FAST_LEADER)
     world.step_holder(0, AcquireStarted())
     settle(world, lambda source, to: to != "h1")
     world.step_holder(1, AcquireStarted())
     settle(world)
-    _beaten(world, 1)
+    _advance_led_by_v0(world, 1)
     world.ticks += 1
     world.step_holder(0, DeadlineReached())
     return world
 
 
-def _doubled_wish() -> LeaseWorld:
-    """h1 asked twice, as an answer came late; one copy is still in flight."""
+def _duplicate_request() -> LeaseWorld:
+    """Return a world where h1 asked twice, as an answer came late; one copy is still in flight."""
     world = cluster_with_leader()
     world.step_holder(0, AcquireStarted())
     copy = world.net[0]
@@ -201,8 +225,8 @@
     return world
 
 
-def _freed() -> LeaseWorld:
-    """h1 holds and has acted; nobody waits."""
+def _sole_holder() -> LeaseWorld:
+    """Return a world where h1 holds the lease and has acted; no other holder waits."""
     world = cluster_with_leader()
     world.step_holder(0, AcquireStarted())
     settle(world)
@@ -212,12 +236,12 @@
 
 
 def _act_in_flight() -> LeaseWorld:
-    """An act of h1 is still on its way to the resource; h1's time is over, h2 holds."""
+    """Return a world where an act of h1 is in flight to the resource; h2 holds the lease now."""
     world = lease_held(FAST_LEADER)
     world.act(0)
     act = world.net[0]
     world.net = ()
-    _beaten(world, 2)
+    _advance_led_by_v0(world, 2)
     world.step_holder(1, GrantHinted())
     settle(world)
     assert world.holders[1].phase == "held"
@@ -225,8 +249,11 @@
     return world
 
 
-def _undecided() -> LeaseWorld:
-    """The paper's figure 8: v0 leads again; v2 has another entry where v0 has one of an earlier term."""
+def _uncommitted_of_earlier_term() -> LeaseWorld:
+    """Return the world of figure 8 of the Raft paper.
+
+    v0 leads again; v2 has another entry where v0 has one of an earlier term.
+    """
     world = new_cluster()
     for place in (0, 2, 0):
         while world.servers[place].replica.state.phase is not Phase.LEADER:
@@ -252,17 +279,17 @@
         Scenario("election", new_cluster, ticks=3, crashes=1, doubles=1, elections=2, active_holders=()),
         Scenario(
             "standing",
-            _standing,
+            _candidate,
             crashes=1,
             elections=2,
             net=4,
             active_holders=(),
             elapse=(2,),
         ),
-        Scenario("behind", _behind, ticks=1, elections=3, active_holders=(), elapse=(0, 2)),
+        Scenario("behind", _lagging_replica, ticks=1, elections=3, active_holders=(), elapse=(0, 2)),
         Scenario(
             "undecided of an earlier term",
-            _undecided,
+            _uncommitted_of_earlier_term,
             ticks=2,
             elections=4,
             net=3,
@@ -280,152 +307,185 @@
             net=5,
             acts=1,
         ),
-        Scenario("nearly over", _nearly_over, ticks=1, crashes=1, elections=1, net=5, elapse=(0,)),
+        Scenario("nearly over", _unnoticed_expiry, ticks=1, crashes=1, elections=1, net=5, elapse=(0,)),
         Scenario("late answer", _late_answer, ticks=2, elections=1, net=5, elapse=(0,)),
-        Scenario("renewed", _renewed, ticks=2, elections=1, net=5, elapse=(0,)),
-        Scenario("deposed leader", _deposed, ticks=2, elections=2, elapse=(1,)),
-        Scenario("unaware of its grant", _unaware, elections=1, elapse=(9,), active_holders=(2,)),
+        Scenario("renewed", _renewed_lease, ticks=2, elections=1, net=5, elapse=(0,)),
+        Scenario("deposed leader", _deposed_leader, ticks=2, elections=2, elapse=(1,)),
+        Scenario("unaware of its grant", _grant_unknown, elections=1, elapse=(9,), active_holders=(2,)),
         Scenario(
             "unaware, and the leader deposed",
-            _unaware_deposed,
+            _grant_unknown_leader_deposed,
             ticks=1,
             elections=2,
             elapse=(1,),
             active_holders=(2,),
         ),
-        Scenario("asked again", _asked_again, elections=1, elapse=(0,), active_holders=(1,)),
-        Scenario("wish doubled", _doubled_wish, ticks=2, releases=1, elections=1, elapse=(0,)),
-        Scenario("freed", _freed, ticks=1, releases=1, acts=1, elections=1, net=5, elapse=(0,)),
+        Scenario("asked again", _repeated_request, elections=1, elapse=(0,), active_holders=(1,)),
+        Scenario("wish doubled", _duplicate_request, ticks=2, releases=1, elections=1, elapse=(0,)),
+        Scenario("freed", _sole_holder, ticks=1, releases=1, acts=1, elections=1, net=5, elapse=(0,)),
         Scenario("act in flight", _act_in_flight, ticks=1, crashes=1, acts=2, elections=1, elapse=(0,)),
     )
 }
 
 
-# ---- what is left out
+# ---- protections removed
 
 
-def _vote_told_at_once(self: ReplicaState, effect: Any) -> None:
+def _send_vote_before_durable(self: ReplicaState, effect: Any) -> None:
+    """Send a vote before it is durable."""
     self.effects.append(effect)
 
 
-def _ballot_not_kept(self: ReplicaState, term: int, vote: str) -> None:
+def _do_not_persist_vote(self: ReplicaState, term: int, vote: str) -> None:
+    """Write no vote for another replica to disk."""
     self.term, self.voted_for = term, vote
     if vote in ("", self.id):
         self.queue_record(VoteRecord(term, vote))
 
 
-def _read_at_once(self: Reads, tickets: Any) -> None:
+def _confirm_read_without_round(self: Reads, tickets: Any) -> None:
+    """Confirm a read without a round to a majority."""
     self.state.effects += [ReadReady(ticket) for ticket in tickets]
 
 
-def _commit_any_term(self: Replica) -> None:
+def _commit_entries_of_any_term(self: Replica) -> None:
+    """Commit entries of earlier terms by counting replicas."""
     index = self._replication.quorum_index()
     if index > self.state.commit_index:
         self.state.commit_index = index
         self._apply_committed()
 
 
-def _from_the_answer(
-    self: LeaseHolder, asked: int, answer: Any, had: Callable[..., None] = LeaseHolder._on_granted
+def _count_from_answer(
+    self: LeaseHolder, asked: int, answer: Any, original: Callable[..., None] = LeaseHolder._on_granted
 ) -> None:
-    had(self, self.now, answer)
+    """Count the lease from the answer instead of from the request."""
+    original(self, self.now, answer)
 
 
-def _any_log(self: Elections, request: VoteRequest) -> bool:
+def _accept_any_log(self: Elections, request: VoteRequest) -> bool:
+    """Grant votes to candidates whose log is behind."""
     return True
 
 
-def _remembers(self: LivenessTracker, now: int, table: LeaseTable) -> None:
+def _keep_renewal_times(self: LivenessTracker, now: int, table: LeaseTable) -> None:
+    """Keep the times of the last renewals when a replica becomes leader."""
     self.leases, self.waiters, self.next_checks, self.check_queue = {}, {}, {}, []
     for name, lease in table.state.leases.items():
         self._track_lease(name, lease.epoch, lease.touched_index, now)
 
 
-def _unasked(self: LivenessTracker, now: int, name: str, asker: str, table: LeaseTable) -> None:
+def _ignore_renewal(self: LivenessTracker, now: int, name: str, asker: str, table: LeaseTable) -> None:
+    """Ignore a renewal."""
     return None
 
 
-def _touched_or_not(self: LeaseTable, index: int, expire: Any) -> Any:
+def _expire_unconditionally(self: LeaseTable, index: int, expire: Any) -> Any:
+    """Expire a lease even if it was renewed or requested again since the expiry was proposed."""
     lease = self.state.leases.get(expire.name)
     if lease is None or lease.epoch != expire.epoch:
-        return terms.Denied("gone")
+        return protocol.Denied("gone")
     self._end(index, expire.name, lease, "expired", expire.wall_ms, "")
-    return terms.Done("expired")
+    return protocol.Done("expired")
 
 
-def _own_count(self: LeaseTable, index: int, lease: Any, holder_id: str, ttl: int, *_: Any) -> Any:
+def _count_epochs_by_name(self: LeaseTable, index: int, lease: Any, holder_id: str, ttl: int, *_: Any) -> Any:
+    """Count epochs for each name of its own."""
     lease.holder, lease.epoch, lease.ttl, lease.touched_index = holder_id, lease.epoch + 1, ttl, index
-    return terms.Granted(lease.epoch, ttl)
+    return protocol.Granted(lease.epoch, ttl)
 
 
-def _all_pass(self: HighestEpochs, name: str, epoch: int) -> str:
+def _accept_any_epoch(self: HighestEpochs, name: str, epoch: int) -> str:
+    """Let every epoch pass the fence."""
     return "known"
 
 
-def _read_decided(self: Reads, tickets: Any) -> None:
+def _read_at_commit_index(self: Reads, tickets: Any) -> None:
+    """Answer reads at the commit index instead of at the end of the log."""
     self.waiting += [PendingRead(self.state.commit_index, ticket) for ticket in tickets]
     if self.waiting and not self.in_round:
         self._start_round()
 
 
-def _whole(length: int) -> int:
+def _whole_ttl(length: int) -> int:
+    """Return the whole length of a lease, without the allowance for drift."""
     return length
 
 
 MUTANTS = (
-    mutant("a vote is durable before it is told", "standing",
-            ReplicaState, "emit_once_durable", _vote_told_at_once),
-    mutant("a vote is kept at all", "standing", ReplicaState, "record_vote", _ballot_not_kept),
-    mutant("votes go to a log that is not behind", "behind", Elections, "_is_log_current", _any_log),
-    mutant("only entries of its own term are counted", "undecided of an earlier term",
-            Replica, "_advance_commit", _commit_any_term, replication, "MAX_APPEND_ENTRIES", 1),
-    mutant("a round confirms the leader before it answers", "unaware, and the leader deposed",
-            Reads, "request", _read_at_once),
-    mutant("answers wait for all that stands in the log", "unaware of its grant",
-            Reads, "request", _read_decided, quick=False),
-    mutant("the right counts from before the request", "late answer",
-            LeaseHolder, "_on_granted", _from_the_answer),
-    mutant("the right allows for drift", "nearly over", holding, "holder_ttl", _whole),
-    mutant("a new leader counts anew", "deposed leader", LivenessTracker, "reset", _remembers),
-    mutant("who is heard is counted on", "renewed", LivenessTracker, "renew", _unasked),
-    mutant("an expiry does not end what was touched since", "asked again",
-            LeaseTable, "_expire", _touched_or_not, quick=False),
-    mutant("epochs are one count for all names", "freed", LeaseTable, "_grant", _own_count),
-    mutant("what was given back is not granted again", "wish doubled", tables, "MAX_RELEASED", 0),
-    mutant("the fence", "act in flight", HighestEpochs, "classify", _all_pass),
+    make_mutant("a vote is durable before it is told", "standing",
+            ReplicaState, "emit_once_durable", _send_vote_before_durable),
+    make_mutant("a vote is kept at all", "standing", ReplicaState, "record_vote", _do_not_persist_vote),
+    make_mutant("votes go to a log that is not behind", "behind",
+            Elections, "_is_log_current", _accept_any_log),
+    make_mutant("only entries of its own term are counted", "undecided of an earlier term",
+            Replica, "_advance_commit", _commit_entries_of_any_term, replication, "MAX_APPEND_ENTRIES", 1),
+    make_mutant("a round confirms the leader before it answers", "unaware, and the leader deposed",
+            Reads, "request", _confirm_read_without_round),
+    make_mutant("answers wait for all that stands in the log", "unaware of its grant",
+            Reads, "request", _read_at_commit_index, quick=False),
+    make_mutant("the right counts from before the request", "late answer",
+            LeaseHolder, "_on_granted", _count_from_answer),
+    make_mutant("the right allows for drift", "nearly over", holder_module, "holder_ttl", _whole_ttl),
+    make_mutant("a new leader counts anew", "deposed leader", LivenessTracker, "reset", _keep_renewal_times),
+    make_mutant("who is heard is counted on", "renewed", LivenessTracker, "renew", _ignore_renewal),
+    make_mutant("an expiry does not end what was touched since", "asked again",
+            LeaseTable, "_expire", _expire_unconditionally, quick=False),
+    make_mutant("epochs are one count for all names", "freed", LeaseTable, "_grant", _count_epochs_by_name),
+    make_mutant("what was given back is not granted again", "wish doubled", table_module, "MAX_RELEASED", 0),
+    make_mutant("the fence", "act in flight", HighestEpochs, "classify", _accept_any_epoch),
 )  # fmt: skip
 
 
-def _explored(what: str, states: int) -> Explored:
+def _explore_scenario(what: str, states: int) -> Explored:
+    """Explore a scenario up to a number of states."""
     return explore(begin(SCENARIOS[what]), next_states, DEPTH, states)
 
 
-def _hunted(place: int, states: int) -> Explored:
-    left_out = MUTANTS[place]
-    with without(left_out.patches):
-        return explore(begin(SCENARIOS[left_out.scenario]), next_states, DEPTH, states)
+def _explore_mutant(place: int, states: int) -> Explored:
+    """Explore the scenario of a mutant until its violation shows, or up to a number of states."""
+    removed = MUTANTS[place]
+    with patched(removed.patches):
+        return explore(begin(SCENARIOS[removed.scenario]), next_states, DEPTH, states)
+
+
+def run_mutation_tests(states: int, tell: Callable[[str], None]) -> tuple[dict[str, Any], bool]:
+    """Explore every scenario and every mutant in parallel processes.
 
+    Args:
+        states: States of each scenario, and of a mutant if more than 100,000.
+        tell: Called with each line of progress.
 
-def prove(states: int, tell: Callable[[str], None]) -> tuple[dict[str, Any], bool]:
-    """Explores each scenario to so many states, and each mutant till its fault shows, 100,000 at the least.
-    Whether all held that should, and all broke that should."""
+    Returns:
+        The figures, and whether every scenario held and every mutant was caught.
+    """
     with ProcessPoolExecutor(os.cpu_count()) as pool:
-        runs = [pool.submit(_explored, what, states) for what in SCENARIOS]
-        hunts = [pool.submit(_hunted, place, max(100_000, states)) for place in range(len(MUTANTS))]
+        runs = [pool.submit(_explore_scenario, what, states) for what in SCENARIOS]
+        hunts = [pool.submit(_explore_mutant, place, max(100_000, states)) for place in range(len(MUTANTS))]
         found = (one.result() for one in runs), (one.result() for one in hunts)
-        figures, good, caught = account(SCENARIOS, MUTANTS, *found, tell)
+        figures, good, caught = summarize_explorations(SCENARIOS, MUTANTS, *found, tell)
     return figures, good and caught
 
 
-def account(
+def summarize_explorations(
     scenarios: Iterable[str],
     mutants: Iterable[Mutant],
     runs: Iterable[Explored],
     hunts: Iterable[Explored],
     tell: Callable[[str], None],
 ) -> tuple[dict[str, Any], bool, bool]:
-    """What was found of each scenario and each mutant, in their order. Whether all held that should, and
-    whether all broke that should."""
+    """Summarize the explorations of scenarios and mutants.
+
+    Args:
+        scenarios: Names of the scenarios.
+        mutants: All mutants.
+        runs: The explorations of the scenarios, in their order.
+        hunts: The explorations of the mutants, in their order.
+        tell: Called with a line for each.
+
+    Returns:
+        The figures, whether every scenario held, and whether every mutant was caught.
+    """
     figures: dict[str, Any] = {}
     good, caught, total = True, True, 0
     for what, found in zip(scenarios, runs, strict=True):
@@ -438,7 +498,7 @@
     figures["states"] = total
     for one, found in zip(mutants, hunts, strict=True):
         caught &= bool(found.wrong)
-        told = {"steps": len(found.trace), "wrong": found.wrong, "states": found.states}
-        figures[f"without: {one.what}"] = told
-        tell(f"without: {one.what}: {told}")
+        mutant_figures = {"steps": len(found.trace), "wrong": found.wrong, "states": found.states}
+        figures[f"without: {one.protection}"] = mutant_figures
+        tell(f"without: {one.protection}: {mutant_figures}")
     return figures, good, caught
