--- a/tests/test_feed_worlds.py
+++ b/tests/test_feed_worlds.py
@@ -13,7 +13,7 @@
 from thistleline.lab.scale import feed
 from thistleline.lab.scale.feed import Load, begin, case, made_table
 from thistleline.lab.simulation import feed_mutants as feedmutants
-from thistleline.lab.simulation.feed_fleet import LENGTH, Oracle, Shared, VirtualFeed, quantile
+from thistleline.lab.simulation.feed_fleet import LEASE_LENGTH, Oracle, SharedTable, VirtualFeed, quantile
 from thistleline.lab.simulation.feed_mutants import MUTANTS, SCENARIOS, explore_scenario
 
 # ---- explored
@@ -42,23 +42,23 @@
 def test_the_oracle_sees_what_is_half_there_lost_or_another_s() -> None:
     table = FeedTable().update(1, [("common/a", b"{}", 1), ("tenant/t", b"{}", 1)])
     oracle = Oracle(table)
-    oracle.acknowledged(2, (("common/a", b'{"a":2}'), ("common/b", b"{}")))
+    oracle.acknowledge(2, (("common/a", b'{"a":2}'), ("common/b", b"{}")))
     whole = table.update(2, [("common/a", b'{"a":2}', 2), ("common/b", b"{}", 2)])
     oracle.check(whole, "all", 1)
-    assert (oracle.wrong, oracle.whole(whole, "all")) == ("", "")
+    assert (oracle.wrong, oracle.difference(whole, "all")) == ("", "")
     half = table.update(2, [("common/a", b'{"a":2}', 2)])
     oracle.check(half, "all", 1)
     assert "common/b" in oracle.wrong or "entries" in oracle.wrong
-    assert oracle.whole(half, "all")
-    assert oracle.whole(table, "all")  # it ends too early
-    assert oracle.whole(whole.update(2, [("common/b", b"[]", 2)]), "all")
+    assert oracle.difference(half, "all")
+    assert oracle.difference(table, "all")  # it ends too early
+    assert oracle.difference(whole.update(2, [("common/b", b"[]", 2)]), "all")
     oracle = Oracle(table)
-    oracle.acknowledged(3, (("common/a", None),))
+    oracle.acknowledge(3, (("common/a", None),))
     assert oracle.wrong  # 2 was never acknowledged
 
 
 def test_shared_states_are_those_that_each_would_make() -> None:
-    plain, shared = FeedTable(), Shared()
+    plain, shared = FeedTable(), SharedTable()
     items = (("common/a", b"{}", 1), ("tenant/t", b"{}", 1), ("route/r", b"{}", 1))
     assert shared.update(1, items) == plain.update(1, items)
     assert shared.update(1, items) is shared.update(1, items)
@@ -69,7 +69,7 @@
 
 def test_a_shared_state_tells_its_entries_in_one_order_in_every_process() -> None:
     keys = [f"route/r{place}" for place in range(100)]
-    shared = Shared().update(1, tuple((key, b"{}", 1) for key in reversed(keys)))
+    shared = SharedTable().update(1, tuple((key, b"{}", 1) for key in reversed(keys)))
     assert [key for key, _, _ in shared.entries("wide")] == sorted(keys)
     assert sorted(FeedTable(*shared).entries("all")) == list(shared.entries("all"))
 
@@ -130,7 +130,7 @@
     load.plan(5.0, 4.0)
     fleet.run(fleet.now + 4 * SECOND)
     last = fleet.oracle.last
-    behind = [name for name in fleet.instances if fleet.places[name].number < last - 5]
+    behind = [name for name in fleet.instances if fleet.processes[name].number < last - 5]
     assert behind in ([], ["i0"])
     fleet.settle()
     assert not fleet.behind()
@@ -153,7 +153,7 @@
     load = Load(fleet, 50, 50, 1)
     load.plan(5.0, 3.0)
     fleet.run(fleet.now + 2 * SECOND)
-    place = fleet.places["i1"]
+    place = fleet.processes["i1"]
     older = fleet.wide
     place.durable = older
     fleet.restart("i1", False)
@@ -167,22 +167,22 @@
 
 def test_zones_are_dealt_out_to_regions_that_differ_in_size_with_them() -> None:
     fleet = VirtualFeed(made_table(5, 5, 1), 1, 270, regions=10, relays=2, keepers=5, zones=27)
-    zones = Counter(fleet.places[name].zone for name in fleet.instances)
+    zones = Counter(fleet.processes[name].zone for name in fleet.instances)
     assert set(zones.values()) == {10}
-    regions = Counter(fleet.places[name].region for name in fleet.instances)
+    regions = Counter(fleet.processes[name].region for name in fleet.instances)
     assert Counter(regions.values()) == {30: 7, 20: 3}
-    for place in fleet.places.values():
+    for place in fleet.processes.values():
         assert place.zone % 10 == place.region
-    relays = [fleet.places[name] for name in fleet.relays if fleet.places[name].region == 0]
+    relays = [fleet.processes[name] for name in fleet.relays if fleet.processes[name].region == 0]
     assert [one.zone for one in relays] == [0, 10]
 
 
 def test_a_zone_is_lost_with_its_relay_and_its_instances_come_back_to_the_other_one() -> None:
     fleet = small(zones=6)
     told = case(Load(fleet, 50, 50, 1), 5.0, 12.0, lambda: feed.zone_lost(fleet))
-    assert [name for name in fleet.relays if not fleet.places[name].alive] == ["r0.1"]
+    assert [name for name in fleet.relays if not fleet.processes[name].alive] == ["r0.1"]
     assert told["relay_followers_most"] >= 8  # all of the region, where 4 were before
-    assert all(fleet.places[name].since > 0 for name in feed.of_zone(fleet, 3))
+    assert all(fleet.processes[name].since > 0 for name in feed.of_zone(fleet, 3))
     assert not told["behind"]
     assert told["last_ms"] < 7000
     assert not fleet.faults()
@@ -193,7 +193,7 @@
 
 def test_the_lease_is_as_long_as_a_keeper_s_where_nothing_is_said() -> None:
     (lease,) = (one for one in msgspec.structs.fields(FeedConfig) if one.name == "lease")
-    assert lease.default == LENGTH
+    assert lease.default == LEASE_LENGTH
 
 
 def test_another_writes_once_the_lease_has_run_out_and_the_old_one_follows_it() -> None:
@@ -203,25 +203,25 @@
     feed.writer_dies(fleet)
     fleet.run(died + 10 * SECOND, lambda: any(one.node.is_writer for one in keepers(fleet) if one.alive))
     assert fleet.writer().name != first
-    assert LENGTH // 2 < fleet.now - died < LENGTH + SECOND
+    assert LEASE_LENGTH // 2 < fleet.now - died < LEASE_LENGTH + SECOND
     fleet.run(died + 30 * SECOND)
-    old = fleet.places[first]
+    old = fleet.processes[first]
     assert old.alive
     assert not old.node.is_writer  # type: ignore[attr-defined]
     fleet.propose(Propose("later", (("common/x", b"{}"),)))
     fleet.settle()
-    assert fleet.made["later"] == fleet.oracle.last == old.number
+    assert fleet.sequence_by_request["later"] == fleet.oracle.last == old.number
     assert not fleet.faults()
 
 
 def keepers(fleet: VirtualFeed) -> list[Any]:
-    return [fleet.places[name] for name in fleet.kept]
+    return [fleet.processes[name] for name in fleet.keepers]
 
 
 def test_what_is_asked_while_the_writer_is_dead_is_asked_again_until_it_is_known() -> None:
     fleet = small()
     told = case(Load(fleet, 50, 50, 1), 5.0, 12.0, lambda: feed.writer_dies(fleet))
-    assert told["changes"] == len(fleet.made)
+    assert told["changes"] == len(fleet.sequence_by_request)
     assert not fleet.proposals
     assert not told["behind"]
     assert told["last_from_first_asking_ms"] > 4000  # who asked the dead one waited for its answer
@@ -236,27 +236,27 @@
     records = fleet.leases.state.records
     fleet.run(fleet.now + SECOND, lambda: any(b"once" in value for value, _ in records.values()))
     assert fleet.index > decided
-    assert "once" not in fleet.made
+    assert "once" not in fleet.sequence_by_request
     feed.writer_dies(fleet)
     fleet.propose(Propose("after", (("common/y", b"{}"),)))
     fleet.run(fleet.now + 15 * SECOND)
     fleet.settle()
-    assert sorted(fleet.made, key=fleet.made.__getitem__) == ["once", "after"]
+    assert sorted(fleet.sequence_by_request, key=fleet.sequence_by_request.__getitem__) == ["once", "after"]
     assert fleet.oracle.last == fleet.start.sequence + 2
     assert not fleet.faults()
 
 
 def test_a_request_with_two_numbers_and_a_number_nobody_knows_are_faults() -> None:
     fleet = small()
-    keeper = fleet.places[fleet.kept[0]]
+    keeper = fleet.processes[fleet.keepers[0]]
     for number in (1, 2):
         fleet.propose(Propose("twice", ()))
-        fleet._answer(keeper, fleet.tickets, ProposeResult("twice", fleet.oracle.last + number))
+        fleet._on_proposal_answer(keeper, fleet.tickets, ProposeResult("twice", fleet.oracle.last + number))
     assert "twice is" in fleet.faults()[0]
     fleet = small()
     fleet.propose(Propose("later", ()))
-    fleet._answer(keeper, fleet.tickets, ProposeResult("later", fleet.oracle.last + 2))
-    assert "nobody who asked knows it" in fleet.faults()[-1]
+    fleet._on_proposal_answer(keeper, fleet.tickets, ProposeResult("later", fleet.oracle.last + 2))
+    assert "its requester does not know it" in fleet.faults()[-1]
 
 
 # ---- the cases of the run
--- a/tests/test_polled.py
+++ b/tests/test_polled.py
@@ -34,8 +34,8 @@
     content = polled.settings.content()
     assert b"common/x" in content
     assert min(leader, instances) > len(polled.instances) * len(content)
-    assert sum(polled.took.values()) == len(polled.instances)
-    assert max(polled.took) < 2000
+    assert sum(polled.latencies.values()) == len(polled.instances)
+    assert max(polled.latencies) < 2000
 
 
 def test_no_steward_asks_more_often_than_it_does() -> None:
@@ -77,7 +77,7 @@
     polled.run(polled.now + 20 * SECOND)
     polled.settle()
     assert not polled.behind()
-    assert sum(polled.took.values()) == 60 * len(polled.instances)
+    assert sum(polled.latencies.values()) == 60 * len(polled.instances)
 
 
 def test_the_feed_s_lines_stand_beside_those_of_today() -> None:
--- a/thistleline/lab/scale/feed.py
+++ b/thistleline/lab/scale/feed.py
@@ -153,7 +153,7 @@
         while (when := when + self.looks.expovariate(rate) * SECOND) < end:
             key, name = self.tenant(self.looks), self.looks.choice(fleet.instances)
             for later in range(3):  # asked for, then known, then perhaps another value
-                fleet.at(int(when) + later * 1500 * MS, fleet.look, name, key)
+                fleet.at(int(when) + later * 1500 * MS, fleet.look_up, name, key)
 
 
 def case(
@@ -161,8 +161,8 @@
 ) -> dict[str, Any]:
     """Changes for so long, with a fault after this part of it; then until all stand at the newest."""
     fleet = load.fleet
-    fleet.took.clear()
-    fleet.took_all.clear()
+    fleet.latencies.clear()
+    fleet.latencies_from_first.clear()
     first, began = fleet.oracle.last, fleet.now
     names = fleet.instances
     before, above = fleet.totals(names), fleet.totals(fleet.relays)
@@ -190,18 +190,18 @@
         (new[0] + new[1] - old[0] - old[1]) / spent
         for old, new in zip(above, fleet.totals(fleet.relays), strict=True)
     ]
-    followers = max(len(fleet.places[one].peers) for one in fleet.relays if fleet.places[one].alive)
+    followers = max(len(fleet.processes[one].peers) for one in fleet.relays if fleet.processes[one].alive)
     cpu = sum(new[5] - old[5] for old, new in zip(before, fleet.totals(names), strict=True))
     (written,) = fleet.totals([writer])
     settled = fleet.settle()
     changes = fleet.oracle.last - first
     return {
         "changes": changes,
-        "middle_ms": quantile(fleet.took, 0.5),
-        "of_99_in_100_ms": quantile(fleet.took, 0.99),
-        "last_ms": max(fleet.took, default=0),
-        "last_from_first_asking_ms": max((*fleet.took, *fleet.took_all), default=0),
-        "counted": sum(fleet.took.values()),
+        "middle_ms": quantile(fleet.latencies, 0.5),
+        "of_99_in_100_ms": quantile(fleet.latencies, 0.99),
+        "last_ms": max(fleet.latencies, default=0),
+        "last_from_first_asking_ms": max((*fleet.latencies, *fleet.latencies_from_first), default=0),
+        "counted": sum(fleet.latencies.values()),
         "settled_s": round(settled / SECOND, 2),
         "behind": fleet.behind(),
         "instance_bytes_s": round(sum(bytes_each) / len(bytes_each), 1),
@@ -225,7 +225,7 @@
 
 
 def of_zone(fleet: VirtualFeed, zone: int) -> list[str]:
-    return [one for one in fleet.instances if fleet.places[one].zone == zone]
+    return [one for one in fleet.instances if fleet.processes[one].zone == zone]
 
 
 def returns(fleet: VirtualFeed, names: list[str], dead: int, spread: int, cold: bool) -> None:
@@ -248,9 +248,9 @@
 
 def zone_lost(fleet: VirtualFeed) -> None:
     """A zone is gone with the relay that stands in it. Its instances come back, the relay does not."""
-    zone = fleet.places[fleet.relays[1]].zone
+    zone = fleet.processes[fleet.relays[1]].zone
     for name in fleet.relays:
-        if fleet.places[name].zone == zone:
+        if fleet.processes[name].zone == zone:
             fleet.kill(name)
     returns(fleet, of_zone(fleet, zone), ZONE_DEAD, 2 * SECOND, False)
 
@@ -272,22 +272,22 @@
     within less: what has to be caught up with depends on the changes, not on the time."""
     fleet = load.fleet
     half = range(fleet.regions - fleet.regions // 2, fleet.regions)
-    away = [one.name for one in fleet.places.values() if one.region in half and one.name[0] == "i"]
-    above = [one.name for one in fleet.places.values() if one.region in half and one.name[0] != "i"]
-    fleet.cut = lambda one, other: (one in half) != (other in half)
+    away = [one.name for one in fleet.processes.values() if one.region in half and one.name[0] == "i"]
+    above = [one.name for one in fleet.processes.values() if one.region in half and one.name[0] != "i"]
+    fleet.is_cut = lambda one, other: (one in half) != (other in half)
     first = fleet.oracle.last
     load.plan(rate, changes / rate)
     fleet.run(fleet.now + int(changes / rate * SECOND) + 5 * SECOND)
-    stood = {fleet.places[name].number for name in away}
-    fleet.cut = lambda one, other: False
-    fleet.took.clear()
+    stood = {fleet.processes[name].number for name in away}
+    fleet.is_cut = lambda one, other: False
+    fleet.latencies.clear()
     healed, newest = fleet.now, fleet.oracle.last
     before, higher = fleet.totals(away), fleet.totals(above)
     load.plan(changes / 3600, 10)
     caught = [False]
 
     def over() -> bool:
-        caught[0] = all(one.number >= newest for one in fleet.places.values() if one.alive)
+        caught[0] = all(one.number >= newest for one in fleet.processes.values() if one.alive)
         return caught[0]
 
     fleet.run(fleet.now + 120 * SECOND, over)
@@ -373,7 +373,7 @@
 
 def begin(fleet: VirtualFeed) -> None:
     """All joined, somebody writes."""
-    fleet.hold(fleet.kept[0])
+    fleet.give_lease_to(fleet.keepers[0])
     fleet.run(10 * SECOND)
 
 
@@ -438,7 +438,9 @@
         told = case(load, rate_of(name), plan.span(name), faults.get(name))
     if name == "the writer dies":
         del told["writer_messages_change"], told["writer_bytes_change"]  # of the one that died
-    told |= {"refused": len(fleet.refused)} | {f"looked up, {what}": n for what, n in fleet.looked.items()}
+    told |= {"refused": len(fleet.refused)} | {
+        f"looked up, {what}": n for what, n in fleet.lookup_counts.items()
+    }
     told["cpu_s_of_this_run"] = round(process_time() - began, 1)
     return told, fleet.faults() + [f"refused: {why}" for why in fleet.refused[:3]]
 
@@ -464,10 +466,10 @@
     settled = fleet.settle()
     return {
         "changes": fleet.changes,
-        "middle_ms": quantile(fleet.took, 0.5),
-        "of_99_in_100_ms": quantile(fleet.took, 0.99),
-        "last_ms": max(fleet.took, default=0),
-        "counted": sum(fleet.took.values()),
+        "middle_ms": quantile(fleet.latencies, 0.5),
+        "of_99_in_100_ms": quantile(fleet.latencies, 0.99),
+        "last_ms": max(fleet.latencies, default=0),
+        "counted": sum(fleet.latencies.values()),
         "settled_s": round(settled / SECOND, 2),
         "behind": fleet.behind(),
         "instance_bytes_s": round(instances / len(fleet.instances), 1),
@@ -635,10 +637,10 @@
     begin(fleet)
     name = fleet.instances[0]
     fleet.restart(name, True)
-    before = fleet.places[name].got_bytes + fleet.places[name].sent_bytes
-    fleet.run(fleet.now + 30 * SECOND, lambda: fleet.places[name].number == fleet.oracle.last)
-    assert fleet.places[name].number == fleet.oracle.last
-    return fleet.places[name].got_bytes + fleet.places[name].sent_bytes - before
+    before = fleet.processes[name].got_bytes + fleet.processes[name].sent_bytes
+    fleet.run(fleet.now + 30 * SECOND, lambda: fleet.processes[name].number == fleet.oracle.last)
+    assert fleet.processes[name].number == fleet.oracle.last
+    return fleet.processes[name].got_bytes + fleet.processes[name].sent_bytes - before
 
 
 def apply_costs(table: FeedTable, repeats: int = 2000) -> dict[str, Any]:
--- a/thistleline/lab/scale/followers.py
+++ b/thistleline/lab/scale/followers.py
@@ -30,7 +30,7 @@
 from thistleline.config_feed.messages import Kind, SnapshotPart
 from thistleline.config_feed.table import PARTIAL_PREFIXES, FeedTable
 from thistleline.lab.scale.feed import HOT, LOOKS, tenant_key
-from thistleline.lab.simulation.feed_fleet import Shared
+from thistleline.lab.simulation.feed_fleet import SharedTable
 from thistleline.transport.codec import FrameDecoder, encode_frame
 
 MAX_SHARED_PARTS = 4_000
@@ -90,7 +90,7 @@
     """A snapshot as far as it was received; one table is made of it for all followers with equal parts."""
 
     known: ClassVar[dict[Items, Items]] = {}
-    made: ClassVar[dict[tuple[int, tuple[Items, ...]], Shared]] = {}
+    made: ClassVar[dict[tuple[int, tuple[Items, ...]], SharedTable]] = {}
 
     def __init__(self, sequence: int = 0, parts: tuple[Items, ...] = ()) -> None:
         """Take the sequence number and the parts received."""
@@ -111,13 +111,13 @@
         """Return the digest of the table."""
         return self.table(kind).digest(kind)
 
-    def table(self, kind: Kind) -> Shared:
+    def table(self, kind: Kind) -> SharedTable:
         """Return the shared table of these parts."""
         key = self.sequence, self.parts
         found = self.made.get(key)
         if found is None:
             entries = (one for part in self.parts for one in part)
-            found = self.made[key] = Shared(*FeedTable.update(FeedTable(), self.sequence, entries, kind))
+            found = self.made[key] = SharedTable(*FeedTable.update(FeedTable(), self.sequence, entries, kind))
             while len(self.made) > MAX_SHARED_TABLES:
                 del self.made[next(iter(self.made))]
         return found
@@ -152,7 +152,7 @@
     replacements: list[tuple[Any, str, Any]] = [
         (Follower, "_add_part", add_shared_part),
         (following, "FeedTable", SharedSnapshot),
-        (follower_service, "FeedTable", Shared),
+        (follower_service, "FeedTable", SharedTable),
         (upstream, "FrameDecoder", CountingDecoder),
         (send_queue, "encode_frame", encode_counted),
         (request, "encode_frame", encode_counted),
--- a/thistleline/lab/simulation/polled_settings.py
+++ b/thistleline/lab/simulation/polled_settings.py
@@ -19,7 +19,14 @@
 
 from thistleline.config_feed.limits import MS, SECOND
 from thistleline.config_feed.messages import Propose
-from thistleline.lab.simulation.feed_fleet import HEAD, LINE, PLENTY, SYNC, Clock, delays
+from thistleline.lab.simulation.feed_fleet import (
+    CONTROL_RATE,
+    FRAME_OVERHEAD,
+    INSTANCE_RATE,
+    SYNC_TIME,
+    VirtualClock,
+    draw_region_delays,
+)
 from thistleline.lease.protocol import MAX_VALUE_SIZE, Done, Get, Got, Put
 from thistleline.lease.table import LeaseTable, encode_decision
 from thistleline.lease.wire import Reply, Request, encode
@@ -106,7 +113,7 @@
     instance_bytes: int
 
 
-class PolledFleet(Clock):
+class PolledFleet(VirtualClock):
     """The consensus cluster's leader and all instances that poll it."""
 
     def __init__(
@@ -134,7 +141,7 @@
         self.random = Random(seed)
         self.reads_s = reads_s
         self.regions = regions
-        self.delays = delays(self.random, regions)
+        self.delays = draw_region_delays(self.random, regions)
         self.quorum_delay = self._quorum_delay(voters)
         self.table = LeaseTable()
         self.log_index = 0
@@ -150,7 +157,7 @@
         self.changes = 0  # received by the leader
         self.changes_in_transit = 0
         self.answer_sizes: dict[tuple[str, int], int] = {}
-        self.took: Counter[int] = Counter()  # ms from proposal to in force: how many (change, instance)
+        self.latencies: Counter[int] = Counter()  # ms from proposal to in force: how many (change, instance)
         self.instances = [
             PollingInstance(f"i{place:05}", place % (zones or regions) % regions)
             for place in range(instances)
@@ -199,14 +206,14 @@
             for key, value in propose.items:
                 self.settings.put(key, value)
         self.proposal_times.append([asked for asked, _ in waiting])
-        self.at(self.now + self.quorum_delay + SYNC, self._on_record_written, self.settings.content())
+        self.at(self.now + self.quorum_delay + SYNC_TIME, self._on_record_written, self.settings.content())
 
     def _on_record_written(self, content: bytes) -> None:
         """Store the record and begin to write the desired version of all instances."""
         self._put(SETTINGS, content)
         digest = digest_settings(content)
         value = encode(DesiredVersion(1, self.number, Version("1.0.0", digest, self.number, digest)))
-        self.at(self.now + MS + self.quorum_delay + SYNC, self._on_record_confirmed, value)
+        self.at(self.now + MS + self.quorum_delay + SYNC_TIME, self._on_record_confirmed, value)
 
     def _on_record_confirmed(self, value: bytes) -> None:
         """Store the desired version of all instances, and begin the next record if changes wait."""
@@ -220,7 +227,7 @@
         """Write a record of the lease table."""
         self.log_index += 1
         put = Put(key, value, self.table.get(key).version)
-        self.bytes += len(encode(Request(self.log_index, put))) + HEAD
+        self.bytes += len(encode(Request(self.log_index, put))) + FRAME_OVERHEAD
         answer = self.table.apply(self.log_index, encode_decision(put))
         assert isinstance(answer, Done), answer
 
@@ -229,9 +236,9 @@
     def _send_read(self, instance: PollingInstance, key: str) -> None:
         """Send a read of an instance to the leader."""
         instance.requests += 1
-        size = len(encode(Request(instance.requests, Get(key)))) + HEAD
+        size = len(encode(Request(instance.requests, Get(key)))) + FRAME_OVERHEAD
         instance.bytes += size
-        instance.line_free = max(instance.line_free, float(self.now)) + size / LINE
+        instance.line_free = max(instance.line_free, float(self.now)) + size / INSTANCE_RATE
         when = int(instance.line_free) + self._with_jitter(self._delay(instance.region, 0))
         self.at(when, self._on_read, instance, key, instance.requests, size)
 
@@ -250,7 +257,7 @@
         size = self._answer_size(key, got) + len(encode(number))
         self.reads += 1
         self.bytes += size
-        self.line_free = max(self.line_free, float(self.now)) + size / PLENTY
+        self.line_free = max(self.line_free, float(self.now)) + size / CONTROL_RATE
         when = int(self.line_free) + self._with_jitter(self._delay(0, instance.region))
         self.at(when, self._on_answer, instance, key, got, size)
 
@@ -258,7 +265,7 @@
         """Return the size of an answer in bytes, without its number."""
         kind = key.partition("/")[0], len(got.value)
         if kind not in self.answer_sizes:
-            self.answer_sizes[kind] = len(encode(Reply(0, Got(got.value, 0)))) - 2 + HEAD
+            self.answer_sizes[kind] = len(encode(Reply(0, Got(got.value, 0)))) - 2 + FRAME_OVERHEAD
         return self.answer_sizes[kind] + len(encode(got.version))
 
     def _on_answer(self, instance: PollingInstance, key: str, got: Got, size: int) -> None:
@@ -273,7 +280,7 @@
             instance.loading = False
             for record in range(instance.held, got.version):
                 for asked in self.proposal_times[record]:
-                    self.took[(self.now - asked) // MS] += 1
+                    self.latencies[(self.now - asked) // MS] += 1
             instance.held = got.version
         if instance.wanted > instance.held and not instance.loading:
             instance.loading = True
