--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -22,7 +22,7 @@
 from thistleline.handover.state_machine import HandoverStateMachine
 from thistleline.lab.handover import HANDOVER_SETTINGS, Load, ServerIncarnations, run_handovers
 from thistleline.lab.processes.render_farm import FakeFarmAgent
-from thistleline.lab.simulation.handover_world import play
+from thistleline.lab.simulation.handover_world import simulate_handovers
 from thistleline.lab.simulation.lease_mutants import patched
 from thistleline.ledger import format as ledger_format
 from thistleline.state.attempts import Attempt, Run
@@ -41,7 +41,7 @@
 
 
 def test_simulated_handovers_with_crashes_run_no_effect_twice() -> None:
-    worlds = [play(seed) for seed in range(12)]
+    worlds = [simulate_handovers(seed) for seed in range(12)]
     assert [world.wrong for world in worlds] == 12 * [""]
     assert sum(world.figures["handed over"] for world in worlds) > 20
 
@@ -74,15 +74,15 @@
 @pytest.mark.parametrize(("patches", "violation"), [
     ((("launch", _launch_anyway), ("_admit", _admit_anyway), ("_on_task", _accept_hosted)), "runs twice"),
     ((("_forward", _reject),), "rejected after it ran"),
-    ((("_try_to_hand_over", _hand_over_at_once),), "no input that can be taken"),
+    ((("_try_to_hand_over", _hand_over_at_once),), "event that cannot be handled"),
 ])  # fmt: skip
 def test_simulation_detects_a_disabled_protection(patches: Any, violation: str) -> None:
     with patched(tuple((HandoverStateMachine, name, replacement) for name, replacement in patches)):
-        assert any(violation in play(seed).wrong for seed in range(30))
+        assert any(violation in simulate_handovers(seed).wrong for seed in range(30))
 
 
 def test_simulation_detects_a_ledger_read_before_the_handover() -> None:
-    assert any("runs twice" in play(seed, stale=True).wrong for seed in range(30))
+    assert any("runs twice" in simulate_handovers(seed, stale=True).wrong for seed in range(30))
 
 
 def test_handovers_under_load_lose_reject_and_abandon_no_task(tmp_path: Path) -> None:
--- a/thistleline/lab/simulation/handover_world.py
+++ b/thistleline/lab/simulation/handover_world.py
@@ -1,8 +1,8 @@
-"""Servers that follow one another in virtual time, without I/O: state machines, a disk, an agent with a link,
-lines with delays, callers with repeats; deaths at any moment, on either side.
+"""Servers that take over from each other in virtual time, without I/O.
 
-What is said on a link or a line comes in order, later or, where an end of it dies, never. What a death finds
-half written is on disk or not, by chance.
+The simulation has state machines, a disk, an agent with a link, connections with delays, and callers that
+retry; any side may crash at any time. Messages on a link or a connection arrive in order and with a delay, or
+never if an end of it crashes. A write that a crash interrupts is on disk or not, at random.
 """
 
 from collections import Counter
@@ -72,39 +72,52 @@
 OPTIONS = MachineOptions(BENCH, ("core_use", "on_cores", "heap_share", "links"), MS, 400, 1 << 20, 1)
 
 
-class Life:
+class Server:
+    """A server process, from its start to its end."""
+
     def __init__(self, number: int, now: int, chance: Random) -> None:
+        """Start a server with an empty state."""
         self.number = number
         self.machine = HandoverStateMachine(OPTIONS, now, Lifecycle(), max_disk_bytes=8 << 20, boot_offset=0)
         self.alive = True
-        self.serves = False  # it listens
-        self.to_farm = True
-        self.heir: Life | None = None
-        self.elder: Life | None = None
+        self.serves = False  # whether it listens
+        self.commands_agent = True  # whether it commands the agent itself, not through its successor
+        self.successor: Server | None = None
+        self.predecessor: Server | None = None
         self.wake = 0
-        self.writing: LedgerWrite | None = None
+        self.current_write: LedgerWrite | None = None
+
 
+class HandoverWorld:
+    """The servers, their disk, the agent and the callers."""
 
-class World:
     def __init__(self, seed: int, rate: float = 40.0, deaths: bool = True, stale: bool = False) -> None:
-        """`stale` leaves a protection out: an heir reads the ledger before it is handed over, not after."""
+        """Build a world without servers.
+
+        Args:
+            seed: Of all random draws.
+            rate: New bookings per second.
+            deaths: Whether servers crash and writes fail.
+            stale: Whether a successor reads the ledger before the handover instead of after it, as a mutant.
+        """
         self.stale = stale
         self.chance, self.rate, self.deaths = Random(seed), rate, deaths
         self.now = 1000 * SECOND
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
         self.count = 0
-        self.lives: list[Life] = []
-        self.ways: dict[Any, int] = {}  # when the last message on a way arrives
-        self.disk: dict[int, list[Any]] = {}  # groups by segment
+        self.servers: list[Server] = []
+        self.last_arrivals: dict[Any, int] = {}  # ns; arrival of the last message on a channel
+        self.disk: dict[int, list[Any]] = {}  # write groups by segment
         # the agent
-        self.link: Life | None = None
+        self.link: Server | None = None
         self.links = 0
         self.running: dict[str, bytes] = {}
         self.notices: list[RunCompleted] = []
-        self.starts: dict[bytes, list[tuple[int, bytes]]] = {}  # when, with what result
+        self.runs_by_body: dict[bytes, list[tuple[int, bytes]]] = {}  # start in ns and result of each run
         # the callers
-        self.open: dict[tuple[int, int, int], tuple[int, int, bytes, str]] = {}  # life, connection, seq
-        self.lines: dict[int, tuple[int, int]] = {}  # life and connection of each
+        # By server, connection and sequence number: booking, deadline in ns, body and attempt id.
+        self.open_attempts: dict[tuple[int, int, int], tuple[int, int, bytes, str]] = {}
+        self.connections_by_caller: dict[int, tuple[int, int]] = {}  # server and connection of each caller
         self.connections = 0
         self.bookings = 0
         self.finished: dict[int, bytes] = {}
@@ -113,368 +126,431 @@
 
     # ---- time
 
-    def at(self, delay: int, do: Callable[[], None]) -> None:
+    def schedule(self, delay: int, callback: Callable[[], None]) -> None:
+        """Schedule a callback after `delay` ns."""
         self.count += 1
-        heappush(self.queue, (self.now + delay, self.count, do))
+        heappush(self.queue, (self.now + delay, self.count, callback))
 
-    def in_order(self, way: Any, least: int, most: int, do: Callable[[], None]) -> None:
-        arrives = max(self.now + self.chance.randint(least, most), self.ways.get(way, 0) + 1)
-        self.ways[way] = arrives
-        self.at(arrives - self.now, do)
+    def schedule_in_order(self, channel: Any, least: int, most: int, callback: Callable[[], None]) -> None:
+        """Schedule a callback after `least` to `most` ns, but after all earlier ones of the same channel."""
+        arrives = max(self.now + self.chance.randint(least, most), self.last_arrivals.get(channel, 0) + 1)
+        self.last_arrivals[channel] = arrives
+        self.schedule(arrives - self.now, callback)
 
     def run(self, span: int) -> None:
+        """Run callbacks for `span` ns, or until a violation."""
         until = self.now + span
         while self.queue and self.queue[0][0] <= until and not self.wrong:
-            self.now, _, do = heappop(self.queue)
-            do()
+            self.now, _, callback = heappop(self.queue)
+            callback()
         self.now = max(self.now, until)
 
     # ---- servers
 
-    def take(self, life: Life, event: Any) -> None:
-        if not life.alive:
+    def deliver(self, server: Server, event: Any) -> None:
+        """Let a live server handle an event, and carry out its effects."""
+        if not server.alive:
             return
         try:
-            effects = life.machine.handle(self.now, event)
+            effects = server.machine.handle(self.now, event)
         except Exception as error:
             kind = type(event).__name__
-            self.wrong = f"{kind} is no input that can be taken: {type(error).__name__} {error}"
+            self.wrong = f"{kind} is an event that cannot be handled: {type(error).__name__} {error}"
             return
         for effect in effects:
-            if life.alive:
-                self.carry_out(life, effect)
-        due = max(life.machine.next_deadline(), self.now + MS // 10)
-        if life.alive and life.wake != due:
-            life.wake = due
-            self.at(due - self.now, lambda: self.take(life, DeadlineReached()) if life.wake == due else None)
-
-    def carry_out(self, life: Life, effect: Any) -> None:
+            if server.alive:
+                self.carry_out(server, effect)
+        due = max(server.machine.next_deadline(), self.now + MS // 10)
+        if server.alive and server.wake != due:
+            server.wake = due
+            self.schedule(
+                due - self.now,
+                lambda: self.deliver(server, DeadlineReached()) if server.wake == due else None,
+            )
+
+    def carry_out(self, server: Server, effect: Any) -> None:
+        """Carry out an effect of a server."""
         match effect:
             case AnswerFinished() | AnswerRejected() | AnswerAbandoned() | AnswerMisunderstood():
                 if effect.connection == PREDECESSOR_CONNECTION:
-                    self.say(life, life.elder, ForwardedAnswered(str(effect.seq), effect))
+                    self.send(server, server.predecessor, ForwardedAnswered(str(effect.seq), effect))
                 else:
-                    self.answered(life, effect)
+                    self.on_answer(server, effect)
             case StartRun() | StopRun() | MeasureGauges():
-                self.command(life, effect)
+                self.send_command(server, effect)
             case WriteLedger(write):
-                self.write(life, write)
+                self.write_ledger(server, write)
             case HandOver():
-                self.hand(life, effect)
+                self.hand_over(server, effect)
             case PostponeHandover():
-                heir = life.heir
-                if heir is not None:
-                    self.in_order((life.number, heir.number), MS // 10, MS, lambda: self.at(
-                        100 * MS, lambda: self.say(heir, life, SuccessorReady(self.now + STOP))))  # fmt: skip
+                successor = server.successor
+                if successor is not None:
+                    self.schedule_in_order(
+                        (server.number, successor.number),
+                        MS // 10,
+                        MS,
+                        lambda: self.schedule(
+                            100 * MS, lambda: self.send(successor, server, SuccessorReady(self.now + STOP))
+                        ),
+                    )
             case ForwardTask(name, task, _, _, word, body):
-                self.say(life, life.heir, TaskForwarded(int(name), task, word, body))
+                self.send(server, server.successor, TaskForwarded(int(name), task, word, body))
             case ReportRunEnd(number, outcome, result):
-                self.say(life, life.heir, PredecessorRunEnded(number, outcome, result))
+                self.send(server, server.successor, PredecessorRunEnded(number, outcome, result))
             case RelayAgentEvent(event):
-                self.say(life, life.elder, event)
+                self.send(server, server.predecessor, event)
             case DismissConnection(connection):
-                self.at(self.chance.randint(1, 50 * MS), lambda: self.dismissed(life, connection))
+                self.schedule(self.chance.randint(1, 50 * MS), lambda: self.on_dismissed(server, connection))
             case CloseConnection(connection):
-                self.closed(life, connection)
+                self.on_closed(server, connection)
             case EndProcess():
                 self.figures["ended"] += 1
-                self.die(life)
+                self.end_server(server)
 
-    def command(self, life: Life, command: StartRun | StopRun | MeasureGauges) -> None:
-        if life.to_farm:
-            if self.link is life:
+    def send_command(self, server: Server, command: StartRun | StopRun | MeasureGauges) -> None:
+        """Send a command to the agent, through the successor if that has the link."""
+        if server.commands_agent:
+            if self.link is server:
                 link = self.links
-                self.in_order(("agent", link), MS // 10, MS, lambda: self.agent(link, command))
+                self.schedule_in_order(
+                    ("agent", link), MS // 10, MS, lambda: self.on_agent_command(link, command)
+                )
             return
         match command:
             case StartRun(id, stage, body):
-                self.say(life, life.heir, HostedRunStarted(id, stage, body))
+                self.send(server, server.successor, HostedRunStarted(id, stage, body))
             case StopRun(id):
-                self.say(life, life.heir, HostedRunStopped(id))
+                self.send(server, server.successor, HostedRunStopped(id))
             case MeasureGauges(tag):
-                self.say(life, life.heir, HostedMeasureRequested(tag))
+                self.send(server, server.successor, HostedMeasureRequested(tag))
 
-    def say(self, source: Life, to: Life | None, event: Any) -> None:
+    def send(self, source: Server, to: Server | None, event: Any) -> None:
+        """Send an event from one server to another, if there is one."""
         if to is not None:
-            self.in_order((source.number, to.number), MS // 20, MS, lambda: self.take(to, event))
+            self.schedule_in_order((source.number, to.number), MS // 20, MS, lambda: self.deliver(to, event))
 
-    def write(self, life: Life, work: LedgerWrite) -> None:
-        life.writing = work
+    def write_ledger(self, server: Server, ledger_write: LedgerWrite) -> None:
+        """Write to the ledger; the write may fail."""
+        server.current_write = ledger_write
 
         def durable() -> None:
-            if not life.alive or life.writing is not work:
+            if not server.alive or server.current_write is not ledger_write:
                 return
-            life.writing = None
+            server.current_write = None
             if self.deaths and self.chance.random() < 0.003:
                 if self.chance.random() < 0.5:
-                    self.append(work)
-                self.take(life, WriteFailed("the disk"))
+                    self.append_to_disk(ledger_write)
+                self.deliver(server, WriteFailed("the disk"))
             else:
-                self.append(work)
-                for number in work.obsolete_segments:
+                self.append_to_disk(ledger_write)
+                for number in ledger_write.obsolete_segments:
                     self.disk.pop(number, None)
-                self.take(life, WriteCompleted())
+                self.deliver(server, WriteCompleted())
 
-        self.at(self.chance.randint(MS // 5, 4 * MS), durable)
+        self.schedule(self.chance.randint(MS // 5, 4 * MS), durable)
 
-    def append(self, work: LedgerWrite) -> None:
-        self.disk.setdefault(work.segment, []).append(work.group)
+    def append_to_disk(self, ledger_write: LedgerWrite) -> None:
+        """Append a write to its segment on disk."""
+        self.disk.setdefault(ledger_write.segment, []).append(ledger_write.group)
 
-    def die(self, life: Life) -> None:
-        life.alive = False
-        if life.writing is not None and self.chance.random() < 0.5:
-            self.append(life.writing)
-        if self.link is life:
+    def end_server(self, server: Server) -> None:
+        """Crash or end a server, with its link and connections."""
+        server.alive = False
+        if server.current_write is not None and self.chance.random() < 0.5:
+            self.append_to_disk(server.current_write)
+        if self.link is server:
             self.link = None
-        for number, connection in {key[:2] for key in self.open}:
-            if number == life.number:
-                self.closed(life, connection)
-        for other in self.lives:
-            if other.heir is life:
-                other.heir = None
-                self.at(self.chance.randint(1, MS), lambda other=other: self.heir_gone(other))  # type: ignore[misc]
-            if other.elder is life:
-                other.elder = None
-                # What it said before it died comes first.
-                self.in_order((life.number, other.number), 1, MS, lambda other=other: self.elder_gone(other))  # type: ignore[misc]
-
-    def elder_gone(self, life: Life) -> None:
-        if life.serves:
-            self.take(life, PredecessorGone())
-        elif life.alive:
-            self.begin(life)  # it died before it handed over
-
-    def heir_gone(self, life: Life) -> None:
-        self.take(life, SuccessorGone())
-        if not life.to_farm:
-            self.at(500 * MS, lambda: self.alone(life))
-
-    def alone(self, life: Life) -> None:
-        if life.alive and life.heir is None:
-            life.to_farm = True
-            self.make_link(life)
-
-    # ---- one follows another
-
-    def follow(self) -> None:
-        """A server more, beside what is there."""
-        life = Life(len(self.lives) + 1, self.now, self.chance)
-        before = [one for one in self.lives if one.alive]
-        self.lives.append(life)
-        sole = next((one for one in before if one.serves and one.to_farm and one.heir is None), None)
+        for number, connection in {key[:2] for key in self.open_attempts}:
+            if number == server.number:
+                self.on_closed(server, connection)
+        for other in self.servers:
+            if other.successor is server:
+                other.successor = None
+                self.schedule(self.chance.randint(1, MS), lambda other=other: self.on_successor_gone(other))  # type: ignore[misc]
+            if other.predecessor is server:
+                other.predecessor = None
+                # Messages sent before the crash arrive first.
+                self.schedule_in_order(
+                    (server.number, other.number),
+                    1,
+                    MS,
+                    lambda other=other: self.on_predecessor_gone(other),  # type: ignore[misc]
+                )
+
+    def on_predecessor_gone(self, server: Server) -> None:
+        """Notify a server that its predecessor is gone; it starts alone if there was no handover yet."""
+        if server.serves:
+            self.deliver(server, PredecessorGone())
+        elif server.alive:
+            self.start_alone(server)  # the predecessor crashed before it handed over
+
+    def on_successor_gone(self, server: Server) -> None:
+        """Notify a server that its successor is gone; later it takes the link back."""
+        self.deliver(server, SuccessorGone())
+        if not server.commands_agent:
+            self.schedule(500 * MS, lambda: self.reclaim_link(server))
+
+    def reclaim_link(self, server: Server) -> None:
+        """Take the link to the agent back, unless there is another successor."""
+        if server.alive and server.successor is None:
+            server.commands_agent = True
+            self.make_link(server)
+
+    # ---- handover
+
+    def start_server(self) -> None:
+        """Start one more server, beside those that are alive."""
+        server = Server(len(self.servers) + 1, self.now, self.chance)
+        before = [one for one in self.servers if one.alive]
+        self.servers.append(server)
+        sole = next(
+            (one for one in before if one.serves and one.commands_agent and one.successor is None), None
+        )
         if sole is not None and sole.machine.handover_phase == "sole":
-            sole.heir, life.elder = life, sole
+            sole.successor, server.predecessor = server, sole
             if self.stale:
-                self.recover(life)
-            # A machine that has no time for it now and then: the heir is long about coming up.
-            takes = self.chance.choice((1, 20, 300, 6000)) * MS
-            self.at(takes, lambda: self.say(life, sole, SuccessorReady(self.now + STOP)))
+                self.recover(server)
+            # On a busy machine the successor may take long to start.
+            duration = self.chance.choice((1, 20, 300, 6000)) * MS
+            self.schedule(duration, lambda: self.send(server, sole, SuccessorReady(self.now + STOP)))
         else:
-            self.begin(life)
+            self.start_alone(server)
 
-    def begin(self, life: Life) -> None:
-        """With nobody that serves; one that handed over may be there still."""
-        if self.stale and life.machine.attempts_made:
-            self.die(life)
+    def start_alone(self, server: Server) -> None:
+        """Let a server start without a serving predecessor; one that handed over may still be alive."""
+        if self.stale and server.machine.attempts_made:
+            self.end_server(server)
             return
-        if any(one.alive and one.serves and one.machine.handover_phase != "handed" for one in self.lives):
+        if any(one.alive and one.serves and one.machine.handover_phase != "handed" for one in self.servers):
             self.figures["no place"] += 1
-            self.die(life)
+            self.end_server(server)
             return
-        self.recover(life)
-        for other in self.lives:
-            if other.alive and other is not life and other.machine.handover_phase == "handed":
-                other.heir, life.elder = life, other
-                other.to_farm = False
+        self.recover(server)
+        for other in self.servers:
+            if other.alive and other is not server and other.machine.handover_phase == "handed":
+                other.successor, server.predecessor = server, other
+                other.commands_agent = False
                 if self.link is other:
                     self.link = None
-                self.take(other, SuccessorReplaced(self.now + STOP))
+                self.deliver(other, SuccessorReplaced(self.now + STOP))
                 return
-        self.serve(life)
+        self.start_serving(server)
 
-    def recover(self, life: Life) -> None:
-        ledger = life.machine.ledger
+    def recover(self, server: Server) -> None:
+        """Let a server recover its ledger from disk."""
+        ledger = server.machine.ledger
         ledger.advance_clock(self.now)
         for number in sorted(self.disk):
             ledger.recover_segment(number, 1000 * len(self.disk[number]))
             for group in self.disk[number]:
                 ledger.recover_group(number, [0], True, group)
         ledger.forget_expired()
-        self.take(life, EffectsRecovered(list(ledger.recovered_effects())))
+        self.deliver(server, EffectsRecovered(list(ledger.recovered_effects())))
 
-    def hand(self, life: Life, effect: HandOver) -> None:
-        heir = life.heir
-        life.to_farm = False
-        if self.link is life:
+    def hand_over(self, server: Server, effect: HandOver) -> None:
+        """Hand over from a server to its successor."""
+        successor = server.successor
+        server.commands_agent = False
+        if self.link is server:
             self.link = None
         if not effect.is_repeated:
-            life.serves = False
+            server.serves = False
             self.figures["handed over"] += 1
-        if heir is not None:
+        if successor is not None:
             notice = 0 if effect.is_repeated else effect.last_notice
             inherited = Inherited(notice, effect.runs, effect.owned_ids)
-            self.in_order((life.number, heir.number), MS // 20, MS,
-                          lambda: self.inherit(heir, inherited, effect.is_repeated))  # fmt: skip
-
-    def inherit(self, life: Life, inherited: Inherited, again: bool) -> None:
-        if not life.alive:
+            self.schedule_in_order(
+                (server.number, successor.number),
+                MS // 20,
+                MS,
+                lambda: self.inherit(successor, inherited, effect.is_repeated),
+            )
+
+    def inherit(self, server: Server, inherited: Inherited, is_repeated: bool) -> None:
+        """Let a successor take over; `is_repeated` marks a repeated handover."""
+        if not server.alive:
             return
-        if not again and not self.stale:
-            self.recover(life)
-        self.take(life, inherited)
-        self.serve(life)
+        if not is_repeated and not self.stale:
+            self.recover(server)
+        self.deliver(server, inherited)
+        self.start_serving(server)
 
-    def serve(self, life: Life) -> None:
-        self.take(life, ListeningStarted())
-        life.serves = True
-        self.make_link(life)
+    def start_serving(self, server: Server) -> None:
+        """Let a server listen and connect to the agent."""
+        self.deliver(server, ListeningStarted())
+        server.serves = True
+        self.make_link(server)
 
     # ---- the agent
 
-    def make_link(self, life: Life) -> None:
-        before, self.link = self.link, life
+    def make_link(self, server: Server) -> None:
+        """Link the agent to a server, in place of its former link."""
+        before, self.link = self.link, server
         self.links += 1
         link = self.links
         if before is not None:
-            self.at(1, lambda: self.take(before, AgentLost("replaced")))
+            self.schedule(1, lambda: self.deliver(before, AgentLost("replaced")))
 
         def greet() -> None:
             if self.links == link:
-                self.take(life, AgentGreeted(False, 100 * SECOND))
-                known = life.machine.session.last_notice
+                self.deliver(server, AgentGreeted(False, 100 * SECOND))
+                known = server.machine.session.last_notice
                 for notice in self.notices:
                     if notice.number > known:
-                        self.tell(link, notice)
-
-        self.in_order(("told", link), MS // 5, 2 * MS, greet)
-
-    def tell(self, link: int, event: Any) -> None:
-        life = self.link
-        if link == self.links and life is not None:
-            self.in_order(("told", link), MS // 10, MS,
-                          lambda: self.take(life, event) if self.link is life else None)  # fmt: skip
-
-    def agent(self, link: int, command: StartRun | StopRun | MeasureGauges) -> None:
+                        self.notify(link, notice)
+
+        self.schedule_in_order(("told", link), MS // 5, 2 * MS, greet)
+
+    def notify(self, link: int, event: Any) -> None:
+        """Send an event from the agent on a link."""
+        server = self.link
+        if link == self.links and server is not None:
+            self.schedule_in_order(
+                ("told", link),
+                MS // 10,
+                MS,
+                lambda: self.deliver(server, event) if self.link is server else None,
+            )
+
+    def on_agent_command(self, link: int, command: StartRun | StopRun | MeasureGauges) -> None:
+        """Let the agent handle a command that arrived on a link."""
         if self.links != link and (not isinstance(command, StartRun) or self.chance.random() < 0.5):
-            return  # else it was read before the other link came
+            return  # else it was read before the other link was up
         if isinstance(command, MeasureGauges):
-            self.tell(link, GaugesMeasured(command.tag, [0.5, 1.0, 0.1, 1.0]))
+            self.notify(link, GaugesMeasured(command.tag, [0.5, 1.0, 0.1, 1.0]))
         elif isinstance(command, StartRun) and command.attempt_id not in self.running:
             id, body = command.attempt_id, command.body
             result = b"%d of " % len(self.notices) + body
             self.running[id] = body
-            past = self.starts.setdefault(body, [])
-            if past and self.now - past[-1][0] < WINDOW:
-                self.wrong = f"{body!r} runs twice, {(self.now - past[-1][0]) / MS:.1f} ms after"
-            past.append((self.now, result))
-            takes = self.chance.choice((2, 20, 100, 400, 1500)) * MS
-            self.at(takes, lambda: self.over(id, takes, result))
-
-    def over(self, id: str, took: int, result: bytes) -> None:
+            earlier_runs = self.runs_by_body.setdefault(body, [])
+            if earlier_runs and self.now - earlier_runs[-1][0] < WINDOW:
+                self.wrong = f"{body!r} runs twice, {(self.now - earlier_runs[-1][0]) / MS:.1f} ms apart"
+            earlier_runs.append((self.now, result))
+            duration = self.chance.choice((2, 20, 100, 400, 1500)) * MS
+            self.schedule(duration, lambda: self.end_run(id, duration, result))
+
+    def end_run(self, id: str, duration: int, result: bytes) -> None:
+        """End a run of the agent, and report it."""
         if self.running.pop(id, None) is not None:
-            self.notices.append(RunCompleted(len(self.notices) + 1, id, "finished", took, result))
-            self.tell(self.links, self.notices[-1])
+            self.notices.append(RunCompleted(len(self.notices) + 1, id, "finished", duration, result))
+            self.notify(self.links, self.notices[-1])
 
     # ---- callers
 
-    def call(self) -> None:
+    def make_booking(self) -> None:
+        """Make a new booking, and schedule the next one."""
         self.bookings += 1
         number = self.bookings
-        self.ask(number, self.now + 5 * SECOND)
-        if self.chance.random() < 0.5:  # somebody asks the same at another place
+        self.make_attempt(number, self.now + 5 * SECOND)
+        if self.chance.random() < 0.5:  # a second request of the same booking
             after = self.chance.choice((1, 5, 50, 800, 8000, 8900))
-            self.at(after * MS, lambda: self.ask(number, self.now + 5 * SECOND))
-        self.at(round(self.chance.expovariate(self.rate) * SECOND), self.call)
-
-    def ask(self, number: int, until: int) -> None:
-        line = self.chance.randrange(12)
-        where = self.lines.get(line)
-        alive = [one for one in self.lives if one.alive]
-        life = next((one for one in alive if where is not None and one.number == where[0]), None)
-        if life is None:
-            life = next((one for one in alive if one.serves), None)
-            if life is None:
-                self.again(number, until)
+            self.schedule(after * MS, lambda: self.make_attempt(number, self.now + 5 * SECOND))
+        self.schedule(round(self.chance.expovariate(self.rate) * SECOND), self.make_booking)
+
+    def make_attempt(self, number: int, until: int) -> None:
+        """Make an attempt at a booking, repeated until `until` ns."""
+        caller = self.chance.randrange(12)
+        endpoint = self.connections_by_caller.get(caller)
+        alive = [one for one in self.servers if one.alive]
+        server = next((one for one in alive if endpoint is not None and one.number == endpoint[0]), None)
+        if server is None:
+            server = next((one for one in alive if one.serves), None)
+            if server is None:
+                self.retry(number, until)
                 return
             self.connections += 1
-            where = self.lines[line] = life.number, self.connections
-            self.take(life, ConnectionOpened(self.connections))
-        assert where is not None
+            endpoint = self.connections_by_caller[caller] = server.number, self.connections
+            self.deliver(server, ConnectionOpened(self.connections))
+        assert endpoint is not None
         self.figures["tries"] += 1
         seq, id = self.figures["tries"], f"{self.chance.getrandbits(64):016x}"
         body = b"booking %d" % number
-        self.open[life.number, where[1], seq] = number, until, body, id
+        self.open_attempts[server.number, endpoint[1], seq] = number, until, body, id
         task = Task(id, 0, 0, 1, 0.9, None, 5 * MS, 1.0, self.now, None, False, None)
-        to, received = life, TaskReceived(where[1], seq, task, f"{number:032x}", memoryview(body))
-        self.in_order(("line", to.number, where[1]), MS // 20, MS, lambda: self.take(to, received))
+        to, received = server, TaskReceived(endpoint[1], seq, task, f"{number:032x}", memoryview(body))
+        self.schedule_in_order(
+            ("line", to.number, endpoint[1]), MS // 20, MS, lambda: self.deliver(to, received)
+        )
 
-    def again(self, number: int, until: int) -> None:
+    def retry(self, number: int, until: int) -> None:
+        """Schedule the next attempt at a booking, unless its time is over."""
         if self.now < until:
-            self.at(self.chance.randint(5, 60) * MS, lambda: self.ask(number, until))
+            self.schedule(self.chance.randint(5, 60) * MS, lambda: self.make_attempt(number, until))
         else:
             self.figures["given up"] += 1
 
-    def answered(self, life: Life, answer: AnswerEffect) -> None:
+    def on_answer(self, server: Server, answer: AnswerEffect) -> None:
+        """Check the answer to an attempt against the runs of the agent."""
         kind = ANSWER_KINDS[type(answer)]
-        asked = self.open.pop((life.number, answer.connection, answer.seq), None)
-        if asked is None:
-            self.wrong = f"a try is answered twice, or was never asked: {kind}"
+        attempt = self.open_attempts.pop((server.number, answer.connection, answer.seq), None)
+        if attempt is None:
+            self.wrong = f"an attempt is answered twice, or was never made: {kind}"
             return
-        number, until, body, _ = asked
+        number, until, body, _ = attempt
         self.figures[kind] += 1
-        runs = self.starts.get(body, [])
+        runs = self.runs_by_body.get(body, [])
         if isinstance(answer, AnswerFinished):
             result = bytes(answer.result)
             if all(result != one for _, one in runs):
-                self.wrong = f"{body!r} is given what no run made"
+                self.wrong = f"{body!r} is answered with a result that no run made"
             if self.finished.setdefault(number, result) != result:
-                self.wrong = f"{body!r} is given two results"
+                self.wrong = f"{body!r} is answered with two results"
         elif isinstance(answer, AnswerRejected):
             if any(self.now - WINDOW < at for at, _ in runs):
                 self.wrong = f"{body!r} is rejected after it ran"
-            self.again(number, until)
-
-    def dismissed(self, life: Life, connection: int) -> None:
-        """What is asked from now on goes on another connection."""
-        for line, where in list(self.lines.items()):
-            if where == (life.number, connection):
-                del self.lines[line]
-
-    def closed(self, life: Life, connection: int) -> None:
-        for key in [key for key in self.open if key[:2] == (life.number, connection)]:
-            number, until, _, _ = self.open.pop(key)
+            self.retry(number, until)
+
+    def on_dismissed(self, server: Server, connection: int) -> None:
+        """Let callers use another connection for their next attempts."""
+        for caller, endpoint in list(self.connections_by_caller.items()):
+            if endpoint == (server.number, connection):
+                del self.connections_by_caller[caller]
+
+    def on_closed(self, server: Server, connection: int) -> None:
+        """Close a connection; its open attempts are lost and retried."""
+        for key in [key for key in self.open_attempts if key[:2] == (server.number, connection)]:
+            number, until, _, _ = self.open_attempts.pop(key)
             self.figures["lost"] += 1
-            self.again(number, until)
-        self.dismissed(life, connection)
+            self.retry(number, until)
+        self.on_dismissed(server, connection)
 
-    # ---- a run of it
+    # ---- the simulated run
 
-    def changes(self, count: int) -> None:
-        self.follow()
+    def simulate_changes(self, count: int) -> None:
+        """Simulate `count` server changes under load, then settle and check that no attempt is open."""
+        self.start_server()
         self.run(SECOND // 10)
-        self.call()
+        self.make_booking()
         for _ in range(count):
             self.run(self.chance.randint(50, 1500) * MS)
-            self.follow()
+            self.start_server()
             if self.deaths and self.chance.random() < 0.6:
                 self.run(self.chance.choice((1, 3, 10, 30)) * self.chance.randint(1, MS))
-                living = [one for one in self.lives if one.alive]
+                living = [one for one in self.servers if one.alive]
                 if living:
                     self.figures["deaths"] += 1
-                    self.die(self.chance.choice(living))
-            if not any(one.alive for one in self.lives):
+                    self.end_server(self.chance.choice(living))
+            if not any(one.alive for one in self.servers):
                 self.run(self.chance.randint(1, 300) * MS)
-                self.follow()
-        self.call = lambda: None  # type: ignore[method-assign]
+                self.start_server()
+        self.make_booking = lambda: None  # type: ignore[method-assign]
         self.run(3 * SECOND)
-        if not any(one.alive and one.serves for one in self.lives):
-            self.follow()
+        if not any(one.alive and one.serves for one in self.servers):
+            self.start_server()
         self.run(8 * SECOND)
-        if not self.wrong and self.open:
-            self.wrong = f"{len(self.open)} tries have no answer"
+        if not self.wrong and self.open_attempts:
+            self.wrong = f"{len(self.open_attempts)} attempts have no answer"
+
 
+def simulate_handovers(seed: int, count: int = 8, deaths: bool = True, stale: bool = False) -> HandoverWorld:
+    """Simulate `count` server changes and return the world.
 
-def play(seed: int, count: int = 8, deaths: bool = True, stale: bool = False) -> World:
-    world = World(seed, deaths=deaths, stale=stale)
-    world.changes(count)
+    Args:
+        seed: Of all random draws.
+        count: Number of server changes.
+        deaths: Whether servers crash and writes fail.
+        stale: Whether successors read the ledger before the handover.
+    """
+    world = HandoverWorld(seed, deaths=deaths, stale=stale)
+    world.simulate_changes(count)
     return world
