--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -471,7 +471,7 @@
 
 @pytest.mark.parametrize(("where", "name", "put", "wanted"), [
     (DownBudget, "has_room", _no_limit, "are down at once"),
-    (RolloutController, "_roll_back", _roll_forward, "what is being taken back"),
+    (RolloutController, "_roll_back", _roll_forward, "during a rollback"),
 ])  # fmt: skip
 def test_a_broken_rollout_controller_is_found(where: type, name: str, put: Any, wanted: str) -> None:
     with patched(((where, name, put),)):
--- a/thistleline/lab/simulation/__init__.py
+++ b/thistleline/lab/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Virtual time: worlds to explore and fleets to simulate, by the reducers that run."""
+"""Explorable worlds and simulated fleets in virtual time, with the state machines that run in production."""
--- a/thistleline/lab/simulation/explorer.py
+++ b/thistleline/lab/simulation/explorer.py
@@ -1,7 +1,7 @@
-"""Breadth-first exploration of the states that reducers can reach.
+"""Breadth-first exploration of the states that state machines can reach.
 
-What is explored are the reducers that run in production, copied; a world says which events may happen to them
-and which invariants hold. The first path found to a violation is a shortest one.
+It explores copies of the state machines that run in production; a world defines which events may happen to
+them and which invariants hold. The first path found to a violation is a shortest one.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -9,10 +9,10 @@
 
 
 class World(Protocol):
-    """A state of all reducers together; never changed once made."""
+    """A state of all state machines together, immutable once made."""
 
     def key(self) -> Any:
-        """Return a value that is the same for states from which the same can follow."""
+        """Return a value that is equal for states with the same possible futures."""
 
     def wrong(self) -> str:
         """Return which invariant is violated; "" if all hold."""
@@ -25,11 +25,11 @@
     """The result of an exploration.
 
     Attributes:
-        states: How many different ones were seen.
-        depth: Up to which all states were seen.
+        states: Number of distinct states seen.
+        depth: Depth up to which all states were seen.
         wrong: The invariant that is violated; "" if none.
         trace: The events, in order, that lead to the violation.
-        whole: Whether no state was left to see.
+        whole: Whether all reachable states were seen.
     """
 
     states: int
@@ -51,8 +51,8 @@
     Args:
         root: The first state.
         next_states: Yields (event, next state) for each event that may happen in a state.
-        depth: Most events from the root.
-        states: Exploration ends after the world with which so many states are seen.
+        depth: Maximum number of events from the root.
+        states: Exploration ends after the state at which this many were seen.
         tell: Called with a line of progress for each depth.
     """
     parents: dict[Any, tuple[Any, str] | None] = {root.key(): None}  # by key: the parent's key, the event
--- a/thistleline/lab/simulation/feed_mutants.py
+++ b/thistleline/lab/simulation/feed_mutants.py
@@ -38,7 +38,7 @@
 
 DEPTH = 60  # events from the root, at most
 MIN_MUTANT_STATES = 6_000
-# Limits small enough to be reached in a few steps: two records in the ring, one entry a part.
+# Limits small enough to be reached in a few steps: two records in the ring, one entry per part.
 SMALL: tuple[tuple[Any, str, Any], ...] = (
     (ring, "RING_SLOTS", 2),
     (serving, "PART_SIZE", 1),
@@ -50,7 +50,7 @@
 
 
 def _send_change(world: FeedWorld) -> FeedWorld:
-    """Send one more change, which the relay has and the instance not yet."""
+    """Send one more change, which the relay has and the instance does not have yet."""
     world.propose("k0")
     world.decide(0)
     world.answer_write(0)
@@ -102,7 +102,7 @@
 
 
 def _unanswered() -> FeedWorld:
-    """Return a world where a write of k0 is applied and its answer in transit."""
+    """Return a world where a write of k0 is applied and its answer is in transit."""
     world = commit_changes(build_fleet(keepers=2, relays=0, instances=0), 1)
     world.propose("k0")
     world.decide(0)
@@ -116,8 +116,8 @@
     return world
 
 
-def _nobody_writes() -> FeedWorld:
-    """Return a world where k2 is two changes behind and nobody holds the lease."""
+def _no_writer() -> FeedWorld:
+    """Return a world where k2 is two changes behind and no keeper holds the lease."""
     world = commit_changes(build_fleet(relays=0, instances=0), 1)
     world = commit_changes(world, 2, lambda name: name == "k2")
     world.lose_lease("k0")
@@ -166,7 +166,7 @@
         Scenario("ring full", _ring_full, changes=2, restarts=1, lease_moves=1, ticks=1),
         Scenario("unanswered", _unanswered, changes=1, retries=1, lost_answers=1, lease_moves=1, restarts=1),
         Scenario("late keeper", _late_keeper, changes=1, lease_moves=1, restarts=1, disconnects=1),
-        Scenario("nobody writes", _nobody_writes, changes=1, lease_moves=1, restarts=1, disconnects=1),
+        Scenario("nobody writes", _no_writer, changes=1, lease_moves=1, restarts=1, disconnects=1),
         Scenario("older relay", _older_relay, changes=1, disconnects=1, ticks=1),
         Scenario(
             "two relays", _two_relays, changes=2, disconnects=2, restarts=1, restartable=("r0", "r1", "i0")
@@ -261,7 +261,7 @@
 
 
 def _resume_without_records(self: FeedWriter) -> None:
-    """Resume writing from the own state, whatever the records hold."""
+    """Resume writing from the keeper's own state, whatever the records hold."""
     self._recovered_groups = ()
     self._start_writing()
 
@@ -323,16 +323,16 @@
     return start_exploration(SCENARIOS[name])
 
 
-def explore_mutant(place: int, states: int) -> Explored:
+def explore_mutant(index: int, states: int) -> Explored:
     """Explore the scenario of a mutant until the violation shows.
 
-    The root world is built with the safeguard in place.
+    The root world is built with the safeguard in index.
 
     Args:
-        place: Which one of `MUTANTS`.
-        states: Exploration ends at so many states.
+        index: Which one of `MUTANTS`.
+        states: Number of states at which the exploration ends.
     """
-    removed = MUTANTS[place]
+    removed = MUTANTS[index]
     with patched(SMALL):
         world = _root(removed.scenario)
         with patched(removed.patches):
@@ -350,5 +350,5 @@
         The figures, whether every scenario held, and whether every mutant was caught.
     """
     runs = (explore_scenario(name, states) for name in SCENARIOS)
-    hunts = (explore_mutant(place, max(MIN_MUTANT_STATES, states)) for place in range(len(MUTANTS)))
+    hunts = (explore_mutant(index, max(MIN_MUTANT_STATES, states)) for index in range(len(MUTANTS)))
     return summarize_explorations(SCENARIOS, MUTANTS, runs, hunts, lambda line: tell(f"feed: {line}"))
--- a/thistleline/lab/simulation/feed_world.py
+++ b/thistleline/lab/simulation/feed_world.py
@@ -1,12 +1,12 @@
 """The config feed as a small world for exhaustive exploration.
 
-Keepers, a relay or two and an instance run by the state machines of the program, with the real lease table
+Keepers, one or two relays and an instance run the state machines of the program, with the real lease table
 of the consensus cluster; all are copied at each step.
 
 A connection delivers in order and may break at any message, with what is in transit lost. A request to the
-lease table arrives late, or its answer does, or never; what it decides is one step. A disk holds what it was
-given last, or an older state: that one is found after a restart. The oracle goes by the records that the
-lease table accepted and uses plain dicts.
+lease table may arrive late, and so may its answer, or never; the table decides it in one step. A disk holds
+the state that was written last, or an older one; a restart finds that state. The oracle follows the records
+that the lease table accepted, and uses plain dicts.
 """
 
 from collections.abc import Callable, Iterator, Sequence
@@ -71,7 +71,7 @@
 START_TIME = 10 * SECOND  # ns, on the virtual clock
 LEASE_LENGTH = 10 * SECOND  # ns
 MAX_SETTLE_STEPS = 2000
-# Kinds of step that a scenario permits only so many times; names of the fields of `Scenario`.
+# Kinds of step that a scenario limits in number; names of the fields of `Scenario`.
 BUDGETS = (
     "changes",
     "retries",
@@ -91,7 +91,7 @@
     (("common/c", b'{"c":5}'),),
     (("tenant/t", None), ("common/c", b'{"c":6}')),
 )
-END_OF_STREAM = "end"  # travels on a connection after the last message of a server that closes it
+END_OF_STREAM = "end"  # follows the last message of a server that closes a connection
 
 Node = FeedRelay | Instance
 Entries = dict[str, bytes]
@@ -275,13 +275,13 @@
         """Carry out the effects of a node that was at sequence `before`."""
         number = self.nodes[name].table.sequence
         if number < before:
-            self._report(f"{name} goes back from {before} to {number}")
+            self._report(f"{name} went back from {before} to {number}")
         for effect in effects:
             self._run_effect(name, effect)
         self._check_node(name)
 
     def _run_effect(self, name: str, effect: Any) -> None:
-        """Carry out one effect; those without a case have none here."""
+        """Carry out one effect; all others are ignored here."""
         match effect:
             case SendUpstream(source, message):
                 self._send_upstream(name, source, message)
@@ -307,7 +307,7 @@
     # ---- connections
 
     def _connect(self, name: str, server: str) -> None:
-        """Connect a node to a server, in place of its old connection."""
+        """Connect a node to a server, in index of its old connection."""
         old = self.connections.pop(name, None)
         if old is not None:
             self.deliver(old.server, SubscriberLeft(old.peer))
@@ -331,7 +331,7 @@
                 return
 
     def _disconnect_upstream(self, name: str) -> None:
-        """End the connection of a node by its own wish."""
+        """Close the connection of a node to its server, at the node's request."""
         connection = self.connections.pop(name, None)
         if connection is not None:
             self.deliver(connection.server, SubscriberLeft(connection.peer))
@@ -340,7 +340,7 @@
         """Break the connection of a client; all that is in transit on it is lost."""
         connection = self.connections.pop(name)
         self.deliver(connection.server, SubscriberLeft(connection.peer))
-        self.deliver(name, UpstreamLost(connection.server, "it broke"))
+        self.deliver(name, UpstreamLost(connection.server, "connection broke"))
 
     def receive_from_client(self, name: str) -> None:
         """Deliver the client's next message to its server."""
@@ -369,7 +369,7 @@
     # ---- disks and processes
 
     def complete_write(self, name: str) -> None:
-        """Make durable what the disk of a node was given last."""
+        """Make the last write to the disk of a node durable."""
         self.disks[name] = self.pending_writes.pop(name)
         self.deliver(name, StateDurable(self.disks[name].sequence))
 
@@ -387,7 +387,7 @@
         for client, connection in list(self.connections.items()):
             if connection.server == name and client in self.connections:
                 del self.connections[client]
-                self.deliver(client, UpstreamLost(name, "it ended"))
+                self.deliver(client, UpstreamLost(name, "connection ended"))
 
     # ---- the lease table
 
@@ -400,7 +400,7 @@
                 self.deliver(name, RecordRead(slot, record.value, record.version))
 
     def _request_write(self, name: str, slot: int, put: Put) -> None:
-        """Put a write in transit to the lease table."""
+        """Send a write to the lease table."""
         request = WriteRequest(name, self.held_epochs.get(name, 0), slot, put)
         self.write_requests = (*self.write_requests, request)
 
@@ -410,14 +410,14 @@
         self.log_index += 1
         return self.lease_table.apply(self.log_index, encode_decision(decision))
 
-    def decide(self, place: int) -> None:
-        """Apply a write in transit; its answer is in transit then.
+    def decide(self, index: int) -> None:
+        """Apply a write that is in transit, and send its answer.
 
         Args:
-            place: Which one of `write_requests`.
+            index: Which one of `write_requests`.
         """
-        name, epoch, slot, put = self.write_requests[place]
-        self.write_requests = (*self.write_requests[:place], *self.write_requests[place + 1 :])
+        name, epoch, slot, put = self.write_requests[index]
+        self.write_requests = (*self.write_requests[:index], *self.write_requests[index + 1 :])
         before = self.lease_table.get(put.key)
         answer = self._apply(put)
         if isinstance(answer, Denied):
@@ -430,30 +430,30 @@
         if self.held_epochs.get(name) == epoch:
             self.write_answers = (*self.write_answers, WriteAnswer(name, epoch, outcome))
 
-    def answer_write(self, place: int, lost: bool = False) -> None:
-        """Deliver an answer to a write, or that there will be none.
+    def answer_write(self, index: int, lost: bool = False) -> None:
+        """Deliver the answer to a write, or a notice that there is none.
 
         Args:
-            place: Which one of `write_answers`.
+            index: Which one of `write_answers`.
             lost: Whether the answer is lost.
         """
-        name, epoch, outcome = self.write_answers[place]
-        self.write_answers = (*self.write_answers[:place], *self.write_answers[place + 1 :])
+        name, epoch, outcome = self.write_answers[index]
+        self.write_answers = (*self.write_answers[:index], *self.write_answers[index + 1 :])
         if self.held_epochs.get(name) == epoch:
             self.deliver(name, WriteUnanswered(outcome.slot) if lost else outcome)
 
-    def time_out_write(self, place: int) -> None:
-        """Tell the sender of a write that it timed out; the write stays in transit.
+    def time_out_write(self, index: int) -> None:
+        """Notify the sender that a write timed out; the write stays in transit.
 
         Args:
-            place: Which one of `write_requests`.
+            index: Which one of `write_requests`.
         """
-        name, epoch, slot, _ = self.write_requests[place]
+        name, epoch, slot, _ = self.write_requests[index]
         if self.held_epochs.get(name) == epoch:
             self.deliver(name, WriteUnanswered(slot))
 
     def move_lease(self, name: str) -> None:
-        """Grant the lease to a keeper; the holder before is not told."""
+        """Grant the lease to a keeper, without notice to its former holder."""
         lease = self.lease_table.state.leases.get(LEASE_NAME)
         if lease is not None:
             self._apply(Break(LEASE_NAME, lease.epoch, "it was silent"))
@@ -463,13 +463,13 @@
         self.deliver(name, LeaseAcquired(answer.epoch))
 
     def lose_lease(self, name: str) -> None:
-        """Tell a keeper that it holds the lease no more."""
+        """Notify a keeper that it has lost the lease."""
         del self.held_epochs[name]
         self.pending_reads.pop(name, None)
-        self.deliver(name, LeaseLost("its right is over"))
+        self.deliver(name, LeaseLost("the lease is over"))
 
     def _release_lease(self, name: str) -> None:
-        """Break the lease if it is this keeper's."""
+        """Break the lease if this keeper holds it."""
         lease = self.lease_table.state.leases.get(LEASE_NAME)
         if lease is not None and lease.epoch == self.held_epochs.get(name):
             self._apply(Break(LEASE_NAME, lease.epoch, "released"))
@@ -479,10 +479,10 @@
     # ---- requests of users
 
     def propose(self, name: str, again: bool = False) -> None:
-        """Propose the next change to a keeper, or the last one once more."""
-        place = self.proposed - again
-        self.proposed = place + 1
-        self.deliver(name, ProposalReceived(place, Propose(f"c{place}", CHANGES[place])))
+        """Propose the next change to a keeper, or repeat the last one."""
+        index = self.proposed - again
+        self.proposed = index + 1
+        self.deliver(name, ProposalReceived(index, Propose(f"c{index}", CHANGES[index])))
 
     def look_up_tenant(self, name: str) -> None:
         """Look up a tenant at an instance; `_check_node` checks what it knows from then on."""
@@ -500,24 +500,30 @@
         """Check that an acknowledged change is committed and a refused one is not."""
         if answer.sequence:
             known = self.acknowledged.setdefault(answer.request_id, answer.sequence)
-            here = self.committed[answer.sequence - 1 : answer.sequence]
-            if known != answer.sequence or not here or here[0].request_id != answer.request_id:
-                self.violation = f"{answer.request_id} was acknowledged as {answer.sequence}, which it is not"
+            committed_change = self.committed[answer.sequence - 1 : answer.sequence]
+            if (
+                known != answer.sequence
+                or not committed_change
+                or committed_change[0].request_id != answer.request_id
+            ):
+                self.violation = (
+                    f"{answer.request_id} was acknowledged as {answer.sequence}, but that is not its number"
+                )
         elif not answer.unknown:
             self.refused = (*self.refused, answer.request_id)
             if any(change.request_id == answer.request_id for change in self.committed):
-                self.violation = f"{answer.request_id} was refused, and it was made"
+                self.violation = f"{answer.request_id} was refused, but is committed"
 
     def _commit(self, group: Group) -> None:
         """Record the changes of a written record and check that each is new and the next one."""
         for change in group.changes:
             if change.sequence != len(self.committed) + 1:
-                self.violation = f"number {change.sequence} was given after {len(self.committed)}"
+                self.violation = f"number {change.sequence} was committed after {len(self.committed)}"
                 return
             if any(earlier.request_id == change.request_id for earlier in self.committed):
-                self.violation = f"{change.request_id} was made twice"
+                self.violation = f"{change.request_id} was committed twice"
             if change.request_id in self.refused:
-                self.violation = f"{change.request_id} was refused, and is made after all"
+                self.violation = f"{change.request_id} was refused, but is committed later"
             state = dict(self.expected_states[-1])
             for key, value in change.items:
                 if value is None:
@@ -532,7 +538,9 @@
         last = group.changes[-1].sequence
         durable = sum(self.disks[name].sequence >= last for name in self.keepers)
         if durable <= len(self.keepers) // 2:
-            self.violation = f"{last} leaves the council and is on the disks of {durable} keepers"
+            self.violation = (
+                f"{last} is overwritten in the consensus cluster while durable at only {durable} keepers"
+            )
 
     def _check_node(self, name: str) -> None:
         """Check that the state of a node is exactly the committed one of its sequence number."""
@@ -543,7 +551,9 @@
                 return
             self.foreign = tuple(other for other in self.foreign if other != name)
         if table.sequence > len(self.committed):
-            self._report(f"{name} is at {table.sequence}, {len(self.committed)} was decided")
+            self._report(
+                f"{name} is at {table.sequence}, but only {len(self.committed)} changes are committed"
+            )
             return
         expected = self.expected_states[table.sequence]
         if isinstance(node, Instance):
@@ -551,7 +561,7 @@
             expected = {key: value for key, value in expected.items() if not key.startswith(PARTIAL_PREFIXES)}
         entries = {key: value for key, value, _ in table.entries("all")}
         if entries != expected:
-            self._report(f"{name} holds at {table.sequence} what does not count there")
+            self._report(f"{name} holds wrong entries at {table.sequence}")
         if isinstance(node, FeedRelay):
             self._check_writer(name, node)
 
@@ -559,7 +569,7 @@
         """Check what an instance knows of tenants."""
         for key, found in node.lookups.tenants.items():
             if found.value != expected.get(key):
-                self._report(f"{name} says of {key} at {node.table.sequence} what does not count")
+                self._report(f"{name} has a wrong value of {key} at {node.table.sequence}")
 
     def _check_writer(self, name: str, node: FeedRelay) -> None:
         """Check that a writer with the newest lease has all acknowledged changes."""
@@ -568,7 +578,7 @@
         lease = self.lease_table.state.leases.get(LEASE_NAME)
         newest = lease is not None and lease.epoch == node.writer.epoch
         if newest and node.table.sequence < max(self.acknowledged.values(), default=0):
-            self._report(f"{name} writes, and misses what was acknowledged")
+            self._report(f"{name} is the writer, but lacks acknowledged changes")
 
     # ---- for the explorer
 
@@ -622,7 +632,7 @@
 
 
 def _no_jitter(_duration: int) -> int:
-    """Return no jitter for any duration, so that the worlds are few."""
+    """Return no jitter for any duration, to limit the number of states."""
     return 0
 
 
@@ -635,7 +645,7 @@
     Attributes:
         event: What happens, for traces.
         run: Changes the world that it is given.
-        spends: The budget it takes one of; empty for none.
+        spends: The budget that it lowers by one; empty for none.
     """
 
     event: str
@@ -665,7 +675,7 @@
     for name, connection in world.connections.items():
         yield from _connection_steps(name, connection)
     for name in world.pending_writes:
-        yield Step(f"{name} has it on disk", partial(FeedWorld.complete_write, name=name))
+        yield Step(f"the write of {name} is durable", partial(FeedWorld.complete_write, name=name))
     for name, node in world.nodes.items():
         yield from _node_steps(world, name, node)
     yield from _lease_table_steps(world)
@@ -679,15 +689,17 @@
     server = connection.server
     if connection.to_server:
         kind = type(connection.to_server[0]).__name__
-        yield Step(f"{server} hears {name}: {kind}", partial(FeedWorld.receive_from_client, name=name))
+        yield Step(f"{server} gets from {name}: {kind}", partial(FeedWorld.receive_from_client, name=name))
     if connection.to_client:
         message = connection.to_client[0]
         kind = type(message).__name__
-        yield Step(f"{name} hears {server}: {kind}", partial(FeedWorld.receive_from_server, name=name))
+        yield Step(f"{name} gets from {server}: {kind}", partial(FeedWorld.receive_from_server, name=name))
         if isinstance(message, Delta | SnapshotPart) and message.items:
             yield Step(f"{kind} to {name} is damaged", partial(FeedWorld.corrupt, name=name), "corruptions")
     yield Step(
-        f"{name} and {server} lose each other", partial(FeedWorld.break_connection, name=name), "disconnects"
+        f"the connection of {name} to {server} breaks",
+        partial(FeedWorld.break_connection, name=name),
+        "disconnects",
     )
 
 
@@ -696,31 +708,37 @@
     assert world.scenario is not None
     restartable = world.scenario.restartable
     if node.next_deadline() <= world.now:
-        yield Step(f"{name} heeds its clock", partial(FeedWorld.deliver, name=name, event=DeadlineReached()))
+        yield Step(
+            f"{name} handles its deadline", partial(FeedWorld.deliver, name=name, event=DeadlineReached())
+        )
     if isinstance(node, Instance):
         yield Step(f"{name} looks up a tenant", partial(FeedWorld.look_up_tenant, name=name), "lookups")
     if not restartable or name in restartable:
-        yield Step(f"{name} ends and is there again", partial(FeedWorld.restart, name=name), "restarts")
+        yield Step(f"{name} restarts", partial(FeedWorld.restart, name=name), "restarts")
 
 
 def _lease_table_steps(world: FeedWorld) -> Iterator[Step]:
     """Yield the steps of requests to the lease table and of its answers."""
-    for place, request in enumerate(world.write_requests):
+    for index, request in enumerate(world.write_requests):
         name, slot = request.keeper, request.slot
-        yield Step(f"the council hears {name}: Put {slot}", partial(FeedWorld.decide, place=place))
         yield Step(
-            f"{name}'s Put {slot} is late", partial(FeedWorld.time_out_write, place=place), "lost_answers"
+            f"the consensus cluster gets from {name}: Put {slot}", partial(FeedWorld.decide, index=index)
+        )
+        yield Step(
+            f"Put {slot} of {name} times out", partial(FeedWorld.time_out_write, index=index), "lost_answers"
         )
-    for place, answer in enumerate(world.write_answers):
+    for index, answer in enumerate(world.write_answers):
         name, kind = answer.keeper, type(answer.outcome).__name__
-        yield Step(f"{name} hears the council: {kind}", partial(FeedWorld.answer_write, place=place))
+        yield Step(
+            f"{name} gets from the consensus cluster: {kind}", partial(FeedWorld.answer_write, index=index)
+        )
         yield Step(
             f"the answer to {name} is lost",
-            partial(FeedWorld.answer_write, place=place, lost=True),
+            partial(FeedWorld.answer_write, index=index, lost=True),
             "lost_answers",
         )
     for name in world.pending_reads:
-        yield Step(f"{name} hears what the records hold", partial(FeedWorld.answer_reads, name=name))
+        yield Step(f"{name} gets the records that it reads", partial(FeedWorld.answer_reads, name=name))
 
 
 def _keeper_steps(world: FeedWorld, name: str) -> Iterator[Step]:
@@ -738,7 +756,11 @@
         event = f"change {world.proposed} is proposed to {name}"
         yield Step(event, partial(FeedWorld.propose, name=name), "changes")
     if world.proposed:
-        yield Step(f"{name} is asked again", partial(FeedWorld.propose, name=name, again=True), "retries")
+        yield Step(
+            f"{name} gets the last proposal again",
+            partial(FeedWorld.propose, name=name, again=True),
+            "retries",
+        )
 
 
 def _tick(world: FeedWorld) -> None:
@@ -749,17 +771,17 @@
 # ---- where explorations begin
 
 
-def _nobody(_name: str) -> bool:
+def _exclude_none(_name: str) -> bool:
     """Leave no node out."""
     return False
 
 
-def settle(world: FeedWorld, excluded: Excluded = _nobody) -> None:
+def settle(world: FeedWorld, excluded: Excluded = _exclude_none) -> None:
     """Run a world without faults until nothing is left to do.
 
     Args:
         world: Is changed in place.
-        excluded: Whether a node is left out: it gets no messages, its clock and its disk stand still.
+        excluded: Whether a node is left out: it gets no messages, handles no deadline and completes no write.
 
     Raises:
         AssertionError: There is more to do after `MAX_SETTLE_STEPS`.
@@ -773,7 +795,7 @@
 
 
 def _faultless_steps(world: FeedWorld, excluded: Excluded) -> Iterator[Callable[[], None]]:
-    """Yield the steps that are no faults; the caller runs the first one alone."""
+    """Yield the steps that are no faults; the caller runs only the first one."""
     for name, connection in list(world.connections.items()):
         if excluded(name) or excluded(connection.server):
             continue
@@ -798,21 +820,21 @@
 def build_fleet(keepers: int = 3, relays: int = 1, instances: int = 1) -> FeedWorld:
     """Return a world of empty nodes that all follow; k0 is the writer."""
     world = FeedWorld()
-    keeper_names = tuple(f"k{place}" for place in range(keepers))
-    relay_names = tuple(f"r{place}" for place in range(relays))
+    keeper_names = tuple(f"k{index}" for index in range(keepers))
+    relay_names = tuple(f"r{index}" for index in range(relays))
     for name in keeper_names:
         others = tuple(other for other in keeper_names if other != name)
         world.add(name, FeedTable(), others, keeper_names)
     for name in relay_names:
         world.add(name, FeedTable(), keeper_names)
-    for place in range(instances):
-        world.add(f"i{place}", FeedTable(), relay_names or keeper_names)
+    for index in range(instances):
+        world.add(f"i{index}", FeedTable(), relay_names or keeper_names)
     world.move_lease("k0")
     settle(world)
     return world
 
 
-def commit_changes(world: FeedWorld, count: int, excluded: Excluded = _nobody) -> FeedWorld:
+def commit_changes(world: FeedWorld, count: int, excluded: Excluded = _exclude_none) -> FeedWorld:
     """Commit changes one after the other until they are durable at all nodes that aren't left out.
 
     Args:
--- a/thistleline/lab/simulation/lease_world.py
+++ b/thistleline/lab/simulation/lease_world.py
@@ -1,10 +1,10 @@
-"""Replicas, lease holders and a fenced resource as one world to explore.
+"""Replicas, lease holders and a fenced resource as an explorable state space.
 
-The world runs the state machines that run in production, copied at each step. Time goes in ticks of `TICK`
-true nanoseconds; each clock has a rate of its own within the allowed drift. A tick does nothing else: whoever
-gets no timer event stands still, as a stopped process does. What is written is durable at once, or lost in a
-crash. Messages are lost, duplicated and overtake each other; a step may carry an answer straight back, so
-that depth is spent on faults and not on round trips.
+It has the state machines that run in production, copied at each step. Time advances in ticks of `TICK`
+true nanoseconds; each clock has a rate of its own within the allowed drift. A tick only advances the time:
+a process without a timer event makes no progress, as if it were stopped. A write is durable at once, or lost
+in a crash. Messages are lost, duplicated and reordered; a step may also deliver the answer at once, so that
+depth is spent on faults and not on round trips.
 """
 
 from collections.abc import Callable, Iterator
@@ -97,7 +97,7 @@
         releases: By holders.
         acts: On the resource.
         elapse: Places of the replicas whose timers fire; all if empty.
-        active_holders: Places of the holders that do something of their own.
+        active_holders: Places of the holders that take steps without a message.
     """
 
     name: str
@@ -119,7 +119,7 @@
 
     __slots__ = (
         "acted_epochs",
-        "broken",
+        "broken_invariant",
         "budget",
         "committed",
         "disks",
@@ -160,8 +160,8 @@
         self.committed: tuple[Entry, ...] = ()
         self.leaders_by_term: tuple[tuple[int, str], ...] = ()
         self.scenario: Scenario | None = None
-        self.broken = ""
-        self.swapped_ids: dict[str, str] = {}  # the last two replicas' where they are alike but for these
+        self.broken_invariant = ""
+        self.swapped_ids: dict[str, str] = {}  # of the last two replicas, if they differ in nothing else
         members = tuple(Member(id, id) for id in ids)
         for place in range(replica_count):
             self.step_replica(place, FormCluster("c", members))
@@ -182,7 +182,7 @@
         return self.clock(len(self.servers) + place)
 
     def add_holders(self, *ids: str) -> None:
-        """Put holders that want the lease into the world, in place of those that are there."""
+        """Replace the holders by new ones that want the lease."""
         self.holders = tuple(
             LeaseHolder(LEASE_NAME, id, LEASE_TTL, True, self.holder_clock(place), _no_jitter)
             for place, id in enumerate(ids)
@@ -204,8 +204,8 @@
         while events:
             try:
                 effects = server.handle(self.clock(place), events.pop(0))
-            except AssertionError as error:  # what a replica itself holds impossible
-                self.broken = str(error)
+            except AssertionError as error:  # an invariant that the replica checks itself
+                self.broken_invariant = str(error)
                 return
             for effect in effects:
                 if self._carry_out(place, server, effect, crash):
@@ -271,7 +271,7 @@
                 self._send(holder.holder_id, to or self.leaders()[0], Request(effect.number, effect.op))
 
     def leaders(self) -> list[str]:
-        """Return the replicas that take themselves for the leader, as a client finds by asking around.
+        """Return the replicas that take themselves for the leader, as a client finds them by asking each one.
 
         These are the ones holders may ask; the first replica if there are none.
         """
@@ -333,11 +333,11 @@
             self._send(holder.holder_id, RESOURCE, Act(holder.epoch))
 
     def _receive_act(self, act: Act) -> None:
-        """Let the resource carry out an act that its fencing lets pass."""
+        """Let the resource carry out an act that its fencing accepts."""
         fence = HighestEpochs(dict(self.highest_epochs))
         if fence.classify(LEASE_NAME, act.epoch) in ("known", "newer"):
             if self.acted_epochs and act.epoch < max(self.acted_epochs):
-                self.broken = "an older holder acted after a newer one"
+                self.broken_invariant = "an older holder acted after a newer one"
             fence.by_name[LEASE_NAME] = max(act.epoch, fence.by_name.get(LEASE_NAME, 0))
             self.highest_epochs = fence.by_name
             self.acted_epochs = tuple(sorted({*self.acted_epochs, act.epoch}))[-2:]
@@ -348,11 +348,11 @@
         """Check that a new leader is the only one in its term and has all committed entries."""
         others = {id for term, id in self.leaders_by_term if term == leader.term} - {leader.id}
         if others:
-            self.broken = f"{leader.id} and {others.pop()} both lead in one term"
+            self.broken_invariant = f"{leader.id} and {others.pop()} both lead in one term"
         self.leaders_by_term = tuple(sorted({*self.leaders_by_term, (leader.term, leader.id)}))
         log = (Entry(0, "nothing", b""),) * leader.log.snapshot_index + tuple(leader.log.entries)
         if log[: len(self.committed)] != self.committed:
-            self.broken = f"{leader.id} leads without a decision that was made"
+            self.broken_invariant = f"{leader.id} leads without a committed entry"
 
     def _check_commits(self, replica: ReplicaState) -> None:
         """Check that a replica has committed the same entries as all others."""
@@ -361,24 +361,24 @@
         entries = tuple(replica.log.entries[: replica.commit_index])
         known = self.committed
         if entries[: len(known)] != known[: len(entries)]:
-            self.broken = f"{replica.id} has other decisions"
+            self.broken_invariant = f"{replica.id} has committed other entries"
         if len(entries) > len(known):
             self.committed = entries
 
     def wrong(self) -> str:
         """Return which invariant is violated; "" if all hold."""
-        if self.broken:
-            return self.broken
+        if self.broken_invariant:
+            return self.broken_invariant
         valid = [
             holder for place, holder in enumerate(self.holders) if holder.is_valid(self.holder_clock(place))
         ]
         if len(valid) > 1:
-            return "two holders have a right at once"
+            return "two holders have a valid lease at once"
         epochs = [holder.epoch for holder in self.holders if holder.epoch]
         if len(set(epochs)) < len(epochs):
-            return "two holders were given one epoch"
+            return "two holders were granted the same epoch"
         if any(self._granted_after_release(server) for server in self.servers):
-            return "it was granted again to one who gave it back"
+            return "the lease was granted again to a holder that released it"
         return ""
 
     def _granted_after_release(self, server: LeaseServer) -> bool:
@@ -393,10 +393,10 @@
         )
 
     def key(self) -> int:
-        """Return a hash of all that what follows can depend on.
+        """Return a hash of everything on which later states depend.
 
-        Two replicas that are alike but for their names may change places: of the two keys the lesser one
-        stands for both.
+        Two replicas that differ only in their names are interchangeable: the lesser of the two keys is used
+        for both.
         """
         keys = [self._replica_key(place) for place in range(len(self.servers))]
         rest = (
@@ -406,7 +406,7 @@
             tuple(self.highest_epochs.items()),
             self.acted_epochs,
             len(self.committed),
-            self.broken,
+            self.broken_invariant,
         )
         net = sorted(one.key for one in self.net)
         key = hash((*(plain for plain, _ in keys), *net, self.leaders_by_term, rest))
@@ -430,16 +430,16 @@
 
 
 def _no_jitter(_interval: int) -> int:
-    """Return a jitter of nothing, ns."""
+    """Return no jitter, in ns."""
     return 0
 
 
 def _no_wall_clock() -> int:
-    """Return a wall time that stands still, ms."""
+    """Return a constant wall time, in ms."""
     return 0
 
 
-# ---- what may happen next
+# ---- possible steps
 
 Steps = Iterator[tuple[str, LeaseWorld]]
 
@@ -458,7 +458,7 @@
     for place in _scenario(world).active_holders:
         yield from _holder_steps(world, place)
     if world.budget["losses"] and world.net:
-        yield from _step(world, "all in flight is lost", "losses", LeaseWorld.lose_messages)
+        yield from _step(world, "all messages in flight are lost", "losses", LeaseWorld.lose_messages)
     if world.budget["ticks"]:
         yield from _step(world, "time passes", "ticks", LeaseWorld.tick)
 
@@ -470,46 +470,50 @@
 
 
 def _step(
-    world: LeaseWorld, name: str, spent: str, do: Callable[..., None], *arguments: Any, **options: Any
+    world: LeaseWorld, name: str, spent: str, action: Callable[..., None], *arguments: Any, **options: Any
 ) -> Steps:
-    """Yield the world after a step, unless that exceeds the highest term; `spent` names what it costs."""
+    """Yield the world after a step, unless it exceeds the highest term; `spent` names its budget."""
     successor = world.copy()
     if spent:
         successor.budget = {**world.budget, spent: world.budget[spent] - 1}
-    do(successor, *arguments, **options)
+    action(successor, *arguments, **options)
     max_term = _scenario(world).elections
     if all(server.replica.state.term <= max_term for server in successor.servers):
         yield name, successor
 
 
 def _message_steps(world: LeaseWorld, place: int) -> Steps:
-    """Yield what can become of a message in flight."""
+    """Yield the steps of a message in flight: delivery, duplication, and a crash of its receiver."""
     source, to, message, *_ = world.net[place]
-    name = f"{to} hears {source}: {_describe(message)}"
+    name = f"{to} gets from {source}: {_describe(message)}"
     deliver = LeaseWorld.deliver
     yield from _step(world, name, "", deliver, place)
     if to.startswith("v"):
-        yield from _step(world, f"{name}, and back", "", deliver, place, back=True)
+        yield from _step(world, f"{name}, with the answer", "", deliver, place, back=True)
         if world.budget["crashes"]:
-            yield from _step(world, f"{name}, dies, nothing kept", "crashes", deliver, place, crash="lost")
-            yield from _step(world, f"{name}, dies, all kept", "crashes", deliver, place, crash="durable")
+            yield from _step(
+                world, f"{name}, crashes before its write", "crashes", deliver, place, crash="lost"
+            )
+            yield from _step(
+                world, f"{name}, crashes after its write", "crashes", deliver, place, crash="durable"
+            )
     if world.budget["doubles"] and not isinstance(message, VoteRequest):
-        yield from _step(world, f"{name}, and again later", "doubles", deliver, place, keep=True)
+        yield from _step(world, f"{name}, duplicated", "doubles", deliver, place, keep=True)
 
 
 def _replica_steps(world: LeaseWorld, place: int) -> Steps:
-    """Yield what a replica can do of itself."""
+    """Yield the steps of a replica without a message."""
     timed = _scenario(world).elapse
     if (not timed or place in timed) and world.servers[place].next_deadline() <= world.clock(place):
         yield from _step(
-            world, f"v{place} heeds its clock", "", LeaseWorld.step_replica, place, DeadlineReached()
+            world, f"v{place} handles its deadline", "", LeaseWorld.step_replica, place, DeadlineReached()
         )
     if world.budget["crashes"]:
-        yield from _step(world, f"v{place} dies", "crashes", LeaseWorld.restart, place)
+        yield from _step(world, f"v{place} crashes", "crashes", LeaseWorld.restart, place)
 
 
 def _holder_steps(world: LeaseWorld, place: int) -> Steps:
-    """Yield what a holder can do of itself."""
+    """Yield the steps of a holder without a message."""
     holder, now = world.holders[place], world.holder_clock(place)
     id = holder.holder_id
     step_holder = LeaseWorld.step_holder
@@ -518,7 +522,9 @@
         for to in world.leaders():
             yield from _step(world, f"{id}: {what}, to {to}", "", step_holder, place, event, to=to)
     if world.budget["releases"] and holder.phase == "held":
-        yield from _step(world, f"{id} gives it back", "releases", step_holder, place, ReleaseRequested())
+        yield from _step(
+            world, f"{id} releases the lease", "releases", step_holder, place, ReleaseRequested()
+        )
     if world.budget["acts"] and holder.fits(now, 1):
         yield from _step(world, f"{id} acts", "acts", LeaseWorld.act, place)
 
@@ -537,7 +543,7 @@
 
 
 def settle(world: LeaseWorld, is_delivered: Callable[[str, str], bool] = lambda source, to: True) -> None:
-    """Deliver all messages in order; those between ends that `is_delivered` says no to are lost.
+    """Deliver all messages in order; those between ends that `is_delivered` returns false for are lost.
 
     Raises:
         AssertionError: 200 messages later there are still some in flight.
--- a/thistleline/lab/simulation/polled_settings.py
+++ b/thistleline/lab/simulation/polled_settings.py
@@ -1,13 +1,13 @@
 """A fleet that polls its settings, in virtual time: the baseline that the config feed is compared with.
 
 Every instance's supervisor reads its desired version from the consensus cluster each `POLL` s and loads a
-whole settings record when the desired version names another. Regions, delays, line rates and changes are
+whole settings record when the desired version names another one. Regions, delays, line rates and changes are
 those of simulation/feed_fleet.py. The lease table is the real one, sizes are those of its messages.
 
-Best case for polling in all that is not counted here: an instance has the settings in force once it has read
-them, no server is replaced one after the other; one that was about to load older settings gets the newest;
-desired versions of all are written at once and cost the leader's processor nothing; messages among replicas
-and an instance's folder are left out.
+All that is not simulated is assumed at its best for polling: settings are in force at an instance once it has
+read them, without a server-by-server replacement; an instance that was about to load older settings gets the
+newest; the desired versions of all instances are written at once without processor time of the leader;
+messages among replicas and the instances' folders are left out.
 """
 
 from collections import Counter, defaultdict
@@ -35,7 +35,7 @@
 from thistleline.supervisor.service import POLL
 
 SETTINGS = settings_key(0)  # one for all versions: the cluster limits the size of all records together
-ENTRY_OVERHEAD = 4  # bytes of an entry in a record beside its key and value, at most
+ENTRY_OVERHEAD = 4  # maximum bytes of an entry in a record beside its key and value
 RECORD_OVERHEAD = 5  # bytes of a record
 POLL_INTERVAL = int(POLL * SECOND)  # ns
 
@@ -43,8 +43,8 @@
 class Settings:
     """A settings record: the newest value of each entry, as many entries as fit.
 
-    When it is full the entry that was not changed for longest is evicted, so that each change is in the
-    record that it makes.
+    When it is full, the least recently changed entry is evicted, so that each change is in the record that
+    it makes.
     """
 
     def __init__(self, entries: Iterable[tuple[str, bytes]]) -> None:
@@ -78,7 +78,7 @@
 
 
 class PollingInstance:
-    """An instance, as far as its polling goes."""
+    """The polling part of an instance."""
 
     __slots__ = (
         "bytes",
@@ -98,7 +98,7 @@
         self.region = region
         self.requests = 0
         self.bytes = 0  # sent and received
-        self.line_free = 0.0  # ns; when all that it sent is out
+        self.line_free = 0.0  # ns; when all sent messages have left
         self.wanted_version = 0  # of the record with its desired version
         self.held = 0  # number of the settings in force, which is their record's version
         self.wanted = 0  # number of the settings that its desired version names
@@ -147,17 +147,19 @@
         self.log_index = 0
         self.settings = Settings(entries)
         self.number = 0  # of the newest settings
-        self.waiting: list[tuple[int, Propose]] = []  # with the time of proposal in ns; for the next record
+        self.waiting: list[tuple[int, Propose]] = []  # for the next record, with the time of proposal in ns
         self.writing = False
         self.proposal_times: list[list[int]] = []  # of each record's changes, in ns
         self.processor_free = 0.0  # ns; when the leader's processor is idle
-        self.line_free = 0.0  # ns; when all that the leader sent is out
+        self.line_free = 0.0  # ns; when all messages of the leader have left
         self.reads = 0  # answered by the leader
         self.bytes = 0  # sent and received by the leader
         self.changes = 0  # received by the leader
         self.changes_in_transit = 0
         self.answer_sizes: dict[tuple[str, int], int] = {}
-        self.latencies: Counter[int] = Counter()  # ms from proposal to in force: how many (change, instance)
+        self.latencies: Counter[int] = (
+            Counter()
+        )  # number of (change, instance) by ms from proposal to in force
         self.instances = [
             PollingInstance(f"i{place:05}", place % (zones or regions) % regions)
             for place in range(instances)
@@ -189,7 +191,7 @@
         self.at(self.now + delay, self._on_proposal, self.now, propose)
 
     def _on_proposal(self, asked: int, propose: Propose) -> None:
-        """Take a change that reached the leader; `asked` is the time of proposal in ns."""
+        """Receive a change at the leader; `asked` is the time of proposal in ns."""
         self.waiting.append((asked, propose))
         self.changes_in_transit -= 1
         self.changes += 1
@@ -197,7 +199,7 @@
             self._start_record()
 
     def _start_record(self) -> None:
-        """Begin to write a record with all changes that wait."""
+        """Begin to write a record with all waiting changes."""
         self.writing = True
         self.number += 1
         waiting = self.waiting
@@ -216,7 +218,7 @@
         self.at(self.now + MS + self.quorum_delay + SYNC_TIME, self._on_record_confirmed, value)
 
     def _on_record_confirmed(self, value: bytes) -> None:
-        """Store the desired version of all instances, and begin the next record if changes wait."""
+        """Store the desired version of all instances, and begin the next record if changes are waiting."""
         for instance in self.instances:
             self._put(desired_version_key(instance.name), value)
         self.writing = False
@@ -243,7 +245,7 @@
         self.at(when, self._on_read, instance, key, instance.requests, size)
 
     def _on_read(self, instance: PollingInstance, key: str, number: int, size: int) -> None:
-        """Take a read at the leader; it is answered once a majority confirmed that it leads."""
+        """Receive a read at the leader, which answers once a majority has confirmed its leadership."""
         self.bytes += size
         when = self.now
         if self.reads_s:
@@ -269,7 +271,7 @@
         return self.answer_sizes[kind] + len(encode(got.version))
 
     def _on_answer(self, instance: PollingInstance, key: str, got: Got, size: int) -> None:
-        """Take an answer at an instance: its desired version or the settings."""
+        """Receive an answer at an instance: its desired version or the settings."""
         instance.bytes += size
         if key.startswith("want/"):
             if got.version != instance.wanted_version and got.version:
@@ -289,17 +291,17 @@
     # ---- results
 
     def behind(self) -> int:
-        """Return how many instances lack the newest settings."""
+        """Return the number of instances without the newest settings."""
         return sum(instance.held < self.number for instance in self.instances)
 
     def settle(self, patience: int = 60 * SECOND) -> int:
-        """Run until all instances have the newest settings, `patience` ns at most; return the ns."""
+        """Run until all instances have the newest settings, for `patience` ns at most; return the ns."""
         began = self.now
         self.run(self.now + patience, lambda: not (self.changes_in_transit or self.writing or self.behind()))
         return self.now - began
 
     def shares(self) -> dict[str, int]:
-        """Return how many entries of each section are in the record."""
+        """Return the number of entries of each section in the record."""
         counts: dict[str, int] = defaultdict(int)
         for key in self.settings.entries:
             counts[key.partition("/")[0]] += 1
--- a/thistleline/lab/simulation/replica_cluster.py
+++ b/thistleline/lab/simulation/replica_cluster.py
@@ -1,4 +1,4 @@
-"""A replicated cluster in virtual time: the replicas that run in production, without I/O.
+"""A consensus cluster in virtual time: the state machines that run in production, without I/O.
 
 A discrete-event simulation: a queue of events ordered by time, messages with random delays, message loss and
 partitions by a predicate, writes that take a fixed time, crashes. Times are in nanoseconds of a simulated
@@ -70,7 +70,7 @@
         self.crashed: set[str] = set()
         self.is_lost: Callable[[str, str], bool] = lambda source, target: False
         self.answers: list[SentAnswer] = []
-        self.timers: dict[str, int] = {}  # the deadline that each replica is woken for, ns
+        self.timers: dict[str, int] = {}  # ns; deadline of each replica's current timer
         members = tuple(Member(f"v{index}", f"v{index}") for index in range(replicas))
         for member in members:
             replica = Replica(member.id, LeaseTable(), 0, timing, lambda limit: self.rng.randrange(limit))
@@ -84,7 +84,7 @@
         heappush(self.queue, ScheduledAction(time, self.scheduled, action))
 
     def handle(self, id: str, event: Event) -> None:
-        """Let a replica handle an event now; a crashed one does nothing."""
+        """Let a replica handle an event now, unless it has crashed."""
         if id in self.crashed:
             return
         server = self.servers[id]
--- a/thistleline/lab/simulation/rollout_world.py
+++ b/thistleline/lab/simulation/rollout_world.py
@@ -1,7 +1,7 @@
-"""Rollout controllers and four servers as a world to explore.
+"""Rollout controllers and four servers as an explorable state space.
 
-A controller dies or stands still at any step, another takes the lease, servers go down by themselves, and the
-canary analysis gives any verdict at all.
+At any step a controller may crash or stall and another take the lease; servers may crash, and the canary
+analysis may give any verdict.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -23,25 +23,25 @@
 NEW = Version("2", "b")
 ORDER = Order(1, "start", "", NEW, OLD, ("one", "all"), max_down=2, max_down_per_zone=1)
 TIMING = RolloutTiming(change_timeout=1000 * SECOND)
-SERVERS = 4  # s0 to s3, in two zones by turns
+SERVERS = 4  # s0 to s3, alternating between two zones
 COUNTERS_ONE_SERVED = (0, 0, 0, 0, 0, 0, 0, 1)
 ServerState = Literal["up", "changing", "down"]
 
 
 class ServerRun(NamedTuple):
-    """A server's version, the last that ran if none does, and whether it runs."""
+    """The version that a server runs, or ran last, and its state."""
 
     version: Version
     state: ServerState
 
 
 class ArbitraryAnalysis(CanaryAnalysis):
-    """An analysis whose verdict the world has chosen."""
+    """An analysis whose verdict is set by the world."""
 
     verdict: Verdict = "can't tell"
 
     def __init__(self, *_: Any) -> None:
-        """Begin, whatever the controller asks for."""
+        """Begin; the arguments are ignored."""
         super().__init__(("z0", "z1"), 0.02, 3)
 
     def add_slot(self, samples: Any, expected: Any) -> None:
@@ -49,7 +49,7 @@
 
     def judge(self, zone_of: dict[str, str]) -> Judgement:
         """Return the chosen verdict."""
-        return Judgement(ArbitraryAnalysis.verdict, [], "as the world has it")
+        return Judgement(ArbitraryAnalysis.verdict, [], "set by the world")
 
 
 class RolloutWorld:
@@ -59,11 +59,11 @@
         epoch: Of the controller that holds the lease; writes of older ones are refused.
         record: As stored; None before the first.
         desired: The stored version of each server that has one.
-        servers: What each does, by id.
+        servers: Version and state of each, by id.
         controllers: By epoch: the newest and the one before it.
         pending: By epoch: effects that are not carried out yet.
-        successions, deaths, verdicts: How many may still happen.
-        broken: The invariant that was violated; "" if none.
+        successions, deaths, verdicts: Budgets: how many may still happen.
+        violation: The invariant that was violated; "" if none.
     """
 
     def __init__(self) -> None:
@@ -77,11 +77,11 @@
         self.successions = 2
         self.deaths = 1
         self.verdicts = 3
-        self.broken = ""
+        self.violation = ""
         self.start()
 
     def copy(self) -> "RolloutWorld":
-        """Return a copy that shares nothing that changes."""
+        """Return a copy that shares no mutable state."""
         copied = RolloutWorld.__new__(RolloutWorld)
         copied.__dict__.update(self.__dict__)
         copied.desired = dict(self.desired)
@@ -103,9 +103,9 @@
             if epoch < self.epoch - 1:
                 self._remove(epoch)
 
-    def succeed(self, dies: bool) -> None:
-        """Give the lease to another controller; the one that had it dies or merely stands still."""
-        if dies:
+    def succeed(self, crashes: bool) -> None:
+        """Give the lease to another controller; the former holder crashes, or stalls."""
+        if crashes:
             self._remove(self.epoch)
         self.epoch += 1
         self.start()
@@ -132,7 +132,7 @@
         ]
 
     def step(self, epoch: int, verdict: Verdict) -> None:
-        """Let a controller observe the servers, get the order and its timer, and be given a verdict."""
+        """Let a controller observe the servers and handle the order and its deadline, under a verdict."""
         controller = self.controllers[epoch]
         ArbitraryAnalysis.verdict = verdict
         effects = controller.handle(0, ServersObserved(self.statuses()))
@@ -147,7 +147,7 @@
         self.pending[epoch] = (*self.pending[epoch], *added)
 
     def carry_out(self, epoch: int) -> None:
-        """Carry out a controller's next effect; one that is refused has lost the lease."""
+        """Carry out a controller's next effect, or remove the controller if it has lost the lease."""
         effect, *rest = self.pending[epoch]
         self.pending[epoch] = tuple(rest)
         if self.refused(epoch):
@@ -167,46 +167,46 @@
     def _set_desired(self, server_id: str, version: Version) -> None:
         """Store a desired version, and check that the record allows it."""
         if version == NEW and (self.record is None or server_id not in self.record.targets):
-            self.broken = f"{server_id} is to run what it was not chosen for"
+            self.violation = f"{server_id} gets the new version, but is no target"
         if version == NEW and self.record is not None and self.record.phase in ("backing", "back"):
-            self.broken = f"{server_id} is to run what is being taken back"
+            self.violation = f"{server_id} gets the new version during a rollback"
         self.desired[server_id] = version
 
     # ---- servers
 
-    def follow(self, server_id: str) -> None:
-        """Let a server go down for the desired version, as its supervisor has it; check how many are down."""
+    def take_down(self, server_id: str) -> None:
+        """Take a server down for the desired version, as its supervisor does; check how many are down."""
         self.servers[server_id] = ServerRun(self.servers[server_id].version, "changing")
         changing = sorted(id for id, (_, state) in self.servers.items() if state == "changing")
         in_zone = sum(_zone(id) == _zone(server_id) for id in changing)
         if len(changing) > ORDER.max_down or in_zone > ORDER.max_down_per_zone:
-            self.broken = f"{', '.join(changing)} are down at once"
+            self.violation = f"{', '.join(changing)} are down at once"
 
     def come_up(self, server_id: str) -> None:
-        """Let a server come up, with the desired version if it went down for it."""
+        """Bring a server up, with the desired version if it went down for that."""
         version, state = self.servers[server_id]
         runs = self.desired[server_id] if state == "changing" else version
         self.servers[server_id] = ServerRun(runs, "up")
 
-    def die(self, server_id: str) -> None:
-        """Let a server go down by itself."""
+    def crash(self, server_id: str) -> None:
+        """Crash a server."""
         self.servers[server_id] = ServerRun(self.servers[server_id].version, "down")
 
     # ---- exploration
 
     def wrong(self) -> str:
         """Return which invariant is violated; "" if all hold."""
-        return self.broken
+        return self.violation
 
     def key(self) -> int:
-        """Return a hash of all that what follows can depend on."""
+        """Return a hash of everything on which later states depend."""
         controllers = tuple(
             (epoch, controller.state_key(), self.pending[epoch])
             for epoch, controller in sorted(self.controllers.items())
         )
         desired = tuple(sorted(self.desired.items()))
         stored = (self.epoch, self.record, desired, tuple(sorted(self.servers.items())))
-        return hash((controllers, stored, self.successions, self.deaths, self.verdicts, self.broken))
+        return hash((controllers, stored, self.successions, self.deaths, self.verdicts, self.violation))
 
 
 def _zone(server_id: str) -> int:
@@ -215,9 +215,9 @@
 
 
 def returned_in_last_stage() -> RolloutWorld:
-    """Return a world in the last stage, before a server is back that was away.
+    """Return a world in the last stage, with a server that was away during the order and is back.
 
-    s0 was away, so its zone's s2 is desired to change and has not yet; s0 is back.
+    While s0 was away, s2 of its zone got the new version as desired; s2 has not changed yet.
     """
     world = RolloutWorld()
     while world.record is None or world.record.stage_index == 0 or not world.record.targets:
@@ -230,7 +230,7 @@
     world.pending[1] = ()
     world.desired = {}
     world.servers["s0"] = ServerRun(OLD, "down")
-    world.succeed(dies=True)
+    world.succeed(crashes=True)
     for _ in range(3):
         world.step(2, "can't tell")
         while world.pending[2]:
@@ -249,31 +249,35 @@
         yield from _controller_steps(world, epoch)
     if world.successions:
         succeed = RolloutWorld.succeed
-        yield from _step(world, "it dies, another holds the lease", "successions", succeed, True)
-        yield from _step(world, "it stands still, another holds the lease", "successions", succeed, False)
+        yield from _step(
+            world, "the controller crashes, another gets the lease", "successions", succeed, True
+        )
+        yield from _step(
+            world, "the controller stalls, another gets the lease", "successions", succeed, False
+        )
     for server_id in world.servers:
         yield from _server_steps(world, server_id)
 
 
-def _step(world: RolloutWorld, name: str, spent: str, do: Callable[..., None], *arguments: Any) -> Steps:
-    """Yield the world after a step; `spent` names the count that it lowers."""
+def _step(world: RolloutWorld, name: str, spent: str, action: Callable[..., None], *arguments: Any) -> Steps:
+    """Yield the world after a step; `spent` names the budget that it lowers."""
     successor = world.copy()
     if spent:
         setattr(successor, spent, getattr(successor, spent) - 1)
-    do(successor, *arguments)
+    action(successor, *arguments)
     yield name, successor
 
 
 def _controller_steps(world: RolloutWorld, epoch: int) -> Steps:
-    """Yield what a controller can do: its next effect, or an observation with any verdict."""
+    """Yield what a controller can action: its next effect, or an observation with any verdict."""
     if world.pending[epoch]:
         effect = type(world.pending[epoch][0]).__name__
         yield from _step(world, f"{epoch} carries out {effect}", "", RolloutWorld.carry_out, epoch)
         return
-    yield from _step(world, f"{epoch} looks", "", RolloutWorld.step, epoch, "can't tell")
+    yield from _step(world, f"{epoch} observes", "", RolloutWorld.step, epoch, "can't tell")
     if world.verdicts and world.controllers[epoch].analysis is not None:
         for verdict in ("worse", "not worse"):
-            name = f"{epoch} looks: {verdict}"
+            name = f"{epoch} observes: {verdict}"
             yield from _step(world, name, "verdicts", RolloutWorld.step, epoch, verdict)
 
 
@@ -281,8 +285,10 @@
     """Yield what a server can do."""
     version, state = world.servers[server_id]
     if state == "up" and world.desired.get(server_id, version) != version:
-        yield from _step(world, f"{server_id} goes down for it", "", RolloutWorld.follow, server_id)
+        yield from _step(
+            world, f"{server_id} goes down for the desired version", "", RolloutWorld.take_down, server_id
+        )
     if state != "up":
         yield from _step(world, f"{server_id} comes up", "", RolloutWorld.come_up, server_id)
     if state == "up" and world.deaths:
-        yield from _step(world, f"{server_id} dies", "deaths", RolloutWorld.die, server_id)
+        yield from _step(world, f"{server_id} crashes", "deaths", RolloutWorld.crash, server_id)
--- a/thistleline/lab/simulation/rollouts.py
+++ b/thistleline/lab/simulation/rollouts.py
@@ -1,9 +1,9 @@
-"""Rollouts in virtual time: the controller and its canary analysis as they run, over simulated servers.
+"""Rollouts in virtual time: the production controller and its canary analysis, over simulated servers.
 
-A server is its metrics alone. What it does in a step is drawn: a base that all servers of a zone share
-(bursts, shifts of traffic), a noisy neighbour now and then, a cold start, what the release does, and noise.
-The controller sees the metrics that membership gossip brings, and nothing else. The oracle is the
-simulation, which knows what the release does (`Harm`).
+A server consists of its metrics. Its load and results in a step are drawn: a base that all servers of a zone
+share (bursts, shifts of traffic), an occasional noisy neighbour, a cold start, the effect of the release,
+and noise. The controller sees only the metrics that membership gossip carries. The oracle is the simulation,
+which knows the effect of the release (`Harm`).
 """
 
 import statistics
@@ -33,25 +33,25 @@
 STEP_NS = 5 * SECOND
 RESTART_STEPS = 4  # down after a change
 COLD_STEPS = 6  # cold after a start
-RATE = 80  # tasks of a server in a step
+RATE = 80  # tasks of a server per step
 FIRST_ORDER_STEP = 20
 INITIAL_MEMORY = 100_000  # kB
 
 
 class Harm(NamedTuple):
-    """What the new release does.
+    """The effect of the new release.
 
     Attributes:
-        what: Name of the harm, in the figures.
+        what: Name of the harm in the figures.
         served: Share of the utility that is lost.
-        zone: Where alone it harms; "" for everywhere.
-        cold_only: Whether it harms cold servers alone.
+        zone: The only zone that it harms; "" for all.
+        cold_only: Whether it harms only cold servers.
         slow: Added to the share of tasks that are slow.
-        leak: Memory lost, kB a step.
+        leak: Memory lost, kB per step.
         crash_after: Steps until a server crashes; 0: never.
         silent: Whether servers run but report nothing.
         starts: Whether it starts at all.
-        dear: Share of the utility of finished tasks that is lost, with as many tasks finished as before.
+        dear: Share of the utility of finished tasks that is lost, with unchanged counts.
     """
 
     what: str = "none"
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True)
 class Metrics:
-    """What a server reports of itself, summed since its start."""
+    """The metrics that a server reports, summed since its start."""
 
     tasks: int = 0
     finished: int = 0
@@ -82,7 +82,7 @@
     served_utility: int = 0  # thousandths
 
     def reset(self) -> None:
-        """Forget what a restarted server forgets; memory is reset by a change of the version alone."""
+        """Reset what a restart resets; only a change of the version resets memory."""
         self.tasks = 0
         self.finished = 0
         self.rejected = 0
@@ -106,7 +106,7 @@
 
 
 class StepResult(NamedTuple):
-    """What one server did in a step: the utility it lost to the release, and the tasks that came."""
+    """Result of one server in a step: the utility lost to the release, and the tasks received."""
 
     lost: float
     tasks: int
@@ -133,16 +133,16 @@
         self.noisy_neighbour = 0  # steps left
 
     def set_desired(self, version: Version, restart_token: int) -> None:
-        """Set the version to run; a new token, other than 0, restarts the server in any case."""
+        """Set the version to run; a new token, other than 0, restarts the server even without a change."""
         self.desired = version
         self.restart_due = restart_token != 0 and restart_token != self.restart_token
         self.restart_token = restart_token
 
     def step(self, burst: float, harm: Harm, crashes: bool) -> StepResult:
-        """Do one step.
+        """Simulate one step.
 
         Args:
-            burst: Share of traffic beyond the normal.
+            burst: Traffic above the normal, as a share of it.
             harm: Of the new release.
             crashes: Whether the server crashes by itself, whatever its version.
         """
@@ -184,7 +184,7 @@
         self.metrics.reset()
 
     def _serve(self, burst: float, harm: Harm) -> StepResult:
-        """Draw what a running server does with its tasks in a step."""
+        """Draw the results of a running server in a step."""
         rng, metrics = self.rng, self.metrics
         is_cold = self.age <= COLD_STEPS
         in_zone = not harm.zone or harm.zone == self.zone
@@ -215,7 +215,7 @@
         return StepResult(lost * tasks + dear * finished, tasks)
 
     def status(self, harm: Harm) -> ServerStatus:
-        """Return what the controller sees of the server."""
+        """Return the status that the controller sees."""
         is_up = not self.down
         is_silent = is_up and self.version == NEW_VERSION and harm.silent
         metrics = () if is_silent else self.metrics.reported()
@@ -227,18 +227,18 @@
 
 
 class ThresholdAnalysis(CanaryAnalysis):
-    """A baseline: worse by a margin in some slots in a row is a failure.
+    """A baseline: being worse by a margin in several consecutive slots is a failure.
 
-    New servers are compared with old ones over all zones, or with what old ones did last if none are left.
+    New servers are compared with old ones over all zones; if no old one is left, with their last result.
     """
 
     MARGIN = 0.02  # of the share served
-    MAX_WORSE_SLOTS = 3  # in a row
+    MAX_WORSE_SLOTS = 3  # consecutive
 
     def __init__(self, *arguments: Any) -> None:
         """Make an analysis; the arguments are those of `CanaryAnalysis`."""
         super().__init__(*arguments)
-        self.worse_slots = 0  # in a row
+        self.worse_slots = 0  # consecutive
         self.old_served = 0.0
 
     def add_slot(self, samples: Iterable[SlotSample], expected: Iterable[str]) -> None:
@@ -267,15 +267,15 @@
 
 
 class SimulationResult(NamedTuple):
-    """What came of one simulated rollout.
+    """Result of one simulated rollout.
 
     Attributes:
-        phase: The record's last one.
-        steps: That it took.
-        most_new: Servers that ever ran the new version.
-        lost: Share of the utility offered that the release lost.
-        why: The record's reason.
-        most_down: Most servers down in one step.
+        phase: Last phase of the record.
+        steps: Number of steps taken.
+        most_new: Number of servers that ever ran the new version.
+        lost: Share of the offered utility that the release lost.
+        why: Reason in the record.
+        most_down: Maximum number of servers down in one step.
     """
 
     phase: str
@@ -304,7 +304,7 @@
         self.burst = {f"z{zone}": 0.0 for zone in range(zones)}
         self.now = 0  # ns
         self.analysis, stages = RULES[rule]
-        self.record: RolloutRecord | None = None  # all that a succeeding controller knows
+        self.record: RolloutRecord | None = None  # the only knowledge of a succeeding controller
         self.controller = self._new_controller()
         down = servers if len(stages) == 1 else max(1, servers // 10)
         self.order = Order(1, "start", "", NEW_VERSION, OLD_VERSION, stages, down, max(1, down // 2))
@@ -317,7 +317,7 @@
         return RolloutController(self.now, lambda: self.now // 1_000_000, self.record, TIMING, self.analysis)
 
     def run(self, steps: int, crashes: float) -> SimulationResult:
-        """Run until the rollout is over or asks a person, or for so many steps."""
+        """Run until the rollout is over or waits for an operator, for at most `steps` steps."""
         for step in range(1, steps + 1):
             self.now += STEP_NS
             self._step_servers(crashes)
@@ -351,7 +351,7 @@
         effects += self.controller.handle(self.now, DeadlineReached())
         while effects:
             effect = effects.pop(0)
-            if self.rng.random() < self.successions:  # the controller dies between two effects
+            if self.rng.random() < self.successions:  # the controller crashes between two effects
                 self.controller = self._new_controller()
                 break
             match effect:
@@ -375,14 +375,14 @@
     """Simulate one rollout until it is done or rolled back.
 
     Args:
-        servers: How many.
-        zones: Servers are spread over them in turn.
-        harm: What the new release does.
+        servers: Number of servers.
+        zones: Number of zones; servers are spread over them in turn.
+        harm: Effect of the new release.
         seed: Of all random draws.
-        steps: Most of them.
+        steps: Maximum number of steps.
         crashes: Probability that a server crashes in a step.
         successions: Probability, in each step and before each effect, that another controller takes over; it
-            knows the stored record and nothing else.
+            knows only the stored record.
         rule: How canaries are judged, of `RULES`.
     """
     return RolloutSimulation(servers, zones, harm, seed, successions, rule).run(steps, crashes)
