--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -19,16 +19,16 @@
 from thistleline.lab.processes.harness import free_port
 from thistleline.lab.processes.machines import SupervisedFleet
 from thistleline.lab.simulation.explorer import explore
-from thistleline.lab.simulation.lease_mutants import without
+from thistleline.lab.simulation.lease_mutants import patched
 from thistleline.lab.simulation.rollout_world import RolloutWorld, returned_in_last_stage
-from thistleline.lab.simulation.rollout_world import following as following_rollout
+from thistleline.lab.simulation.rollout_world import next_states as next_rollout_states
 from thistleline.lab.simulation.rollouts import HARMS, Harm, simulate_rollout
 from thistleline.lab.simulation.supervisor_world import (
-    BesideWorld,
-    StewardWorld,
-    following,
-    following_beside,
-    wander,
+    SideBySideWorld,
+    SupervisorWorld,
+    explore_randomly,
+    next_states,
+    side_by_side_next_states,
 )
 from thistleline.lease.protocol import MAX_VALUE_SIZE, Put
 from thistleline.lease.table import validate
@@ -379,7 +379,7 @@
 
 
 def test_no_server_is_started_twice_or_unrecorded_if_the_supervisor_dies_at_any_step() -> None:
-    found = explore(StewardWorld(), following, 40, 20_000)
+    found = explore(SupervisorWorld(), next_states, 40, 20_000)
     assert not found.wrong, found.trace
 
 
@@ -408,15 +408,15 @@
 
 
 @pytest.mark.parametrize(("name", "mutant", "violation"), [
-    ("_spawn", _spawn_before_persisting, "nobody would know of"),
-    ("_on_desired_version", _accept_older_epochs, "an older conductor"),
-    ("_on_verified", _ignore_faults, "unfit is started"),
+    ("_spawn", _spawn_before_persisting, "not recorded on disk"),
+    ("_on_desired_version", _accept_older_epochs, "an older rollout controller"),
+    ("_on_verified", _ignore_faults, "invalid version is started"),
 ])  # fmt: skip
 def test_exploration_finds_faults_in_a_supervisor_that_replaces_servers(
     name: str, mutant: Any, violation: str
 ) -> None:
-    with without(((Supervisor, name, mutant),)):
-        assert violation in explore(StewardWorld(), following, 40, 60_000).wrong
+    with patched(((Supervisor, name, mutant),)):
+        assert violation in explore(SupervisorWorld(), next_states, 40, 60_000).wrong
 
 
 def _spawn_successor_before_persisting(self: Supervisor, version: Version) -> None:
@@ -447,28 +447,28 @@
 
 
 def test_with_overlap_at_most_two_servers_run_and_the_desired_version_starts_serving() -> None:
-    assert explore(BesideWorld(), following_beside, 60, 20_000).wrong == ""
-    assert wander(range(400), 150) == ""
+    assert explore(SideBySideWorld(), side_by_side_next_states, 60, 20_000).wrong == ""
+    assert explore_randomly(range(400), 150) == ""
 
 
 @pytest.mark.parametrize(("name", "mutant", "violation"), [
-    ("_spawn_successor", _spawn_successor_before_persisting, "nobody would know of"),
-    ("_on_recovered", _forget_successor, "too many live"),
-    ("_on_ready", _forget_predecessor, "too many live"),
-    ("_on_timer", _no_timer_while_running, "does not come to serve"),
+    ("_spawn_successor", _spawn_successor_before_persisting, "not recorded on disk"),
+    ("_on_recovered", _forget_successor, "too many are alive"),
+    ("_on_ready", _forget_predecessor, "too many are alive"),
+    ("_on_timer", _no_timer_while_running, "does not serve in the end"),
 ])  # fmt: skip
 def test_random_walks_find_faults_in_a_supervisor_with_overlap(
     name: str, mutant: Any, violation: str
 ) -> None:
-    with without(((Supervisor, name, mutant),)):
-        assert violation in wander(range(1500), 150)
+    with patched(((Supervisor, name, mutant),)):
+        assert violation in explore_randomly(range(1500), 150)
 
 
 @pytest.mark.parametrize("root", [RolloutWorld, returned_in_last_stage])
 def test_a_rollout_stays_within_its_limits_whenever_controllers_and_servers_die(
     root: Callable[[], RolloutWorld],
 ) -> None:
-    found = explore(root(), following_rollout, 60, 8_000)
+    found = explore(root(), next_rollout_states, 60, 8_000)
     assert not found.wrong, found.trace
     assert found.states >= 8_000
 
@@ -483,13 +483,13 @@
 
 @pytest.mark.parametrize(("owner", "name", "mutant", "violation"), [
     (DownBudget, "has_room", _always_has_room, "are down at once"),
-    (RolloutController, "_roll_back", _roll_forward, "what is being taken back"),
+    (RolloutController, "_roll_back", _roll_forward, "during a rollback"),
 ])  # fmt: skip
 def test_exploration_finds_faults_in_a_rollout_controller(
     owner: type, name: str, mutant: Any, violation: str
 ) -> None:
-    with without(((owner, name, mutant),)):
-        assert violation in explore(returned_in_last_stage(), following_rollout, 60, 8_000).wrong
+    with patched(((owner, name, mutant),)):
+        assert violation in explore(returned_in_last_stage(), next_rollout_states, 60, 8_000).wrong
 
 
 def running_supervisor(good: Version | None = OLD) -> Supervisor:
--- a/thistleline/lab/scale/feed.py
+++ b/thistleline/lab/scale/feed.py
@@ -26,7 +26,7 @@
 from thistleline.lab.scale.size import FOLDER, size
 from thistleline.lab.scale.slopes import Part, Row, Shape, judge, loop_cpu, memory_of, row, steps_of
 from thistleline.lab.simulation.feed_fleet import VirtualFeed, quantile
-from thistleline.lab.simulation.feed_mutants import prove
+from thistleline.lab.simulation.feed_mutants import run_mutation_tests
 from thistleline.lab.simulation.polled_settings import PolledFleet
 from thistleline.supervisor.service import POLL
 
@@ -174,7 +174,7 @@
         while (time := time + self.lookup_random.expovariate(rate) * SECOND) < end:
             key, name = self.tenant(self.lookup_random), self.lookup_random.choice(fleet.instances)
             for repeat in range(3):  # requested, then cached, then perhaps changed
-                fleet.at(int(time) + repeat * 1500 * MS, fleet.look, name, key)
+                fleet.at(int(time) + repeat * 1500 * MS, fleet.look_up, name, key)
 
 
 def run_case(
@@ -197,8 +197,8 @@
         The figures of the case.
     """
     fleet = load.fleet
-    fleet.took.clear()
-    fleet.took_all.clear()
+    fleet.latencies.clear()
+    fleet.latencies_from_first.clear()
     first_number, started = fleet.oracle.last, fleet.now
     names = fleet.instances
     before, relays_before = fleet.totals(names), fleet.totals(fleet.relays)
@@ -226,18 +226,20 @@
         (new[0] + new[1] - old[0] - old[1]) / duration
         for old, new in zip(relays_before, fleet.totals(fleet.relays), strict=True)
     ]
-    followers = max(len(fleet.places[relay].peers) for relay in fleet.relays if fleet.places[relay].alive)
+    followers = max(
+        len(fleet.processes[relay].peers) for relay in fleet.relays if fleet.processes[relay].alive
+    )
     cpu = sum(new[5] - old[5] for old, new in zip(before, fleet.totals(names), strict=True))
     (writer_after,) = fleet.totals([writer])
     settled = fleet.settle()
     changes = fleet.oracle.last - first_number
     return {
         "changes": changes,
-        "middle_ms": quantile(fleet.took, 0.5),
-        "of_99_in_100_ms": quantile(fleet.took, 0.99),
-        "last_ms": max(fleet.took, default=0),
-        "last_from_first_asking_ms": max((*fleet.took, *fleet.took_all), default=0),
-        "counted": sum(fleet.took.values()),
+        "middle_ms": quantile(fleet.latencies, 0.5),
+        "of_99_in_100_ms": quantile(fleet.latencies, 0.99),
+        "last_ms": max(fleet.latencies, default=0),
+        "last_from_first_asking_ms": max((*fleet.latencies, *fleet.latencies_from_first), default=0),
+        "counted": sum(fleet.latencies.values()),
         "settled_s": round(settled / SECOND, 2),
         "behind": fleet.behind(),
         "instance_bytes_s": round(sum(bytes_each) / len(bytes_each), 1),
@@ -267,7 +269,7 @@
 
 def instances_in_zone(fleet: VirtualFeed, zone: int) -> list[str]:
     """Return the names of a zone's instances."""
-    return [name for name in fleet.instances if fleet.places[name].zone == zone]
+    return [name for name in fleet.instances if fleet.processes[name].zone == zone]
 
 
 def restart_instances(fleet: VirtualFeed, names: list[str], down: int, spread: int, cold: bool) -> None:
@@ -292,9 +294,9 @@
 
 def lose_zone(fleet: VirtualFeed) -> None:
     """Kill a zone with the relay in it. Its instances come back, the relay does not."""
-    zone = fleet.places[fleet.relays[1]].zone
+    zone = fleet.processes[fleet.relays[1]].zone
     for name in fleet.relays:
-        if fleet.places[name].zone == zone:
+        if fleet.processes[name].zone == zone:
             fleet.kill(name)
     restart_instances(fleet, instances_in_zone(fleet, zone), ZONE_DOWN_NS, 2 * SECOND, False)
 
@@ -332,25 +334,29 @@
     fleet = load.fleet
     cut_regions = range(fleet.regions - fleet.regions // 2, fleet.regions)
     cut_instances = [
-        place.name for place in fleet.places.values() if place.region in cut_regions and place.name[0] == "i"
+        place.name
+        for place in fleet.processes.values()
+        if place.region in cut_regions and place.name[0] == "i"
     ]
     cut_servers = [
-        place.name for place in fleet.places.values() if place.region in cut_regions and place.name[0] != "i"
+        place.name
+        for place in fleet.processes.values()
+        if place.region in cut_regions and place.name[0] != "i"
     ]
-    fleet.cut = lambda source, target: (source in cut_regions) != (target in cut_regions)
+    fleet.is_cut = lambda source, target: (source in cut_regions) != (target in cut_regions)
     first_number = fleet.oracle.last
     load.plan(rate, changes / rate)
     fleet.run(fleet.now + int(changes / rate * SECOND) + 5 * SECOND)
-    numbers_at_heal = {fleet.places[name].number for name in cut_instances}
-    fleet.cut = lambda source, target: False
-    fleet.took.clear()
+    numbers_at_heal = {fleet.processes[name].number for name in cut_instances}
+    fleet.is_cut = lambda source, target: False
+    fleet.latencies.clear()
     healed, newest = fleet.now, fleet.oracle.last
     before, servers_before = fleet.totals(cut_instances), fleet.totals(cut_servers)
     load.plan(changes / 3600, 10)
     caught_up = [False]
 
     def over() -> bool:
-        caught_up[0] = all(place.number >= newest for place in fleet.places.values() if place.alive)
+        caught_up[0] = all(place.number >= newest for place in fleet.processes.values() if place.alive)
         return caught_up[0]
 
     fleet.run(fleet.now + 120 * SECOND, over)
@@ -450,7 +456,7 @@
 
 def start_fleet(fleet: VirtualFeed) -> None:
     """Run until all have joined, with a keeper that writes."""
-    fleet.hold(fleet.kept[0])
+    fleet.give_lease_to(fleet.keepers[0])
     fleet.run(10 * SECOND)
 
 
@@ -531,7 +537,9 @@
     if name == "the writer dies":
         # They would be those of the killed writer.
         del result["writer_messages_change"], result["writer_bytes_change"]
-    result |= {"refused": len(fleet.refused)} | {f"looked up, {kind}": n for kind, n in fleet.looked.items()}
+    result |= {"refused": len(fleet.refused)} | {
+        f"looked up, {kind}": n for kind, n in fleet.lookup_counts.items()
+    }
     result["cpu_s_of_this_run"] = round(process_time() - started, 1)
     return result, fleet.faults() + [f"refused: {why}" for why in fleet.refused[:3]]
 
@@ -559,10 +567,10 @@
     settled = fleet.settle()
     return {
         "changes": fleet.changes,
-        "middle_ms": quantile(fleet.took, 0.5),
-        "of_99_in_100_ms": quantile(fleet.took, 0.99),
-        "last_ms": max(fleet.took, default=0),
-        "counted": sum(fleet.took.values()),
+        "middle_ms": quantile(fleet.latencies, 0.5),
+        "of_99_in_100_ms": quantile(fleet.latencies, 0.99),
+        "last_ms": max(fleet.latencies, default=0),
+        "counted": sum(fleet.latencies.values()),
         "settled_s": round(settled / SECOND, 2),
         "behind": fleet.behind(),
         "instance_bytes_s": round(instances / len(fleet.instances), 1),
@@ -747,10 +755,10 @@
     start_fleet(fleet)
     name = fleet.instances[0]
     fleet.restart(name, True)
-    before = fleet.places[name].got_bytes + fleet.places[name].sent_bytes
-    fleet.run(fleet.now + 30 * SECOND, lambda: fleet.places[name].number == fleet.oracle.last)
-    assert fleet.places[name].number == fleet.oracle.last
-    return fleet.places[name].got_bytes + fleet.places[name].sent_bytes - before
+    before = fleet.processes[name].got_bytes + fleet.processes[name].sent_bytes
+    fleet.run(fleet.now + 30 * SECOND, lambda: fleet.processes[name].number == fleet.oracle.last)
+    assert fleet.processes[name].number == fleet.oracle.last
+    return fleet.processes[name].got_bytes + fleet.processes[name].sent_bytes - before
 
 
 def update_costs(table: FeedTable, repeats: int = 2000) -> dict[str, Any]:
@@ -804,7 +812,9 @@
         polled_cases = {way: pool.submit(run_polled, plan, way[0], reads[way[1]]) for way in ways}
         tell("feed: tables")
         rows = table_rows(seed, TABLE_SIZES)
-        figures["explored"], explored_clean, mutants_found = prove(1_000 if quick else 50_000, tell)
+        figures["explored"], explored_clean, mutants_found = run_mutation_tests(
+            1_000 if quick else 50_000, tell
+        )
         figures["cases"] = {name: future.result()[0] for name, future in feed_cases.items()}
         figures["today"] = compare(
             plan, figures["cases"], {way: future.result() for way, future in polled_cases.items()}
