--- a/thistleline/interface.py
+++ b/thistleline/interface.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Literal, Protocol
 
-EffectKind = Literal["idempotent", "keyed", "non_idempotent"]  # keyed: idempotent by an idempotency key
+EffectKind = Literal["idempotent", "keyed", "non_idempotent"]  # keyed: made idempotent by an idempotency key
 RunOutcome = Literal["finished", "failed", "stopped", "moot"]  # moot: the run never started
 CallOutcome = Literal["finished", "failed", "rejected", "timed_out", "unreachable", "aborted"]
 
@@ -57,7 +57,7 @@
     max_concurrency_per_core: float  # tasks on the cores, per core, that a warm server withstands
     max_concurrency_window: int  # ns
     answer_slack: int  # ns
-    drain_grace: int  # ns
+    drain_grace: int  # ns; grace period of a drain, for most of which tasks are still accepted
     cancellation: Literal["none", "abort", "suspend"]  # effect of stopping a run
     propagates_deadline: bool
     reports_cancellation: bool
@@ -66,7 +66,7 @@
     endpoint_list_follows_health: bool
     max_retry_after: int  # ns; 0 if clients are sent no Retry-After
     over_quota_utility: float  # share of the utility that remains for a task over its tenant's quota
-    cached_result_ttl: int  # ns
+    cached_result_ttl: int  # ns after the end of a run in which its result may answer equal reads
     downstream: Literal["none", "shared", "tier"]  # kind of the dependency that tasks call
     downstream_quota: float  # this server's quota of concurrent calls to a shared dependency
     downstream_quota_window: int  # ns over which the quota is averaged
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunEnded:
-    """A run ended, or an answer was replayed from the run of a duplicate."""
+    """A run ended, or a task was answered with the result of the task that it duplicates."""
 
     task_id: str
     outcome: RunOutcome
@@ -132,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectRemembered:
-    """An effect ran, or may have run, in an earlier process of this server.
+    """A run with an idempotency key took place, or may have, in an earlier process of this server.
 
     Its record is kept until `expires_at`, in ns.
     """
@@ -182,7 +182,7 @@
 
         Args:
             task_id: The task.
-            fleet_overloaded: Whether a retry at another server is as likely to be rejected.
+            fleet_overloaded: Whether a retry at another server is as likely to be rejected as one here.
             retry_after: Nanoseconds the client should wait before a retry (Retry-After); 0 for none.
         """
 
@@ -190,7 +190,7 @@
         """Answer the task with a failure that says nothing about whether it ran."""
 
     def replay_result(self, task_id: str) -> None:
-        """Answer the task with the result of the run of its duplicate."""
+        """Answer the task with the result of the run of the task that it duplicates."""
 
     def remember_key(self, task_id: str, duration: int) -> None:
         """Store the task's idempotency key for `duration` nanoseconds."""
--- a/thistleline/policy/admission.py
+++ b/thistleline/policy/admission.py
@@ -12,7 +12,7 @@
     """Decides which tasks are queued, started or rejected."""
 
     def __init__(self, state: PolicyState, completion: Completion) -> None:
-        """Create the admission control, which rejects tasks through `completion`."""
+        """Create the admission control; `completion` carries out its rejections."""
         self._state = state
         self._completion = completion
         cores = state.settings.cores
@@ -28,7 +28,7 @@
     # ---- arrival
 
     def _admit(self, task: Task, out: DecisionSink) -> None:
-        """Replay a duplicate's result for a task that was read, or reject it, or queue it."""
+        """Reject a task that was read, queue it, or answer it with the result of the task it duplicates."""
         state = self._state
         tasks = state.tasks
         stage = state.settings.stages[task.stage]
@@ -44,7 +44,7 @@
         if record.answer_by <= state.now or state.is_too_late_to_run(task) or self._is_shed(record):
             self._completion.reject(record, out)
         elif state.is_memory_short(state.settings.idempotency_key_kb if record.effect else 0.0):
-            # When memory is short, new tasks are rejected; keys of effects that ran are never dropped.
+            # When memory is short, new tasks are rejected; idempotency keys of tasks that ran are kept.
             self._completion.reject(record, out)
         else:
             tasks.queue_length += 1
@@ -52,7 +52,7 @@
                 state.idempotency.remember(state.now, record, out)
 
     def _register(self, task: Task, stage: Stage) -> TaskRecord:
-        """Add a task to the table and record its arrival in all statistics."""
+        """Add a task to the task table and record its arrival in all statistics."""
         state = self._state
         now = state.now
         deadline = task.deadline if task.deadline is not None else task.arrived_at + stage.timeout
@@ -89,11 +89,11 @@
         return due, is_retry
 
     def _is_shed(self, record: TaskRecord) -> bool:
-        """Return whether the task is below the cutoff and the queue for the cores is not short.
+        """Return whether the task is to be shed: it is below the cutoff, and the core queue is not short.
 
         With a short queue a core becomes free at once, which shows that there is no overload now, even if the
-        rate cap was set a second ago. Prevents the cutoff from outlasting its overload when clients move
-        between servers.
+        rate cap was set a second ago. Prevents the cutoff from outlasting the overload that caused it when
+        clients move between servers.
         """
         state = self._state
         if record.shed_position >= state.shedder.cutoff:
@@ -128,8 +128,8 @@
         stage = settings.stages[record.task.stage]
         record.state = "running"
         record.started_at = state.now
-        # An idempotent run whose late answer has no utility is answered and stopped at its due time,
-        # if runs can be stopped. Prevents a slowdown from keeping the cores busy with late runs.
+        # If a late answer has no utility, an idempotent task is answered and its run stopped at its due time,
+        # provided that runs can be stopped. Prevents a slowdown from keeping the cores busy with late runs.
         if settings.cancellation != "none" and stage.effect == "idempotent" and not stage.late_utility_share:
             record.answer_by = min(record.answer_by, record.due)
         state.tasks.start(record)
--- a/thistleline/policy/completion.py
+++ b/thistleline/policy/completion.py
@@ -12,7 +12,7 @@
     """Completes tasks and updates the statistics from their outcomes."""
 
     def __init__(self, state: PolicyState) -> None:
-        """Create the completion of tasks in the policy's state."""
+        """Create the completion of the tasks in the policy's state."""
         self._state = state
         self._tolerable_wait = tolerable_unread_wait(state.detector.least_objective)
 
@@ -31,7 +31,7 @@
         self._remove(record, out)
 
     def answer_due(self, out: DecisionSink) -> None:
-        """Answer each task shortly before its deadline or the stop of this server, in any state.
+        """Answer each task, whatever its state, shortly before its deadline or the stop of this server.
 
         Prevents tasks that are never answered.
         """
@@ -49,8 +49,8 @@
     def client_gone(self, task_id: str, out: DecisionSink) -> None:
         """End a task whose client no longer waits.
 
-        An idempotent run is stopped if runs can be stopped. A run with an effect continues, so that its
-        result can answer duplicates.
+        An idempotent run is stopped if runs can be stopped. Any other run continues, so that its result can
+        answer duplicates of the task.
         """
         state = self._state
         record = state.tasks.by_id.get(task_id)
@@ -66,7 +66,7 @@
         record.state = "answered"
 
     def run_ended(self, task_id: str, outcome: RunOutcome, duration: int, out: DecisionSink) -> None:
-        """Remove a task whose run, or whose replay of a result, ended."""
+        """Remove a task whose run ended, or that was answered with the result of another task's run."""
         state = self._state
         record = state.tasks.by_id.pop(task_id, None)
         if record is None:
@@ -75,7 +75,9 @@
         state.downstream.end_call(state.now, task_id, is_given_up=True)
         state.tasks.release(record)
         if outcome == "moot" and record.effect is not None:
-            record.effect.has_run = False  # never started; prevents keeping a key unknown to the agent
+            record.effect.has_run = (
+                False  # the run never started; prevents keeping a key unknown to the agent
+            )
             state.idempotency.withdraw(state.now, record, out)
         if record.started_at:
             self._observe_run(record, outcome, duration)
@@ -87,7 +89,7 @@
             self._state.downstream.request(record)
 
     def call_ended(self, task_id: str, outcome: CallOutcome, out: DecisionSink) -> None:
-        """Continue a task after its call, repeat the call, or answer the task with a failure."""
+        """Continue a task after its downstream call, repeat the call, or answer the task with a failure."""
         state = self._state
         downstream = state.downstream
         record = state.tasks.by_id.get(task_id)
@@ -113,11 +115,12 @@
         self._state.idempotency.withdraw(self._state.now, record, out)
 
     def _is_fleet_overloaded(self) -> bool:
-        """Return whether a retry at another server is as likely to be rejected.
+        """Return whether a retry at another server is as likely to be rejected as one at this server.
 
-        This holds when retries exceed their budget, or when rejections do while this server keeps its usual
-        pace: then the fleet receives too much load, rather than this server being slow. Prevents retries from
-        trying the whole endpoint list; could harm where a single server is overloaded for a long time.
+        This holds when retries exceed their budget. It also holds when rejections exceed their budget while
+        this server runs tasks at its usual pace: then the fleet receives too much load, rather than this
+        server being slow. Prevents retries from trying the whole endpoint list; could harm where a single
+        server is overloaded for a long time.
         """
         state = self._state
         arrival_rate = state.shedder.arrival_rate(state.now)
@@ -128,7 +131,7 @@
         return state.rejections.exceeds_budget(state.now, arrival_rate) and state.estimator.keeps_usual_pace()
 
     def _observe_run(self, record: TaskRecord, outcome: RunOutcome, duration: int) -> None:
-        """Update the statistics from a run that finished, or that was stopped after its due time."""
+        """Update the statistics from a run that finished, or that was stopped after the task's due time."""
         state = self._state
         now = state.now
         is_capped = state.rate_cap.cap is not None
--- a/thistleline/policy/concurrency.py
+++ b/thistleline/policy/concurrency.py
@@ -1,4 +1,4 @@
-"""The limit of concurrent runs."""
+"""The limit on concurrent runs."""
 
 from collections.abc import Collection
 
@@ -7,14 +7,16 @@
 
 
 class ConcurrencyLimit:
-    """A limit of running tasks that starts at the core count and adapts to the run queue.
+    """A limit on running tasks that starts at the core count and adapts to the run queue.
+
+    The run queue consists of the tasks on the cores or waiting for one.
 
     Attributes:
-        limit: The adaptive limit of running tasks.
+        limit: The adaptive limit on running tasks.
     """
 
     def __init__(self, settings: ServerSettings, started_at: int) -> None:
-        """Create the limit of a server that started at `started_at`, ns."""
+        """Create the limit for a server that started at `started_at`, ns."""
         self.limit = float(settings.cores)
         self._settings = settings
         self._started_at = started_at
@@ -22,14 +24,14 @@
     def adapt(self, on_cores: float, running: int, queue_length: int, peaks: Collection[float]) -> None:
         """Raise the limit if cores are idle and tasks queue; lower it if the run queue is too long.
 
-        The run queue is too long when it exceeds its highest length in windows without a violation, or
-        `INITIAL_CONCURRENCY_PER_CORE` per core.
+        The run queue is too long when it exceeds its highest length in detector windows without a violation,
+        or `INITIAL_CONCURRENCY_PER_CORE` per core.
 
         Args:
             on_cores: Tasks on the cores or waiting for one.
             running: Runs that have not ended.
             queue_length: Tasks in the queue.
-            peaks: Highest run queue per core in each window without a violation.
+            peaks: Highest run queue per core in each detector window without a violation.
         """
         cores = self._settings.cores
         if queue_length and on_cores < cores:
@@ -40,7 +42,7 @@
             self.limit = max(float(cores), min(self.limit, running) - 1)
 
     def max_running(self, now: int) -> int:
-        """Return how many tasks may run: the limit, or what the server withstands now if that is less."""
+        """Return how many tasks may run: the limit, or fewer if the server withstands only fewer now."""
         settings = self._settings
         speed_share = 1.0
         if settings.cold_start:
--- a/thistleline/policy/connections.py
+++ b/thistleline/policy/connections.py
@@ -7,12 +7,12 @@
 
 
 class IdleTimeoutAdvisor:
-    """Sets a short idle timeout while clients seldom return.
+    """Sets a short idle timeout while most clients send only one task.
 
-    A connection whose client seldom returns takes up a slot and work without benefit. Prevents the connection
-    table from filling until clients get no connection; could harm where opening a connection is very
-    expensive. There is no timeout in a retry storm: connections that a full table rejects cost no
-    reading of requests.
+    A connection whose client sends no further task takes up a place in the connection table and work without
+    benefit. Prevents the table from filling until clients get no connection; could harm where opening a
+    connection is very expensive. There is no timeout in a retry storm: where a full table rejects a
+    connection, no requests have to be read from it.
     """
 
     def __init__(self) -> None:
@@ -25,7 +25,7 @@
         self._clients.append(client)
 
     def update(self, is_retry_storm: bool, out: DecisionSink) -> None:
-        """Send the idle timeout if it has changed."""
+        """Pass the idle timeout to the host if it has changed."""
         seldom_return = len(set(self._clients)) > ONE_TIME_CLIENT_SHARE * CLIENT_SAMPLES
         idle_timeout = SHORT_IDLE_TIMEOUT if seldom_return and not is_retry_storm else 0
         if idle_timeout != self._idle_timeout:
--- a/thistleline/policy/detectors.py
+++ b/thistleline/policy/detectors.py
@@ -1,8 +1,8 @@
 """Overload detectors: run queue per core and queueing delay, sampled in the server, confirmed by latency.
 
-Follows Hodor ("Who Gets Dropped: Hodor and Overload Protection at LinkedIn"): a detector fires after several
-consecutive windows in violation, and a firing counts only if the fast average of latency exceeds the slow
-one.
+Follows Hodor ("Who Gets Dropped: Hodor and Overload Protection at LinkedIn"). A window of samples is in
+violation if their high percentile exceeds the detector's limit. A detector fires after several consecutive
+windows in violation, but this counts only if the fast average of latency exceeds the slow average.
 """
 
 from collections import deque
@@ -62,7 +62,10 @@
         self._unread_waits.append((now, now - arrived_at))
 
     def observe_finish(self, now: int, latency: int, is_capped: bool) -> None:
-        """Record the latency of a finished run; it enters the slow average only without cap and violation."""
+        """Record the latency of a finished task.
+
+        It enters the slow average only if no rate cap applies and no detector is in violation.
+        """
         self._latencies.append((now, latency))
         if not is_capped and not self.in_violation:
             self._baseline_latencies.append(latency)
@@ -80,12 +83,12 @@
         Args:
             now: The time, ns.
             on_cores: Tasks on the cores or waiting for one.
-            queued: Records of tasks; those not queued are ignored.
+            queued: Records of tasks; records of tasks that are not queued are ignored.
             estimator: The source of run time estimates.
             slowdown: The slowdown to use for the estimates.
         """
         self._run_queue_samples.append(on_cores / self._cores)
-        # Rejected tasks never enter the queue, so the wait of unread tasks is taken from those just read.
+        # Rejected tasks never enter the queue, so the wait of unread tasks is taken from the tasks just read.
         # Prevents a backlog of unread tasks, which the concurrency limit can't reduce and the queue doesn't
         # show.
         worst_wait_share = self.unread_wait(now) / self.least_objective
@@ -97,7 +100,7 @@
         self._wait_samples.append(worst_wait_share)
 
     def close_window(self) -> None:
-        """Count violations in the window of the last `WINDOW` samples."""
+        """Check the last `WINDOW` samples and count each detector's consecutive windows in violation."""
         queue_high = _high_percentile(self._run_queue_samples) > MAX_RUN_QUEUE_PER_CORE
         wait_high = _high_percentile(self._wait_samples) > MAX_WAIT_SHARE
         self._run_queue_violations = self._run_queue_violations + 1 if queue_high else 0
@@ -106,7 +109,7 @@
             self.peaks.append(max(self._run_queue_samples))
 
     def unread_wait(self, now: int) -> int:
-        """Return the median time in ns that tasks read in the last window waited before reading."""
+        """Return the median time in ns that tasks read in the last window waited before they were read."""
         since = now - WINDOW * TICK
         recent = [wait for _, wait in takewhile(lambda read: read[0] > since, reversed(self._unread_waits))]
         return median_high(recent) if recent else 0
@@ -117,7 +120,7 @@
         return violations >= VIOLATIONS_TO_FIRE and self._is_confirmed(now, records)
 
     def _is_confirmed(self, now: int, records: Collection[TaskRecord]) -> bool:
-        """Return whether the fast average of latency is sufficiently above the slow one.
+        """Return whether the fast average of latency is sufficiently above the slow average.
 
         The ages of queued and running tasks count too, so that a stall is detected although no run ends.
         """
--- a/thistleline/policy/downstream.py
+++ b/thistleline/policy/downstream.py
@@ -16,7 +16,7 @@
 
 
 class DownstreamCalls:
-    """Starts calls in order of due time.
+    """Starts downstream calls in order of their tasks' due times.
 
     A shared dependency has a quota: this server's share of concurrent calls, as a mean over the quota window.
     A call in flight counts against the quota up to the end of its timeout, so the quota holds even when the
@@ -25,17 +25,17 @@
     """
 
     def __init__(self, settings: ServerSettings) -> None:
-        """Create the state of a server that has made no calls."""
+        """Create the state for a server that has made no calls."""
         self._settings = settings
         self._is_shared = settings.downstream == "shared"
         self._quota = int(settings.downstream_quota * settings.downstream_quota_window)  # ns of calls
         self._waiting: list[TaskRecord] = []
-        self._ended: deque[tuple[int, int]] = deque()  # start and end of calls in the last quota window
-        self._in_flight: dict[str, tuple[int, int]] = {}  # start and latest end
+        self._ended: deque[tuple[int, int]] = deque()  # start and end of calls in the last quota window, ns
+        self._in_flight: dict[str, tuple[int, int]] = {}  # start and latest end of calls, by task id; ns
         self._durations: deque[int] = deque(maxlen=CALL_SAMPLES)
 
     def request(self, record: TaskRecord) -> None:
-        """Queue a running task for its call."""
+        """Queue a running task for its downstream call."""
         record.state = "awaiting_call"
         self._waiting.append(record)
 
@@ -44,7 +44,7 @@
         self._waiting = [other for other in self._waiting if other is not record]
 
     def start_calls(self, now: int, out: DecisionSink) -> None:
-        """Start the calls that the quota permits; skip others if an answer without them has utility."""
+        """Start the calls that the quota permits; skip a call if an answer without it has utility."""
         if not self._waiting:
             return
         settings = self._settings
@@ -84,7 +84,7 @@
         return now - started_at
 
     def observe(self, outcome: CallOutcome, duration: int) -> None:
-        """Record the duration of a call, unless it was never processed."""
+        """Record the duration of a call, unless the dependency never processed it."""
         if outcome in ("finished", "failed", "timed_out"):
             self._durations.append(duration)
 
@@ -107,8 +107,8 @@
         timeout = min(timeout, MAX_CALL_TIMEOUT_FACTOR * expected or timeout)
         least = min(timeout, MIN_CALL_TIMEOUT_FACTOR * expected or timeout)
         usable = quota_left - self._settings.downstream_linger
-        # The history of ended calls is limited. Calls beyond the limit would be missing in the used quota, so
-        # no call is started while the history is full.
+        # The history of ended calls is limited. Calls beyond the limit would be missing from the used quota,
+        # so no call is started while the history is full.
         if (quota_left < self._quota and usable < least) or len(self._ended) >= MAX_SAMPLES:
             return None
         return max(least, min(timeout, usable))
@@ -122,8 +122,8 @@
     def _expected_duration(self, now: int) -> int:
         """Return the expected duration of a call in ns; 0 if unknown.
 
-        Calls that have been in flight for longer than the high percentile of recent durations count by their
-        age.
+        Calls that have been in flight for longer than the high percentile of recent durations count with
+        their present age.
         """
         if not self._durations:
             return 0
@@ -134,7 +134,11 @@
 
 
 def may_call_again(record: TaskRecord, stage: Stage, outcome: CallOutcome, now: int) -> bool:
-    """Return whether a failed call may be repeated: in time, and idempotent or known not to have run."""
+    """Return whether a failed call may be repeated.
+
+    It may if the task is not past its due time and has not failed too often, and if the task is idempotent or
+    the call is known not to have run.
+    """
     is_safe = stage.effect == "idempotent" or outcome in ("rejected", "unreachable")
     return record.failed_calls <= MAX_CALL_ATTEMPTS and now < record.due and is_safe
 
--- a/thistleline/policy/drain.py
+++ b/thistleline/policy/drain.py
@@ -5,7 +5,7 @@
 
 
 class Drain:
-    """The times until which a draining server accepts and answers tasks.
+    """The time until which a draining server accepts tasks and the time at which it is stopped.
 
     Clients learn late which servers drain and which are new, and in a small fleet the other servers cannot
     take over a server's load at once. A draining server therefore accepts tasks for most of the grace period.
@@ -17,7 +17,7 @@
     """
 
     def __init__(self) -> None:
-        """Create the state of a server that is not draining."""
+        """Create the state for a server that is not draining."""
         self.accept_until: int | None = None
         self.stop_at = 0
 
--- a/thistleline/policy/estimates.py
+++ b/thistleline/policy/estimates.py
@@ -18,8 +18,9 @@
 
     Attributes:
         stage: The stage's settings.
-        level: Rank of its utility among the distinct utilities of all stages, 0 for the lowest.
-        paces: Recent run times, ns per ns of estimated work; under a rate cap only while there are few.
+        level: Rank of the stage's utility among the distinct utilities of all stages, 0 for the lowest.
+        paces: Paces of recent runs, the run time in ns per ns of estimated work. While a rate cap applies,
+            paces are recorded only as long as there are few.
         usual_pace: A low percentile of the paces; 0 while there are none.
     """
 
@@ -34,7 +35,7 @@
 
 
 class RunTimeEstimator:
-    """Estimates run times as the stage's usual pace times the server's present slowdown."""
+    """Estimates run times as estimated work times the stage's usual pace times the server's slowdown."""
 
     def __init__(self, profiles: list[StageProfile]) -> None:
         """Create an estimator without samples."""
@@ -44,9 +45,10 @@
     def slowdown(self, is_capped: bool) -> float:
         """Return the expected ratio of a run's pace to the usual pace of its stage.
 
-        The ratio is optimistic while there is capacity for all tasks. It is cautious under a rate cap, when
-        capacity should go to tasks that will meet their objective. Prevents rejecting large tasks at low
-        load: waits off the cores do not grow with the work, so an average pace overestimates large tasks.
+        The ratio is optimistic (the lowest recent one) while there is capacity for all tasks. It is cautious
+        (the lower quartile) under a rate cap, when capacity should go to tasks that will meet their
+        objective. Prevents rejecting large tasks at low load: a run's waits off the cores do not grow with
+        the work, so an average pace overestimates large tasks.
         """
         slowdowns = sorted(self._slowdowns) or [1.0]
         return slowdowns[len(slowdowns) // 4 if is_capped else 0]
--- a/thistleline/policy/idempotency.py
+++ b/thistleline/policy/idempotency.py
@@ -1,4 +1,7 @@
-"""Keyed effects, which must not run twice: the attempt that runs, those that wait for it, and stored keys."""
+"""The effects of keyed tasks, which must not happen twice, and the idempotency keys stored to prevent that.
+
+Of all attempts that request one effect, one may run and the others wait for its result.
+"""
 
 from thistleline.interface import DecisionSink, ServerSettings
 from thistleline.policy.tasks import Effect, TaskRecord
@@ -8,10 +11,10 @@
 class IdempotencyTable:
     """The effects and the stored idempotency keys.
 
-    All attempts of one keyed effect share an `Effect`. Only the attempt that may run stores a key.
+    All attempts that request one effect share an `Effect`. A key is stored only for the attempt that may run.
 
     Attributes:
-        remembered: Expiry times of stored keys, ns, by task id.
+        remembered: Expiry times of stored idempotency keys, ns, by task id.
     """
 
     def __init__(self, settings: ServerSettings) -> None:
@@ -22,11 +25,11 @@
 
     @property
     def memory_kb(self) -> float:
-        """Memory of the stored keys, kB."""
+        """Memory used by the stored idempotency keys, kB."""
         return len(self.remembered) * self._settings.idempotency_key_kb
 
     def restore(self, task_id: str, expires_at: int) -> None:
-        """Record an effect of an earlier process as run, even if it is not known to have run.
+        """Record that an effect ran in an earlier process, even if it is not known whether it ran.
 
         Prevents an effect from running twice across a restart.
         """
@@ -57,26 +60,30 @@
         return False
 
     def remember(self, now: int, record: TaskRecord, out: DecisionSink) -> None:
-        """Store the key of a queued attempt beyond its deadline and the end of its window."""
+        """Store a queued attempt's idempotency key until a second after its deadline and the key's window.
+
+        The window is the time from the attempt's arrival in which duplicates of it may arrive.
+        """
         expires_at = max(record.task.arrived_at + self._window(record), record.deadline) + SECOND
         self.remember_until(now, record.task.id, expires_at, out)
 
     def remember_until(self, now: int, task_id: str, expires_at: int, out: DecisionSink) -> None:
-        """Store the task's key until `expires_at`, ns."""
+        """Store the task's idempotency key until `expires_at`, ns."""
         self.remembered[task_id] = expires_at
         out.remember_key(task_id, expires_at - now)
 
     def start(self, effect: Effect, out: DecisionSink) -> None:
-        """Record that the effect's holder was started; its result answers the followers."""
+        """Record that the effect's holder was started; its result answers the attempts that wait for it."""
         effect.has_run = True
         for follower in effect.followers:
             replay(follower, out)
         effect.followers.clear()
 
     def withdraw(self, now: int, record: TaskRecord, out: DecisionSink) -> None:
-        """Remove a queued attempt that has not run from its effect.
+        """Remove an attempt that has not run from the effect that it requests.
 
-        If it was the holder, its key is deleted and the next attempt becomes the holder.
+        If the attempt was the effect's holder, its idempotency key is deleted and the next attempt becomes
+        the holder.
         """
         effect = record.effect
         if effect is None or effect.has_run:
@@ -92,7 +99,7 @@
                 self.remember(now, effect.holder, out)
 
     def expire(self, now: int) -> None:
-        """Delete expired keys and effects."""
+        """Delete expired idempotency keys and effects."""
         self.remembered = {task_id: until for task_id, until in self.remembered.items() if until > now}
         self._effects = {
             task_id: effect for task_id, effect in self._effects.items() if effect.expires_at > now
@@ -103,6 +110,6 @@
 
 
 def replay(record: TaskRecord, out: DecisionSink) -> None:
-    """Answer a task with the result of the run of its duplicate."""
+    """Answer a task with the result of the run of the task that it duplicates."""
     record.state = "replaying"
     out.replay_result(record.task.id)
--- a/thistleline/policy/policy.py
+++ b/thistleline/policy/policy.py
@@ -27,12 +27,12 @@
 
     Attributes:
         settings: The server's settings.
-        state: The state of all mechanisms.
+        state: The state of admission control, overload detection and the other parts of the policy.
         load_hint: The last load hint published, as a priority rank; 0 before the first.
     """
 
     def __init__(self, settings: ServerSettings, seed: int, now: int) -> None:
-        """Create the policy of a server that starts at `now`, ns; `seed` seeds its random numbers."""
+        """Create the policy for a server that starts at `now`, ns; `seed` seeds its random numbers."""
         self.settings = settings
         self.state = PolicyState(settings, seed, now)
         self._completion = Completion(self.state)
@@ -58,7 +58,7 @@
 
     @property
     def memory_kb(self) -> float:
-        """Memory of the tasks that have not ended, kB."""
+        """Memory used by the tasks that have not ended, kB."""
         return self.state.tasks.memory_kb
 
     @property
@@ -140,7 +140,7 @@
         state.concurrency.adapt(state.on_cores, tasks.running, tasks.queue_length, detector.peaks)
 
     def _control(self, out: DecisionSink) -> None:
-        """Update rate cap, quotas, idle timeout, health, cutoff and load hint at the end of a window."""
+        """Update rate cap, quotas, idle timeout, health, cutoff and load hint after a detector window."""
         state = self.state
         now = state.now
         is_firing = state.detector.is_firing(now, state.tasks.by_id.values())
@@ -155,8 +155,8 @@
     def _update_cold_health(self, out: DecisionSink) -> None:
         """Report a cold server as unhealthy while it has a backlog of unread tasks.
 
-        This takes it off the endpoint list. Prevents cold successors from receiving a warm server's traffic;
-        could harm where a whole fleet starts at once.
+        This removes the server from the clients' endpoint list. Prevents a cold server that replaces a warm
+        one from receiving a warm server's traffic; could harm where a whole fleet starts at once.
         """
         state = self.state
         age = state.now - state.started_at
--- a/thistleline/policy/quotas.py
+++ b/thistleline/policy/quotas.py
@@ -7,14 +7,14 @@
 
 
 class TenantQuotas:
-    """Counts first attempts by tenant, assuming that all servers receive equal shares of the traffic.
+    """Counts the tasks that are not retries by tenant; assumes that all servers get equal shares of traffic.
 
     Attributes:
         excess: The share of each tenant's traffic that exceeds its quota, 0 to 1.
     """
 
     def __init__(self, settings: ServerSettings) -> None:
-        """Create the counts of all tenants in the settings."""
+        """Create the counts for all tenants in the settings."""
         self.excess = [0.0 for _ in settings.tenants]
         self._tenants = settings.tenants
         self._fleet_size = settings.fleet_size
--- a/thistleline/policy/rate_cap.py
+++ b/thistleline/policy/rate_cap.py
@@ -1,6 +1,7 @@
 """The cap on the rate of admitted tasks.
 
-A firing of the detectors sets the cap; probes then raise it, with exponential backoff between them.
+The cap is set when the overload detectors fire. Probes then raise it step by step; the time between probes
+doubles each time a probe makes the detectors fire again.
 """
 
 from collections import deque
@@ -28,7 +29,7 @@
     """
 
     def __init__(self, now: int) -> None:
-        """Create the state of a server without a cap."""
+        """Create the state for a server without a rate cap."""
         self.cap: float | None = None
         self.changed_at = now
         self.fired_at = now
@@ -45,7 +46,7 @@
 
         Args:
             now: The time, ns.
-            is_firing: Whether the detectors fire.
+            is_firing: Whether the overload detectors fire.
             in_violation: Whether either detector's last window was in violation.
             arrival_rate: Arriving tasks per second.
         """
@@ -60,7 +61,7 @@
             self._probe(now, 0.0 if in_violation else throughput, arrival_rate)
 
     def _lower(self, now: int, throughput: float) -> None:
-        """Set the first cap; or undo the last probe and double the backoff; or decrease the cap."""
+        """Set the initial rate cap; or undo the last probe and double the backoff; or decrease the cap."""
         if self.cap is None:
             self.cap = max(1.0, throughput)
             self._probe_backoff = MIN_PROBE_BACKOFF
@@ -76,10 +77,14 @@
             self.changed_at = now
 
     def _probe(self, now: int, throughput_without_violation: float, arrival_rate: float) -> None:
-        """Raise the cap, or remove it after a long time without firing or above the arrival rate."""
+        """Raise the cap, or remove it.
+
+        It is removed once the detectors have not fired for a long time, or once it exceeds the arrival rate.
+        """
         assert self.cap is not None
-        # Throughput without a violation shows that there is capacity for it. Prevents a cap, and a load hint,
-        # from outlasting a slowdown of all servers; could harm where runs end in bursts that last seconds.
+        # Throughput while no detector is in violation shows that there is capacity for that rate. Prevents a
+        # cap, and a load hint, from outlasting a slowdown of all servers; could harm where runs end in bursts
+        # that last seconds.
         self.cap = max(self.cap, throughput_without_violation)
         if now - self.fired_at >= CAP_LIFT_AFTER or self.cap > arrival_rate * PROBE_STEP:
             self.cap = None
--- a/thistleline/policy/rejections.py
+++ b/thistleline/policy/rejections.py
@@ -25,11 +25,11 @@
         """Create an advisor whose random numbers are seeded with `seed`."""
         self._settings = settings
         self._random: Callable[[], float] = Random(seed).random
-        # Time of each rejection, and the expected age of the task's next attempt; ns.
+        # Time of each rejection, and the expected age of the task when its client retries it; ns.
         self._rejections: deque[tuple[int, int]] = deque(maxlen=MAX_SAMPLES)
 
     def typical_retry_age(self) -> int | None:
-        """Return the expected median age of retries of recently rejected tasks, ns; None without any."""
+        """Return the expected median age in ns of retries of recently rejected tasks; None without any."""
         if not self._rejections:
             return None
         ages = [age for _, age in islice(reversed(self._rejections), USUAL_TIMEOUT_SAMPLES)]
@@ -54,11 +54,11 @@
         return min(int(wait * (0.5 + self._random())), max_retry_after)
 
     def observe(self, now: int, age: int) -> None:
-        """Record a rejection of a task whose next attempt will be `age` ns old."""
+        """Record a rejection of a task that will be `age` ns old when its client retries it."""
         self._rejections.append((now, age))
 
     def exceeds_budget(self, now: int, arrival_rate: float) -> bool:
-        """Return whether recent rejections exceed their budget, a share of the arrivals."""
+        """Return whether recent rejections exceed the retry budget, a share of the arrivals."""
         budget = int(RETRY_BUDGET * arrival_rate * REJECTION_WINDOW / SECOND)
         return len(self._rejections) > budget and self._rejections[-1 - budget][0] > now - REJECTION_WINDOW
 
--- a/thistleline/policy/retries.py
+++ b/thistleline/policy/retries.py
@@ -10,9 +10,9 @@
     """Timeouts of attempts not marked as retries, as shares of their stage's timeout.
 
     Clients give each attempt a usual share of the stage's timeout, and the last attempt the remaining time.
-    An unusual share therefore reveals the age of a retry; under a rate cap, also of one not marked as a
-    retry. Prevents running tasks that can only be late; could harm a client with rare timeouts until enough
-    of its attempts were seen.
+    From an unusual share the age of a retry is therefore derived; under a rate cap, also the age of an
+    attempt that is not marked as a retry. Prevents running tasks that can only be late; could harm a client
+    with rare timeouts until enough of its attempts were seen.
     """
 
     def __init__(self) -> None:
@@ -24,7 +24,7 @@
 
         Args:
             task: A task whose deadline is known.
-            stage_timeout: The timeout of its stage, ns.
+            stage_timeout: The timeout of the task's stage, ns.
             is_capped: Whether a rate cap applies.
 
         Returns:
--- a/thistleline/policy/shedding.py
+++ b/thistleline/policy/shedding.py
@@ -1,8 +1,8 @@
 """Load shedding by priority level, tenant quota and user bucket.
 
-A task whose shed position is below the cutoff is rejected when read.
-
-Tasks are shed in ascending order of their shed position: (2 * level + within quota) * BUCKETS + bucket.
+Each task has a shed position: (2 * level + within quota) * BUCKETS + bucket, where level is the rank of its
+stage's utility. In an overload tasks are shed in ascending order of their shed positions: a task whose shed
+position is below the cutoff is rejected when read.
 """
 
 from collections import Counter, deque
@@ -41,8 +41,8 @@
     def bucket_of(self, task: Task) -> int:
         """Return the user's bucket, which is the same in every server and after a restart.
 
-        It is a hash of the user key or, without a user key, the position of the task's
-        priority rank within the range of its stage.
+        The bucket is a hash of the user key or, without a user key, the position of the task's
+        priority rank within the range of ranks of its stage.
         """
         if task.user is not None:
             return (task.user * _HASH_MULTIPLIER >> 40) % BUCKETS
@@ -54,7 +54,7 @@
         self._retries += is_retry
 
     def arrival_rate(self, now: int) -> float:
-        """Return the arrivals per second in the arrival window, and drop older ones."""
+        """Return the arrivals per second in the arrival window, and drop older arrivals."""
         while self._arrivals and self._arrivals[0][0] <= now - ARRIVAL_WINDOW:
             self._retries -= self._arrivals.popleft()[2]
         return len(self._arrivals) * SECOND / ARRIVAL_WINDOW
@@ -68,7 +68,7 @@
         return self._retries > RETRY_BUDGET * len(self._arrivals)
 
     def update_cutoff(self, now: int, cap: float | None) -> None:
-        """Raise the cutoff at once to what the cap requires, or lower it by a few buckets at most."""
+        """Raise the cutoff at once to what the rate cap requires, or lower it by a few buckets at most."""
         max_decrease = max(1, BUCKETS * WINDOW * TICK // CUTOFF_FALL_TIME)
         self.cutoff = max(self._cutoff_for(now, cap), self.cutoff - max_decrease)
 
@@ -80,7 +80,7 @@
         return (below + at_level * max(0, part - BUCKETS) / BUCKETS) / len(self._profiles)
 
     def _cutoff_for(self, now: int, cap: float | None) -> int:
-        """Return the lowest cutoff that keeps the rate of tasks above it within the cap.
+        """Return the lowest cutoff that keeps the rate of tasks at or above it within the rate cap.
 
         Levels and buckets without arrivals are skipped.
         """
--- a/thistleline/policy/state.py
+++ b/thistleline/policy/state.py
@@ -1,4 +1,4 @@
-"""The state of one policy: its mechanisms, and checks that involve several of them."""
+"""The state of one policy: the objects that its parts consist of, and checks that involve several of them."""
 
 from thistleline.interface import ServerSettings, Task
 from thistleline.policy.concurrency import ConcurrencyLimit
@@ -18,7 +18,7 @@
 
 
 class PolicyState:
-    """The mechanisms of a policy and the time of its present round.
+    """The objects that a policy consists of and the time of its present round.
 
     Attributes:
         settings: The server's settings.
@@ -28,7 +28,7 @@
     """
 
     def __init__(self, settings: ServerSettings, seed: int, now: int) -> None:
-        """Create the state of a server that starts at `now`, ns."""
+        """Create the state for a server that starts at `now`, ns."""
         self.settings = settings
         self.now = now
         self.started_at = now
@@ -50,7 +50,7 @@
         self.drain = Drain()
 
     def slowdown(self) -> float:
-        """Return the expected ratio of a run's pace to its usual pace now."""
+        """Return the expected ratio of a run's pace to the usual pace of its stage now."""
         return self.estimator.slowdown(self.rate_cap.cap is not None)
 
     def is_memory_short(self, more_kb: float) -> bool:
@@ -59,7 +59,7 @@
         return used > self.settings.memory_kb * MEMORY_MARGIN
 
     def is_too_late_to_run(self, task: Task) -> bool:
-        """Return whether a drain forbids to start the task: it arrived too late, or would end too late."""
+        """Return whether a drain forbids starting the task, which arrived too late or would end too late."""
         if not self.drain.is_draining:
             return False
         end = self.now + self.estimator.estimate(task, self.slowdown())
--- a/thistleline/policy/tasks.py
+++ b/thistleline/policy/tasks.py
@@ -1,4 +1,7 @@
-"""Records of tasks that have not ended: queued, running, in a downstream call, or awaiting a replay."""
+"""Records of tasks that have not ended: queued, running, in a downstream call, or awaiting a result.
+
+The last case is a duplicate that is answered with the result of another attempt's run.
+"""
 
 from typing import Literal
 
@@ -9,10 +12,10 @@
 
 
 class Effect:
-    """One keyed effect, shared by all attempts that request it.
+    """What the run of a keyed task does, at most once; shared by all attempts that request it.
 
     Attributes:
-        has_run: Whether an attempt was started; all other attempts are answered with its result.
+        has_run: Whether an attempt was started; all other attempts are answered with that attempt's result.
         holder: The queued attempt that will run.
         followers: Attempts that wait for the holder, in order of arrival.
         expires_at: When the record of the effect is deleted, ns.
@@ -33,14 +36,14 @@
 
     Attributes:
         task: The task as it was read.
-        due: When its latency objective ends, ns; queued tasks start in this order.
-        deadline: When its client stops waiting, ns.
-        shed_position: Its position in the order of shedding: level, quota, user bucket.
-        answer_by: When it is answered in any state, ns.
-        state: Its state; "answered" means that it was answered before its run ended.
-        started_at: When its run started, ns; 0 if it has not started.
-        failed_calls: The number of downstream calls that failed.
-        effect: The keyed effect that it requests; None for other tasks.
+        due: When the task's latency objective ends, ns; queued tasks start in this order.
+        deadline: When the task's client stops waiting, ns.
+        shed_position: The task's position in the order of shedding: level, quota, user bucket.
+        answer_by: When the task is answered at the latest, whatever its state, ns.
+        state: The task's state; "answered" means that it was answered before its run ended.
+        started_at: When the task's run started, ns; 0 if it has not started.
+        failed_calls: The number of the task's downstream calls that failed.
+        effect: The effect that a keyed task requests; None for other tasks.
     """
 
     __slots__ = (
@@ -80,7 +83,7 @@
         by_id: The records by task id.
         running: The number of runs that were started and have not ended.
         queue_length: The number of tasks queued at the end of the last round or since.
-        memory_kb: Memory of all tasks in the table.
+        memory_kb: Memory used by all tasks in the table.
     """
 
     def __init__(self, settings: ServerSettings) -> None:
@@ -111,7 +114,7 @@
         self.memory_kb += self.memory_to_run(record)
 
     def release(self, record: TaskRecord) -> None:
-        """Release the memory and the run of a task that was taken out of the table."""
+        """Stop counting the memory and the run of a task that was taken out of the table."""
         if record.started_at:
             self.running -= 1
             self.memory_kb -= self.memory_to_run(record)
