--- a/thistleline/state/agent_session.py
+++ b/thistleline/state/agent_session.py
@@ -1,8 +1,8 @@
-"""The session with the agent across links: notices, measurements and catching up after a reconnect.
+"""The session with the agent across successive connections (links) to it.
 
-The agent numbers its notices. On a new link it repeats all notices after the last number that the server has
-read. Measurements are numbered here; the answer to one confirms that every command written before it has
-arrived.
+The agent numbers its notices, such as that a run has ended. On a new link it repeats all notices after the
+last number that the server has read. The server numbers its measurements (requests for the agent's gauges);
+the answer to a measurement confirms that every command written before that measurement has arrived.
 """
 
 from thistleline.state.context import EventContext
@@ -41,7 +41,7 @@
         self.catch_up_measurement = self.measurements_requested
 
     def end_link(self, reason: str, runs: int) -> None:
-        """Record that the link has ended; `runs` is the number of runs at the agent."""
+        """Record that the link has ended; `runs` is the number of runs at the agent, for the log."""
         if self.linked:
             self._context.log("agent", state="lost", why=reason, runs=runs)
             self.lost_at = self._context.now
@@ -49,19 +49,19 @@
         self.catch_up_measurement = None
 
     def measure(self) -> None:
-        """Request the gauges."""
+        """Request the agent's gauges."""
         self.measurements_requested += 1
         self._context.emit(MeasureGauges(str(self.measurements_requested)))
 
     def is_repeated(self, number: int) -> bool:
-        """Return whether a notice was read before: after a reconnect some arrive twice."""
+        """Return whether the notice `number` was read before: after a reconnect some notices arrive twice."""
         if number <= self.last_notice:
             return True
         self.last_notice = number
         return False
 
     def finish_catch_up(self, number: int) -> int | None:
-        """Return and clear `catch_up_measurement` if the measurement `number` reaches it; else None."""
+        """Return and clear `catch_up_measurement`; None unless it is set and `number` is at least as high."""
         awaited = self.catch_up_measurement
         if awaited is None or number < awaited:
             return None
--- a/thistleline/state/attempts.py
+++ b/thistleline/state/attempts.py
@@ -1,7 +1,8 @@
-"""The records of client attempts and of the runs that the agent makes of them.
+"""The records of client attempts and of the runs by which the agent executes them.
 
 Inside the server an attempt is identified by a generated name, which is unique in the life of the process.
-The id that its client chose is untrusted: it identifies the attempt only to that client and to the agent.
+The id that the attempt's client chose is untrusted: it identifies the attempt only to that client and to the
+agent.
 """
 
 from thistleline.state.idempotency import IdempotencyKey
@@ -26,13 +27,13 @@
         """Create the record of an attempt that the policy has not seen.
 
         Args:
-            connection: Number of the connection that it arrived on and is answered on.
-            seq: Sequence number of its message on that connection.
-            id: The id that its client chose.
-            stage: Index of its request class.
+            connection: Number of the connection that the attempt arrived on and is answered on.
+            seq: Sequence number of the attempt's message on that connection.
+            id: The id that the client chose.
+            stage: Index of the attempt's request class.
             arrived_at: Time of arrival, ns.
-            deadline: Time at which its client stops waiting, ns.
-            key: Idempotency key that identifies its repeats; None if repeats are not recognized.
+            deadline: Time at which the client stops waiting, ns.
+            key: Idempotency key by which repeated attempts are recognized; None if they are not.
             body: Body that is sent to the agent.
         """
         self.connection = connection
@@ -66,7 +67,7 @@
         """Create the record of a run that has not been sent yet.
 
         Args:
-            attempt: The attempt that it executes.
+            attempt: The attempt that the run executes.
             measurements_before: Number of measurements requested of the agent before the start.
         """
         self.id = attempt.id
@@ -76,7 +77,9 @@
         self.measurements_before = measurements_before
         self.sent = False
         self.stopped = False
-        self.call: tuple[int, bytes] | None = None  # downstream call it waits for: notice number, body
-        # Reply to its last call: time, number of the call's notice, and the result; None if it was skipped.
+        # The downstream call that the run waits for: number of the notice that requested it, and its body.
+        self.call: tuple[int, bytes] | None = None
+        # The reply to the run's last downstream call: time, number of the notice that requested the call, and
+        # the call's result, which is None if the call was skipped.
         self.call_reply: tuple[int, int, bytes | None] | None = None
-        self.repeats: list[str] = []  # names of the repeated attempts that get its result
+        self.repeats: list[str] = []  # names of the repeated attempts that get this run's result
--- a/thistleline/state/connections.py
+++ b/thistleline/state/connections.py
@@ -1,4 +1,7 @@
-"""The client connections: flow control, eviction and idle timeouts."""
+"""The client connections: flow control, eviction and idle timeouts.
+
+A connection is dismissed when its client is asked to send nothing new on it.
+"""
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterable
@@ -32,13 +35,13 @@
 
     def __init__(self, now: int) -> None:
         """Create the record of a connection that was accepted at `now`."""
-        self.open: dict[str, None] = {}  # names of its unanswered attempts
+        self.open: dict[str, None] = {}  # names of the unanswered attempts on this connection
         self.last_active = now  # time of the last complete message or answer
         self.messages = 0  # complete messages received
         self.partial_since: int | None = None  # arrival time of an incomplete message
         self.violations = 0  # messages that no correct client library sends
         self.dismissed_at: int | None = None  # time of the request to send nothing new
-        # Set while too many tasks are open, until one is answered; for good after too many violations.
+        # Set while too many tasks are open, until one is answered; permanently after too many violations.
         self.read_paused = False
 
 
@@ -58,7 +61,7 @@
             context: Receives the effects.
             lifecycle: Shows whether the server is closing.
             max_connections: Above this number a connection is closed for each new one.
-            release: Called with the open attempts of a connection that ended.
+            release: Called with the names of the open attempts of a connection that ended.
         """
         self.by_number: OrderedDict[int, Connection] = OrderedDict()
         self.idle_timeout = 0  # ns; 0 for none
@@ -80,7 +83,7 @@
             self.close(self._choose_eviction(number))
 
     def admit(self, number: int) -> Connection:
-        """Add a connection's record."""
+        """Add the record of a new connection."""
         connection = self.by_number[number] = Connection(self._context.now)
         self._silent[number] = None
         return connection
@@ -102,7 +105,7 @@
         return choice
 
     def input_drained(self, number: int, partial: bool) -> None:
-        """Continue reading unless reading is paused; `partial`: an incomplete message has arrived."""
+        """Continue reading unless reading is paused; `partial`: whether an incomplete message has arrived."""
         connection = self.by_number.get(number)
         if connection is None:
             return
@@ -117,7 +120,7 @@
             self._context.emit(ReadConnection(number))
 
     def message_received(self, number: int) -> Connection | None:
-        """Record a complete message; return its connection, or None if that has ended.
+        """Record a complete message; return its connection, or None if the connection has ended.
 
         Incomplete messages don't count, so a client can't keep a connection open by sending single bytes.
         """
@@ -166,7 +169,7 @@
         self._release(connection.open)
 
     def close(self, number: int) -> None:
-        """Close a connection from this side."""
+        """Close a connection on the server's side."""
         self._context.emit(CloseConnection(number))
         self.end(number, "")
 
--- a/thistleline/state/context.py
+++ b/thistleline/state/context.py
@@ -7,9 +7,9 @@
 
 
 class EventContext:
-    """The time of the current event, its effects so far, and counters.
+    """The time of the current event, the effects (actions) that it has caused so far, and counters.
 
-    Effects come from `state.effects` or from a package that extends the state machine.
+    The classes of the effects are those of `state.effects` or of a package that extends the state machine.
     """
 
     __slots__ = ("_last_logged", "effects", "figures", "now")
@@ -40,7 +40,7 @@
         self.effects.append(LogEvent(event, fields))
 
     def log_rarely(self, event: str, **fields: Any) -> None:
-        """Count a peer's fault, and log it at most once per `LOG_INTERVAL`."""
+        """Count an event that a peer caused, and log it at most once per `LOG_INTERVAL`."""
         self.count(event)
         if self.may_log(event):
             self.log(event, **fields)
--- a/thistleline/state/decisions.py
+++ b/thistleline/state/decisions.py
@@ -22,7 +22,7 @@
     # ---- runs
 
     def start(self, task_id: str) -> None:
-        """Start the attempt's run, unless the attempt is gone or its id belongs to another effect."""
+        """Start the attempt's run, unless the attempt is gone or its id was used for another task's run."""
         machine = self._machine
         attempt = machine.attempts.get(task_id)
         if attempt is None:
@@ -47,7 +47,7 @@
         machine.launch(task_id, run)
 
     def stop(self, task_id: str) -> None:
-        """Stop the run; one that was not sent to the agent ends at once."""
+        """Stop the run; a run that was not sent to the agent ends at once."""
         machine = self._machine
         run = machine.runs.get(task_id)
         if run is None:
@@ -80,7 +80,7 @@
             machine.context.emit(AnswerAbandoned(attempt.connection, attempt.seq, machine.health.load_hint))
 
     def replay_result(self, task_id: str) -> None:
-        """Answer with the result of the attempt that this one repeats, now or when its run ends."""
+        """Answer with the result of the attempt that this one repeats, now or when the run of that ends."""
         machine = self._machine
         attempt = machine.attempts.get(task_id)
         if attempt is None or attempt.key is None:
@@ -96,7 +96,7 @@
     # ---- idempotency keys
 
     def remember_key(self, task_id: str, duration: int) -> None:
-        """Remember the attempt's key for `duration` nanoseconds."""
+        """Store the attempt's idempotency key for `duration` nanoseconds."""
         machine = self._machine
         attempt = machine.attempts.get(task_id)
         if attempt is not None and attempt.key is not None:
@@ -106,19 +106,19 @@
                 entry.outcome = None
 
     def forget_key(self, task_id: str) -> None:
-        """Forget the attempt's key."""
+        """Delete the attempt's idempotency key."""
         self._machine.idempotency.forget(task_id)
 
     # ---- downstream calls
 
     def start_call(self, task_id: str, timeout: int) -> None:
-        """Start the call that the run waits for, with a timeout of `timeout` nanoseconds."""
+        """Start the downstream call that the run waits for, with a timeout of `timeout` nanoseconds."""
         run = self._machine.runs.get(task_id)
         if run is not None:
             self._machine.downstream.start(run, timeout)
 
     def skip_call(self, task_id: str) -> None:
-        """Let the run continue without its call."""
+        """Let the run continue without its downstream call."""
         run = self._machine.runs.get(task_id)
         if run is not None and run.call is not None:
             self._machine.downstream.resume(run, None)
@@ -126,7 +126,7 @@
     # ---- health and timers
 
     def set_health(self, healthy: bool, from_cache: bool) -> None:
-        """Set the result of health checks; while draining, bad health closes the server."""
+        """Set the result of health checks; while draining, bad health makes the server stop accepting."""
         machine = self._machine
         machine.health.healthy = healthy
         machine.health.from_cache = from_cache
@@ -134,7 +134,7 @@
             machine.close_down()
 
     def publish_load_hint(self, value: float) -> None:
-        """Set the load hint of answers."""
+        """Set the load hint that is attached to further answers."""
         self._machine.health.load_hint = value
 
     def set_idle_timeout(self, timeout: int) -> None:
--- a/thistleline/state/downstream.py
+++ b/thistleline/state/downstream.py
@@ -12,23 +12,24 @@
 
 
 class DownstreamCalls:
-    """The calls in flight, by the attempt id of their run."""
+    """The downstream calls in flight, by the attempt id of the run that waits for the call."""
 
     def __init__(self, context: EventContext, session: AgentSession) -> None:
         """Create the table without calls."""
         self._context = context
         self._session = session
-        self._in_flight: dict[str, tuple[int, int]] = {}  # start time, time at which the call is given up
+        # Start time of each call, and time at which the call is given up.
+        self._in_flight: dict[str, tuple[int, int]] = {}
 
     def start(self, run: Run, timeout: int) -> None:
-        """Start the call that the run waits for, unless one is in flight."""
+        """Start the call that the run waits for, unless a call for the run is in flight."""
         if run.call is not None and run.id not in self._in_flight:
             now = self._context.now
             self._in_flight[run.id] = now, now + timeout + CALL_TIMEOUT_SLACK
             self._context.emit(StartCall(run.id, timeout, run.call[1]))
 
     def cancel(self, attempt_id: str) -> None:
-        """Cancel the call of a run that is over, if one is in flight."""
+        """Cancel the call of a run that has ended, if the call is in flight."""
         if self._in_flight.pop(attempt_id, None) is not None:
             self._context.emit(CancelCall(attempt_id))
 
@@ -38,13 +39,13 @@
         return None if times is None else self._context.now - times[0]
 
     def overdue(self) -> list[str]:
-        """Return the attempt ids of the calls that have passed their timeout and its slack."""
+        """Return the attempt ids of the calls that have no end `CALL_TIMEOUT_SLACK` after their timeout."""
         return [id for id, (_, until) in self._in_flight.items() if until <= self._context.now]
 
     def resume(self, run: Run, result: bytes | None) -> None:
-        """Let a run continue after its call, with a result or without one.
+        """Let a run continue after its call, with the call's result or without one.
 
-        Without a link, `resend` sends the command once a link is up.
+        While no link to the agent is up, the command is not sent; `resend` sends it once a link is up.
         """
         assert run.call is not None
         run.call_reply = self._context.now, run.call[0], result
@@ -53,9 +54,9 @@
             self._send_reply(run)
 
     def resend(self, run: Run) -> None:
-        """Repeat on a new link a reply that may have been lost with the old one.
+        """Repeat on a new link the reply to the run's call, if it may have been lost with the old link.
 
-        No notice of the run has arrived since that reply, so the run may still wait for it.
+        The agent has sent no notice of the run since that reply, so the run may still wait for the reply.
         """
         if run.call_reply is not None and run.call_reply[0] >= self._session.lost_at - LINK_LOSS_WINDOW:
             self._send_reply(run)
--- a/thistleline/state/effects.py
+++ b/thistleline/state/effects.py
@@ -1,4 +1,4 @@
-"""The effects that the server's state machine requests.
+"""The effects that the server's state machine requests: the actions that the server has to carry out.
 
 The server carries them out in order, before it handles another event. Durations and times are integer
 nanoseconds; `load_hint` reports the server's load to clients, None where it is not reported.
@@ -52,8 +52,8 @@
 
     connection: int
     seq: int
-    fleet_overloaded: bool  # a retry at another server would be rejected too
-    retry_after: int  # 0 if unspecified
+    fleet_overloaded: bool  # whether a retry at another server is as likely to be rejected
+    retry_after: int  # ns that the client should wait before a retry; 0 if unspecified
     load_hint: float | None
 
 
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MeasureGauges:
-    """Request the gauges of the agent."""
+    """Request the agent's gauges."""
 
     tag: str
 
--- a/thistleline/state/events.py
+++ b/thistleline/state/events.py
@@ -26,13 +26,13 @@
     connection: int
     seq: int  # sequence number of the message on its connection
     task: Task
-    dedup_key: str | None  # idempotency key, or the subject that identifies equal reads
+    dedup_key: str | None  # idempotency key; in other stages the subject by which equal reads are recognized
     body: bytes | memoryview
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckReceived:
-    """A client requested the server's health; `deep`: including a check of the agent."""
+    """A client requested the server's health; `deep`: whether the agent is checked too."""
 
     connection: int
     seq: int
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InputDrained:
-    """Every complete message that was read has been handled; `partial`: an incomplete one has arrived."""
+    """Every complete message read was handled; `partial`: whether an incomplete one has arrived."""
 
     connection: int
     partial: bool = False
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunCompleted:
-    """A run ended; `number` is that of the agent's notice."""
+    """A run ended; `number` is the number of the agent's notice of it."""
 
     number: int
     attempt_id: str
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallWanted:
-    """A run waits for its downstream call."""
+    """A run waits for its downstream call; `number` is the number of the agent's notice of it."""
 
     number: int
     attempt_id: str
--- a/thistleline/state/health.py
+++ b/thistleline/state/health.py
@@ -1,4 +1,4 @@
-"""Health checks of clients, answered with the policy's health or after a check of the agent."""
+"""Health checks by clients, answered with the health set by the policy or after a check of the agent."""
 
 from thistleline.state.agent_session import AgentSession
 from thistleline.state.connections import ClientConnections
@@ -11,7 +11,7 @@
     """The health set by the policy, the load hint, and the deep checks that the agent has not answered."""
 
     def __init__(self, context: EventContext, session: AgentSession, connections: ClientConnections) -> None:
-        """Create a healthy state without a load hint."""
+        """Create the state of a healthy server without a load hint."""
         self.healthy = True
         self.from_cache = True  # whether deep checks are answered without the agent
         self.load_hint: float | None = None
--- a/thistleline/state/idempotency.py
+++ b/thistleline/state/idempotency.py
@@ -1,11 +1,15 @@
-"""Tables of effects: idempotency keys with cached results, and the effect of each attempt id."""
+"""Tables that prevent a task from running twice: idempotency keys with cached results, and used attempt ids.
+
+Here an effect means what the run of a task does. All attempts with one idempotency key request the same
+effect; each attempt without a key requests one of its own.
+"""
 
 from collections import OrderedDict
 from collections.abc import Container
 from hashlib import blake2b
 
-# Stage, and a digest of the client's key and of the body, which is the same in all attempts of one task. So
-# another client that knows only the client's key can't join a run or get its cached result.
+# Stage, and a digest of the client's key and of the body, which is the same in all attempts to run one task.
+# So another client that knows only the client's key can't join a run or get the run's cached result.
 IdempotencyKey = tuple[int, bytes]
 
 
@@ -19,7 +23,7 @@
 
 
 class IdempotencyEntry:
-    """The entry of one key: its attempt, expiry, the attempt that ran, and the outcome."""
+    """The entry of one idempotency key: the attempt that stored it, expiry, the attempt that ran, outcome."""
 
     __slots__ = ("attempt", "ended_at", "expires_at", "outcome", "result", "runner")
 
@@ -28,7 +32,7 @@
 
         Args:
             attempt: Name of the attempt that identifies the key to the policy.
-            expires_at: Time at which its idempotency window ends, ns.
+            expires_at: Time at which the key's idempotency window ends, ns.
         """
         self.attempt = attempt
         self.expires_at = expires_at
@@ -69,7 +73,7 @@
             del self.by_key[key]
 
     def record_outcome(self, key: IdempotencyKey, outcome: str, now: int, result: bytes | None) -> None:
-        """Record the outcome of a run; above the memory limit evict the oldest results, keep their keys."""
+        """Record a run's outcome; above the limit on results, evict the oldest ones but keep their keys."""
         entry = self.by_key[key]
         entry.outcome = outcome
         entry.ended_at = now
@@ -82,7 +86,7 @@
                 self._drop_result(next(iter(self._results)))
 
     def expire(self, before: int, running: Container[str | None]) -> None:
-        """Remove the entries whose window ended before `before` and whose runs are over."""
+        """Remove the entries whose idempotency window ended before `before` and whose runs have ended."""
         expired = [
             entry.attempt
             for entry in self.by_key.values()
@@ -97,21 +101,21 @@
 
 
 class AttemptIdTable:
-    """The effect that each attempt id was used with.
+    """The effect that each attempt id was used for.
 
     The agent identifies attempts by id alone. Another client that sends a known id and body under a different
-    key would cause a second run; this table prevents that. A client whose id another one guessed and used
+    key would cause a second run; this table prevents that. A client whose id another client guessed and used
     first would be refused, but ids are 64 random bits.
     """
 
     def __init__(self, max_ids: int) -> None:
         """Create an empty table; above `max_ids` the oldest ids are evicted."""
         self.max_ids = max_ids
-        # By id: the effect's key (None if it has none), and the time at which the id expires.
+        # By id: the effect's idempotency key (None without a key), and the time at which the id expires.
         self.by_id: OrderedDict[str, tuple[IdempotencyKey | None, int]] = OrderedDict()
 
     def claim(self, id: str, key: IdempotencyKey | None, expires_at: int) -> None:
-        """Assign the id to this effect, replacing any earlier assignment."""
+        """Assign the id to the effect with this key, replacing any earlier assignment of the id."""
         self.by_id[id] = key, expires_at
         self.by_id.move_to_end(id)
         if len(self.by_id) > self.max_ids:
@@ -122,7 +126,7 @@
         self.by_id.pop(id, None)
 
     def belongs_to_another(self, id: str, key: IdempotencyKey | None) -> bool:
-        """Return whether the id was used with another effect; an effect without a key matches no other."""
+        """Return whether the id was used for another effect; an effect without a key matches no other."""
         if id not in self.by_id:
             return False
         owner = self.by_id[id][0]
--- a/thistleline/state/policy_host.py
+++ b/thistleline/state/policy_host.py
@@ -1,6 +1,6 @@
-"""The host of the admission policy: rounds, timers, and recovery from its faults.
+"""The host of the admission policy: it calls the policy, keeps its timers and recovers from its exceptions.
 
-The policy is called once a round with all events since the last round.
+The policy is called in rounds, each with all events since the previous round.
 """
 
 import traceback
@@ -26,7 +26,7 @@
 
 
 class PolicyHost:
-    """Calls the policy, keeps its timers, and ensures that its faults leave no task unanswered."""
+    """Calls the policy, keeps its timers, and ensures that an exception in it leaves no task unanswered."""
 
     def __init__(
         self,
@@ -39,15 +39,15 @@
         """Create a host without a policy; `start` creates it.
 
         Args:
-            options: The gauges, the granularity and the policy's seed.
+            options: Names of the gauges, minimum time between rounds, and the policy's seed.
             context: Receives the effects.
             session: Measures the gauges that are passed with a timer.
             attempts: All unanswered attempts, by name.
             sink: Receives the policy's decisions.
         """
         self.pending: list[PolicyEvent] = []
-        # Names of keyed attempts that the policy has not seen yet. Another attempt of the same effect that
-        # arrives before the next round is recognized as a repeat by them.
+        # Names of attempts that the policy has not seen yet, by idempotency key. By these, another attempt
+        # with the same key that arrives before the next round is recognized as a repeat.
         self.pending_keys: dict[IdempotencyKey, str] = {}
         self.timers = TimerQueue()
         self.policy: Policy
@@ -60,17 +60,17 @@
         self._max_timeout = max(stage.timeout for stage in options.settings.stages)
         self._last_round = 0
         self._due_timers: list[str] = []  # timers that wait for the gauges
-        self._gauges_deadline = 0  # time at which they fire without gauges
-        # End of the period after a policy fault in which the host abandons overdue attempts itself.
+        self._gauges_deadline = 0  # time at which the due timers fire without gauges
+        # End of the period after an exception in the policy in which the host abandons overdue attempts.
         self._faulty_until = 0
 
     def start(self, settings: ServerSettings, started_at: int) -> None:
-        """Create the policy and run its first round; `started_at`: when its machine was started, ns."""
+        """Create the policy and run its first round; `started_at`: when the machine was started, ns."""
         self.policy = Policy(settings, self._options.seed, started_at)
         self.run_round()
 
     def restart(self, settings: ServerSettings, started_at: int) -> None:
-        """Replace the policy by a new one, without timers and pending events."""
+        """Replace the policy with a new one; drop timers and pending events."""
         self.timers = TimerQueue()
         self._due_timers = []
         self.pending = []
@@ -126,14 +126,14 @@
     def withdraw(self, names: Collection[str]) -> None:
         """Remove pending attempts whose client has gone before the policy saw them.
 
-        In a round the policy handles all departed clients before new tasks, so it would start their tasks.
+        In a round the policy handles departures of clients before new tasks, so it would start such a task.
         """
         self.pending = [
             event
             for event in self.pending
             if not isinstance(event, TaskArrived) or event.task.id not in names
         ]
-        # Another attempt of the same effect may remain; recording its key again prevents a second run.
+        # Another attempt with the same key may remain; recording the key again prevents a second run.
         self.pending_keys = {key: name for key, name in self.pending_keys.items() if name not in names}
         for event in self.pending:
             if isinstance(event, TaskArrived):
@@ -156,10 +156,10 @@
             self._recover(events)
 
     def _recover(self, events: list[PolicyEvent]) -> None:
-        """Handle a fault of the policy so that no task stays unanswered.
+        """Handle an exception in the policy so that no task stays unanswered.
 
-        The events that it did not process are passed again one by one; a task on which it fails again is
-        abandoned. Its timers are set again.
+        The events that the policy did not process are passed again one by one; a task on which it fails again
+        is abandoned. The timers that had fired are set again.
         """
         self._faulty_until = self._context.now + self._max_timeout + SECOND
         self._report_fault("round")
@@ -198,7 +198,10 @@
             self._context.log("fault", input=where, trace=traceback.format_exc()[-2000:])
 
     def abandon_overdue(self, before: int) -> None:
-        """After a policy fault, abandon attempts due by `before`: its timer may fail to answer them."""
+        """After an exception in the policy, abandon attempts whose deadline is at or before `before`.
+
+        The policy's timer may fail to answer them.
+        """
         if self._context.now >= self._faulty_until:
             return
         for name, attempt in list(self._attempts.items()):
--- a/thistleline/state/state_machine.py
+++ b/thistleline/state/state_machine.py
@@ -1,14 +1,15 @@
 """The server's state machine: it handles events and returns effects, without I/O and without a clock.
 
 Every change of a server's state is made here, for all protocols. `events` defines its inputs, `effects` its
-outputs. The admission policy, which it hosts, is called once a round with all events since the last round;
-its decisions are applied by `PolicyDecisions`.
+outputs. The state machine hosts the admission policy and calls it in rounds, each with all events since the
+previous round; `PolicyDecisions` applies the policy's decisions.
 
 The id of an attempt on the wire is chosen by its client and untrusted. It identifies the attempt only to that
 client and to the agent. Inside the server an attempt is identified by a generated name, which is unique in
-the life of the process. An effect is identified by its key (stage, and a digest of the client's key and the
-body). `by_id` has the ids of unanswered attempts, `at_agent` those of runs at the agent. `attempt_ids` has
-the effect that each id was used with, so that the id can't start another effect.
+the life of the process. What a task with an idempotency key does, which must not happen twice, is identified
+by an internal key (stage, and a digest of the client's key and the body); all attempts with that key request
+the same run. `by_id` has the ids of unanswered attempts, `at_agent` the ids of runs at the agent.
+`attempt_ids` has the key that each id was used with, so that the id can't start a run under another key.
 """
 
 from collections.abc import Callable, Iterable
@@ -104,7 +105,7 @@
         self.by_id: dict[str, str] = {}  # names of unanswered attempts, by id
         self.runs: dict[str, Run] = {}  # runs at the agent, by the name of their attempt
         self.at_agent: dict[str, str] = {}  # names of the runs at the agent, by id
-        # Runs whose start may have been lost, by name: time until which their end is awaited.
+        # Runs in doubt, whose start may have been lost, by name: time until which their end is awaited.
         self.in_doubt: dict[str, int] = {}
         self.attempt_ids = AttemptIdTable(max(64, options.max_result_bytes // RESULT_BYTES_PER_ATTEMPT_ID))
         self.idempotency = IdempotencyTable(options.max_result_bytes)
@@ -130,7 +131,7 @@
         return self.context.take_effects()
 
     def handle_failure(self, event: Any) -> list[ServerEffect]:
-        """Return the effects of `handle` up to its exception; a task that was not accepted is answered."""
+        """Return the effects of `handle` up to the exception that it raised; answer a task not accepted."""
         if isinstance(event, TaskReceived):
             connection = self.connections.by_number.get(event.connection)
             if connection is not None and self.by_id.get(event.task.id) not in connection.open:
@@ -230,7 +231,7 @@
         self.context.log("phase", phase=self.lifecycle.phase, held=len(self.attempts), runs=len(self.runs))
 
     def close_down(self) -> None:
-        """Stop accepting: refused connections and dismissals make clients use other servers at once."""
+        """Stop accepting connections and dismiss the open ones, so that clients use other servers at once."""
         if self.lifecycle.is_closing:
             return
         self.lifecycle.advance("closing")
@@ -250,7 +251,7 @@
             self.context.log(
                 "phase", phase=self.lifecycle.phase, owed=unanswered, connections=open_connections
             )
-            for name in list(self.attempts):  # if the stop is too near for the policy's timer
+            for name in list(self.attempts):  # those that the policy's timer had no time left to answer
                 self.decisions.abandon(name)
             self.context.emit(EndProcess(self.stop_at - self.exit_margin * 2 // 3))
         elif idle:
@@ -284,7 +285,10 @@
         self.context.emit(AnswerMisunderstood(connection, seq, method, reason))
 
     def _release(self, names: Iterable[str]) -> None:
-        """Remove the attempts of a connection that ended. Their runs continue, to answer repeats."""
+        """Remove the attempts of a connection that ended.
+
+        Runs of tasks that are not idempotent continue, so that their results can answer repeats.
+        """
         unseen = set()
         for name in names:
             attempt = self.attempts.pop(name)
@@ -319,7 +323,7 @@
         return None
 
     def _admit(self, event: TaskReceived, connection: Connection) -> str:
-        """Add a task and notify the policy of it; return its name."""
+        """Add a task's attempt to the tables and notify the policy of it; return the attempt's name."""
         task = event.task
         stage = self.settings.stages[task.stage]
         key = None if event.dedup_key is None else make_key(task.stage, event.dedup_key, event.body)
@@ -340,24 +344,25 @@
         return name
 
     def _new_name(self) -> str:
-        """Return a new name. The tables and the policy use names because ids may be reused."""
+        """Return a new name for an attempt. The tables and the policy use names because ids may be reused."""
         self.attempts_made += 1
         return str(self.attempts_made)
 
     def claim_id(self, attempt_id: str, key: IdempotencyKey | None, stage: int) -> None:
-        """Assign an attempt id to this effect, replacing any earlier assignment."""
+        """Assign an attempt id to an idempotency key (None without one), replacing any earlier assignment."""
         window = max(self.settings.stages[stage].idempotency_window, self.max_timeout)
         self.attempt_ids.claim(attempt_id, key, self.context.now + window + self.max_timeout)
 
     def _find_original(self, key: IdempotencyKey, arrived_at: int) -> str | None:
-        """Return the attempt that one with this key repeats.
+        """Return the name of the attempt that an attempt with this key repeats; None if it repeats none.
 
-        The time of arrival at the machine counts against the window, however late the task was read.
+        Whether the key's window has ended is judged by the time of arrival at the machine, however late the
+        task was read.
         """
         entry = self.idempotency.by_key.get(key)
         if self.settings.stages[key[0]].effect == "keyed":
-            # Pending attempts are checked first. If a run has outlived its window, the policy has forgotten
-            # its effect; two attempts that both repeated this run would each start a new run.
+            # Pending attempts are checked first. If a run has outlived its key's window, the policy has
+            # deleted its record of it; two attempts that both repeated this run would each start a new run.
             if key in self.policy_host.pending_keys:
                 return self.policy_host.pending_keys[key]
             if entry is not None and (entry.expires_at > arrived_at or entry.runner in self.runs):
@@ -380,7 +385,7 @@
     def settle(self, name: str) -> Attempt | None:
         """Remove an unanswered attempt and return it; the caller must answer it.
 
-        Attempts are removed for an answer only here, so that none is answered twice.
+        Attempts that are answered are removed only here, so that none is answered twice.
         """
         attempt = self.attempts.pop(name, None)
         if attempt is not None:
@@ -409,7 +414,7 @@
     # ---- runs
 
     def launch(self, name: str, run: Run) -> None:
-        """Start a run, now or once a link is up."""
+        """Start a run, now or once a link to the agent is up."""
         if self.session.linked:
             self._send(run)
 
@@ -445,10 +450,10 @@
         """Resolve the runs left open by the end of a link, once all missed notices have been read.
 
         Concerns runs that were started before the measurement `mark`, without a notice of their end and
-        without proof that their start arrived. Those that are idempotent or were never written are started
-        again. Any other is in doubt: it may be running, and a second start that crosses the notice of its end
-        would run it again, so its end is awaited for a while. All stops are repeated, which is harmless: a
-        run whose stop was lost with the link would continue to occupy its cores.
+        without proof that their start arrived. If such a run is idempotent or its start was never written, it
+        is started again. Any other is in doubt: it may be running, and a second start that crosses the notice
+        of its end would run it again, so its end is awaited for a while. All stops are repeated, which is
+        harmless: a run whose stop was lost with the link would continue to occupy its cores.
         """
         for name, run in self.runs.items():
             if self.session.last_measured <= run.measurements_before < mark:
@@ -463,7 +468,7 @@
             self.downstream.resend(run)
 
     def _fail_runs_in_doubt(self) -> None:
-        """Free the capacity of runs in doubt whose wait is over: they count as having run."""
+        """End the runs in doubt whose wait is over, to free their capacity; they count as having run."""
         for name, awaited_until in list(self.in_doubt.items()):
             if name not in self.runs:
                 del self.in_doubt[name]
