--- a/thistleline/bench_adapter/adapter.py
+++ b/thistleline/bench_adapter/adapter.py
@@ -1,4 +1,4 @@
-"""The adapter's main loop: reads the lines of a round and writes its reply, until end of input."""
+"""The adapter's main loop: reads the lines of a round and writes the reply to it, until end of input."""
 
 import sys
 from typing import TextIO
@@ -25,7 +25,7 @@
         self._output = output
         self._host = PolicyHost()
         self._now: int | None = None  # time of the open round, ns
-        self._round_number = ""  # of the open round, as it was read
+        self._round_number = ""  # number of the open round, in the text form in which it was read
         self._lines: list[list[str]] = []
 
     def read(self, line: str) -> None:
--- a/thistleline/bench_adapter/events.py
+++ b/thistleline/bench_adapter/events.py
@@ -1,4 +1,4 @@
-"""Decodes event lines of the bench protocol into policy events."""
+"""Decodes the event lines of the bench protocol into policy events."""
 
 from thistleline.interface import (
     CallEnded,
--- a/thistleline/durable/events.py
+++ b/thistleline/durable/events.py
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectsRecovered:
-    """The effects recovered from earlier processes of this server; precedes any task."""
+    """The runs that earlier processes of this server recorded in the ledger; precedes any task."""
 
     effects: Iterable[RecoveredEffect]
 
--- a/thistleline/durable/served_value.py
+++ b/thistleline/durable/served_value.py
@@ -1,6 +1,7 @@
-"""Counters of the utility that a server served, besides task counts; used to compare releases.
+"""Counters of the utility of the tasks that a server received and finished; used to compare releases.
 
-A release that finishes as many tasks but drops the valuable ones is worse; task counts alone don't show that.
+A release that finishes as many tasks as another but drops the valuable ones is worse; task counts alone don't
+show that.
 """
 
 from thistleline.state.connections import Connection
--- a/thistleline/durable/state_machine.py
+++ b/thistleline/durable/state_machine.py
@@ -1,6 +1,8 @@
-"""The state machine of a server with a ledger: a keyed effect starts only once its intent is durable.
+"""The state machine of a server with a ledger.
 
-`LedgerState` (ledger/state.py) decides what is written; this module connects it to the tables and the policy.
+A run with an idempotency key (called an effect here) starts only once its intent, the record that announces
+the run, is on disk. `LedgerState` (ledger/state.py) decides what is written; this module connects it to the
+server's tables of attempts, runs and idempotency keys and to the policy.
 """
 
 from typing import Any
@@ -17,15 +19,17 @@
 from thistleline.state.phases import Lifecycle
 from thistleline.state.state_machine import EventHandler, ServerStateMachine
 
-# Value of `measurements_before` for a run that was not started: higher than any measurement, so that its
-# start is never considered lost with a link.
+# Value of `measurements_before` for a run that was not started: higher than any measurement, so that the
+# run's start is never considered lost with a link.
 NOT_STARTED = 1 << 62
-RETRY_AFTER = SECOND  # ns, for clients whose task the ledger can't record now
-STALE_NUMBERS_SLACK = 64  # numbers kept beyond twice the ledger's effects before stale ones are removed
+RETRY_AFTER = SECOND  # ns; Retry-After time for clients whose task the ledger can't record now
+# The numbers of expired effects are removed once more numbers are kept than this plus twice the number of
+# effects in the ledger.
+STALE_NUMBERS_SLACK = 64
 
 
 class DurableStateMachine(ServerStateMachine):
-    """A `ServerStateMachine` that records intents and outcomes of keyed effects in a ledger."""
+    """A `ServerStateMachine` that records the intents and outcomes of runs with a key in a ledger."""
 
     def __init__(
         self,
@@ -51,12 +55,12 @@
             max_disk_bytes, options.max_result_bytes, self._boot_time(), self._cached_result
         )
         self.effect_numbers: dict[str, int] = {}  # effect numbers by run name
-        self.effect_names: dict[int, str] = {}  # run names by effect number, while results may be read
-        self.unwritten_intents: dict[int, str] = {}  # run names by number, for intents not durable yet
+        self.effect_names: dict[int, str] = {}  # run names by effect number; the reverse of `effect_numbers`
+        self.unwritten_intents: dict[int, str] = {}  # run names by effect number, for intents not durable yet
         self.unsettled: dict[str, None] = {}  # runs of earlier processes with unknown outcome
-        # Recorded time until which the outcome of an unsettled run is awaited, by name.
+        # Time, as recorded in the ledger, until which the outcome of an unsettled run is awaited, by name.
         self.doubt_deadlines: dict[str, int] = {}
-        # Effects of earlier processes that the policy was notified of, by name: when they expire.
+        # Effects of earlier processes that the policy is notified of, by name: when they expire.
         self.remembered: dict[str, int] = {}
 
     def _event_handlers(self) -> dict[type, EventHandler]:
@@ -111,7 +115,7 @@
         self._notify_remembered()
 
     def _restore_effect(self, effect: RecoveredEffect) -> None:
-        """Add a recovered effect to the tables; one without an outcome may have run."""
+        """Add a recovered effect to the tables; an effect without an outcome may have run."""
         now = self.context.now
         name = self._new_name()
         key = (effect.stage, effect.digest)
@@ -172,7 +176,7 @@
     # ---- starts and ends
 
     def launch(self, name: str, run: Run) -> None:
-        """Start a run; a keyed effect is started once its intent is durable."""
+        """Start a run; a run with an idempotency key is started once its intent is durable."""
         entry = self.idempotency.by_key.get(run.key) if run.key is not None else None
         if entry is None or self.settings.stages[run.stage].effect != "keyed":
             super().launch(name, run)
@@ -249,7 +253,7 @@
             self.effect_names = {number: name for name, number in self.effect_numbers.items()}
 
     def _end_if_done(self) -> None:
-        """End only once the ledger is written, unless the disk delays that until just before the stop."""
+        """End the process only once the ledger is written, or just before the stop if the disk is slow."""
         assert self.stop_at is not None
         if not self.ledger.has_unwritten() or self.context.now >= self.stop_at - EXIT_MARGIN:
             super()._end_if_done()
--- a/thistleline/durable/writer.py
+++ b/thistleline/durable/writer.py
@@ -57,10 +57,10 @@
 
 
 class LedgerRecovery:
-    """Reads the ledger that earlier processes wrote, and logs its progress."""
+    """Reads the ledger that earlier processes wrote, and logs the progress of reading."""
 
     def __init__(self, store: LedgerStore, ledger: LedgerState, log: Log) -> None:
-        """Create a reader and start to measure its time; `run` reads the ledger."""
+        """Create a reader and start to measure the time of the recovery; `run` reads the ledger."""
         self._store = store
         self._ledger = ledger
         self._log = log
@@ -70,7 +70,7 @@
         self._bytes = 0
 
     def run(self) -> list[RecoveredEffect]:
-        """Return all effects that are still needed; blocks.
+        """Return all effects (runs with an idempotency key) that have not expired; blocks.
 
         Raises:
             ConfigurationError: The ledger can't be read.
@@ -113,12 +113,12 @@
 
 
 class LedgerServerMachine(ServedValueTracker, DurableStateMachine):
-    """The state machine of a server with a ledger, with counters of the utility that it served."""
+    """The state machine of a server with a ledger, with counters of its tasks' utility."""
 
 
 @dataclass(frozen=True, slots=True)
 class LedgerParts:
-    """The parts that a server with a ledger has in addition."""
+    """The parts that a server with a ledger has in addition to those of other servers."""
 
     machine: DurableStateMachine
     store: LedgerStore
