--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -95,13 +95,13 @@
 class UntrustedClients(RuleBasedStateMachine):
     @initialize(cores=st.sampled_from([1, 4]), bound=st.sampled_from([40, 1 << 20]))
     def start(self, cores: int, bound: int) -> None:
-        self.desk = MachineHarness(
+        self.harness = MachineHarness(
             stages=(stage(), SHORT_WINDOW_BOOKING, ORDER), cores=cores, results_bound=bound
         )
-        self.desk.answers_measurements = False
+        self.harness.answers_measurements = False
         self.agent, self.linked, self.notices_sent = Agent(), True, 0
         self.commands: list[tuple[int, Any]] = []  # time and command, not yet read by the agent
-        self.handled_count = len(self.desk.effects)
+        self.handled_count = len(self.harness.effects)
         self.ids: list[str] = []  # ids of all attempts of clients so far
         self.sent: dict[tuple[int, int], tuple[str, Any, int]] = {}  # by connection and seq: id, effect, time
         self.unanswered: dict[tuple[int, int], int] = {}  # by connection and seq: deadline
@@ -113,11 +113,11 @@
 
     def handle_effects(self) -> None:
         """Handles the new effects of the state machine."""
-        while self.handled_count < len(self.desk.effects):
-            effect = self.desk.effects[self.handled_count]
+        while self.handled_count < len(self.harness.effects):
+            effect = self.harness.effects[self.handled_count]
             self.handled_count += 1
             if isinstance(effect, StartRun | StopRun | MeasureGauges) and self.linked:
-                self.commands.append((self.desk.now, effect))
+                self.commands.append((self.harness.now, effect))
             elif isinstance(effect, AnswerFinished | AnswerRejected | AnswerAbandoned | AnswerMisunderstood):
                 self.check_answer(effect)
             elif isinstance(effect, CloseConnection):
@@ -130,7 +130,7 @@
     ) -> None:
         key = (effect.connection, effect.seq)
         assert key in self.unanswered, "answered twice, or without a request"
-        assert self.unanswered.pop(key) >= self.desk.now, "answered after the deadline"
+        assert self.unanswered.pop(key) >= self.harness.now, "answered after the deadline"
         id, effect_id, sent_at = self.sent[key]
         if isinstance(effect, AnswerFinished) and effect_id is not None:
             assert self.results[bytes(effect.result)] == effect_id, (
@@ -149,7 +149,7 @@
         return [since for effect, since in self.agent.started if effect == effect_id]
 
     def put(self, event: Any) -> None:
-        self.desk.handle(event)
+        self.harness.handle(event)
         self.handle_effects()
 
     def deliver(self) -> None:
@@ -179,7 +179,7 @@
 
     def end_run(self, id: str, outcome: RunOutcome, report: bool = True) -> None:
         del self.agent.running[id]
-        self.last_used[id] = self.desk.now
+        self.last_used[id] = self.harness.now
         result = b"result %d" % len(self.results)
         self.results[result] = self.agent.known[id][2]
         self.agent.notices.append(
@@ -196,12 +196,12 @@
     def receive_task(
         self, connection: int, id: str, stage_index: int, dedup_key: str | None, body: bytes, effect_id: Any
     ) -> None:
-        if connection not in self.desk.machine.connections.by_number:
+        if connection not in self.harness.machine.connections.by_number:
             self.put(ConnectionOpened(connection))
-        if len(self.desk.machine.connections.by_number[connection].open) >= 32:
+        if len(self.harness.machine.connections.by_number[connection].open) >= 32:
             return
         self.seq += 1
-        now = self.desk.now
+        now = self.harness.now
         self.sent[connection, self.seq] = (id, effect_id, now)
         self.unanswered[connection, self.seq] = now + BOOKING.timeout + 100 * MS
         sent = task(id, now, stage=stage_index)
@@ -222,11 +222,11 @@
         self.ids.append(id)
         body, name = (
             b"body %s" % str(booking if stage_index == 1 else id).encode(),
-            self.desk.machine.settings.stages[stage_index].name,
+            self.harness.machine.settings.stages[stage_index].name,
         )
         # A non-idempotent task has no further attempts: each attempt is an effect of its own.
         effect_id = (name, booking if stage_index == 1 else id)
-        self.agent.known[id], self.last_used[id] = (name, body, effect_id), self.desk.now
+        self.agent.known[id], self.last_used[id] = (name, body, effect_id), self.harness.now
         self.receive_task(
             connection, id, stage_index, f"key {booking}" if stage_index == 1 else None, body, effect_id
         )
@@ -237,7 +237,10 @@
     ) -> None:
         """Sends a known or unknown id with the key and body of its own effect or of another one."""
         id = self.ids[-which % len(self.ids)] if self.ids and which else f"x{self.seq}"
-        if self.desk.now - self.last_used.get(id, self.desk.now) > SHORT_WINDOW_BOOKING.idempotency_window:
+        if (
+            self.harness.now - self.last_used.get(id, self.harness.now)
+            > SHORT_WINDOW_BOOKING.idempotency_window
+        ):
             id = f"x{self.seq}"  # ids are remembered only for a while
         original = self.agent.known.get(id, ("", b"", (0, 0)))[2][1]
         booking = original if body == "original" else body
@@ -253,16 +256,16 @@
 
     def time_passes(self, span: int) -> None:
         """Advances the time; the agent reads its commands meanwhile, unless `span` is 0."""
-        end = self.desk.now + span * MS
-        while self.desk.now < end:
-            self.desk.wait(min(20 * MS, end - self.desk.now))
+        end = self.harness.now + span * MS
+        while self.harness.now < end:
+            self.harness.wait(min(20 * MS, end - self.harness.now))
             self.handle_effects()
             if self.linked:
                 self.deliver()
 
     def round_runs(self) -> None:
         """Runs a round whose commands the agent has not read yet."""
-        self.desk.wait(6 * MS)
+        self.harness.wait(6 * MS)
         self.handle_effects()
 
     def run_ends(self, which: int, outcome: RunOutcome, twice: bool) -> None:
@@ -274,7 +277,7 @@
             self.put(self.agent.notices[-1])
 
     def link_ends(self, lost: bool, downtime: int, repeated: int) -> None:
-        if not lost or any(when < self.desk.now - LOSS_WINDOW for when, _ in self.commands):
+        if not lost or any(when < self.harness.now - LOSS_WINDOW for when, _ in self.commands):
             self.deliver_without_replies()
         self.commands = []
         self.linked = False
@@ -303,14 +306,14 @@
     @invariant()
     def no_answer_is_late(self) -> None:
         if hasattr(self, "unanswered"):
-            assert all(until >= self.desk.now for until in self.unanswered.values()), (
+            assert all(until >= self.harness.now for until in self.unanswered.values()), (
                 "a task was not answered"
             )
 
     @invariant()
     def tables_are_consistent(self) -> None:
-        if hasattr(self, "desk"):
-            machine = self.desk.machine
+        if hasattr(self, "harness"):
+            machine = self.harness.machine
             assert set(machine.by_id.values()) == set(machine.attempts)
             assert set(machine.at_agent.values()) == set(machine.runs)
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -88,8 +88,8 @@
         super().remove(number)
 
 
-class LedgerDesk(MachineHarness):
-    """A desk whose state machine has a ledger in a folder.
+class LedgerHarness(MachineHarness):
+    """A harness whose state machine has a ledger in a folder.
 
     Writes are performed at once, or only by `write` while `defers_writes` is set.
     """
@@ -225,49 +225,50 @@
 
 
 def test_a_booking_starts_once_its_intent_is_durable_and_a_lookup_at_once(tmp_path: Path) -> None:
-    desk = LedgerDesk(tmp_path, cores=4)
-    desk.defers_writes = True
-    lookup_id, booking_id = desk.send(1), desk.send(1, "mark")
-    desk.wait()
-    assert desk.launched() == [lookup_id]
-    (write,) = [effect.write for effect in desk.effects_of(WriteLedger)]
-    desk.write(write)
-    assert desk.launched() == [lookup_id, booking_id]
+    harness = LedgerHarness(tmp_path, cores=4)
+    harness.defers_writes = True
+    lookup_id, booking_id = harness.send(1), harness.send(1, "key")
+    harness.wait()
+    assert harness.launched() == [lookup_id]
+    (write,) = [effect.write for effect in harness.effects_of(WriteLedger)]
+    harness.write(write)
+    assert harness.launched() == [lookup_id, booking_id]
 
 
 def test_intents_recorded_during_a_sync_are_written_as_one_group(tmp_path: Path) -> None:
-    desk = LedgerDesk(tmp_path, cores=16)
-    desk.defers_writes = True
+    harness = LedgerHarness(tmp_path, cores=16)
+    harness.defers_writes = True
     for index in range(9):
-        desk.send(index % 3, f"mark{index}")
-        desk.wait()
-    writes = [effect.write for effect in desk.effects_of(WriteLedger)]
+        harness.send(index % 3, f"key{index}")
+        harness.wait()
+    writes = [effect.write for effect in harness.effects_of(WriteLedger)]
     assert [len(write.group.intents) for write in writes] == [1]
-    desk.write(writes[0])
-    writes = [effect.write for effect in desk.effects_of(WriteLedger)]
+    harness.write(writes[0])
+    writes = [effect.write for effect in harness.effects_of(WriteLedger)]
     assert [len(write.group.intents) for write in writes] == [1, 8]
 
 
 def test_intents_of_a_failed_sync_are_rejected_and_not_treated_as_durable(tmp_path: Path) -> None:
     """Bookings are rejected with a retry delay while lookups run; bookings resume with the next segment."""
-    desk = LedgerDesk(tmp_path, cores=4)
-    desk.disk.failing_call, desk.disk.fault = desk.disk.calls + 4, "sync"  # calls: begin, header, frame, sync
-    lookup_id, failed = desk.send(1), desk.send(2, "mark")
-    desk.wait(1 * MS)
-    rejected = desk.send(3, "other")
-    desk.wait(20 * MS)
-    assert desk.launched() == [lookup_id]
-    assert [(effect.connection, effect.retry_after > 0) for effect in desk.effects_of(AnswerRejected)] == [
+    harness = LedgerHarness(tmp_path, cores=4)
+    # Of the write's calls (begin, header, frame, sync) the fourth fails.
+    harness.disk.failing_call, harness.disk.fault = harness.disk.calls + 4, "sync"
+    lookup_id, failed = harness.send(1), harness.send(2, "key")
+    harness.wait(1 * MS)
+    rejected = harness.send(3, "other")
+    harness.wait(20 * MS)
+    assert harness.launched() == [lookup_id]
+    assert [(effect.connection, effect.retry_after > 0) for effect in harness.effects_of(AnswerRejected)] == [
         (2, True),
         (3, True),
     ]
-    desk.wait(300 * MS)
-    retried = desk.send(2, "mark", is_retry=True)
-    desk.wait()
-    assert desk.launched() == [lookup_id, retried]
+    harness.wait(300 * MS)
+    retried = harness.send(2, "key", is_retry=True)
+    harness.wait()
+    assert harness.launched() == [lookup_id, retried]
     assert (failed, rejected) == ("t2", "t3")
-    desk.stop()
-    restarted = LedgerDesk(tmp_path)
+    harness.stop()
+    restarted = LedgerHarness(tmp_path)
     restarted.send(1, "other")
     restarted.wait()
     assert len(restarted.launched()) == 1  # its intent was recorded as moot
@@ -275,31 +276,31 @@
 
 @pytest.mark.parametrize("fault", ["full", "sync"])
 def test_a_permanently_failing_disk_rejects_bookings_but_not_lookups(tmp_path: Path, fault: str) -> None:
-    desk = LedgerDesk(tmp_path, cores=4)
-    desk.disk.fault, desk.disk.always_fails = fault, True
+    harness = LedgerHarness(tmp_path, cores=4)
+    harness.disk.fault, harness.disk.always_fails = fault, True
     for index in range(40):
-        desk.send(1, f"mark{index}")
-        lookup_id = desk.send(2)
-        desk.wait(100 * MS)
-        desk.end(lookup_id)
-        desk.wait(100 * MS)
-    assert len(desk.effects_of(AnswerRejected)) == 40
-    assert len(desk.launched()) == 40
-    assert desk.disk.calls < 20  # the delay between retries grows
-    assert len(desk.durable_machine.ledger.segments) < 3
+        harness.send(1, f"key{index}")
+        lookup_id = harness.send(2)
+        harness.wait(100 * MS)
+        harness.end(lookup_id)
+        harness.wait(100 * MS)
+    assert len(harness.effects_of(AnswerRejected)) == 40
+    assert len(harness.launched()) == 40
+    assert harness.disk.calls < 20  # the delay between retries grows
+    assert len(harness.durable_machine.ledger.segments) < 3
 
 
 # ---- kills at any point
 
 
-def _run_three_bookings(desk: LedgerDesk, sent: list[str]) -> None:
+def _run_three_bookings(harness: LedgerHarness, sent: list[str]) -> None:
     for index in range(3):
-        name = desk.send(1, f"mark{index}", id=f"{len(sent)}-{index}")
+        name = harness.send(1, f"key{index}", id=f"{len(sent)}-{index}")
         sent.append(name)
-        desk.wait(6 * MS)
-        if index != 1 and name in desk.launched():
-            desk.end(name)
-        desk.wait(6 * MS)
+        harness.wait(6 * MS)
+        if index != 1 and name in harness.launched():
+            harness.end(name)
+        harness.wait(6 * MS)
 
 
 @pytest.mark.parametrize("boot_id", [b"", b"another boot...."])
@@ -309,21 +310,21 @@
     tmp_path: Path, failing_call: int, clock_shift: int, boot_id: bytes
 ) -> None:
     """Over the restart the wall clock is set back 10 minutes or forward a day, or the machine reboots."""
-    desk = LedgerDesk(tmp_path, cores=4)
-    desk.disk.failing_call, desk.disk.fault = failing_call, "kill"
+    harness = LedgerHarness(tmp_path, cores=4)
+    harness.disk.failing_call, harness.disk.fault = failing_call, "kill"
     with suppress(KeyboardInterrupt):
-        _run_three_bookings(desk, [])
-    desk.stop()
-    finished = {bytes(effect.result) for effect in desk.effects_of(AnswerFinished)}
+        _run_three_bookings(harness, [])
+    harness.stop()
+    finished = {bytes(effect.result) for effect in harness.effects_of(AnswerFinished)}
     boot_time = START + 9 * SECOND if not boot_id else 7 * SECOND
-    restarted = LedgerDesk(
+    restarted = LedgerHarness(
         tmp_path, cores=4, boot_time=boot_time, boot_id=boot_id, now=(1009 + clock_shift) * SECOND
     )
     for index in range(3):
-        restarted.send(1, f"mark{index}", is_retry=True)
+        restarted.send(1, f"key{index}", is_retry=True)
         restarted.wait(3 * SECOND)
     started_again = {int(name[1:]) - 1 for name in restarted.launched()}
-    assert not started_again & {int(name[-1]) for name in desk.launched()}
+    assert not started_again & {int(name[-1]) for name in harness.launched()}
     assert not restarted.effects_of(AnswerRejected)
     repeated_results = {bytes(effect.result) for effect in restarted.effects_of(AnswerFinished)}
     assert repeated_results <= finished
@@ -331,16 +332,16 @@
 
 
 def test_a_repeat_after_a_restart_gets_the_stored_result(tmp_path: Path) -> None:
-    desk = LedgerDesk(tmp_path)
-    name = desk.send(1, "mark")
-    desk.wait()
-    desk.end(name)
-    desk.wait()
-    desk.stop()
-    restarted = LedgerDesk(tmp_path, boot_time=START + 5 * SECOND)
-    restarted.send(1, "mark", is_retry=True)
-    restarted.send(2, "mark", is_retry=True)
-    restarted.send(3, "mark", b"a stranger's")
+    harness = LedgerHarness(tmp_path)
+    name = harness.send(1, "key")
+    harness.wait()
+    harness.end(name)
+    harness.wait()
+    harness.stop()
+    restarted = LedgerHarness(tmp_path, boot_time=START + 5 * SECOND)
+    restarted.send(1, "key", is_retry=True)
+    restarted.send(2, "key", is_retry=True)
+    restarted.send(3, "key", b"a stranger's")
     restarted.wait()
     assert [(effect.connection, bytes(effect.result)) for effect in restarted.effects_of(AnswerFinished)] == [
         (1, b"result of t1"), (2, b"result of t1")]  # fmt: skip
@@ -349,21 +350,21 @@
 
 @pytest.mark.parametrize("agent", ["reports the end", "reports nothing", "is new"])
 def test_an_intent_without_an_outcome_is_not_started_again(tmp_path: Path, agent: str) -> None:
-    desk = LedgerDesk(tmp_path)
-    name = desk.send(1, "mark")
-    desk.wait()
-    desk.stop()
-    restarted = LedgerDesk(tmp_path, boot_time=START + SECOND, up=False)
+    harness = LedgerHarness(tmp_path)
+    name = harness.send(1, "key")
+    harness.wait()
+    harness.stop()
+    restarted = LedgerHarness(tmp_path, boot_time=START + SECOND, up=False)
     restarted.handle(AgentGreeted(agent == "is new", 60 * SECOND))
     if agent == "reports the end":
         restarted.end(name)
-    restarted.send(1, "mark", id="later", is_retry=True)
+    restarted.send(1, "key", id="later", is_retry=True)
     restarted.wait(3 * SECOND)
     assert restarted.launched() == []
     assert restarted.answers() == ["finished" if agent == "reports the end" else "abandoned"]
     restarted.stop()
-    third = LedgerDesk(tmp_path, boot_time=START + 5 * SECOND)
-    third.send(1, "mark", id="third", is_retry=True)
+    third = LedgerHarness(tmp_path, boot_time=START + 5 * SECOND)
+    third.send(1, "key", id="third", is_retry=True)
     third.wait(3 * SECOND)
     assert (third.launched(), third.answers()) == ([], restarted.answers())
 
@@ -372,15 +373,15 @@
 def test_a_doubt_deadline_survives_restarts_that_come_before_it(
     tmp_path: Path, recovery: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    desk = LedgerDesk(tmp_path)
-    desk.send(1, "mark")
-    desk.wait()
-    desk.stop()
+    harness = LedgerHarness(tmp_path)
+    harness.send(1, "key")
+    harness.wait()
+    harness.stop()
     incarnations, max_wait = 0, BOOKING.latency_objective // 2
     for incarnation in range(2, 60):
         boot_time = START + incarnation * 200 * MS
-        restarted = LedgerDesk(tmp_path, boot_time=boot_time)
-        restarted.send(1, "mark", id=f"try{incarnation}", is_retry=True)
+        restarted = LedgerHarness(tmp_path, boot_time=boot_time)
+        restarted.send(1, "key", id=f"try{incarnation}", is_retry=True)
         restarted.wait(100 * MS)  # killed before the deadline
         incarnations += 1
         assert restarted.launched() == []
@@ -401,14 +402,14 @@
 
 
 def test_an_effect_expires_by_boot_time_and_not_by_the_wall_clock(tmp_path: Path) -> None:
-    desk = LedgerDesk(tmp_path)
-    desk.end(desk.send(1, "mark"))
-    desk.wait()
-    desk.stop()
-    restarted = LedgerDesk(
+    harness = LedgerHarness(tmp_path)
+    harness.end(harness.send(1, "key"))
+    harness.wait()
+    harness.stop()
+    restarted = LedgerHarness(
         tmp_path, boot_time=START + BOOKING.idempotency_window + 20 * SECOND, now=900 * SECOND
     )
-    restarted.send(1, "mark", is_retry=True)
+    restarted.send(1, "key", is_retry=True)
     restarted.wait()
     assert len(restarted.launched()) == 1
 
@@ -417,38 +418,38 @@
 
 
 def test_disk_usage_is_bounded_by_removing_expired_segments(tmp_path: Path) -> None:
-    desk = LedgerDesk(tmp_path, cores=16, disk=1 << 15)
+    harness = LedgerHarness(tmp_path, cores=16, disk=1 << 15)
     max_size = 0
     for index in range(600):
-        name = desk.send(index % 8, f"mark{index}")
-        desk.wait(6 * MS)
-        if name in desk.launched():
-            desk.end(name)
-        desk.wait(100 * MS)
-        max_size = max(max_size, sum(size for _, size in desk.disk.segments()))
+        name = harness.send(index % 8, f"key{index}")
+        harness.wait(6 * MS)
+        if name in harness.launched():
+            harness.end(name)
+        harness.wait(100 * MS)
+        max_size = max(max_size, sum(size for _, size in harness.disk.segments()))
     assert max_size <= 1 << 15
-    assert desk.durable_machine.ledger.refusals == 0
-    assert len(desk.launched()) > 500
+    assert harness.durable_machine.ledger.refusals == 0
+    assert len(harness.launched()) > 500
 
 
 def test_bookings_are_rejected_at_the_disk_limit_and_accepted_after_records_expire(tmp_path: Path) -> None:
-    desk = LedgerDesk(tmp_path, cores=16, disk=1 << 14, memory_kb=1e9)
+    harness = LedgerHarness(tmp_path, cores=16, disk=1 << 14, memory_kb=1e9)
     for index in range(400):
-        name = desk.send(index % 8, f"mark{index}")
-        desk.wait(6 * MS)
-        if name in desk.launched():
-            desk.end(name)
-    rejected = desk.effects_of(AnswerRejected)
+        name = harness.send(index % 8, f"key{index}")
+        harness.wait(6 * MS)
+        if name in harness.launched():
+            harness.end(name)
+    rejected = harness.effects_of(AnswerRejected)
     assert rejected
-    assert desk.durable_machine.ledger.phase == "full"
-    assert sum(size for _, size in desk.disk.segments()) <= 1 << 14
-    desk.send(1, "mark0", is_retry=True)
-    desk.wait()
-    assert desk.answers()[-1] in ("finished", "abandoned")
-    desk.wait(40 * SECOND)
-    late = desk.send(1, "late")
-    desk.wait()
-    assert late in desk.launched()
+    assert harness.durable_machine.ledger.phase == "full"
+    assert sum(size for _, size in harness.disk.segments()) <= 1 << 14
+    harness.send(1, "key0", is_retry=True)
+    harness.wait()
+    assert harness.answers()[-1] in ("finished", "abandoned")
+    harness.wait(40 * SECOND)
+    late = harness.send(1, "late")
+    harness.wait()
+    assert late in harness.launched()
 
 
 @pytest.mark.parametrize("failing_call", range(1, 8))
@@ -483,19 +484,19 @@
 
 
 def test_a_drain_waits_until_pending_records_are_durable(tmp_path: Path) -> None:
-    desk = LedgerDesk(tmp_path)
-    name = desk.send(1, "mark")
-    desk.wait()
-    desk.defers_writes = True
-    desk.handle(ShutdownRequested(desk.now + 3 * SECOND))
-    desk.end(name)
-    desk.handle(ConnectionEnded(1, ""))
-    desk.wait(SECOND)
-    assert not desk.effects_of(EndProcess)
-    desk.write([effect.write for effect in desk.effects_of(WriteLedger)][-1])
-    desk.defers_writes = False
-    desk.wait(SECOND)
-    assert desk.effects_of(EndProcess)
+    harness = LedgerHarness(tmp_path)
+    name = harness.send(1, "key")
+    harness.wait()
+    harness.defers_writes = True
+    harness.handle(ShutdownRequested(harness.now + 3 * SECOND))
+    harness.end(name)
+    harness.handle(ConnectionEnded(1, ""))
+    harness.wait(SECOND)
+    assert not harness.effects_of(EndProcess)
+    harness.write([effect.write for effect in harness.effects_of(WriteLedger)][-1])
+    harness.defers_writes = False
+    harness.wait(SECOND)
+    assert harness.effects_of(EndProcess)
 
 
 # ---- the settings file
@@ -533,7 +534,7 @@
     try:
         first.wait_for_log("phase", phase="serving")
         with first.connect() as link:
-            link.sendall(process_call(1, booking_fields(1, "mark")))
+            link.sendall(process_call(1, booking_fields(1, "key")))
             agent.receive()
             start_line = agent.receive()
             agent.end_run(start_line[1], b"Friday at noon")
@@ -547,7 +548,7 @@
         assert second.wait_for_log("ledger", state="recovered")["effects"] == 2
         second.wait_for_log("phase", phase="serving")
         with second.connect() as link:
-            link.sendall(process_call(1, booking_fields(3, "mark", dup="1")))
+            link.sendall(process_call(1, booking_fields(3, "key", dup="1")))
             assert decode_message(next(read_frames(link)))[3][0][1] == b"Friday at noon"
         assert second.terminate() == 0
     finally:
@@ -558,17 +559,17 @@
 
 
 def test_ledger_commands_read_the_folder_of_a_stopped_server(tmp_path: Path) -> None:
-    desk = LedgerDesk(tmp_path / "kept", boot_time=boot_now())  # the commands use the machine's clock
+    harness = LedgerHarness(tmp_path / "kept", boot_time=boot_now())  # the commands use the machine's clock
     for index in range(3):
-        name = desk.send(1, f"mark{index}")
-        desk.wait()
-        desk.end(name)
-    desk.wait()
+        name = harness.send(1, f"key{index}")
+        harness.wait()
+        harness.end(name)
+    harness.wait()
     run, folder = CliRunner().invoke, str(tmp_path / "kept")
     locked = run(entry, ["ledger", "verify", folder])
     assert locked.exit_code == 1
     assert "another program" in locked.output
-    desk.stop()
+    harness.stop()
     listed = [
         json.loads(line) for line in run(entry, ["ledger", "inspect", folder, "--json"]).output.splitlines()
     ]
@@ -605,7 +606,7 @@
     farm.runs = {b"body": [RunRecord(b"body", "t", began, b"result") for began in runs]} if runs else {}
     caller = Caller(lambda: ("127.0.0.1", 1), 1, 1, "booking", "studio")
     caller.outcomes = [
-        AttemptOutcome("mark", b"body", kind, b"result" if kind == "finished" else {}, 1.0, 1.5)
+        AttemptOutcome("key", b"body", kind, b"result" if kind == "finished" else {}, 1.0, 1.5)
     ]
     figures = judge(farm, caller)
     faults = ("run_twice", "rejected_after_run", "acknowledged_and_lost", "another_result")
--- a/tests/test_server_races.py
+++ b/tests/test_server_races.py
@@ -388,11 +388,11 @@
 def test_repeat_concurrent_with_end_of_run_gets_its_result(harness: ServerHarness) -> None:
     """The repeat and the end of the run are both unread when the server resumes; it may read either first."""
     with harness.server.connect() as connection, harness.server.connect() as other_connection:
-        connection.sendall(process_call(1, booking_fields(1, "mark")))
+        connection.sendall(process_call(1, booking_fields(1, "key")))
         launch = harness.agent.receive()
         exchange(other_connection, probe_call(1, False))
         harness.server.pause()
-        other_connection.sendall(process_call(2, booking_fields(2, "mark", dup="1")))
+        other_connection.sendall(process_call(2, booking_fields(2, "key", dup="1")))
         harness.agent.end_run(launch[1], b"booked")
         os.kill(harness.server.process.pid, signal.SIGCONT)
         assert decode_message(next(read_frames(connection)))[3][0][1] == b"booked"
@@ -402,15 +402,15 @@
 
 def test_repeat_concurrent_with_sigterm_gets_result_of_first_run(harness: ServerHarness) -> None:
     with harness.server.connect() as connection:
-        connection.sendall(process_call(1, booking_fields(1, "mark")))
+        connection.sendall(process_call(1, booking_fields(1, "key")))
         launch = harness.agent.receive()
         harness.server.pause()
         harness.server.process.send_signal(signal.SIGTERM)
-        connection.sendall(process_call(2, booking_fields(2, "mark", dup="1")))
+        connection.sendall(process_call(2, booking_fields(2, "key", dup="1")))
         os.kill(harness.server.process.pid, signal.SIGCONT)
         source = read_frames(connection)
         assert decode_message(next(source))[0] == "farewell"
-        connection.sendall(process_call(3, booking_fields(3, "mark", dup="1")))
+        connection.sendall(process_call(3, booking_fields(3, "key", dup="1")))
         harness.agent.end_run(launch[1], b"booked")
         answers = {seq: fields for _, _, seq, fields in map(decode_message, source)}
     assert {seq: fields[0][1] for seq, fields in answers.items()} == dict.fromkeys((1, 2, 3), b"booked")
@@ -425,11 +425,11 @@
     first = time.time_ns() // 1_000_000 - 1000
     with harness.server.connect() as connection:
         source = read_frames(connection)
-        connection.sendall(process_call(1, booking_fields(1, "mark", since=str(first))))
+        connection.sendall(process_call(1, booking_fields(1, "key", since=str(first))))
         launch = harness.agent.receive()
         harness.agent.end_run(launch[1], b"booked")
         assert decode_message(next(source))[3][0][1] == b"booked"
-        connection.sendall(process_call(2, booking_fields(2, "mark", dup="1", since=str(first + 499))))
+        connection.sendall(process_call(2, booking_fields(2, "key", dup="1", since=str(first + 499))))
         assert decode_message(next(source))[3][0][1] == b"booked"
     assert unread_launches(harness) == []
 
@@ -537,7 +537,7 @@
     harness = make_harness(stop_ms=stop_ms)
     harness.wait_until_serving()
     with harness.server.connect() as connection:
-        connection.sendall(process_call(1, booking_fields(1, "mark")))
+        connection.sendall(process_call(1, booking_fields(1, "key")))
         harness.agent.receive()
         assert harness.server.terminate() == 0
         assert [
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -92,25 +92,25 @@
 
 def test_repeated_task_runs_once(harness: ServerHarness) -> None:
     with harness.server.connect() as connection, harness.server.connect() as other_connection:
-        connection.sendall(process_call(1, booking_fields(1, "mark")))
+        connection.sendall(process_call(1, booking_fields(1, "key")))
         launch = harness.agent.receive()
-        other_connection.sendall(process_call(1, booking_fields(2, "mark", dup="1")))
+        other_connection.sendall(process_call(1, booking_fields(2, "key", dup="1")))
         exchange(other_connection, probe_call(2, False))
         harness.agent.end_run(launch[1], b"booked")
         assert decode_message(next(read_frames(connection)))[3][0][1] == b"booked"
         assert decode_message(next(read_frames(other_connection)))[3][0][1] == b"booked"
-        assert exchange(connection, process_call(2, booking_fields(3, "mark", dup="1")))[2][0][1] == b"booked"
+        assert exchange(connection, process_call(2, booking_fields(3, "key", dup="1")))[2][0][1] == b"booked"
     assert harness.agent.received.empty()
 
 
 def test_repeat_gets_result_of_run_whose_connection_was_reset(harness: ServerHarness) -> None:
     with harness.server.connect() as connection:
-        connection.sendall(process_call(1, booking_fields(1, "mark")))
+        connection.sendall(process_call(1, booking_fields(1, "key")))
         launch = harness.agent.receive()
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     harness.server.wait_for_log("connection ended")
     with harness.server.connect() as connection:
-        connection.sendall(process_call(1, booking_fields(2, "mark", dup="1")))
+        connection.sendall(process_call(1, booking_fields(2, "key", dup="1")))
         exchange(connection, probe_call(2, False))
         harness.agent.end_run(launch[1], b"booked")
         assert decode_message(next(read_frames(connection)))[3][0][1] == b"booked"
@@ -119,7 +119,7 @@
 
 def test_agent_link_lost_within_result_loses_and_repeats_no_run(harness: ServerHarness) -> None:
     with harness.server.connect() as connection:
-        connection.sendall(process_call(1, booking_fields(1, "mark")))
+        connection.sendall(process_call(1, booking_fields(1, "key")))
         launch = harness.agent.receive()
         harness.agent.end_run(launch[1], b"booked", send=False)
         assert harness.agent.connection is not None
@@ -159,7 +159,7 @@
 
 def test_drain_first_serves_then_refuses_new_connections(harness: ServerHarness) -> None:
     with harness.server.connect() as connection:
-        connection.sendall(process_call(1, booking_fields(1, "mark")))
+        connection.sendall(process_call(1, booking_fields(1, "key")))
         launch = harness.agent.receive()
         harness.server.process.send_signal(signal.SIGTERM)
         harness.server.wait_for_log("phase", phase="leaving")
@@ -362,7 +362,7 @@
 def test_reload_moves_links_and_malformed_configuration_is_ignored(harness: ServerHarness) -> None:
     agent, announce, server = FakeAgent(), FakeAnnounce(), harness.server
     with server.connect() as connection:
-        connection.sendall(process_call(1, booking_fields(1, "mark")) + process_call(2, task_fields(2)))
+        connection.sendall(process_call(1, booking_fields(1, "key")) + process_call(2, task_fields(2)))
         second, first = harness.agent.receive(), harness.agent.receive()
         harness.agent.end_run(second[1], b"read")
         source = read_frames(connection)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -120,7 +120,7 @@
     stream = (
         process_call(1, task_fields(1))
         + probe_call(2, True)
-        + process_call(3, booking_fields(2, "mark"), b"")
+        + process_call(3, booking_fields(2, "key"), b"")
         + probe_call(4, False)
     )
     whole = decode_requests([stream])
