--- a/thistleline/ledger/compaction.py
+++ b/thistleline/ledger/compaction.py
@@ -1,4 +1,4 @@
-"""Rewrites the retained records of a ledger as one group, so that its old segments can be removed."""
+"""Rewrites the retained records of a ledger as one group, so that the old segments can be removed."""
 
 from collections.abc import Callable
 
@@ -7,7 +7,7 @@
 
 
 def doubt_record(number: int, deadline: int) -> Outcome:
-    """Return the record that the outcome of an effect is awaited until `deadline`, boot time in ns."""
+    """Return the record that an effect's outcome is awaited until `deadline`, a boot time in ns."""
     return Outcome(number, OUTCOME_KINDS.index("doubtful"), DOUBT_DEADLINE.pack(deadline))
 
 
@@ -16,12 +16,13 @@
 ) -> RecordGroup:
     """Return the records of all durable effects, with as many of the newest results as fit.
 
-    Sets `result_size` of each ended effect to the size of the result in its rewritten record.
+    Sets `result_size` of each ended effect to the size of the result in the effect's rewritten record.
 
     Args:
         effects: Effects by number, oldest first.
-        max_result_bytes: Limit of the results in the group, in bytes.
-        stored_result: Returns the result of an effect, or None if it is no longer in memory.
+        max_result_bytes: Limit on the total size of the results in the group, in bytes.
+        stored_result: Returns the result of the run with this effect number, or None if the result is no
+            longer in memory.
     """
     remaining = max_result_bytes
     intents = []
--- a/thistleline/ledger/format.py
+++ b/thistleline/ledger/format.py
@@ -37,7 +37,8 @@
 
 MIN_HEADER_SIZE = _HEADER.size  # bytes of a header without stages
 OUTCOME_KINDS = ("finished", "failed", "stopped", "moot", "doubtful")
-DOUBT_DEADLINE = struct.Struct("<q")  # result of a doubtful outcome: boot time in ns until which to wait
+# Content of the result field of a doubtful outcome: boot time in ns until which the final outcome is awaited.
+DOUBT_DEADLINE = struct.Struct("<q")
 INTENT_SIZE = _INTENT.size  # bytes
 OUTCOME_SIZE = _OUTCOME.size  # bytes, without the result
 FRAME_OVERHEAD = HEADER_SIZE + _COUNTS.size  # bytes of a frame without its records
@@ -46,17 +47,17 @@
 class Intent(NamedTuple):
     """The record that an effect is about to start.
 
-    The fields are in the order of the format. A named tuple, because recovery decodes up to a million in
-    bulk.
+    The fields are in the order of the format. A named tuple, because recovery decodes up to a million of
+    these records in bulk.
 
     Attributes:
         number: The effect's number, assigned by the ledger and never reused within a folder.
         stage: Index of the stage in the segment's header.
         digest: 16-byte digest of idempotency key and body.
         expires_at: Boot time in ns at which the key's idempotency window ends.
-        lifetime: Nanoseconds from recording to `expires_at`; counted from the recovery if the machine has
-            rebooted since.
-        attempt_id: Id of the attempt at the agent, at most 16 bytes.
+        lifetime: Nanoseconds from the recording of the intent to `expires_at`; counted from the recovery
+            instead if the machine has rebooted since.
+        attempt_id: Id by which the agent knows the attempt, at most 16 bytes.
     """
 
     number: int
@@ -68,12 +69,12 @@
 
 
 class Outcome(NamedTuple):
-    """The record of how an effect ended, or of the deadline until which its end is awaited.
+    """The record of how an effect ended, or of the deadline until which the effect's end is awaited.
 
     Attributes:
         number: The effect's number.
         kind: Index into OUTCOME_KINDS.
-        result: The effect's result; for a doubtful outcome, the packed DOUBT_DEADLINE.
+        result: The result of the run; for a doubtful outcome, the packed DOUBT_DEADLINE.
     """
 
     number: int
--- a/thistleline/ledger/records.py
+++ b/thistleline/ledger/records.py
@@ -34,7 +34,7 @@
 
     Attributes:
         size: Size in bytes; an upper estimate if this process wrote the segment.
-        expires_at: Boot time in ns at which its last record expires.
+        expires_at: Boot time in ns at which the segment's last record expires.
     """
 
     __slots__ = ("expires_at", "size")
@@ -51,7 +51,7 @@
 
     Attributes:
         segment: Number of the segment that the group is appended to.
-        creates_segment: Whether the segment has to be created first.
+        creates_segment: Whether the segment's file has to be created first.
         group: The records.
         obsolete_segments: Segments to remove once the group is durable.
         is_compaction: Whether the group holds the records of all effects that the ledger retains.
@@ -65,7 +65,7 @@
 
 
 class RecoveredEffect(NamedTuple):
-    """An effect of an earlier incarnation that has not expired.
+    """An effect that an earlier incarnation recorded and that has not expired.
 
     A named tuple, because recovery creates up to a million of them.
 
@@ -73,11 +73,11 @@
         number: The effect's number.
         stage: Index among the stages of this server.
         digest: 16-byte digest of idempotency key and body.
-        attempt_id: Id of the attempt at the agent.
-        remaining: Nanoseconds until its idempotency window ends.
-        outcome: How it ended; None if it may have run or may still be running.
-        result: The stored result; None if there is none or it did not fit in memory.
-        doubt_deadline: Boot time in ns until which an earlier incarnation would have awaited its outcome.
+        attempt_id: Id by which the agent knows the attempt.
+        remaining: Nanoseconds until the key's idempotency window ends.
+        outcome: How the effect ended; None if it may have run or may still be running.
+        result: The stored result; None if there is no result or it did not fit in memory.
+        doubt_deadline: Boot time in ns until which an earlier incarnation would have awaited the outcome.
     """
 
     number: int
--- a/thistleline/ledger/recovery.py
+++ b/thistleline/ledger/recovery.py
@@ -1,4 +1,4 @@
-"""Rebuilds the ledger's effects from the groups of records that were read back from segments."""
+"""Rebuilds the ledger's table of effects from the groups of records that were read back from segments."""
 
 from collections.abc import Iterable
 
@@ -10,7 +10,7 @@
     """Merges record groups of earlier incarnations into the effects table; limits the memory for results."""
 
     def __init__(self, effects: dict[int, EffectRecord], max_result_bytes: int) -> None:
-        """Merge into `effects`, keyed by number, and retain at most `max_result_bytes` of results."""
+        """Merge into `effects`, by effect number, and retain at most `max_result_bytes` of results."""
         self.effects = effects
         self.max_result_bytes = max_result_bytes
         self.results: dict[int, bytes] = {}
@@ -24,8 +24,8 @@
         Args:
             now: Boot time in ns.
             segment: The segment that holds the group; its `expires_at` is raised.
-            stages: The current index of each stage of the segment; None where the stage no longer exists,
-                so that no retry can match its effects.
+            stages: For each stage in the segment's header, the stage's current index; None where the stage no
+                longer exists, so that no retry can match an effect of that stage.
             same_boot: Whether the segment's times refer to the current boot of the machine.
             group: The records.
         """
@@ -42,14 +42,14 @@
             number, recorded_stage, _, expires_at, lifetime, _ = intent
             stage = stages[recorded_stage] if recorded_stage < stage_count else None
             if not same_boot or expires_at > now + lifetime:
-                # The duration of a reboot is unknown: the full window starts again at the recovery.
+                # The duration of a reboot is unknown: the key's full window starts again at the recovery.
                 expires_at = now + lifetime
             if stage is None or expires_at <= now:
                 continue
             if expires_at > latest:
                 latest = expires_at
             if number in effects:
-                continue  # copy written by a compaction; the outcome may have been merged already
+                continue  # a copy that a compaction wrote; the outcome may have been merged already
             if stage != recorded_stage or expires_at != intent.expires_at:
                 intent = intent._replace(stage=stage, expires_at=expires_at)
             effect = effects[number] = EffectRecord(intent)
@@ -76,7 +76,7 @@
                 self._retain_result(number, bytes(result))
 
     def _retain_result(self, number: int, result: bytes) -> None:
-        """Retain a result; drop the oldest ones while the memory limit is exceeded."""
+        """Retain a result; drop the oldest results while the memory limit is exceeded."""
         self.result_bytes += len(result) - len(self.results.pop(number, b""))
         self.results[number] = result
         while self.result_bytes > self.max_result_bytes:
--- a/thistleline/ledger/state.py
+++ b/thistleline/ledger/state.py
@@ -1,19 +1,20 @@
 """The ledger's decisions: what is written and when, what expires, and what is refused.
 
 No I/O and no clock. `LedgerState` issues one `LedgerWrite` at a time; the caller performs it and reports the
-result with `write_completed` or `write_failed`. Times are boot times in nanoseconds (ledger/format.py).
+result with `write_completed` or `write_failed`. Times are boot times in nanoseconds (ledger/format.py). The
+package's doc comment defines effect, intent, outcome and incarnation.
 
 Invariants:
 
 - An intent is durable once the write that contains it has completed; the completion of a later write does
   not make it durable.
 - After a failed write no more records are appended to that segment: data whose sync failed may or may not be
-  on disk, and a later successful sync does not prove that it is. The intents of the write are refused, since
-  none of their effects was started; its outcomes are written again to the next segment.
+  on disk, and a later successful sync does not prove that it is. The intents in the write are refused, since
+  none of their effects was started; the outcomes in the write are written again to the next segment.
 - The deadline until which the outcome of an effect is awaited survives the incarnation that set it, so that
   a server that is killed repeatedly still gets to declare the effect doubtful.
-- An effect is retained until its idempotency window ends, measured by a clock that cannot be set. If the
-  machine has rebooted, which takes an unknown time, the full window starts again at the recovery.
+- An effect is retained until its key's idempotency window ends, measured by a clock that cannot be set. If
+  the machine has rebooted, which takes an unknown time, the full window starts again at the recovery.
 """
 
 from collections.abc import Callable, Iterable
@@ -35,14 +36,14 @@
 
 MS = 1_000_000  # nanoseconds
 SECOND = 1_000_000_000  # nanoseconds
-MAX_GROUP_RECORDS = 4096  # limit of intents and, separately, of outcomes in one group
-MAX_PENDING_INTENTS = 16_384  # intents not yet written; further ones are refused
+MAX_GROUP_RECORDS = 4096  # limit on the number of intents and, separately, of outcomes in one group
+MAX_PENDING_INTENTS = 16_384  # limit on intents that wait to be written; further intents are refused
 SEGMENTS_PER_DISK_LIMIT = 8  # a segment is closed once it exceeds 1/8 of the disk limit
-FIRST_RETRY_BACKOFF = 100 * MS  # after a failed write; doubled after each further failure
+FIRST_RETRY_BACKOFF = 100 * MS  # delay after a failed write; doubled after each further failure
 MAX_RETRY_BACKOFF = 5 * SECOND
-HEADER_SIZE_ESTIMATE = 512  # bytes
+HEADER_SIZE_ESTIMATE = 512  # bytes that a segment's header is assumed to take
 
-# "keeping" means that records are accepted; the values are those of the figures in the log.
+# "keeping" means that records are accepted. The values appear in the metrics that the server logs.
 LedgerPhase = Literal["keeping", "failing", "full"]
 
 
@@ -59,11 +60,11 @@
         """Create an empty ledger.
 
         Args:
-            max_disk_bytes: Limit of the total size of all segments.
-            max_result_bytes: Limit of the results retained in memory during recovery.
+            max_disk_bytes: Limit on the total size of all segments.
+            max_result_bytes: Limit on the total size of the results retained in memory during recovery.
             now: Boot time in ns.
-            stored_result: Returns the result of an effect for compaction, or None if it is no longer in
-                memory.
+            stored_result: Returns the result of the completed run with this effect number, which compaction
+                rewrites, or None if the result is no longer in memory.
         """
         self.max_disk_bytes = max_disk_bytes
         self.now = now
@@ -75,7 +76,7 @@
         self.recovery = EffectRecovery(self.effects, max_result_bytes)
 
         self.segments: dict[int, SegmentInfo] = {}
-        self.current_segment: int | None = None  # target of the next write; None: a new segment
+        self.current_segment: int | None = None  # segment of the next write; None: a new segment
         self.last_segment_number = 0
 
         self.pending_intents: list[Intent] = []
@@ -95,14 +96,14 @@
     def record_intent(
         self, now: int, stage: int, digest: bytes, lifetime: int, attempt_id: bytes
     ) -> int | None:
-        """Record the intent of an effect, which may start once the intent is durable.
+        """Record the intent of an effect; the effect may start once the intent is durable.
 
         Args:
             now: Boot time in ns.
             stage: Index of the stage.
             digest: 16-byte digest of idempotency key and body.
             lifetime: Nanoseconds for which the effect must be retained.
-            attempt_id: Id of the attempt at the agent; its first 16 bytes are recorded.
+            attempt_id: Id by which the agent knows the attempt; its first 16 bytes are recorded.
 
         Returns:
             The effect's number, or None if the intent is refused.
@@ -124,12 +125,12 @@
         return number
 
     def record_outcome(self, now: int, number: int, outcome: str, result: bytes) -> None:
-        """Record how an effect ended; near the disk limit its result is omitted, but not its key."""
+        """Record how an effect ended; near the disk limit the result is omitted, but the key is kept."""
         self.advance_clock(now)
         self.unfinished.discard(number)
         effect = self.effects.get(number)
         if effect is None:
-            return  # its idempotency window has ended
+            return  # the key's idempotency window has ended
         if not self._has_room(OUTCOME_SIZE + len(result)):
             if result:
                 self.dropped_results += 1
@@ -143,7 +144,7 @@
     def record_doubt(self, now: int, number: int, deadline: int) -> None:
         """Record the boot time in ns until which the outcome of an earlier incarnation's effect is awaited.
 
-        If there is no room on disk, it is not written and the next incarnation sets its own deadline.
+        If there is no room on disk, this deadline is not written and the next incarnation sets its own one.
         """
         self.advance_clock(now)
         effect = self.effects.get(number)
@@ -156,8 +157,8 @@
     def advance_clock(self, now: int) -> None:
         """Advance the clock to boot time `now` in ns; earlier times are ignored.
 
-        Called before records of another program are read: records written after this state was created
-        would otherwise seem to lie in the future, and would be dropped too early.
+        Also called before the records that another program has written are read: those written after this
+        state was created would otherwise seem to lie in the future, and would be dropped too early.
         """
         self.now = max(self.now, now)
         if self.phase == "full" and not self._is_nearly_full():
@@ -194,7 +195,9 @@
         return write
 
     def write_completed(self, now: int) -> list[int]:
-        """Handle the completion of the outstanding write: it is durable, its obsolete segments are removed.
+        """Handle that the outstanding write has completed: its records are durable.
+
+        The segments that the write made obsolete have been removed.
 
         Returns:
             The numbers of the effects that may start now.
@@ -217,7 +220,8 @@
         """Handle the failure of the outstanding write, which may or may not be on disk.
 
         Returns:
-            The numbers of the effects that must not start.
+            The numbers of the effects (runs with an idempotency key) that must not start, because their
+            intents may not be on disk.
         """
         self.advance_clock(now)
         write = self._take_outstanding()
@@ -235,8 +239,8 @@
             self.pending_outcomes = [*write.group.outcomes, *self.pending_outcomes]
             self.pending_outcomes_size += write.group.outcomes_size()
         for number in refused:
-            # The intent may be on disk: it is recorded as moot, so that a later incarnation does not assume
-            # that the effect ran.
+            # The intent may be on disk: the effect's outcome is recorded as moot (never started), so that a
+            # later incarnation does not assume that the effect ran.
             del self.effects[number]
             self.unfinished.discard(number)
             self._enqueue_outcome(Outcome(number, OUTCOME_KINDS.index("moot"), b""))
@@ -264,7 +268,7 @@
     # ---- recovery
 
     def recover_segment(self, number: int, size: int) -> None:
-        """Register an existing segment, or the size in bytes to which it has grown since it was read."""
+        """Register an existing segment, or update the size in bytes of a segment that has grown."""
         if number in self.segments:
             self.segments[number].size = size
         else:
@@ -278,7 +282,8 @@
 
         Args:
             segment: Number of the segment that holds the group.
-            stages: The current index of each stage of the segment; None where the stage no longer exists.
+            stages: For each stage in the segment's header, the stage's current index; None where the stage no
+                longer exists.
             same_boot: Whether the segment's times refer to the current boot of the machine.
             group: The records.
         """
@@ -287,7 +292,10 @@
         self.last_effect_number = max(self.last_effect_number, largest)
 
     def retain_segments(self, numbers: set[int]) -> None:
-        """Drop all segments but these; the others were removed, and these hold their unexpired records."""
+        """Stop tracking all segments but these.
+
+        The other segments were removed; these segments hold the unexpired records of the removed ones.
+        """
         self.segments = {number: info for number, info in self.segments.items() if number in numbers}
 
     def recovered_effects(self) -> Iterable[RecoveredEffect]:
@@ -295,7 +303,7 @@
         return self.recovery.take_effects(self.now)
 
     def forget_expired(self) -> None:
-        """Drop the durable effects whose idempotency window has ended."""
+        """Drop the durable effects whose key's idempotency window has ended."""
         expired = [number for number, effect in self.effects.items() if effect.intent.expires_at <= self.now]
         for number in expired:
             if self.effects[number].durable:
@@ -374,7 +382,7 @@
         return effect is not None and not effect.durable
 
     def _drop_expired(self) -> tuple[int, ...]:
-        """Return the segments whose records have all expired, and drop their effects."""
+        """Return the segments whose records have all expired; drop the expired effects."""
         expired = tuple(
             number
             for number, segment in self.segments.items()
--- a/thistleline/ledger/store.py
+++ b/thistleline/ledger/store.py
@@ -1,4 +1,4 @@
-"""The ledger's I/O: performs its writes and reads back the segments of earlier incarnations.
+"""The ledger's I/O: performs the ledger's writes and reads back the segments of earlier incarnations.
 
 `LedgerStore.write` blocks until the data is on disk; the server calls it on a separate thread, so that
 neither a slow disk nor a sync delays other tasks.
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SegmentReading:
-    """The result of reading one segment.
+    """What was found when one segment was read.
 
     Attributes:
         segment: Number of the segment.
@@ -63,8 +63,8 @@
     def write(self, write: LedgerWrite) -> None:
         """Perform a write and return once it is durable.
 
-        If creating a segment fails, its file is removed, so that retries on a full disk do not accumulate
-        files.
+        If the write that creates a segment fails, the segment's file is removed, so that retries on a full
+        disk do not accumulate files.
 
         Raises:
             OSError: The write failed and may or may not be on disk.
@@ -78,7 +78,7 @@
             raise
         for number in write.obsolete_segments:
             with suppress(OSError):
-                self.disk.remove(number)  # if it stays, the next start reads and drops it
+                self.disk.remove(number)  # a segment that stays is read and dropped at the next start
 
     def _append(self, write: LedgerWrite) -> None:
         disk = self.disk
@@ -146,7 +146,7 @@
             except CorruptFrameError:
                 if final:
                     raise
-                continue  # its header is still being written
+                continue  # the segment's header is still being written
             positions[number] = reading.valid_end
         if final:
             ledger.retain_segments(present)
@@ -156,7 +156,9 @@
         self, ledger: LedgerState, number: int, data: memoryview, start: int = 0
     ) -> SegmentReading:
         if len(data) < ledger_format.MIN_HEADER_SIZE:
-            return SegmentReading(number, len(data), 0, 0, True, 0, 0)  # killed while it was created
+            return SegmentReading(
+                number, len(data), 0, 0, True, 0, 0
+            )  # the writer was killed at its creation
         try:
             header = ledger_format.decode_header(data)
         except CorruptFrameError as error:
