--- a/thistleline/handover/channel.py
+++ b/thistleline/handover/channel.py
@@ -21,7 +21,10 @@
 
 @contextmanager
 def _short_socket_path(path: Path) -> Iterator[str]:
-    """Yield the path by a descriptor of its folder, as the path of a Unix socket is limited to 107 bytes."""
+    """Yield a short path to the socket through a descriptor of its folder.
+
+    The path of a Unix socket is limited to 107 bytes.
+    """
     folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         yield f"/proc/self/fd/{folder}/{path.name}"
@@ -62,9 +65,9 @@
     """One connection between a predecessor and a successor.
 
     Attributes:
-        group: Runs the task that writes data which the socket did not accept at once.
+        group: The task group that runs the writing of data which the socket did not accept at once.
         sock: The socket.
-        descriptors: Received descriptors that have not been taken yet.
+        descriptors: Received file descriptors that have not been taken yet.
         closed: Whether this side has closed the channel.
     """
 
@@ -96,7 +99,7 @@
                 self.group.start_soon(self._flush)
 
     def send_with_descriptors(self, message: Message, descriptors: list[int]) -> None:
-        """Send a message with descriptors, completely and without waiting, after all earlier messages.
+        """Send a message with file descriptors, completely and without waiting, after all earlier messages.
 
         Raises:
             OSError: The channel is closed, earlier data is still unwritten, or the write fails or is partial.
--- a/thistleline/handover/effects.py
+++ b/thistleline/handover/effects.py
@@ -1,4 +1,8 @@
-"""Additional effects of a server that hands over to a successor or takes over from a predecessor."""
+"""Additional effects of a server that hands over to a successor or takes over from a predecessor.
+
+As in `state.effects`, an effect class here is an action that the state machine requests. Where a comment
+speaks of an effect that starts or ends, it means a run with an idempotency key, as in the ledger.
+"""
 
 from dataclasses import dataclass
 
@@ -14,12 +18,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOver:
-    """Hand over now: from here on this process starts no effect."""
+    """Hand over now: from here on this process starts no run with an idempotency key."""
 
-    last_notice: int
-    runs: tuple[str, ...]
-    owned_ids: tuple[tuple[str, int], ...]
-    is_repeated: bool  # whether the grant goes to a replacement of the first successor
+    last_notice: int  # number of the last notice read from the agent
+    runs: tuple[str, ...]  # ids of this process's runs at the agent
+    owned_ids: tuple[tuple[str, int], ...]  # ids of runs that are in no ledger, and the time until expiry, ns
+    is_repeated: bool  # whether the grant goes to another successor that replaces the first one
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportRunEnd:
-    """Report to the successor how an effect of the ledger ended."""
+    """Report to the successor how a run ended that is recorded in the ledger under `number`."""
 
     number: int
     outcome: RunOutcome
--- a/thistleline/handover/events.py
+++ b/thistleline/handover/events.py
@@ -1,4 +1,8 @@
-"""Additional events of a server that hands over to a successor or takes over from a predecessor."""
+"""Additional events of a server that hands over to a successor or takes over from a predecessor.
+
+A hosted run is a run of the predecessor whose commands and notices pass through the successor, because the
+successor holds the agent's only link.
+"""
 
 from dataclasses import dataclass
 
@@ -29,7 +33,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardedAnswered:
-    """The successor answered a forwarded attempt; `answer` does not have the attempt's connection and seq."""
+    """The successor answered a forwarded attempt.
+
+    The connection and sequence number in `answer` are not those of the attempt.
+    """
 
     name: str
     answer: AnswerEffect
@@ -40,16 +47,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Inherited:
-    """The handover; the first event after the ledger's recovery, even before those of the agent link."""
+    """The predecessor handed over to this server.
+
+    This is the first event after the ledger's recovery, even before the events of the agent link.
+    """
 
     last_notice: int  # number of the last notice that the predecessor read from the agent
     runs: tuple[str, ...]  # ids of the predecessor's runs at the agent
-    owned_ids: tuple[tuple[str, int], ...]  # ids of effects that are in no ledger, and the remaining time, ns
+    owned_ids: tuple[tuple[str, int], ...]  # ids of runs that are in no ledger, and the time until expiry, ns
 
 
 @dataclass(frozen=True, slots=True)
 class HostedRunStarted:
-    """The predecessor requests the start of a run of its own, which is idempotent or in no ledger."""
+    """The predecessor requests the start of a run of its own; the task is idempotent or in no ledger."""
 
     attempt_id: str
     stage: str
@@ -72,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PredecessorRunEnded:
-    """A run that the predecessor started has ended; `number` is that of its effect in the ledger."""
+    """A run that the predecessor started has ended; `number` is the run's effect number in the ledger."""
 
     number: int
     outcome: RunOutcome
--- a/thistleline/handover/messages.py
+++ b/thistleline/handover/messages.py
@@ -1,12 +1,13 @@
 """The handover protocol between two servers on the same machine, over a Unix socket.
 
-The predecessor is the server that is running, the successor the one that replaces it. Before `Grant` only the
-predecessor may start an effect, after it only the successor. `Grant` is sent with descriptors: the ledger's
-lock, and the listening socket if the predecessor still has it. Stages and tenants are identified by name,
-because the settings of the two servers may differ.
-
-The names of messages and fields on the socket are part of the protocol; they are older than the names of
-classes and attributes here, and differ from them.
+The predecessor is the server that is running, the successor the server that replaces it. An effect here is a
+run with an idempotency key. Before `Grant` only the predecessor may start an effect, after it only the
+successor. `Grant` is sent with file descriptors: the ledger's lock, and the listening socket if the
+predecessor still has it. Stages and tenants are identified by name, because the settings of the two servers
+may differ.
+
+The names of messages and fields on the handover socket are part of the protocol; they are older than the
+names of classes and attributes here, and differ from them.
 """
 
 from dataclasses import asdict
@@ -57,12 +58,12 @@
 
 
 class Grant(msgspec.Struct, frozen=True, tag="yours"):
-    """The handover.
+    """The predecessor hands over to the successor.
 
     Attributes:
         last_notice: Number of the last notice that the predecessor has read from the agent.
         runs: Ids of the predecessor's runs at the agent.
-        owned_ids: Ids of effects that are in no ledger, and the remaining time of each, ns.
+        owned_ids: Attempt ids of runs that are in no ledger, and the time until each id expires, ns.
         has_lock: Whether the descriptor of the ledger's lock is attached.
         has_listener: Whether the descriptor of the listening socket is attached.
     """
@@ -98,7 +99,7 @@
 
 
 class EffectEnded(msgspec.Struct, frozen=True, tag="ended"):
-    """An effect of the ledger ended; `number` is its number in the ledger."""
+    """A run that is recorded in the ledger has ended; `number` is its effect number there."""
 
     number: int
     outcome: str = msgspec.field(name="how")
@@ -110,10 +111,10 @@
 
     Attributes:
         number: Number by which the answer refers to the task.
-        stage: Name of its stage.
-        tenant: Name of its tenant.
-        task: The fields of the task, named as by `task_to_fields`; times are of the system clock, ns.
-        dedup_key: Its idempotency key, or the key by which equal reads are recognized.
+        stage: Name of the task's stage.
+        tenant: Name of the task's tenant.
+        task: The task's fields under the names that `task_to_fields` gives them; times are system clock, ns.
+        dedup_key: The task's idempotency key, or the key by which equal reads are recognized.
         body: The request body for the agent.
     """
 
@@ -159,7 +160,7 @@
     | Answer
 )
 
-# Names on the socket of the fields of `Task` that have a different name in this program.
+# Fields of `Task` that have a different name in the messages of the handover socket, and that name.
 TASK_FIELD_NAMES = {
     "tenant": "owner",
     "client": "caller",
@@ -174,12 +175,12 @@
 
 
 def task_to_fields(task: Task) -> dict[str, Any]:
-    """Return the task's fields under their names on the socket."""
+    """Return the task's fields, named as in the messages of the handover socket."""
     return {TASK_FIELD_NAMES.get(name, name): value for name, value in asdict(task).items()}
 
 
 def task_from_fields(fields: dict[str, Any]) -> Task:
-    """Return the task with these fields, named as on the socket.
+    """Return the task with these fields, which are named as in the messages of the handover socket.
 
     Raises:
         msgspec.ValidationError: A field is missing or has the wrong type.
--- a/thistleline/handover/relay.py
+++ b/thistleline/handover/relay.py
@@ -33,12 +33,12 @@
 
 
 def encode_agent_event(event: RelayedEvent) -> AgentEventMessage:
-    """Encode an event of the agent."""
+    """Encode an event that came from the agent."""
     return AgentEventMessage(EVENT_KINDS[type(event)], _values(event))
 
 
 def decode_agent_event(message: AgentEventMessage) -> RelayedEvent | None:
-    """Decode an event of the agent; return None for an unknown kind.
+    """Decode an event that came from the agent; return None for an unknown kind.
 
     Raises:
         ProtocolError: The values do not fit the kind.
@@ -57,7 +57,7 @@
 
 
 def decode_answer(message: Answer) -> AnswerEffect | None:
-    """Decode an answer, with 0 as its connection; return None for an unknown kind.
+    """Decode an answer and set its connection to 0; return None for an unknown kind.
 
     Raises:
         ProtocolError: The values do not fit the kind.
--- a/thistleline/handover/service.py
+++ b/thistleline/handover/service.py
@@ -1,8 +1,8 @@
 """The I/O of a server that takes over and hands over: sockets, descriptors and the ledger's folder.
 
-Files in the handover folder: `heir.sock`, where the serving process listens for its successor;
-`elder-PID.sock`, the same socket of a process that has handed over; `owner`, the incarnation that serves, for
-the supervisor.
+Files in the handover folder: `heir.sock`, the socket where the serving process listens for its successor;
+`elder-PID.sock`, the same socket of a process that has handed over and still runs; `owner`, which tells the
+supervisor which incarnation (numbered process of this server) serves.
 """
 
 import os
@@ -89,8 +89,8 @@
 from thistleline.transport.codec import ProtocolError
 
 # Durations in seconds.
-AGENT_RECONNECT_DELAY = 0.5  # after the successor is lost, before this server links to the agent itself
-GREETING_TIMEOUT = 1.0  # maximum wait for the agent's greeting
+AGENT_RECONNECT_DELAY = 0.5  # after the successor is lost, before this server connects to the agent itself
+GREETING_TIMEOUT = 1.0  # maximum wait for the agent's greeting, the first notice on a link
 
 
 class HandoverService(Service):
@@ -119,7 +119,7 @@
         self._reports_scope: anyio.CancelScope | None = None
         self._agent_greeted = anyio.Event()
         self._successor_socket: socket.socket | None = None  # listens for a successor
-        self._socket_path = self.folder / SOCKET_NAME  # of _successor_socket
+        self._socket_path = self.folder / SOCKET_NAME  # path of `_successor_socket`
         return HandoverStateMachine(
             options,
             now,
@@ -220,7 +220,7 @@
                 self._agent_greeted.set()
 
     def _stop_accepting(self, effect: StopAccepting) -> None:
-        """Stop accepting; after a handover, pending connections of the socket are left to the successor."""
+        """Stop accepting; after a handover, connections pending at the socket are left to the successor."""
         if self._has_handed_over:
             self.clients.abandon_listener()
         else:
@@ -308,7 +308,7 @@
                 self._lose_successor()
 
     def _accept_successor(self, channel: HandoverChannel, hello: Hello) -> bool:
-        """Accept the successor if the protocol and ledger versions fit and no other one is connected."""
+        """Accept the successor if protocol and ledger versions fit and no other successor is connected."""
         refusal = ""
         lowest, highest = PROTOCOL_VERSIONS
         if min(hello.max_version, highest) < max(hello.min_version, lowest):
@@ -406,7 +406,10 @@
         )
 
     def _release_socket_path(self) -> None:
-        """Release the socket's path and stop the reports; the successor uses the same name for both."""
+        """Rename this server's socket and stop its announce reports.
+
+        The successor listens at the same path and reports under the same server name.
+        """
         path = self.folder / f"elder-{os.getpid()}.sock"
         with suppress(OSError):
             self._socket_path.rename(path)
--- a/thistleline/handover/serving.py
+++ b/thistleline/handover/serving.py
@@ -1,4 +1,7 @@
-"""The file in the handover folder in which the serving incarnation identifies itself to the supervisor."""
+"""The file in the handover folder by which the serving process identifies itself to the supervisor.
+
+An incarnation is one process of a server; the supervisor numbers them.
+"""
 
 import os
 from pathlib import Path
@@ -18,7 +21,7 @@
 
 
 def read_owner(folder: Path) -> tuple[int, int] | None:
-    """Return incarnation and pid of the server that serves or served last; None if unknown."""
+    """Return incarnation and process id of the server that serves or served last; None if unknown."""
     try:
         incarnation, pid = (folder / OWNER_FILE_NAME).read_text().split()
         return int(incarnation), int(pid)
--- a/thistleline/handover/state_machine.py
+++ b/thistleline/handover/state_machine.py
@@ -1,16 +1,18 @@
 """The handover between two servers on the same machine: both sides in one state machine. No I/O, no clock.
 
-The predecessor is the server that is running, the successor the one that replaces it. Invariants:
+The predecessor is the server that is running, the successor the server that replaces it. A keyed task has an
+idempotency key; its run is called an effect and is recorded in the ledger. Invariants:
 
 - Before `HandOver` only the predecessor starts effects, after it only the successor. `HandOver` is emitted
-  once all starts of the predecessor are written and have reached the agent, so that the successor finds every
-  effect that may run in the ledger.
+  once all starts by the predecessor are written and have reached the agent, so that the successor finds every
+  effect that may run in the ledger. Until then the predecessor is frozen: it starts no run.
 - A keyed task that the predecessor has not started by then, and every task that it reads later, is forwarded
   to the successor, which decides on it and returns the answer. No task is refused because of the handover.
-- The predecessor's runs continue while the successor holds the agent's only link. The end of such a run is
-  reported to both sides: to the predecessor, which has to answer the client, and to the successor, for the
-  ledger and for repeats of the task.
-- As long as the predecessor runs, the successor does not treat the predecessor's effects as doubtful.
+- The predecessor's runs continue while the successor holds the agent's only link (hosted runs). The end of
+  such a run is reported to both sides: to the predecessor, which has to answer the client, and to the
+  successor, for the ledger and for repeats of the task.
+- As long as the predecessor runs, the successor does not treat the predecessor's effects as doubtful, that
+  is, as possibly run with an unknown outcome.
 
 The predecessor handles agent events in the same way whether they come from the agent or through the
 successor; the successor answers forwarded tasks on the connection PREDECESSOR_CONNECTION.
@@ -70,12 +72,12 @@
 from thistleline.state.phases import Lifecycle
 from thistleline.state.state_machine import EventHandler, ServerStateMachine
 
-FREEZE_TIMEOUT = 2 * SECOND  # ns; limit of the freeze before the handover, after which serving resumes
-MAX_GRANT_ENTRIES = 4096  # limit of runs and, separately, of owned ids in one grant
+FREEZE_TIMEOUT = 2 * SECOND  # ns; limit on the freeze before the handover, after which serving resumes
+MAX_GRANT_ENTRIES = 4096  # limit on the number of runs and, separately, of owned ids in one grant
 PREDECESSOR_CONNECTION = -1  # connection number of tasks that the predecessor forwards
 PREDECESSOR_TAG = "e"  # prefix of the tags of measurements that the predecessor requested
 
-# Names of the counters by class of the successor's answer.
+# Name of the counter that counts the successor's answers of each class.
 ANSWER_COUNTERS: dict[type[AnswerEffect], str] = {
     AnswerFinished: "finished",
     AnswerRejected: "rejected",
@@ -98,21 +100,24 @@
         max_disk_bytes: int,
         boot_offset: int,
     ) -> None:
-        """Start as the only server of the machine; the arguments are those of `DurableStateMachine`."""
+        """Start as the only server on the machine; the arguments are those of `DurableStateMachine`."""
         super().__init__(options, now, lifecycle, max_disk_bytes=max_disk_bytes, boot_offset=boot_offset)
-        # As predecessor.
+        # State in the role of the predecessor.
         self.handover_phase: HandoverPhase = "sole"
         self.has_successor = False
         self.frozen_at = 0
         self.freeze_deadline = 0
-        self.freeze_duration = 0  # ns; of the last freeze that ended with a handover
-        self.freeze_mark: int | None = None  # measurement that confirms that all starts reached the agent
+        self.freeze_duration = 0  # ns; duration of the last freeze that ended with a handover
+        # Number of the measurement whose answer confirms that all starts have reached the agent.
+        self.freeze_mark: int | None = None
         self.delayed_launches: list[str] = []  # names of runs that are delayed by the freeze
         self.handover_stop_at = 0  # ns; when this process has to exit after the handover
-        self.received: dict[str, tuple[Task, str | None]] = {}  # open keyed tasks as read, with their keys
-        self.forwarded: dict[str, None] = {}  # attempts that the successor decides on
-        self.handed_over_numbers: dict[str, int] = {}  # numbers of effects that ran here at the handover
-        # As successor.
+        # Unanswered tasks that may have to be forwarded, as read, with their keys; by attempt name.
+        self.received: dict[str, tuple[Task, str | None]] = {}
+        self.forwarded: dict[str, None] = {}  # names of the attempts that the successor decides on
+        # Numbers, by run name, of the ledger's effects that ran or were recorded here at the handover.
+        self.handed_over_numbers: dict[str, int] = {}
+        # State in the role of the successor.
         self.has_predecessor = False
         self.hosted_runs: dict[str, None] = {}  # ids of the predecessor's runs at the agent
 
@@ -138,7 +143,8 @@
         if self.handover_phase == "freezing":
             self._try_to_hand_over()
             effects += self.context.take_effects()
-            write = self.ledger.next_write(self._boot_time())  # of runs released by an aborted freeze
+            # An aborted freeze has released runs whose intents may have to be written.
+            write = self.ledger.next_write(self._boot_time())
             if write is not None:
                 effects.append(WriteLedger(write))
         return effects
@@ -149,7 +155,7 @@
         return min(deadline, self.freeze_deadline) if self.handover_phase == "freezing" else deadline
 
     def diagnostics(self) -> dict[str, Any]:
-        """Return the state of the policy, the ledger and the handover, for figures in the log."""
+        """Return the state of the policy, the ledger and the handover, for the metrics in the log."""
         return {
             **super().diagnostics(),
             "stands": self.handover_phase,
@@ -215,7 +221,7 @@
             self.has_successor = False
             if self.session.linked:
                 self._lose_agent("the successor is gone")
-            for name in list(self.forwarded):  # the successor may have run it
+            for name in list(self.forwarded):  # the successor may have run the task
                 del self.forwarded[name]
                 self.decisions.abandon(name)
 
@@ -240,14 +246,14 @@
                 self._forward_unstarted(name)
 
     def _release_ledger(self) -> None:
-        """Replace the ledger by an empty one, as from now on only the successor writes to it."""
+        """Replace the ledger with an empty one, as from now on only the successor writes to the ledger."""
         self.handed_over_numbers = self.effect_numbers
         self.effect_numbers = {}
         self.effect_names = {}
         self.ledger = LedgerState(self.ledger.max_disk_bytes, 0, self._boot_time(), lambda _: None)
 
     def _unrecorded_ids(self) -> tuple[tuple[str, int], ...]:
-        """Return the ids of effects that are not in the ledger; the newest, up to the limit of a grant."""
+        """Return the attempt ids of runs that are not in the ledger, the newest up to a grant's limit."""
         ids = [
             (attempt_id, expires_at - self.context.now)
             for attempt_id, (key, expires_at) in self.attempt_ids.by_id.items()
@@ -276,7 +282,10 @@
             super().launch(name, run)
 
     def _forward_unstarted(self, name: str) -> None:
-        """Forward a task that was not started here, and its repeats; its intent is reported as moot first."""
+        """Forward a task that was not started here, and its repeats.
+
+        If its intent is in the ledger, the successor is told first that the run never started (is moot).
+        """
         run = self.runs[name]
         repeats = run.repeats
         run.repeats = []
@@ -315,7 +324,7 @@
             self.context.emit(answer)
 
     def end_run(self, name: str, outcome: RunOutcome, duration: int, result: bytes | memoryview) -> None:
-        """End a run; report the outcome of an effect of the ledger to the successor, which records it."""
+        """End a run; if it is in the ledger, report its outcome to the successor, which records it."""
         number = self.handed_over_numbers.pop(name, None)
         if number is not None:
             self.context.emit(ReportRunEnd(number, outcome, bytes(result)))
@@ -369,7 +378,7 @@
             self.context.emit(MeasureGauges(PREDECESSOR_TAG + event.tag))
 
     def _on_predecessor_run_ended(self, event: PredecessorRunEnded) -> None:
-        """End the run here too, unless the agent has already reported its end."""
+        """End the predecessor's run here too, unless the agent has already reported its end."""
         name = self.effect_names.get(event.number)
         if name is not None and name in self.unsettled:
             self.end_run(name, event.outcome, 0, event.result)
--- a/thistleline/handover/takeover.py
+++ b/thistleline/handover/takeover.py
@@ -1,4 +1,4 @@
-"""The takeover before a server serves: from the running server, or from the ledger's folder."""
+"""The takeover before a server serves: from the running server, or, without one, from the ledger's folder."""
 
 import socket
 import time
@@ -25,21 +25,21 @@
 from thistleline.transport.codec import ProtocolError
 
 # Durations in seconds.
-RETRY_DELAY = 0.2  # after a postponement, before the next request
+RETRY_DELAY = 0.2  # after the predecessor postponed the handover, before the next request for it
 LEDGER_TIMEOUT = 3.0  # maximum wait for the ledger's lock, which a server that has just died may still hold
 LEDGER_RETRY_DELAY = 0.02
-RESUME_TIMEOUT = 1.0  # for the answer of a server whose successor is gone
+RESUME_TIMEOUT = 1.0  # maximum wait for the answer of a server that has handed over and lost its successor
 
 SOCKET_NAME = "heir.sock"  # where the serving process listens for its successor
-HANDED_OVER_SOCKET_PATTERN = "elder-*.sock"  # of servers that have handed over and still run
+HANDED_OVER_SOCKET_PATTERN = "elder-*.sock"  # sockets of servers that have handed over and still run
 
 
 class Takeover:
-    """One takeover.
+    """One takeover by a server that starts.
 
     Attributes:
-        predecessor: The channel to the predecessor; None if there is none.
-        grant: The predecessor's grant; None before the handover or without a predecessor.
+        predecessor: The channel to the predecessor; None without a predecessor.
+        grant: The message by which the predecessor handed over; None before that or without a predecessor.
     """
 
     def __init__(
@@ -87,10 +87,10 @@
         return listener
 
     def read_remaining(self) -> list[RecoveredEffect]:
-        """Read the remaining records of the ledger, which no other process writes any more; blocks.
+        """Read the remaining records of the ledger, to which no other process writes any more; blocks.
 
         Returns:
-            The unexpired effects.
+            The effects (runs with an idempotency key) that have not expired.
 
         Raises:
             ConfigurationError: The ledger can't be read.
@@ -123,7 +123,7 @@
         return self._take_descriptors(channel, message)
 
     async def _request_handover(self, channel: HandoverChannel) -> Message | None:
-        """Request the handover until the predecessor does not postpone it; return its last message."""
+        """Request the handover until the predecessor no longer postpones it; return its last message."""
         channel.send(Hello(ledger_versions=ledger_format.READABLE_VERSIONS))
         message = await channel.receive()
         if isinstance(message, Refused):
