--- a/thistleline/__main__.py
+++ b/thistleline/__main__.py
@@ -68,7 +68,7 @@
     import os
 
     # Everything is written and closed. Finalizing the interpreter would take a large part of the stop timeout
-    # on a slow core, so it is skipped.
+    # on a slow core, so finalization is skipped.
     sys.stdout.flush()
     sys.stderr.flush()
     os._exit(exit_code)
--- a/thistleline/server/agent_link.py
+++ b/thistleline/server/agent_link.py
@@ -1,4 +1,4 @@
-"""The connection to the agent that runs tasks; reconnects whenever the connection ends."""
+"""The connection (link) to the agent that runs tasks; reconnects whenever the connection ends."""
 
 from collections.abc import Callable
 from typing import Any
@@ -33,10 +33,10 @@
 from thistleline.wire.lines import BUFFER_SIZE
 
 MAX_UNWRITTEN = 4 * 1024 * 1024  # bytes
-CONNECT_TIMEOUT = 1.0  # s, of the first connection attempt
-MAX_CONNECT_TIMEOUT = 16.0  # s
+CONNECT_TIMEOUT = 1.0  # s, timeout of the first connection attempt
+MAX_CONNECT_TIMEOUT = 16.0  # s, the most to which the timeout grows
 # Delays before reconnecting, in s, indexed by the number of consecutive links that carried no notice; the
-# last one repeats.
+# last delay is used for all higher numbers.
 RECONNECT_DELAYS = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4)
 
 
@@ -96,7 +96,7 @@
         idle_links = 0
         while True:
             with anyio.CancelScope() as self._attempt:
-                # Cores may be idle without a link, so the delay grows only while links carry nothing.
+                # Cores may be idle without a link, so the delay grows only while links carry no notice.
                 if await self._serve_link(last_notice()):
                     idle_links = 0
                 await anyio.sleep(RECONNECT_DELAYS[min(idle_links, len(RECONNECT_DELAYS) - 1)])
--- a/thistleline/server/announcer.py
+++ b/thistleline/server/announcer.py
@@ -14,10 +14,10 @@
 # Seconds.
 REPORT_INTERVAL = 1.0  # the announce service drops an entry three seconds after its last report
 RETRY_DELAY = 0.25  # after a failed report
-ANSWER_TIMEOUT = 10.0
-CONNECT_TIMEOUT = 2.0  # of the first connection attempt
-MAX_CONNECT_TIMEOUT = 8.0
-SILENCE_TIMEOUT = 2.0  # without an answer, after which the service is logged as down
+ANSWER_TIMEOUT = 10.0  # maximum wait for the answer to a report
+CONNECT_TIMEOUT = 2.0  # timeout of the first connection attempt
+MAX_CONNECT_TIMEOUT = 8.0  # the most to which the connection timeout grows
+SILENCE_TIMEOUT = 2.0  # the announce service is logged as down after this time without an answer
 
 # Limit on reports in flight; beyond it the oldest is cancelled. More than one is allowed, so that a slow
 # answer does not delay the next reports.
@@ -59,7 +59,7 @@
         self._version = 0  # changes with the state to report and with the address
         self._changed = anyio.Event()  # set when the state or the address changes or a report ends
         self._backoff = ReconnectBackoff(CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT)
-        # A connection that can carry another report.
+        # An open connection to the announce service that can carry another report.
         self._idle: tuple[Stream, AnnounceConnection] | None = None
         self._reports: dict[Report, None] = {}  # in flight, oldest first
         self._acknowledged: bool | None = None  # the state that the service last confirmed
@@ -104,7 +104,8 @@
     async def keep_reporting(self) -> None:
         """Report every second, whether or not earlier reports were answered.
 
-        Returns once the service has confirmed that no more tasks are accepted: its entry may expire then.
+        Returns once the announce service has confirmed the report that this server accepts no more tasks: the
+        server's entry at the service may expire then.
         """
         self._answered_at = anyio.current_time()
         try:
@@ -153,7 +154,7 @@
         return report
 
     async def _run(self, report: Report) -> None:
-        """Send one report; an error ends only its own connection."""
+        """Send one report; an error ends only the connection that carries the report."""
         status = 0
         failure = ""
         with report.scope:
@@ -187,7 +188,7 @@
             report.stream.close()
 
     async def _send(self, report: Report) -> int:
-        """Send the report and return the status of its answer.
+        """Send the report and return the HTTP status of the answer to it.
 
         Raises:
             OSError: The connection failed, or the answer is too long.
--- a/thistleline/server/backend.py
+++ b/thistleline/server/backend.py
@@ -1,4 +1,4 @@
-"""The connection to the back end, the downstream dependency; opened when a call needs it."""
+"""The connection to the back end, the dependency that runs call; opened when a call needs a connection."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,10 +14,10 @@
 from thistleline.wire.lines import BUFFER_SIZE
 
 MAX_UNWRITTEN = 4 * 1024 * 1024  # bytes
-CONNECT_TIMEOUT = 1.0  # s, of the first connection attempt; a call that waits for it has its own timeout
-MAX_CONNECT_TIMEOUT = 16.0  # s
-# Delays after a failed connection attempt, in s, indexed by the number of consecutive failures; the last one
-# repeats.
+CONNECT_TIMEOUT = 1.0  # s, timeout of the first connection attempt; a call that waits has its own timeout
+MAX_CONNECT_TIMEOUT = 16.0  # s, the most to which the timeout grows
+# Delays after a failed connection attempt, in s, indexed by the number of consecutive failures; the last
+# delay is used for all higher numbers.
 RECONNECT_DELAYS = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4)
 
 
@@ -40,7 +40,7 @@
         """Start without a connection.
 
         Args:
-            address: Where the back end listens; None where there is none.
+            address: Where the back end listens; None if the configuration names no back end.
             handle: Receives the outcomes of calls.
             group: Runs the readers of the connections.
         """
@@ -83,9 +83,9 @@
                 failures += 1
 
     async def _connect(self) -> bool:
-        """Open a connection and send the pending calls; return False if none could be opened.
+        """Open a connection and send the pending calls; return False if no connection could be opened.
 
-        In that case none of the calls has run.
+        In that case none of the pending calls has run, and each is reported as "unreachable".
         """
         address = self.address
         try:
--- a/thistleline/server/configuration.py
+++ b/thistleline/server/configuration.py
@@ -18,7 +18,7 @@
 Address = tuple[str, int]
 MS = 1_000_000
 MAX_NUMBER = 1e12
-# The largest limits of the platform, used where the file states none.
+# The largest limits that the platform sets, used where the configuration file states no limit.
 DEFAULT_MEMORY_MB = 192
 DEFAULT_DESCRIPTORS = 1024
 
@@ -35,7 +35,7 @@
     listen: Address
     agent: Address
     announce: Address
-    backend: Address | None  # the downstream dependency, where the site has one
+    backend: Address | None  # the downstream dependency; None where the site has none
     seed: int  # seed of the random number generator
     stop_timeout: int  # ns from the shutdown request until the process must have stopped
     descriptors: int  # file descriptors that the process may open
@@ -45,7 +45,7 @@
     granularity: int  # minimum time between two rounds of the policy, ns
 
     def log_fields(self) -> dict[str, Any]:
-        """Return the fields to log at startup."""
+        """Return the fields to log at startup; durations of stages are in ms."""
         return {
             "stages": {
                 stage.name: [
@@ -114,7 +114,7 @@
 
 
 def _descriptors(limit: int | None) -> int:
-    """Return the limit on file descriptors, at most that of the system."""
+    """Return the limit on file descriptors, which is at most the limit that the system sets."""
     wanted = limit or DEFAULT_DESCRIPTORS
     system_limit = os.sysconf("SC_OPEN_MAX")
     if system_limit <= 0:  # the system has no limit
--- a/thistleline/server/listener.py
+++ b/thistleline/server/listener.py
@@ -1,4 +1,8 @@
-"""The listening socket and its connections to clients."""
+"""The listening socket for clients and the connections accepted from it.
+
+A connection lingers after the server has finished it, until the client has read its answers and closes the
+connection, or a timeout passes.
+"""
 
 import errno
 import socket
@@ -46,12 +50,12 @@
 
 MAX_UNWRITTEN = 256 * 1024  # bytes; the answers to a connection at its task limit take under 140 KiB
 BACKLOG = 1024  # connections that the kernel queues until they are accepted
-MAX_ACCEPTED_AT_ONCE = 64
-ACCEPT_RETRY_DELAY = 0.05  # s, while descriptors or memory are exhausted
-LINGER_TIMEOUT = 1.0  # s, for a peer to read its answers and close the connection
-# Connections that may linger in addition to the limit on connections.
+MAX_ACCEPTED_AT_ONCE = 64  # connections accepted before other tasks of the event loop run
+ACCEPT_RETRY_DELAY = 0.05  # s, while file descriptors or memory are exhausted
+LINGER_TIMEOUT = 1.0  # s, for a client to read its answers and close the connection
+# Number of connections that may linger in addition to the limit on connections.
 SPARE_LINGERING = 4
-# Errors of `accept` that concern only the one connection; the next call may succeed.
+# Errors from `accept` that concern only the connection being accepted; the next call may succeed.
 CONNECTION_ERRORS = (
     errno.ECONNABORTED,
     errno.EPROTO,
@@ -118,9 +122,9 @@
         self._max_connections = max_connections
         self._streams: dict[int, Stream] = {}
         self._unflushed: dict[int, Stream] = {}  # streams written to since the last flush
-        # Connections that have ended for the state machine, oldest first.
+        # Lingering connections, which have ended for the state machine, oldest first.
         self._lingering: OrderedDict[int, Stream] = OrderedDict()
-        # Set once no connection lingers; None unless `finish` waits for that.
+        # Event set once no connection lingers; None unless `finish` waits for that.
         self._all_closed: anyio.Event | None = None
         self._accepted = 0  # number of connections accepted so far
 
@@ -131,8 +135,8 @@
         while (listener := self.listener) is not None:
             try:
                 await anyio.wait_readable(listener)
-                # The state machine picks the connection to close for a new one by what it has read, so input
-                # that has already arrived on open connections is read first.
+                # The state machine decides by the messages read which connection to close for a new one, so
+                # input that has already arrived on open connections is read first.
                 await anyio.lowlevel.checkpoint()
                 if self.listener is not None:
                     self._accept_some(listener)
@@ -205,7 +209,7 @@
             self._handle(InputDrained(number, len(stream.buffer) > 0))
 
     def _limit_connections(self) -> None:
-        """Free descriptors for served connections: close the longest-lingering ones above the limit."""
+        """Free file descriptors for served connections: above the limit, close the oldest lingering ones."""
         while len(self._streams) + len(self._lingering) > self._max_connections + SPARE_LINGERING:
             if not self._close_lingering():
                 return
@@ -217,7 +221,7 @@
         return True
 
     def close(self, number: int) -> None:
-        """Stop reading requests; the stream lingers so that the peer still receives what was written."""
+        """Stop reading requests; the stream lingers so that the client still receives what was written."""
         stream = self._streams.pop(number, None)
         if stream is not None:
             self._lingering[number] = stream
@@ -233,7 +237,7 @@
             await self._all_closed.wait()
 
     def flush(self) -> list[int]:
-        """Write the queued answers; return the connections whose peer is gone or not reading."""
+        """Write the queued answers; return the connections whose client is gone or not reading."""
         unflushed = self._unflushed
         self._unflushed = {}
         return [number for number, stream in unflushed.items() if not stream.flush()]
--- a/thistleline/server/log.py
+++ b/thistleline/server/log.py
@@ -37,8 +37,8 @@
         try:
             text = orjson.dumps(line | facts, default=str)
         except TypeError:
-            # The fields may hold a peer's integer beyond 64 bits or unpaired surrogate, which orjson refuses.
-            # That must not end the process.
+            # The fields may hold an integer beyond 64 bits or an unpaired surrogate that a peer sent, which
+            # orjson refuses. That must not end the process.
             text = orjson.dumps({**line, "facts": ascii(facts)})
         if len(text) >= MAX_LINE_BYTES:
             text = orjson.dumps({**line, "cut": True})
--- a/thistleline/server/service.py
+++ b/thistleline/server/service.py
@@ -41,20 +41,20 @@
     from thistleline.config.schema import ProgramConfig
 
 MS, SECOND = 1_000_000, 1_000_000_000
-# File descriptors that are not available to clients: the listener, the links, the log and the event loop.
+# File descriptors not available to clients: the listener, the links to other services, log and event loop.
 RESERVED_DESCRIPTORS = 24
-CONNECTION_COST = 32 * 1024  # bytes of memory per open connection, with 900 connections open
+CONNECTION_COST = 32 * 1024  # bytes of memory per open connection while 900 connections are open
 FIGURES_INTERVAL = 5.0  # s, between log lines with the server's metrics
-FAULT_DELAY = 0.05  # s, before a failed task is restarted
-ADDRESS_TIMEOUT = 10.0  # s, for the previous incarnation to release the listening address
+FAULT_DELAY = 0.05  # s, before a failed task of the event loop is restarted
+ADDRESS_TIMEOUT = 10.0  # s, for the previous process of this server to release the listening address
 ADDRESS_RETRY_DELAY = 0.05  # s
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)  # blocked while the service can't handle them
 # Fields of the configuration that a reload applies; all others need a restart.
 RELOADABLE = ("agent", "announce", "backend", "stop_timeout")
 # Iterations of the event loop before a deadline is handled, so that input that has arrived is read first.
 LOOP_TURNS_BEFORE_ROUND = 3
-# Lateness of a deadline, in ns, from which the process counts as having been paused. More input may have
-# arrived meanwhile, so the event loop runs more iterations first.
+# If a deadline is handled this late, in ns, the process counts as having been paused. More input may have
+# arrived meanwhile, so the event loop first runs the larger number of iterations below.
 PAUSE_THRESHOLD = 100 * MS
 LOOP_TURNS_AFTER_PAUSE = 12
 
@@ -69,7 +69,7 @@
 
         Args:
             configuration: The configuration from the platform.
-            conf: Settings of the optional components, such as the ledger.
+            conf: Settings for the optional components, such as the ledger.
 
         Raises:
             ConfigurationError: A component can't be used.
@@ -82,7 +82,7 @@
         self._reload_wanted = False
         by_memory = configuration.memory // 4 // CONNECTION_COST
         self.max_connections = max(1, min(configuration.descriptors - RESERVED_DESCRIPTORS, by_memory))
-        # Reads the effects that an earlier incarnation recorded; blocks.
+        # Reads the runs that an earlier process of this server recorded in the ledger; blocks.
         self.recover: Callable[[], Any] | None = None
         # Creates the ledger's writer and returns its effect handlers.
         self.make_writer: Callable[[TaskGroup], EffectHandlers] | None = None
@@ -91,7 +91,7 @@
         self._woken = anyio.Event()
         self._sleeps_until = 0
         self._is_flushing = False
-        # When the oldest task was read that no policy round has processed; 0 if there is none.
+        # When the oldest task that no policy round has processed was read; 0 if there is no such task.
         self._undecided_since = 0
         # Maxima since the last log line with metrics, in ns: lateness of timers, duration of rounds, and time
         # from reading a task to the round that processes it.
@@ -119,7 +119,7 @@
         """Return the state machine of this server.
 
         Raises:
-            ConfigurationError: A component that it needs can't be used.
+            ConfigurationError: A component that the state machine needs can't be used.
         """
         if conf is None or conf.ledger is None:
             return ServerStateMachine(options, now, self.lifecycle)
@@ -162,7 +162,7 @@
             raise failure
 
     async def _prepare(self) -> tuple[Any, socket.socket]:
-        """Return the effects that an earlier incarnation recorded, and the listening socket.
+        """Return the runs that an earlier process recorded in the ledger, and the listening socket.
 
         The server does not listen until it knows which tasks ran before. A client may therefore conclude from
         a refused connection that its task did not run.
@@ -175,10 +175,10 @@
         return recovered, await self._listen()
 
     async def _listen(self) -> socket.socket:
-        """Return the listening socket; retry while the previous incarnation still holds the address.
+        """Return the listening socket; retry while the previous process still holds the address.
 
         Nothing is awaited after the socket listens. A signal therefore arrives either before that and cancels
-        the startup, or once the server serves and handles it.
+        the startup, or once the server serves and handles the signal.
 
         Raises:
             OSError: The address can't be bound.
@@ -217,7 +217,7 @@
         self.handle(ShutdownRequested(self.clock.now() + self.configuration.stop_timeout))
 
     def _serve(self, group: TaskGroup, recovered: Any, listener: socket.socket) -> None:
-        """Create the components, notify the state machine that the server listens, and start the tasks."""
+        """Create the components, tell the state machine that the server listens, start the loop's tasks."""
         self.is_serving = True
         self._create_components(group, listener)
         if recovered is not None:
@@ -266,7 +266,7 @@
         await self.agent.run(lambda: self.machine.session.last_notice)
 
     async def _keep_running(self, task: Callable[[], Awaitable[None]]) -> None:
-        """Run a task and restart it when it fails; a failure does not affect other tasks."""
+        """Run a task of the event loop; restart it when it fails. A failure does not affect other tasks."""
         while True:
             try:
                 await task()
@@ -278,7 +278,7 @@
 
     def _make_end_handler(self, group: TaskGroup) -> Callable[[EndProcess], None]:
         async def finish(deadline: int) -> None:
-            """Wait until the peers have received their answers, at most until the deadline, then stop all."""
+            """Wait until clients have received their answers, at most until the deadline; then stop all."""
             with anyio.move_on_after(max(0, deadline - self.clock.now()) / SECOND):
                 await self.clients.finish()
             group.cancel_scope.cancel()
@@ -315,7 +315,7 @@
     # ---- events and effects
 
     def handle_client(self, event: ClientEvent) -> None:
-        """Handle an event of a client; converts its timestamps from the system clock to this clock."""
+        """Handle an event from a client; convert a task's arrival time from system clock to server clock."""
         if type(event) is TaskReceived:
             self._undecided_since = self._undecided_since or self.clock.now()
             skew = self.clock.skew()
@@ -358,8 +358,8 @@
     async def process_deadlines(self) -> None:
         """Notify the state machine when its deadlines pass.
 
-        Input that has arrived by then is read first. Where an event woke this task, the input that came with
-        the event has already been read.
+        Input that has arrived by the time of a deadline is read first. If an event woke this function, the
+        input that came with the event has already been read.
         """
         turns = 0
         while True:
@@ -397,7 +397,7 @@
     # ---- the log
 
     async def report_figures(self) -> None:
-        """Log counters and the policy's estimates at a fixed interval."""
+        """Log the server's metrics, counters and the policy's view of the load, at a fixed interval."""
         while True:
             await anyio.sleep(FIGURES_INTERVAL)
             usage = resource.getrusage(resource.RUSAGE_SELF)
--- a/thistleline/server/streams.py
+++ b/thistleline/server/streams.py
@@ -26,7 +26,7 @@
             sock: The socket.
             group: Runs the task that writes what the socket did not accept at once.
             max_unread: Size of the receive buffer, in bytes.
-            max_unwritten: Bytes that may wait to be written; with more, `flush` reports the peer as gone.
+            max_unwritten: Limit on bytes that wait to be written; beyond it `flush` reports the peer as gone.
 
         Raises:
             OSError: The connection has already ended; the socket is closed.
@@ -51,7 +51,7 @@
     # ---- reading
 
     def request_read(self) -> None:
-        """Allow one read by `read`."""
+        """Allow `read` to read from the socket once."""
         self._read_wanted = True
         if self._read_request is not None:
             self._read_request.set()
@@ -90,7 +90,7 @@
         self._unwritten += data
 
     def flush(self) -> bool:
-        """Write what the socket accepts now, the rest later; False if the peer is gone or not reading."""
+        """Write what the socket accepts now and the rest later; False if the peer is gone or not reading."""
         if self.closed or not self._unwritten or self._draining:
             return len(self._unwritten) <= self._max_unwritten
         try:
@@ -136,7 +136,9 @@
         anyio.notify_closing(self._sock)
 
     async def linger(self, timeout: float) -> None:
-        """Write the rest, shut down sending, discard input until the peer closes, then close (RFC 9112, 9.6).
+        """Write what is queued, shut down sending, discard input until the peer closes, then close.
+
+        This follows RFC 9112, section 9.6.
 
         Closing a socket with unread bytes resets the connection, and the peer loses answers that it has not
         yet read.
@@ -203,8 +205,8 @@
 class ReconnectBackoff:
     """Connects with a timeout that grows while attempts time out.
 
-    Each attempt that times out doubles the timeout of the next one, up to a limit, so that a peer that always
-    takes longer than the first timeout is still reached. A successful attempt resets it.
+    Each attempt that times out doubles the timeout for the next one, up to a limit, so that a peer that
+    always takes longer than the first timeout is still reached. A successful attempt resets the timeout.
     """
 
     def __init__(self, initial: float, maximum: float) -> None:
--- a/thistleline/wire/agent.py
+++ b/thistleline/wire/agent.py
@@ -1,6 +1,6 @@
-"""The render farm agent's line protocol: decodes its notices and encodes commands to it.
+"""The line protocol of the render farm agent: decodes the agent's notices and encodes commands to it.
 
-`decode_notices` yields one of the `Notice` classes for each message; the functions below it encode commands.
+`decode_notices` yields one of the `Notice` classes for each message; the functions after it encode commands.
 """
 
 from collections.abc import Iterator
@@ -11,7 +11,7 @@
 from thistleline.wire.durations import parse_seconds
 from thistleline.wire.lines import decode_messages, make_unreadable_error, parse_body_size
 
-# Names of the commands, by their word on the wire.
+# Names that the program uses for the commands, by the word that stands for the command on the wire.
 COMMANDS = {
     "launch": "start",
     "freeze": "stop",
@@ -93,7 +93,7 @@
     """The agent refused a command.
 
     Attributes:
-        command: One of COMMANDS' values, or the unknown word.
+        command: One of the values of COMMANDS, or the word on the wire if it is unknown.
         target: The id or tag that the command named.
     """
 
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Remark:
-    """A notice without a meaning to the server; its number still counts in the sequence."""
+    """A notice that the server ignores; its number still counts in the sequence of notices."""
 
     number: int
 
--- a/thistleline/wire/backend.py
+++ b/thistleline/wire/backend.py
@@ -1,7 +1,7 @@
 """The back end's line protocol: encodes calls and decodes their outcomes.
 
-The format is inferred from the names in the sites' files and from the responses of the bench's own back end;
-`docs/design/calls.md` lists both, and what is not known.
+The format is inferred from the names in the sites' files and from the responses of the back end that the
+bench provides; `docs/design/calls.md` lists both, and what is not known.
 """
 
 from collections.abc import Iterator
--- a/thistleline/wire/buffer.py
+++ b/thistleline/wire/buffer.py
@@ -12,7 +12,7 @@
         view: A view of `data`.
         start: Position of the first byte not yet consumed.
         end: Position after the last byte received.
-        discarding: Number of bytes not yet received that will be skipped.
+        discarding: Number of bytes that will be skipped when they are received.
     """
 
     __slots__ = ("data", "discarding", "end", "start", "view")
--- a/thistleline/wire/durations.py
+++ b/thistleline/wire/durations.py
@@ -4,7 +4,7 @@
 
 from thistleline.wire.errors import DurationError
 
-MAX_SECONDS = 1 << 40  # rejects exponents whose digits would exhaust the memory
+MAX_SECONDS = 1 << 40  # excludes numbers with exponents so large that their digits would exhaust the memory
 NANOSECONDS_PER_SECOND = 1_000_000_000
 
 
--- a/thistleline/wire/requests.py
+++ b/thistleline/wire/requests.py
@@ -1,4 +1,4 @@
-"""Decodes the requests of client stubs, Thrift messages (wire/thrift.py), into `Request` objects."""
+"""Decodes the requests from client stubs, Thrift messages (wire/thrift.py), into `Request` objects."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 MAX_FRAME_SIZE = 8 * 1024  # bytes; a task with the largest body takes under 4 KiB
 BUFFER_SIZE = MAX_FRAME_SIZE + 4 * 1024  # bytes in a connection's receive buffer
-# Bytes; a longer frame counts as garbage. Closing its connection costs less than reading the frame.
+# Bytes; a longer frame counts as garbage. Closing the connection costs less than reading the frame.
 MAX_DISCARDED_FRAME = 1 << 16
 MAX_BODY_SIZE = 2048  # bytes
 MAX_METHOD_SIZE = 64  # bytes of a method's name that an error message quotes
@@ -56,7 +56,7 @@
     """A frame that is not a valid request.
 
     Attributes:
-        sequence: The sequence number for an exception in response; None if no response is possible.
+        sequence: The sequence number for the exception sent in response; None if no response is possible.
         method: The method's name; empty if it can't be read.
         reason: Why the frame is invalid.
     """
@@ -85,7 +85,7 @@
             if size > MAX_FRAME_SIZE:
                 malformed = _reject_oversized(buffer, size)
                 if malformed is None:
-                    return  # its header has not been received yet
+                    return  # the header of the frame's message has not been received yet
                 yield malformed
                 continue
             if len(buffer) < FRAME_HEADER_SIZE + size:
--- a/thistleline/wire/settings.py
+++ b/thistleline/wire/settings.py
@@ -1,8 +1,8 @@
-"""Reads the settings that a server receives at startup, whose keys and values are named by the operators.
+"""Reads the settings that a server receives at startup. The operators chose the names of keys and values.
 
 Unknown keys are ignored. A missing optional key means that the site lacks the feature. An unknown value
-counts as the one that requires the least of other components; an unknown effect is an error, because a
-correctness rule depends on it.
+counts as that known value which requires the least of other components. An unknown effect, the value that
+says whether tasks of a stage may run twice, is an error, because that rule depends on it.
 """
 
 from decimal import Decimal
@@ -16,7 +16,7 @@
 
 Section = dict[str, Any]
 
-# The operators' values and the names that the program uses for them.
+# The operators' names of values, and the names that the program uses for the same values.
 EFFECT_KINDS = {"read_like": "idempotent", "idempotency_key": "keyed", "non_idempotent": "non_idempotent"}
 CANCELLATION = {"none": "none", "abort": "abort", "suspend": "suspend"}
 LOAD_HINTS = {"none": "none", "threshold": "threshold", "window": "window", "share_of": "share"}
@@ -92,7 +92,7 @@
 
 
 def _read_stage(row: Section, index: int, calls: list[Any], skip_shares: list[Any]) -> Stage:
-    """Return one stage; `calls` and `skip_shares` have one value per stage, or fewer."""
+    """Return one stage; `calls` and `skip_shares` have a value for each stage, or only for the first ones."""
     name = str(row["name"])
     timeout = _above_zero(f"deadline of {name}", _duration(row["deadline"]))
     effect = EFFECT_KINDS.get(row["effect"])
--- a/thistleline/wire/stub.py
+++ b/thistleline/wire/stub.py
@@ -1,4 +1,4 @@
-"""The client stub's side of the protocol: encodes requests and decodes responses. Only the lab uses it."""
+"""The client's side of the protocol: encodes requests, decodes responses. Only the lab uses this module."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
     "finished",
     "rejected",
     "abandoned",
-)  # by the number of the reply's field
+)  # by the id of the field that the reply consists of
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,8 +25,8 @@
 
     Attributes:
         sequence: Number of the request that it answers.
-        kind: "misunderstood" for an exception; "dismiss" if the server accepts no new requests on the
-            connection.
+        kind: How the request ended; "misunderstood" for an exception; "dismiss" if the server asks for no new
+            requests on the connection.
         value: The result (bytes) of a finished task; the fields (a dict of strings) of a rejected or
             abandoned one; empty otherwise.
     """
