--- a/tests/gates/sitecustomize.py
+++ b/tests/gates/sitecustomize.py
@@ -18,7 +18,7 @@
 
 GATE = json.loads(os.environ.get("TEST_GATE", "null"))
 FAULTS = json.loads(os.environ.get("TEST_FAULTS", "[]"))
-UNUSED_FAULT_EXIT_CODE = 86  # at least one fault was never injected
+UNUSED_FAULT_EXIT_CODE = 86  # exit code of a program into which at least one fault was never injected
 passed_events: list[str] = []
 injected_faults: list[dict[str, Any]] = []
 
@@ -43,7 +43,7 @@
 
 
 def with_error(original: Callable[..., Any], fault: dict[str, Any]) -> Callable[..., Any]:
-    """Wraps a function so that its first calls raise the fault's error."""
+    """Wraps a function so that its first `times` calls raise the fault's error."""
     remaining = [fault.get("times", 1)]
 
     def wrapper(*args: Any, **kwargs: Any) -> Any:
--- a/tests/host.py
+++ b/tests/host.py
@@ -115,7 +115,7 @@
 
 
 class FakePolicyHost:
-    """Receives the policy's decisions and provides its clock; `decisions` lists them in order."""
+    """Receives the policy's decisions and provides the policy's clock; `decisions` lists them in order."""
 
     def __init__(self, stages: tuple[Stage, ...] = (LOOKUP, BOOKING), **changes: Any) -> None:
         self.settings = server_settings(stages, **changes)
@@ -178,7 +178,10 @@
 
 
 class MachineHarness:
-    """Runs a state machine with a simulated clock and agent; `effects` lists all its effects in order."""
+    """Runs a state machine with a simulated clock and agent.
+
+    `effects` lists, in order, all effects (actions) that the state machine has requested.
+    """
 
     def __init__(
         self,
@@ -202,7 +205,7 @@
             self.wait(50 * MS)
 
     def handle(self, event: Any) -> list[Any]:
-        """Handles one event and returns its effects, except `IGNORED_EFFECTS`.
+        """Passes one event to the state machine and returns the effects, except `IGNORED_EFFECTS`.
 
         The simulated agent answers measurement requests at once while `answers_measurements` is set.
         """
@@ -214,7 +217,7 @@
         return [effect for effect in effects if not isinstance(effect, IGNORED_EFFECTS)]
 
     def wait(self, duration: int = 10 * MS) -> list[Any]:
-        """Advances the clock, fires the deadlines on the way and returns their effects."""
+        """Advances the clock, reports each deadline that passes and returns the effects, as `handle` does."""
         before, end = len(self.effects), self.now + duration
         while self.now < end and self.lifecycle.phase != "ended":
             self.now = min(end, max(self.now, self.machine.next_deadline()))
@@ -225,7 +228,7 @@
     def send(
         self, connection: int, dedup_key: str | None = None, body: bytes = b"body", **changes: Any
     ) -> str:
-        """Delivers a task on a connection, opened if it is not open yet, and returns the task's id."""
+        """Delivers a task on a connection, which is opened first if necessary; returns the task's id."""
         self.count += 1
         if connection not in self.machine.connections.by_number:
             self.handle(ConnectionOpened(connection))
@@ -334,7 +337,7 @@
 
 
 class FakeServer:
-    """A fake peer that listens on a free port; the queue `received` has what subclasses put there."""
+    """A fake peer that listens on a free port; subclasses put the messages that they get into `received`."""
 
     def __init__(self) -> None:
         self.listen(("127.0.0.1", 0))
@@ -380,9 +383,10 @@
 
 
 class FakeAgent(FakeServer):
-    """Answers samples and deep checks; all other commands go to `received`, and the test ends the runs.
+    """A fake agent that answers samples and deep checks.
 
-    It sends its greeting only once `ready` is set, and with it the `notices` after the subscription's number.
+    All other commands go to `received`, and the test ends the runs. The agent sends its greeting only once
+    `ready` is set, and after it those of its `notices` that follow the number in the server's subscription.
     """
 
     def __init__(self, ready: bool = True) -> None:
@@ -429,10 +433,10 @@
 
 
 class FakeBackend(FakeServer):
-    """A downstream back end: calls and cancels go to `received`, and the test ends the calls.
+    """A fake downstream back end: calls and cancellations go to `received`, and the test ends the calls.
 
-    Each connection has its own thread, so messages of two connections reach `received` in any order. A cancel
-    is held back while `accepts_cancels` is clear.
+    Each connection has its own thread, so messages from two connections reach `received` in any order. A
+    cancellation is held back while `accepts_cancels` is clear.
     """
 
     def __init__(self) -> None:
@@ -457,7 +461,7 @@
 
 
 class FakeAnnounce(FakeServer):
-    """Accepts reports; with `failure` set it refuses them, closes early or does not answer."""
+    """A fake announce service; with `failure` set it refuses reports, closes early or does not answer."""
 
     failure = ""
 
@@ -675,7 +679,7 @@
 
 
 class Gate:
-    """Stops the program under test at an event, one of those in `tests/gates/sitecustomize.py`."""
+    """Stops the program under test at an event; `tests/gates/sitecustomize.py` lists the possible events."""
 
     def __init__(self, at: str) -> None:
         self.server = socket.create_server(("127.0.0.1", 0))
--- a/tests/test_downstream_calls.py
+++ b/tests/test_downstream_calls.py
@@ -1,4 +1,4 @@
-"""Tests of calls to the downstream back end: the server between a fake agent, fake back end and clients."""
+"""Tests of runs' calls to the downstream back end, with a fake agent, a fake back end and real clients."""
 
 import json
 import signal
@@ -89,7 +89,7 @@
         other_id = start_task_with_call(harness, connection, 2, "order")
         assert backend.receive()[1] == other_id
         backend.end_call(other_id, outcome)
-        if outcome == "overload":  # the call was not run, so it may be repeated
+        if outcome == "overload":  # the back end did not run the call, so it may be repeated
             assert backend.receive()[1] == other_id
             backend.end_call(other_id, "ok", b"y")
             assert harness.agent.receive()[:2] == ("deliver", other_id)
@@ -162,8 +162,8 @@
         else:
             backend.drop()
         seq, fields = decode_message(next(source))[2:]
-        assert (seq, set(fields)) == (1, {2})  # the call may have been run
-        assert backend.receive()[1] == read_id  # again, on a new link
+        assert (seq, set(fields)) == (1, {2})  # abandoned, as the back end may have run the call
+        assert backend.receive()[1] == read_id  # the call is repeated on a new link
         backend.end_call(read_id, "ok", b"x")
         assert harness.agent.receive() == ("deliver", read_id, b"x")
         harness.agent.end_run(read_id, b"read")
@@ -232,8 +232,8 @@
 ) -> None:
     """The back end answers a cancelled call late, while the run's second call is pending on another link.
 
-    Both calls have the same name. The cancel of the first is sent over the old link and arrives before the
-    second call or after it.
+    Both calls have the same attempt id. The cancellation of the first call is sent over the old link and
+    arrives before the second call or after it.
     """
     classes = [
         {**stage_class, "promise": 3.0, "deadline": 6.0} for stage_class in SETTINGS_WITH_CALLS["classes"]
@@ -246,12 +246,12 @@
         old_connection = backend.connection
         if cancel_is_late:
             backend.accepts_cancels.clear()
-        command = backend.receive()  # the first call had no answer for too long
+        command = backend.receive()  # arrives once the first call had no answer for too long
         backend.accepts_cancels.set()
         assert {command[:2], backend.receive()[:2]} == {("cancel", attempt_id), ("invoke", attempt_id)}
         assert old_connection is not None
         assert backend.connection is not old_connection
-        with suppress(OSError):  # the server may have closed it, as no other call is pending there
+        with suppress(OSError):  # the server may have closed the old link, as no call is pending on it
             old_connection.sendall(f"{attempt_id} ok 3\r\nold\r\n".encode())
         backend.end_call(attempt_id, "ok", b"new")
         assert harness.agent.receive() == ("deliver", attempt_id, b"new")
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -1,8 +1,9 @@
-"""Property tests that no effect runs twice, while clients reuse others' ids, keys and bodies and links end.
+"""Property tests that no effect happens twice while clients reuse others' ids, keys and bodies and links end.
 
-The oracle knows the tasks read, the commands that reached the agent, the agent's runs and the answers, but
-not the state machine's tables. `THISTLELINE_EXAMPLES=2000 python -m pytest tests/test_effects.py` runs more
-examples.
+An effect here is what the run of a booking or of an order does. All attempts to make one booking have one key
+and request the same effect; each order is an effect of its own. The oracle knows the tasks read, the commands
+that reached the agent, the agent's runs and the answers, but not the state machine's tables.
+`THISTLELINE_EXAMPLES=2000 python -m pytest tests/test_effects.py` runs more examples.
 """
 
 import os
@@ -73,13 +74,17 @@
 
 
 class Agent:
-    """Identifies an attempt by id, stage and body, as its client sent it; runs it on every start command."""
+    """A simulated agent.
+
+    It identifies an attempt by id, stage and body, as the attempt's client sent them. It runs a known attempt
+    on every start command, unless the attempt is running.
+    """
 
     def __init__(self) -> None:
-        self.known: dict[str, tuple[str, bytes, Any]] = {}  # attempts of clients: stage, body, effect
+        self.known: dict[str, tuple[str, bytes, Any]] = {}  # attempts by clients: stage, body, effect id
         self.running: dict[str, bytes] = {}
         self.arrived_at: dict[str, int] = {}  # last arrival of a task with this id
-        self.started: list[tuple[Any, int]] = []  # every run: effect, arrival time of its attempt
+        self.started: list[tuple[Any, int]] = []  # every run: effect id, arrival time of the attempt
         self.notices: list[RunCompleted] = []
 
     def start_run(self, id: str, stage: str, body: bytes) -> bool:
@@ -100,19 +105,20 @@
         )
         self.harness.answers_measurements = False
         self.agent, self.linked, self.notices_sent = Agent(), True, 0
-        self.commands: list[tuple[int, Any]] = []  # time and command, not yet read by the agent
+        self.commands: list[tuple[int, Any]] = []  # time and command; those not yet read by the agent
         self.handled_count = len(self.harness.effects)
-        self.ids: list[str] = []  # ids of all attempts of clients so far
-        self.sent: dict[tuple[int, int], tuple[str, Any, int]] = {}  # by connection and seq: id, effect, time
-        self.unanswered: dict[tuple[int, int], int] = {}  # by connection and seq: deadline
+        self.ids: list[str] = []  # ids of all attempts by clients so far
+        # Tasks sent, by connection and sequence number: attempt id, effect id, time.
+        self.sent: dict[tuple[int, int], tuple[str, Any, int]] = {}
+        self.unanswered: dict[tuple[int, int], int] = {}  # deadlines by connection and sequence number
         self.seq = 0
         self.results: dict[bytes, Any] = {}
-        self.last_used: dict[str, int] = {}  # when a client sent the id, or its run ended
+        self.last_used: dict[str, int] = {}  # by attempt id: when a client sent the id, or its run ended
 
     # ---- the environment
 
     def handle_effects(self) -> None:
-        """Handles the new effects of the state machine."""
+        """Handles the effects (actions) that the state machine has newly requested."""
         while self.handled_count < len(self.harness.effects):
             effect = self.harness.effects[self.handled_count]
             self.handled_count += 1
@@ -224,7 +230,7 @@
             b"body %s" % str(booking if stage_index == 1 else id).encode(),
             self.harness.machine.settings.stages[stage_index].name,
         )
-        # A non-idempotent task has no further attempts: each attempt is an effect of its own.
+        # A non-idempotent task is not attempted again: each attempt is an effect of its own.
         effect_id = (name, booking if stage_index == 1 else id)
         self.agent.known[id], self.last_used[id] = (name, body, effect_id), self.harness.now
         self.receive_task(
@@ -235,7 +241,7 @@
     def foreign_attempt(
         self, connection: int, which: int, key: Any, body: Any, stage_index: int, times: int, pause: int
     ) -> None:
-        """Sends a known or unknown id with the key and body of its own effect or of another one."""
+        """Sends a known or unknown id with the key and body of that id's own effect or of another one."""
         id = self.ids[-which % len(self.ids)] if self.ids and which else f"x{self.seq}"
         if (
             self.harness.now - self.last_used.get(id, self.harness.now)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,6 +1,7 @@
 """The handover between two servers on one machine, in simulation and with real processes.
 
-Guards against effects that run twice, and tasks that get no answer, when either server dies at any point.
+Guards against tasks with an idempotency key that run twice, and tasks that get no answer, when either server
+dies at any point.
 """
 
 import json
@@ -132,8 +133,8 @@
         invalid = servers.start({}, {**HANDOVER_SETTINGS, "classes": 3})
         assert await servers.wait_for_exit(invalid, 10)
         assert servers.owner == 1
-        # One stage less and another latency objective: each task is handled entirely under the settings
-        # under which it arrived.
+        # The new settings have one stage less and another latency objective. Each task is handled entirely
+        # under the settings under which it arrived.
         changed = {**HANDOVER_SETTINGS, "classes": [{**HANDOVER_SETTINGS["classes"][0], "promise": 1.5}]}
         assert await servers.wait_until_serving(servers.start({}, changed), 10)
         assert await servers.wait_for_exit(1, 4)
@@ -180,7 +181,7 @@
         await channel.receive()
         late_sock = connect(tmp_path / "handover" / "heir.sock")
         assert late_sock is not None
-        # Sends `Hello` only after the server has had time to answer a connection that has not sent it.
+        # `Hello` is sent only after the server has had time to answer a connection that has not sent `Hello`.
         with anyio.move_on_after(0.5):
             await anyio.wait_readable(late_sock)
         late_channel = HandoverChannel(late_sock, group)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,7 @@
-"""The ledger: its format, its state, its files under disk faults, and servers that restart on it."""
+"""The ledger: its format, its state, its files under disk faults, and servers that restart with its records.
+
+The ledger records runs with an idempotency key, here bookings; lookups are not recorded.
+"""
 
 import errno
 import json
@@ -89,7 +92,7 @@
 
 
 class LedgerHarness(MachineHarness):
-    """A harness whose state machine has a ledger in a folder.
+    """A `MachineHarness` whose state machine has a ledger in a folder.
 
     Writes are performed at once, or only by `write` while `defers_writes` is set.
     """
@@ -249,7 +252,8 @@
 
 
 def test_intents_of_a_failed_sync_are_rejected_and_not_treated_as_durable(tmp_path: Path) -> None:
-    """Bookings are rejected with a retry delay while lookups run; bookings resume with the next segment."""
+    """Bookings are rejected with a retry delay while lookups run; they are accepted again once the ledger has
+    begun its next segment."""
     harness = LedgerHarness(tmp_path, cores=4)
     # Of the write's calls (begin, header, frame, sync) the fourth fails.
     harness.disk.failing_call, harness.disk.fault = harness.disk.calls + 4, "sync"
@@ -271,7 +275,7 @@
     restarted = LedgerHarness(tmp_path)
     restarted.send(1, "other")
     restarted.wait()
-    assert len(restarted.launched()) == 1  # its intent was recorded as moot
+    assert len(restarted.launched()) == 1  # the rejected booking was recorded as moot, so it may run now
 
 
 @pytest.mark.parametrize("fault", ["full", "sync"])
@@ -309,7 +313,7 @@
 def test_no_booking_runs_twice_after_a_kill_at_any_disk_call(
     tmp_path: Path, failing_call: int, clock_shift: int, boot_id: bytes
 ) -> None:
-    """Over the restart the wall clock is set back 10 minutes or forward a day, or the machine reboots."""
+    """During the restart the wall clock is set back 10 minutes or forward a day, or the machine reboots."""
     harness = LedgerHarness(tmp_path, cores=4)
     harness.disk.failing_call, harness.disk.fault = failing_call, "kill"
     with suppress(KeyboardInterrupt):
@@ -614,7 +618,8 @@
 
 
 def test_kills_under_load_run_no_booking_twice(tmp_path: Path) -> None:
-    """A short run of the lab's storm: real processes on a failing disk, killed at points and at random."""
+    """A short run of the lab's storm part: real processes on a failing disk, killed at set points in the code
+    and at random times."""
     figures = anyio.run(storm, tmp_path, 3, 100, 6, True, lambda text: None)
     violations = ("run_twice", "rejected_after_run", "acknowledged_and_lost", "another_result", "faults")
     assert [figures[name] for name in violations] == [0] * 5
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -133,7 +133,7 @@
     assert host.decisions_for(task) == ["start", "stop"]
 
 
-# ---- effects run at most once
+# ---- tasks with an idempotency key run at most once
 
 
 def test_two_attempts_in_one_round_run_once() -> None:
@@ -295,7 +295,8 @@
                 if outcome == "finished"
             ]
             dependency.start_calls(host.round(*events, TimerFired("tick", {"on_cores": 1.0})), call_ms * MS)
-    assert dependency.max_concurrency() <= quota * 1.001 + 25 / 5000  # ends are reported at the next tick
+    # The end of a call is reported only at the next tick, 25 ms later at most.
+    assert dependency.max_concurrency() <= quota * 1.001 + 25 / 5000
 
 
 def test_call_timeout_follows_recent_call_durations() -> None:
@@ -384,7 +385,7 @@
 
 
 def overload(host: FakePolicyHost, duration: int, unread: int = 0, **changes: int) -> None:
-    """Send a steady stream of tasks, far more than two cores with runs that do not end can process."""
+    """Send a steady stream of tasks, far more than two cores can process, whose runs do not end."""
     end = host.now + duration
     host.gauges["on_cores"] = 2.0
     while host.now < end:
@@ -428,7 +429,8 @@
 
 
 def test_cap_rises_to_the_throughput_after_a_slowdown() -> None:
-    """A cap set while all servers ran at a fifth of their speed held clients back for seconds afterwards."""
+    """Guards against a rate cap that was set while all servers ran at a fifth of their speed, and that held
+    clients back for seconds afterwards."""
     host = FakePolicyHost(cores=8)
     run_normally(host, 5 * SECOND)
     rate_cap = host.policy.state.rate_cap
--- a/tests/test_server_races.py
+++ b/tests/test_server_races.py
@@ -1,6 +1,6 @@
 """Races between events, forced over real connections: startup, close, drain, exit, errors in single parts.
 
-Fake peers act at a chosen byte or event; `docs/design/crossings.md` lists the pairs.
+Fake peers act at a chosen byte or event; `docs/design/crossings.md` lists the pairs of events that may race.
 """
 
 import json
@@ -50,7 +50,7 @@
 
 
 def start_to_gate(make_harness: Any, at: str, **changes: Any) -> tuple[ServerHarness, Gate]:
-    """Starts a server and waits until it has stopped at the event."""
+    """Starts a server and waits until its gate has stopped it at the event."""
     gate = Gate(at)
     harness: ServerHarness = make_harness(environ=gate.environ(), **changes)
     gate.wait_until_reached()
@@ -94,7 +94,7 @@
 
 
 def test_run_command_blocks_signals_during_interpreter_start(tmp_path: Path) -> None:
-    """An unblocked signal during the interpreter's own start would kill the process with that signal."""
+    """A signal that is not blocked during the interpreter's own start would kill the process."""
     gate, agent, announce = Gate("begin"), FakeAgent(), FakeAnnounce()
     run_command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     assert ".venv/bin/python" in run_command
@@ -185,7 +185,7 @@
     announce_events = [
         event for event in read_log_until(harness.server, "figures") if event["event"] == "announce"
     ]
-    # If it went down, it came up again.
+    # If the announce service was logged as down, it was logged as up again.
     assert [event["state"] for event in announce_events] in ([], ["down", "up"])
 
 
@@ -198,7 +198,7 @@
 
 
 class BrokenAnnounce(FakeAnnounce):
-    """Answers each report with invalid bytes, and then sends `repeated` for ever unless it is empty."""
+    """Answers each report with invalid bytes, and then sends `repeated` for ever unless that is empty."""
 
     def __init__(self, answer: bytes, repeated: bytes) -> None:
         self.answer, self.repeated = answer, repeated
@@ -258,12 +258,12 @@
         assert harness.agent.connection is not None
         harness.agent.connection.sendall(notice.replace(b"%s", launch[1].encode()))
         if b"18446744073709551617" not in notice:
-            with suppress(OSError):  # the server may have closed it already
+            with suppress(OSError):  # the server may have closed the link already
                 harness.agent.connection.shutdown(socket.SHUT_RDWR)
             while harness.agent.receive()[0] != "subscribe":
                 pass
         assert exchange(connection, probe_call(2, False))[2][0][3] is True
-        # An exception, as the body is too long.
+        # The answer is an exception, as the body is too long.
         assert set(exchange(connection, process_call(3, task_fields(3), b"y" * 3000))[3]) == {1, 2}
         assert harness.server.process.poll() is None
 
@@ -298,7 +298,7 @@
         assert decode_message(next(source))[0] == "farewell"
         connection.sendall(message[:50])  # as if sent before the farewell arrived
         with idle_connection.makefile("rb") as remainder:
-            remainder.read()  # returns once the server has closed it as idle
+            remainder.read()  # returns once the server has closed the connection as idle
         connection.sendall(message[50:])
         assert decode_message(next(source))[2] == 2
     assert harness.server.process.wait(WAIT_TIMEOUT_SECONDS) == 0
@@ -321,7 +321,7 @@
 def test_unread_request_is_read_before_new_connections_after_pause(make_harness: Any) -> None:
     """A request is unread on the connection that was idle longest when many new connections arrive.
 
-    The server must read it and not close the connection to make room for the new ones.
+    The server must read the request and not close the connection to make room for the new ones.
     """
     harness = make_harness(limits={**LIMITS, "sockets": 40})
     harness.wait_until_serving()
@@ -451,7 +451,7 @@
         source = read_frames(connection)
         answers = [decode_message(next(source)) for _ in range(2)]
         assert sorted((seq, set(fields)) for _, _, seq, fields in answers) == [(1, {2}), (2, {2})]
-        # The same id again; its first run may have started.
+        # The same id again; the run of its first attempt may have started.
         connection.sendall(process_call(3, task_fields(1, lookup=None)))
         assert decode_message(next(source))[2] == 3
     started_ids += [launch[1] for launch in unread_launches(harness)]
@@ -469,7 +469,7 @@
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         connection.settimeout(WAIT_TIMEOUT_SECONDS)
         connection.connect((HOST, harness.server.port))
-        # Repeats until the kernel's send queue is full and further answers wait inside the server.
+        # Sends until the kernel's send queue is full and further answers wait inside the server.
         while (queue_size := server_send_queue(connection)) > queued and sent < 400:
             queued, sent = queue_size, sent + 1
             connection.sendall(process_call(sent, task_fields(sent, lookup=None)))
@@ -480,7 +480,7 @@
             launch = harness.agent.receive()
             assert launch[1].endswith(id_suffix)
             harness.agent.end_run(launch[1], b"")
-            # Notices are handled in order: with this answer, the result before it has been written.
+            # Notices are handled in order: once this answer is read, the earlier result has been written.
             next(read_frames(other_connection))
         assert sent < 400
         harness.server.process.send_signal(signal.SIGTERM)
@@ -492,7 +492,7 @@
 
 
 def server_send_queue(connection: socket.socket) -> int:
-    """Bytes in the kernel's send queue of the server's end of this connection."""
+    """Returns the bytes in the kernel's send queue at the server's end of this connection."""
     host, port = connection.getsockname()
     number = int.from_bytes(socket.inet_aton(host), "little")
     own_address = f"{number:08X}:{port:04X}"
@@ -514,8 +514,8 @@
         elapsed = time.monotonic() - started_at
         leaving_ms = harness.server.wait_for_log("phase", phase="leaving")["at_ms"]
         ended_ms = harness.server.wait_for_log("phase", phase="ended")["at_ms"]
-        # The first bound is by the server's own clock. The second is shorter than a wait for the client would
-        # take, and long enough for a busy machine.
+        # The first bound is measured by the server's own clock. The second is shorter than a wait for the
+        # client would take, and long enough for a busy machine.
         assert (ended_ms - leaving_ms <= 1450, elapsed < 2.2) == (True, True)
         assert 1 in [decode_message(frame)[2] for frame in read_frames(connection)]
 
@@ -572,7 +572,7 @@
         environ=fault_environ({"module": f"thistleline.{module}", "what": function, "error": error})
     )
     harness.server.wait_for_log("phase", phase="serving")
-    for _ in range(2):  # the injected error may hit the first of them
+    for _ in range(2):  # the injected error may hit the first task
         with harness.server.connect() as connection:
             connection.sendall(probe_call(1, False))
             next(read_frames(connection), None)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -254,7 +254,7 @@
 
 
 def test_reads_waiting_input_before_deadlines_after_pause(harness: ServerHarness) -> None:
-    """The run's result is unread in the socket when the task's deadline passes: the server must serve it.
+    """The run's result is unread in the socket when the task's deadline passes: the server must deliver it.
 
     The process is paused until after the deadline. It must read the result before it handles the deadline.
     """
@@ -274,7 +274,8 @@
 def test_reader_without_read_request_ends_when_stream_is_closed() -> None:
     """Guards against reader tasks that never end.
 
-    No read is requested from a connection whose buffer is full. Closing its stream must end the reader too.
+    No read is requested from a connection whose buffer is full. Closing the connection's stream must end the
+    reader task too.
     """
 
     async def scenario() -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,7 @@
-"""Tests of other customers' settings: valid ones are served, invalid ones are rejected with one line."""
+"""Tests of settings that differ from the usual ones.
+
+The server serves with all valid settings, and rejects invalid settings with an error message of one line.
+"""
 
 import copy
 import json
@@ -27,7 +30,8 @@
 from thistleline.server.configuration import Configuration, read_configuration
 from thistleline.wire.settings import SettingsError
 
-# Keys that the policy can't decide without; all others may be left out.
+# Paths of the keys without which the server can't start or the policy can't decide; all other keys may be
+# left out.
 REQUIRED_PATHS = {
     ("settings", "classes"),
     ("settings", "classes", 0, "name"),
@@ -99,7 +103,7 @@
         try:
             target = target[key]
         except (KeyError, IndexError, TypeError):
-            return  # an earlier change removed its parent
+            return  # an earlier change removed the object that has the key
     if isinstance(target, dict):
         if value is set_value:
             target.pop(path[-1], None)
--- a/tests/test_state_machine.py
+++ b/tests/test_state_machine.py
@@ -144,7 +144,7 @@
     assert harness.handle(HealthCheckReceived(1, 9, False)) == [AnswerHealth(1, 9, True, 0.25)]
 
 
-# ---- no effect runs twice
+# ---- no task with an idempotency key runs twice
 
 
 def test_a_repeat_waits_for_the_run_and_later_ones_get_its_result() -> None:
@@ -178,7 +178,8 @@
 def test_the_idempotency_window_is_compared_with_the_arrival_time_of_a_repeat(
     unread_for: int, runs: int
 ) -> None:
-    """Both repeats are read 2 s after the window; the one that arrived within it gets the cached result."""
+    """Both repeats are read 2 s after the key's window; the repeat that arrived within the window gets the
+    cached result."""
     harness = MachineHarness()
     name = harness.send(1, "key")
     harness.wait()
@@ -216,8 +217,8 @@
 
 
 def test_reusing_the_id_of_an_earlier_run_does_not_release_its_effect() -> None:
-    """Guards against a second run: a declined start under a known id replaced the effect's entry, and a later
-    repeat ran again."""
+    """Guards against a second run: a start that the agent declined, under the id of an earlier run, replaced
+    the table entry of that run, and a later repeat ran again."""
     harness = MachineHarness(cores=4)
     name = harness.send(1, "key")
     harness.wait()
@@ -244,7 +245,7 @@
 
 @pytest.mark.parametrize("end", ["declined", "moot"])
 def test_an_effect_that_never_ran_is_not_remembered(end: str) -> None:
-    """Keeps effects that the agent refused or doesn't know out of the idempotency table."""
+    """The idempotency table must not keep the key of a run that the agent declined or doesn't know."""
     harness = MachineHarness()
     name = harness.send(1, "key")
     harness.wait()
@@ -334,8 +335,9 @@
 
 
 def test_a_new_link_restarts_idempotent_and_unsent_runs_whose_start_may_be_lost() -> None:
-    """A start sent just before the link ended may be lost; one confirmed by a measurement has arrived. Runs
-    that ended meanwhile are reported in the repeated notices."""
+    """The start of a run that was sent just before the link to the agent ended may be lost. If the agent has
+    answered a measurement requested after the start, the start has arrived. On a new link the agent sends its
+    notices of the runs that ended meanwhile again."""
     harness = MachineHarness(cores=8)
     confirmed = harness.send(1)
     harness.wait(50 * MS)
@@ -354,8 +356,8 @@
 
 @pytest.mark.parametrize("end_reported", [True, False])
 def test_a_keyed_run_whose_start_may_be_lost_is_not_started_again(end_reported: bool) -> None:
-    """A second start that crosses the notice of the first run's end would run the effect twice. If no end is
-    reported within the wait, the run's capacity is freed, and it and its repeats are abandoned."""
+    """A second start that crosses the notice of the first run's end would run the task twice. If no end is
+    reported within the wait, the run's capacity is freed, and the task and its repeats are abandoned."""
     harness = MachineHarness()
     harness.answers_measurements = False
     name = harness.send(1, "key")
--- a/tests/test_stored_fixtures.py
+++ b/tests/test_stored_fixtures.py
@@ -47,7 +47,7 @@
 
 
 def test_the_committed_fixtures_are_unchanged() -> None:
-    """No file was added, removed or changed since commit 11fdf15 wrote them."""
+    """No fixture file was added, removed or changed since the code of commit 11fdf15 wrote the fixtures."""
     found = sorted(
         str(path.relative_to(STORED)) for path in STORED.rglob("*") if path.is_file() and path.suffix != ".py"
     )
@@ -61,7 +61,7 @@
 
 STAGES = ("lookup", "booking")
 BOOT = bytes.fromhex("7f3a9c1e5b2d4f60a1b2c3d4e5f60718")  # the boot id in the segment headers
-NOW = 5060 * SECOND  # boot time of the reading incarnation: 60 s after the start of the first one
+NOW = 5060 * SECOND  # boot time at which the ledger is read: 60 s after its first incarnation started
 
 
 def recovered_ledger(
@@ -79,7 +79,8 @@
 
 
 def test_a_ledger_is_recovered_in_the_same_boot(tmp_path: Path) -> None:
-    """Times are taken as written, and the doubt deadline recorded by the second incarnation applies."""
+    """Times are taken as written. The deadline until which an effect's outcome is awaited, which the second
+    incarnation of the server recorded, applies."""
     found, readings = recovered_ledger(copied_fixture(tmp_path, "ledger"), BOOT)
     assert readings == [
         SegmentReading(1, 463, 5, 4, False, 0, 463),
@@ -92,11 +93,12 @@
         RecoveredEffect(4, 1, b"digest-000000004", b"order-0004", ttl, None, None, 5040 * SECOND),
         RecoveredEffect(5, 0, b"digest-000000005", b"order-0005", ttl, "finished", b"found: 42", None),
         RecoveredEffect(6, 1, b"digest-000000006", b"order-0006", ttl + 10 * SECOND, "stopped", None, None),
-    ]  # 3 was recorded as moot, so it is not recovered
+    ]  # effect 3 was recorded as moot (never started), so it is not recovered
 
 
 def test_a_ledger_is_recovered_after_a_reboot(tmp_path: Path) -> None:
-    """After a reboot each effect is retained for its full lifetime from now on, without a doubt deadline."""
+    """After a reboot each effect is retained for its full lifetime from the recovery on, and has no deadline
+    until which its outcome is awaited."""
     found, _ = recovered_ledger(
         copied_fixture(tmp_path, "ledger"), bytes.fromhex("00112233445566778899aabbccddeeff")
     )
@@ -197,7 +199,8 @@
 
 
 def test_a_replica_starts_from_the_recovered_log(tmp_path: Path) -> None:
-    """It is a follower in term 3 with its vote and a durable log; the snapshot restores its machine."""
+    """The replica is a follower in term 3 with its recorded vote and a durable log; the snapshot restores its
+    state machine."""
     found = ReplicaStore(Disk(copied_fixture(tmp_path, "replica_log"), "council")).recover()
     assert found is not None
     machine = RecordingMachine()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -342,7 +342,7 @@
         sum(1 for line in lines if line["event"] == "example") + lines[-1]["lines"] == 5 * MAX_WAITING_LINES
     )
     os.close(source)
-    log.event(1, "more", {})
+    log.event(1, "another event", {})
     os.close(sink)
 
 
