--- a/thistleline/handover/service.py
+++ b/thistleline/handover/service.py
@@ -183,7 +183,8 @@
         }
 
     def _apply_grant(self, inherited: Grant, group: TaskGroup) -> None:
-        # If the predecessor lost its former successor, the notices that it has read since are unknown here.
+        # If the predecessor lost its former successor, this server does not know the notices that the
+        # predecessor has read since then.
         last_notice = inherited.last_notice if inherited.has_lock else 0
         self.handle(Inherited(last_notice, inherited.runs, inherited.owned_ids))
         assert self._predecessor is not None
--- a/thistleline/interface.py
+++ b/thistleline/interface.py
@@ -47,7 +47,7 @@
     tenants: tuple[Tenant, ...]
     cores: float  # may be fractional
     memory_kb: float
-    running_memory_factor: float  # ratio of the memory of a running task to that of a queued one
+    running_memory_factor: float  # ratio of a task's memory while it runs to its memory while it is queued
     idempotency_key_kb: float  # memory of one stored idempotency key
     fleet_size: int
     client_count: int
--- a/thistleline/ledger/store.py
+++ b/thistleline/ledger/store.py
@@ -139,7 +139,7 @@
             try:
                 data = memoryview(self.disk.read(number))
             except FileNotFoundError:
-                continue  # removed since it was listed; a later segment holds its retained records
+                continue  # the segment was removed after the listing; a later one holds its retained records
             ledger.recover_segment(number, len(data))
             try:
                 reading = self._read_segment(ledger, number, data, position)
@@ -156,9 +156,8 @@
         self, ledger: LedgerState, number: int, data: memoryview, start: int = 0
     ) -> SegmentReading:
         if len(data) < ledger_format.MIN_HEADER_SIZE:
-            return SegmentReading(
-                number, len(data), 0, 0, True, 0, 0
-            )  # the writer was killed at its creation
+            # The writer was killed while it created the segment.
+            return SegmentReading(number, len(data), 0, 0, True, 0, 0)
         try:
             header = ledger_format.decode_header(data)
         except CorruptFrameError as error:
--- a/thistleline/policy/admission.py
+++ b/thistleline/policy/admission.py
@@ -81,7 +81,7 @@
                 is_retry = True
                 due -= age
         # A marked retry of unknown age was most likely rejected by a server in the same condition as this
-        # one, so its age is estimated from the rejections here.
+        # server, so the retry's age is estimated from the rejections by this server.
         if task.is_retry and due > task.arrived_at:
             typical_age = state.rejections.typical_retry_age()
             if typical_age is not None:
--- a/thistleline/policy/estimates.py
+++ b/thistleline/policy/estimates.py
@@ -35,7 +35,7 @@
 
 
 class RunTimeEstimator:
-    """Estimates run times as estimated work times the stage's usual pace times the server's slowdown."""
+    """Estimates a run time as estimated work times the stage's usual pace times the server's slowdown."""
 
     def __init__(self, profiles: list[StageProfile]) -> None:
         """Create an estimator without samples."""
--- a/thistleline/state/connections.py
+++ b/thistleline/state/connections.py
@@ -92,7 +92,7 @@
         """Choose the connection to close for a new one, to save descriptors.
 
         Connections without a complete message are closed first, then those with a single one, then the
-        longest idle. So a flood of little-used connections doesn't evict those of client libraries. The first
+        longest idle. So a flood of little-used connections doesn't evict client libraries' ones. The first
         message of a connection opened within `UNREAD_GRACE` may not have been read yet; connections with a
         single message are closed before it, so that a burst of new connections isn't closed.
         """
--- a/thistleline/state/decisions.py
+++ b/thistleline/state/decisions.py
@@ -80,7 +80,7 @@
             machine.context.emit(AnswerAbandoned(attempt.connection, attempt.seq, machine.health.load_hint))
 
     def replay_result(self, task_id: str) -> None:
-        """Answer with the result of the attempt that this one repeats, now or when the run of that ends."""
+        """Answer a repeated attempt with the result of the original's run, now or when that run ends."""
         machine = self._machine
         attempt = machine.attempts.get(task_id)
         if attempt is None or attempt.key is None:
--- a/thistleline/state/state_machine.py
+++ b/thistleline/state/state_machine.py
@@ -101,7 +101,7 @@
         self.context = EventContext(now)
         self.max_timeout = max(stage.timeout for stage in settings.stages)
         self.attempts_made = 0
-        self.attempts: dict[str, Attempt] = {}  # unanswered ones, by name
+        self.attempts: dict[str, Attempt] = {}  # unanswered attempts, by name
         self.by_id: dict[str, str] = {}  # names of unanswered attempts, by id
         self.runs: dict[str, Run] = {}  # runs at the agent, by the name of their attempt
         self.at_agent: dict[str, str] = {}  # names of the runs at the agent, by id
@@ -362,7 +362,7 @@
         entry = self.idempotency.by_key.get(key)
         if self.settings.stages[key[0]].effect == "keyed":
             # Pending attempts are checked first. If a run has outlived its key's window, the policy has
-            # deleted its record of it; two attempts that both repeated this run would each start a new run.
+            # deleted its record of the run; two attempts that both repeat it would each start a new run.
             if key in self.policy_host.pending_keys:
                 return self.policy_host.pending_keys[key]
             if entry is not None and (entry.expires_at > arrived_at or entry.runner in self.runs):
@@ -550,7 +550,7 @@
         run = self.runs[name]
         run.call = event.number, event.body
         run.call_reply = None
-        run.measurements_before = -1  # its start has arrived: never start it again
+        run.measurements_before = -1  # the run's start has arrived: never start the run again
         self.notify_policy(CallRequested(name))
 
     def _on_call_completed(self, event: CallCompleted) -> None:
