--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -120,7 +120,7 @@
     stream = (
         process_call(1, task_fields(1))
         + probe_call(2, True)
-        + process_call(3, booking_fields(2, "mark"), b"")
+        + process_call(3, booking_fields(2, "key"), b"")
         + probe_call(4, False)
     )
     whole = decode_requests([stream])
@@ -342,7 +342,7 @@
         sum(1 for line in lines if line["event"] == "example") + lines[-1]["lines"] == 5 * MAX_WAITING_LINES
     )
     os.close(source)
-    log.event(1, "more", {})
+    log.event(1, "another event", {})
     os.close(sink)
 
 
