--- a/thistleline/rollout/__init__.py
+++ b/thistleline/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Staged rollouts: changed in stages, compared with a control group, and paused or rolled back if worse."""
+"""Staged rollouts: each stage is compared with a control group, and paused or rolled back if it is worse."""
--- a/thistleline/rollout/canary.py
+++ b/thistleline/rollout/canary.py
@@ -1,7 +1,12 @@
-"""Canary analysis: compares servers of the new version with a control group of old ones. No I/O, no clock.
+"""Canary analysis: compares servers on the new version with a control group on the old one. No I/O, no clock.
 
-The verdict is "worse", "not worse" or "can't tell" (yet). Servers are compared within the same time slot and
-the same zone, so that whatever affects both groups, such as a burst or a noisy neighbour, cancels out. Each
+Below, a new server or canary is a server that runs the new version of the rollout, and an old server is one
+that runs the old version; a cold server has started recently, a warm one has not. A slot is a measuring
+interval: every server yields one sample per slot. The worsening of a metric is the difference between new and
+old servers, with the sign that makes a worse value of the new ones positive.
+
+The verdict is "worse", "not worse" or "can't tell" (yet). Servers are compared within the same slot and the
+same zone, so that whatever affects both groups, such as a burst or a noisy neighbour, cancels out. Each
 slot and zone yields one difference per metric: the median of the new servers minus the median of the old
 ones. The differences are clipped, which limits the weight of a single outlier slot, and bounded by confidence
 sequences, which may be checked after every slot (`confidence.py`).
@@ -26,13 +31,15 @@
 
 Verdict = Literal["worse", "not worse", "can't tell"]
 MAX_DIFFERENCE = 0.10  # differences are clipped to +/- this; a wider range would widen the bounds
-FEW_CANARIES = 2  # up to this many new servers, only severe differences count
-SEVERE_DIFFERENCE = 0.06  # least worsening that counts with one new server; with n, the n-th part
+FEW_CANARIES = 2  # up to this many servers on the new version, only severe differences count
+SEVERE_DIFFERENCE = 0.06  # least worsening that counts with one canary; with n canaries, this divided by n
 DETECTABLE_DIFFERENCE = 0.03  # the verdict 'not worse' does not have to exclude a smaller worsening
-MIN_SERVER_SAMPLES = 3  # samples of a new server, before it counts for the agreement
-UNANIMOUS_CANARIES = 4  # up to this many new servers, each of them has to show a worsening
-MIN_AGREEMENT = 0.6  # share of the new servers that has to show it, if there are more
-MIN_COLD_SAMPLES = 6  # samples of cold old servers, before cold new ones are compared with them
+MIN_SERVER_SAMPLES = 3  # samples required of a canary before its mean worsening is considered individually
+UNANIMOUS_CANARIES = 4  # up to this many canaries, each of them has to show the worsening individually
+MIN_AGREEMENT = 0.6  # share of the canaries that have to show the worsening, if there are more of them
+MIN_COLD_SAMPLES = (
+    6  # samples of cold servers on the old version, before cold canaries are compared with them
+)
 FLEET = "all"  # stands for the whole fleet in place of a zone
 
 _METRIC_BY_NAME = {metric.name: metric for metric in GUARDRAIL_METRICS}
@@ -40,11 +47,11 @@
 
 
 class Finding(NamedTuple):
-    """Comparison of a metric between new and old servers, with bounds on the worsening.
+    """Comparison of a metric between servers on the new and the old version, with bounds on the worsening.
 
     Attributes:
         metric: Name of the metric.
-        where: A zone or "all", followed by ", cold" for cold servers.
+        where: The zone compared, or "all" for the fleet; followed by ", cold" if cold servers were compared.
         lower: Lower bound on the worsening.
         upper: Upper bound on the worsening.
         mean: Mean worsening.
@@ -71,7 +78,7 @@
 
 
 class Judgement(NamedTuple):
-    """A verdict with the findings that support it, the most severe first, and a reason for people."""
+    """A verdict with the findings that support it, the most severe first, and a human-readable reason."""
 
     verdict: Verdict
     findings: list[Finding]
@@ -79,7 +86,10 @@
 
 
 class ColdBaseline:
-    """Mean worsening of cold old servers compared with warm ones of their zone, by metric."""
+    """Mean worsening of recently started (cold) servers on the old version, by metric.
+
+    It is relative to warm servers of the old version in the same zone.
+    """
 
     def __init__(self) -> None:
         """Create a baseline without samples."""
@@ -87,35 +97,35 @@
         self._totals: dict[str, float] = {}
 
     def add(self, metric: str, worse: float) -> None:
-        """Add the worsening of a cold old server in one slot."""
+        """Add how much worse the metric of a cold server on the old version was in one measuring interval."""
         self._counts[metric] = self._counts.get(metric, 0) + 1
         self._totals[metric] = self._totals.get(metric, 0.0) + worse
 
     def mean(self, metric: str) -> float | None:
-        """Return the mean worsening; None while there are fewer than MIN_COLD_SAMPLES samples."""
+        """Return the mean worsening of the metric; None while it has fewer than MIN_COLD_SAMPLES samples."""
         count = self._counts.get(metric, 0)
         return self._totals[metric] / count if count >= MIN_COLD_SAMPLES else None
 
 
 class CanaryAnalysis:
-    """Compares the new servers of one stage with its control group.
+    """Compares the servers on the new version in one stage of a rollout with servers on the old version.
 
     Attributes:
-        slots: Number of slots so far.
-        compared_slots: Slots in which warm new servers could be compared with warm old ones.
-        min_slots: Slots required for 'not worse', if the bounds allow it.
-        health: Checks that stop the stage immediately.
+        slots: Number of slots (measuring intervals) so far.
+        compared_slots: Number of slots in which warm new servers could be compared with warm old ones.
+        min_slots: Compared slots required for the verdict 'not worse', if the bounds allow it.
+        health: Checks that stop the rollout's stage immediately.
     """
 
     def __init__(
         self, zones: Iterable[str], alpha: float, min_slots: int, cold_baseline: ColdBaseline | None = None
     ) -> None:
-        """Create the analysis of a stage.
+        """Create the analysis for a stage of a rollout.
 
         Args:
             zones: Zones of the fleet.
             alpha: Maximum probability that a harmless version is judged worse.
-            min_slots: Slots required for 'not worse'.
+            min_slots: Compared slots required for the verdict 'not worse'.
             cold_baseline: Samples of cold old servers from earlier stages of the rollout; extended here.
         """
         self.zones = tuple(zones)
@@ -124,13 +134,13 @@
         self.compared_slots = 0
         self.health = CanaryHealth()
         self._cold_baseline = ColdBaseline() if cold_baseline is None else cold_baseline
-        comparisons = len(GUARDRAIL_METRICS) * (len(self.zones) + 1) * 2  # warm and cold apart
+        comparisons = len(GUARDRAIL_METRICS) * (len(self.zones) + 1) * 2  # warm and cold servers separately
         self._alpha = alpha / comparisons
         self._sequences: dict[_Key, ConfidenceSequence] = {}
-        self._by_server: dict[_Key, tuple[int, float]] = {}  # count and sum of each new server's worsening
+        self._by_server: dict[_Key, tuple[int, float]] = {}  # each canary's samples and summed worsening
 
     def add_slot(self, samples: Iterable[SlotSample], expected: Iterable[str]) -> None:
-        """Add the samples of one slot; `expected` are the new servers that should have reported."""
+        """Add the samples of one slot; `expected`: servers on the new version that should have reported."""
         self.slots += 1
         samples = list(samples)
         self.health.add_slot(self.slots, samples, expected)
@@ -142,7 +152,11 @@
             self._compare_cold(metric, warm, cold)
 
     def _compare_warm(self, metric: Metric, samples: list[SlotSample]) -> None:
-        """Compare medians within each zone, and over the fleet weighted by the number of new servers."""
+        """Compare a metric of warm servers on the new version with that of warm servers on the old one.
+
+        Medians are compared within each zone. The comparison for the whole fleet is the mean over the zones,
+        weighted by their number of new servers.
+        """
         value_of = attrgetter(metric.name)
         differences: list[tuple[float, int]] = []
         for zone in self.zones:
@@ -170,10 +184,10 @@
             self.compared_slots += 1
 
     def _compare_cold(self, metric: Metric, warm: list[SlotSample], cold: list[SlotSample]) -> None:
-        """Compare cold new servers with cold old ones of the same age, though of different slots.
+        """Compare cold new servers with cold old ones of the same age, which may be sampled in other slots.
 
         The compared value is the worsening relative to the warm old servers of the zone in the same slot. The
-        cold old servers are the restarted controls, and any that restarted for other reasons.
+        cold old servers are the controls restarted by the rollout, and any that restarted for other reasons.
         """
         if not cold:
             return
@@ -224,7 +238,7 @@
         return self._judge_not_worse(undecided)
 
     def _judge_not_worse(self, undecided: list[Finding]) -> Judgement:
-        """Return the verdict if nothing is worse; `undecided` are worsenings that are not excluded yet."""
+        """Return the verdict if no finding is worse; `undecided`: findings whose bounds allow a worsening."""
         crashed_at = self.health.last_crash_slot
         if crashed_at and self.slots - crashed_at < self.min_slots:
             return Judgement("can't tell", [], "a new server crashed recently")
@@ -241,7 +255,7 @@
         return Judgement("can't tell", undecided, f"{self.compared_slots} of {self.min_slots} slots compared")
 
     def _findings(self, zone_of: dict[str, str]) -> tuple[list[Finding], list[Finding]]:
-        """Return the findings that are worse, and those of the whole fleet that are still undecided."""
+        """Return the findings that show a worsening, and those for the whole fleet that don't exclude one."""
         worse: list[Finding] = []
         undecided: list[Finding] = []
         for (name, where, cold), sequence in self._sequences.items():
@@ -261,7 +275,7 @@
         return worse, undecided
 
     def _canaries_agree(self, metric: Metric, where: str, cold: bool, zone_of: dict[str, str]) -> bool:
-        """Return whether enough of the new servers show the worsening individually."""
+        """Return whether enough of the servers on the new version show the worsening individually."""
         means = [
             total / count
             for (server_id, name, server_cold), (count, total) in self._by_server.items()
@@ -286,5 +300,5 @@
 
 
 def _unscaled(value: float) -> float:
-    """Return the worsening that a scaled value in [0, 1] represents."""
+    """Convert a confidence sequence's value in [0, 1] back into a worsening within +/- MAX_DIFFERENCE."""
     return round(value * 2 * MAX_DIFFERENCE - MAX_DIFFERENCE, 4)
--- a/thistleline/rollout/canary_health.py
+++ b/thistleline/rollout/canary_health.py
@@ -1,42 +1,47 @@
-"""Checks that stop a stage without statistics: silence, broken rules and crashes of new servers."""
+"""Checks that stop a rollout's stage without statistics: silent, crashing or rule-breaking new servers.
+
+New servers run the new version of the rollout, old servers the old one. A slot is a measuring interval.
+"""
 
 from collections.abc import Iterable
 
 from thistleline.rollout.metrics import SlotSample
 
-SILENT_SLOTS = 4  # in a row without a report of a new server that should report
-MIN_TASKS = 5  # of a server in a slot, for its rates to be meaningful
-CRASH_LOOP_COUNT = 3  # crashes of one server in a stage
-MIN_CRASHES = 2  # of all new servers together, before their rate is compared with that of old ones
+SILENT_SLOTS = (
+    4  # slots in a row without a report from a new server, after which the rollout's stage is stopped
+)
+MIN_TASKS = 5  # tasks that a server must have received in a slot for its rates to be meaningful
+CRASH_LOOP_COUNT = 3  # crashes of one new server in a stage of the rollout that count as a crash loop
+MIN_CRASHES = 2  # crashes of all new servers together, before their crash rate is compared with the old ones'
 
 
 class CanaryHealth:
-    """Monitors the new servers of one stage.
+    """Monitors the servers on the new version during one stage of a rollout.
 
     Attributes:
-        fault: Why the stage has to be stopped; empty if there is no reason.
+        fault: Why the rollout's stage has to be stopped; empty if there is no reason.
         new: Ids of the new servers that have reported.
         last_control_slot: The last slot in which an old server reported; 0 for none.
         last_crash_slot: The last slot with a new crash of a new server; 0 for none.
     """
 
     def __init__(self) -> None:
-        """Create the checks without any report."""
+        """Start before any server has reported."""
         self.fault = ""
         self.new: set[str] = set()
         self.last_control_slot = 0
         self.last_crash_slot = 0
         self._silent_slots: dict[str, int] = {}
-        self._crashes_of_new: dict[str, int] = {}  # as last reported
+        self._crashes_of_new: dict[str, int] = {}  # by server id, as last reported
         self._crashes_of_old: dict[str, int] = {}
 
     def add_slot(self, slot: int, samples: list[SlotSample], expected: Iterable[str]) -> None:
-        """Check the samples of one slot.
+        """Check the samples of one slot (measuring interval).
 
         Args:
             slot: Number of the slot, from 1.
             samples: Samples of servers in the slot.
-            expected: The new servers that should have reported.
+            expected: Ids of the servers on the new version that should have reported.
         """
         self._check_silence(samples, expected)
         for sample in samples:
@@ -73,7 +78,10 @@
             self.last_crash_slot = slot
 
     def _has_higher_crash_rate(self) -> bool:
-        """Return whether new servers crashed, and more than twice as often per server as old ones."""
+        """Return whether servers on the new version crash more than twice as often as those on the old one.
+
+        Crashes are counted per server, and the new servers must have at least MIN_CRASHES in total.
+        """
         new_crashes = sum(self._crashes_of_new.values())
         old_crashes = sum(self._crashes_of_old.values())
         old_servers = max(1, len(self._crashes_of_old))
--- a/thistleline/rollout/controller.py
+++ b/thistleline/rollout/controller.py
@@ -4,6 +4,9 @@
 `effects.py`. All decisions follow from the committed record and from the facts that members publish, so that
 a succeeding controller continues where its predecessor stopped. Only the analysis of the current stage is
 kept in memory alone: a succeeding controller restarts it.
+
+A stage is a step of the rollout: its targets run the new version, and some other servers, the controls, are
+restarted on the old one for comparison. A slot is a measuring interval of that comparison.
 """
 
 from collections.abc import Callable
@@ -42,10 +45,10 @@
         record: The rollout record that was last committed.
         pending_record: The record that is being committed; no other step is taken until it is.
         servers: The servers as last observed, by server id.
-        changes: Pending changes of single servers.
-        analysis: Analysis of the current stage; None outside of a stage.
-        sampler: Converts cumulative figures into samples per slot.
-        next_slot: When the current slot ends, ns.
+        changes: Version changes that were requested for individual servers.
+        analysis: Canary analysis of the rollout's current stage; None while no stage is being judged.
+        sampler: Converts cumulative counters into one sample per server and measuring interval (slot).
+        next_slot: When the current measuring interval ends, ns.
     """
 
     def __init__(
@@ -63,7 +66,7 @@
             wall_clock: Returns wall clock ms.
             record: The rollout record in the replicated log, written by this or an earlier controller.
             timing: Durations and limits of a rollout.
-            make_analysis: Creates the analysis of a stage.
+            make_analysis: Creates the canary analysis for a stage of the rollout.
         """
         self.now = now
         self.wall_clock = wall_clock
@@ -78,7 +81,7 @@
         self._make_analysis = make_analysis
         self._observed = False  # whether the servers were observed at least once
         self._crashes_before = dict(record.crashes) if record is not None else {}  # at the start of the stage
-        self._cold_baseline = ColdBaseline()  # of all stages of a rollout, as they have the same base
+        self._cold_baseline = ColdBaseline()  # for all stages, as they have the same base
         self._effects: list[Effect] = []
 
     def copy(self) -> "RolloutController":
@@ -93,7 +96,7 @@
         return duplicate
 
     def state_key(self) -> tuple[Any, ...]:
-        """Return a hashable key of all that decisions depend on, except the progress of the analysis."""
+        """Return all that decisions depend on as a hashable key, except the progress of the analysis."""
         return (
             self.record,
             self.pending_record,
@@ -128,7 +131,7 @@
     # ---- record
 
     def _store_step(self, step: str, reason: str, **changes: Any) -> None:
-        """Request that a step of the rollout is committed, with these fields of the record changed."""
+        """Commit a step of the rollout: its record with `changes` to the fields and a new history entry."""
         assert self.record is not None
         history = (*self.record.history, HistoryEntry(self.wall_clock(), step, reason))
         changed = msgspec.structs.replace(
@@ -205,7 +208,7 @@
         self._observed = True
 
     def _on_desired_versions_recovered(self, versions: dict[str, Version]) -> None:
-        """Adopt pending changes, so that servers that are about to restart are counted as down."""
+        """Adopt an earlier controller's changes, so that servers that are about to restart count as down."""
         for server_id, version in versions.items():
             if not self._runs(server_id, version):
                 self.changes.recover(server_id, version, self.now)
@@ -214,7 +217,7 @@
         return server_id in self.servers and self.servers[server_id].runs(version)
 
     def _converge_servers(self, record: RolloutRecord, desired: dict[str, Version]) -> None:
-        """Issue the next changes towards the version that each server should run."""
+        """Issue the next changes of servers to their desired versions, within the limits on servers down."""
         self._effects += self.changes.plan(self.now, record, self.servers, desired)
 
     # ---- timers
@@ -231,12 +234,12 @@
         elif record.phase == "backing":
             self._roll_back(record)
         elif record.is_over:
-            # A server that was away may return with another version; it is changed then.
+            # A server that was down during the rollout may return with another version; it is changed then.
             version = record.version if record.phase == "done" else record.base
             self._converge_servers(record, dict.fromkeys(self.servers, version))
 
     def _advance(self, record: RolloutRecord) -> None:
-        """Advance the current stage: choose its targets, change them and judge them."""
+        """Advance the rollout's current stage: choose its target servers, change them and judge them."""
         if self._choose_targets(record):
             return
         if self.analysis is None:
@@ -261,19 +264,23 @@
             self._judge(record, self.analysis)
 
     def _choose_targets(self, record: RolloutRecord) -> bool:
-        """Commit the targets and controls of the stage unless that was done; return whether it was needed."""
+        """Choose the servers of the current stage and commit them, unless that was done already.
+
+        Returns:
+            Whether targets and controls were chosen, so that the caller waits for the commit.
+        """
         servers = list(self.servers.values())
         targets = choose_targets(record.stage, record.targets, servers)
         if len(targets) <= len(record.targets) or (record.targets and self.analysis is not None):
             return False
         controls = choose_controls(record.stage, targets, servers)
-        # Recorded, so that a succeeding controller counts crashes from the same start.
+        # Recorded, so that a succeeding controller counts the crashes since the same time.
         crashes = tuple((server.id, server.figures[CRASHES]) for server in servers if server.crashes)
         self._store_step("stage", record.stage, targets=targets, controls=controls, crashes=crashes)
         return True
 
     def _judge(self, record: RolloutRecord, analysis: CanaryAnalysis) -> None:
-        """Act on the verdict: 'worse' at once, others once all live targets run the new version."""
+        """Act on the analysis: on 'worse' at once, on others once all live targets run the new version."""
         zone_of = {server.id: server.zone for server in self.servers.values()}
         judgement = analysis.judge(zone_of)
         if judgement.verdict == "worse":
@@ -312,7 +319,7 @@
     # ---- slots
 
     def _end_slot(self) -> None:
-        """Pass the samples of the slot to the analysis."""
+        """End a measuring interval: pass the servers' samples to the analysis of the current stage."""
         record = self.record
         servers = self.servers.values()
         targets = frozenset(record.targets if record is not None else ())
--- a/thistleline/rollout/effects.py
+++ b/thistleline/rollout/effects.py
@@ -16,7 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SetDesiredVersion:
-    """Set the desired version of a server; idempotent. A new `restart_token` restarts the same version."""
+    """Set the desired version of a server; idempotent.
+
+    If only `restart_token` differs from the last one, the server is restarted on the same version.
+    """
 
     server_id: str
     version: Version
--- a/thistleline/rollout/events.py
+++ b/thistleline/rollout/events.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderReceived:
-    """This order was read from the replicated log; it may be known already."""
+    """This operator's order was read from the replicated log; it may have been executed already."""
 
     order: Order
 
--- a/thistleline/rollout/leased_records.py
+++ b/thistleline/rollout/leased_records.py
@@ -17,7 +17,7 @@
     """Reads records, and writes them with the epoch of the lease as fencing token.
 
     Attributes:
-        versions: Version of each record as last read or written; 0 for none.
+        versions: Version of each record as last read or written, by key; 0 if the record does not exist.
     """
 
     def __init__(self, client: LeaseClient, lease: HeldLease) -> None:
@@ -39,7 +39,7 @@
         return answer.value if answer.version else None
 
     async def put(self, key: str, value: bytes) -> None:
-        """Write a record; the write is skipped if the value read is already the same.
+        """Write a record, unless it has to be read first and already has this value.
 
         Raises:
             UndecidedError: The write was not decided, or the lease was lost.
--- a/thistleline/rollout/metrics.py
+++ b/thistleline/rollout/metrics.py
@@ -1,4 +1,4 @@
-"""Guardrail metrics: samples of servers per time slot, and how much worse one value is than another."""
+"""Guardrail metrics of the canary analysis, sampled for each server per slot (measuring interval)."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class SlotSample(NamedTuple):
-    """Sample of one server in one slot.
+    """The metrics of one server in one slot (measuring interval).
 
     Attributes:
         id: Id of the server.
@@ -14,13 +14,14 @@
         new: Whether it runs the new version.
         cold: Whether it started recently.
         tasks: Number of tasks that arrived.
-        served: Share of the utility that arrived that was finished in time, 0 to 1.
-        rejected: Share of the tasks that arrived.
-        abandoned: Share of the tasks that arrived.
-        slow: Share of the finished tasks that took longer than they should, of the worst stage.
+        served: Utility of the tasks finished in time, as a share of the utility of those that arrived, 0 to
+            1; by number of tasks instead of utility if not all servers report utility.
+        rejected: Rejected tasks as a share of those that arrived.
+        abandoned: Abandoned tasks as a share of those that arrived.
+        slow: Share of the finished tasks that took longer than they should, in the worst class of requests.
         memory: Memory use as a share of MEMORY_SCALE.
-        crashes: Unrequested exits since the stage began.
-        broken: Broken rules that the server itself detected.
+        crashes: Unrequested exits of the process since the rollout's current stage began.
+        broken: Number of broken rules that the server itself detected.
     """
 
     id: str
@@ -42,9 +43,9 @@
 
     Attributes:
         name: Field of `SlotSample`.
-        margin: Largest worsening without practical significance.
+        margin: Largest difference for the worse that has no practical significance.
         sign: 1 if a greater value is worse, -1 if a smaller one is.
-        relative: Whether the worsening is relative to the value of the old servers.
+        relative: Whether the difference is divided by the value for the servers on the old version.
     """
 
     name: str
--- a/thistleline/rollout/order.py
+++ b/thistleline/rollout/order.py
@@ -36,7 +36,7 @@
 
 
 class Transition(NamedTuple):
-    """The phases in which a command is allowed, and the phase that it leads to."""
+    """The phases of a rollout in which an operator's command is allowed, and the phase that it leads to."""
 
     allowed_in: tuple[Phase, ...]
     to: Phase
--- a/thistleline/rollout/record.py
+++ b/thistleline/rollout/record.py
@@ -7,7 +7,7 @@
 from thistleline.supervisor.model import Version
 
 Phase = Literal["going", "paused", "asking", "backing", "done", "back"]
-MAX_HISTORY = 64  # entries; older ones are dropped
+MAX_HISTORY = 64  # entries in the history of a rollout; older ones are dropped
 RECORD_KEY = "roll"  # key in the replicated log
 LEASE_NAME = "conductor"  # lease of the active controller
 
@@ -38,11 +38,12 @@
         max_down_per_zone: Servers that may be down at once in a zone.
         phase: Current phase.
         stage_index: Index of the current stage in `stages`.
-        controls: Old servers that are restarted in this stage, as a baseline for cold servers.
+        controls: Servers on the old version that are restarted in this stage, so that servers which have just
+            started on the new version are compared with servers which have also just started.
         targets: Servers that run the new version in this stage; empty until they are chosen.
-        crashes: Crash counts at the start of the stage, by server id; servers without crashes are left out.
+        crashes: Server ids with crash counts at the start of the stage; servers without crashes are left out.
         reason: Reason for the current phase.
-        last_order: Number of the last order that was executed.
+        last_order: Number of the operator's last order that was executed.
         history: The latest steps, the oldest first.
     """
 
@@ -63,10 +64,10 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether the rollout is done or rolled back."""
+        """Whether the rollout is complete or was rolled back."""
         return self.phase in ("done", "back")
 
     @property
     def stage(self) -> str:
-        """Name of the current stage."""
+        """Name of the rollout's current stage."""
         return self.stages[self.stage_index]
--- a/thistleline/rollout/server_changes.py
+++ b/thistleline/rollout/server_changes.py
@@ -1,4 +1,4 @@
-"""Selects the servers to change next, within the limits on servers that are down at once."""
+"""Selects the servers whose version a rollout changes next, within its limits on servers down at once."""
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 from thistleline.rollout.server_status import ServerStatus
 from thistleline.supervisor.model import Version
 
-RESTART_TOKENS_PER_ROLLOUT = 100  # more than a rollout has stages
+RESTART_TOKENS_PER_ROLLOUT = 100  # one token is used per stage; more than a rollout has stages
 
 
 class PendingChange(NamedTuple):
@@ -43,17 +43,18 @@
 
 
 class ServerChanges:
-    """The pending changes of single servers.
+    """The version changes that were requested for individual servers.
 
     Attributes:
         pending: Requested changes that have not taken effect, by server id.
-        restarted_controls: Controls of this stage that were restarted; each is restarted once.
+        restarted_controls: Controls (servers that stay on the old version) that were restarted in the
+            rollout's current stage; each is restarted once.
         blocked: Servers that can't be changed until fewer servers are down.
         blocked_since: Time since which no change was possible because of the limits, ns.
     """
 
     def __init__(self, now: int) -> None:
-        """Create the object without changes, at `now` (ns)."""
+        """Start without requested changes at the time `now` (ns)."""
         self.pending: dict[str, PendingChange] = {}
         self.restarted_controls: set[str] = set()
         self.blocked: tuple[str, ...] = ()
@@ -72,7 +73,7 @@
         self.pending.setdefault(server_id, PendingChange(version, now))
 
     def begin_stage(self, servers: Mapping[str, ServerStatus]) -> None:
-        """Forget the controls of the last stage and the changes that have taken effect."""
+        """Forget the controls of the rollout's previous stage, and the changes that have taken effect."""
         self.restarted_controls = set()
         self.pending = {
             server_id: change
@@ -109,7 +110,7 @@
             change = self.pending.get(server_id)
             if change is not None and change.version == version:
                 continue
-            down_already = not server.up or change is not None  # changing it takes no further server down
+            down_already = not server.up or change is not None  # its change takes no further server down
             if not down_already:
                 if not budget.has_room(server.zone):
                     blocked.append(server_id)
@@ -138,7 +139,10 @@
     def _restart_controls(
         self, record: RolloutRecord, servers: Mapping[str, ServerStatus], budget: DownBudget
     ) -> list[SetDesiredVersion]:
-        """Restart old servers, once each, as the baseline that cold new servers are compared with."""
+        """Restart each control once, within the limits on servers down at once.
+
+        Servers that have just started on the new version are compared with these restarted servers.
+        """
         restart_token = record.number * RESTART_TOKENS_PER_ROLLOUT + record.stage_index + 1
         effects: list[SetDesiredVersion] = []
         for server_id in record.controls:
--- a/thistleline/rollout/service.py
+++ b/thistleline/rollout/service.py
@@ -25,9 +25,9 @@
 from thistleline.supervisor.model import DesiredVersion, Version
 from thistleline.supervisor.records import desired_version_key
 
-POLL = 0.2  # s between two observations of the servers
+POLL = 0.2  # s between two observations of the servers' status
 LEASE_RETRY_DELAY = 0.5  # s after a lease was lost, before it is requested again
-CONTROLLER_RELEASE = "conductor"  # published as the release of a controller's member
+CONTROLLER_RELEASE = "conductor"  # release in a controller's membership record, as it runs no server release
 
 _decode_record = msgspec.msgpack.Decoder(RolloutRecord).decode
 _decode_desired = msgspec.msgpack.Decoder(DesiredVersion).decode
@@ -109,7 +109,7 @@
 
 
 class _Leadership:
-    """The work of one controller while it holds its lease."""
+    """Runs the controller's state machine while this process holds the controller's lease."""
 
     def __init__(
         self, service: RolloutService, records: LeasedRecords, controller: RolloutController
@@ -117,7 +117,7 @@
         self.service = service
         self.records = records
         self.controller = controller
-        self._recovered: set[str] = set()  # ids of servers whose desired version was read
+        self._recovered: set[str] = set()  # ids of servers whose stored desired version was read
 
     async def poll(self) -> None:
         """Pass the servers and the current order to the controller, and carry out its effects."""
--- a/thistleline/rollout/slot_sampler.py
+++ b/thistleline/rollout/slot_sampler.py
@@ -1,4 +1,4 @@
-"""Samples per time slot for the canary analysis, from the cumulative figures that members publish."""
+"""Samples per slot (measuring interval) for the canary analysis, from cumulative metrics of the members."""
 
 from collections.abc import Collection, Iterable, Mapping
 
@@ -6,18 +6,18 @@
 from thistleline.rollout.record import RolloutRecord
 from thistleline.rollout.server_status import COUNTERS, CRASHES, FIGURES, INCARNATION, MEMORY, ServerStatus
 
-MEMORY_SCALE = 1_000_000  # kB; memory use is a share of this, chosen large so that growth is a small share
+MEMORY_SCALE = 1_000_000  # kB; memory use is given as a share of this, large so that growth is a small share
 
 
 class SlotSampler:
-    """Converts cumulative figures into samples per slot.
+    """Converts cumulative metrics into one sample per server and slot (measuring interval).
 
     Attributes:
-        previous: Figures and utility of each server at the end of the last slot.
+        previous: Cumulative metrics and utility of each server at the end of the last slot.
     """
 
     def __init__(self) -> None:
-        """Create a sampler without earlier figures."""
+        """Create a sampler without earlier metrics."""
         self.previous: dict[str, tuple[int, ...]] = {}
 
     def copy(self) -> "SlotSampler":
@@ -37,13 +37,13 @@
 
         Args:
             servers: Current status of the servers.
-            record: The rollout; without one, the figures are only stored for the next slot.
+            record: The rollout; without one, the metrics are only stored for the next slot.
             targets: Servers that should run the new version.
-            crashes_before: Crash counts at the start of the stage; 0 for servers that are left out.
+            crashes_before: Crash counts at the start of the rollout's stage; 0 for servers that are left out.
         """
         servers = list(servers)
-        # Utility is used only if all servers report it, else task counts are; prevents the utility of new
-        # servers from being compared with the counts of old ones.
+        # Utility is used only if all servers report it, else task counts are; prevents the utility of servers
+        # on the new version from being compared with the counts of servers on the old one.
         by_value = all(server.value[0] for server in servers if server.up and server.figures[:1] > (0,))
         samples = []
         for server in servers:
@@ -71,7 +71,7 @@
     by_value: bool,
     crashes: int,
 ) -> SlotSample:
-    """Return the sample of a server between two sets of figures."""
+    """Return the sample of a server for the time between the cumulative metrics `since` and `now`."""
     tasks, finished, rejected, abandoned, slow = (max(0, now[k] - since[k]) for k in range(COUNTERS))
     arrived_value, served_value = (max(0, now[k] - since[k]) for k in (FIGURES, FIGURES + 1))
     arrived = max(1, tasks)
@@ -100,8 +100,8 @@
 ) -> list[SlotSample]:
     """Return samples with only crashes, for targets that don't run the new version.
 
-    A target that crashes, or whose successors crash while the old version keeps serving, reports no figures
-    of the new version; its crashes still count for the new version.
+    A target that crashes, or whose successors crash while the old version keeps serving, reports no metrics
+    for the new version; its crashes still count for the new version.
     """
     samples = []
     for server in servers:
--- a/thistleline/rollout/stages.py
+++ b/thistleline/rollout/stages.py
@@ -1,4 +1,8 @@
-"""Stages of a rollout: which servers run the new version in each, and which old servers are controls."""
+"""Stages of a rollout: which servers run the new version in each, and which servers are controls.
+
+Controls stay on the old version; they are restarted so that the new version's servers, which have just
+started, are compared with servers that have also just started.
+"""
 
 from collections.abc import Iterable
 from math import ceil
@@ -6,14 +10,14 @@
 from thistleline.rollout.server_status import ServerStatus
 
 STAGES = ("one", "one a zone", "tenth", "half", "all")
-STAGES_WITH_CONTROLS = ("one", "one a zone")  # by the later stages, enough cold old servers were sampled
+STAGES_WITH_CONTROLS = ("one", "one a zone")  # by the later ones, enough cold servers were sampled
 CONTROLS_PER_TARGET = 2
 
 
 def choose_targets(
     stage: str, chosen_before: tuple[str, ...], servers: Iterable[ServerStatus]
 ) -> tuple[str, ...]:
-    """Return the servers that run the new version in a stage.
+    """Return the servers that run the new version in a stage of the rollout.
 
     These are the servers chosen before, and further ones in order of their ids, alternating between zones.
     Servers that are up come first: a server that is down provides no evidence.
@@ -48,7 +52,7 @@
 
 
 def choose_controls(stage: str, targets: tuple[str, ...], servers: Iterable[ServerStatus]) -> tuple[str, ...]:
-    """Return the old servers that are restarted for comparison.
+    """Return the servers on the old version that are restarted for comparison in a stage of the rollout.
 
     For each target, CONTROLS_PER_TARGET servers of its zone are chosen, those with the highest ids.
     """
--- a/thistleline/rollout/timing.py
+++ b/thistleline/rollout/timing.py
@@ -10,10 +10,10 @@
     """Durations of a rollout and the error rate of its verdicts.
 
     Attributes:
-        slot: Duration of a slot of the comparison, ns.
+        slot: Duration of a measuring interval of the canary analysis, ns.
         change_timeout: Time for a server to start a version, ns; after it, the version counts as failed.
-        min_slots: Slots required for the verdict 'not worse'.
-        max_slots: Slots without a verdict after which an operator is asked.
+        min_slots: Measuring intervals required for the verdict 'not worse'.
+        max_slots: Measuring intervals without a verdict after which an operator is asked.
         alpha: Maximum probability that a harmless rollout is judged worse.
     """
 
