--- a/thistleline/config_feed/archive.py
+++ b/thistleline/config_feed/archive.py
@@ -1,8 +1,8 @@
-"""Stores the table on disk, from which a keeper or an instance recovers it after a restart.
+"""Stores the feed's table on disk, so that a keeper, a relay or an instance recovers it after a restart.
 
 All calls block; run them in a thread. The segments have the format of `archive_format.py`. A write starts
 only after the previous one is durable. So a crash can tear only the last write, which was not reported as
-durable.
+durable. A step is a list of items that transforms one state of the table into a later one.
 
 After a start and after any error the next write begins a new segment with a snapshot. Older segments are
 removed only after the new segment and its name are durable, so there is always a complete one. The steps in a
@@ -33,13 +33,13 @@
 
 
 class Archive:
-    """The segments of one table.
+    """The segments that store one table.
 
     Attributes:
         disk: The folder; the caller acquires and releases its lock.
-        kind: Which sections the table has.
+        kind: Which sections the table has: "all", or "wide" (without tenants).
         durable: Sequence number of the state that a restart would recover.
-        digest: Digest of that state.
+        digest: Digest of the state that a restart would recover.
         recovery_failure: Why `recover` found no state, for the log; empty if it succeeded.
         segment: Number of the newest segment.
         old_segments: Numbers of the segments that are removed after the next snapshot.
@@ -65,7 +65,7 @@
     def recover(self) -> FeedTable | None:
         """Return the newest complete state.
 
-        Returns None if there is none; if there are segments, `recovery_failure` has the reason.
+        Returns None if there is no complete state; if there are segments, `recovery_failure` has the reason.
 
         Raises:
             OSError: A segment can't be read.
--- a/thistleline/config_feed/archive_format.py
+++ b/thistleline/config_feed/archive_format.py
@@ -1,4 +1,4 @@
-"""The format of an archive's segments: encodes and decodes a table and the steps after it. No I/O.
+"""The format of an archive's segments: encodes and decodes a table and later updates (steps). No I/O.
 
 A segment begins with a header (magic 8s, format u16, kind u8: 0 wide, 1 all). Frames follow, each with a
 number u64 (1 for the first of the segment), a letter and msgpack:
@@ -59,7 +59,7 @@
 
 
 class SegmentEncoder:
-    """Encodes segments one after another; numbers the frames of each."""
+    """Encodes segments one after another; numbers the frames within each segment."""
 
     __slots__ = ("_frame", "_kind")
 
@@ -88,7 +88,7 @@
         yield self._encode_frame(SNAPSHOT_END, (table.sequence, table.digest(self._kind), entry_count))
 
     def steps(self, steps: Sequence[ArchivedStep], digest: bytes) -> bytes:
-        """Return the two copies of a frame of steps; `digest` is that of the state after them."""
+        """Return the two copies of a frame of steps; `digest` is the digest of the state after the steps."""
         content = tuple((step.last, self._items_of_kind(step.items)) for step in steps)
         return 2 * self._encode_frame(STEPS, (content, digest))
 
--- a/thistleline/config_feed/archive_writer.py
+++ b/thistleline/config_feed/archive_writer.py
@@ -1,6 +1,6 @@
 """Writes the archive of one process: one write at a time, in a thread.
 
-Tables that arrive during a write are written together by the next one.
+Changes of the table that arrive during a write are written together by the next one.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from thistleline.config_feed.table import FeedTable
 from thistleline.store.disk import Disk
 
-PENDING_STEPS_LIMIT = 1024  # unwritten steps; beyond this number the whole table is written instead
-RETRY_DELAY = 1.0  # s after an error
+PENDING_STEPS_LIMIT = 1024  # unwritten updates (steps); beyond this number the whole table is written instead
+RETRY_DELAY = 1.0  # s between a failed write and the next one
 
 
 class ArchiveWriter:
@@ -42,7 +42,7 @@
 
         Args:
             folder: Folder of the archive; created if it does not exist.
-            kind: Which sections the table has.
+            kind: Which sections the table has: "all", or "wide" (without tenants).
             log: Called with an event's name and its fields.
             on_durable: Called with the sequence number that a restart would recover.
 
@@ -92,7 +92,7 @@
         self._wake()
 
     def replace(self, table: FeedTable) -> None:
-        """Schedule a write of a table that no step produces."""
+        """Schedule a write of a whole table, as no step leads to it from the previous one."""
         self.table = table
         self.generation += 1
         self._steps.clear()
--- a/thistleline/config_feed/client.py
+++ b/thistleline/config_feed/client.py
@@ -1,9 +1,9 @@
-"""Client library of the feed, for instances.
+"""Client library of the feed, for instances: the processes that use the configuration.
 
     async with anyio.create_task_group() as tasks:
         feed = FeedClient("instance-7", {"relay-a": ("10.0.0.4", 7300), ...}, folder=Path(...))
         tasks.start_soon(feed.run)
-        result = feed.lookup("route/checkout")     # never waits; `known` says whether it is an answer
+        result = feed.lookup("route/checkout")     # never waits; `known` tells whether the value is known
 
 The folder stores the last state across restarts; without one, a restart loads the state from a source.
 """
--- a/thistleline/config_feed/downstream.py
+++ b/thistleline/config_feed/downstream.py
@@ -1,4 +1,4 @@
-"""One incoming connection of a keeper or relay."""
+"""One incoming connection that a keeper or relay has accepted."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from thistleline.config_feed.send_queue import SendQueue
 from thistleline.store.clock import boot_now
 
-IDLE_TIMEOUT = 60 * SECOND  # ns without data from the peer, after which its connection is ended
+IDLE_TIMEOUT = 60 * SECOND  # ns without data from the peer, after which the connection is ended
 
 
 class DownstreamConnection:
--- a/thistleline/config_feed/effects.py
+++ b/thistleline/config_feed/effects.py
@@ -1,4 +1,8 @@
-"""Outputs of the feed's state machines, to be carried out in order by the caller."""
+"""Outputs of the feed's state machines, to be carried out in order by the caller.
+
+A source is a keeper or relay that sends the feed's table; a follower receives the table. A subscriber is a
+follower from the point of view of its source.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DisconnectUpstream:
-    """End the connection to this source; no more events of it may be passed in."""
+    """End the connection to this source; no more events of the connection may be passed in."""
 
     source: str
     reason: str
@@ -43,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotLoaded:
-    """The follower's table was replaced by a snapshot; no items lead there from the previous table."""
+    """The follower's table was replaced by a snapshot; which items differ from the old table is not known."""
 
 
 FollowerEffect = ConnectUpstream | SendUpstream | DisconnectUpstream | DeltaApplied | SnapshotLoaded
@@ -62,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseDownstream:
-    """End the connection of a subscriber after delivering what was sent to it before."""
+    """End the connection of a subscriber after delivering the messages sent to it before."""
 
     peer: int
     reason: str
@@ -70,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubscriberDurable:
-    """A subscriber has reported that its disk has the state `sequence`."""
+    """A subscriber has reported that it has stored the state `sequence` on its disk."""
 
     subscriber: str
     sequence: int
@@ -93,6 +97,6 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistTable:
-    """Replace the archive's content by this table, to which no items lead."""
+    """Replace the archive's content with this table; which items differ from the old one is not known."""
 
     table: FeedTable
--- a/thistleline/config_feed/events.py
+++ b/thistleline/config_feed/events.py
@@ -1,4 +1,8 @@
-"""Inputs of the feed's state machines: of the follower, of the source, and of a relay that combines both."""
+"""Inputs of the feed's state machines: the follower, the source, and the relay, which combines both.
+
+A source is a keeper (replica) or relay that sends the feed's table; a follower receives the table. The writer
+is the keeper that holds the lease for changing the table.
+"""
 
 from __future__ import annotations
 
@@ -36,30 +40,30 @@
 
 @dataclass(frozen=True, slots=True)
 class StateDurable:
-    """This process's disk has the state `sequence`: a restart would recover it."""
+    """This process has stored the state `sequence` on its disk: a restart would recover it."""
 
     sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class SourcesChanged:
-    """The sources to choose from have changed; they are in order of preference."""
+    """The follower's list of sources has changed; the sources are in order of preference."""
 
     sources: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class FollowingSuspended:
-    """Following is suspended, because this keeper is or becomes the writer."""
+    """This keeper must not follow another one, because it is or becomes the writer."""
 
 
 @dataclass(frozen=True, slots=True)
 class FollowingResumed:
-    """Following is resumed, or the eligible sources have changed.
+    """This process may follow a source again, or which sources it may follow has changed.
 
     Attributes:
-        any_source: Whether keepers that are not the writer may be followed too, as by a keeper that catches
-            up to become the writer.
+        any_source: Whether keepers that are not the writer may be followed too: a keeper that catches up to
+            become the writer follows any other keeper.
         table: The state to resume from, if it advanced while following was suspended.
     """
 
@@ -84,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubscriberJoined:
-    """A connection has sent its first message as a follower; `peer` is its number from now on."""
+    """A connection has sent its first message as a follower; `peer` is the number of the connection."""
 
     peer: int
 
@@ -106,12 +110,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryAdvanced:
-    """The history has a newer table, and steps that lead to it."""
+    """The history has a newer table, and the steps (lists of items) that lead to it."""
 
 
 @dataclass(frozen=True, slots=True)
 class HistoryReplaced:
-    """The history has a newer table, and no steps that lead to it."""
+    """The history has a newer table from a snapshot, and no steps that lead to it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,8 +125,8 @@
     Attributes:
         epoch: Fencing epoch of the writer's lease, 0 while unknown.
         is_writer: Whether this process is the writer.
-        level: This process's distance from the writer.
-        leader: Id of the keeper that is the writer, if known and not this one.
+        level: This process's distance from the keepers: 0 for a keeper, higher for relays.
+        leader: Id of the keeper that is the writer, if known and not this process.
     """
 
     epoch: int
--- a/thistleline/config_feed/follower.py
+++ b/thistleline/config_feed/follower.py
@@ -1,5 +1,9 @@
-"""State machine of a follower: selects a source, resumes or loads from it, holds the newest state.
+"""State machine of a follower: selects a source, resumes or loads the feed's table, holds the newest state.
 
+A follower is a keeper that is not the writer, a relay, or an instance, which is a process that uses the
+configuration. The follower's source is the keeper or relay that it receives the table from. The kind of a
+follower says which entries it holds: "all", or "wide" for all except the tenants. A snapshot is sent in
+parts; a delta updates one state to a later one.
 It does no I/O and reads no clock. After `DeltaApplied` and `SnapshotLoaded` the new state is `table`. After
 `DisconnectUpstream`, and after `UpstreamLost` was passed in, the caller must pass in no more events of that
 connection. Only `DeadlineReached` checks for a silent source: messages that arrived during a pause of the
@@ -48,8 +52,8 @@
 from thistleline.reducer.events import DeadlineReached
 
 Phase = Literal["quiet", "waiting", "connecting", "greeting", "loading", "following"]
-PART_WINDOW = 4  # parts requested ahead: avoids one round trip per part on links with high latency
-MAX_REASON_LENGTH = 100  # characters
+PART_WINDOW = 4  # snapshot parts requested ahead: avoids a round trip per part on links with high latency
+MAX_REASON_LENGTH = 100  # characters of a source's reason for a rejection, as reported in the log
 
 
 class Follower:
@@ -104,12 +108,12 @@
 
         Args:
             id: The id that this follower sends to its sources.
-            kind: Which entries to hold.
+            kind: Which entries to hold: "all", or "wide" for all except the tenants.
             table: The state to start from.
             sources: Names of the sources, in order of preference.
             now: Time in ns.
             random_delay: Draws a random part of a duration in ns, for the backoff between attempts.
-            level: Distance of this follower from the writer; 0 for a keeper, and for an instance, which has
+            level: Distance of this follower from the keepers; 0 for a keeper, and for an instance, which has
                 no followers.
         """
         self.id = id
@@ -128,12 +132,12 @@
         self.epoch = 0  # the highest epoch of a writer seen so far
         self.accept_any_source = False
         self.durable = 0
-        self.state_suspect = False  # a digest did not match: the next source is asked for a snapshot
+        self.state_suspect = False  # a digest differed: the next source must send a snapshot
         self.redirected = False  # the next attempt goes to the writer that the last source named
-        self.follow_until = 0  # sequence number up to which a keeper follows another that is not the writer
-        self.snapshot: FeedTable | None = None  # the parts received so far
+        self.follow_until = 0  # up to this sequence number, a keeper follows one that is not the writer
+        self.snapshot: FeedTable | None = None  # the entries of the snapshot parts received so far
         self.next_part = 0  # index of the snapshot part expected next
-        self.next_fetch = 0  # index of the part to request next
+        self.next_fetch = 0  # index of the snapshot part to request next
         self._effects: list[FollowerEffect] = []
 
     def copy(self) -> Follower:
@@ -234,7 +238,7 @@
         if sequence > self.durable:
             self.durable = sequence
             if self.kind == "all" and self.phase in ("loading", "following"):
-                self._acknowledge()  # the durable number of other kinds is not counted
+                self._acknowledge()  # the durable state of "wide" followers is not counted
 
     def _on_timer(self) -> None:
         if self.now < self.next_deadline():
@@ -319,7 +323,7 @@
     # ---- from the source
 
     def _eligible(self, accepted: FollowAccepted) -> bool:
-        """Return whether this follower may follow a source that describes itself like this."""
+        """Return whether this follower may follow a source that has sent this `FollowAccepted`."""
         if self.level:
             return accepted.level < self.level
         if self.kind == "wide":
@@ -358,8 +362,8 @@
         )
 
     def _disconnect_ineligible(self, accepted: FollowAccepted) -> None:
-        # At most one redirect in a row: prevents two keepers from redirecting this one to each other
-        # endlessly without a delay.
+        # At most one redirect in a row: prevents two keepers that name each other as the writer from
+        # redirecting this keeper back and forth endlessly without a delay.
         redirect = not self.level and not self.redirected and accepted.leader in self.sources
         self._disconnect("level not lower than the follower's" if self.level else "not the writer")
         if redirect:
@@ -426,7 +430,7 @@
             self._install_snapshot(self.snapshot)
 
     def _install_snapshot(self, snapshot: FeedTable) -> None:
-        """Replace the current state by the snapshot, which is complete."""
+        """Replace the current state with the snapshot, which is complete."""
         self.table = snapshot
         self.snapshot = None
         self.phase = "following"
--- a/thistleline/config_feed/follower_service.py
+++ b/thistleline/config_feed/follower_service.py
@@ -31,7 +31,7 @@
 from thistleline.store.clock import boot_now
 from thistleline.transport.address import Address
 
-LEAF_LEVEL = 64  # level of a follower that holds all entries and has no followers of its own
+LEAF_LEVEL = 64  # level (distance from the keepers) of a follower of all entries that has no followers
 
 
 class FollowerStateMachine(Protocol):
@@ -52,9 +52,9 @@
     """Follows the feed and holds the whole table.
 
     Attributes:
-        kind: Which entries it holds.
-        follower: The follower itself.
-        state_machine: Handles the events: the follower, or a state machine that wraps it.
+        kind: Which entries the follower holds: "all", or "wide" for all except the tenants.
+        follower: The follower's state machine.
+        state_machine: Handles the events: the follower, or a state machine that wraps the follower.
         inbox: Events that have not been handled yet.
     """
 
@@ -76,7 +76,8 @@
             id: The id that the follower sends to its sources.
             sources: Addresses of the sources, by name.
             log: Called with an event's name and its fields.
-            folder: Where the state is stored across restarts; without one, a restart loads it from a source.
+            folder: Folder that stores the state across restarts; without one, a restart loads the state from
+                a source.
             random: Generates the random delays and the order of the sources.
             on_state: Called with each new state and the items that changed; None instead of items for a
                 snapshot.
--- a/thistleline/config_feed/group_commit.py
+++ b/thistleline/config_feed/group_commit.py
@@ -1,5 +1,7 @@
 """Group commit: writes one group at a time to the next record of the ring. No I/O, no clock.
 
+A group is a list of consecutive changes that are committed together in one record of the consensus cluster.
+The ring is a fixed number of such records, which are overwritten in turn (`record_ring.py`).
 The write is conditional on the record's version and on the epoch of the lease. If its outcome is unknown, the
 record is read: it contains the group, or it is unchanged and the write is sent again, or another writer has
 written it.
@@ -26,8 +28,8 @@
 from thistleline.lease.protocol import Put
 from thistleline.reducer.events import DeadlineReached
 
-READ_RETRY_NS = SECOND  # after which an unanswered read is repeated
-WRITE_TIMEOUT_NS = 5 * SECOND  # after which an unanswered write is settled by reading the record
+READ_RETRY_NS = SECOND  # time after which an unanswered read is repeated
+WRITE_TIMEOUT_NS = 5 * SECOND  # time after which an unanswered write's outcome is read from its record
 WRITE_RETRY_DELAY_NS = 100 * MS  # wait before reading the record after a repeated write had no answer
 
 CommitEvent = RecordWritten | WriteDenied | WriteUnanswered | RecordRead | DeadlineReached
@@ -35,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupCommitted:
-    """The group is in its record: its changes are committed and can't be lost."""
+    """The group is in its record of the consensus cluster: its changes are committed and can't be lost."""
 
     changes: tuple[PendingChange, ...]
 
@@ -61,11 +63,11 @@
 
 
 class GroupCommit:
-    """The state machine of the group that is in flight.
+    """Commits one group of changes at a time.
 
     Attributes:
         in_flight: The group that is being committed.
-        is_settling: Whether its record is being read to determine the outcome of the write.
+        is_settling: Whether the group's record is being read to determine the outcome of the write.
     """
 
     __slots__ = ("_deadline", "_ring", "in_flight", "is_settling")
@@ -104,8 +106,8 @@
         Args:
             now: Time in ns.
             epoch: Fencing epoch of the writer's lease.
-            changes: At least one; the first follows the newest state.
-            digest_before: Digest of that state.
+            changes: At least one; the first follows the newest committed state.
+            digest_before: Digest of the state before the first change.
         """
         group = Group(
             epoch,
--- a/thistleline/config_feed/heap_freezer.py
+++ b/thistleline/config_feed/heap_freezer.py
@@ -19,7 +19,7 @@
 
     def __init__(self) -> None:
         """Begin with nothing frozen."""
-        self._frozen_at = 0  # sequence number of the table
+        self._frozen_at = 0  # sequence number of the table at the last freeze
 
     def freeze(self, table: FeedTable) -> None:
         """Freeze the heap, which contains this table."""
--- a/thistleline/config_feed/history.py
+++ b/thistleline/config_feed/history.py
@@ -1,4 +1,8 @@
-"""The recent steps of a table and the digests between them, from which deltas are made. No I/O, no clock."""
+"""The recent steps of a table and the digests between them, from which deltas are made. No I/O, no clock.
+
+A step is a list of items that transforms one state of the table into a later one. A delta is a message with
+the items of one or several steps, for a follower that is at an earlier state.
+"""
 
 from collections import deque
 from collections.abc import Sequence
@@ -25,7 +29,7 @@
 class History:
     """The newest state, and the steps that transform the state `base` into it.
 
-    A step is one group of changes, or several merged where this table was itself updated by a delta.
+    A step is one group of changes, or several groups merged if this table was itself updated by a delta.
     """
 
     __slots__ = ("_cached_deltas", "_digests", "size", "steps", "table")
@@ -76,7 +80,7 @@
             del self._digests[dropped.first]
 
     def reset(self, table: FeedTable) -> None:
-        """Replace the state by one that no step produces, and drop all steps."""
+        """Replace the state with one to which no step leads, and drop all steps."""
         self.steps.clear()
         self.size = 0
         self._digests.clear()
@@ -92,8 +96,8 @@
 
         The digest of a state inside a step is not known. A follower can be at such a state if its previous
         relay merged changes differently. The items of the whole step still produce the correct state at the
-        step's end. If the follower's state was a different one, the digest there reveals it: the follower
-        then asks again with an empty digest, which no history contains.
+        step's end. If the follower's state was a different one, the digest at the step's end does not match:
+        the follower then asks again with an empty digest, which no history contains.
         """
         known = self.digest_at(sequence, kind)
         if known is None:
@@ -106,10 +110,10 @@
         return None if known is None else known[int(kind == "all")]
 
     def delta(self, sequence: int, kind: Kind) -> Delta | None:
-        """Return a delta from a contained state towards the newest, up to the size limit of a delta.
+        """Return a delta from a follower's state towards the newest, up to the size limit of a delta.
 
-        Returns None if a snapshot is smaller than the steps that would have to be sent. The delta is cached
-        for all followers at this state.
+        The state must be one for which `contains` is true. Returns None if a snapshot is smaller than the
+        steps that would have to be sent. The delta is cached for all followers at this state.
         """
         if (sequence, kind) not in self._cached_deltas:
             while len(self._cached_deltas) >= CACHED_DELTAS_LIMIT:
--- a/thistleline/config_feed/inbox.py
+++ b/thistleline/config_feed/inbox.py
@@ -11,15 +11,16 @@
 from thistleline.config_feed.limits import HEARTBEAT_INTERVAL_NS, MS, SECOND
 from thistleline.store.clock import boot_now
 
-PAUSE_MARGIN_NS = 100 * MS  # the process was paused if this much more than a heartbeat interval has passed
-READ_TURNS_AFTER_PAUSE = 8  # turns of the event loop in which connections read what arrived meanwhile
+# The process counts as paused if its main loop took longer than a heartbeat interval plus this margin.
+PAUSE_MARGIN_NS = 100 * MS
+READ_TURNS_AFTER_PAUSE = 8  # turns of the event loop in which connections read what arrived in the pause
 
 Event = TypeVar("Event")
 EventIn = TypeVar("EventIn", contravariant=True)
 
 
 class EventSink(Protocol[EventIn]):
-    """The producers' interface to an inbox."""
+    """The interface through which connections and other producers add events to an inbox."""
 
     def put(self, event: EventIn) -> None:
         """Add an event."""
--- a/thistleline/config_feed/listener.py
+++ b/thistleline/config_feed/listener.py
@@ -21,11 +21,11 @@
 from thistleline.transport.disconnects import report_disconnects
 from thistleline.transport.handshake import receive_hello
 
-HELLO_TIMEOUT = 2.0  # s
-MAX_NON_FOLLOWERS = 64  # connections in addition to those of followers
-RESERVED_FILES = 64  # file descriptors for everything else
-ACCEPT_BACKOFF = 0.1  # s after a connection could not be accepted
-UNKNOWN_PEER = "who comes"  # peer name in the log before its hello
+HELLO_TIMEOUT = 2.0  # s in which a new connection has to complete the exchange of hellos
+MAX_NON_FOLLOWERS = 64  # connections that do not follow, such as single requests, beyond those of followers
+RESERVED_FILES = 64  # file descriptors that the process needs besides those of connections
+ACCEPT_BACKOFF = 0.1  # s before the next attempt after a connection could not be accepted
+UNKNOWN_PEER = "who comes"  # name in the log for a peer that has not sent its hello yet
 
 
 class FeedListener:
--- a/thistleline/config_feed/lookups.py
+++ b/thistleline/config_feed/lookups.py
@@ -1,5 +1,6 @@
-"""An instance's view of the configuration: lookups that never block. No I/O, no clock.
+"""Lookups of configuration values in an instance (a process that uses them), without blocking.
 
+It does no I/O and reads no clock.
 All sections except the tenants are read from the follower's table. Tenants are cached when they are looked
 up, at most `max_tenants`, with the least recently used evicted first. The cache is always valid at the
 table's sequence number: a delta is applied to both in one event, and an answer for another sequence number is
@@ -46,12 +47,14 @@
 
 
 class LookupCache:
-    """A follower of kind "wide" with a cache of tenants; events and effects are those of the follower.
+    """A follower of all sections except the tenants (kind "wide"), with a cache of tenants.
+
+    It handles the follower's events, and returns the follower's effects.
 
     Attributes:
         tenants: Cached results, least recently used first.
         wanted: Keys that were looked up but not requested yet.
-        requested: Keys that were requested on this connection but not answered yet.
+        requested: Keys that were requested on the current connection to a source but not answered yet.
     """
 
     __slots__ = ("follower", "max_tenants", "requested", "requested_at", "tenants", "wanted")
@@ -153,7 +156,7 @@
         return FetchTenants(keys)
 
     def _requeue_requested(self) -> None:
-        """Put the keys that will not be answered on this connection at the front of those to request."""
+        """Request again the keys whose answer will not arrive on this connection, before all other keys."""
         for key in reversed(self.requested):
             self.wanted[key] = None
             self.wanted.move_to_end(key, last=False)
--- a/thistleline/config_feed/messages.py
+++ b/thistleline/config_feed/messages.py
@@ -4,6 +4,11 @@
 identifies one state of a table (`config_feed/table.py`). The limits in `config_feed/limits.py` bound the size
 of everything that a peer sends.
 
+A keeper is a replica of the feed. The writer is the keeper that holds the lease and commits changes. A relay
+passes the feed on. Followers are the other keepers, the relays, and the instances, which are the processes
+that use the configuration. The source of a follower is the keeper or relay that it is connected to. The kind
+of a follower says which sections of the table it holds.
+
 The encoded names of classes and fields are the protocol and never change. If the Python name differs, the
 class specifies the encoded one by `tag` and `rename`.
 """
@@ -38,9 +43,9 @@
 
 
 class Group(msgspec.Struct, frozen=True, array_like=True):
-    """Consecutive changes that are committed together, in one record of the consensus cluster."""
+    """A group: consecutive changes that are committed together, in one record of the consensus cluster."""
 
-    epoch: int  # fencing epoch of the lease under which it was written
+    epoch: int  # fencing epoch of the lease under which the group was written
     changes: tuple[Change, ...]
     digest_before: bytes  # of the whole table before the first change
     digest_after: bytes  # of the whole table after the last change
@@ -50,13 +55,13 @@
 
 
 class Follow(msgspec.Struct, frozen=True, tag="follow", rename=_ENCODED_NAMES):
-    """Asks to follow, starting from the state `sequence`, whose digest for this kind is `digest`."""
+    """Asks to follow as a follower of this kind, which holds the state with this sequence and digest."""
 
     id: str
     kind: Kind
     sequence: int
     digest: bytes
-    level: int = 0  # of a follower that also serves others; must be greater than the level of the source
+    level: int = 0  # distance from the keepers; for a follower with followers, greater than the source's
 
 
 class Acknowledge(msgspec.Struct, frozen=True, tag="have", rename=_ENCODED_NAMES):
@@ -77,13 +82,13 @@
 
 
 class FetchTenants(msgspec.Struct, frozen=True, tag="tenants"):
-    """Asks for the entries of some tenants."""
+    """Asks for the entries of these tenants."""
 
     keys: tuple[str, ...]
 
 
 class Propose(msgspec.Struct, frozen=True, tag="propose", rename=_ENCODED_NAMES):
-    """Proposes a change. `expected`: required versions of keys, 0 for a key that must not exist."""
+    """Proposes a change. `expected`: versions that keys must have; 0 for a key that must not exist."""
 
     request_id: str
     items: tuple[Item, ...]
@@ -91,7 +96,7 @@
 
 
 class ReadRequest(msgspec.Struct, frozen=True, tag="look"):
-    """Asks for the server's status and its values of some keys."""
+    """Asks a keeper or relay for its status and for its values of these keys."""
 
     keys: tuple[str, ...] = ()
 
@@ -100,7 +105,7 @@
 
 
 class FollowAccepted(msgspec.Struct, frozen=True, tag="welcome", rename=_ENCODED_NAMES):
-    """Accepts a follower; says whether deltas follow, or the snapshot at `sequence` in `parts` parts."""
+    """Accepts a follower: deltas follow, or the snapshot at `sequence` in `parts` parts (0 if not known yet)."""
 
     sequence: int
     load_snapshot: bool
@@ -108,12 +113,12 @@
     level: int
     epoch: int  # newest epoch of the writer's lease that the sender knows
     is_writer: bool  # the sender is the writer
-    leader: str = ""  # the writer, if a keeper that is not the writer sends this
+    leader: str = ""  # id of the keeper (replica) that writes the feed, if the sender is another keeper
     newest: int = 0  # sequence number of the sender's own state
 
 
 class FollowRejected(msgspec.Struct, frozen=True, tag="refused", rename=_ENCODED_NAMES):
-    """Rejects a follower: the source is full, not closer to the keepers, or behind the follower."""
+    """Rejects a follower: the source is full, no closer to the keepers, or its state is older."""
 
     reason: str
 
@@ -121,9 +126,10 @@
 class Delta(msgspec.Struct, frozen=True, tag="delta", rename=_ENCODED_NAMES):
     """Transforms the state `first` into the state `last`; applied atomically.
 
-    It contains the newest value and version of each key that was written between them. `digest` is that of
-    the state `last` for the follower's kind. `evict_tenants`: more tenants were written than are listed
-    here, so the follower evicts those that it fetched on demand.
+    It contains the newest value and version of each key that was written between the two states. `digest` is
+    the digest, at the state `last`, of those sections of the table that followers of this kind hold.
+    `evict_tenants`: more tenants were written than are listed here, so the follower evicts the tenants that
+    it fetched on demand.
     """
 
     first: int
@@ -144,7 +150,11 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag="beat", rename=_ENCODED_NAMES):
-    """Shows that the source is alive; has its sequence number and its digest for the follower's kind."""
+    """Shows that the source is alive.
+
+    It has the sequence number of the source's state, and the digest of those sections of that state that a
+    follower of this kind holds.
+    """
 
     sequence: int
     digest: bytes
@@ -158,7 +168,7 @@
 
 
 class ProposeResult(msgspec.Struct, frozen=True, tag="proposed", rename=_ENCODED_NAMES):
-    """Answers `Propose`: the `sequence` of the committed change, or the reason why it is not committed.
+    """Answers `Propose`: the `sequence` of the committed change, or the reason why it was not committed.
 
     `unknown`: the change may be committed; a proposal with the same request id determines whether it is.
     """
@@ -166,7 +176,7 @@
     request_id: str
     sequence: int = 0
     reason: str = ""
-    leader: str = ""  # the writer, if it is another keeper
+    leader: str = ""  # id of the keeper (replica) that currently writes the feed, if it is not the sender
     unknown: bool = False
 
 
--- a/thistleline/config_feed/operations.py
+++ b/thistleline/config_feed/operations.py
@@ -1,4 +1,4 @@
-"""Operations that commands use: read values, propose a change, export the whole table."""
+"""Operations on the feed for commands: read values, propose a change, export the whole table."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from thistleline.config_feed.table import FeedTable
 from thistleline.transport.address import Address
 
-READ_TIMEOUT = 2.0  # s for one request
-ATTEMPT_TIMEOUT = 4.0  # s for one attempt of a proposal
-PROPOSE_TIMEOUT = 10.0  # s for all attempts
-RETRY_DELAY = 0.1  # s between two attempts, on average
-POLL_INTERVAL = 0.02  # s between two checks whether an export has begun to follow
+READ_TIMEOUT = 2.0  # s for one read request
+ATTEMPT_TIMEOUT = 4.0  # s for one attempt to propose a change
+PROPOSE_TIMEOUT = 10.0  # s for all attempts to propose a change
+RETRY_DELAY = 0.1  # s between two attempts to propose a change, on average
+POLL_INTERVAL = 0.02  # s between two checks whether the exporting process has begun to follow a source
 
 
 async def read(
     address: Address, keys: tuple[str, ...] = (), timeout: float = READ_TIMEOUT
 ) -> ReadResult | None:
-    """Return a server's status and its values of the keys; None if it does not answer in time."""
+    """Return the status of a keeper or relay and its values of the keys; None without an answer in time."""
     return await request(address, ReadRequest(keys), ReadResult, timeout)
 
 
@@ -65,7 +65,7 @@
 
         Args:
             answered: Whether the current keeper has answered.
-            leader: The keeper that it named as the writer.
+            leader: The keeper that the current keeper has named as the writer; empty for none.
 
         Returns:
             Whether to retry at once because of a redirect; otherwise the caller pauses first.
@@ -117,7 +117,7 @@
 
 
 async def export_table(servers: dict[str, Address], timeout: float) -> FeedTable | None:
-    """Return the whole table of one of the servers; None if none sends it within `timeout` seconds."""
+    """Return the whole table from one of the servers; None if no server sends it within `timeout` seconds."""
     service = FollowerService(f"export-{os.urandom(4).hex()}", servers, immediate=True)
     done = False
     with anyio.move_on_after(timeout):
--- a/thistleline/config_feed/peer_log.py
+++ b/thistleline/config_feed/peer_log.py
@@ -1,4 +1,4 @@
-"""A rate-limited log of events of peers."""
+"""A rate-limited log of events that concern peers, such as refused connections."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 
 class PeerLog:
-    """Logs an event of a peer, unless the last line of the same peer had the same reason.
+    """Logs an event that concerns a peer, unless the last line about this peer had the same reason.
 
     At most `MAX_LINES_PER_SECOND` lines are written: prevents unknown peers, each with a name of its own,
     from flooding the log.
 
     Attributes:
-        last_reasons: By peer, the reason that was logged last.
+        last_reasons: The reason that was last logged for each peer.
     """
 
     def __init__(self, log: Callable[..., None]) -> None:
         """Begin with no peers; `log` is called with an event's name and its fields."""
         self.last_reasons: dict[str, str] = {}
         self._log = log
-        self._lines = 0  # written in the current second
+        self._lines = 0  # lines written in the current second
         self._second_ends_at = 0  # ns of the boot clock
 
     def report(self, event: str, peer: str, reason: str) -> None:
-        """Log an event of a peer, unless it repeats the peer's last reason or the rate limit is reached."""
+        """Log an event that concerns a peer, unless its last reason is repeated or the limit is reached."""
         now = boot_now()
         if now >= self._second_ends_at:
             self._lines = 0
--- a/thistleline/config_feed/pending_queue.py
+++ b/thistleline/config_feed/pending_queue.py
@@ -1,4 +1,8 @@
-"""The queue of changes that wait for a group commit, and the deduplication of proposals. No I/O."""
+"""The queue of changes that wait for a group commit, and the deduplication of proposals. No I/O.
+
+A proposal asks the writer to commit a change. A ticket identifies the proposer that waits for the answer;
+several tickets can wait for one request, if the same request id is proposed again.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +19,7 @@
 
 
 def request_key(sequence: int) -> str:
-    """Return the key in the table that holds the request id of this change."""
+    """Return the key of the table entry that stores the request id of the change with this number."""
     return f"{REQUEST_PREFIX}{sequence % DEDUPLICATION_SLOTS}"
 
 
@@ -150,7 +154,7 @@
         return tickets
 
     def clear(self, newest: FeedTable) -> None:
-        """Drop all changes in the queue and set the newest table to `newest`."""
+        """Drop all changes in the queue; further proposals are based on the table `newest`."""
         self._changes.clear()
         self.size = 0
         self.newest = newest
--- a/thistleline/config_feed/record_client.py
+++ b/thistleline/config_feed/record_client.py
@@ -1,4 +1,4 @@
-"""Sends the writer's requests for its records to the consensus cluster."""
+"""Sends the writer's reads and writes of its records to the consensus cluster."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from thistleline.lease.client import LeaseClient
 from thistleline.lease.protocol import Denied, Done, Get, Got, Put
 
-READ_TIMEOUT = 0.8  # s; shorter than the second after which the writer repeats a read
+READ_TIMEOUT = 0.8  # s for one read; shorter than the second after which the writer repeats a read
 
 
 class RecordClient:
-    """Reads and writes records; puts the answers into the inbox with the epoch of the request."""
+    """Reads and writes records; puts each answer into the inbox, with the lease's epoch at the request."""
 
     def __init__(self, client: LeaseClient, tasks: TaskGroup, inbox: EventSink[RecordAnswered]) -> None:
         """Send requests through this client, each in a separate task."""
--- a/thistleline/config_feed/record_ring.py
+++ b/thistleline/config_feed/record_ring.py
@@ -1,4 +1,7 @@
-"""The writer's view of the ring of records in the consensus cluster, which stores the newest groups."""
+"""The writer's view of the ring: records in the consensus cluster that store the newest groups of changes.
+
+The ring has a fixed number of records, its slots, which are overwritten in turn.
+"""
 
 from __future__ import annotations
 
@@ -29,9 +32,11 @@
     def __init__(self) -> None:
         """Start with an empty ring."""
         self.slot = 0
-        self._versions = [0] * RING_SLOTS  # of the records; 0 for a record that does not exist
-        self._last_sequences = [0] * RING_SLOTS  # of the last change in each record; 0 for none
-        self._read_records: dict[int, tuple[bytes, int]] = {}  # values and versions in recovery, by slot
+        self._versions = [0] * RING_SLOTS  # of the records, by slot; 0 for a record that does not exist
+        self._last_sequences = [
+            0
+        ] * RING_SLOTS  # sequence number of the last change in each record; 0 for none
+        self._read_records: dict[int, tuple[bytes, int]] = {}  # values and versions read in recovery, by slot
         # Slots and versions of writes under earlier leases whose outcome was never determined.
         self._abandoned: dict[tuple[int, int], None] = {}
 
@@ -78,7 +83,7 @@
     # ---- writes of earlier leases
 
     def abandon(self, version: int) -> None:
-        """Record that a write to the record at `slot` that requires this version has an unknown outcome."""
+        """Note that the outcome of a write is unknown: to the record at `slot`, requiring this version."""
         self._abandoned[self.slot, version] = None
         while len(self._abandoned) > 4 * RING_SLOTS:
             del self._abandoned[next(iter(self._abandoned))]
--- a/thistleline/config_feed/recovery.py
+++ b/thistleline/config_feed/recovery.py
@@ -1,4 +1,7 @@
-"""Recovers the newest groups from the records and replays them on a new writer's table. No I/O."""
+"""Recovers the newest groups of changes from the records of the ring. No I/O.
+
+The consensus cluster stores these records. A new writer replays the groups on its table.
+"""
 
 from __future__ import annotations
 
@@ -67,7 +70,9 @@
 
 
 def check_chain(recorded: Sequence[RecordedGroup], slots: int) -> None:
-    """Check that groups, in the order of their changes, are consecutive by sequence, slot, digest and epoch.
+    """Check that each group follows the previous one by sequence number, slot, digest and epoch.
+
+    The groups are given in the order of their changes.
 
     Raises:
         RecoveryError: A group does not follow the previous one.
@@ -85,7 +90,7 @@
 
 
 def replay_groups(table: FeedTable, groups: Iterable[Group]) -> list[ReplayedGroup]:
-    """Apply the changes of the groups that a table does not have yet.
+    """Apply the groups whose changes the table does not have yet, in order.
 
     Raises:
         RecoveryError: A digest in the groups does not match the table.
@@ -113,6 +118,6 @@
 
 
 def newest_items(changes: Iterable[Change]) -> Items:
-    """Return the newest item of each key that the changes write, as a step of the history has them."""
+    """Return the newest item for each key that the changes write, as in a step of the history."""
     newest = {key: (value, change.sequence) for change in changes for key, value in change.items}
     return flatten_items(newest)
--- a/thistleline/config_feed/relay.py
+++ b/thistleline/config_feed/relay.py
@@ -1,8 +1,9 @@
-"""State machine of a keeper or a relay: combines the follower, the source and the writer.
+"""State machine of a keeper or a relay: combines the follower, the source and, in a keeper, the writer.
 
+The follower receives the table, the source serves it, and the writer commits changes to it.
 It does no I/O and reads no clock. Each event is dispatched to the components that it concerns, and changes of
-one component that affect another are propagated. The effects are those of the components, except for the
-ones that are handled by another component, plus `PersistStep` and `PersistTable` for the local disk.
+one component that affect another are propagated. The effects of the components are returned, except for
+those that are handled by another component, and also `PersistStep` and `PersistTable` for the local disk.
 """
 
 from __future__ import annotations
@@ -84,7 +85,7 @@
 class KnownWriter(NamedTuple):
     """What this process knows about the writer."""
 
-    epoch: int = 0  # fencing epoch of its lease; 0 while unknown
+    epoch: int = 0  # fencing epoch of the writer's lease; 0 while unknown
     is_local: bool = False  # whether this process is the writer
     leader: str = ""  # id of the other keeper that is the writer, if known
 
@@ -93,7 +94,7 @@
     """A keeper, or a relay, which has no writer component.
 
     Attributes:
-        known_writer: What the source was last informed of about the writer.
+        known_writer: What the source component was last told about the writer.
     """
 
     __slots__ = (
@@ -126,13 +127,13 @@
 
         Args:
             id: Id of this keeper or relay.
-            level: Distance from the writer; 0 for a keeper.
+            level: Distance from the keepers; 0 for a keeper.
             table: The state to start from.
             sources: Names of the sources to follow, in order of preference.
             now: Time in ns.
             random_delay: Draws a random part of a duration in ns, for backoff.
             keepers: For a keeper, the ids of all keepers, including its own; empty for a relay.
-            max_followers: Limit of followers to serve, not counting keepers.
+            max_followers: Maximum number of followers to serve, not counting keepers.
         """
         self.id = id
         self.level = level
@@ -144,7 +145,7 @@
         self._follow_mode: FollowMode = "writer"
         self._keeper_peers: dict[str, int] = {}  # newest connection of each keeper that follows this one
         self._sender = 0  # the connection whose event is being handled
-        self._persisted_sequence = table.sequence  # of the last `PersistStep` or `PersistTable` effect
+        self._persisted_sequence = table.sequence  # in the last `PersistStep` or `PersistTable`
         self._effects: list[RelayEffect] = []
 
     def copy(self) -> FeedRelay:
@@ -176,7 +177,7 @@
 
     @property
     def is_writer(self) -> bool:
-        """Whether this is the writer: it holds the lease and its table is complete."""
+        """Whether this process is the writer: it holds the lease and its table is complete."""
         return self.writer is not None and self.writer.phase in ("settling", "writing")
 
     @property
@@ -232,9 +233,9 @@
     def _on_subscriber_message(self, now: int, event: SubscriberMessage) -> None:
         message = event.message
         if isinstance(message, Follow) and self._is_from_keeper(message):
-            # Resets the durable number of a keeper that reconnects: it may have lost its disk, and must not
-            # count as having stored what it had before. Done before the source handles the request, so that
-            # it also happens where the source rejects the keeper.
+            # Resets the durable sequence number of a keeper that reconnects: it may have lost its disk, and
+            # must not count as having stored what it had before. Done before the source handles the request,
+            # so that the number is also reset if the source rejects the keeper.
             self._keeper_peers[message.id] = event.peer
             self._write(now, KeeperDurable(message.id, 0))
         self._sender = event.peer
@@ -274,8 +275,8 @@
             if not isinstance(effect, SubscriberDurable):
                 self._effects.append(effect)
             elif self.writer is not None and self._keeper_peers.get(effect.subscriber) == self._sender:
-                # Only from the keeper's newest connection: an older one may still report the content of a
-                # disk that was lost since.
+                # Counted only from the keeper's newest connection: an older connection may still report the
+                # content of a disk that the keeper has lost since.
                 self._write(now, KeeperDurable(effect.subscriber, effect.sequence))
 
     def _write(self, now: int, event: WriterEvent) -> None:
@@ -316,7 +317,7 @@
             self._write(now, CatchUpAdvanced())
 
     def _items_since(self, sequence: int) -> Items:
-        """Return the newest item of each key that was written after the state `sequence` of the history."""
+        """Return the newest item for each key that was written after the history's state `sequence`."""
         newest: dict[str, tuple[bytes | None, int]] = {}
         for first, _, items, _ in reversed(self.history.steps):
             if first < sequence:
--- a/thistleline/config_feed/request.py
+++ b/thistleline/config_feed/request.py
@@ -26,7 +26,7 @@
 
     Raises:
         ProtocolError: The server does not speak this protocol.
-        OSError: The connection has ended; also other errors of `DISCONNECT_ERRORS`.
+        OSError: The connection has ended; any other error listed in `DISCONNECT_ERRORS` may be raised too.
     """
     await stream.send(encode_frame(encode(own)))
     peer_hello = await receive_hello(stream)
--- a/thistleline/config_feed/send_queue.py
+++ b/thistleline/config_feed/send_queue.py
@@ -15,10 +15,10 @@
 
 CHUNK_SIZE = 1 << 18  # bytes read or sent at once
 MAX_QUEUED = 4 << 20  # bytes queued for a peer; beyond it the connection is ended
-# Bytes; while more is queued, nothing is read from the peer. Larger than a delta together with all tenants
-# that a peer may request.
+# Bytes; while more is queued for a peer, nothing is read from it. Larger than a delta together with all
+# tenants that a peer may request.
 READ_THRESHOLD = MAX_QUEUED // 2
-MAX_ENCODED = 16  # frames that are cached for other receivers
+MAX_ENCODED = 16  # encoded messages that are cached, as the same message is sent to many receivers
 CHECK_INTERVAL = 500 * MS  # ns between two checks for peers that read nothing or send nothing
 
 
--- a/thistleline/config_feed/service.py
+++ b/thistleline/config_feed/service.py
@@ -66,7 +66,7 @@
         relay: The state machine.
         listener: Incoming connections.
         archive: The state on disk, if a folder is configured.
-        peer_log: Log of events of peers, limited in rate.
+        peer_log: Rate-limited log of events that concern peers.
         address: The address to listen on.
         inbox: Events that have not been handled yet.
     """
--- a/thistleline/config_feed/service_events.py
+++ b/thistleline/config_feed/service_events.py
@@ -23,11 +23,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ArchiveDurable:
-    """The archive has the state `sequence` on disk.
+    """The archive has stored the state `sequence` on disk.
 
     Attributes:
         sequence: Sequence number of the state.
-        generation: Generation of the archive at the time of the write; it changes when the table is replaced.
+        generation: Generation of the archive at the time of the write: how often its table was replaced.
     """
 
     sequence: int
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordAnswered:
-    """The consensus cluster has answered a request for a record, sent under the lease of this epoch."""
+    """The consensus cluster answered a read or write of a record, sent under the lease with this epoch."""
 
     epoch: int
     answer: RecordRead | RecordWritten | WriteDenied | WriteUnanswered
--- a/thistleline/config_feed/snapshot.py
+++ b/thistleline/config_feed/snapshot.py
@@ -1,6 +1,6 @@
 """Snapshots of a table, split into parts on demand and shared by all followers that load them.
 
-No I/O, no clock.
+A part is a message with some of the snapshot's entries. No I/O, no clock.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
         self._lookahead = next(self._remaining, None)
 
     def part(self, index: int) -> SnapshotPart | None:
-        """Return a part that was already built, or the next one; None after the last.
+        """Return the part with this index: one that was already built, or the next one; None after the last.
 
-        The field `parts` of the message is 0, except in the last part, where it is the number of parts.
+        The message's field `parts` is 0, except in the last part, where it is the number of parts.
         """
         if index == len(self.parts) and (self._lookahead is not None or not index):
             self._cut()
@@ -55,7 +55,7 @@
 
 
 class SnapshotCache:
-    """The snapshots being loaded, one of each kind; dropped after `SNAPSHOT_TTL` without use."""
+    """The snapshots being loaded, one for each kind of follower; dropped after `SNAPSHOT_TTL` without use."""
 
     __slots__ = ("by_kind", "last_used_at")
 
--- a/thistleline/config_feed/source.py
+++ b/thistleline/config_feed/source.py
@@ -1,10 +1,11 @@
 """State machine of a source: decides what to send to each subscriber, and when. No I/O, no clock.
 
+A source is a keeper or relay that serves the feed's table; its subscribers are the followers connected to it.
 Messages sent to a subscriber before `CloseDownstream` must still be delivered; after it, the caller must pass
 in no more events of that subscriber. The caller must read a subscriber's messages only while the subscriber
 reads what it is sent: together with the flow control window of one delta, this makes a queue in here
 unnecessary. Times are integer nanoseconds. The cost of an event does not depend on the number of subscribers,
-except for pushing a change and for another writer.
+except when a change is sent to all of them and when the writer changes.
 """
 
 from __future__ import annotations
@@ -58,8 +59,8 @@
 from thistleline.reducer.events import DeadlineReached
 
 MAX_LEVEL = 64
-# Connections for keepers alone, beyond `max_followers`: without them, keepers could not follow a full writer,
-# and no change would be committed.
+# Connections reserved for keepers, beyond `max_followers`: without them, keepers could not follow a writer
+# that has the maximum number of followers, and no change would be committed.
 RESERVED_FOR_KEEPERS = 8
 DIGEST_SIZE = 16  # bytes
 
@@ -69,11 +70,11 @@
 
     Attributes:
         history: The states to serve; the owner advances it and then passes in `HistoryAdvanced`.
-        level: Distance of this process from the writer: 0 for a keeper; a relay's level is higher than that
-            of its source.
+        level: Distance of this process from the keepers: 0 for a keeper; a relay's level is higher than the
+            level of its source.
         epoch: Fencing epoch of the writer's lease; 0 while unknown.
         is_writer: Whether this process is the writer.
-        leader: Id of the keeper that is the writer, if known and not this one.
+        leader: Id of the keeper that is the writer, if known and not this process.
         subscribers: Subscribers by the number of their connection.
         up_to_date: Connections of subscribers that hold the newest state and have nothing in flight.
     """
@@ -105,8 +106,8 @@
         self.leader = ""
         self.subscribers: dict[int, Subscriber] = {}
         self.up_to_date: dict[int, None] = {}
-        # Both are ordered by time. They are an OrderedDict, because finding the first item of a plain dict
-        # scans over the entries that were deleted before it.
+        # Times by connection, both in ascending order. Each is an OrderedDict, because finding the first item
+        # of a plain dict scans over the entries that were deleted before it.
         self.last_received_at: OrderedDict[int, int] = OrderedDict()
         self.last_sent_at: OrderedDict[int, int] = OrderedDict()  # accepted subscribers only
         self.snapshots = SnapshotCache(now)
--- a/thistleline/config_feed/status.py
+++ b/thistleline/config_feed/status.py
@@ -1,4 +1,4 @@
-"""Answers to requests for values and for the status of a keeper or relay."""
+"""Answers requests for the status of a keeper or relay and for values from its table."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from thistleline.config_feed.messages import ReadRequest, ReadResult
 from thistleline.config_feed.relay import FeedRelay
 
-MAX_READ_KEYS = 128  # in one answer
+MAX_READ_KEYS = 128  # keys in one answer
 MAX_READ_SIZE = MESSAGE_SIZE_LIMIT // 2  # bytes of keys and values in one answer
 
 
--- a/thistleline/config_feed/subscriber.py
+++ b/thistleline/config_feed/subscriber.py
@@ -17,18 +17,18 @@
     """A follower from the point of view of its source.
 
     Attributes:
-        phase: `new` until its `Follow` was accepted.
-        id: Id given by its `Follow`.
-        kind: Which entries it holds.
-        level: Its distance from the writer; 0 for a keeper or an instance.
-        sequence: Sequence number of its state, as given by its `Follow` or acknowledged since.
-        digest: Digest of its state.
+        phase: Phase of the connection; `new` until the follower's `Follow` was accepted.
+        id: The follower's id, as given by its `Follow`.
+        kind: Which entries the follower holds: "all", or "wide" for all except the tenants.
+        level: The follower's distance from the keepers; 0 for a keeper or an instance.
+        sequence: Sequence number of the follower's state, as given by its `Follow` or acknowledged since.
+        digest: Digest of the follower's state.
         in_flight: The state that an unacknowledged delta leads to; the flow control window is one delta.
-        loading: The state whose snapshot it is loading.
-        next_part: Index of the part that it may request next.
+        loading: The state whose snapshot the follower is loading.
+        next_part: Index of the snapshot part that the follower may request next.
         last_part_sent: Whether the last part of the snapshot was sent.
-        durable: Sequence number of the state that it has reported as being on its disk.
-        pending_tenants: Requested keys, in order, that are answered after the next delta.
+        durable: Sequence number of the state that the follower has reported as stored on its disk.
+        pending_tenants: Keys of the requested tenants, in order; they are answered after the next delta.
     """
 
     phase: Phase = "new"
@@ -57,5 +57,5 @@
 
     @property
     def newest_sent(self) -> int:
-        """The sequence number of its state once all messages sent to it have arrived."""
+        """The sequence number that the follower's state has once all messages sent to it have arrived."""
         return self.in_flight[0] if self.in_flight else self.sequence
--- a/thistleline/config_feed/table.py
+++ b/thistleline/config_feed/table.py
@@ -1,9 +1,10 @@
 """The keyed table of the feed as an immutable value, with a digest of its contents. No I/O, no clock.
 
 A key begins with its section. Every follower holds `route/...`, `common/...` and other sections; an instance
-holds only those `tenant/...` entries that it uses. `made/SLOT` holds the request id of the newest change
-whose sequence number maps to that slot. The ids that deduplicate proposals are part of the replicated state,
-so that the next writer has them; no instance holds them.
+(a process that uses the configuration) holds only those `tenant/...` entries that it uses. `made/SLOT` holds
+the request id of the newest change whose sequence number maps to that slot. The request ids, which
+deduplicate proposals, are part of the replicated state, so that the next writer has them; no instance holds
+them.
 
 Entries are stored in persistent maps, so that one reference is one complete state: a reader sees all of a
 change or none of it, and a snapshot remains the state at which it was started.
--- a/thistleline/config_feed/upstream.py
+++ b/thistleline/config_feed/upstream.py
@@ -1,4 +1,4 @@
-"""The connection of a follower to its source."""
+"""The connection of a follower to its source, the keeper or relay that sends it the table."""
 
 from __future__ import annotations
 
@@ -99,7 +99,7 @@
         self.scope = anyio.CancelScope()
         self.queue = SendQueue(self.scope.cancel)
         self.abandoned = False  # the follower has disconnected: no more events go to the inbox
-        self.reason = ""  # the first reason noted for its end
+        self.reason = ""  # the first reason noted for the end of the connection
 
     def note(self, reason: str) -> None:
         self.reason = self.reason or reason
--- a/thistleline/config_feed/validation.py
+++ b/thistleline/config_feed/validation.py
@@ -6,7 +6,7 @@
     tenant/NAME     a tenant and its share of the service, as `Tenant` of interface.py
     common/NAME     shared settings with any fields; `common/tenant` is the default for all tenants
 
-Unknown fields are refused by name, so that the table has no values without a reader.
+Unknown fields are refused by name, so that the table has no values that no program reads.
 """
 
 from collections.abc import Iterator
@@ -40,14 +40,14 @@
 
 
 class RouteValue(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The value of `route/NAME`: one kind of work. The defaults are the same as in a server's settings."""
+    """The value of `route/NAME`: a class of requests; the defaults are the same as in a server's settings."""
 
     limit_ms: Duration  # from arrival in the fleet until the client gives up
     effect: Literal["restartable", "fingerprinted", "side-effecting"]
     stage: Name | None = None  # by default the name in the key
     due_ms: Duration | None = None  # from arrival in the fleet until the desired answer; by default the limit
-    due_stretch: Amount = 0.0  # added to the due time, as a multiple of the work's own duration
-    window_ms: Window = 0.0  # how long fingerprinted work may be repeated
+    due_stretch: Amount = 0.0  # added to the due time, as a multiple of the request's own duration
+    window_ms: Window = 0.0  # for effect "fingerprinted": time in which duplicates of a request may arrive
     utility: Amount = 1.0
     late_share: Share = 0.0
     calls: bool = False
--- a/thistleline/config_feed/writer.py
+++ b/thistleline/config_feed/writer.py
@@ -9,13 +9,13 @@
 
     standby      this keeper does not hold the lease
     reading      reads the records of the ring
-    catching_up  follows another keeper until the table reaches the oldest record
+    catching_up  follows another keeper until the table includes all changes before the oldest record
     writing      commits proposals
     settling     a write's outcome is unknown; reads its record to determine it
 
-An answer may arrive late, twice or never. Only the record is authoritative: a write succeeds only on the
-version that was read and in the epoch of the lease, so the only cost of a late answer is a read. A proposal
-whose outcome is uncertain is answered with `unknown`.
+An answer from the cluster may arrive late, twice or never. Only the record is authoritative: a write succeeds
+only if the record still has the version that was read and the lease still has its epoch, so the only cost of
+a late answer is a read. A proposal whose outcome is uncertain is answered with `unknown`.
 """
 
 from __future__ import annotations
@@ -75,7 +75,7 @@
 
 OwnPhase = Literal["standby", "reading", "catching_up", "writing"]
 Phase = Literal[OwnPhase, "settling"]
-CATCH_UP_TIMEOUT_NS = 30 * SECOND  # without progress, before the lease is released for another keeper
+CATCH_UP_TIMEOUT_NS = 30 * SECOND  # time without progress before the lease is released for another keeper
 PENDING_SIZE_LIMIT = 8 << 20  # bytes of changes in the queue, beyond which proposals are refused
 
 
@@ -133,10 +133,10 @@
         self._commit = GroupCommit(self._ring)
         self._recovered_groups: tuple[Group, ...] = ()  # groups read from the ring, until they are replayed
         self._recovery_deadline = NEVER  # when to repeat reads, or to give up catching up
-        self._stall_deadline = NEVER  # when to stop waiting for the keepers' disks and refuse proposals
+        self._stall_deadline = NEVER  # when to refuse proposals, as the keepers' disks are behind
         self._catch_up_sequence = 0  # last sequence number reached in catching up
         self._committed_groups = 0
-        self._refused_count = 0  # number of proposals
+        self._refused_count = 0  # number of refused proposals
 
     def copy(self, history: History | None = None) -> FeedWriter:
         """Return an independent copy, for state space exploration.
@@ -188,7 +188,7 @@
 
     @property
     def is_stalled(self) -> bool:
-        """Whether proposals are refused because the keepers' disks are too far behind for too long."""
+        """Whether proposals are refused because too few keepers' disks have caught up for too long."""
         return self._now >= self._stall_deadline
 
     def counters(self) -> dict[str, int]:
@@ -392,7 +392,10 @@
             self._check_slot()
 
     def _slot_is_free(self) -> bool:
-        """Return whether the next slot may be written: it is empty, or a majority has its group on disk."""
+        """Return whether the ring's next record may be overwritten.
+
+        It may be if it is empty, or if a majority of the keepers has its group of changes on disk.
+        """
         last = self._ring.last_sequence
         return not last or self.durable.has_majority(last)
 
@@ -404,7 +407,7 @@
         )
 
     def _check_slot(self) -> None:
-        """Start the next commit if its slot is free; otherwise set a deadline for the slot to become free."""
+        """Start the next commit if its slot of the ring is free; otherwise set a deadline for that."""
         if self.in_flight is not None:
             return
         if self._slot_is_free():
--- a/thistleline/config_feed/writer_effects.py
+++ b/thistleline/config_feed/writer_effects.py
@@ -1,4 +1,4 @@
-"""Effects of the writer's state machine, which its driver carries out in order."""
+"""Effects of the writer's state machine, which its caller carries out in order."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRecord:
-    """Read this record of the consensus cluster; answered by `RecordRead`, repeated without an answer."""
+    """Read this record in the consensus cluster.
+
+    Answered by `RecordRead`; the writer repeats a read that has no answer.
+    """
 
     slot: int
     key: str
--- a/thistleline/config_feed/writer_events.py
+++ b/thistleline/config_feed/writer_events.py
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteUnanswered:
-    """No answer to `WriteRecord` will arrive; the write may still be committed."""
+    """`WriteRecord` will get no answer; the write may still be committed."""
 
     slot: int
 
@@ -59,8 +59,8 @@
 class KeeperDurable:
     """A keeper acknowledges that its disk has the state `sequence`.
 
-    The most recent acknowledgement counts, even if it is lower: a keeper that lost its disk does not count
-    towards a majority until it has all changes again.
+    A keeper's most recent acknowledgement counts, even if its number is lower than before: a keeper that lost
+    its disk does not count towards a majority until it has all changes again.
     """
 
     keeper: str
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CatchUpAdvanced:
-    """The history has advanced by following another keeper; the writer checks whether it can start."""
+    """The local table has advanced by following another keeper; the new writer checks if it can start."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/thistleline/config_feed/writer_lease.py
+++ b/thistleline/config_feed/writer_lease.py
@@ -1,4 +1,4 @@
-"""The writer's lease, which each keeper tries to hold as long as it runs."""
+"""The lease that makes a keeper the writer; each keeper tries to hold it for as long as the keeper runs."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
 from thistleline.lease.session import HolderDriver
 from thistleline.store.clock import boot_now
 
-# Fractions of the lease's duration; a keeper that lost the lease waits so that another can acquire it.
+# Range of the random delay before a keeper that lost the lease requests it again, as fractions of the lease's
+# duration; meanwhile another keeper can acquire it.
 REACQUIRE_DELAY_FRACTIONS = (0.3, 0.6)
 
 
