--- a/thistleline/config_feed/messages.py
+++ b/thistleline/config_feed/messages.py
@@ -105,7 +105,7 @@
 
 
 class FollowAccepted(msgspec.Struct, frozen=True, tag="welcome", rename=_ENCODED_NAMES):
-    """Accepts a follower: deltas follow, or the snapshot at `sequence` in `parts` parts (0 if not known yet)."""
+    """Accepts a follower: deltas follow, or the snapshot at `sequence` in `parts` parts (0 if unknown)."""
 
     sequence: int
     load_snapshot: bool
--- a/thistleline/consensus/effects.py
+++ b/thistleline/consensus/effects.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a message to the replica with id `to`; it may be lost, duplicated or late."""
+    """Send a message to the replica with id `to`; the message may be lost, duplicated or late."""
 
     to: str
     message: Message
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteRecords:
-    """Write a batch to disk and report WriteCompleted or WriteFailed; at most one batch is outstanding."""
+    """Write a batch of records to disk and report WriteCompleted or WriteFailed; one batch at a time."""
 
     batch: WriteBatch
 
@@ -35,8 +35,8 @@
 class ReadReady:
     """The state machine may be read for `ticket`.
 
-    All entries that were in the log when the read was requested are applied, and since then a majority has
-    confirmed that it follows no other leader.
+    All entries that were in the log when the read was requested are applied, and since that request, a
+    majority of the members has confirmed that it follows no other leader.
     """
 
     ticket: Any
@@ -44,7 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestRefused:
-    """A request was refused or dropped; its outcome is unknown. `leader` is the leader's id, if known."""
+    """A client's request was refused or dropped; its outcome is unknown.
+
+    `leader` is the id of the leader, if known.
+    """
 
     ticket: Any
     reason: str
--- a/thistleline/consensus/elections.py
+++ b/thistleline/consensus/elections.py
@@ -11,7 +11,7 @@
 
 
 class Elections:
-    """Runs this replica's elections and votes on those of others.
+    """Runs this replica's elections and votes in the elections of other replicas.
 
     Attributes:
         state: State of the replica.
@@ -76,7 +76,7 @@
         return counts and self.add_vote(sender)
 
     def add_vote(self, voter: str) -> bool:
-        """Add a (pre-)vote and return whether it wins the election; pre-votes of a majority start it."""
+        """Add a (pre-)vote; return whether it wins. A majority of pre-votes starts an election."""
         self.votes.add(voter)
         if not self.state.has_majority(self.votes):
             return False
@@ -99,13 +99,13 @@
         return bool(state.leader) and state.now - state.leader_contact_at < state.timing.election_timeout
 
     def answer_pre_vote(self, candidate: str, request: VoteRequest) -> None:
-        """Answer whether a vote would be granted."""
+        """Answer a pre-vote request: whether this replica would grant a vote."""
         state = self.state
         granted = request.term > state.term and not self.follows_leader() and self._accepts_log(request)
         state.send(candidate, VoteResponse(state.term, request.term, True, granted))
 
     def answer_vote(self, candidate: str, request: VoteRequest) -> None:
-        """Grant or deny a vote of at most the current term."""
+        """Grant or deny a vote in an election whose term is at most the current term."""
         state = self.state
         free = state.voted_for in ("", candidate)
         granted = request.term == state.term and free and self._accepts_log(request)
--- a/thistleline/consensus/events.py
+++ b/thistleline/consensus/events.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message of another replica arrived."""
+    """A message from another replica arrived."""
 
     sender: str
     message: Message
--- a/thistleline/consensus/follower.py
+++ b/thistleline/consensus/follower.py
@@ -11,7 +11,7 @@
         return AppendResponse(state.term, False, -1, 0)
     log = state.log
     known_term = log.term_at(request.prev_log_index)
-    # -1: the snapshot covers the index; the entries there are committed and therefore match.
+    # -1: this replica's snapshot covers the index; the entries there are committed and therefore match.
     if request.prev_log_index > log.last_index or known_term not in (request.prev_log_term, -1):
         return AppendResponse(state.term, False, _match_hint(state, request), request.round)
     _merge_entries(state, request)
@@ -19,7 +19,10 @@
 
 
 def _match_hint(state: ReplicaState, request: AppendRequest) -> int:
-    """Return the highest index where the logs may match, skipping all entries of the conflicting term."""
+    """Return the highest index at which this log and the leader's may match.
+
+    All entries of the term that conflicts with the leader's entry are skipped.
+    """
     log = state.log
     hint = min(request.prev_log_index - 1, log.last_index)
     conflicting_term = log.term_at(hint + 1)
@@ -29,7 +32,7 @@
 
 
 def _merge_entries(state: ReplicaState, request: AppendRequest) -> None:
-    """Append the entries that the log lacks; the first conflicting one replaces the rest of the log."""
+    """Append the leader's entries that the log lacks; a conflicting one replaces the rest of the log."""
     log = state.log
     for offset, entry in enumerate(request.entries):
         index = request.prev_log_index + offset + 1
--- a/thistleline/consensus/log.py
+++ b/thistleline/consensus/log.py
@@ -8,8 +8,8 @@
 
     Attributes:
         snapshot_index: Last index covered by the snapshot.
-        snapshot_term: Term of that index.
-        snapshot_members: Cluster members at that index.
+        snapshot_term: Term of the entry at `snapshot_index`.
+        snapshot_members: Cluster members as of `snapshot_index`.
         entries: Entries from `snapshot_index + 1` on.
         member_changes: Index and new members of each membership entry in `entries`.
         size: Bytes of the data of all entries.
@@ -48,7 +48,7 @@
         return self.entries[index - self.snapshot_index - 1]
 
     def slice(self, first_index: int, max_entries: int, max_bytes: int) -> tuple[Entry, ...]:
-        """Return entries from `first_index` on, up to both limits, but at least one if there is one."""
+        """Return entries from `first_index` on, up to both limits, but at least one if the log has it."""
         found: list[Entry] = []
         bytes_left = max_bytes
         offset = first_index - self.snapshot_index - 1
@@ -87,7 +87,7 @@
         return self.snapshot_members
 
     def compact(self, index: int, term: int, members: Members) -> None:
-        """Replace all entries up to `index` by a snapshot; drop the whole log if its term there differs."""
+        """Replace all entries up to `index` with a snapshot; drop the whole log if its term there differs."""
         if self.term_at(index) == term:
             del self.entries[: index - self.snapshot_index]
         else:
--- a/thistleline/consensus/membership.py
+++ b/thistleline/consensus/membership.py
@@ -12,10 +12,11 @@
 
 
 class MembershipChanges:
-    """Adds and removes members on the leader.
+    """Adds members to the cluster and removes them; runs on the leader.
 
-    One change at a time, so that any two majorities share a member. No change starts before this leader has
-    committed an entry of its term: otherwise two leaders could each have a different uncommitted change.
+    One member is changed at a time, so that any two majorities share a member. No change starts before this
+    leader has committed an entry of its term: otherwise two leaders could each have a different uncommitted
+    change.
 
     Attributes:
         state: State of the replica.
@@ -49,7 +50,7 @@
         return tickets
 
     def change(self, ticket: Any, change: Literal["add", "remove"], member: Member) -> bool:
-        """Start a change; return whether it was appended to the log."""
+        """Start to add or remove a member; return whether the change was appended to the log."""
         state = self.state
         if not self._can_change():
             state.refuse(
@@ -108,7 +109,7 @@
             state.joining = None
 
     def finish_change(self) -> None:
-        """Answer the committed change and forget removed peers."""
+        """Answer the request of the committed change, and stop sending to removed members."""
         if self.change_ticket is not None:
             self.state.effects.append(ProposalApplied(self.change_ticket, "changed"))
             self.change_ticket = None
--- a/thistleline/consensus/messages.py
+++ b/thistleline/consensus/messages.py
@@ -19,7 +19,7 @@
     Attributes:
         term: Term of the leader that appended the entry.
         kind: What `data` holds. "decision": a command for the state machine; "nothing": no data, the first
-            entry of each leader's term; "members": the cluster members as written by `encode_members`.
+            entry of each leader's term; "members": the new cluster members, encoded by `encode_members`.
         data: Encoded payload.
     """
 
@@ -96,10 +96,10 @@
     Attributes:
         term: Leader's term.
         prev_log_index: Index of the entry before `entries`.
-        prev_log_term: Term of that entry.
+        prev_log_term: Term of the entry at `prev_log_index`.
         entries: New entries; empty for a bare heartbeat.
         leader_commit: Leader's commit index.
-        round: Number of the heartbeat round, confirmed by the response.
+        round: Number of the heartbeat round, in which members confirm the leader (`reads.py`).
     """
 
     term: int
@@ -122,10 +122,10 @@
         term: Leader's term.
         cluster_id: Cluster that the snapshot belongs to.
         last_included_index: Last log index that the snapshot covers.
-        last_included_term: Term of that index.
-        members: Cluster members at that index.
+        last_included_term: Term of the entry at `last_included_index`.
+        members: Cluster members as of `last_included_index`.
         state: Snapshot of the state machine.
-        round: Number of the heartbeat round, confirmed by the response.
+        round: Number of the heartbeat round, in which members confirm the leader (`reads.py`).
     """
 
     term: int
@@ -142,10 +142,10 @@
 
     Attributes:
         term: Current term of the replica.
-        success: Whether the log matches the leader's up to `index` and is durable there.
+        success: Whether the sender's log matches the leader's up to `index` and is durable on disk up to it.
         index: On success, the highest matching index. Otherwise, the highest index where the logs may match;
             negative if the replica is empty and needs a snapshot.
-        round: Heartbeat round of the request.
+        round: Number of the heartbeat round in the request.
     """
 
     term: int
--- a/thistleline/consensus/persistence.py
+++ b/thistleline/consensus/persistence.py
@@ -28,7 +28,7 @@
 
 
 def _compact_log(state: ReplicaState) -> None:
-    """Replace all applied entries by a snapshot of the state machine."""
+    """Replace all applied log entries with a snapshot of the state machine."""
     log = state.log
     index = state.last_applied
     if index > log.snapshot_index:
--- a/thistleline/consensus/reads.py
+++ b/thistleline/consensus/reads.py
@@ -2,6 +2,10 @@
 
 A read is answered once a majority has confirmed the leader after the read was requested. The leader's clock
 alone does not prove leadership: the leader may have been paused while another one was elected.
+
+Members confirm the leader by answering a heartbeat with its round number. One round confirms the leader for
+all reads that were waiting when it began. The read index is the log index that has to be applied before a
+read is answered.
 """
 
 from collections.abc import Iterable
@@ -13,7 +17,7 @@
 
 
 class PendingRead(NamedTuple):
-    """A read that is ready once `read_index` is applied."""
+    """A read that is ready once the log is applied up to `read_index`."""
 
     read_index: int
     ticket: Any
@@ -24,9 +28,9 @@
 
     Attributes:
         state: State of the replica.
-        replication: Sends the rounds.
-        waiting: Reads for the next round.
-        in_round: Reads of the outstanding round, or of a confirmed one whose index is not applied yet.
+        replication: Sends the heartbeats of the rounds.
+        waiting: Reads that wait for the next round.
+        in_round: Reads of the outstanding round; once it is confirmed, those whose index is not applied yet.
     """
 
     __slots__ = ("in_round", "replication", "state", "waiting")
@@ -75,7 +79,7 @@
         self.answer()  # in a cluster of one member, the leader alone is the majority
 
     def answer(self) -> None:
-        """Answer the reads of the outstanding round whose index is applied, if the round is confirmed."""
+        """Answer the outstanding round's reads whose read index is applied, if the round is confirmed."""
         if not self.in_round:
             return
         state = self.state
--- a/thistleline/consensus/records.py
+++ b/thistleline/consensus/records.py
@@ -30,8 +30,8 @@
         term: Current term.
         voted_for: Candidate voted for in `term`; empty if none.
         last_included_index: Last log index that the snapshot covers.
-        last_included_term: Term of that index.
-        members: Cluster members at that index.
+        last_included_term: Term of the entry at `last_included_index`.
+        members: Cluster members as of `last_included_index`.
         state: Snapshot of the state machine.
     """
 
@@ -46,7 +46,7 @@
 
 
 class VoteRecord(msgspec.Struct, frozen=True, tag="ballot", rename={"voted_for": "vote"}):
-    """The current term and the candidate voted for in it; empty if none."""
+    """The current term, and the candidate voted for in this term; the candidate is empty if there is none."""
 
     term: int
     voted_for: str
--- a/thistleline/consensus/replay.py
+++ b/thistleline/consensus/replay.py
@@ -9,7 +9,7 @@
 
 
 class Replay:
-    """The state given by the records of one segment that were replayed so far."""
+    """The replica's state after replaying some of the records in one segment file."""
 
     __slots__ = ("log", "snapshot", "vote")
 
--- a/thistleline/consensus/replica.py
+++ b/thistleline/consensus/replica.py
@@ -9,7 +9,8 @@
     membership    membership changes
     persistence   batches of records written to disk, log compaction
 
-This module dispatches events to them, and handles what involves all: phase changes, commit and apply.
+This module dispatches events to the components, and handles what involves all of them: phase changes, commit
+and apply.
 """
 
 from collections.abc import Callable, Mapping
@@ -99,7 +100,7 @@
         self._replication = Replication(state)
         self._reads = Reads(state, self._replication)
         self._membership = MembershipChanges(state, self._replication)
-        self._proposals: dict[int, Any] = {}  # tickets by the log index of the proposal
+        self._proposals: dict[int, Any] = {}  # tickets of proposals, by their log index
 
     # ---- interface
 
@@ -172,7 +173,7 @@
     # ---- phases
 
     def _become_follower(self, leader: str) -> None:
-        """Follow `leader`, or wait for one if it is empty; a leader that steps down drops all requests."""
+        """Follow `leader`, or wait for a leader if empty; a leader that steps down drops all requests."""
         state = self.state
         was_leader = state.phase is Phase.LEADER
         if was_leader:
@@ -192,7 +193,7 @@
             self.state.refuse(ticket, "this replica is no longer the leader", leader)
 
     def _adopt_term(self, term: int) -> None:
-        """Enter the later term of another replica."""
+        """Enter the term of another replica, which is later than this replica's own."""
         self.state.record_vote(term, "")
         if self.state.phase is not Phase.UNFORMED:
             self._become_follower("")
@@ -331,7 +332,7 @@
     # ---- messages
 
     def _handle_message(self, sender: str, message: Message) -> None:
-        # A vote request changes the term only if `_handle_vote_request` considers it.
+        # A vote request changes the term only in `_handle_vote_request`, which may ignore the request.
         if message.term > self.state.term and not isinstance(message, VoteRequest):
             self._adopt_term(message.term)
         match message:
--- a/thistleline/consensus/replication.py
+++ b/thistleline/consensus/replication.py
@@ -9,8 +9,8 @@
 
 SECOND = 1_000_000_000  # ns
 MAX_APPEND_ENTRIES = 512  # maximum entries in one AppendRequest
-MAX_APPEND_BYTES = 1 << 20  # bytes of data in one AppendRequest
-MAX_UNCONFIRMED_ENTRIES = 4096  # limit on entries sent to a peer but not confirmed by it
+MAX_APPEND_BYTES = 1 << 20  # maximum bytes of entry data in one AppendRequest
+MAX_UNCONFIRMED_ENTRIES = 4096  # maximum number of entries sent to a peer but not confirmed by it
 
 
 @dataclass(slots=True)
@@ -89,7 +89,10 @@
         return ids
 
     def reset_peers(self) -> None:
-        """Start leading: assume that each peer has the whole log and was in contact just now."""
+        """Begin with new peers when this replica becomes the leader.
+
+        Each peer is assumed to have the whole log and to have been in contact just now.
+        """
         state = self.state
         next_index = state.log.last_index + 1
         self.peers = {id: PeerProgress(next_index, 0, 0, state.now) for id in self.peer_ids()}
@@ -190,7 +193,7 @@
         )
         state.send(peer, request)
 
-    # ---- answers
+    # ---- responses of peers
 
     def record_response(self, sender: str, response: AppendResponse) -> None:
         """Update a peer's progress from its response."""
--- a/thistleline/consensus/state.py
+++ b/thistleline/consensus/state.py
@@ -26,7 +26,7 @@
 
 
 class StateMachine(Protocol):
-    """State machine that committed commands are applied to; deterministic, so that all replicas agree."""
+    """The state machine that committed commands are applied to; deterministic, so that all replicas agree."""
 
     def apply(self, index: int, data: bytes) -> Any:
         """Apply the command committed at `index` and return its answer."""
@@ -35,7 +35,7 @@
         """Return the whole state, encoded."""
 
     def restore(self, state: bytes) -> None:
-        """Replace the state by a snapshot."""
+        """Replace the state with a snapshot."""
 
     def copy(self) -> Any:
         """Return an independent copy."""
@@ -68,7 +68,7 @@
 
 
 class JoiningMember(NamedTuple):
-    """A replica that catches up before it becomes a member; the attempt ends at `deadline`, in ns."""
+    """A replica that catches up before it becomes a member; joining is given up at `deadline`, in ns."""
 
     member: Member
     ticket: Any
@@ -85,7 +85,7 @@
         timing: Durations of the protocol.
         jitter: Returns a random part of a duration in ns.
         now: Time of the current event, in ns.
-        effects: Effects of the current event.
+        effects: Effects to be returned for the current event.
         phase: Role of this replica.
         term: Current term.
         voted_for: Candidate voted for in this term; empty if none.
@@ -95,7 +95,7 @@
         last_applied: Highest log index applied to the state machine.
         durable_index: Highest log index that is durable on this replica.
         leader: Id of the leader; empty if none is known.
-        leader_contact_at: When the last message of a leader arrived, in ns.
+        leader_contact_at: When the last message from a leader arrived, in ns.
         election_deadline: When the next election starts unless a leader's message arrives first, in ns.
         joining: The replica that is catching up to become a member; set on a leader only.
         writes: Records to be written, and effects deferred until they are durable.
@@ -201,7 +201,7 @@
             self.writes.defer(effect)
 
     def refuse(self, ticket: Any, reason: str, leader: str) -> None:
-        """Refuse or drop a request."""
+        """Refuse or drop a client's request."""
         self.effects.append(RequestRefused(ticket, reason, leader))
 
     def log_event(self, event: str, **fields: Any) -> None:
--- a/thistleline/consensus/store.py
+++ b/thistleline/consensus/store.py
@@ -27,7 +27,7 @@
 FORMAT_VERSION = 1
 _SEGMENT_HEADER = struct.Struct("<8sH")
 _PART_HEADER = struct.Struct("<QHH")
-MAX_PART_SIZE = 4 << 20  # bytes of a write's data in one frame
+MAX_PART_SIZE = 4 << 20  # maximum bytes of a write's data in one frame
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(tuple[Record, ...]).decode
@@ -84,7 +84,7 @@
             try:
                 self.disk.remove(number)
             except OSError:
-                break  # the rest is ignored and removed after the next start
+                break  # the remaining old segments are ignored, and removed after the next start
         self.old_segments = []
 
     def recover(self) -> RecoveredState | None:
--- a/thistleline/consensus/write_queue.py
+++ b/thistleline/consensus/write_queue.py
@@ -4,9 +4,9 @@
 from thistleline.consensus.records import Record, WriteBatch
 
 MILLISECOND = 1_000_000  # ns
-MIN_RETRY_DELAY = 100 * MILLISECOND  # ns; doubled after each failed write
-MAX_RETRY_DELAY = 5_000 * MILLISECOND  # ns
-MAX_DEFERRED_EFFECTS = 4096  # the oldest are dropped beyond that; the protocol tolerates lost messages
+MIN_RETRY_DELAY = 100 * MILLISECOND  # ns before a failed write is retried; doubled after each failure
+MAX_RETRY_DELAY = 5_000 * MILLISECOND  # ns; longest delay before a retry of a failed write
+MAX_DEFERRED_EFFECTS = 4096  # beyond this number the oldest are dropped; the protocol tolerates lost messages
 
 
 class WriteQueue:
--- a/thistleline/membership/anti_entropy.py
+++ b/thistleline/membership/anti_entropy.py
@@ -1,10 +1,10 @@
-"""Packing a bucket's records into datagrams, for members whose digests differ."""
+"""Packs the records of a bucket of members into datagrams, for members whose digests of the bucket differ."""
 
 from collections.abc import Iterable, Iterator
 
 from thistleline.membership.messages import MAX_DATAGRAM_SIZE, BucketRecords, MemberRecord, encode
 
-HEADER_SIZE = 32  # bytes of a message besides its records
+HEADER_SIZE = 32  # bytes reserved in a datagram for everything besides the records
 
 
 def bucket_messages(
--- a/thistleline/membership/effects.py
+++ b/thistleline/membership/effects.py
@@ -1,4 +1,4 @@
-"""The effects that a member's `Gossip` asks its driver to carry out."""
+"""The effects that a member's state machine `Gossip` asks its caller to carry out."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """The known record of a member has changed; `previous` is None if the member was unknown."""
+    """What is known about a member has changed; `previous` is None if the member was unknown."""
 
     record: MemberRecord
     previous: MemberRecord | None
--- a/thistleline/membership/events.py
+++ b/thistleline/membership/events.py
@@ -1,4 +1,4 @@
-"""The events that a member's `Gossip` handles."""
+"""The events that a member's state machine `Gossip` handles."""
 
 from dataclasses import dataclass
 
--- a/thistleline/membership/gossip.py
+++ b/thistleline/membership/gossip.py
@@ -3,6 +3,9 @@
 No I/O and no clock; docs/design/members.md discusses the design. It is SWIM (Das, Gupta, Motivala 2002) with
 suspicion and round-robin probes, Lifeguard's local health and confirmations (Dadgar, Phillips, Currey 2018),
 and digests that pairs of members compare periodically, to detect lost updates.
+
+A probe is a ping to one member that waits for an Ack. A probe period is the time between two probes. A seed
+is the configured address of a member through which others join the fleet.
 """
 
 from collections.abc import Callable
@@ -41,10 +44,10 @@
 SECOND = 1_000_000_000  # ns
 HELPER_COUNT = 3  # members that are asked to ping one that does not answer (SWIM's indirect probe)
 TRANSMITS_FACTOR = 4  # an update is sent this many times the decimal logarithm of the fleet's size
-DEAD_PING_EVERY = 4  # periods
-DIGEST_EVERY = 5  # periods
-SEED_EVERY = 10  # periods between two Joins to a seed that is not known to be alive
-FORGET_AFTER = 3600 * SECOND  # a dead member is pinged periodically until then, as a partition may heal
+DEAD_PING_EVERY = 4  # probe periods between two pings of dead members
+DIGEST_EVERY = 5  # probe periods between two comparisons of digests with another member
+SEED_EVERY = 10  # probe periods between two Joins to a seed that is not known to be alive
+FORGET_AFTER = 3600 * SECOND  # dead members are pinged periodically for this long, as a partition may heal
 MAX_PROBES = 256
 JOIN_INTERVAL = 20 * MS  # least time between two Joins that are answered
 
@@ -52,8 +55,8 @@
 class GossipTiming(NamedTuple):
     """Durations of the failure detector, ns."""
 
-    period: int  # between two probes
-    ack_timeout: int  # for an Ack, before other members are asked to ping the target
+    period: int  # time between two probes
+    ack_timeout: int  # how long to wait for an Ack before other members are asked to ping the target
 
 
 class Gossip:
@@ -81,11 +84,11 @@
         """Start as a member that knows no other member.
 
         Args:
-            id: Unique in the fleet, and the same after a restart.
-            address: Where this member listens.
+            id: The member's id: unique in the fleet, and the same after a restart.
+            address: Address that this member listens on.
             incarnation: Greater than any before under this id, such as the wall clock's ms at the start.
-            facts: Facts that it publishes about itself.
-            seeds: Addresses of some members to join by.
+            facts: Facts that this member publishes about itself.
+            seeds: Addresses of some members through which this one joins the fleet.
             now: Current time, ns.
             timing: Durations of the failure detector.
             rng: Source of all random choices.
@@ -155,7 +158,7 @@
             self._put_own(own.incarnation, own.status, own.version + 1, facts)
 
     def _on_leave(self) -> None:
-        """Announce the leave to a few members at once, who spread it, so that no probe has to detect it."""
+        """Announce to a few members that this one leaves; they spread it, so that no probe must detect it."""
         own = self.own_record
         self.leaving = True
         self._put_own(own.incarnation, LEFT, own.version, own.facts)
@@ -205,7 +208,7 @@
         self._send(seed, Join, self.id)
 
     def _join_unknown_seed(self) -> None:
-        """Join by a seed that is not known to be alive, so that no permanently separate groups form.
+        """Send a Join to a seed that is not known to be alive; prevents permanently separate groups.
 
         Members that start at the same time may know some others before all seeds are up, and a member never
         probes one that it does not know.
@@ -216,7 +219,7 @@
             self._send_join(unknown)
 
     def _ping_dead(self) -> None:
-        """Ping a dead member, as a partition may have healed; remove those dead for over `FORGET_AFTER`."""
+        """Ping a dead member, as a partition may have healed; remove members dead for over `FORGET_AFTER`."""
         dead = [record for record in self.view.dead_members() if record.status == DEAD]
         for record in dead:
             if self.now - self.died_at.get(record.id, self.now) > FORGET_AFTER:
@@ -256,7 +259,7 @@
             if probe.helpers:
                 return
         del self.probes[number]
-        # A member that gets no answer even from its helpers may itself be the slow one.
+        # A member that gets no answer even from the members asked to help may itself be the slow one.
         self.health.worsen(max(1, probe.helpers - probe.nacks) if probe.helpers else 1)
         self._suspect(target, self.id)
 
@@ -340,7 +343,10 @@
         self.effects.append(MemberChanged(record, known))
 
     def _refute_update(self, update: MemberRecord) -> None:
-        """Refute a suspicion or death of this member; supersede a greater incarnation of an earlier run."""
+        """Refute an update that says that this member is suspected, dead or has left.
+
+        If an earlier process of this member used a greater incarnation, take an even greater one.
+        """
         own = self.own_record
         if self.leaving or update.incarnation < own.incarnation:
             return
@@ -396,7 +402,7 @@
         self._send_ping(target, probe)
 
     def _on_join(self, address: str) -> None:
-        # Rate-limited, as the answer is much larger than the request, whose sender address may be forged.
+        # Rate-limited, as the answer is much larger than a Join, whose sender address may be forged.
         if self.now >= self.next_join:
             self.next_join = self.now + JOIN_INTERVAL
             for bucket in range(BUCKETS):
--- a/thistleline/membership/messages.py
+++ b/thistleline/membership/messages.py
@@ -7,8 +7,8 @@
 import msgspec
 
 MAX_DATAGRAM_SIZE = 1400  # bytes; fits into one packet on any network
-MAX_ID_LENGTH = 64  # characters
-MAX_TEXT_LENGTH = 64  # characters
+MAX_ID_LENGTH = 64  # characters of a member's id
+MAX_TEXT_LENGTH = 64  # characters of an address, a release or a zone
 ALIVE, SUSPECT, DEAD, LEFT = 0, 1, 2, 3  # a greater status overrides a lesser one
 STATUS_NAMES = ("alive", "suspect", "dead", "left")
 
@@ -17,12 +17,13 @@
     """The facts that a member publishes about itself.
 
     Attributes:
-        release: The release that it runs.
-        settings: Number of the settings that it runs with.
-        zone: Zone that it is in.
-        started_wall_ms: Wall clock time of its start, for display and to detect members that are cold.
-        warm: Whether it has warmed up.
-        accepting: Whether it accepts work.
+        release: The release that the member runs.
+        settings: Number of the settings that the member runs with.
+        zone: Zone that the member is in.
+        started_wall_ms: Wall clock time of the member's start, for display and to detect members that have
+            started recently (cold ones).
+        warm: Whether the member's server has warmed up.
+        accepting: Whether the member's server accepts work.
         figures: Counters, whose meaning is defined by the component that reads them; 8 at most.
         utility: Utility of the work that arrived and of the work finished in time, in thousandths.
     """
@@ -45,12 +46,12 @@
 
     Attributes:
         id: The member's id.
-        address: Address that it listens on.
+        address: Address that the member listens on.
         incarnation: Increased only by the member itself, to refute a suspicion or when it restarts.
         status: ALIVE, SUSPECT, DEAD or LEFT.
-        version: Increased with each change of its facts.
-        facts: The facts that it publishes.
-        suspected_by: Id of the member that suspects it, if any.
+        version: Increased by the member with each change of its facts.
+        facts: The facts that the member publishes.
+        suspected_by: Id of the other member that suspects this one; empty for none.
     """
 
     id: str
@@ -69,21 +70,21 @@
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Asks the receiver for an Ack of the same number; 0 if none is expected."""
+    """Asks the receiver for an Ack with the same number; the number is 0 if no Ack is expected."""
 
     number: int
     records: tuple[MemberRecord, ...]
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Answers the Ping of this number."""
+    """Answers the Ping with this number."""
 
     number: int
     records: tuple[MemberRecord, ...]
 
 
 class PingRequest(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Asks the receiver to ping `target` and to forward its Ack (SWIM's indirect probe, ping-req)."""
+    """Asks the receiver to ping `target` and forward the target's Ack (SWIM's indirect probe, ping-req)."""
 
     number: int
     target: str
@@ -91,14 +92,14 @@
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """Answers a PingRequest: the helper is alive, its target has not answered yet (Lifeguard)."""
+    """Answers a PingRequest: the sender is alive, but the target has not answered it yet (Lifeguard)."""
 
     number: int
     records: tuple[MemberRecord, ...]
 
 
 class BucketDigest(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """Anti-entropy: a digest of what the sender knows of the members in one bucket."""
+    """Anti-entropy: a digest of the sender's records of all members in one bucket (a subset by id hash)."""
 
     bucket: int
     digest: int
@@ -106,7 +107,7 @@
 
 
 class BucketRecords(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Anti-entropy: records of a bucket; with `reply_wanted` the receiver sends its own records in return."""
+    """Anti-entropy: records of a bucket; with `reply_wanted`, the receiver replies with its own records."""
 
     bucket: int
     reply_wanted: bool
@@ -114,7 +115,7 @@
 
 
 class Join(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Asks for all records, as a member that joins does; answered with BucketRecords of all buckets."""
+    """Asks for all members' records, as one that joins does; answered with BucketRecords of all buckets."""
 
     records: tuple[MemberRecord, ...]
 
--- a/thistleline/membership/probes.py
+++ b/thistleline/membership/probes.py
@@ -11,14 +11,14 @@
 
 @dataclass(slots=True)
 class Probe:
-    """A pending ping that waits for its Ack: this member's own, or one that another member requested.
+    """A ping that waits for its Ack: this member's own, or one that another member requested.
 
     Attributes:
         target: Id of the member that is pinged.
-        deadline: When the next step is due, ns.
+        deadline: When the next step of the probe is due, ns.
         period_end: When the probe fails without an Ack, ns.
         helpers: Number of members that were asked to ping the target too.
-        nacks: Number of Nacks received from them.
+        nacks: Number of Nacks received from these helpers.
         requester: Address of the member that requested the ping, empty for this member's own probe.
         requester_number: Number of the requester's own probe.
     """
@@ -43,7 +43,7 @@
         """Start without members; the order is drawn from `rng`."""
         self.own_id = own_id
         self.rng = rng
-        self.ids: list[str] = []  # of the current round; the next target is the last id
+        self.ids: list[str] = []  # members still to be probed in the current round; the last id is the next
 
     def insert(self, id: str) -> None:
         """Add a member at a random position in the current round."""
--- a/thistleline/membership/service.py
+++ b/thistleline/membership/service.py
@@ -28,10 +28,10 @@
 from thistleline.transport.address import Address, format_address, parse_address
 
 STALL_THRESHOLD = (
-    200_000_000  # ns; after a longer one the waiting datagrams are read before deadlines are checked
+    200_000_000  # ns; after a longer pause the waiting datagrams are read before deadlines are checked
 )
-READ_TURNS = 8  # turns of the event loop for that reading
-LEAVE_TIMEOUT = 1.0  # s
+READ_TURNS = 8  # turns of the event loop in which datagrams are read after such a pause
+LEAVE_TIMEOUT = 1.0  # s to announce that this member leaves, at the end of the process
 
 
 class MemberService:
@@ -41,8 +41,8 @@
         """Create the member; `run` opens its socket.
 
         Args:
-            config: Its name, address, seeds and period.
-            facts: Facts that it publishes about itself at the start.
+            config: The member's name, address, seeds and probe period.
+            facts: Facts that the member publishes about itself at the start.
             log: Called with an event and its fields.
         """
         self.config = config
@@ -87,7 +87,7 @@
 
     async def _read(self, socket: UDPSocket) -> None:
         async for data, sender in socket:
-            # An unknown sender's datagram may contain anything; one that is not a valid message is ignored.
+            # Anyone may send a datagram to this address; datagrams that are not valid messages are ignored.
             with suppress(msgspec.MsgspecError):
                 self.received.append(MessageReceived(format_address(sender), decode(data)))
                 self.woken.set()
--- a/thistleline/membership/suspicion.py
+++ b/thistleline/membership/suspicion.py
@@ -7,8 +7,8 @@
 from math import log
 from typing import NamedTuple
 
-MIN_TIMEOUT_PERIODS = 4  # times the decimal logarithm of the fleet's size
-MAX_TIMEOUT_FACTOR = 6  # times the minimum timeout, without a confirmation
+MIN_TIMEOUT_PERIODS = 4  # minimum timeout in probe periods, per decimal logarithm of the fleet's size
+MAX_TIMEOUT_FACTOR = 6  # timeout without a confirmation, as a multiple of the minimum timeout
 CONFIRMATIONS = 3  # independent confirmations that reduce the timeout to its minimum
 
 
@@ -40,7 +40,7 @@
         self.suspicions.pop(id, None)
 
     def confirm(self, id: str, suspected_by: str) -> bool:
-        """Add an independent confirmation; return whether it is new and counts."""
+        """Add another member that suspects `id`; return whether this confirmation is new and counts."""
         known = self.suspicions[id]
         if suspected_by in known.suspected_by or len(known.suspected_by) > CONFIRMATIONS:
             return False
--- a/thistleline/membership/view.py
+++ b/thistleline/membership/view.py
@@ -16,11 +16,11 @@
 
 MAX_MEMBERS = 10_000
 MAX_FIGURES = 8
-BUCKETS = 64  # that the members are divided into for anti-entropy
+BUCKETS = 64  # the members are divided into this many buckets, whose digests are compared (anti-entropy)
 
 
 def bucket_of(id: str) -> int:
-    """Return the bucket of a member id; every member computes the same."""
+    """Return the bucket that a member id belongs to; it is the same for all members that compute it."""
     return blake2b(id.encode(), digest_size=1).digest()[0] % BUCKETS
 
 
@@ -83,7 +83,7 @@
         self.by_transmits: list[dict[str, None]] = [{}]
 
     def put(self, record: MemberRecord) -> None:
-        """Add a record or replace the one of the same id, and queue it for spreading."""
+        """Add a record, or replace the one with the same id, and queue the record for spreading."""
         known = self.records.get(record.id)
         bucket = bucket_of(record.id)
         if known is not None:
@@ -102,13 +102,13 @@
         self.stop_spreading(id)
 
     def spread(self, id: str) -> None:
-        """Queue this member's record for spreading, as not sent yet."""
+        """Queue the record of the member `id` for spreading, as if it had not been sent yet."""
         self.stop_spreading(id)
         self.transmits[id] = 0
         self.by_transmits[0][id] = None
 
     def stop_spreading(self, id: str) -> None:
-        """Remove this member's record from the queue of updates, if it is in it."""
+        """Remove the record of the member `id` from the queue of updates, if it is queued."""
         count = self.transmits.pop(id, None)
         if count is not None:
             del self.by_transmits[count][id]
@@ -119,7 +119,7 @@
         Args:
             max_size: Largest total size of the records, bytes.
             max_transmits: Number of sends after which an update leaves the queue.
-            first: Id of a member whose record comes first, whether or not it is new.
+            first: Id of a member whose record comes first, whether or not the record is queued.
         """
         selected: list[MemberRecord] = []
         if first in self.records:
