--- a/thistleline/lease/client.py
+++ b/thistleline/lease/client.py
@@ -24,10 +24,10 @@
 from thistleline.transport.disconnects import DISCONNECT_ERRORS
 
 CONNECT_TIMEOUT = 1.0  # s
-ANSWER_TIMEOUT = 1.5  # s; after it the next request goes to another replica
-MAX_OPEN_REQUESTS = 256  # sent and not yet answered
-MIN_BACKOFF = 0.02  # s before an undecided request is sent again
-MAX_BACKOFF = 0.3  # s
+ANSWER_TIMEOUT = 1.5  # s for one answer; without one the next request goes to another replica
+MAX_OPEN_REQUESTS = 256  # requests that were sent and are not answered yet
+MIN_BACKOFF = 0.02  # s before an undecided request is sent again for the first time
+MAX_BACKOFF = 0.3  # s; longest delay before an undecided request is sent again
 _RECEIVE_SIZE = 1 << 16  # bytes
 _decode_hello = msgspec.msgpack.Decoder(Hello).decode
 
@@ -101,7 +101,7 @@
             backoff = min(MAX_BACKOFF, 2 * backoff)
 
     def _choose_next(self, asked_replica: str, leader: str) -> None:
-        """Switch to the leader if it is known, else to another replica than `asked_replica`."""
+        """Switch to the leader if it is known, else to a replica other than `asked_replica`."""
         if asked_replica and asked_replica != self.target:
             return  # another request has already switched the target
         name = leader.partition(".")[0]
--- a/thistleline/lease/effects.py
+++ b/thistleline/lease/effects.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAnswer:
-    """Answer the request with `ticket`."""
+    """Send the answer to the client's request that is identified by `ticket`."""
 
     ticket: Any
     answer: Answer
--- a/thistleline/lease/events.py
+++ b/thistleline/lease/events.py
@@ -1,4 +1,4 @@
-"""Events that the lease server handles: those of its consensus replica, and client requests."""
+"""Events that the lease server handles: the events of its consensus replica, and client requests."""
 
 from dataclasses import dataclass
 from typing import Any
--- a/thistleline/lease/holder.py
+++ b/thistleline/lease/holder.py
@@ -36,10 +36,10 @@
 from thistleline.reducer.events import DeadlineReached
 
 Phase = Literal["new", "acquiring", "waiting", "held", "releasing", "ended"]
-MAX_OPEN_REQUESTS = 16  # older requests are forgotten, and their answers ignored
-WAITER_RENEW_INTERVAL = 500_000_000  # ns between two requests of a waiter
-MIN_BACKOFF = 20_000_000  # ns before the retry after an answer that did not decide the request
-MAX_BACKOFF = 500_000_000  # ns
+MAX_OPEN_REQUESTS = 16  # unanswered requests; beyond it the oldest are forgotten, and their answers ignored
+WAITER_RENEW_INTERVAL = 500_000_000  # ns between two requests while waiting for a lease that another holds
+MIN_BACKOFF = 20_000_000  # ns before the first retry after an answer that did not decide the request
+MAX_BACKOFF = 500_000_000  # ns; longest delay before such a retry
 
 
 class LeaseHolder:
@@ -47,7 +47,7 @@
 
     Attributes:
         name: Name of the lease.
-        holder_id: Identifies this attempt to the cluster; a new one is made for each.
+        holder_id: Identifies this attempt to the cluster; a new id is made for each attempt.
         phase: Current phase of the attempt.
         epoch: The fencing token, 0 before the lease was granted.
         valid_until: Time until which the holder may act, ns.
@@ -210,7 +210,7 @@
             self.valid_until = max(self.valid_until, valid_until)
             return
         if self.now >= valid_until:
-            return  # the grant arrived after its validity ended; the next request gets the same lease
+            return  # the grant arrived too late to be valid; the next request gets the same lease
         self.phase = "held"
         self.epoch = answer.epoch
         self.valid_until = valid_until
@@ -239,7 +239,7 @@
         self.next_request_at = self.now + self._request_interval()
 
     def _request_interval(self) -> int:
-        """Return the ns until the next request, which is sent whether or not this one is answered."""
+        """Return the ns until the next request, which is sent whether or not the last one is answered."""
         if self.phase == "waiting":
             return WAITER_RENEW_INTERVAL
         return max(MIN_BACKOFF, holder_ttl(self.ttl) // 4)
--- a/thistleline/lease/holder_effects.py
+++ b/thistleline/lease/holder_effects.py
@@ -1,4 +1,4 @@
-"""Effects that a `LeaseHolder` asks its driver to carry out."""
+"""Effects that a `LeaseHolder` asks its caller to carry out."""
 
 from dataclasses import dataclass
 
--- a/thistleline/lease/inbound.py
+++ b/thistleline/lease/inbound.py
@@ -7,7 +7,7 @@
 from thistleline.transport.connection import SEND_TIMEOUT
 
 MAX_OPEN_REQUESTS = (
-    256  # per connection; at this limit the connection is not read until a request is answered
+    256  # unanswered requests per connection; at this limit, nothing is read until one of them is answered
 )
 MAX_OUTPUT_SIZE = 4 << 20  # bytes of unsent output; beyond it the connection is closed
 
--- a/thistleline/lease/liveness.py
+++ b/thistleline/lease/liveness.py
@@ -12,12 +12,12 @@
 from thistleline.lease.table import Lease, LeaseTable
 from thistleline.reducer.copying import copy_state
 
-REPROPOSE_INTERVAL = 1_000_000_000  # ns before an undecided expiry is proposed again
-_PRUNE_THRESHOLD = 64  # entries of waiters; with fewer, stale ones are not searched for
+REPROPOSE_INTERVAL = 1_000_000_000  # ns before the expiry of a lease is proposed again if it was not decided
+_PRUNE_THRESHOLD = 64  # tracked waiters; up to this number, entries of former waiters are not removed
 
 
 class TrackedLease(NamedTuple):
-    """The leader's expiry data of one lease; epoch and touched index are those of the table."""
+    """When a lease expires by the leader's clock; epoch and touched index are copied from the lease table."""
 
     epoch: int
     touched_index: int
@@ -31,7 +31,8 @@
         leases: Tracked leases, by name.
         waiters: Time at which a waiter loses its place (ns), by lease name and holder id.
         next_checks: Time of the next check of a lease (ns), by name.
-        check_queue: The same as a heap of (time, name); an entry that differs from `next_checks` is stale.
+        check_queue: The next checks as a heap of (time, name); entries that differ from `next_checks` are
+            stale.
     """
 
     __slots__ = ("check_queue", "leases", "next_checks", "waiters")
@@ -90,7 +91,7 @@
             self.waiters[name, holder_id] = now + WAITER_TIMEOUT
 
     def next_deadline(self) -> int | None:
-        """Return the time of the next call of `expired` (ns), None if nothing is tracked."""
+        """Return when `expired` is to be called next (ns), None if nothing is tracked."""
         return self.check_queue[0][0] if self.check_queue else None
 
     def expired(self, now: int, wall_ms: int, table: LeaseTable) -> list[Expire | Release]:
@@ -121,7 +122,7 @@
     def _schedule_check(self, check_at: int, name: str) -> None:
         """Check a lease at `check_at` at the latest.
 
-        Only one entry of the heap per name is current, which keeps the heap small.
+        Only one entry of the heap is current for each lease, which keeps the heap small.
         """
         known = self.next_checks.get(name)
         if known is None or check_at < known:
@@ -152,7 +153,7 @@
             self._schedule_check(earliest, name)
 
     def _prune_waiters(self, table: LeaseTable) -> None:
-        """Drop the entries of former waiters once they outnumber those of current ones."""
+        """Drop the entries of former waiters once they outnumber the entries of current waiters."""
         if len(self.waiters) <= _PRUNE_THRESHOLD:
             return
         leases = table.state.leases
--- a/thistleline/lease/peer_links.py
+++ b/thistleline/lease/peer_links.py
@@ -29,7 +29,7 @@
         """Start without links.
 
         Args:
-            config: Settings of the replica; `via` may give another address for a peer.
+            config: Settings of the replica; `via` may give another address by which to reach a peer.
             rng: Source of randomness for the pauses before reconnecting.
             log: Writes a line to the program's log.
             own_hello: Returns the Hello that is sent first on a link.
--- a/thistleline/lease/protocol.py
+++ b/thistleline/lease/protocol.py
@@ -21,18 +21,18 @@
 MAX_HOLDER_ID_LENGTH = 100  # characters
 MAX_REASON_LENGTH = 200  # characters
 MAX_VALUE_SIZE = 256 * 1024  # bytes of one record's value
-MAX_WAITERS = 1024  # per lease
+MAX_WAITERS = 1024  # clients that wait for one lease
 WAITER_TIMEOUT = (
     2_000_000_000  # ns by the leader's clock; a waiter that sends nothing for so long loses its place
 )
 
 
 def holder_ttl(ttl: int) -> int:
-    """Return the ns for which a holder may act on a lease of this TTL, counted from before its request."""
+    """Return for how long a holder may act on a lease with this TTL, ns, from before it sent its request."""
     return ttl * HOLDER_TTL_FRACTION[0] // HOLDER_TTL_FRACTION[1]
 
 
-# ---- decisions: replicated through the log
+# ---- requests that change the state (decisions): replicated through the log
 
 
 class Acquire(msgspec.Struct, frozen=True, tag="take"):
@@ -97,7 +97,7 @@
     wall_ms: int = msgspec.field(default=0, name="at")
 
 
-# ---- questions: answered by the leader, not written to the log
+# ---- other requests (questions): answered by the leader or the receiver, not written to the log as decisions
 
 
 class Renew(msgspec.Struct, frozen=True, tag="keep"):
@@ -123,7 +123,7 @@
 
 
 class GetStatus(msgspec.Struct, frozen=True, tag="status"):
-    """Asks the receiving replica for its own view of the cluster."""
+    """Asks the replica that receives this for its own view of the cluster."""
 
 
 class ChangeReplicas(msgspec.Struct, frozen=True, tag="change"):
@@ -158,7 +158,7 @@
 
 
 class Waiting(msgspec.Struct, frozen=True, tag="waiting"):
-    """Another holds the lease; `position` waiters are ahead of this one."""
+    """Another holder has the lease; `position` waiters are ahead of this one."""
 
     position: int = msgspec.field(name="place")
 
--- a/thistleline/lease/server.py
+++ b/thistleline/lease/server.py
@@ -43,11 +43,11 @@
 )
 from thistleline.lease.table import LeaseTable, encode_decision, validate
 
-MAX_LISTED_NAMES = 1000  # in one answer
+MAX_LISTED_NAMES = 1000  # leases in one answer
 
 
 class PendingRequest(NamedTuple):
-    """A request that waits for the replica; it is the ticket of its proposal or read."""
+    """A client's request that waits for the replica; serves as the ticket of the proposal or read."""
 
     ticket: Any
     op: Op
@@ -230,7 +230,7 @@
             self.table.changed = {}
 
     def _track_changes(self, now: int, effects: list[Effect]) -> None:
-        """Track the leases that decisions changed, and notify the new holder of each."""
+        """Update the tracking of leases that decisions changed, and notify the new holder of each lease."""
         for name in self.table.changed:
             known = self.liveness.leases.get(name)
             self.liveness.update(now, name, self.table)
--- a/thistleline/lease/service.py
+++ b/thistleline/lease/service.py
@@ -50,10 +50,10 @@
 # timers are handled.
 STALL_THRESHOLD = 100 * MILLISECOND  # ns
 READ_TURNS = 8  # iterations of the event loop that readers get after such a pause
-MAX_CONNECTIONS = 1024  # accepted ones; beyond it the one that has been idle longest is closed
+MAX_CONNECTIONS = 1024  # accepted connections; beyond it the one that has been idle longest is closed
 HELLO_TIMEOUT = 2.0  # s
 MAX_INBOX_EVENTS = 50_000
-MAX_HOLDERS = 50_000  # holder ids whose connection is stored for hints
+MAX_HOLDERS = 50_000  # holder ids whose connection is stored, to hint that a lease may have been granted
 MAX_INBOUND_PEERS = 16  # replicas whose address is stored because they connected to this one
 REPLICA_READ_SIZE = 1 << 18  # bytes
 CLIENT_READ_SIZE = 1 << 16  # bytes
@@ -245,7 +245,7 @@
             wanted |= self.inbound_peers
         elif state.leader in self.inbound_peers:
             # The member list of a replica with an old state may lack the leader. Without a link to the leader
-            # the replica could not answer it, and the leader would never bring it up to date.
+            # the replica could not answer the leader, which would never bring the replica up to date.
             wanted.setdefault(state.leader, self.inbound_peers[state.leader])
             wanted.pop(state.id, None)
         if state.joining is not None:
@@ -295,7 +295,7 @@
         """Receive a replica's messages.
 
         Raises:
-            ProtocolError: The sender is of another cluster; a replica without a cluster accepts any sender.
+            ProtocolError: The sender belongs to another cluster; a replica without a cluster accepts any.
         """
         if hello.address:
             self._remember_inbound_peer(hello)
--- a/thistleline/lease/session.py
+++ b/thistleline/lease/session.py
@@ -42,7 +42,7 @@
 
 
 class HeldLease:
-    """A lease that is held, for the code that acts on it."""
+    """A lease that is held, for the code that acts while holding it."""
 
     def __init__(self, holder: LeaseHolder) -> None:
         """Wrap the state machine that holds the lease."""
@@ -50,7 +50,7 @@
 
     @property
     def epoch(self) -> int:
-        """The fencing token: greater than that of every earlier holder of any lease."""
+        """The fencing token: greater than the token of every earlier holder of any lease."""
         return self.holder.epoch
 
     def remaining(self) -> float:
@@ -177,8 +177,8 @@
                 self.group.start_soon(self._cancel_at_end, self.scope)
                 return HeldLease(holder)
             await self._release()
-            # A waiter that lost its place because it sent nothing in time requests a new one; the cluster's
-            # answer is recognized by the words "given back".
+            # A waiter that lost its place in the queue, because it sent nothing in time, requests a new one;
+            # the cluster's answer in this case is recognized by the words "given back".
             if holder.epoch or not self.wait or "given back" not in holder.end_reason:
                 raise LeaseRefusedError(holder.end_reason)
 
--- a/thistleline/lease/table.py
+++ b/thistleline/lease/table.py
@@ -34,12 +34,14 @@
 )
 
 MAX_LEASES = 20_000
-MAX_WAITERS_TOTAL = 50_000  # of all leases
+MAX_WAITERS_TOTAL = 50_000  # clients that wait, over all leases
 MAX_RECORDS = 10_000
 MAX_RECORDS_SIZE = 4 << 20  # bytes of the values of all records
-MAX_RELEASED = 4096  # ids of former holders and waiters; a delayed copy of their request is not granted
-MAX_FREE_HISTORIES = 1024  # free leases with a stored history
-MAX_HISTORY = 8  # entries per lease
+MAX_RELEASED = (
+    4096  # stored ids of former holders and waiters; a delayed copy of their request is not granted
+)
+MAX_FREE_HISTORIES = 1024  # leases without a holder whose history is stored
+MAX_HISTORY = 8  # history entries per lease
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode_decision = msgspec.msgpack.Decoder(Decision).decode
@@ -77,8 +79,8 @@
         epoch: The newest epoch; one counter for all leases.
         leases: The leases that are held, by name.
         released: Ids of former holders and waiters, as an ordered set.
-        free_histories: Histories of free leases, by name.
-        records: Value and version, by key.
+        free_histories: Histories of leases without a holder, by name.
+        records: Value and version of each record, by key.
         waiter_count: Number of waiters of all leases.
         records_size: Bytes of the values of all records.
     """
