--- a/thistleline/config/loader.py
+++ b/thistleline/config/loader.py
@@ -15,7 +15,7 @@
     """A settings file can't be read or is invalid.
 
     Attributes:
-        lines: Messages of all errors, one each.
+        lines: One message for each error.
     """
 
     def __init__(self, name: str, faults: list[ConfigFault]) -> None:
@@ -64,7 +64,7 @@
 
 
 class _Settings:
-    """The lines of a file, by section and name."""
+    """The lines of a settings file, by section and name of the setting."""
 
     def __init__(self) -> None:
         self.by_section: dict[str, dict[str, SettingLine]] = {}
@@ -94,7 +94,7 @@
 
 
 def _section_values(section: str, settings: _Settings, faults: list[ConfigFault]) -> dict[str, Any]:
-    """Return the values of a section's fields, and add the errors in them to `faults`."""
+    """Return the values of a section's settings by name, and add the errors in the values to `faults`."""
     lines = settings.by_section[section]
     values: dict[str, Any] = {}
     for field in msgspec.structs.fields(SECTIONS[section]):
@@ -146,7 +146,7 @@
 
 
 def _parse_addresses(lines: list[SettingLine], faults: list[ConfigFault]) -> dict[str, Address]:
-    """Return the addresses of a repeatable setting by name, and add the errors in them to `faults`."""
+    """Return the named addresses in the lines of a repeatable setting; add errors in them to `faults`."""
     addresses: dict[str, Address] = {}
     for line in lines:
         name, _, address = line.value.partition("=")
--- a/thistleline/config/schema.py
+++ b/thistleline/config/schema.py
@@ -44,7 +44,7 @@
         name: Name of the replica.
         listen: Address that the replica listens on.
         voter: Addresses of all replicas by name, one line for each.
-        via: Other addresses that this replica uses to reach some of them.
+        via: Other addresses that this replica uses to reach some of the replicas.
         heartbeat: Interval of the leader's heartbeats.
         election: Election timeout.
     """
@@ -59,13 +59,13 @@
 
 
 class MembershipConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Section `members`: one member of the fleet, as others see it.
+    """Section `members`: one member of the fleet, as other members see it.
 
     Attributes:
         name: Id of the member.
-        listen: Address that it listens on for datagrams.
+        listen: Address that the member listens on for datagrams.
         zone: Zone of the member.
-        seed: Addresses of some members that it contacts to join, one line for each.
+        seed: Addresses of some members that this one contacts to join the fleet, one line for each.
         period: Interval between two probes.
     """
 
@@ -83,7 +83,8 @@
 
     Attributes:
         folder: Folder of the supervisor's own state.
-        plate: The server's own configuration; its `settings` are those of the running version.
+        plate: File with the server's own configuration; its `settings` are replaced with those of the running
+            version.
         releases: Folder of the releases; by default `releases` in `folder`.
         stop: How long a server may take to stop.
         warm: How long after its start a server counts as cold.
@@ -103,10 +104,10 @@
 
     Attributes:
         lease: TTL of the lease that ensures that only one controller is active at a time.
-        slot: Duration of a measurement.
+        slot: Duration of a measuring interval, in which each server is sampled once.
         change: How long a server may take to change its version.
-        enough: Measurements required before the result 'not worse' is allowed.
-        patience: Measurements before an operator is asked to decide.
+        enough: Measuring intervals required before the verdict 'not worse' is allowed.
+        patience: Measuring intervals without a verdict after which an operator is asked to decide.
     """
 
     lease: Annotated[Duration, msgspec.Meta(ge=1_000_000_000, le=600_000_000_000)] = Duration(10_000_000_000)
@@ -119,16 +120,16 @@
 
 
 class FeedConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Section `feed`: a keeper or relay of the config feed; without `role`, how to reach one.
+    """Section `feed`: a keeper (replica) or relay of the config feed; without `role`, how to reach one.
 
     Attributes:
         name: Name of this keeper or relay.
         listen: Address that it serves followers on.
         role: Whether this is a keeper or a relay.
-        level: Level of a relay; a relay follows nodes of a lower level.
+        level: A relay's distance from the keepers; a relay follows keepers or relays with a lower level.
         folder: Folder of the archive; a keeper's must persist across restarts.
         keeper: Addresses of all keepers by name, one line for each.
-        up: Nodes that a relay follows; for a keeper, other addresses that it uses to reach keepers.
+        up: Keepers or relays that a relay follows; for a keeper, other addresses by which it reaches keepers.
         lease: TTL of the lease that ensures that only one keeper writes at a time.
         followers: Maximum number of followers that it serves.
     """
--- a/thistleline/supervisor/crash_history.py
+++ b/thistleline/supervisor/crash_history.py
@@ -2,15 +2,15 @@
 
 from thistleline.supervisor.timing import BACKOFF_FIRST, BACKOFF_MAX, CRASH_LOOP_WINDOW
 
-CRASH_LOOP_COUNT = 5  # crashes within CRASH_LOOP_WINDOW
+CRASH_LOOP_COUNT = 5  # crashes within CRASH_LOOP_WINDOW that count as a crash loop
 
 
 class CrashHistory:
-    """The crashes of one version within the window, and the time of the next restart attempt.
+    """The crashes of one version within CRASH_LOOP_WINDOW, and the time of the next restart attempt.
 
     Attributes:
-        recent: Times of the crashes within the window, ns.
-        total: Crashes of all versions since the supervisor started.
+        recent: Times of the crashes within CRASH_LOOP_WINDOW, ns.
+        total: Number of crashes of any version since the supervisor started.
         retry_at: Earliest time of the next restart, ns.
     """
 
@@ -31,7 +31,7 @@
         return duplicate
 
     def record(self, now: int) -> None:
-        """Record a crash at `now` (ns) and drop the crashes that are older than the window."""
+        """Record a crash at `now` (ns) and drop the crashes that are older than CRASH_LOOP_WINDOW."""
         self.total += 1
         self.recent = [at for at in self.recent if now - at < CRASH_LOOP_WINDOW] + [now]
 
--- a/thistleline/supervisor/effects.py
+++ b/thistleline/supervisor/effects.py
@@ -1,4 +1,7 @@
-"""Outputs of the supervisor's state machine, to be carried out in order."""
+"""Outputs of the supervisor's state machine, to be carried out in order.
+
+An incarnation is one started process of the server; incarnations are numbered.
+"""
 
 from dataclasses import dataclass
 
@@ -8,14 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistState:
-    """Make the state durable, then answer with `StatePersisted`."""
+    """Make the supervisor's state durable, then answer with `StatePersisted`."""
 
     state: SupervisorState
 
 
 @dataclass(frozen=True, slots=True)
 class VerifyVersion:
-    """Check release and settings, then answer with `VersionVerified`."""
+    """Check the release and settings of a version, then answer with `VersionVerified`."""
 
     version: Version
 
--- a/thistleline/supervisor/events.py
+++ b/thistleline/supervisor/events.py
@@ -13,8 +13,8 @@
     Attributes:
         state: The state read from disk.
         server_alive: Whether the server of the current incarnation runs.
-        successor_alive: Whether its successor runs.
-        predecessor: Incarnation of a running server that is neither of the two; 0 for none.
+        successor_alive: Whether the current server's successor runs.
+        predecessor: Incarnation of a running server that is neither of these two; 0 for none.
     """
 
     state: SupervisorState
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerReady:
-    """The server of this incarnation reported that it serves."""
+    """The server of this incarnation reported that it has started to serve tasks."""
 
     incarnation: int
 
--- a/thistleline/supervisor/model.py
+++ b/thistleline/supervisor/model.py
@@ -46,7 +46,7 @@
 
     Attributes:
         epoch: Fencing token: the epoch of the controller's lease. Records with an older epoch are refused.
-        number: Number of the rollout that it belongs to.
+        number: Number of the rollout that the request belongs to.
         version: The version to run.
         restart_token: A new value restarts the server with the same version; 0 requests no restart.
     """
--- a/thistleline/supervisor/server_log.py
+++ b/thistleline/supervisor/server_log.py
@@ -1,4 +1,4 @@
-"""Reads the figures that a server periodically appends to its log file."""
+"""Reads the metrics (`figures` lines) that a server periodically appends to its log file."""
 
 import os
 from collections.abc import Callable
@@ -17,14 +17,14 @@
     """Follows the log of the current incarnation.
 
     Attributes:
-        incarnation: The incarnation that the figures belong to.
+        incarnation: The incarnation (process of the server) that the metrics belong to.
         counters: The fields named by COUNTERS, counted since that incarnation started.
         value: Utility of the tasks that arrived, and of those finished in time.
         peak_memory: Peak memory use, kB.
     """
 
     def __init__(self, path_of: Callable[[int], Path]) -> None:
-        """Create a reader without figures; `path_of` returns the log file of an incarnation."""
+        """Create a reader without metrics; `path_of` returns the log file of an incarnation."""
         self._path_of = path_of
         self._path = Path()
         self._position = 0  # bytes already read
@@ -37,13 +37,16 @@
         self.peak_memory = 0
 
     def figures_of(self, incarnation: int) -> tuple[int, ...]:
-        """Return counters and memory of this incarnation; zeros if nothing was read of it."""
+        """Return the counters and peak memory of this incarnation; zeros if none were read from its log."""
         if incarnation != self.incarnation:
             return (0,) * (len(COUNTERS) + 1)
         return (*self.counters, self.peak_memory)
 
     def value_of(self, incarnation: int) -> tuple[int, int]:
-        """Return the arrived and served utility of this incarnation; zeros if nothing was read of it."""
+        """Return the utility of tasks that arrived at this incarnation and of those it finished in time.
+
+        Zeros if none were read from its log.
+        """
         return self.value if incarnation == self.incarnation else (0, 0)
 
     def poll(self, incarnation: int) -> None:
@@ -52,7 +55,7 @@
         if path != self._path:
             self._path = path
             self._position = 0
-            # Prevents the figures of one incarnation from being taken for those of the next.
+            # Prevents the metrics of one incarnation from being taken for the metrics of the next one.
             self._reset_figures()
             self.incarnation = incarnation
         with suppress(OSError):
--- a/thistleline/supervisor/server_processes.py
+++ b/thistleline/supervisor/server_processes.py
@@ -20,15 +20,15 @@
 from thistleline.supervisor.releases import RUN_FILE, Releases
 from thistleline.supervisor.settings_files import SettingsFiles
 
-FIND_TIMEOUT = 3.0  # s, for a server that is still starting to write its process id
-FIND_INTERVAL = 0.02  # s between two checks for the process id
-INCARNATIONS_KEPT = 5  # latest incarnations whose files are kept
+FIND_TIMEOUT = 3.0  # s in which a server that is still starting has to write its process id
+FIND_INTERVAL = 0.02  # s between two checks whether the process id was written
+INCARNATIONS_KEPT = 5  # newest incarnations (processes of the server) whose files are kept
 # Writes the process id to $1 atomically, then executes the program $3 in the folder $2.
 START_SCRIPT = 'echo $$ >"$1.new" && mv "$1.new" "$1" && cd "$2" && exec "./$3"'
 
 
 class ServerFiles(NamedTuple):
-    """Files of one incarnation."""
+    """The files of one incarnation of the server."""
 
     pid: Path
     configuration: Path
@@ -39,7 +39,7 @@
     """A running server, started by this supervisor or by an earlier one."""
 
     def __init__(self, incarnation: int, pidfd: int, process: Process | None) -> None:
-        """Watch `pidfd`, -1 if the process has already ended; `process` is set for a child process."""
+        """Watch the process of `pidfd`, -1 if it has already ended; `process` is set for a child process."""
         self.incarnation = incarnation
         self._pidfd = pidfd
         self._process = process
@@ -65,7 +65,7 @@
         Args:
             folder: Folder of the supervisor.
             configuration: The server configuration, to which the settings of the version are added.
-            releases: Releases of the machine.
+            releases: The releases installed on the machine.
             overlapping: Whether servers hand over to their successors; if so, each has its own lock file.
         """
         self._folder = folder
--- a/thistleline/supervisor/service.py
+++ b/thistleline/supervisor/service.py
@@ -75,7 +75,7 @@
         self.member = MemberService(
             conf.members, MemberFacts("", 0, conf.members.zone, self.started_wall_ms), log
         )
-        self.serving_since = 0  # boot time, ns
+        self.serving_since = 0  # boot time at which the server began to serve, ns
         self._wakeup = anyio.Event()
 
     async def run(self) -> None:
@@ -239,7 +239,7 @@
             self._publish()
 
     def _publish(self) -> None:
-        """Publish the running version, its state and its figures to the other members."""
+        """Publish the running version, the server's state and the server's metrics to the other members."""
         supervisor = self.supervisor
         incarnation = supervisor.state.incarnation
         running = supervisor.state.running or Version()
@@ -260,5 +260,5 @@
 
 
 def run(conf: ProgramConfig, log: Callable[..., None]) -> None:
-    """Run a supervisor until SIGTERM or SIGINT; raises the errors of `SupervisorService`."""
+    """Run a supervisor until SIGTERM or SIGINT; raises the same errors as `SupervisorService`."""
     anyio.run(SupervisorService(conf, log).run)
--- a/thistleline/supervisor/state_machine.py
+++ b/thistleline/supervisor/state_machine.py
@@ -1,13 +1,15 @@
 """Supervisor state machine: starts, stops, replaces and restarts a server, or gives it up. No I/O, no clock.
 
+An incarnation is one started process of the server; incarnations are numbered. The wanted version is the
+desired version, or the last good one if this supervisor has rejected the desired one.
 `handle` takes the events of `events.py` and returns the effects of `effects.py`. Effects that change which
 servers run are issued one at a time, each only after the preceding `PersistState` is durable: if the
 supervisor dies at any point, the state on disk and the running servers together determine the next step. A
 server is never started while another one runs.
 
 The exception is `overlapping`: the successor is started while the current server serves. The current server
-serves until the successor reports that it does (`ServerReady`); it then is the predecessor, which ends by
-itself or is killed. A successor that dies, or does not start serving, only fails its own attempt: the current
+serves until the successor reports that it serves (`ServerReady`). The server that served before is then the
+predecessor, which ends by itself or is killed. If a successor dies, or does not start serving, the current
 server keeps serving. At most two servers run: the one that serves, and either its successor or its
 predecessor.
 """
@@ -33,13 +35,13 @@
 
 
 class AfterPersist(Enum):
-    """Continuations other than effects, run once a state is durable."""
+    """What else, besides an effect, can be done next once a state is durable."""
 
     CONVERGE = auto()
     RESTART = auto()
 
 
-Continuation = AfterPersist | effects.Effect | None  # run once a state is durable
+Continuation = AfterPersist | effects.Effect | None  # what to do next once a state is durable
 
 
 class Supervisor:
@@ -48,9 +50,9 @@
     Attributes:
         phase: Current phase.
         state: The latest state that was passed to `PersistState`.
-        candidate: The version that is being verified, or that starts once the current server has stopped.
+        candidate: The version that is being verified, or that is started once the current server has stopped.
         alive: Whether the server of the current incarnation runs.
-        crashes: Crash history of the current version, and its backoff.
+        crashes: Crash history of the current version, with the backoff between restarts.
         takeover: The successor or predecessor of the current server.
     """
 
@@ -91,7 +93,7 @@
         return duplicate
 
     def state_key(self) -> tuple[Any, ...]:
-        """Return a hashable key of all that decisions depend on but time and consensus, for exploration."""
+        """Return a hashable key of all that decisions depend on, except the time and the replicated log."""
         return (
             self.phase,
             self.state,
@@ -176,7 +178,7 @@
     # ---- persistent state
 
     def _persist(self, state: SupervisorState, then: Continuation = None) -> None:
-        """Adopt the state, request that it is made durable, and run `then` once it is."""
+        """Adopt the state, request that it is made durable, and continue with `then` once it is durable."""
         self.state = state
         self._continuations.append(then)
         self._effects.append(effects.PersistState(state))
@@ -215,7 +217,7 @@
         self.consensus_reachable = reachable
 
     def _on_desired_version(self, desired: DesiredVersion) -> None:
-        """Adopt the desired version; idempotent. One with an older fencing token is refused."""
+        """Adopt the desired version; idempotent. A version with an older fencing token is refused."""
         known = self.state.desired
         if known is not None and desired.is_older_than(known):
             self._log(
@@ -240,7 +242,7 @@
         self._persist(changed, AfterPersist.CONVERGE)
 
     def _converge(self) -> None:
-        """Take the next step towards the wanted version."""
+        """Take the next step towards running the wanted version."""
         wanted = self.state.wanted
         if wanted is None:
             return
@@ -279,7 +281,7 @@
             self._stop("the desired version differs")
 
     def _on_verification_failed(self, candidate: Version, fault: str) -> None:
-        """Reject a version that is missing, unfit or of another digest; a running server keeps running."""
+        """Reject a version that is missing, unfit or has another digest; a running server keeps running."""
         self._log("unfit", release=candidate.release, why=fault)
         self.reason = fault
         self.phase = "running" if self.alive else "failed"
@@ -388,9 +390,9 @@
         self.alive = False
         self._log("exited", code=code, life=self.state.incarnation, ran_ms=ran_ms)
         if self.phase == "succeeding":
-            return  # the successor starts serving without it, or is handled as a failed successor
+            return  # the successor starts serving without the current server, or is handled as failed
         if self.phase == "verifying":
-            return  # died while the candidate was being verified, which is started afterwards
+            return  # the server died while the candidate was being verified; the candidate is started next
         if self.phase != "stopping":
             self._on_crashed(f"the server exited with {code} after {ran_ms} ms")
             return
--- a/thistleline/supervisor/takeover.py
+++ b/thistleline/supervisor/takeover.py
@@ -1,4 +1,4 @@
-"""Tracks the successor of the current server until it serves, and its predecessor until it has ended."""
+"""Tracks the successor of the current server until it serves, and the predecessor until it has ended."""
 
 from thistleline.supervisor.timing import KILL_DELAY, TAKEOVER_TIMEOUT
 
@@ -9,7 +9,7 @@
     Attributes:
         successor_alive: Whether the process of the successor runs.
         predecessor: Incarnation that handed over and has not ended yet; 0 for none.
-        predecessor_since: When it handed over, ns.
+        predecessor_since: When the predecessor handed over, ns.
     """
 
     __slots__ = (
@@ -25,7 +25,7 @@
         self.successor_alive = False
         self.predecessor = 0
         self.predecessor_since = 0
-        self._successor_since = 0  # time of its start, or of the last attempt to kill it, ns
+        self._successor_since = 0  # when the successor was started, or killing it was last tried, ns
         self._predecessor_killed = False
 
     def copy(self) -> "Takeover":
@@ -60,7 +60,7 @@
         self.successor_alive = False
 
     def complete(self, predecessor: int, now: int) -> None:
-        """Record that the successor serves, and wait for its predecessor to end; 0 if that has ended."""
+        """Record that the successor serves, and wait for the predecessor to end; 0 if it ended already."""
         self.successor_alive = False
         self.await_predecessor(predecessor, now)
 
--- a/thistleline/supervisor/timing.py
+++ b/thistleline/supervisor/timing.py
@@ -2,11 +2,12 @@
 
 MILLISECOND = 1_000_000
 SECOND = 1_000_000_000
-BACKOFF_FIRST = 200 * MILLISECOND  # before the first restart after a crash; doubles with each further crash
-BACKOFF_MAX = 5 * SECOND
-CRASH_LOOP_WINDOW = 60 * SECOND  # crashes within it count towards a crash loop
+BACKOFF_FIRST = 200 * MILLISECOND  # delay before the restart after a first crash; doubles with each crash
+BACKOFF_MAX = 5 * SECOND  # longest delay before a restart
+CRASH_LOOP_WINDOW = 60 * SECOND  # crashes within this time count towards a crash loop
 GOOD_AFTER = 15 * SECOND  # a version that ran this long without a crash counts as good
-KILL_DELAY = 500 * MILLISECOND  # after the stop timeout, before the server is killed
-TAKEOVER_TIMEOUT = 30 * SECOND  # for a successor to start serving
-UNREACHABLE_AFTER = 10 * SECOND  # without consensus, before a crash-looping version is rejected locally
+KILL_DELAY = 500 * MILLISECOND  # delay after the stop timeout, before a server that still runs is killed
+TAKEOVER_TIMEOUT = 30 * SECOND  # time that a successor has to start serving
+# Time without an answer from the replicated log, after which a version that crash-loops is rejected locally.
+UNREACHABLE_AFTER = 10 * SECOND
 IDLE_INTERVAL = SECOND  # between two timer events when nothing is due
