--- a/thistleline/cli/cluster.py
+++ b/thistleline/cli/cluster.py
@@ -15,9 +15,9 @@
 
 T = TypeVar("T")
 AnswerType = TypeVar("AnswerType")
-Replicas = dict[str, Address]  # by name
+Replicas = dict[str, Address]  # addresses of replicas by name
 
-REQUEST_TIMEOUT = 10.0  # s
+REQUEST_TIMEOUT = 10.0  # s in which the cluster has to decide a request
 
 
 @dataclass
@@ -37,7 +37,7 @@
         """The replicas' addresses: from the arguments, else from the `council voter` lines of the file.
 
         Raises:
-            InputError: An address or the file is invalid, or neither names a replica.
+            InputError: An address or the file is invalid, or no replica is named.
         """
         addresses = parse_named_addresses(self.voters)
         if not addresses and self.config_path is not None:
--- a/thistleline/cli/common.py
+++ b/thistleline/cli/common.py
@@ -59,7 +59,7 @@
     """Parse arguments of the form `name=address`.
 
     Raises:
-        InputError: One of them has no valid address.
+        InputError: One of the arguments has no valid address.
     """
     addresses: dict[str, Address] = {}
     for argument in arguments:
@@ -81,7 +81,7 @@
     """Convert errors that end a service into errors of the command.
 
     Args:
-        resources: The folder and address that the service uses, for the message.
+        resources: The folder and address that the service uses, for the error message.
 
     Raises:
         InputError: Another program has locked the folder.
--- a/thistleline/cli/consensus.py
+++ b/thistleline/cli/consensus.py
@@ -152,7 +152,7 @@
     """Return the status of every replica.
 
     Raises:
-        click.ClickException: One of them does not answer.
+        click.ClickException: One of the replicas does not answer.
     """
     answers = request_statuses(replicas)
     unanswered = [
--- a/thistleline/cli/feed.py
+++ b/thistleline/cli/feed.py
@@ -37,15 +37,15 @@
 from thistleline.config_feed.operations import export_table, read_each
 from thistleline.config_feed.table import REQUEST_PREFIX, FeedTable
 
-MAX_KEYS = 100  # in one read request
+MAX_KEYS = 100  # keys in one read request
 
 
 class EntrySummary(msgspec.Struct, frozen=True):
     """An entry, as `get` prints it.
 
     Attributes:
-        key: Its key.
-        version: Sequence number of the change that set it; 0 if the entry does not exist.
+        key: Key of the entry.
+        version: Sequence number of the change that set the entry; 0 if the entry does not exist.
         number: Sequence number of the state that was read.
         value: The decoded value; None if the entry does not exist.
     """
@@ -60,7 +60,7 @@
     """A state of the feed, as `follow` prints it.
 
     Attributes:
-        number: Sequence number of its last change.
+        number: Sequence number of the state's last change.
         digest: Digest of the followed sections, hexadecimal.
         touched: Keys that changed since the previous state; None if the whole state was loaded again.
     """
--- a/thistleline/cli/feed_servers.py
+++ b/thistleline/cli/feed_servers.py
@@ -1,4 +1,4 @@
-"""Selecting the keepers and relays that a feed command queries, and reading the newest of their states."""
+"""Selects the keepers and relays that a feed command queries, and reads the newest of their states."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 from thistleline.config_feed.operations import read_each
 from thistleline.transport.address import Address
 
-Servers = dict[str, Address]  # by name
+Servers = dict[str, Address]  # addresses of keepers and relays by name
 
 timeout_type = click.FloatRange(0.1, 3600.0)  # s
 
@@ -74,7 +74,7 @@
     All are queried because a server that was cut off from the others may hold an old state.
 
     Raises:
-        click.ClickException: None of them answers.
+        click.ClickException: None of the servers answers.
     """
     answers = anyio.run(read_each, servers, keys)
     known = [(answer.sequence, name, answer) for name, answer in answers.items() if answer is not None]
--- a/thistleline/cli/lab.py
+++ b/thistleline/cli/lab.py
@@ -1,4 +1,4 @@
-"""`thistleline lab`: run a measurement, print its figures, store and plot them."""
+"""`thistleline lab`: run a measurement; print, store and plot the measured values."""
 
 import importlib
 import json
@@ -51,7 +51,7 @@
 
 
 def _print_table(result: dict[str, Any]) -> None:
-    """Print the figures by part, and whether each criterion was met."""
+    """Print the measured values by part of the lab, and whether each criterion was met."""
     for part, figures in result["figures"].items():
         click.echo(part)
         rows = figures.items() if isinstance(figures, dict) else (("", figures),)
--- a/thistleline/cli/lease.py
+++ b/thistleline/cli/lease.py
@@ -28,10 +28,10 @@
 EXIT_NO_COMMAND = 127  # the command can't be started
 
 TTL_SECONDS = click.FloatRange(MIN_TTL / 1e9, MAX_TTL / 1e9)
-GRACE_FRACTION = 0.3  # of the remaining time of the lease, for the command to end by itself
-MAX_GRACE = 1.0  # s
-KILL_FRACTION = 0.25  # of the grace period that is left when the command is killed
-GRACE_POLL = 0.01  # s
+GRACE_FRACTION = 0.3  # part of the lease's remaining time in which the command may end after SIGTERM
+MAX_GRACE = 1.0  # s; longest time in which the command may end after SIGTERM
+KILL_FRACTION = 0.25  # part of the grace period that is left when the command is killed
+GRACE_POLL = 0.01  # s; shortest time between two checks of the lease's remaining time
 
 
 @click.group("lease")
@@ -138,7 +138,7 @@
 async def _end_before_expiry(held: HeldLease, process: anyio.abc.Process, expiring: anyio.Event) -> None:
     """End the command before the lease ends: by SIGTERM, then, after a grace period, by SIGKILL.
 
-    Each renewal of the lease postpones both ends. Sets `expiring` before the SIGTERM.
+    Each renewal of the lease postpones both signals. Sets `expiring` before the SIGTERM.
     """
     grace = min(MAX_GRACE, GRACE_FRACTION * held.remaining())
     while (remaining := held.remaining()) > grace:
--- a/thistleline/cli/ledger.py
+++ b/thistleline/cli/ledger.py
@@ -16,16 +16,16 @@
 
 
 class EffectSummary(msgspec.Struct, frozen=True):
-    """An effect, as `inspect` prints it.
+    """An effect (a run with an idempotency key), as `inspect` prints it.
 
     Attributes:
         number: The effect's number.
-        stage: Index of its stage among the stages of the server.
+        stage: Index of the effect's stage (class of requests) among the stages of the server.
         key: Digest of idempotency key and body, hexadecimal.
         id: Id of the attempt.
-        left_ms: Milliseconds until its idempotency window ends.
-        how: How it ended; None if that is not known.
-        result_bytes: Size of the stored result; None if there is none.
+        left_ms: Milliseconds until the idempotency window ends.
+        how: How the run ended; None if that is not known.
+        result_bytes: Size of the stored result; None if no result is stored.
     """
 
     number: int
--- a/thistleline/cli/ledger_folder.py
+++ b/thistleline/cli/ledger_folder.py
@@ -16,7 +16,7 @@
 from thistleline.store.disk import Disk, DiskLockedError
 from thistleline.store.frames import CorruptFrameError
 
-NO_LIMIT = 1 << 62  # bytes
+NO_LIMIT = 1 << 62  # bytes; stands for no limit on the size of the ledger
 
 
 class LedgerContents(NamedTuple):
--- a/thistleline/cli/main.py
+++ b/thistleline/cli/main.py
@@ -73,7 +73,7 @@
         return self.load().invoke(context)
 
 
-# Command, module in this package, attribute, line in the list of all commands.
+# Of each command: its name, module in this package, attribute, and line in the list of all commands.
 LAZY_COMMANDS = (
     ("ledger", "ledger", "ledger", "Inspect, verify or compact a ledger's folder."),
     (
--- a/thistleline/cli/rollout.py
+++ b/thistleline/cli/rollout.py
@@ -1,4 +1,4 @@
-"""`thistleline conductor` and `thistleline roll`: run the rollout controller, order a change, follow it."""
+"""`thistleline conductor` and `thistleline roll`: run the rollout controller, order rollouts, follow them."""
 
 import time
 from collections.abc import Callable
@@ -30,7 +30,7 @@
 from thistleline.supervisor.records import digest_settings, settings_key
 from thistleline.supervisor.releases import content_digest, ledger_formats
 
-FOLLOW_INTERVAL = 0.5  # s between two reads of the record
+FOLLOW_INTERVAL = 0.5  # s between two reads of the rollout's record
 
 _release_folder = click.Path(exists=True, file_okay=False)
 _decode_record = msgspec.msgpack.Decoder(RolloutRecord).decode
@@ -64,7 +64,7 @@
 
 
 def read_rollout(replicas: Replicas) -> RolloutRecord | None:
-    """Return the record of the last change, None if there has been none."""
+    """Return the record of the last rollout, None if there has been none."""
     stored = read_record(replicas, RECORD_KEY)
     return _decode_record(stored.value) if stored.version else None
 
@@ -109,7 +109,7 @@
 
 
 def _running_version(last: RolloutRecord | None) -> Version:
-    """Return the version that the fleet runs after its last change."""
+    """Return the version that the fleet runs after its last rollout."""
     if last is None:
         return Version()
     return last.version if last.phase == "done" else last.base
@@ -119,7 +119,7 @@
     """Return a version with another release or other settings.
 
     Args:
-        replicas: Where settings are stored.
+        replicas: Replicas of the consensus cluster that stores the settings.
         base: The version to start from.
         release: Folder of the new release, None to keep that of `base`.
         settings: Number of the new settings, 0 to keep those of `base`.
@@ -154,10 +154,10 @@
 
 
 def _submit(replicas: Replicas, make_order: Callable[[int], Order]) -> None:
-    """Write an order with the number that follows that of the last order.
+    """Write an order to the replicated log, numbered after the last order.
 
     Raises:
-        InputError: An order to start a change is invalid.
+        InputError: An order to start a rollout is invalid.
     """
     last = read_record(replicas, ORDER_KEY)
     number = _decode_order(last.value).number + 1 if last.version else 1
--- a/thistleline/cli/settings.py
+++ b/thistleline/cli/settings.py
@@ -18,7 +18,7 @@
 
 MAX_GAP = 16  # unused numbers in a row, after which the history ends
 MAX_NUMBER = 1 << 31
-SHORT_DIGEST = 16  # characters
+SHORT_DIGEST = 16  # characters of a digest that are printed
 
 _file = click.Path(exists=True, dir_okay=False, path_type=Path)
 
@@ -27,9 +27,9 @@
     """A version of the settings, as `history` prints it.
 
     Attributes:
-        number: Its number.
-        digest: SHA-256 of its content, hexadecimal.
-        role: Its role in the last rollout; empty if it has none.
+        number: Number of the version.
+        digest: SHA-256 of the version's content, hexadecimal.
+        role: The version's role in the last rollout; empty if it has none.
     """
 
     number: int
@@ -70,7 +70,7 @@
     """Return the content of a file with a version of the settings.
 
     Raises:
-        InputError: No server accepts them, or none with this configuration.
+        InputError: No server accepts the settings, or no server with this configuration does.
     """
     content = file.read_bytes()
     limits = _read_limits(server_configuration) if server_configuration is not None else None
--- a/thistleline/store/disk.py
+++ b/thistleline/store/disk.py
@@ -8,7 +8,7 @@
 BOOT_ID_SIZE = 16  # bytes
 SEGMENT_DIGITS = 12  # digits of the segment number in a file name
 
-_CLOSED = -1  # in place of a file descriptor while no file is open
+_CLOSED = -1  # stands for a file descriptor while no file is open
 
 
 class DiskLockedError(Exception):
--- a/thistleline/store/frames.py
+++ b/thistleline/store/frames.py
@@ -15,7 +15,7 @@
 
 
 class CorruptFrameError(Exception):
-    """Stored data is unusable: a missing or foreign header, or unreadable data where none is allowed."""
+    """Unusable stored data: no header, one of another format, or unreadable data where none is allowed."""
 
 
 def encode_checksum_frame(payload: bytes) -> bytes:
--- a/thistleline/store/latest.py
+++ b/thistleline/store/latest.py
@@ -41,7 +41,7 @@
         self.needs_new_segment = True
 
     def put(self, value: bytes) -> None:
-        """Store `value`; it is durable once this returns.
+        """Store `value`; the value is durable once this returns.
 
         Raises:
             OSError: It is unknown whether the value is stored; the next one goes to a new segment.
--- a/thistleline/transport/codec.py
+++ b/thistleline/transport/codec.py
@@ -11,8 +11,8 @@
 import msgspec
 
 SUPPORTED_VERSIONS = (1, 1)  # lowest and highest protocol version of this program
-MAX_CLIENT_MESSAGE_SIZE = 1 << 20  # bytes
-MAX_REPLICA_MESSAGE_SIZE = 64 << 20  # bytes
+MAX_CLIENT_MESSAGE_SIZE = 1 << 20  # bytes of a message between a client and a replica
+MAX_REPLICA_MESSAGE_SIZE = 64 << 20  # bytes of a message between two replicas
 _LENGTH = struct.Struct(">I")
 
 
--- a/thistleline/transport/connection.py
+++ b/thistleline/transport/connection.py
@@ -13,12 +13,12 @@
 from thistleline.transport.disconnects import report_disconnects
 
 MAX_QUEUED_MESSAGES = 4096
-MAX_QUEUED_SIZE = 128 << 20  # bytes
+MAX_QUEUED_SIZE = 128 << 20  # bytes of queued frames; beyond it frames are dropped
 SEND_BATCH_SIZE = 1 << 18  # bytes passed to the socket in one call
 CONNECT_TIMEOUT = 2.0  # s; applies to the connection and to the handshake separately
 SEND_TIMEOUT = 5.0  # s; if one send takes longer, the connection is closed and reopened
 MIN_BACKOFF = 0.05  # s before the first reconnection
-MAX_BACKOFF = 1.0  # s
+MAX_BACKOFF = 1.0  # s; longest delay before a reconnection
 
 
 class SendQueue:
@@ -77,7 +77,7 @@
         rng: Random,
         on_disconnect: Callable[[str], None],
     ) -> None:
-        """Create an instance without a connection; `run` connects.
+        """Start without a connection; `run` connects.
 
         Args:
             address: Address that the peer listens on.
@@ -127,7 +127,7 @@
                     await self.queued.wait()
 
     async def _cancel_at_end(self, stream: SocketStream, scope: anyio.CancelScope) -> None:
-        """Cancel the sender when the peer closes the connection: it sends nothing after the handshake."""
+        """Cancel sending when the peer closes the connection; the peer sends nothing after the handshake."""
         with suppress(anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
             await stream.receive(1)
         scope.cancel()
--- a/thistleline/transport/disconnects.py
+++ b/thistleline/transport/disconnects.py
@@ -1,4 +1,4 @@
-"""The errors with which a connection ends because of its peer or the network."""
+"""The errors that end a connection because of its peer or the network."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
--- a/thistleline/zones/decision.py
+++ b/thistleline/zones/decision.py
@@ -15,16 +15,16 @@
 from thistleline.zones.routing import RoutingRules, RoutingTable, TrafficShare
 from thistleline.zones.status import FleetStatus, ZoneStatus
 
-SPILL_UTILIZATION = 0.95  # of a zone's capacity; beyond it the zone spills
-RETURN_UTILIZATION = 0.80  # of a zone's capacity; traffic returns if the zone's work with it stays below
-RESERVE = 0.15  # of a receiver's capacity, kept free for the loss of a part of its servers
-RECEIVE_STEP = 0.20  # of a receiver's capacity; maximum increase in one decision
-RETURN_STEP = 0.05  # of the origin's demand; maximum return in one decision
+SPILL_UTILIZATION = 0.95  # share of a zone's capacity; a zone with more work moves some to other zones
+RETURN_UTILIZATION = 0.80  # share of a zone's capacity; traffic returns if the zone's work then stays below
+RESERVE = 0.15  # share of a receiver's capacity that is kept free, as some of its servers may be lost
+RECEIVE_STEP = 0.20  # share of a receiver's capacity by which its received work may grow in one decision
+RETURN_STEP = 0.05  # share of the origin's demand that may return to the origin in one decision
 STABLE_DECISIONS = 3  # consecutive decisions that must favour the return of traffic before it begins
-SLOWDOWN_RATIO = 0.80  # of its usual capacity; a zone with less counts as slowed down
-LOST_RATIO = 0.10  # of its usual capacity; a zone with less counts as lost, whatever other zones do
-MIN_CHANGE = 0.02  # of a zone's demand; smaller changes are ignored
-MAX_UNCERTAINTY = 0.5  # a zone with more uncertainty receives nothing
+SLOWDOWN_RATIO = 0.80  # share of a zone's usual capacity; a zone with less counts as slowed down
+LOST_RATIO = 0.10  # share of a zone's usual capacity; with less, the zone is lost, whatever other zones do
+MIN_CHANGE = 0.02  # share of a zone's demand; smaller changes of its traffic are ignored
+MAX_UNCERTAINTY = 0.5  # share of servers without a credible report; a zone with more receives nothing
 USUAL_WEIGHT = 0.9  # weight of the previous average in the moving average of a zone's capacity
 CURRENT_WEIGHT = 0.1  # weight of the current capacity in that average
 FRACTION_DIGITS = 3  # decimal places of the fractions and capacities in a table
@@ -33,7 +33,7 @@
 
 
 class ZoneDecider:
-    """Decides the table for each new status; another instance can continue from the stored table.
+    """Decides the routing table for each new fleet status; another instance can continue from the table.
 
     Attributes:
         rules: The operators' rules of the installation.
@@ -107,7 +107,7 @@
             if excess <= MIN_CHANGE * demand[name]:
                 continue
             if received:
-                # The receiver has degraded: traffic of other zones returns, its own is not moved yet.
+                # The receiver has degraded: other zones' traffic returns, and its own is not moved yet.
                 for key in [key for key in flows if key[2] == name]:
                     del flows[key]
                 continue
@@ -162,7 +162,7 @@
         return max(0.0, min(spare, before + RECEIVE_STEP * zone.capacity - received))
 
     def _return_traffic(self, status: FleetStatus, demand: dict[str, float], flows: Flows) -> None:
-        """Return some traffic to zones that had capacity for it long enough, the greatest utility first."""
+        """Return some traffic to zones with capacity for it for long enough, the greatest utility first."""
         utility = self.rules.utility
         for name in sorted({origin for origin, _, _ in flows}):
             away = _work_from(flows, name)
@@ -182,7 +182,7 @@
                 step -= returned
 
     def _limit_receivers(self, status: FleetStatus, demand: dict[str, float], flows: Flows) -> None:
-        """Return traffic that a receiver lost the capacity for, of the least utility first."""
+        """Return the traffic that a receiver no longer has the capacity for, the least utility first."""
         utility = self.rules.utility
         for receiver in sorted({receiver for _, _, receiver in flows}):
             excess = _work_to(flows, receiver)
@@ -215,7 +215,7 @@
         return self.table
 
     def _differs(self, shares: list[TrafficShare], status: FleetStatus) -> bool:
-        """Return whether these shares differ enough from those in force."""
+        """Return whether these shares differ enough from the shares in the table in force."""
         before = {(share.origin, share.stage, share.receiver): share.fraction for share in self.table.shares}
         after = {(share.origin, share.stage, share.receiver): share.fraction for share in shares}
         if set(before) != set(after):
--- a/thistleline/zones/routing.py
+++ b/thistleline/zones/routing.py
@@ -6,7 +6,10 @@
 
 
 class TrafficShare(msgspec.Struct, frozen=True, array_like=True):
-    """The fraction of a zone's traffic of one stage that goes to another zone; the rest stays in the zone."""
+    """The fraction of a zone's traffic of one stage (class of requests) that goes to another zone.
+
+    The rest stays in the zone.
+    """
 
     origin: str
     stage: int
@@ -21,7 +24,7 @@
         number: Sequence number of the table.
         shares: The traffic that is moved.
         capacities: Usual capacity of each zone, in cores, on which the decision was based.
-        reason: Why the table was made, for people.
+        reason: Why the table was made, in words for operators.
     """
 
     number: int = 0
@@ -30,7 +33,7 @@
     reason: str = msgspec.field(default="", name="why")
 
     def shares_from(self, origin: str, stage: int) -> dict[str, float]:
-        """Return the fraction of the origin's traffic of a stage that goes to each receiver."""
+        """Return the fractions of the origin's traffic of this stage that go to each receiver."""
         return {
             share.receiver: share.fraction
             for share in self.shares
@@ -51,5 +54,7 @@
 
     cost: dict[tuple[str, str], float]  # by (origin, receiver); a pair without a cost is not a route
     utility: dict[int, float]  # per core-second, by stage
-    forbidden: frozenset[tuple[int, str, str]] = frozenset()  # stage, origin, receiver
+    forbidden: frozenset[tuple[int, str, str]] = (
+        frozenset()
+    )  # (stage, origin, receiver) that must not be used
     drained: frozenset[str] = frozenset()  # zones to move all traffic away from
--- a/thistleline/zones/status.py
+++ b/thistleline/zones/status.py
@@ -1,6 +1,6 @@
 """The status of each zone, aggregated from reports of its servers and observations by other zones.
 
-No I/O and no clock. Memory is bounded, and servers that report wrong or unchanging figures have little
+No I/O and no clock. Memory is bounded, and servers that report wrong or unchanging metrics have little
 effect: a reported capacity is capped at a multiple of the zone's median, and a server whose counter does not
 change while those of other servers in its zone do is ignored.
 
@@ -17,8 +17,8 @@
 DEMAND_TTL = 600 * SECOND  # time for which the last known demand of a lost zone is assumed
 MAX_CAPACITY_FACTOR = 1.5  # cap of a server's reported capacity, as a multiple of its zone's median
 MIN_OBSERVERS = 2  # zones whose observations are needed to override a zone's own reports
-MIN_ATTEMPTS = 20  # of an observer; with fewer its observation is ignored
-GRAY_FAILURE_GAP = 0.2  # observed health lower than reported health by more than this is a gray failure
+MIN_ATTEMPTS = 20  # attempts of an observer at a zone; with fewer its observation is ignored
+GRAY_FAILURE_GAP = 0.2  # a gray failure: observed health is lower than reported health by more than this
 MAX_SERVERS = 10_000
 
 
@@ -37,8 +37,8 @@
 class StatusObservation(NamedTuple):
     """Success counts of attempts that servers and clients of one zone made at another."""
 
-    observer: str  # zone
-    target: str  # zone
+    observer: str  # zone whose servers and clients made the attempts
+    target: str  # zone at which the attempts were made
     attempts: int
     successes: int
 
@@ -48,7 +48,7 @@
 
     name: str
     capacity: float  # cores of work that it can finish in time
-    servers: int  # with a credible report
+    servers: int  # number of servers with a credible report
     uncertainty: float  # fraction of its servers without a credible report
     health: float  # the lower of its servers' reported and other zones' observed success ratio, 0 to 1
     gray_failure: bool  # the observed health is much lower than the reported one
@@ -77,7 +77,7 @@
         self.observations: dict[tuple[str, str], StatusObservation] = {}  # by observer and target
         self.last_demand: dict[
             tuple[str, int], tuple[float, int]
-        ] = {}  # work, and the last time with servers in its zone, ns
+        ] = {}  # demand in cores, and when its zone last had servers, ns
 
     def add_report(self, report: ServerReport) -> None:
         """Store a server's report; a report from an unknown zone is ignored."""
