--- a/thistleline/rollout/canary.py
+++ b/thistleline/rollout/canary.py
@@ -37,9 +37,7 @@
 MIN_SERVER_SAMPLES = 3  # samples required of a canary before its mean worsening is considered individually
 UNANIMOUS_CANARIES = 4  # up to this many canaries, each of them has to show the worsening individually
 MIN_AGREEMENT = 0.6  # share of the canaries that have to show the worsening, if there are more of them
-MIN_COLD_SAMPLES = (
-    6  # samples of cold servers on the old version, before cold canaries are compared with them
-)
+MIN_COLD_SAMPLES = 6  # samples of cold old servers, before cold new servers are compared with them
 FLEET = "all"  # stands for the whole fleet in place of a zone
 
 _METRIC_BY_NAME = {metric.name: metric for metric in GUARDRAIL_METRICS}
--- a/thistleline/rollout/canary_health.py
+++ b/thistleline/rollout/canary_health.py
@@ -7,9 +7,7 @@
 
 from thistleline.rollout.metrics import SlotSample
 
-SILENT_SLOTS = (
-    4  # slots in a row without a report from a new server, after which the rollout's stage is stopped
-)
+SILENT_SLOTS = 4  # slots in a row without a report from a new server, after which it counts as silent
 MIN_TASKS = 5  # tasks that a server must have received in a slot for its rates to be meaningful
 CRASH_LOOP_COUNT = 3  # crashes of one new server in a stage of the rollout that count as a crash loop
 MIN_CRASHES = 2  # crashes of all new servers together, before their crash rate is compared with the old ones'
--- a/thistleline/rollout/stages.py
+++ b/thistleline/rollout/stages.py
@@ -10,7 +10,7 @@
 from thistleline.rollout.server_status import ServerStatus
 
 STAGES = ("one", "one a zone", "tenth", "half", "all")
-STAGES_WITH_CONTROLS = ("one", "one a zone")  # by the later ones, enough cold servers were sampled
+STAGES_WITH_CONTROLS = ("one", "one a zone")  # by the later ones, enough cold old servers were sampled
 CONTROLS_PER_TARGET = 2
 
 
