--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -147,7 +147,7 @@
     cluster.run(cluster.now + 5 * SECOND)
     assert {member.id for member in cluster.servers[cluster.leader()].replica.state.members} == set(rest)
     assert cluster.servers[leader].replica.state.phase != "leading"
-    # Removing it again succeeds without a change.
+    # Removing the same member again succeeds without a change.
     assert isinstance(send_request(cluster, cluster.leader(), ChangeReplicas("remove", leader)), Done)
     cluster.crashed.add(leader)
     before = cluster.servers[cluster.leader()].replica.state.term
@@ -272,7 +272,7 @@
 
 
 def test_server_imports_only_deployed_modules_and_not_msgspec() -> None:
-    """The deploy file lists all modules that the server imports, so that the evaluated code is what runs."""
+    """The deploy file lists all modules that the server imports, so that exactly the evaluated code runs."""
     deployment = tomllib.loads(Path("deploy/balancer.toml").read_text())
     script = "import sys, thistleline.__main__, thistleline.server.service; print(*sys.modules)"
     modules = subprocess.run(
@@ -326,7 +326,7 @@
     for end in range(sizes[0], len(data)):
         (folder / path.name).write_bytes(data[:end])
         term, _, last = recovered_position(folder)
-        # A complete first copy counts; no record that was durable before is lost.
+        # A write counts once its first copy is complete; no record that was durable before is lost.
         complete = sum(1 for size in sizes if size <= end) - 1
         minimum = [(3, 0), (4, 0), (4, 2), (4, 2)][complete]
         assert (term, last) >= minimum
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -1,6 +1,7 @@
 """Tests of sources and followers over simulated links that block, disconnect and interleave; of the tenant
-cache of an instance; and of a table and its history. A reference model of all written states is independent
-of the tested code: a follower's table has to equal the model's state of the same sequence number."""
+cache of an instance (a process that uses the configuration); and of a table and its history. A reference
+model of all written states is independent of the tested code: a follower's table has to equal the model's
+state at the same sequence number."""
 
 from collections import Counter, deque
 from collections.abc import Callable, Iterable, Iterator
@@ -151,14 +152,14 @@
         self.to_source: deque[FollowerMessage] = deque()
         self.to_follower: deque[SourceMessage | Closed] = deque()
         self.blocked: set[Literal["to_source", "to_follower"]] = set()
-        self.max_in_transit = 0  # most deltas and parts in transit to the follower at the same time
+        self.max_in_transit = 0  # most deltas and snapshot parts in transit to the follower at the same time
 
 
 class Network:
     """Simulates sources and followers with a shared clock.
 
-    The next link to deliver a message is drawn at random; each link keeps the order. A link that ends first
-    delivers a random number of the messages in transit. All messages pass through the codec.
+    The next link to deliver a message is drawn at random; each link keeps the order of its messages. Before a
+    link ends, it delivers a random number of the messages in transit. All messages pass through the codec.
     """
 
     def __init__(self, reference: ReferenceModel, seed: int = 1) -> None:
@@ -297,7 +298,7 @@
         self.pass_to_follower(id, UpstreamConnected(name))
 
     def close_link(self, id: str) -> None:
-        """Close a link at the follower's end: a random part of what it sent is still delivered."""
+        """Close a link at the follower's end: a random part of what the follower sent is still delivered."""
         link = self.links.pop(id, None)
         if link is None or link.server not in self.sources:
             return
@@ -403,7 +404,7 @@
 
 
 def network_following(reference: ReferenceModel, *ids: str, kind: Kind = "wide") -> Network:
-    """Return a network of one source `a` and these followers of it."""
+    """Return a network of one source `a` and these followers, which follow it."""
     net = Network(reference)
     net.add_source("a", reference.history())
     net.pass_to_source("a", WriterChanged(1, True, 0))
@@ -678,7 +679,7 @@
 
 
 def test_next_source_may_offer_older_snapshot_than_the_one_being_loaded() -> None:
-    """A partly loaded snapshot does not count yet: an older one may replace it, but not the current state."""
+    """An older snapshot may replace one that is only partly loaded, but not the follower's current state."""
     reference = ReferenceModel()
     reference.write_many(60)
     with lowered_limits(PART_SIZE=300):
@@ -716,8 +717,8 @@
 
 
 def test_parts_of_replaced_snapshot_are_ignored() -> None:
-    """A relay that loads a snapshot itself drops the one that its followers are loading. Parts of the old
-    one, and requests for them, are still in transit."""
+    """A relay that loads a snapshot itself drops the snapshot that its followers are loading. Parts of the
+    old snapshot, and requests for such parts, are still in transit."""
     reference = ReferenceModel()
     reference.write_many(60)
     with lowered_limits(PART_SIZE=300):
@@ -734,7 +735,7 @@
         net.sources["a"].history.reset(reference.tables[-1])
         net.pass_to_source("a", HistoryReplaced())
         link.blocked = {"to_source"}
-        net.deliver_all()  # it requests more parts of the old snapshot
+        net.deliver_all()  # the follower requests more parts of the old snapshot
         link.blocked = {"to_follower"}
         net.deliver_all()
         link.blocked.clear()
@@ -747,7 +748,10 @@
 
 @pytest.mark.parametrize("cause", ["history trimmed", "steps larger", "subscriber diverged"])
 def test_snapshot_without_delta_to_newest_state_is_replaced_for_all_loading_followers(cause: str) -> None:
-    """A second follower connects while one loads: if it got the old snapshot, loading would never end."""
+    """A second follower connects while another loads a snapshot that no delta leads on from.
+
+    If the second one were given the old snapshot too, loading would never end.
+    """
     reference = ReferenceModel()
     reference.write_many(60)
     with lowered_limits(
@@ -856,7 +860,7 @@
         net.reference.write(("route/1", b"meanwhile"))
         net.advance_source("a")
         net.run()
-        assert source.snapshots.by_kind["wide"] is snapshot  # kept, because a delta leads on from it
+        assert source.snapshots.by_kind["wide"] is snapshot  # kept: a delta leads from it to the newest state
         net.check_all_newest()
     assert net.effect_counts[SnapshotLoaded] == 3
     net.run(SNAPSHOT_TTL)
@@ -1109,7 +1113,7 @@
 
 
 def test_follower_inside_merged_step_of_next_relay_resumes() -> None:
-    """The relay that fails received each change separately, the other one several as one step."""
+    """The relay that fails received each change separately; the next relay received several in one step."""
     reference = ReferenceModel()
     reference.write_many(20)
     net = Network(reference)
@@ -1139,7 +1143,8 @@
 
 
 def test_follower_inside_merged_step_with_diverged_state_loads_snapshot() -> None:
-    """That step leads to another digest. The next source has the same step."""
+    """From the follower's diverged state, the merged step leads to another digest than the source's. The next
+    source has the same step."""
     reference = ReferenceModel()
     reference.write_many(6)
     history = History(reference.tables[2])
@@ -1214,11 +1219,11 @@
     net.break_link("k")
     net.run(4 * RECONNECT_JITTER_NS)
     assert net.follower("k").upstream == "c"
-    net.pass_to_source("c", WriterChanged(5, False, 0))  # it lost its lease and announces this at once
+    net.pass_to_source("c", WriterChanged(5, False, 0))  # c lost its lease and announces this at once
     net.deliver_all()
     assert ("k", "not the writer") in net.disconnects
     net.run(6 * RECONNECT_JITTER_NS)
-    assert net.follower("k").upstream not in ("b", "c")  # b's epoch is outdated
+    assert net.follower("k").upstream not in ("b", "c")  # the epoch that b knows is outdated
     net.pass_to_source("b", WriterChanged(6, True, 0))
     net.run(4 * RECONNECT_JITTER_NS)
     assert net.follower("k").upstream == "b"
@@ -1323,7 +1328,7 @@
     assert one.phase == "quiet"
     net.pass_to_follower(
         "k", FollowingResumed(False, reference.tables[7])
-    )  # the changes that it wrote itself
+    )  # the changes that the future writer wrote itself
     assert (one.phase, one.table.sequence, one.accept_any_source) == ("waiting", 7, False)
 
 
@@ -1333,7 +1338,7 @@
         net.write(("route/1", str(number).encode()))
         net.deliver_all()
     net.pass_to_follower("k", StateDurable(2))
-    net.pass_to_follower("k", StateDurable(9))  # beyond its state
+    net.pass_to_follower("k", StateDurable(9))  # beyond the follower's state
     net.run(3 * HEARTBEAT_INTERVAL_NS)
     assert net.durable == [("k", 2), ("k", 3)]
     net.break_link("k")
@@ -1346,8 +1351,8 @@
 
 
 def test_durable_number_of_replaced_state_is_not_reported() -> None:
-    """The follower's disk has a state 4 that differs from the one written to the feed. It must not count; the
-    loaded state counts once it is on disk."""
+    """The follower's disk has a state 4 that differs from the feed's state 4. It must not count as durable;
+    the loaded state counts once it is on disk."""
     reference = ReferenceModel()
     reference.write_many(5)
     net = Network(reference)
@@ -1635,8 +1640,8 @@
 
 
 def test_tenant_answer_is_sent_after_its_delta() -> None:
-    """The request arrives while a delta is in flight and more has changed since: an immediate answer would
-    belong to another sequence number."""
+    """The request arrives while a delta is in flight and the source's state is newer than that delta: an
+    immediate answer would belong to another sequence number."""
     reference = ReferenceModel()
     reference.write(("tenant/1", b"1"))
     net, cache = network_with_cache(reference)
@@ -1930,8 +1935,8 @@
 @settings(max_examples=150, deadline=None)
 @given(st.integers(0, 1 << 32), st.integers(1, 80))
 def test_random_faults_never_corrupt_a_state_and_all_reach_the_newest(seed: int, count: int) -> None:
-    """Two sources, one of them lagging; a relay that follows them; instances that follow any of these; one
-    instance looks up tenants."""
+    """There are two sources, one of them lagging, a relay that follows them, and instances that follow any of
+    these three; one instance looks up tenants."""
     reference, random = ReferenceModel(), Random(seed)
     net = Network(reference, seed)
     durable: dict[str, int] = {"x": 0, "y": 0}
--- a/tests/test_feed_service.py
+++ b/tests/test_feed_service.py
@@ -59,7 +59,7 @@
 ) -> list[str]:
     """Run a scenario on a fleet of processes and return the violations that the oracle finds.
 
-    It fails after a minute.
+    The scenario fails after a minute.
     """
 
     async def run() -> list[str]:
@@ -241,7 +241,7 @@
     await feed.pairs(2)
     writer = await feed.writer()
     (other,) = [one for one in feed.keepers if one != writer]
-    await feed.kept(writer, 2)  # otherwise the ring may fill earlier: its state may not be on disk yet
+    await feed.kept(writer, 2)  # else the ring may fill earlier: the first changes may not be on both disks
     feed.processes[other].pause()
     feed.asked = [writer]
     await feed.pairs(RING_SLOTS)
@@ -278,11 +278,11 @@
                 feed.processes[failed].kill()
             elif fault == "stop":
                 feed.processes[failed].pause()
-            elif fault == "drop to followers":  # its messages do not reach its followers
+            elif fault == "drop to followers":  # the relay's messages do not reach its followers
                 for (_, to), relay in feed.fleet.relays.items():
                     if to == failed:
                         relay.backward = LinkFault(drop=True)
-            else:  # its messages do not reach its source
+            else:  # the relay's messages do not reach its source
                 feed.fleet.partition(failed, incoming=False)
             await feed.pairs(3)
             if fault != "drop to source":  # a relay that its source cannot hear keeps serving its state
@@ -481,7 +481,7 @@
             while is_connected(relay):
                 assert await read(relay.address) is not None
         assert max(queue_sizes) <= MAX_QUEUED
-        assert max(batch_sizes) <= 3  # one message of each peer, and one SubscriberLeft
+        assert max(batch_sizes) <= 3  # one message from each peer, and one SubscriberLeft
 
     run_relay_in_process(scenario, tuple((key, bytes(4000), 1) for key in keys))
 
@@ -533,7 +533,7 @@
         frozen_count = gc.get_freeze_count()
         table = relay.relay.table
         relay.carry_out(PersistStep(table.update(heap_freezer.FREEZE_EVERY, ()), 1, ()))
-        assert gc.get_freeze_count() == frozen_count  # one change less than the interval
+        assert gc.get_freeze_count() == frozen_count  # one change less than between two freezes
         relay.carry_out(PersistStep(table.update(heap_freezer.FREEZE_EVERY + 1, ()), 1, ()))
         assert gc.get_freeze_count() > frozen_count
         loaded = table.update(9, ((f"tenant/more-{place}", b"{}", 9) for place in range(5_000)))
@@ -635,7 +635,7 @@
 
 
 def test_idle_connections_do_not_block_new_ones() -> None:
-    """Some peers send only a hello, some nothing; the one that follows is not closed."""
+    """Some peers send only a hello, some nothing; the connection of the peer that follows is not closed."""
     hello = encode_frame(encode(Hello("follower", "x")))
 
     async def scenario(relay: FeedService) -> None:
@@ -656,7 +656,7 @@
 
 
 def test_state_replaced_during_its_write_is_not_reported_as_durable(tmp_path: Path) -> None:
-    """A write is in progress while another state is loaded, or is complete but not handled yet."""
+    """Another state is loaded while a write is in progress, or before a complete write was handled."""
     write_allowed, reported = threading.Event(), list[int]()
     diverged = FeedTable().update(2, (("common/of-another", b"{}", 2),))
     loaded = FeedTable().update(3, (("common/a", b"{}", 3),))
--- a/tests/test_feed_writer.py
+++ b/tests/test_feed_writer.py
@@ -87,8 +87,8 @@
 
 
 class FakeCluster:
-    """A consensus cluster that decides each request at once, as a client sees a real one.
-    Records every committed group as the oracle for the expected results."""
+    """A consensus cluster that decides each request at once, as a client sees a real cluster.
+    It records every committed group; the tests derive the expected results from these."""
 
     def __init__(self) -> None:
         self.table = LeaseTable()
@@ -122,7 +122,7 @@
 
 
 class Keeper:
-    """A writer with a minimal driver, which stores unsent requests, effects and answers."""
+    """A writer's state machine with a minimal caller, which stores unsent requests, effects and answers."""
 
     def __init__(self, cluster: FakeCluster, id: str, table: FeedTable | None = None) -> None:
         self.cluster, self.id, self.now = cluster, id, 0
@@ -665,12 +665,12 @@
     keeper.propose("r", "tenant/r")
     assert keeper.requests == []
     keeper.handle(KeeperDurable("a", RING_SLOTS))
-    assert keeper.requests == []  # one of three keepers
+    assert keeper.requests == []  # only one of three keepers has the oldest group on disk
     keeper.handle(KeeperDurable("unknown", RING_SLOTS))
     assert keeper.requests == []
     keeper.handle(KeeperDurable("b", 0))
     assert keeper.requests == []
-    keeper.handle(KeeperDurable("b", 1))  # has the group in the oldest slot
+    keeper.handle(KeeperDurable("b", 1))  # now a second keeper has the group in the oldest slot on disk
     assert [type(request) for request in keeper.requests] == [WriteRecord]
     keeper.deliver_all()
     assert keeper.answers["r"].sequence == RING_SLOTS + 1
@@ -705,7 +705,7 @@
     keeper.write_changes(RING_SLOTS, durable=False)
     keeper.handle(KeeperDurable("a", RING_SLOTS))
     keeper.handle(KeeperDurable("b", RING_SLOTS))
-    keeper.handle(KeeperDurable("b", 0))  # it restarts with an empty disk
+    keeper.handle(KeeperDurable("b", 0))  # keeper b restarts with an empty disk
     keeper.propose("r")
     assert keeper.requests == []
 
@@ -873,7 +873,7 @@
     )
     def commit_many_groups(self, name: str, count: int, durable_count: int, afterwards: str) -> None:
         """Acquire the lease, catch up and write `count` groups, each made durable at once by `durable_count`
-        keepers, beginning with the writer. Its own disk may be lost afterwards."""
+        keepers, beginning with the writer. The writer's disk may be lost afterwards."""
         keeper = self._make_writer(name)
         index = KEEPERS.index(name)
         for _ in range(count):
@@ -893,8 +893,9 @@
         name=names, other=names, count=st.integers(0, 3), how=st.sampled_from(["before", "after", "unknown"])
     )
     def write_during_takeover(self, name: str, other: str, count: int, how: str) -> None:
-        """Another keeper acquires the lease and writes while a write is in flight. That write reaches the
-        cluster before or after those of the new writer, or its writer learns that no answer will arrive."""
+        """Another keeper acquires the lease and writes while a write of the old writer is in flight. The old
+        writer's write reaches the cluster before or after the new writer's, or the old writer learns that no
+        answer will arrive."""
         keeper = self._make_writer(name)
         self._propose_next(keeper)
         if name == other or not keeper.requests:
@@ -1159,7 +1160,7 @@
 
 
 class FailingDisk(Disk):
-    """Counts its calls and fails in a given range of them; like on a full disk, half of a write succeeds."""
+    """Counts the calls and fails in a given range of calls; as on a full disk, half of a write succeeds."""
 
     def __init__(self, folder: Path, kind: str = "feed") -> None:
         super().__init__(folder, kind)
@@ -1321,7 +1322,7 @@
 
 def test_a_full_disk_keeps_the_durable_state_and_later_writes_use_a_new_segment(tmp_path: Path) -> None:
     tables = make_tables(4)
-    for failing_call in range(1, 3):  # the append, the sync
+    for failing_call in range(1, 3):  # the call that fails: the append, then the sync
         folder = tmp_path / str(failing_call)
         disk = FailingDisk(folder)
         disk.acquire()
@@ -1374,7 +1375,7 @@
             archive.write(tables[1])
             archive.write(tables[2], [make_step(tables[1], tables[2])])
             disk.release()
-            # After a restart the next write is a snapshot; all calls fail from the given one on.
+            # After a restart the next write is a snapshot; from the given call on, all disk calls fail.
             disk = FailingDisk(folder)
             disk.acquire()
             archive = Archive(disk, "all")
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Supervisor and rollout controller: staged rollouts of releases and settings, stopped if worse."""
+"""Supervisor and rollout controller: staged rollouts of releases and settings, stopped if they are worse."""
 
 import hashlib
 import json
@@ -118,7 +118,8 @@
 
 
 def test_rejecting_new_servers_are_detected_despite_their_load_moving_to_old_servers() -> None:
-    """6 of 30 servers reject a fifth of their tasks; the old ones receive these and degrade as well."""
+    """6 of 30 servers run a new version and reject a fifth of their tasks. The servers on the old version
+    receive these tasks and degrade as well."""
     analysis, rng = CanaryAnalysis(("z0", "z1", "z2"), 0.02, 36), Random(1)
     verdict = ""
     for _ in range(120):
@@ -230,7 +231,7 @@
 
 def test_servers_that_are_down_for_other_reasons_count_against_the_limit_of_servers_down() -> None:
     rollout = SimulatedRollout(9, stages=("all",), max_down=3, max_down_per_zone=1)
-    rollout.update_member("s03", alive=False, accepting=False)  # of z0, not due to the rollout
+    rollout.update_member("s03", alive=False, accepting=False)  # a server in zone z0; not due to the rollout
     for _ in range(3):
         rollout.step()
     assert {id for id, _ in rollout.requested} <= {"s01", "s02", "s04", "s05", "s07", "s08"}
@@ -270,7 +271,7 @@
     for _ in range(3):
         rollout.step()
     pending = [id for id, version in rollout.requested if version == NEW and id != first]
-    assert pending  # requested, and not in effect yet
+    assert pending  # changes of servers that were requested and are not in effect yet
     rollout.handle(OrderReceived(Order(3, "back", "suspected fault")))
     for _ in range(30):
         for id in rollout.members:
@@ -337,7 +338,7 @@
     else:
         assert result.phase == "back", result
         assert result.most_new <= 10
-    assert result.most_down <= 3 + 2  # the limit, and servers that crashed
+    assert result.most_down <= 3 + 2  # the limit on servers down at once, and servers that crashed
 
 
 def figures_and_value(
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -41,7 +41,7 @@
 
 
 def fleet_status(demand: dict[str, float], zones: dict[str, ZoneStatus] | None = None) -> FleetStatus:
-    """Return a status in which 60 % of each zone's demand are lookups (stage 0), 40 % bookings (stage 1)."""
+    """Return a status in which 60 % of each zone's demand is lookups (stage 0), 40 % bookings (stage 1)."""
     all_zones = {name: zone(name) for name in NAMES} | (zones or {})
     stage_demand = {
         (name, stage): share * demand.get(name, 0.0)
