--- a/tests/test_feed_writer.py
+++ b/tests/test_feed_writer.py
@@ -1,4 +1,7 @@
-"""The writer of the config feed: fencing, lost answers, recovery, the ring, validation and the archive."""
+"""The writer of the config feed: fencing, lost answers, recovery, record ring, validation and archive.
+
+The record ring is the fixed set of records in the consensus cluster that store the newest groups of changes.
+"""
 
 import errno
 import json
--- a/thistleline/config_feed/follower.py
+++ b/thistleline/config_feed/follower.py
@@ -147,7 +147,7 @@
         return clone
 
     def state_key(self) -> tuple[Any, ...]:
-        """Return the state that determines its behaviour.
+        """Return all state that determines how this follower behaves.
 
         Tables are represented by sequence number and digest, and times are relative to now.
         """
--- a/thistleline/config_feed/history.py
+++ b/thistleline/config_feed/history.py
@@ -105,7 +105,10 @@
         return known == digest
 
     def digest_at(self, sequence: int, kind: Kind) -> bytes | None:
-        """Return the digest of the state at `sequence`; None if no step begins or ends there."""
+        """Return the digest of the state at `sequence`; None if it is not known.
+
+        The digests of the newest state and of the states before and after each stored step are known.
+        """
         known = self._digests.get(sequence)
         return None if known is None else known[int(kind == "all")]
 
--- a/thistleline/config_feed/relay.py
+++ b/thistleline/config_feed/relay.py
@@ -160,7 +160,7 @@
         return clone
 
     def state_key(self) -> tuple[Any, ...]:
-        """Return the state that determines its behaviour, with times relative to now."""
+        """Return all state that determines how this process behaves, with times relative to now."""
         return (
             self.source.state_key(),
             self.follower.state_key(),
--- a/thistleline/config_feed/source.py
+++ b/thistleline/config_feed/source.py
@@ -126,7 +126,7 @@
         return clone
 
     def state_key(self) -> tuple[Any, ...]:
-        """Return the state that determines its behaviour.
+        """Return all state that determines how this source behaves.
 
         Tables are represented by sequence number and digest, and times are relative to now.
         """
--- a/thistleline/lab/processes/render_farm.py
+++ b/thistleline/lab/processes/render_farm.py
@@ -34,7 +34,7 @@
 
 
 class FakeFarmAgent:
-    """One agent on a free loopback port; only the newest connection gets notices."""
+    """A fake agent on a free loopback port; it sends notices of ended runs only to the newest connection."""
 
     def __init__(self, seed: int, run_seconds: tuple[float, float]) -> None:
         """Make an agent; `run_seconds` is the least and the greatest duration of a run."""
--- a/thistleline/lab/scale/budget.py
+++ b/thistleline/lab/scale/budget.py
@@ -97,7 +97,11 @@
 
 
 class Line(NamedTuple):
-    """A budget and what is spent of it; `spent` is None for each item that is not measured."""
+    """A budget: the limit of one resource, and its use by each item at the planned size.
+
+    An item is one cost that counts against the limit. `spent` maps its name to its use, in `unit`, or to None
+    if that is not measured.
+    """
 
     name: str
     unit: str
--- a/thistleline/lab/scale/council.py
+++ b/thistleline/lab/scale/council.py
@@ -361,7 +361,7 @@
 
 
 def send_renewals(leader: Leader) -> None:
-    """Renew one lease RENEWALS times, each in a round of its own."""
+    """Renew one lease RENEWALS times, with one request per round (not batched)."""
     requests = [encode(Request(1, make_renewal(1)))]
     for _ in range(RENEWALS):
         leader.round(requests)
@@ -444,8 +444,8 @@
 def poll_costs(read_s: float, round_s: float) -> dict[str, Any]:
     """Estimate the leader's cores that polling supervisors use, without its sockets.
 
-    Every supervisor reads every POLL seconds. The cores are given for a round of its own for each read, and
-    for rounds of 1 ms.
+    Every supervisor reads every POLL seconds. The cores are given for a separate round for each read, and for
+    one round per ms that is shared by all reads of that ms.
 
     Args:
         read_s: CPU seconds of one more read in a round.
--- a/thistleline/lab/scale/feed.py
+++ b/thistleline/lab/scale/feed.py
@@ -285,9 +285,10 @@
 
 
 def restart_zone_cold(fleet: VirtualFeed) -> None:
-    """Restart a zone's instances with nothing on disk, within two seconds.
+    """Kill all instances of zone 0 and restart each with an empty table, 1 to 3 s later.
 
-    The same relays serve the other instances of the largest region meanwhile.
+    Zone 0 is in region 0, which has at least as many instances as any other. The relays of the region send
+    the table to the restarted instances and serve its other instances at the same time.
     """
     restart_instances(fleet, instances_in_zone(fleet, 0), SECOND, 2 * SECOND, True)
 
--- a/thistleline/lab/scale/feedsockets.py
+++ b/thistleline/lab/scale/feedsockets.py
@@ -49,7 +49,7 @@
 NAME = "feed on sockets"
 SIZES = [35, 75, 150, 350, 735]  # followers of the region
 FOLLOWER_PROCESSES = 4  # processes for all followers but the one that is alone
-TIMEOUT_S = 120.0  # for all followers, or for a keeper that reads the full table
+TIMEOUT_S = 120.0  # longest wait, as until all followers have a change or a keeper has loaded its table
 MAX_LINE_SIZE = 64 << 20  # bytes of a report of a process
 Tell = Callable[[str], None]
 Entries = dict[str, tuple[bytes, int]]
--- a/thistleline/rollout/canary.py
+++ b/thistleline/rollout/canary.py
@@ -17,7 +17,8 @@
   individually: a noisy neighbour of one of them is not a fault of the release.
 - With one or two new servers, the effect of the release can't be distinguished from the effect of their
   machines, so that only severe differences count.
-- Silence, a broken rule or a crash loop counts as worse immediately (`canary_health.py`).
+- A new server that stops reporting, detects an internal rule violation or crashes repeatedly counts as worse
+  immediately; so does a crash rate above twice that of the old servers (`canary_health.py`).
 """
 
 from collections.abc import Iterable
--- a/thistleline/server/log.py
+++ b/thistleline/server/log.py
@@ -16,7 +16,7 @@
     """Writes log lines to a file descriptor and queues those that would block."""
 
     def __init__(self, name: str, target: int = 1) -> None:
-        """Write for the server `name` to the file descriptor `target`."""
+        """Create a log that writes the lines of server `name` to the file descriptor `target`."""
         self.name = name
         self._target = target
         self.lines: deque[bytes] = deque()
--- a/thistleline/supervisor/takeover.py
+++ b/thistleline/supervisor/takeover.py
@@ -60,7 +60,12 @@
         self.successor_alive = False
 
     def complete(self, predecessor: int, now: int) -> None:
-        """Record that the successor serves, and wait for the predecessor to end; 0 if it ended already."""
+        """Record that the successor serves, and start waiting for the predecessor to end.
+
+        Args:
+            predecessor: Incarnation that handed over; 0 if its process has already ended.
+            now: Time of the takeover, ns.
+        """
         self.successor_alive = False
         self.await_predecessor(predecessor, now)
 
